--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -94,12 +94,12 @@
 	d.server = transport.NewServer(transport.ServerConfig{Addr: s.listen, Back: s.back,
 		MaxConns: max(s.maxSockets-s.maxSockets/8-24, 8), Idle: 120 * time.Second, Slow: 10 * time.Second}, d.request)
 	d.server.Peer = func(frame []byte) {
-		var h coordination.Hint
+		var h coordination.PeerStatusWire
 		if err := transport.ReadFrame(frame, &h); err != nil {
 			slog.Error("unreadable hint", "err", err)
 			return
 		}
-		d.offer(message{in: coordination.HintInput{Hint: h}})
+		d.offer(message{in: coordination.HintInput{Hint: h.Status()}})
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- d.server.Run() }()
@@ -215,8 +215,9 @@
 	case coordination.Log:
 		slog.Log(context.Background(), v.Level, v.Msg, v.Args...)
 	case coordination.SendHint:
+		wire := v.Hint.Wire()
 		for _, p := range d.peers {
-			if err := p.Send(v.Hint); err != nil {
+			if err := p.Send(wire); err != nil {
 				slog.Error("hint not sent", "err", err)
 			}
 		}
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloud.go
@@ -54,21 +54,30 @@
 	}
 }
 
-func (c *Core) tickCloud() {
-	now := c.now.Steady
-	if !c.flavorOut && now >= c.flavorAt {
+// tickFlavors reads the machine types and their prices again when that is due.
+func (c *Core) tickFlavors() {
+	if !c.flavorOut && c.now.Steady >= c.flavorAt {
 		c.flavorOut = true
 		c.emit(AskFlavors{})
 	}
-	if !c.replication.loaded || !c.registered() {
-		return
-	}
+}
+
+// forgetReleased drops what is remembered of machines that went back long ago.
+func (c *Core) forgetReleased() {
 	for id, at := range c.released {
-		if c.since(at) > 90*time.Second {
+		if c.since(at) > releasedKept {
 			delete(c.released, id)
 		}
 	}
-	c.rent()
+}
+
+// releasedKept is how long a machine that went back is remembered: the cloud's list may
+// show it for as long.
+const releasedKept = 90 * time.Second
+
+// sendReleases sends the releases that are due, in one call.
+func (c *Core) sendReleases() {
+	now := c.now.Steady
 	var names []protocol.MachineID
 	for id, r := range c.releasing {
 		if e := c.replica.Machines[id]; e == nil || !r.unmarked && (!c.mine(&e.Rec) || !e.Rec.Releasing) {
@@ -87,6 +96,11 @@
 		c.releaseOut = true
 		c.emit(SendRelease{names})
 	}
+}
+
+// tickList reads the cloud's list of machines when that is due.
+func (c *Core) tickList() {
+	now := c.now.Steady
 	if c.silentOwn > 0 {
 		c.listAt = min(c.listAt, c.listedAt.Add(c.cfg.ListSilent))
 	}
@@ -281,9 +295,8 @@
 	}
 }
 
-// writeCloud writes what rentals and releases need to be on record.
-func (c *Core) writeCloud(b *batch) {
-	c.recordRentals(b)
+// writeReleases marks the machines that are to go back.
+func (c *Core) writeReleases(b *batch) {
 	for _, id := range c.leaving {
 		e := c.replica.Machines[id]
 		if m := c.machines[id]; m != nil && m.leave != "" && e != nil && c.mine(&e.Rec) && !e.Rec.Releasing && b.hasRoom(b.needs(id)) && !b.gone(id) {
@@ -294,5 +307,10 @@
 			m.leave = ""
 		}
 	}
-	c.strangers(b)
+}
+
+// beginReview begins to ask anew which of the owned machines go back.
+func (c *Core) beginReview(silent int) {
+	c.silentOwn = silent
+	c.leaving = c.leaving[:0]
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -95,9 +95,12 @@
 		keep = b.room / 4
 	}
 	b.room -= keep
+	c.handOver(b)
 	c.writeMachines(b)
 	b.room += keep
-	c.writeCloud(b)
+	c.recordRentals(b)
+	c.writeReleases(b)
+	c.strangers(b)
 	if !first {
 		c.place(b)
 	}
@@ -287,6 +290,18 @@
 	c.minRev, c.minRevAt = max(c.minRev, r), c.now.Steady
 }
 
+func (t *txn) restsOn(key string) bool {
+	for _, w := range t.multi.When {
+		if w.Key == key {
+			return true
+		}
+	}
+	return false
+}
+
+// pendingRestsOn tells whether the transaction under way depends on a key.
+func (c *Core) pendingRestsOn(key string) bool { return c.tx != nil && c.tx.restsOn(key) }
+
 func errText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -235,8 +235,9 @@
 		panic(fmt.Sprintf("coordination: unknown input %T", in))
 	}
 	c.settle()
+	c.settleReports()
 	c.flush()
-	c.follow()
+	c.follow(len(c.waiters) > 0)
 	return c.out
 }
 
@@ -246,6 +247,21 @@
 func (c *Core) onHint(h Hint) {
 	c.peers[h.Member] = peer{h, c.now.Steady}
 	c.onWithdrawals(&h)
+	c.noteReportsElsewhere(&h)
+}
+
+// onChanged takes in that a machine's record has changed.
+func (c *Core) onChanged(id protocol.MachineID, before, after *bk.MachineRecord) {
+	c.stirred = true
+	if before != nil && after != nil {
+		c.noteEndedReplicas(id, before, after)
+	}
+	c.noteAssignments(id, before, after)
+}
+
+// noteReportsElsewhere marks the owned machines whose workers report to the sender of a
+// hint, to be handed over.
+func (c *Core) noteReportsElsewhere(h *Hint) {
 	for _, s := range h.Seen[:min(len(h.Seen), maxSeen)] {
 		if e := c.replica.Machines[s.Machine]; e != nil && c.mine(&e.Rec) && c.replica.Alive(h.Run) {
 			m := c.own(e, s.Machine)
@@ -307,33 +323,73 @@
 	}
 	c.tickLease()
 	c.tickWithdrawals()
-	if now >= c.hintAt || c.hintSoon {
-		c.hintSoon = false
-		c.hintAt = now.Add(c.jitter(time.Second))
-		h := Hint{Member: c.cfg.Member, StateOK: c.replication.loaded && c.since(c.service.answeredAt) < 2*time.Second && c.service.failures == 0}
-		if c.registered() {
-			h.Run = c.run
-			c.withdrawalHint(&h)
-			h.Fit = c.fit()
-			if c.seenHint(&h) {
-				c.hintAt = now.Add(c.jitter(moreHints))
-			}
-		}
-		maps.DeleteFunc(c.strayed, func(_ protocol.MachineID, s stray) bool { return c.since(s.at) > 3*time.Second })
-		c.emit(SendHint{h})
-	}
+	c.tickHint()
 	c.tickUsers()
+	c.forgetWanted()
 	if now < c.tickAt {
 		return
 	}
 	c.tickAt = now.Add(200 * time.Millisecond)
-	c.tickRuns()
+	if c.replication.loaded {
+		c.observeVersions()
+		c.tickRuns()
+	}
 	c.tickRequests()
-	c.tickMachines()
+	if c.replication.loaded {
+		c.tickMachines()
+		c.forgetGone()
+	}
 	c.lastResort()
 	c.tickCloud()
 }
 
+// forgetInterval is the distance at which what is remembered of machines and jobs that are
+// gone is dropped.
+const forgetInterval = 2 * time.Second
+
+// forgetGone drops what is remembered of machines and jobs that are gone.
+func (c *Core) forgetGone() {
+	if c.now.Steady < c.forgetAt {
+		return
+	}
+	c.forgetAt = c.now.Steady.Add(forgetInterval)
+	c.forgetMachines()
+	c.forgetJobs()
+}
+
+// tickCloud asks the cloud for what is due.
+func (c *Core) tickCloud() {
+	c.tickFlavors()
+	if !c.replication.loaded || !c.registered() {
+		return
+	}
+	c.forgetReleased()
+	c.rent()
+	c.sendReleases()
+	c.tickList()
+}
+
+// tickHint tells the other controllers of this one when that is due.
+func (c *Core) tickHint() {
+	now := c.now.Steady
+	if now < c.hintAt && !c.hintSoon {
+		return
+	}
+	c.hintSoon = false
+	c.hintAt = now.Add(c.jitter(time.Second))
+	h := Hint{Member: c.cfg.Member, StateOK: c.replication.loaded && c.since(c.service.answeredAt) < 2*time.Second && c.service.failures == 0}
+	if c.registered() {
+		h.Run = c.run
+		c.withdrawalHint(&h)
+		h.Fit = c.fit()
+		if c.seenHint(&h) {
+			c.hintAt = now.Add(c.jitter(moreHints))
+		}
+	}
+	maps.DeleteFunc(c.strayed, func(_ protocol.MachineID, s stray) bool { return c.since(s.at) > 3*time.Second })
+	c.emit(SendHint{h})
+}
+
 // maxSeen is how many machines of others one hint names: what fits into a frame beside
 // the withdrawals, for all versions.
 const maxSeen = 200
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -244,6 +244,39 @@
 	return r.Session < session || r.Session == session && r.Tally <= tally
 }
 
+// forgetMachines drops what is remembered of machines that are on no record.
+func (c *Core) forgetMachines() {
+	for id, m := range c.machines {
+		if c.replica.Machines[id] == nil && m.held == 0 {
+			delete(c.machines, id)
+		}
+	}
+}
+
+// forgetJobs drops what is remembered of jobs that are over.
+func (c *Core) forgetJobs() {
+	for id := range c.jobs {
+		if e := c.replica.Jobs[id]; e == nil || e.Rec.Stage == protocol.Done || e.Rec.Stage.Final() && len(c.replica.On(id)) == 0 {
+			delete(c.jobs, id)
+		}
+	}
+}
+
+// forgetAssignments drops since when tasks have been on machines.
+func (c *Core) forgetAssignments() { clear(c.assignedAt) }
+
+// forgetUnrecorded forgets the machines of an earlier replica that this one does not have.
+func (c *Core) forgetUnrecorded(earlier *bk.Replica) {
+	for _, e := range earlier.List() {
+		if id := e.ID; c.replica.Machines[id] == nil {
+			if m := c.machines[id]; m != nil {
+				c.dropHeld(m)
+				delete(c.machines, id)
+			}
+		}
+	}
+}
+
 // onLost forgets machines that have left the records.
 func (c *Core) onLost() {
 	for _, id := range c.replica.Lost() {
@@ -255,13 +288,9 @@
 	}
 }
 
-// onChanged keeps what rests on the machines' records: since when tasks have
+// noteAssignments keeps what rests on the machines' records: since when tasks have
 // been on a machine, and which images it has.
-func (c *Core) onChanged(id protocol.MachineID, before, after *bk.MachineRecord) {
-	c.stirred = true
-	if before != nil && after != nil {
-		c.noteEndedReplicas(id, before, after)
-	}
+func (c *Core) noteAssignments(id protocol.MachineID, before, after *bk.MachineRecord) {
 	if before != nil {
 		for i := range before.Assigned {
 			a := &before.Assigned[i]
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -36,10 +36,6 @@
 
 // tickRuns notes since when runs are dead, so that takeovers spread out.
 func (c *Core) tickRuns() {
-	if !c.replication.loaded {
-		return
-	}
-	c.observeVersions()
 	seen := map[bk.Run]bool{}
 	note := func(r bk.Run) {
 		if c.replica.Alive(r) {
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -28,7 +28,6 @@
 // one goes on with the page that was left.
 func (c *Core) writeMachines(b *batch) {
 	pages := c.ownPages()
-	c.handOver(b)
 	for i := range pages {
 		k := (c.turn + i) % len(pages)
 		for _, id := range c.replica.Pages[pages[k]].Machines {
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -34,12 +34,12 @@
 
 // follow asks for changes again. Each answer costs a request of a tight
 // budget, so the calls keep a distance unless something waits for the replica.
-func (c *Core) follow() {
+func (c *Core) follow(waiting bool) {
 	now := c.now.Steady
 	if !c.replication.begun || c.replication.following || c.replication.loading || now < c.replication.retryAt {
 		return
 	}
-	if now < c.replication.followAt && c.replica.Rev >= c.minRev && len(c.waiters) == 0 {
+	if now < c.replication.followAt && c.replica.Rev >= c.minRev && !waiting {
 		return
 	}
 	c.replication.following, c.replication.followAsk = true, now
@@ -87,19 +87,12 @@
 	// Records deleted while this node did not follow must not stay: begin anew.
 	old := c.replica
 	c.replica = bk.NewReplica()
-	c.replica.Changed = c.onChanged
-	clear(c.assignedAt)
+	c.replica.Changed = old.Changed
+	c.forgetAssignments()
 	for _, i := range v.Items {
 		c.replicaPut(i.Key, i.Data, i.Stamp)
 	}
-	for _, e := range old.List() {
-		if id := e.ID; c.replica.Machines[id] == nil {
-			if m := c.machines[id]; m != nil {
-				c.dropHeld(m)
-				delete(c.machines, id)
-			}
-		}
-	}
+	c.forgetUnrecorded(old)
 	c.replica.Rev = v.From
 	c.replication.until = v.Until
 	c.replication.replicaAt = c.replication.loadAsk
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -4,7 +4,6 @@
 	"errors"
 	"log/slog"
 	"slices"
-	"time"
 
 	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
@@ -270,7 +269,6 @@
 	}
 	c.waiters = slices.DeleteFunc(c.waiters, c.answer)
 	c.askRev()
-	c.settleReports()
 }
 
 func (c *Core) answer(w *waiter) bool {
@@ -322,11 +320,4 @@
 		}
 		return late
 	})
-	for id, at := range c.cancellations.wanted {
-		// The user is told to come back; withdrawing goes on all the same
-		// for a while, as it was asked for.
-		if c.replica.Withdrawing[id] == nil && c.since(at) > 30*time.Second {
-			delete(c.cancellations.wanted, id)
-		}
-	}
 }
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -9,9 +9,6 @@
 
 // tickMachines looks after owned machines: stops that are due, silence, release.
 func (c *Core) tickMachines() {
-	if !c.replication.loaded {
-		return
-	}
 	c.watchGangs()
 	type ownedMachine struct {
 		e *bk.Machine
@@ -38,8 +35,7 @@
 	}
 	// If nearly all fall silent, it is this node that is cut off.
 	cutOff := quiet > 3 && quiet*3 > total*2
-	c.silentOwn = quiet
-	c.leaving = c.leaving[:0]
+	c.beginReview(quiet)
 	for _, o := range owned {
 		e, m := o.e, o.m
 		c.tickStops(e, m)
@@ -52,20 +48,6 @@
 			c.do(e, m, nil, 2*time.Second)
 		}
 	}
-	if c.now.Steady < c.forgetAt {
-		return
-	}
-	c.forgetAt = c.now.Steady.Add(2 * time.Second)
-	for id, m := range c.machines {
-		if c.replica.Machines[id] == nil && m.held == 0 {
-			delete(c.machines, id)
-		}
-	}
-	for id := range c.jobs {
-		if e := c.replica.Jobs[id]; e == nil || e.Rec.Stage == protocol.Done || e.Rec.Stage.Final() && len(c.replica.On(id)) == 0 {
-			delete(c.jobs, id)
-		}
-	}
 }
 
 // lastTry is the highest attempt with which tasks of the job are assigned.
--- a/internal/coordination/withdraw.go
+++ b/internal/coordination/withdraw.go
@@ -169,7 +169,7 @@
 // one that is being given away goes first or not at all.
 func (c *Core) inOneWrite(b *batch, id protocol.JobID) bool {
 	e := c.replica.Jobs[id]
-	if e.Rec.Claim != c.run || c.replica.Rev < protocol.Rev(e.Stamp) || c.tx != nil && c.tx.restsOn(bk.JobKey(id)) ||
+	if e.Rec.Claim != c.run || c.replica.Rev < protocol.Rev(e.Stamp) || c.pendingRestsOn(bk.JobKey(id)) ||
 		len(b.when)+len(c.replica.On(id)) > 3*c.limits().TxnOps {
 		return false
 	}
@@ -184,13 +184,15 @@
 	return true
 }
 
-func (t *txn) restsOn(key string) bool {
-	for _, w := range t.multi.When {
-		if w.Key == key {
-			return true
+// forgetWanted gives up on withdrawals that could not be put on record for long.
+func (c *Core) forgetWanted() {
+	for id, at := range c.cancellations.wanted {
+		// The user is told to come back; withdrawing goes on all the same
+		// for a while, as it was asked for.
+		if c.replica.Withdrawing[id] == nil && c.since(at) > 30*time.Second {
+			delete(c.cancellations.wanted, id)
 		}
 	}
-	return false
 }
 
 // writeWithdrawals puts the next step of each withdrawal into the transaction.
--- a/internal/standin/golden_maker_test.go
+++ b/internal/standin/golden_maker_test.go
@@ -41,9 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	frame, err := transport.AppendFrame(nil, coordination.Hint{Member: "stall-1", StateOK: true, Run: "stall-1#7", Fit: true, Rev: 41,
+	hint := coordination.Hint{Member: "stall-1", StateOK: true, Run: "stall-1#7", Fit: true, Rev: 41,
 		Seen:    []coordination.Seen{{Machine: "m-000231", Session: 2, Tally: 9}},
-		Intents: []coordination.Intent{{Job: "j-000412", Rev: 40}}, Acks: []protocol.JobID{"j-000413"}})
+		Intents: []coordination.Intent{{Job: "j-000412", Rev: 40}}, Acks: []protocol.JobID{"j-000413"}}
+	frame, err := transport.AppendFrame(nil, hint.Wire())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/golden_test.go
+++ b/internal/standin/golden_test.go
@@ -93,10 +93,11 @@
 	if err != nil || len(rest) > 0 {
 		t.Fatalf("%v, %d bytes left", err, len(rest))
 	}
-	var h coordination.Hint
-	if err := transport.ReadFrame(frame, &h); err != nil {
+	var wire coordination.PeerStatusWire
+	if err := transport.ReadFrame(frame, &wire); err != nil {
 		t.Fatal(err)
 	}
+	h := wire.Status()
 	if h.Run != "stall-1#7" || !h.Fit || h.Rev != 41 || len(h.Seen) != 1 || h.Seen[0].Session != 2 || len(h.Intents) != 1 ||
 		h.Intents[0].Rev != 40 || len(h.Acks) != 1 || h.Acks[0] != "j-000413" {
 		t.Errorf("%+v", h)
