--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -58,6 +58,12 @@
 	upgrade   upgrade
 	ownership ownership
 
+	transferObservations map[bk.MoveSlot]moveWatch
+	lastRebalanceAt      protocol.Instant // when moves were last planned
+	lastTransferNumber   int              // of the last move that was named
+
+	pendingOperatorRequests []*pendingRequest // that are not on record yet
+
 	// Users and workers that wait.
 	submits       map[protocol.JobID]*submit
 	cancellations cancellations
@@ -143,7 +149,7 @@
 		rentals: newRentals(), warm: newWarmPool(), waitedFor: map[protocol.Sku]protocol.Instant{}, releasing: map[protocol.MachineID]*release{},
 		listed: map[protocol.MachineID]*listing{}, released: map[protocol.MachineID]protocol.Instant{},
 		spot: map[priceKey]*Threshold{}, peers: map[protocol.Member]peer{}, strayed: map[protocol.MachineID]stray{},
-		ownership: newOwnership(), holding: map[protocol.MachineID]bool{}, adopting: map[protocol.MachineID]bool{}, assignedAt: map[assignment]protocol.Instant{},
+		ownership: newOwnership(), transferObservations: map[bk.MoveSlot]moveWatch{}, holding: map[protocol.MachineID]bool{}, adopting: map[protocol.MachineID]bool{}, assignedAt: map[assignment]protocol.Instant{},
 	}
 	c.replica.Changed = c.onChanged
 	c.upgrade.readers = map[protocol.Member]bool{}
--- a/internal/coordination/moves.go
+++ b/internal/coordination/moves.go
@@ -46,7 +46,7 @@
 	} else if c.replica.Draining(c.cfg.Member) {
 		gap, why = gap/3, shares.WhyDrained
 	}
-	if c.since(c.ownership.plannedAt) < gap || !b.hasRoom(1) {
+	if c.since(c.lastRebalanceAt) < gap || !b.hasRoom(1) {
 		return
 	}
 	policy := shares.Policy{MaxMoves: maxPlanned, MaxArriving: maxArriving, ByDemand: c.cfg.MoveByDemand}
@@ -54,7 +54,7 @@
 		if b.pages[move.Page] != nil || !b.hasRoom(c.pageOps(move.Page)) {
 			continue
 		}
-		c.ownership.plannedAt = c.now.Steady
+		c.lastRebalanceAt = c.now.Steady
 		if strained {
 			c.ownership.gaveAt = c.now.Steady // and nobody gives it any for a while
 		}
@@ -158,8 +158,8 @@
 		return // all are taken; it is tried again
 	}
 	if name == "" {
-		c.ownership.moveNumber++
-		name = fmt.Sprintf("%s-%d", c.run, c.ownership.moveNumber)
+		c.lastTransferNumber++
+		name = fmt.Sprintf("%s-%d", c.run, c.lastTransferNumber)
 	}
 	record := bk.MoveRecord{Name: name, Page: move.Page, From: move.From, To: move.To, Phase: phase, Why: why,
 		Machines: len(c.replica.Pages[move.Page].Machines), Begun: c.now.Wall}
@@ -197,10 +197,10 @@
 	kept := c.keptForGangs()
 	for _, slot := range sorted(c.replica.Moves) {
 		e := c.replica.Moves[slot]
-		watch := c.ownership.moves[slot]
+		watch := c.transferObservations[slot]
 		if watch.stamp != e.Stamp {
 			watch = moveWatch{e.Stamp, c.now.Steady}
-			c.ownership.moves[slot] = watch
+			c.transferObservations[slot] = watch
 		}
 		if !e.Rec.Phase.Open() || b.moves[slot] != nil {
 			continue
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -13,17 +13,13 @@
 // records. What is to change is decided in package shares; this file and moves.go put it
 // into transactions.
 type ownership struct {
-	deadAt     map[bk.Run]protocol.Instant // since when a run is known to be dead
-	handing    map[protocol.MachineID]bool // owned ones whose workers report to another controller
-	plannedAt  protocol.Instant            // when moves were last planned
-	gaveAt     protocol.Instant            // when machines last left because this controller was no good for them
-	moves      map[bk.MoveSlot]moveWatch
-	requests   []*pendingRequest // of operators, that are not on record yet
-	moveNumber int               // of the last move that was named
+	deadAt  map[bk.Run]protocol.Instant // since when a run is known to be dead
+	handing map[protocol.MachineID]bool // owned ones whose workers report to another controller
+	gaveAt  protocol.Instant            // when machines last left because this controller was no good for them
 }
 
 func newOwnership() ownership {
-	return ownership{deadAt: map[bk.Run]protocol.Instant{}, handing: map[protocol.MachineID]bool{}, moves: map[bk.MoveSlot]moveWatch{}}
+	return ownership{deadAt: map[bk.Run]protocol.Instant{}, handing: map[protocol.MachineID]bool{}}
 }
 
 // unfitFor is how long a controller that was no good for its machines is given none.
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -46,7 +46,7 @@
 	switch {
 	case c.stateDown() || !c.registered():
 		err = transient("this controller does not reach the state service")
-	case err == nil && len(c.ownership.requests) >= maxRequests:
+	case err == nil && len(c.pendingOperatorRequests) >= maxRequests:
 		err = transient("too many requests wait to be written")
 	}
 	if err != nil {
@@ -54,13 +54,13 @@
 		return
 	}
 	r.at = c.now.Steady
-	c.ownership.requests = append(c.ownership.requests, r)
+	c.pendingOperatorRequests = append(c.pendingOperatorRequests, r)
 	c.stirred = true
 }
 
 // writeRequests offers a transaction to all requests, and answers those that are on record.
 func (c *Core) writeRequests(b *batch) {
-	c.ownership.requests = slices.DeleteFunc(c.ownership.requests, func(r *pendingRequest) bool {
+	c.pendingOperatorRequests = slices.DeleteFunc(c.pendingOperatorRequests, func(r *pendingRequest) bool {
 		answer, err := r.write(b)
 		if err != nil {
 			answer = r.refused(err)
@@ -75,7 +75,7 @@
 
 // tickRequests gives up on requests that could not be written in time.
 func (c *Core) tickRequests() {
-	c.ownership.requests = slices.DeleteFunc(c.ownership.requests, func(r *pendingRequest) bool {
+	c.pendingOperatorRequests = slices.DeleteFunc(c.pendingOperatorRequests, func(r *pendingRequest) bool {
 		late := c.since(r.at) > requestWait
 		if late {
 			c.emit(r.refused(transient("it could not be written in time; ask again under the same name")))
