--- /dev/null
+++ b/internal/standin/digest_test.go
@@ -0,0 +1,580 @@
+package standin
+
+import (
+	"crypto/sha256"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/coordination"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/transport"
+)
+
+// productionPeerMessage is what controllers tell each other, with the names by which gob
+// finds the fields in the version in production, and with plain types. A field that is
+// encoded under another name is not read by that version; it is empty here.
+type productionPeerMessage struct {
+	Member  string
+	StateOK bool
+	Run     string
+	Fit     bool
+	Seen    []productionSeen
+	Rev     uint64
+	Intents []productionIntent
+	Acks    []string
+}
+
+type productionSeen struct {
+	Machine string
+	Session uint64
+	Tally   uint64
+}
+
+type productionIntent struct {
+	Job string
+	Rev uint64
+}
+
+// asProductionReads is a message between controllers as the version in production reads it.
+func asProductionReads(message any) ([]byte, error) {
+	stream, err := transport.AppendFrame(nil, message)
+	if err != nil {
+		return nil, fmt.Errorf("encode: %w", err)
+	}
+	frame, rest, err := transport.CutFrame(stream)
+	if err != nil || len(rest) > 0 {
+		return nil, fmt.Errorf("cut: %v, %d bytes left", err, len(rest))
+	}
+	var m productionPeerMessage
+	if err := transport.ReadFrame(frame, &m); err != nil {
+		return nil, fmt.Errorf("decode: %w", err)
+	}
+	return json.Marshal(m)
+}
+
+// errorText is the text of an operator's error, and whether the request may be repeated.
+func errorText(err error) string {
+	var refused *coordination.RequestError
+	switch {
+	case err == nil:
+		return ""
+	case errors.As(err, &refused):
+		return fmt.Sprintf("%q transient=%t", refused.Reason, refused.Transient)
+	}
+	return fmt.Sprintf("%q", err)
+}
+
+// canonical is an effect in a form in which no identifier of the Go sources occurs: a code
+// of one letter and the wire form, or else the values in a fixed order. This is the one
+// place that follows a renaming of the types of effects.
+func canonical(e coordination.Effect) (code byte, form string, err error) {
+	share := func(s *coordination.ControllerShare) string {
+		return fmt.Sprintf("%q %q %d %d %t %t;", string(s.Member), string(s.Run), s.Pages, s.Machines, s.Moves, s.Draining)
+	}
+	move := func(m *bk.MoveRecord) string {
+		return fmt.Sprintf("%q %q %q %q %q %q %d %d %d %d %d;", m.Name, string(m.Page), string(m.From), string(m.To), string(m.Phase), m.Why, m.Machines,
+			int64(m.Begun), int64(m.Held), int64(m.Passed), int64(m.Ended))
+	}
+	switch v := e.(type) {
+	case coordination.Reply:
+		return 'R', fmt.Sprintf("%d %d %d %s", v.Req, v.Status, v.RetryAfter, v.Body), nil
+	case coordination.Commit:
+		return 'C', fmt.Sprintf("%d %s", v.ID, protocol.Encode(v.Multi)), nil
+	case coordination.Load:
+		return 'L', "", nil
+	case coordination.Follow:
+		return 'F', fmt.Sprint(uint64(v.From)), nil
+	case coordination.ReadRev:
+		return 'V', "", nil
+	case coordination.Grant:
+		return 'G', fmt.Sprint(int64(v.TTL)), nil
+	case coordination.Extend:
+		return 'E', fmt.Sprintf("%s", protocol.Encode(v.Hold)), nil
+	case coordination.AskFlavors:
+		return 'A', "", nil
+	case coordination.SendRental:
+		return 'H', string(protocol.Encode(v.Hire)), nil
+	case coordination.SendRelease:
+		return 'X', string(protocol.Encode(protocol.Machines{Machines: v.Machines})), nil
+	case coordination.AskList:
+		return 'I', "", nil
+	case coordination.SendDo:
+		orders := v.Orders
+		return 'D', fmt.Sprintf("%q %q %s", v.Addr, string(v.Machine), orders.Encode()), nil
+	case coordination.SendShow:
+		return 'W', fmt.Sprintf("%q %q", v.Addr, string(v.Machine)), nil
+	case coordination.SendHint:
+		form, err := asProductionReads(v.Hint.Wire())
+		return 'P', string(form), err
+	case coordination.MoveReply:
+		return 'M', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), move(&v.Move)), nil
+	case coordination.DrainReply:
+		return 'N', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), share(&v.Share)), nil
+	case coordination.SharesReply:
+		form := fmt.Sprintf("%d %d %t\n", v.Req, uint64(v.Revision), v.Stale)
+		for i := range v.Members {
+			form += share(&v.Members[i])
+		}
+		form += "\n"
+		for _, p := range v.Pages {
+			form += fmt.Sprintf("%q %q %d %d %d;", string(p.Page), string(p.Owner), uint64(p.Epoch), p.Machines, p.Tasks)
+		}
+		form += "\n"
+		for i := range v.Moves {
+			form += move(&v.Moves[i])
+		}
+		form += "\n"
+		for _, m := range v.Plan {
+			form += fmt.Sprintf("%q %q %q;", string(m.Page), string(m.From), string(m.To))
+		}
+		return 'S', form, nil
+	default:
+		return 0, "", fmt.Errorf("no canonical form of an effect %T", e)
+	}
+}
+
+// digestDay is a scenario of TestEffectDigest.
+type digestDay struct {
+	name  string
+	world func(t *testing.T, seed uint64) *World
+	play  func(t *testing.T, w *World) // plans the day; troubles are over by busy
+	busy  time.Duration
+	calm  time.Duration
+}
+
+// holds lets a trouble last from one time to another.
+func (w *World) holds(flag *bool, from, lasts float64) {
+	w.At(seconds(from), func() { *flag = true })
+	w.At(seconds(from+lasts), func() { *flag = false })
+}
+
+// tellsShares lets an operator ask for the shares again and again, at one controller after
+// the other.
+func (w *World) tellsShares(every float64) {
+	k := 0
+	w.Every(seconds(every), func() {
+		k++
+		w.Nodes[k%len(w.Nodes)].Operator(func(id coordination.ReqID) coordination.Input { return coordination.SharesRequest{Req: id} },
+			func(coordination.Effect) {})
+	})
+}
+
+// The leader of other tests depends on the order of a map if two are equal: the days
+// below name the controllers that fail.
+var digestDays = []digestDay{
+	{"crashes", mixedWorld, func(t *testing.T, w *World) {
+		w.Drop = 0.02
+		submitMix(w, 30)
+		w.odd(seconds(10), seconds(100))
+		for i := 1; i < 7; i++ {
+			w.restart(w.Nodes[i%3], seconds(10*float64(i)), seconds([]float64{0.2, 5}[i%2]))
+		}
+		for i, n := range w.Nodes {
+			w.restart(n, seconds(85), seconds(4+float64(i)))
+		}
+	}, seconds(110), seconds(60)},
+	{"refused-and-outage", mixedWorld, func(t *testing.T, w *World) {
+		submitMix(w, 24)
+		w.long(8, "core", 60)
+		for i, at := range []float64{25, 68} {
+			w.holds(&w.Nodes[i].Refused, at, 14)
+			w.At(seconds(at+0.2), func() { w.cancelRunning(5) })
+			w.holds(&w.State.Down, at+1, 34)
+		}
+	}, seconds(110), seconds(60)},
+	{"late-and-lost-transactions", mixedWorld, func(t *testing.T, w *World) {
+		w.Config.ValueBytes = 1700
+		for _, n := range w.Nodes {
+			n.Start()
+		}
+		w.Late, w.Unheard, w.Held, w.Drop, w.Slow = 0.15, 0.15, 0.2, 0.03, seconds(0.4)
+		submitMix(w, 24)
+		w.long(6, "core", 40)
+		for i := range 5 {
+			w.restart(w.Nodes[i%3], seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
+			w.At(seconds(24+15*float64(i)), func() { w.cancelRunning(2) })
+		}
+	}, seconds(105), seconds(70)},
+	{"deaf-mute-hanging-machines", mixedWorld, func(t *testing.T, w *World) {
+		w.Drop = 0.01
+		submitMix(w, 24)
+		w.long(6, "core", 50)
+		for i := range 5 {
+			at, lasts := 16+15*float64(i), seconds(3+6*float64(i))
+			w.At(seconds(at), func() {
+				for k, m := range w.some(0.6) {
+					flag := []*bool{&m.Deaf, &m.Mute, &m.Cut}[k%3]
+					*flag = true
+					w.At(lasts, func() { *flag = false })
+				}
+				w.cancelRunning(1)
+			})
+			w.At(seconds(at+4), func() {
+				for _, m := range w.some(0.15) {
+					m.Hang(lasts)
+				}
+			})
+		}
+		w.restart(w.Nodes[1], seconds(45), seconds(1))
+	}, seconds(110), seconds(60)},
+	{"zone-cut", mixedWorld, func(t *testing.T, w *World) {
+		submitMix(w, 24)
+		w.long(10, "core", 50)
+		for i := range 2 {
+			n, z, at := w.Nodes[2-i], []protocol.Zone{"a", "b"}[i], 20+45*float64(i)
+			for _, flag := range []*bool{&n.NoState, &n.NoPeers, &n.NoUsers} {
+				w.holds(flag, at, 38)
+			}
+			w.At(seconds(at), func() { w.Zone[z] = n })
+			w.At(seconds(at+38), func() { delete(w.Zone, z) })
+			w.At(seconds(at+3), func() { w.cancelRunning(3) })
+			w.At(seconds(at+20), func() { w.cancelRunning(2) })
+		}
+		w.restart(w.Nodes[0], seconds(30), seconds(0.4))
+	}, seconds(110), seconds(60)},
+	{"cancelled-in-outage", func(t *testing.T, seed uint64) *World {
+		w := NewWorld(seed, 3, testFlavors[:1], testTeams())
+		w.NoHire = true
+		w.Config.IdleFactor = 100
+		for _, n := range w.Nodes {
+			n.Start()
+		}
+		for i := range 14 {
+			w.Machine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+		}
+		return w
+	}, func(t *testing.T, w *World) {
+		w.AtEnd = 0.5
+		var ids []protocol.JobID
+		for i := range 9 {
+			d := array(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 4, 1, []float64{250, 250, 30}[i%3])
+			ids = append(ids, d.UID)
+			w.At(seconds(5+float64(i)), func() { w.Submit(d) })
+			if i%3 < 2 {
+				w.At(seconds(25.2+0.1*float64(i)), func() { w.Abort(d.UID) })
+			}
+		}
+		w.holds(&w.Nodes[1].Refused, 25, 14)
+		w.holds(&w.Nodes[2].NoPeers, 26, 20)
+		w.holds(&w.State.Down, 29, 50)
+		w.restart(w.Nodes[1], seconds(33), seconds(0.3))
+		w.At(seconds(31), func() {
+			for _, m := range w.some(0.4) {
+				m.Hang(seconds(30))
+			}
+		})
+		k := 0
+		w.Every(300*time.Millisecond, func() {
+			k++
+			id, n := ids[k%len(ids)], w.Nodes[k/len(ids)%3]
+			switch {
+			case w.Jobs[id] == nil:
+			case k%2 == 0:
+				w.Ask(n, protocol.Query, id, nil, func(int, protocol.Stage) {})
+			default:
+				w.Ask(n, protocol.Submit, id, protocol.Encode(w.Jobs[id]), func(int, protocol.Stage) {})
+			}
+		})
+	}, seconds(90), seconds(80)},
+	{"gangs-arrays-services-limits", func(t *testing.T, seed uint64) *World {
+		flavors := append(slices.Clone(testFlavors), testFlavors[0])
+		flavors[2].Sku, flavors[2].Accelerators = "gpu", 2
+		w := NewWorld(seed, 3, flavors, testTeams())
+		for i := range 8 {
+			w.Machine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+		}
+		w.Config.Teams["promised"] = coordination.Team{Cores: 12, CoresMax: 40}
+		w.Config.Aims = map[string]coordination.Aims{"l": {Wait: []time.Duration{seconds(5), seconds(20)}, Finished: []time.Duration{seconds(60)}, Times: []float64{1, 2}}}
+		w.limitAll(60)
+		return w
+	}, func(t *testing.T, w *World) {
+		submitMix(w, 30)
+		due := 40.0
+		for i := range 18 {
+			id := protocol.JobID(fmt.Sprintf("j-7%03d", i))
+			d := array(id, "l", []protocol.Rank{"high", "low", "standard", "critical"}[i%4], 3+i%5, 2, 12)
+			switch i % 6 {
+			case 0:
+				d = daemon(id, 2+i%4)
+				d.Team, d.Spread = []string{"tight", "core"}[i%2], i%4 == 0
+			case 1:
+				d = gang(id, "l", "high", 2+i%3, 3, 10)
+				d.Team = "promised"
+			case 2:
+				d.Team, d.DeadlineS = "promised", &due
+			case 3:
+				d.Accelerators, d.Cores = 1, 0.5
+			case 4:
+				d.Class = []string{laneFails, laneEnds}[i/6%2]
+			}
+			w.At(seconds(4+4*float64(i)), func() { w.Submit(d) })
+		}
+		w.holds(&w.NoHire, 30, 25)
+		w.holds(&w.NoCloud, 70, 12)
+		for i := range 6 {
+			w.At(seconds(20+12*float64(i)), func() {
+				for _, m := range w.some(0.1) {
+					w.Lose(m.ID)
+				}
+			})
+		}
+		w.restart(w.Nodes[2], seconds(50), seconds(2))
+		w.At(seconds(90), func() { w.cancelRunning(6) })
+	}, seconds(110), seconds(60)},
+	{"moves-with-failures", movingWorld, func(t *testing.T, w *World) {
+		w.Config.MoveByDemand = 0.5
+		for _, n := range w.Nodes {
+			n.Start()
+		}
+		submitMix(w, 40)
+		w.moveAround(1200*time.Millisecond, seconds(90))
+		w.tellsShares(5)
+		moves := 0
+		w.onPhase(bk.MoveProposed, func(r bk.MoveRecord) {
+			if moves++; moves%5 == 0 {
+				w.Nodes[moves%3].Operator(func(id coordination.ReqID) coordination.Input {
+					return coordination.MoveRequest{Req: id, Name: r.Name, Abort: true}
+				}, func(coordination.Effect) {})
+			}
+			if moves%9 == 0 {
+				w.bounce(r.From, 3*time.Second)
+			}
+		})
+		prepared := 0
+		w.onPhase(bk.MovePrepared, func(r bk.MoveRecord) {
+			switch prepared++; prepared % 24 {
+			case 4:
+				w.bounce(r.From, 200*time.Millisecond)
+			case 9:
+				w.bounce(r.To, 4*time.Second)
+			case 13:
+				w.node(r.From).Freeze(12 * time.Second)
+			case 18:
+				w.State.Down = true
+				w.At(9*time.Second, func() { w.State.Down = false })
+			case 23:
+				w.cancelRunning(3)
+			}
+		})
+		passed := 0
+		w.onPhase(bk.MoveTransferred, func(r bk.MoveRecord) {
+			switch passed++; passed % 16 {
+			case 6:
+				w.bounce(r.To, 12*time.Second)
+			case 14:
+				w.node(r.To).Freeze(10 * time.Second)
+			}
+		})
+	}, seconds(90), seconds(80)},
+	{"moves-late-writes", movingWorld, func(t *testing.T, w *World) {
+		w.Late, w.Unheard, w.Copies = 0.05, 0.1, 0.1
+		submitMix(w, 30)
+		w.moveAround(1500*time.Millisecond, seconds(90))
+		w.tellsShares(9)
+		w.holds(&w.Nodes[0].NoPeers, 20, 15)
+		w.holds(&w.Nodes[1].NoState, 40, 12)
+		w.holds(&w.Nodes[2].NoWorker, 60, 20)
+	}, seconds(90), seconds(80)},
+	{"drains", movingWorld, func(t *testing.T, w *World) {
+		submitMix(w, 24)
+		w.tellsShares(4)
+		drain := func(at float64, asked int, member protocol.Member, on bool) {
+			w.At(seconds(at), func() {
+				w.Nodes[asked].Operator(func(id coordination.ReqID) coordination.Input {
+					return coordination.DrainRequest{Req: id, Member: member, Drain: on}
+				}, func(coordination.Effect) {})
+			})
+		}
+		drain(12, 1, "stall-0", true)
+		drain(14, 1, "stall-0", true)
+		w.restart(w.Nodes[0], seconds(35), seconds(1))
+		drain(45, 1, "stall-1", true)
+		drain(46, 1, "stall-2", true)
+		drain(47, 0, "stall-9", true)
+		w.holds(&w.State.Down, 50, 4)
+		drain(52, 2, "stall-0", false)
+		drain(65, 2, "stall-0", false)
+		drain(80, 2, "stall-1", false)
+		w.restart(w.Nodes[2], seconds(85), seconds(6))
+	}, seconds(100), seconds(60)},
+	{"upgrade-with-announced-limits", upgradeWorld, func(t *testing.T, w *World) {
+		w.Drop, w.Copies = 0.01, 0.1
+		submitMix(w, 30)
+		w.At(seconds(2), func() { w.Submit(array("j-700000", "l", "standard", 600, 1, 5)) })
+		for i, n := range w.Nodes {
+			n.Upgrade(seconds(20+8*float64(i)), seconds(3))
+		}
+		w.At(seconds(55), w.tighten)
+		for i := range 6 {
+			d := daemon(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
+			d.Spread = i%2 == 0
+			w.At(seconds(57+2*float64(i)), func() { w.Submit(d) })
+			w.At(seconds(24+6*float64(i)), func() {
+				for _, m := range w.some(0.03) {
+					w.Lose(m.ID)
+				}
+			})
+		}
+		w.holds(&w.State.Down, 60, 7)
+		w.restart(w.Nodes[0], seconds(69), seconds(0.3))
+		w.At(seconds(75), func() { w.cancelRunning(3) })
+	}, seconds(110), seconds(50)},
+	{"upgrade-and-moves", movingWorld, func(t *testing.T, w *World) {
+		w.Config.NextLimits = &coordination.WriteLimits{RPS: 28, TxnOps: 6, ValueBytes: 2048}
+		for _, n := range w.Nodes {
+			n.Old = true
+			n.Start()
+		}
+		submitMix(w, 30)
+		w.moveAround(1500*time.Millisecond, seconds(100))
+		w.tellsShares(9)
+		for i, n := range w.Nodes {
+			n.Upgrade(seconds(20+10*float64(i)), seconds(2))
+		}
+		w.At(seconds(60), func() { w.State.Value, w.State.Ops = 2048, 6 })
+	}, seconds(100), seconds(70)},
+	{"lost-machines-late-copies", mixedWorld, func(t *testing.T, w *World) {
+		w.Drop, w.Copies = 0.01, 0.4
+		submitMix(w, 30)
+		w.At(seconds(6), func() { w.Submit(daemon("j-800000", 4)) })
+		for i := range 10 {
+			w.At(seconds(16+8*float64(i)), func() {
+				for k, m := range w.some(0.2) {
+					switch (i + k) % 3 {
+					case 0:
+						w.Lose(m.ID)
+					case 1:
+						m.Reboot()
+					case 2:
+						w.Recall(m.ID, seconds(9))
+					}
+				}
+			})
+		}
+		for i := range 6 {
+			w.restart(w.Nodes[i%3], seconds(24+13*float64(i)), seconds(0.1+0.7*float64(i)))
+		}
+	}, seconds(110), seconds(60)},
+	{"spot-prices", func(t *testing.T, seed uint64) *World {
+		return NewWorld(seed, 3, slices.Clone(testFlavors), testTeams())
+	}, func(t *testing.T, w *World) {
+		for i := range 16 {
+			d := array(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 8, 4, 10)
+			d.Spot, d.CheckpointS, d.SaveS = true, 5, 1
+			w.At(seconds(2+6*float64(i)), func() { w.Submit(d) })
+		}
+		for i, part := range []float64{0.9, 0.3, 0.95, 0.1, 0.6} {
+			w.At(seconds(25+18*float64(i)), func() {
+				dearer := slices.Clone(w.Flavors) // what was answered before stays as it was
+				for k := range dearer {
+					dearer[k].LowPrice = part * dearer[k].Rate * (1 + 0.1*w.Rng.Float64())
+				}
+				w.Flavors = dearer
+			})
+		}
+		w.At(seconds(50), func() {
+			for _, m := range w.some(0.5) {
+				if m.Spot {
+					w.Recall(m.ID, seconds(9))
+				}
+			}
+		})
+		w.holds(&w.NoCloud, 70, 15)
+		w.restart(w.Nodes[1], seconds(60), seconds(2))
+	}, seconds(120), seconds(60)},
+	{"alone-and-frozen", mixedWorld, func(t *testing.T, w *World) {
+		w.Copies = 0.1
+		submitMix(w, 24)
+		w.long(8, "tight", 30)
+		for i, n := range w.Nodes {
+			at := 18 + 28*float64(i)
+			for _, flag := range [][]*bool{{&n.NoState, &n.NoPeers}, {&n.NoWorker}, {&n.NoUsers, &n.NoPeers}}[i] {
+				w.holds(flag, at, 22)
+			}
+			o := w.Nodes[(i+1)%3]
+			w.At(seconds(at+8), func() { o.Freeze(seconds([]float64{4, 9, 22}[i])) })
+			w.At(seconds(at+2), func() { w.cancelRunning(3) })
+		}
+	}, seconds(110), seconds(60)},
+	{"large-fleet", func(t *testing.T, seed uint64) *World {
+		w := fleet(1000)
+		w.Rng = rand.New(rand.NewPCG(seed, 11))
+		return w
+	}, func(t *testing.T, w *World) {
+		w.At(seconds(20), func() { w.Nodes[0].NoWorker = true })
+		w.At(seconds(25), func() { w.cancelRunning(4) })
+	}, seconds(40), seconds(10)},
+}
+
+// TestEffectDigest prints a line for each day and seed: a digest of everything that leaves
+// the cores, in order, with its time and controller. It is for the comparison of two
+// versions of the sources, one of them renamed or arranged anew, and has nothing to say of
+// one version alone; so it is skipped unless DIGEST is set:
+//
+//	DIGEST=1 go test -count=1 -v -run TestEffectDigest ./internal/standin | grep ' seed='
+//
+// Log lines are left out. Whatever else differs in a byte, an instant or its order changes
+// the digest, and a different message leads to another day from there on.
+func TestEffectDigest(t *testing.T) {
+	if os.Getenv("DIGEST") == "" {
+		t.Skip("DIGEST is not set: this is for comparing two versions of the sources")
+	}
+	var mu sync.Mutex
+	var lines []string
+	kinds := map[byte]int{}
+	t.Cleanup(func() {
+		slices.Sort(lines)
+		for _, line := range lines {
+			fmt.Println(line)
+		}
+		var codes []byte
+		for code := range kinds {
+			codes = append(codes, code)
+		}
+		slices.Sort(codes)
+		for _, code := range codes {
+			t.Logf("%c %d", code, kinds[code])
+		}
+	})
+	for _, day := range digestDays {
+		for seed := uint64(1); seed <= 3; seed++ {
+			t.Run(fmt.Sprintf("%s/%d", day.name, seed), func(t *testing.T) {
+				t.Parallel()
+				sum, effects, seen := sha256.New(), 0, map[byte]int{}
+				w := day.world(t, seed)
+				w.Observe = func(at time.Duration, member protocol.Member, e coordination.Effect) {
+					if _, log := e.(coordination.Log); log {
+						return
+					}
+					code, form, err := canonical(e)
+					if err != nil {
+						t.Errorf("%v %s: %v", at, member, err)
+					}
+					effects++
+					seen[code]++
+					fmt.Fprintf(sum, "%d %s %c %d %s\n", int64(at), string(member), code, len(form), form)
+				}
+				day.play(t, w)
+				w.Run(day.busy)
+				w.calm()
+				w.AtEnd, w.Held, w.Slow = 0, 0, 0
+				w.Run(day.calm)
+				mu.Lock()
+				defer mu.Unlock()
+				for code, n := range seen {
+					kinds[code] += n
+				}
+				lines = append(lines, fmt.Sprintf("%s seed=%d %x effects=%d", day.name, seed, sum.Sum(nil)[:8], effects))
+				t.Logf("broken rules: %d %v", len(w.Rules.Broken), w.Rules.Broken[:min(1, len(w.Rules.Broken))])
+			})
+		}
+	}
+}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -93,6 +93,9 @@
 	Rented   func(*Worker) // hears of each machine before it is up, if it is not nil
 	Cost     Costs         // what steps take, if it is not nil
 
+	// Observe hears of each effect of a controller as it is carried out, if it is not nil.
+	Observe func(at time.Duration, member protocol.Member, e coordination.Effect)
+
 	queue   events
 	seq     int
 	hires   map[string][]protocol.MachineID
@@ -266,6 +269,9 @@
 
 func (n *Node) effect(e coordination.Effect) {
 	w := n.w
+	if w.Observe != nil {
+		w.Observe(w.Now, n.Member, e)
+	}
 	const wait = 1500 * time.Millisecond
 	switch v := e.(type) {
 	case coordination.Reply:
@@ -278,6 +284,8 @@
 		n.answerOperator(v.Req, v)
 	case coordination.DrainReply:
 		n.answerOperator(v.Req, v)
+	case coordination.SharesReply:
+		n.answerOperator(v.Req, v)
 	case coordination.Log:
 		if w.Trace != nil {
 			w.Trace(fmt.Sprintf("%8.3f %s %s %v", w.Now.Seconds(), n.Member, v.Msg, v.Args))
