--- /dev/null
+++ b/cmd/tillerarch/admin_backend.go
@@ -0,0 +1,150 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+
+	"tillerarch/internal/admin"
+	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/coordination"
+	"tillerarch/internal/protocol"
+)
+
+// adminBackend answers the admin service by asking the core.
+type adminBackend struct{ daemon *daemon }
+
+// serveAdmin listens for operators' tools. A failure there does not end the daemon.
+func (d *daemon) serveAdmin(address string) {
+	listener, err := net.Listen("tcp4", address)
+	if err != nil {
+		slog.Error("admin service is not there", "err", err)
+		return
+	}
+	slog.Info("admin service", "listen", listener.Addr().String())
+	err = admin.NewServer(adminBackend{d}).Serve(admin.LimitConnections(listener))
+	slog.Error("admin service has ended", "err", err)
+}
+
+// callCore hands the core a request of an operator, made for the number that it gets, and
+// waits for the answer.
+func (d *daemon) callCore(ctx context.Context, request func(coordination.RequestID) coordination.Input) (coordination.Effect, error) {
+	reply := make(chan coordination.Effect, 1)
+	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{request, reply}}) {
+		return nil, &admin.RequestError{Reason: "the controller is overloaded", Retryable: true}
+	}
+	select {
+	case effect := <-reply:
+		return effect, nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+// callCoreFor asks the core and wants an answer of a type.
+func callCoreFor[Reply coordination.Effect](ctx context.Context, d *daemon, request func(coordination.RequestID) coordination.Input) (reply Reply, err error) {
+	effect, err := d.callCore(ctx, request)
+	if err != nil {
+		return reply, err
+	}
+	reply, ok := effect.(Reply)
+	if !ok {
+		return reply, fmt.Errorf("unexpected answer %T", effect)
+	}
+	return reply, nil
+}
+
+// GetShardingStatus tells who owns which machines.
+func (b adminBackend) GetShardingStatus(ctx context.Context, _ *admin.ShardingStatusRequest) (*admin.ShardingStatus, error) {
+	reply, err := callCoreFor[coordination.ShardingStatusReply](ctx, b.daemon, func(id coordination.RequestID) coordination.Input { return coordination.ShardingStatusRequest{Req: id} })
+	if err != nil {
+		return nil, err
+	}
+	return shardingStatusMessage(&reply), nil
+}
+
+// StartTransfer has a move put on record.
+func (b adminBackend) StartTransfer(ctx context.Context, r *admin.TransferRequest) (*admin.Transfer, error) {
+	return b.requestTransfer(ctx, coordination.TransferRequest{Name: r.Name, Shard: bk.ShardID(r.Shard), Source: protocol.ControllerID(r.Source), Target: protocol.ControllerID(r.Target)})
+}
+
+// SetDraining has a controller's drain put on record, or its end.
+func (b adminBackend) SetDraining(ctx context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
+	reply, err := callCoreFor[coordination.DrainReply](ctx, b.daemon, func(id coordination.RequestID) coordination.Input {
+		return coordination.DrainRequest{Req: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
+	})
+	if err != nil {
+		return nil, err
+	}
+	if reply.Err != nil {
+		return nil, toRequestError(reply.Err)
+	}
+	c := controllerMessage(&reply.Status)
+	return &c, nil
+}
+
+// toRequestError is why the core refused a request, as tools are told.
+func toRequestError(err error) error {
+	var requestErr *coordination.RequestError
+	if errors.As(err, &requestErr) {
+		return &admin.RequestError{Reason: requestErr.Reason, Retryable: requestErr.Transient}
+	}
+	return err
+}
+
+// AbortTransfer has the end of a move put on record.
+func (b adminBackend) AbortTransfer(ctx context.Context, r *admin.AbortTransferRequest) (*admin.Transfer, error) {
+	return b.requestTransfer(ctx, coordination.TransferRequest{Name: r.Name, Abort: true})
+}
+
+func (b adminBackend) requestTransfer(ctx context.Context, request coordination.TransferRequest) (*admin.Transfer, error) {
+	reply, err := callCoreFor[coordination.TransferReply](ctx, b.daemon, func(id coordination.RequestID) coordination.Input {
+		request.Req = id
+		return request
+	})
+	if err != nil {
+		return nil, err
+	}
+	if reply.Err != nil {
+		return nil, toRequestError(reply.Err)
+	}
+	transfer := transferMessage(&reply.Transfer)
+	return &transfer, nil
+}
+
+func shardingStatusMessage(r *coordination.ShardingStatusReply) *admin.ShardingStatus {
+	status := &admin.ShardingStatus{Revision: uint64(r.Revision), Stale: r.Stale}
+	for _, c := range r.Controllers {
+		status.Controllers = append(status.Controllers, controllerMessage(&c))
+	}
+	for _, shard := range r.Shards {
+		status.Shards = append(status.Shards, admin.Shard{ID: string(shard.ID), Owner: string(shard.Owner), Epoch: uint64(shard.Epoch), Machines: shard.Machines, Tasks: shard.Tasks})
+	}
+	for i := range r.Transfers {
+		status.Transfers = append(status.Transfers, transferMessage(&r.Transfers[i]))
+	}
+	for _, planned := range r.PlannedTransfers {
+		status.PlannedTransfers = append(status.PlannedTransfers, admin.PlannedTransfer{Shard: string(planned.Shard), Source: string(planned.Source), Target: string(planned.Target)})
+	}
+	return status
+}
+
+func controllerMessage(c *coordination.ControllerStatus) admin.Controller {
+	return admin.Controller{ID: string(c.ID), Incarnation: string(c.Incarnation), Shards: c.Shards, Machines: c.Machines, SupportsTransfers: c.RecordsTransfers, Draining: c.Draining}
+}
+
+func transferMessage(record *bk.TransferRecord) admin.Transfer {
+	return admin.Transfer{Name: record.Name, Shard: string(record.Shard), Source: string(record.Source), Target: string(record.Target), Phase: string(record.Phase), Reason: record.Reason,
+		Machines: record.MachineCount, ProposedAt: wallTime(record.ProposedAt), PreparedAt: wallTime(record.PreparedAt), CommittedAt: wallTime(record.CommittedAt), EndedAt: wallTime(record.EndedAt)}
+}
+
+// wallTime is a time on record as a time of day; none stays none.
+func wallTime(at protocol.Millis) time.Time {
+	if at == 0 {
+		return time.Time{}
+	}
+	return time.UnixMilli(int64(at)).UTC()
+}
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -20,49 +20,49 @@
 )
 
 const (
-	tickEvery     = 50 * time.Millisecond
-	stateWait     = 1500 * time.Millisecond
-	cloudWait     = 10 * time.Second
-	workerWait    = 2 * time.Second
-	followWait    = 3 * time.Second // below hold.ttl: the replica's age tells whether it may be acted on
-	shortestQueue = 1024            // of inputs; it grows with the sockets, each of which may have a request in it
-	cloudShare    = 0.6
+	tickInterval      = 50 * time.Millisecond
+	storeTimeout      = 1500 * time.Millisecond
+	cloudTimeout      = 10 * time.Second
+	agentTimeout      = 2 * time.Second
+	watchTimeout      = 3 * time.Second // below hold.ttl: the replica's age tells whether it may be acted on
+	minQueueLength    = 1024            // of inputs; it grows with the sockets, each of which may have a request in it
+	cloudRateFraction = 0.6
 )
 
-// message is an input with the request it came from, if any.
-type message struct {
-	in       coordination.Input
-	x        *transport.Exchange
-	operator *operatorRequest
+// queuedInput is an input with the request it came from, if any.
+type queuedInput struct {
+	input        coordination.Input
+	exchange     *transport.Exchange
+	adminRequest *adminRequest
 }
 
-// operatorRequest is a request of an operator's tool: the input is made once it has its
+// adminRequest is a request of an operator's tool: the input is made once it has its
 // number, and the answer is sent to who waits for it.
-type operatorRequest struct {
-	input  func(coordination.ReqID) coordination.Input
-	answer chan<- coordination.Effect
+type adminRequest struct {
+	makeInput func(coordination.RequestID) coordination.Input
+	reply     chan<- coordination.Effect
 }
 
 // daemon ties the core to the world: it feeds the core inputs one at a time
 // and carries its effects out.
 type daemon struct {
-	s       *settings
-	core    *coordination.Core
-	in      chan message
-	server  *transport.Server
-	state   *bookkeeping.State
-	cloud   *transport.Client
-	peers   []*transport.PeerLink
-	workers struct {
+	settings *settings
+	core     *coordination.Core
+	inputs   chan queuedInput
+	server   *transport.Server
+	store    *bookkeeping.Client
+	cloud    *transport.Client
+	peers    []*transport.PeerClient
+	agents   struct {
 		sync.Mutex
 		clients map[string]*transport.Client
 	}
-	start   time.Time
-	waiting map[coordination.ReqID]*transport.Exchange
-	asking  map[coordination.ReqID]chan<- coordination.Effect // operators' tools that wait
-	nextReq coordination.ReqID
-	healthy atomic.Bool
-	stepped atomic.Int64 // unix nanoseconds of the last step
+	startedAt            time.Time
+	pendingExchanges     map[coordination.RequestID]*transport.Exchange
+	pendingAdminRequests map[coordination.RequestID]chan<- coordination.Effect // operators' tools that wait
+	lastRequestID        coordination.RequestID
+	healthy              atomic.Bool
+	lastStepNanos        atomic.Int64 // unix nanoseconds of the last step
 }
 
 func serve(s *settings) error {
@@ -71,309 +71,309 @@
 	// What lives is 10 to 20 MB, and most of what a report leaves behind does not: a
 	// larger heap costs memory that is there, and halves the collector's work.
 	debug.SetGCPercent(400)
-	nodes := float64(len(s.peers) + 1)
-	perNode := func(rps float64) *rate.Limiter {
-		return rate.NewLimiter(rate.Limit(rps/nodes), max(int(rps/nodes), 2))
+	controllers := float64(len(s.peerAddrs) + 1)
+	perController := func(rps float64) *rate.Limiter {
+		return rate.NewLimiter(rate.Limit(rps/controllers), max(int(rps/controllers), 2))
 	}
-	d := &daemon{s: s, in: make(chan message, max(shortestQueue, s.maxSockets)), start: time.Now(), waiting: map[coordination.ReqID]*transport.Exchange{}, asking: map[coordination.ReqID]chan<- coordination.Effect{}}
-	d.workers.clients = map[string]*transport.Client{}
-	stateTokens := perNode(s.stateRPS)
-	d.state = &bookkeeping.State{
-		Calls:   transport.NewClient(s.state, 6, stateTokens),
-		Watch:   transport.NewClient(s.state, 1, stateTokens),
-		Timeout: stateWait,
+	d := &daemon{settings: s, inputs: make(chan queuedInput, max(minQueueLength, s.maxSockets)), startedAt: time.Now(), pendingExchanges: map[coordination.RequestID]*transport.Exchange{}, pendingAdminRequests: map[coordination.RequestID]chan<- coordination.Effect{}}
+	d.agents.clients = map[string]*transport.Client{}
+	storeLimiter := perController(s.storeRPS)
+	d.store = &bookkeeping.Client{
+		RequestCaller: transport.NewClient(s.storeAddr, 6, storeLimiter),
+		WatchCaller:   transport.NewClient(s.storeAddr, 1, storeLimiter),
+		Timeout:       storeTimeout,
 	}
 	// The cloud's calls come in bursts at one controller, the one whose jobs need
 	// machines: each may use more than its even part. A 429 is only a delay.
-	d.cloud = transport.NewClient(s.cloud, 4, rate.NewLimiter(rate.Limit(s.cloudRPS*cloudShare), max(int(s.cloudRPS), 2)))
-	for _, a := range s.peers {
-		d.peers = append(d.peers, transport.NewPeerLink(a))
+	d.cloud = transport.NewClient(s.cloudAddr, 4, rate.NewLimiter(rate.Limit(s.cloudRPS*cloudRateFraction), max(int(s.cloudRPS), 2)))
+	for _, addr := range s.peerAddrs {
+		d.peers = append(d.peers, transport.NewPeerClient(addr))
 	}
 	d.core = coordination.New(s.core, d.now())
 	// Sockets for calls of this process's own are kept back.
-	d.server = transport.NewServer(transport.ServerConfig{Addr: s.listen, Back: s.back,
-		MaxConns: max(s.maxSockets-s.maxSockets/8-24, 8), Idle: 120 * time.Second, Slow: 10 * time.Second}, d.request)
-	d.server.Peer = func(frame []byte) {
-		var h coordination.PeerStatusWire
-		if err := transport.ReadFrame(frame, &h); err != nil {
+	d.server = transport.NewServer(transport.ServerConfig{Addr: s.listen, PeerAddr: s.peerListen,
+		MaxConns: max(s.maxSockets-s.maxSockets/8-24, 8), IdleTimeout: 120 * time.Second, ReadTimeout: 10 * time.Second}, d.handleRequest)
+	d.server.PeerHandler = func(frame []byte) {
+		var status coordination.PeerStatusWire
+		if err := transport.DecodeFrame(frame, &status); err != nil {
 			slog.Error("unreadable hint", "err", err)
 			return
 		}
-		d.offer(message{in: coordination.HintInput{Hint: h.Status()}})
+		d.tryEnqueue(queuedInput{input: coordination.PeerStatusInput{Status: status.Status()}})
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- d.server.Run() }()
-	go d.loop()
+	go d.runLoop()
 	if s.adminListen != "" {
-		go d.serveOperators(s.adminListen)
+		go d.serveAdmin(s.adminListen)
 	}
-	slog.Info("started", "version", version, "member", string(s.core.Member), "listen", s.listen)
+	slog.Info("started", "version", version, "member", string(s.core.ControllerID), "listen", s.listen)
 	return fmt.Errorf("listen %s: %w", s.listen, <-failed)
 }
 
 func (d *daemon) now() coordination.Now {
 	t := time.Now()
-	return coordination.Now{Steady: protocol.Instant(t.Sub(d.start)) + 1, Wall: protocol.Millis(t.UnixMilli())}
+	return coordination.Now{Monotonic: protocol.Instant(t.Sub(d.startedAt)) + 1, Wall: protocol.Millis(t.UnixMilli())}
 }
 
-// offer queues an input unless the queue is full.
-func (d *daemon) offer(m message) bool {
+// tryEnqueue queues an input unless the queue is full.
+func (d *daemon) tryEnqueue(queued queuedInput) bool {
 	select {
-	case d.in <- m:
+	case d.inputs <- queued:
 		return true
 	default:
 		return false
 	}
 }
 
-// tell queues an input that must not be lost.
-func (d *daemon) tell(in coordination.Input) { d.in <- message{in: in} }
+// enqueue queues an input that must not be lost.
+func (d *daemon) enqueue(in coordination.Input) { d.inputs <- queuedInput{input: in} }
 
-// request routes one HTTP request. It runs in the server's loop.
-func (d *daemon) request(x *transport.Exchange) {
-	r := x.Req
-	switch r.Path {
+// handleRequest routes one HTTP request. It runs in the server's loop.
+func (d *daemon) handleRequest(exchange *transport.Exchange) {
+	httpRequest := exchange.Request
+	switch httpRequest.Path {
 	case protocol.PathHealth:
-		if r.Method != "GET" {
-			d.refuse(x, 405, "method not allowed")
-		} else if d.healthy.Load() && time.Now().UnixNano()-d.stepped.Load() < int64(2*time.Second) {
-			d.server.Reply(x, 200, 0, []byte(`{}`))
+		if httpRequest.Method != "GET" {
+			d.replyError(exchange, 405, "method not allowed")
+		} else if d.healthy.Load() && time.Now().UnixNano()-d.lastStepNanos.Load() < int64(2*time.Second) {
+			d.server.Reply(exchange, 200, 0, []byte(`{}`))
 		} else {
-			d.server.Reply(x, 503, 0, []byte(`{"error":"not ready"}`))
+			d.server.Reply(exchange, 503, 0, []byte(`{"error":"not ready"}`))
 		}
 		return
-	case protocol.PathReport:
-		if r.Method != "POST" {
-			d.refuse(x, 405, "method not allowed")
-		} else if !d.offer(message{in: coordination.ReportInput{Body: r.Body}, x: x}) {
-			d.refuse(x, 503, "overloaded")
+	case protocol.PathHeartbeat:
+		if httpRequest.Method != "POST" {
+			d.replyError(exchange, 405, "method not allowed")
+		} else if !d.tryEnqueue(queuedInput{input: coordination.HeartbeatInput{Body: httpRequest.Body}, exchange: exchange}) {
+			d.replyError(exchange, 503, "overloaded")
 		}
 		return
 	}
-	verb, id, known, allowed := protocol.Route(r.Method, r.Path)
+	requestType, jobID, pathExists, methodAllowed := protocol.RouteJobRequest(httpRequest.Method, httpRequest.Path)
 	switch {
-	case !known:
-		d.refuse(x, 404, "no such path")
-	case !allowed:
-		d.refuse(x, 405, "method not allowed")
-	case !d.offer(message{in: coordination.UserInput{Verb: verb, Job: id, Body: r.Body}, x: x}):
-		d.server.Reply(x, 503, 2, []byte(`{"error":"overloaded"}`))
+	case !pathExists:
+		d.replyError(exchange, 404, "no such path")
+	case !methodAllowed:
+		d.replyError(exchange, 405, "method not allowed")
+	case !d.tryEnqueue(queuedInput{input: coordination.UserInput{Type: requestType, Job: jobID, Body: httpRequest.Body}, exchange: exchange}):
+		d.server.Reply(exchange, 503, 2, []byte(`{"error":"overloaded"}`))
 	}
 }
 
-func (d *daemon) refuse(x *transport.Exchange, status int, what string) {
-	d.server.Reply(x, status, 0, []byte(`{"error":"`+what+`"}`))
+func (d *daemon) replyError(exchange *transport.Exchange, status int, detail string) {
+	d.server.Reply(exchange, status, 0, []byte(`{"error":"`+detail+`"}`))
 }
 
-func (d *daemon) loop() {
-	tick := time.NewTicker(tickEvery)
+func (d *daemon) runLoop() {
+	ticker := time.NewTicker(tickInterval)
 	for {
-		var m message
+		var queued queuedInput
 		select {
-		case m = <-d.in:
-		case <-tick.C:
-			m = message{in: coordination.Tick{}}
+		case queued = <-d.inputs:
+		case <-ticker.C:
+			queued = queuedInput{input: coordination.Tick{}}
 		}
-		if m.x != nil {
-			d.nextReq++
-			d.waiting[d.nextReq] = m.x
-			switch v := m.in.(type) {
+		if queued.exchange != nil {
+			d.lastRequestID++
+			d.pendingExchanges[d.lastRequestID] = queued.exchange
+			switch v := queued.input.(type) {
 			case coordination.UserInput:
-				v.Req = d.nextReq
-				m.in = v
-			case coordination.ReportInput:
-				v.Req = d.nextReq
-				m.in = v
+				v.RequestID = d.lastRequestID
+				queued.input = v
+			case coordination.HeartbeatInput:
+				v.RequestID = d.lastRequestID
+				queued.input = v
 			}
 		}
-		if m.operator != nil {
-			d.nextReq++
-			d.asking[d.nextReq] = m.operator.answer
-			m.in = m.operator.input(d.nextReq)
+		if queued.adminRequest != nil {
+			d.lastRequestID++
+			d.pendingAdminRequests[d.lastRequestID] = queued.adminRequest.reply
+			queued.input = queued.adminRequest.makeInput(d.lastRequestID)
 		}
-		for _, e := range d.core.Step(d.now(), m.in) {
-			d.carryOut(e)
+		for _, effect := range d.core.Step(d.now(), queued.input) {
+			d.executeEffect(effect)
 		}
 		d.healthy.Store(d.core.Healthy())
-		d.stepped.Store(time.Now().UnixNano())
+		d.lastStepNanos.Store(time.Now().UnixNano())
 	}
 }
 
-func (d *daemon) carryOut(e coordination.Effect) {
-	switch v := e.(type) {
+func (d *daemon) executeEffect(effect coordination.Effect) {
+	switch v := effect.(type) {
 	case coordination.Reply:
-		if x := d.waiting[v.Req]; x != nil {
-			delete(d.waiting, v.Req)
-			d.server.Reply(x, v.Status, v.RetryAfter, v.Body)
+		if exchange := d.pendingExchanges[v.RequestID]; exchange != nil {
+			delete(d.pendingExchanges, v.RequestID)
+			d.server.Reply(exchange, v.Status, v.RetryAfterSeconds, v.Body)
 		}
-	case coordination.MoveReply:
-		d.answerOperator(v.Req, v)
+	case coordination.TransferReply:
+		d.replyToAdmin(v.Req, v)
 	case coordination.DrainReply:
-		d.answerOperator(v.Req, v)
-	case coordination.SharesReply:
-		d.answerOperator(v.Req, v)
+		d.replyToAdmin(v.Req, v)
+	case coordination.ShardingStatusReply:
+		d.replyToAdmin(v.Req, v)
 	case coordination.Log:
-		slog.Log(context.Background(), v.Level, v.Msg, v.Args...)
-	case coordination.SendHint:
-		wire := v.Hint.Wire()
-		for _, p := range d.peers {
-			if err := p.Send(wire); err != nil {
+		slog.Log(context.Background(), v.Level, v.Message, v.Args...)
+	case coordination.SendPeerStatus:
+		wire := v.Status.Wire()
+		for _, peer := range d.peers {
+			if err := peer.Send(wire); err != nil {
 				slog.Error("hint not sent", "err", err)
 			}
 		}
 	default:
-		go d.call(e)
+		go d.executeCall(effect)
 	}
 }
 
-// answerOperator sends an answer to the tool that waits for it, which may have gone.
-func (d *daemon) answerOperator(id coordination.ReqID, e coordination.Effect) {
-	if answer := d.asking[id]; answer != nil {
-		delete(d.asking, id)
-		answer <- e // it has room for the one answer
+// replyToAdmin sends an answer to the tool that waits for it, which may have gone.
+func (d *daemon) replyToAdmin(id coordination.RequestID, effect coordination.Effect) {
+	if reply := d.pendingAdminRequests[id]; reply != nil {
+		delete(d.pendingAdminRequests, id)
+		reply <- effect // it has room for the one answer
 	}
 }
 
-// call carries out an effect that waits for an answer.
-func (d *daemon) call(e coordination.Effect) {
-	switch v := e.(type) {
+// executeCall carries out an effect that waits for an answer.
+func (d *daemon) executeCall(effect coordination.Effect) {
+	switch v := effect.(type) {
 	case coordination.Commit:
-		o, a, err := d.state.Commit(v.Multi)
-		d.tell(coordination.CommitResult{ID: v.ID, Outcome: o, Answer: a, Err: err})
-	case coordination.Load:
-		items, from, until, err := d.state.Load()
-		d.tell(coordination.LoadResult{Items: items, From: from, Until: until, Err: err})
-	case coordination.Follow:
-		f, err := d.state.Follow(v.From, followWait)
-		d.tell(coordination.FollowResult{From: v.From, News: f, Err: err})
-	case coordination.ReadRev:
-		rev, err := d.state.Rev()
-		d.tell(coordination.RevResult{Rev: rev, Err: err})
-	case coordination.Grant:
-		h, err := d.state.Grant(v.TTL)
-		d.tell(coordination.GrantResult{Hold: h, Err: err})
-	case coordination.Extend:
-		d.tell(coordination.ExtendResult{Hold: v.Hold, Err: d.state.Extend(v.Hold)})
-	case coordination.AskFlavors:
-		var f []protocol.Flavor
-		body, err := d.ask("GET", protocol.PathFlavors, nil)
+		outcome, result, err := d.store.Commit(v.Transaction)
+		d.enqueue(coordination.CommitResult{ID: v.ID, Outcome: outcome, Result: result, Err: err})
+	case coordination.LoadRecords:
+		entries, from, until, err := d.store.LoadRecords()
+		d.enqueue(coordination.LoadRecordsResult{Entries: entries, StartRevision: from, EndRevision: until, Err: err})
+	case coordination.Watch:
+		f, err := d.store.Watch(v.AfterRevision, watchTimeout)
+		d.enqueue(coordination.WatchResult{AfterRevision: v.AfterRevision, Response: f, Err: err})
+	case coordination.ReadRevision:
+		revision, err := d.store.Revision()
+		d.enqueue(coordination.ReadRevisionResult{Revision: revision, Err: err})
+	case coordination.GrantLease:
+		lease, err := d.store.GrantLease(v.TTL)
+		d.enqueue(coordination.GrantLeaseResult{LeaseID: lease, Err: err})
+	case coordination.RenewLease:
+		d.enqueue(coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: d.store.RenewLease(v.LeaseID)})
+	case coordination.ListMachineTypes:
+		var f []protocol.MachineType
+		body, err := d.callCloud("GET", protocol.PathMachineTypes, nil)
 		if err == nil {
-			f, err = protocol.ParseFlavors(body)
+			f, err = protocol.ParseMachineTypes(body)
 		}
-		d.tell(coordination.FlavorsResult{Flavors: f, Err: err})
-	case coordination.SendRental:
-		d.tell(d.hire(v.Hire))
-	case coordination.SendRelease:
-		_, err := d.ask("POST", protocol.PathRelease, protocol.Machines{Machines: v.Machines})
-		d.tell(coordination.ReleaseResult{Machines: v.Machines, Err: err})
-	case coordination.AskList:
-		asked := d.now().Steady
-		hosts, err := d.list()
-		d.tell(coordination.ListResult{Asked: asked, Hosts: hosts, Err: err})
-	case coordination.SendShow:
-		r, err := d.worker("GET", protocol.PathShow, v.Addr, nil)
-		d.tell(coordination.DoResult{Machine: v.Machine, Report: r, Err: err})
-	case coordination.SendDo:
-		r, err := d.worker("POST", protocol.PathDo, v.Addr, v.Orders.Encode())
-		d.tell(coordination.DoResult{Machine: v.Machine, Report: r, Err: err})
+		d.enqueue(coordination.ListMachineTypesResult{MachineTypes: f, Err: err})
+	case coordination.ProvisionMachines:
+		d.enqueue(d.provisionMachines(v.Request))
+	case coordination.TerminateMachines:
+		_, err := d.callCloud("POST", protocol.PathTerminate, protocol.MachineList{Machines: v.Machines})
+		d.enqueue(coordination.TerminateMachinesResult{Machines: v.Machines, Err: err})
+	case coordination.ListInstances:
+		requestedAt := d.now().Monotonic
+		instances, err := d.listInstances()
+		d.enqueue(coordination.ListInstancesResult{RequestedAt: requestedAt, Instances: instances, Err: err})
+	case coordination.ProbeAgent:
+		heartbeat, err := d.callAgent("GET", protocol.PathAgentStatus, v.Addr, nil)
+		d.enqueue(coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err})
+	case coordination.SendCommands:
+		heartbeat, err := d.callAgent("POST", protocol.PathAgentCommands, v.Addr, v.Commands.Encode())
+		d.enqueue(coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err})
 	default:
-		slog.Error("effect without a hand", "type", fmt.Sprintf("%T", e))
+		slog.Error("effect without a hand", "type", fmt.Sprintf("%T", effect))
 	}
 }
 
-// ask calls the cloud and wants a 200.
-func (d *daemon) ask(method, target string, v any) ([]byte, error) {
+// callCloud calls the cloud and wants a 200.
+func (d *daemon) callCloud(method, target string, payload any) ([]byte, error) {
 	var body []byte
-	if v != nil {
-		body = protocol.Encode(v)
+	if payload != nil {
+		body = protocol.Encode(payload)
 	}
-	a, err := d.cloud.Call(method, target, body, cloudWait)
+	response, err := d.cloud.Call(method, target, body, cloudTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if a.Status != 200 {
-		return nil, fmt.Errorf("cloud answered %d", a.Status)
+	if response.Status != 200 {
+		return nil, fmt.Errorf("cloud answered %d", response.Status)
 	}
-	return a.Body, nil
+	return response.Body, nil
 }
 
-func (d *daemon) hire(h protocol.Hire) coordination.RentalResult {
-	r := coordination.RentalResult{Hire: h}
-	a, err := d.cloud.Call("POST", protocol.PathHosts, protocol.Encode(h), cloudWait)
+func (d *daemon) provisionMachines(request protocol.ProvisionRequest) coordination.ProvisionMachinesResult {
+	result := coordination.ProvisionMachinesResult{Request: request}
+	response, err := d.cloud.Call("POST", protocol.PathInstances, protocol.Encode(request), cloudTimeout)
 	if err != nil {
-		r.Err = err
-		return r
+		result.Err = err
+		return result
 	}
-	var ans protocol.Machines
-	var no struct{ Error string }
-	switch a.Status {
+	var provisioned protocol.MachineList
+	var errorBody struct{ Error string }
+	switch response.Status {
 	case 200:
-		if err := json.Unmarshal(a.Body, &ans); err != nil {
-			r.Err = err
-			return r
+		if err := json.Unmarshal(response.Body, &provisioned); err != nil {
+			result.Err = err
+			return result
 		}
-		for _, id := range ans.Machines {
-			if !id.Valid() {
-				r.Err = fmt.Errorf("cloud names a machine %q", id)
-				return r
+		for _, id := range provisioned.Machines {
+			if !id.IsValid() {
+				result.Err = fmt.Errorf("cloud names a machine %q", id)
+				return result
 			}
 		}
-		r.Machines = ans.Machines
+		result.Machines = provisioned.Machines
 	case 400:
-		r.Invalid = true
+		result.Invalid = true
 	case 503:
-		if json.Unmarshal(a.Body, &no) == nil && no.Error == "no capacity" {
-			r.NoCapacity = true
+		if json.Unmarshal(response.Body, &errorBody) == nil && errorBody.Error == "no capacity" {
+			result.NoCapacity = true
 			break
 		}
-		r.Err = fmt.Errorf("cloud answered 503 %s", no.Error)
+		result.Err = fmt.Errorf("cloud answered 503 %s", errorBody.Error)
 	default:
-		r.Err = fmt.Errorf("cloud answered %d", a.Status)
+		result.Err = fmt.Errorf("cloud answered %d", response.Status)
 	}
-	return r
+	return result
 }
 
-func (d *daemon) list() ([]protocol.Host, error) {
-	var all []protocol.Host
-	from := protocol.MachineID("")
+func (d *daemon) listInstances() ([]protocol.Instance, error) {
+	var instances []protocol.Instance
+	after := protocol.MachineID("")
 	for {
-		body, err := d.ask("GET", protocol.HostsPath(from), nil)
+		body, err := d.callCloud("GET", protocol.ListInstancesPath(after), nil)
 		if err != nil {
 			return nil, err
 		}
-		var page protocol.Hosts
+		var page protocol.InstancePage
 		if err := json.Unmarshal(body, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Machines...)
-		if !page.More || len(page.Machines) == 0 || len(all) > 100_000 {
-			return all, nil
+		instances = append(instances, page.Instances...)
+		if !page.HasMore || len(page.Instances) == 0 || len(instances) > 100_000 {
+			return instances, nil
 		}
-		from = page.Machines[len(page.Machines)-1].UID
+		after = page.Instances[len(page.Instances)-1].ID
 	}
 }
 
-// worker calls a worker's own address; the answer is its report.
-func (d *daemon) worker(method, path, addr string, body []byte) (*protocol.Report, error) {
-	d.workers.Lock()
-	c := d.workers.clients[addr]
-	if c == nil {
-		if len(d.workers.clients) > 200 {
-			for a, old := range d.workers.clients {
-				old.CloseIdle()
-				delete(d.workers.clients, a)
+// callAgent calls a worker's own address; the answer is its report.
+func (d *daemon) callAgent(method, path, addr string, body []byte) (*protocol.Heartbeat, error) {
+	d.agents.Lock()
+	client := d.agents.clients[addr]
+	if client == nil {
+		if len(d.agents.clients) > 200 {
+			for a, old := range d.agents.clients {
+				old.CloseIdleConns()
+				delete(d.agents.clients, a)
 			}
 		}
-		c = transport.NewClient(addr, 1, nil)
-		d.workers.clients[addr] = c
+		client = transport.NewClient(addr, 1, nil)
+		d.agents.clients[addr] = client
 	}
-	d.workers.Unlock()
-	a, err := c.Call(method, path, body, workerWait)
+	d.agents.Unlock()
+	a, err := client.Call(method, path, body, agentTimeout)
 	if err != nil {
 		return nil, err
 	}
 	if a.Status != 200 && a.Status != 409 {
 		return nil, fmt.Errorf("worker answered %d", a.Status)
 	}
-	return protocol.ParseReport(a.Body)
+	return protocol.ParseHeartbeat(a.Body)
 }
--- a/cmd/tillerarch/main.go
+++ b/cmd/tillerarch/main.go
@@ -26,7 +26,7 @@
 			if configFile == "" {
 				return fmt.Errorf("--config: a settings file is needed (see --help)")
 			}
-			level, err := logLevel(os.Getenv("LOG_LEVEL"))
+			level, err := parseLogLevel(os.Getenv("LOG_LEVEL"))
 			if err != nil {
 				return err
 			}
@@ -40,7 +40,7 @@
 	}
 	root.Flags().StringVar(&configFile, "config", "", "settings file of the platform (TOML)")
 	root.Flags().StringVar(&propertiesFile, "properties", os.Getenv("TILLERARCH_PROPERTIES"), "operators' own settings (Java-style properties, optional)")
-	root.AddCommand(sharesCommand())
+	root.AddCommand(newSharesCommand())
 	root.CompletionOptions.DisableDefaultCmd = true
 	if err := root.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "tillerarch:", err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func logLevel(s string) (slog.Level, error) {
+func parseLogLevel(s string) (slog.Level, error) {
 	switch s {
 	case "", "info":
 		return slog.LevelInfo, nil
--- a/cmd/tillerarch/settings.go
+++ b/cmd/tillerarch/settings.go
@@ -17,17 +17,17 @@
 	"tillerarch/internal/protocol"
 )
 
-// platform is the settings file that the platform hands over.
-type platform struct {
-	Member  string `toml:"member"`
-	Area    string `toml:"area"`
-	Listen  string `toml:"listen"`
-	Back    string `toml:"back"`
-	Members []struct {
+// platformSettings is the settings file that the platform hands over.
+type platformSettings struct {
+	ControllerID string `toml:"member"`
+	Zone         string `toml:"area"`
+	Listen       string `toml:"listen"`
+	PeerListen   string `toml:"back"`
+	Peers        []struct {
 		Member string `toml:"member"`
 		Addr   string `toml:"addr"`
 	} `toml:"members"`
-	Outside struct {
+	Endpoints struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"outside"`
@@ -74,111 +74,111 @@
 }
 
 type settings struct {
-	listen, back, cloud, state string
-	peers                      []string
-	core                       coordination.Config
-	stateRPS, cloudRPS         float64
-	memoryMB                   float64
-	maxSockets                 int
-	adminListen                string // of the admin service; empty: there is none
+	listen, peerListen, cloudAddr, storeAddr string
+	peerAddrs                                []string
+	core                                     coordination.Config
+	storeRPS, cloudRPS                       float64
+	memoryMB                                 float64
+	maxSockets                               int
+	adminListen                              string // of the admin service; empty: there is none
 }
 
-func loadSettings(file, propsFile string) (*settings, error) {
-	var p platform
+func loadSettings(file, propertiesFile string) (*settings, error) {
+	var p platformSettings
 	if _, err := toml.DecodeFile(file, &p); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	s := &settings{listen: p.Listen, back: p.Back, cloud: p.Outside.Cloud, state: p.Outside.State,
-		stateRPS: p.Params.State.RPS, cloudRPS: p.Params.Cloud.RPS,
+	s := &settings{listen: p.Listen, peerListen: p.PeerListen, cloudAddr: p.Endpoints.Cloud, storeAddr: p.Endpoints.State,
+		storeRPS: p.Params.State.RPS, cloudRPS: p.Params.Cloud.RPS,
 		memoryMB: p.Params.Resources.MemoryMB, maxSockets: p.Params.Resources.MaxSockets}
-	if err := checkPlatform(&p); err != nil {
+	if err := validatePlatform(&p); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	own := ownSettings{Tuning: coordination.DefaultTuning()}
-	if propsFile != "" {
-		if err := loadProperties(propsFile, &own); err != nil {
-			return nil, fmt.Errorf("%s: %w", propsFile, err)
+	operator := operatorSettings{Tuning: coordination.DefaultTuning()}
+	if propertiesFile != "" {
+		if err := loadProperties(propertiesFile, &operator); err != nil {
+			return nil, fmt.Errorf("%s: %w", propertiesFile, err)
 		}
 	}
-	s.adminListen = own.adminListen
-	h := fnv.New64a()
-	h.Write([]byte(p.Member))
-	w := p.Params.Workers
-	n := float64(len(p.Members) + 1)
+	s.adminListen = operator.adminListen
+	hash := fnv.New64a()
+	hash.Write([]byte(p.ControllerID))
+	agents := p.Params.Workers
+	controllers := float64(len(p.Peers) + 1)
 	s.core = coordination.Config{
-		Member: protocol.Member(p.Member), Teams: map[string]coordination.Team{},
-		Report: protocol.Seconds(w.ReportS), Lease: protocol.Seconds(w.LeaseS),
-		GangPeer: protocol.Seconds(w.GangPeerS), Cancel: protocol.Seconds(w.CancelS),
-		Peers: len(p.Members), WriteRPS: p.Params.State.WriteRPS, TxnOps: p.Params.State.TxnOps, ValueBytes: int(p.Params.State.ValueKB * 1024),
-		ListLag: protocol.Seconds(p.Params.Cloud.ListLagS), Seed: h.Sum64() ^ uint64(time.Now().UnixNano()),
-		FollowGap: time.Duration(n / (0.4 * s.stateRPS) * float64(time.Second)), Tuning: own.Tuning,
+		ControllerID: protocol.ControllerID(p.ControllerID), Quotas: map[string]coordination.Quota{},
+		HeartbeatInterval: protocol.Seconds(agents.ReportS), AgentLeaseTTL: protocol.Seconds(agents.LeaseS),
+		GangPeerTimeout: protocol.Seconds(agents.GangPeerS), CancelTimeout: protocol.Seconds(agents.CancelS),
+		PeerCount: len(p.Peers), WritesPerSecond: p.Params.State.WriteRPS, TransactionOps: p.Params.State.TxnOps, ValueBytes: int(p.Params.State.ValueKB * 1024),
+		InstanceListLag: protocol.Seconds(p.Params.Cloud.ListLagS), Seed: hash.Sum64() ^ uint64(time.Now().UnixNano()),
+		MinWatchInterval: time.Duration(controllers / (0.4 * s.storeRPS) * float64(time.Second)), Tuning: operator.Tuning,
 	}
-	for _, m := range p.Members {
-		s.peers = append(s.peers, m.Addr)
-		s.core.Members = append(s.core.Members, protocol.Member(m.Member))
+	for _, m := range p.Peers {
+		s.peerAddrs = append(s.peerAddrs, m.Addr)
+		s.core.PeerIDs = append(s.core.PeerIDs, protocol.ControllerID(m.Member))
 	}
-	s.core.NextLimits = p.nextLimits()
-	s.core.Aims = map[string]coordination.Aims{}
-	for _, o := range p.Params.Objectives {
+	s.core.AnnouncedLimits = p.announcedLimits()
+	s.core.Objectives = map[string]coordination.Objectives{}
+	for _, objective := range p.Params.Objectives {
 		// What is aimed at only puts jobs in order: a kind that is not known, or an
 		// odd number, is left out.
-		a := s.core.Aims[o.Class]
-		within := protocol.Seconds(min(o.WithinS, 1e6))
+		objectives := s.core.Objectives[objective.Class]
+		within := protocol.Seconds(min(objective.WithinS, 1e6))
 		switch {
-		case o.Kind == "wait" && o.WithinS > 0:
-			a.Wait = append(a.Wait, within)
-		case o.Kind == "finished" && o.WithinS > 0:
-			a.Finished = append(a.Finished, within)
-		case o.Kind == "deadline" && o.Times > 0 && o.Times < 1e3:
-			a.Times = append(a.Times, o.Times)
+		case objective.Kind == "wait" && objective.WithinS > 0:
+			objectives.StartWithin = append(objectives.StartWithin, within)
+		case objective.Kind == "finished" && objective.WithinS > 0:
+			objectives.FinishWithin = append(objectives.FinishWithin, within)
+		case objective.Kind == "deadline" && objective.Times > 0 && objective.Times < 1e3:
+			objectives.DeadlineFactors = append(objectives.DeadlineFactors, objective.Times)
 		default:
 			continue
 		}
-		s.core.Aims[o.Class] = a
+		s.core.Objectives[objective.Class] = objectives
 	}
-	for _, t := range p.Params.Teams {
-		s.core.Teams[t.Name] = coordination.Team{Cores: t.Cpus, CoresMax: t.CpusMax, Accels: t.Gpus, AccelsMax: t.GpusMax}
+	for _, team := range p.Params.Teams {
+		s.core.Quotas[team.Name] = coordination.Quota{GuaranteedCores: team.Cpus, MaxCores: team.CpusMax, GuaranteedAccelerators: team.Gpus, MaxAccelerators: team.GpusMax}
 	}
 	return s, nil
 }
 
-func (p *platform) todaysLimits() coordination.WriteLimits {
-	st := p.Params.State
-	return coordination.WriteLimits{RPS: st.WriteRPS, TxnOps: st.TxnOps, ValueBytes: int(st.ValueKB * 1024)}
+func (p *platformSettings) currentLimits() coordination.WriteLimits {
+	store := p.Params.State
+	return coordination.WriteLimits{WritesPerSecond: store.WriteRPS, TransactionOps: store.TxnOps, ValueBytes: int(store.ValueKB * 1024)}
 }
 
-// nextLimits are the announced limits of the state service; what they leave out stays as
+// announcedLimits are the announced limits of the state service; what they leave out stays as
 // it is. nil: none are announced.
-func (p *platform) nextLimits() *coordination.WriteLimits {
-	st := p.Params.State
-	if st.Next == nil {
+func (p *platformSettings) announcedLimits() *coordination.WriteLimits {
+	store := p.Params.State
+	if store.Next == nil {
 		return nil
 	}
-	next := p.todaysLimits()
-	if st.Next.WriteRPS != nil {
-		next.RPS = *st.Next.WriteRPS
+	next := p.currentLimits()
+	if store.Next.WriteRPS != nil {
+		next.WritesPerSecond = *store.Next.WriteRPS
 	}
-	if st.Next.TxnOps != nil {
-		next.TxnOps = *st.Next.TxnOps
+	if store.Next.TxnOps != nil {
+		next.TransactionOps = *store.Next.TxnOps
 	}
-	if st.Next.ValueKB != nil {
-		next.ValueBytes = int(*st.Next.ValueKB * 1024)
+	if store.Next.ValueKB != nil {
+		next.ValueBytes = int(*store.Next.ValueKB * 1024)
 	}
 	return &next
 }
 
-func checkPlatform(p *platform) error {
-	addrs := map[string]string{"listen": p.Listen, "back": p.Back, "outside.cloud": p.Outside.Cloud, "outside.state": p.Outside.State}
-	for _, m := range p.Members {
-		if m.Member == "" || m.Member == p.Member {
+func validatePlatform(p *platformSettings) error {
+	addrs := map[string]string{"listen": p.Listen, "back": p.PeerListen, "outside.cloud": p.Endpoints.Cloud, "outside.state": p.Endpoints.State}
+	for _, m := range p.Peers {
+		if m.Member == "" || m.Member == p.ControllerID {
 			return fmt.Errorf("members: %q is no other controller's name", m.Member)
 		}
 		addrs["members."+m.Member+".addr"] = m.Addr
 	}
-	if p.Member == "" {
+	if p.ControllerID == "" {
 		return fmt.Errorf("member: is missing")
 	}
-	if len(p.Member) > 100 {
+	if len(p.ControllerID) > 100 {
 		return fmt.Errorf("member: is too long")
 	}
 	keys := make([]string, 0, len(addrs))
@@ -192,9 +192,9 @@
 			return fmt.Errorf("%s: %q is no address of the form IP:PORT", k, addrs[k])
 		}
 	}
-	w, st := p.Params.Workers, p.Params.State
-	next := p.todaysLimits()
-	if n := p.nextLimits(); n != nil {
+	agents, store := p.Params.Workers, p.Params.State
+	next := p.currentLimits()
+	if n := p.announcedLimits(); n != nil {
 		next = *n
 	}
 	for _, v := range []struct {
@@ -202,12 +202,12 @@
 		val      float64
 		min, max float64
 	}{
-		{"params.workers.report_s", w.ReportS, 0.01, 3600}, {"params.workers.lease_s", w.LeaseS, 0.1, 86400},
-		{"params.workers.gang_peer_s", w.GangPeerS, 0, 86400},
-		{"params.workers.cancel_s", w.CancelS, 0.1, 86400},
-		{"params.state.rps", st.RPS, 1, 1e6}, {"params.state.write_rps", st.WriteRPS, 1, 1e6},
-		{"params.state.value_kb", st.ValueKB, 2, 1024}, {"params.state.txn_ops", float64(st.TxnOps), 2, 10000},
-		{"params.state.next.write_rps", next.RPS, 1, 1e6}, {"params.state.next.txn_ops", float64(next.TxnOps), 2, 10000},
+		{"params.workers.report_s", agents.ReportS, 0.01, 3600}, {"params.workers.lease_s", agents.LeaseS, 0.1, 86400},
+		{"params.workers.gang_peer_s", agents.GangPeerS, 0, 86400},
+		{"params.workers.cancel_s", agents.CancelS, 0.1, 86400},
+		{"params.state.rps", store.RPS, 1, 1e6}, {"params.state.write_rps", store.WriteRPS, 1, 1e6},
+		{"params.state.value_kb", store.ValueKB, 2, 1024}, {"params.state.txn_ops", float64(store.TxnOps), 2, 10000},
+		{"params.state.next.write_rps", next.WritesPerSecond, 1, 1e6}, {"params.state.next.txn_ops", float64(next.TransactionOps), 2, 10000},
 		{"params.state.next.value_kb", float64(next.ValueBytes) / 1024, 1, 1024},
 		{"params.cloud.rps", p.Params.Cloud.RPS, 0.01, 1e6}, {"params.cloud.list_lag_s", p.Params.Cloud.ListLagS, 0, 3600},
 		{"params.resources.memory_mb", p.Params.Resources.MemoryMB, 16, 1e7},
@@ -230,14 +230,14 @@
 	return nil
 }
 
-// ownSettings are those that an operator may set in the properties file.
-type ownSettings struct {
+// operatorSettings are those that an operator may set in the properties file.
+type operatorSettings struct {
 	coordination.Tuning
 	adminListen string
 }
 
 // loadProperties reads the operators' own settings over the defaults.
-func loadProperties(file string, t *ownSettings) error {
+func loadProperties(file string, operator *operatorSettings) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -247,39 +247,39 @@
 	if err != nil {
 		return err
 	}
-	dur := map[string]*time.Duration{
-		"hold.ttl": &t.HoldTTL, "flush.gap": &t.FlushGap, "beat.hold": &t.ReportHold, "idle.hold": &t.IdleHold, "user.wait": &t.UserWait,
-		"paid.minimum": &t.MinPaid, "boot.extra": &t.BootExtra, "silent.return": &t.SilentReturn,
-		"spot.window": &t.SpotWindow, "spot.period": &t.SpotPeriod, "spot.margin": &t.SpotMargin, "spot.check": &t.SpotCheck,
-		"capacity.pause": &t.NoCapacity, "list.every": &t.ListEvery, "list.silent": &t.ListSilent,
-		"age.after": &t.AgeAfter, "balance.gap": &t.BalanceGap,
+	durations := map[string]*time.Duration{
+		"hold.ttl": &operator.LeaseTTL, "flush.gap": &operator.MinCommitInterval, "beat.hold": &operator.MaxResponseDelay, "idle.hold": &operator.MaxIdleResponseDelay, "user.wait": &operator.UserRequestTimeout,
+		"paid.minimum": &operator.MinMachineAge, "boot.extra": &operator.BootTimeoutMargin, "silent.return": &operator.SilentScaleInDelay,
+		"spot.window": &operator.SpotPriceWindow, "spot.period": &operator.SpotPeriod, "spot.margin": &operator.SpotPeriodEndMargin, "spot.check": &operator.PriceCheckInterval,
+		"capacity.pause": &operator.NoCapacityBackoff, "list.every": &operator.InstanceListInterval, "list.silent": &operator.SilentInstanceListInterval,
+		"age.after": &operator.AgingThreshold, "balance.gap": &operator.MinRebalanceInterval,
 	}
-	num := map[string]*float64{"write.share": &t.WriteShare, "boot.factor": &t.BootFactor, "spot.loss": &t.SpotLoss, "idle.factor": &t.IdleFactor}
-	part := map[string]*float64{"moves.by-demand": &t.MoveByDemand}
-	toggle := map[string]*bool{"moves.recorded": &t.RecordMoves}
-	count := map[string]*int{"spot.cap": &t.SpotCap, "hire.cap": &t.RentalCap}
+	numbers := map[string]*float64{"write.share": &operator.WriteBudgetShare, "boot.factor": &operator.BootTimeoutFactor, "spot.loss": &operator.SpotPreemptionsPerHour, "idle.factor": &operator.IdleTimeoutFactor}
+	fractions := map[string]*float64{"moves.by-demand": &operator.RebalanceDemandWeight}
+	switches := map[string]*bool{"moves.recorded": &operator.RecordTransfers}
+	counts := map[string]*int{"spot.cap": &operator.MaxSpotMachines, "hire.cap": &operator.MaxProvisionCount}
 	for _, k := range p.Keys() {
 		v, _ := p.Get(k)
 		var err error
 		if k == "admin.listen" {
-			t.adminListen, err = v, checkLoopback(v)
-		} else if d := dur[k]; d != nil {
+			operator.adminListen, err = v, validateLoopback(v)
+		} else if d := durations[k]; d != nil {
 			if *d, err = time.ParseDuration(v); err == nil && (*d < 0 || *d == 0 && k != "spot.margin") {
 				err = fmt.Errorf("%q is not above zero", v)
 			}
-		} else if f := num[k]; f != nil {
+		} else if f := numbers[k]; f != nil {
 			if *f, err = strconv.ParseFloat(v, 64); err == nil && !(*f > 0 && *f <= 100) {
 				err = fmt.Errorf("%q is not within 0 to 100", v)
 			}
-		} else if f := part[k]; f != nil {
+		} else if f := fractions[k]; f != nil {
 			if *f, err = strconv.ParseFloat(v, 64); err == nil && !(*f >= 0 && *f <= 1) {
 				err = fmt.Errorf("%q is not within 0 to 1", v)
 			}
-		} else if on := toggle[k]; on != nil {
-			if *on, err = strconv.ParseBool(v); err != nil {
+		} else if enabled := switches[k]; enabled != nil {
+			if *enabled, err = strconv.ParseBool(v); err != nil {
 				err = fmt.Errorf("%q is neither true nor false", v)
 			}
-		} else if n := count[k]; n != nil {
+		} else if n := counts[k]; n != nil {
 			if *n, err = strconv.Atoi(v); err == nil && *n < 0 {
 				err = fmt.Errorf("%q is below zero", v)
 			}
@@ -293,9 +293,9 @@
 	return nil
 }
 
-// checkLoopback refuses an address that others than this machine's users could reach: the
+// validateLoopback refuses an address that others than this machine's users could reach: the
 // admin service knows no users.
-func checkLoopback(address string) error {
+func validateLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return fmt.Errorf("%q is no address of the form IP:PORT", address)
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -46,7 +46,7 @@
 max_sockets = 4000
 `
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	f := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
@@ -72,9 +72,9 @@
 		{"announced limit of a wrong type", `[params.cloud]`, "[params.state.next]\ntxn_ops = 1.5\n[params.cloud]", "txn_ops"},
 		{"not TOML", `[outside]`, `[outside`, ""},
 	} {
-		s, err := loadSettings(write(t, "s.toml", strings.Replace(goodSettings, c.old, c.new, 1)), "")
+		s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, c.old, c.new, 1)), "")
 		if c.name == "good" {
-			if err != nil || s.core.Teams["core"].CoresMax != 40 || len(s.peers) != 1 || s.core.Lease != 42*time.Second {
+			if err != nil || s.core.Quotas["core"].MaxCores != 40 || len(s.peerAddrs) != 1 || s.core.AgentLeaseTTL != 42*time.Second {
 				t.Errorf("%+v, %v", s, err)
 			}
 			continue
@@ -86,7 +86,7 @@
 }
 
 func TestProperties(t *testing.T) {
-	good := write(t, "s.toml", goodSettings)
+	good := writeFile(t, "s.toml", goodSettings)
 	for _, c := range []struct{ text, key string }{
 		{"spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\nmoves.recorded = true\nmoves.by-demand = 0.5\nadmin.listen = 127.0.0.1:8090\n", ""},
 		{"spot.window = 90", "spot.window"},
@@ -99,10 +99,10 @@
 		{"admin.listen = 0.0.0.0:8090", "admin.listen"},
 		{"admin.listen = 8090", "admin.listen"},
 	} {
-		s, err := loadSettings(good, write(t, "p.properties", c.text))
+		s, err := loadSettings(good, writeFile(t, "p.properties", c.text))
 		if c.key == "" {
-			if err != nil || s.core.SpotWindow != 90*time.Second || s.core.SpotCap != 3 || s.core.WriteShare != 0.5 ||
-				!s.core.RecordMoves || s.core.MoveByDemand != 0.5 || s.adminListen != "127.0.0.1:8090" {
+			if err != nil || s.core.SpotPriceWindow != 90*time.Second || s.core.MaxSpotMachines != 3 || s.core.WriteBudgetShare != 0.5 ||
+				!s.core.RecordTransfers || s.core.RebalanceDemandWeight != 0.5 || s.adminListen != "127.0.0.1:8090" {
 				t.Errorf("%v", err)
 			}
 		} else if err == nil || !strings.Contains(err.Error(), c.key) {
@@ -119,14 +119,14 @@
 		want *coordination.WriteLimits
 	}{
 		{"", nil},
-		{"[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n", &coordination.WriteLimits{RPS: 28, TxnOps: 8, ValueBytes: 2048}},
-		{"[params.state.next]\nvalue_kb = 2.0\n", &coordination.WriteLimits{RPS: 40, TxnOps: 24, ValueBytes: 2048}},
+		{"[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n", &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 8, ValueBytes: 2048}},
+		{"[params.state.next]\nvalue_kb = 2.0\n", &coordination.WriteLimits{WritesPerSecond: 40, TransactionOps: 24, ValueBytes: 2048}},
 	} {
-		s, err := loadSettings(write(t, "s.toml", strings.Replace(goodSettings, "[params.cloud]", c.text+"[params.cloud]", 1)), "")
+		s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, "[params.cloud]", c.text+"[params.cloud]", 1)), "")
 		if err != nil {
 			t.Fatalf("%q: %v", c.text, err)
 		}
-		if got := s.core.NextLimits; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
+		if got := s.core.AnnouncedLimits; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
 			t.Errorf("%q: %+v, want %+v", c.text, got, c.want)
 		}
 	}
--- /dev/null
+++ b/cmd/tillerarch/sharding_commands_test.go
@@ -0,0 +1,140 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"tillerarch/internal/admin"
+)
+
+// fakeBackend answers operators with what a test sets.
+type fakeBackend struct {
+	status              admin.ShardingStatus
+	transfer            admin.Transfer
+	err                 error
+	lastTransferRequest admin.TransferRequest
+}
+
+func (f *fakeBackend) GetShardingStatus(context.Context, *admin.ShardingStatusRequest) (*admin.ShardingStatus, error) {
+	return &f.status, f.err
+}
+
+func (f *fakeBackend) StartTransfer(_ context.Context, r *admin.TransferRequest) (*admin.Transfer, error) {
+	f.lastTransferRequest = *r
+	return &f.transfer, f.err
+}
+
+func (f *fakeBackend) AbortTransfer(context.Context, *admin.AbortTransferRequest) (*admin.Transfer, error) {
+	return &f.transfer, f.err
+}
+
+func (f *fakeBackend) SetDraining(_ context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
+	c := f.status.Controllers[0]
+	c.Draining = r.Draining
+	return &c, f.err
+}
+
+// runShares runs `tillerarch shares` against a daemon: what it prints, and its exit code.
+func runShares(t *testing.T, f *fakeBackend, args ...string) (out string, code int) {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := admin.NewServer(f)
+	go server.Serve(admin.LimitConnections(listener))
+	defer server.Stop()
+	command := newSharesCommand()
+	command.SilenceErrors, command.SilenceUsage = true, true
+	var b bytes.Buffer
+	command.SetOut(&b)
+	command.SetArgs(append([]string{"--admin", listener.Addr().String()}, args...))
+	if err := command.Execute(); err != nil {
+		if strings.Contains(err.Error(), "\n") {
+			t.Errorf("%v: more than a line: %v", args, err)
+		}
+		return err.Error(), exitCode(err)
+	}
+	return b.String(), 0
+}
+
+func TestSharesCommands(t *testing.T) {
+	startedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
+	transfer := admin.Transfer{Name: "m-1", Shard: "stall-0#7-1", Source: "stall-0#7", Target: "stall-1#8", Phase: "closed", Machines: 17, ProposedAt: startedAt,
+		PreparedAt: startedAt.Add(time.Second), CommittedAt: startedAt.Add(3 * time.Second), EndedAt: startedAt.Add(5 * time.Second)}
+	aborted := transfer
+	aborted.Phase, aborted.Reason = "aborted", "the taker has ended"
+	newBackend := func() *fakeBackend {
+		return &fakeBackend{transfer: transfer, status: admin.ShardingStatus{Revision: 412, Controllers: []admin.Controller{{ID: "stall-0", Incarnation: "stall-0#7", Shards: 3, Machines: 51}},
+			Shards: []admin.Shard{{ID: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}}, Transfers: []admin.Transfer{transfer},
+			PlannedTransfers: []admin.PlannedTransfer{{Shard: "stall-0#7-2", Source: "stall-0#7", Target: "stall-1#8"}}}}
+	}
+	for _, c := range []struct {
+		name string
+		args []string
+		set  func(*fakeBackend)
+		code int
+		says []string
+	}{
+		{"list", []string{"list"}, nil, 0, []string{"revision 412", "stall-0#7", "51"}},
+		{"list of pages", []string{"list", "--pages"}, nil, 0, []string{"stall-0#7-1", "EPOCH"}},
+		{"plan", []string{"plan"}, nil, 0, []string{"stall-0#7-2"}},
+		{"history", []string{"history"}, nil, 0, []string{"m-1", "closed", "2s", "5s"}},
+		{"move", []string{"move", "--from", "stall-0", "--to", "stall-1"}, nil, 0, []string{"m-1", "17"}},
+		{"move, waited for", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "2s"}, nil, 0, []string{"closed"}},
+		{"move that is aborted", []string{"move", "--page", "p", "--to", "stall-1"}, func(f *fakeBackend) { f.transfer = aborted }, exitAborted, []string{"the taker has ended"}},
+		{"abort", []string{"abort", "m-1"}, func(f *fakeBackend) { f.transfer = aborted }, 0, []string{"aborted"}},
+		{"drain", []string{"drain", "stall-0"}, nil, 0, []string{"DRAINING", "true", "51"}},
+		{"drain, waited for in vain", []string{"drain", "stall-0", "--wait", "400ms"}, nil, exitUnavailable, []string{"51 machines"}},
+		{"drain, waited for", []string{"drain", "stall-0", "--wait", "2s"}, func(f *fakeBackend) { f.status.Controllers[0].Machines = 0 }, 0, []string{"stall-0"}},
+		{"undrain", []string{"undrain", "stall-0"}, nil, 0, []string{"false"}},
+		{"drain of nobody", []string{"drain"}, nil, exitUsage, []string{"1 arg"}},
+		{"move without a taker", []string{"move", "--from", "stall-0"}, nil, exitUsage, []string{"--to"}},
+		{"move of a page and of any", []string{"move", "--from", "stall-0", "--page", "p", "--to", "x"}, nil, exitUsage, []string{"one of"}},
+		{"abort of nothing", []string{"abort"}, nil, exitUsage, []string{"1 arg"}},
+		{"no such command", []string{"list", "--machines"}, nil, exitUsage, []string{"unknown flag"}},
+		{"refused", []string{"move", "--from", "stall-0", "--to", "x"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: `no controller "x" is up`} }, exitRejected, []string{`"x"`}},
+		{"not now", []string{"list"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: "overloaded", Retryable: true} }, exitUnavailable, []string{"overloaded"}},
+		{"no address", []string{"list", "--admin", "nowhere"}, nil, exitUsage, []string{"--admin"}},
+		{"nobody there", []string{"list", "--admin", "127.0.0.1:1"}, nil, exitUnavailable, []string{"refused"}},
+		{"not at its end in time", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "400ms"}, func(f *fakeBackend) {
+			f.transfer.Phase = "prepared"
+			f.status.Transfers = []admin.Transfer{f.transfer}
+		}, exitUnavailable, []string{"goes on"}},
+	} {
+		f := newBackend()
+		if c.set != nil {
+			c.set(f)
+		}
+		out, code := runShares(t, f, c.args...)
+		if code != c.code {
+			t.Errorf("%s: exit code %d, want %d: %s", c.name, code, c.code, out)
+		}
+		for _, part := range c.says {
+			if !strings.Contains(out, part) {
+				t.Errorf("%s: %q lacks %q", c.name, out, part)
+			}
+		}
+	}
+}
+
+// JSON is whole, and a move that is not named gets a name of its own.
+func TestSharesAsJSON(t *testing.T) {
+	f := &fakeBackend{status: admin.ShardingStatus{Revision: 9, Controllers: []admin.Controller{{ID: "stall-0"}}}}
+	out, code := runShares(t, f, "list", "--json")
+	var s admin.ShardingStatus
+	if err := json.Unmarshal([]byte(out), &s); err != nil || code != 0 || s.Revision != 9 || len(s.Controllers) != 1 {
+		t.Errorf("%d %q: %v", code, out, err)
+	}
+	runShares(t, f, "move", "--from", "stall-0", "--to", "stall-1")
+	first := f.lastTransferRequest.Name
+	runShares(t, f, "move", "--from", "stall-0", "--to", "stall-1")
+	if first == "" || f.lastTransferRequest.Name == first {
+		t.Errorf("names %q, %q", first, f.lastTransferRequest.Name)
+	}
+}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -9,42 +9,44 @@
 	"time"
 )
 
-// backend answers as it is told to.
-type backend struct {
-	shares Shares
-	err    error
-	moved  *MoveRequest
-	stands bool // it does not answer in time
+// fakeBackend answers as it is told to.
+type fakeBackend struct {
+	status              ShardingStatus
+	err                 error
+	lastTransferRequest *TransferRequest
+	blocks              bool // it does not answer in time
 }
 
-func (b *backend) Shares(context.Context, *SharesRequest) (*Shares, error) { return &b.shares, b.err }
+func (b *fakeBackend) GetShardingStatus(context.Context, *ShardingStatusRequest) (*ShardingStatus, error) {
+	return &b.status, b.err
+}
 
-func (b *backend) Move(ctx context.Context, r *MoveRequest) (*Move, error) {
-	b.moved = r
-	if b.stands {
+func (b *fakeBackend) StartTransfer(ctx context.Context, r *TransferRequest) (*Transfer, error) {
+	b.lastTransferRequest = r
+	if b.blocks {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return &Move{Name: r.Name, Phase: "proposed"}, b.err
+	return &Transfer{Name: r.Name, Phase: "proposed"}, b.err
 }
 
-func (b *backend) Abort(_ context.Context, r *AbortRequest) (*Move, error) {
-	return &Move{Name: r.Name, Phase: "aborted"}, b.err
+func (b *fakeBackend) AbortTransfer(_ context.Context, r *AbortTransferRequest) (*Transfer, error) {
+	return &Transfer{Name: r.Name, Phase: "aborted"}, b.err
 }
 
-func (b *backend) Drain(_ context.Context, r *DrainRequest) (*Controller, error) {
-	return &Controller{Member: r.Member, Draining: r.Drain}, b.err
+func (b *fakeBackend) SetDraining(_ context.Context, r *SetDrainingRequest) (*Controller, error) {
+	return &Controller{ID: r.Controller, Draining: r.Draining}, b.err
 }
 
-// start serves a backend on loopback and makes a client of it.
-func start(t *testing.T, b Backend) *Client {
+// startTestServer serves a backend on loopback and makes a client of it.
+func startTestServer(t *testing.T, b Backend) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := NewServer(b)
-	go server.Serve(Limit(listener))
+	go server.Serve(LimitConnections(listener))
 	t.Cleanup(server.Stop)
 	client, err := Dial(listener.Addr().String())
 	if err != nil {
@@ -55,74 +57,74 @@
 }
 
 func TestCalls(t *testing.T) {
-	begun := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
-	b := &backend{shares: Shares{Revision: 412, Stale: true, Controllers: []Controller{{Member: "stall-0", Run: "stall-0#7", Pages: 3, Machines: 51, Moves: true}},
-		Pages: []Page{{Page: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}},
-		Moves: []Move{{Name: "m", Phase: "closed", Begun: begun, Ended: begun.Add(time.Second)}}, Plan: []Planned{{Page: "p", From: "a", To: "b"}}}}
-	client := start(t, b)
-	s, err := client.Shares(context.Background())
-	if err != nil || s.Revision != 412 || !s.Stale || s.Controllers[0] != b.shares.Controllers[0] || s.Pages[0] != b.shares.Pages[0] ||
-		s.Plan[0] != b.shares.Plan[0] || !s.Moves[0].Begun.Equal(begun) || !s.Moves[0].Prepared.IsZero() {
+	startedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
+	b := &fakeBackend{status: ShardingStatus{Revision: 412, Stale: true, Controllers: []Controller{{ID: "stall-0", Incarnation: "stall-0#7", Shards: 3, Machines: 51, SupportsTransfers: true}},
+		Shards:    []Shard{{ID: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}},
+		Transfers: []Transfer{{Name: "m", Phase: "closed", ProposedAt: startedAt, EndedAt: startedAt.Add(time.Second)}}, PlannedTransfers: []PlannedTransfer{{Shard: "p", Source: "a", Target: "b"}}}}
+	client := startTestServer(t, b)
+	s, err := client.GetShardingStatus(context.Background())
+	if err != nil || s.Revision != 412 || !s.Stale || s.Controllers[0] != b.status.Controllers[0] || s.Shards[0] != b.status.Shards[0] ||
+		s.PlannedTransfers[0] != b.status.PlannedTransfers[0] || !s.Transfers[0].ProposedAt.Equal(startedAt) || !s.Transfers[0].PreparedAt.IsZero() {
 		t.Errorf("%+v, %v", s, err)
 	}
-	request := MoveRequest{Name: "m", From: "stall-0", To: "stall-1"}
-	if move, err := client.Move(context.Background(), &request); err != nil || move.Phase != "proposed" || *b.moved != request {
-		t.Errorf("%+v, %v, asked %+v", move, err, b.moved)
+	request := TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"}
+	if transfer, err := client.StartTransfer(context.Background(), &request); err != nil || transfer.Phase != "proposed" || *b.lastTransferRequest != request {
+		t.Errorf("%+v, %v, asked %+v", transfer, err, b.lastTransferRequest)
 	}
-	if c, err := client.Drain(context.Background(), &DrainRequest{Member: "stall-1", Drain: true}); err != nil || c.Member != "stall-1" || !c.Draining {
+	if c, err := client.SetDraining(context.Background(), &SetDrainingRequest{Controller: "stall-1", Draining: true}); err != nil || c.ID != "stall-1" || !c.Draining {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if move, err := client.Abort(context.Background(), &AbortRequest{Name: "m"}); err != nil || move.Phase != "aborted" || move.Name != "m" {
-		t.Errorf("%+v, %v", move, err)
+	if transfer, err := client.AbortTransfer(context.Background(), &AbortTransferRequest{Name: "m"}); err != nil || transfer.Phase != "aborted" || transfer.Name != "m" {
+		t.Errorf("%+v, %v", transfer, err)
 	}
 }
 
 // A tool can tell what will never do from what may be tried again.
-func TestRefusals(t *testing.T) {
+func TestRequestErrors(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		err    error
 		reason string
 		again  bool
 	}{
-		{"for good", &Refusal{Reason: "no page"}, "no page", false},
-		{"for now", &Refusal{Reason: "state service away", Again: true}, "state service away", true},
+		{"for good", &RequestError{Reason: "no page"}, "no page", false},
+		{"for now", &RequestError{Reason: "state service away", Retryable: true}, "state service away", true},
 		{"in no time", context.DeadlineExceeded, "did not answer in time", true},
 	} {
-		client := start(t, &backend{err: c.err})
-		_, err := client.Move(context.Background(), &MoveRequest{Name: "m"})
-		var refusal *Refusal
-		if !errors.As(err, &refusal) || !strings.Contains(refusal.Reason, c.reason) || refusal.Again != c.again {
+		client := startTestServer(t, &fakeBackend{err: c.err})
+		_, err := client.StartTransfer(context.Background(), &TransferRequest{Name: "m"})
+		var requestErr *RequestError
+		if !errors.As(err, &requestErr) || !strings.Contains(requestErr.Reason, c.reason) || requestErr.Retryable != c.again {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	client := start(t, &backend{err: errors.New("broken")})
-	var refusal *Refusal
-	if _, err := client.Shares(context.Background()); err == nil || errors.As(err, &refusal) || !strings.Contains(err.Error(), "broken") {
+	client := startTestServer(t, &fakeBackend{err: errors.New("broken")})
+	var requestErr *RequestError
+	if _, err := client.GetShardingStatus(context.Background()); err == nil || errors.As(err, &requestErr) || !strings.Contains(err.Error(), "broken") {
 		t.Errorf("an error of the daemon: %v", err)
 	}
 }
 
 // Nobody there, somebody who does not answer, and more than the service takes.
-func TestBounds(t *testing.T) {
-	var refusal *Refusal
-	nobody, err := Dial("127.0.0.1:1")
+func TestLimits(t *testing.T) {
+	var requestErr *RequestError
+	unreachable, err := Dial("127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nobody.Close()
-	if _, err := nobody.Shares(context.Background()); !errors.As(err, &refusal) || !refusal.Again {
+	defer unreachable.Close()
+	if _, err := unreachable.GetShardingStatus(context.Background()); !errors.As(err, &requestErr) || !requestErr.Retryable {
 		t.Errorf("nobody there: %v", err)
 	}
-	standing := start(t, &backend{stands: true})
+	blocked := startTestServer(t, &fakeBackend{blocks: true})
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := standing.Move(ctx, &MoveRequest{Name: "m"}); !errors.As(err, &refusal) || !refusal.Again {
+	if _, err := blocked.StartTransfer(ctx, &TransferRequest{Name: "m"}); !errors.As(err, &requestErr) || !requestErr.Retryable {
 		t.Errorf("no answer: %v", err)
 	}
-	b := &backend{}
-	large := start(t, b)
-	if _, err := large.Move(context.Background(), &MoveRequest{Name: strings.Repeat("x", maxRequestBytes)}); err == nil || b.moved != nil {
+	b := &fakeBackend{}
+	large := startTestServer(t, b)
+	if _, err := large.StartTransfer(context.Background(), &TransferRequest{Name: strings.Repeat("x", maxRequestBytes)}); err == nil || b.lastTransferRequest != nil {
 		t.Errorf("a request of over %d bytes: %v", maxRequestBytes, err)
 	}
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -18,7 +18,7 @@
 	registerCodec()
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName), grpc.MaxCallRecvMsgSize(maxAnswerBytes)))
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName), grpc.MaxCallRecvMsgSize(maxResponseBytes)))
 	if err != nil {
 		return nil, err
 	}
@@ -28,41 +28,41 @@
 // Close ends the client's connection.
 func (c *Client) Close() error { return c.connection.Close() }
 
-// Shares asks who owns which machines.
-func (c *Client) Shares(ctx context.Context) (*Shares, error) {
-	return call[Shares](ctx, c, methodShares, &SharesRequest{})
+// GetShardingStatus asks who owns which machines.
+func (c *Client) GetShardingStatus(ctx context.Context) (*ShardingStatus, error) {
+	return invoke[ShardingStatus](ctx, c, methodShardingStatus, &ShardingStatusRequest{})
 }
 
-// Move asks for a page to be moved.
-func (c *Client) Move(ctx context.Context, request *MoveRequest) (*Move, error) {
-	return call[Move](ctx, c, methodMove, request)
+// StartTransfer asks for a page to be moved.
+func (c *Client) StartTransfer(ctx context.Context, request *TransferRequest) (*Transfer, error) {
+	return invoke[Transfer](ctx, c, methodStartTransfer, request)
 }
 
-// Abort asks for a move to be aborted.
-func (c *Client) Abort(ctx context.Context, request *AbortRequest) (*Move, error) {
-	return call[Move](ctx, c, methodAbort, request)
+// AbortTransfer asks for a move to be aborted.
+func (c *Client) AbortTransfer(ctx context.Context, request *AbortTransferRequest) (*Transfer, error) {
+	return invoke[Transfer](ctx, c, methodAbortTransfer, request)
 }
 
-// Drain asks for a controller to be drained, or to be no longer.
-func (c *Client) Drain(ctx context.Context, request *DrainRequest) (*Controller, error) {
-	return call[Controller](ctx, c, methodDrain, request)
+// SetDraining asks for a controller to be drained, or to be no longer.
+func (c *Client) SetDraining(ctx context.Context, request *SetDrainingRequest) (*Controller, error) {
+	return invoke[Controller](ctx, c, methodSetDraining, request)
 }
 
-// call makes one call, bounded in time, and turns its status into a Refusal.
-func call[Answer any](ctx context.Context, c *Client, method string, request any) (*Answer, error) {
+// invoke makes one call, bounded in time, and turns its status into a Refusal.
+func invoke[Response any](ctx context.Context, c *Client, method string, request any) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer := new(Answer)
-	err := c.connection.Invoke(ctx, "/"+serviceName+"/"+method, request, answer)
+	response := new(Response)
+	err := c.connection.Invoke(ctx, "/"+serviceName+"/"+method, request, response)
 	if err == nil {
-		return answer, nil
+		return response, nil
 	}
-	s := status.Convert(err)
-	switch s.Code() {
+	grpcStatus := status.Convert(err)
+	switch grpcStatus.Code() {
 	case codes.FailedPrecondition, codes.InvalidArgument:
-		return nil, &Refusal{Reason: s.Message()}
+		return nil, &RequestError{Reason: grpcStatus.Message()}
 	case codes.Unavailable, codes.DeadlineExceeded, codes.ResourceExhausted:
-		return nil, &Refusal{Reason: s.Message(), Again: true}
+		return nil, &RequestError{Reason: grpcStatus.Message(), Retryable: true}
 	}
-	return nil, fmt.Errorf("%s: %s", s.Code(), s.Message())
+	return nil, fmt.Errorf("%s: %s", grpcStatus.Code(), grpcStatus.Message())
 }
--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -8,78 +8,78 @@
 
 import "time"
 
-// SharesRequest asks who owns which machines.
-type SharesRequest struct{}
+// ShardingStatusRequest asks who owns which machines.
+type ShardingStatusRequest struct{}
 
-// Shares is who owns which machines, as of one revision of the records.
-type Shares struct {
+// ShardingStatus is who owns which machines, as of one revision of the records.
+type ShardingStatus struct {
 	Revision uint64 `json:"revision"`
 	// The controller that answers may be behind: it does not reach the state service.
-	Stale       bool         `json:"stale"`
-	Controllers []Controller `json:"controllers"`
-	Pages       []Page       `json:"pages"`
-	Moves       []Move       `json:"moves"`
-	Plan        []Planned    `json:"plan"`
+	Stale            bool              `json:"stale"`
+	Controllers      []Controller      `json:"controllers"`
+	Shards           []Shard           `json:"pages"`
+	Transfers        []Transfer        `json:"moves"`
+	PlannedTransfers []PlannedTransfer `json:"plan"`
 }
 
 // Controller is a controller with what it owns.
 type Controller struct {
-	Member   string `json:"member"`
-	Run      string `json:"run"`
-	Pages    int    `json:"pages"`
-	Machines int    `json:"machines"`
-	Moves    bool   `json:"moves"` // it takes part in moves on record
-	Draining bool   `json:"draining"`
+	ID                string `json:"member"`
+	Incarnation       string `json:"run"`
+	Shards            int    `json:"pages"`
+	Machines          int    `json:"machines"`
+	SupportsTransfers bool   `json:"moves"` // it takes part in moves on record
+	Draining          bool   `json:"draining"`
 }
 
-// Page is a page of machines with its owner.
-type Page struct {
-	Page     string `json:"page"`
+// Shard is a page of machines with its owner.
+type Shard struct {
+	ID       string `json:"page"`
 	Owner    string `json:"owner"`
 	Epoch    uint64 `json:"epoch"`
 	Machines int    `json:"machines"`
 	Tasks    int    `json:"tasks"`
 }
 
-// Move is a move as it is on record.
-type Move struct {
-	Name     string    `json:"name"`
-	Page     string    `json:"page"`
-	From     string    `json:"from"`
-	To       string    `json:"to"`
-	Phase    string    `json:"phase"`
-	Why      string    `json:"why,omitempty"`
-	Machines int       `json:"machines"`
-	Begun    time.Time `json:"begun,omitzero"`
-	Prepared time.Time `json:"prepared,omitzero"`
-	Passed   time.Time `json:"passed,omitzero"`
-	Ended    time.Time `json:"ended,omitzero"`
+// Transfer is a move as it is on record.
+type Transfer struct {
+	Name        string    `json:"name"`
+	Shard       string    `json:"page"`
+	Source      string    `json:"from"`
+	Target      string    `json:"to"`
+	Phase       string    `json:"phase"`
+	Reason      string    `json:"why,omitempty"`
+	Machines    int       `json:"machines"`
+	ProposedAt  time.Time `json:"begun,omitzero"`
+	PreparedAt  time.Time `json:"prepared,omitzero"`
+	CommittedAt time.Time `json:"passed,omitzero"`
+	EndedAt     time.Time `json:"ended,omitzero"`
 }
 
-// Planned is a move that the controller would begin now.
-type Planned struct {
-	Page string `json:"page"`
-	From string `json:"from"`
-	To   string `json:"to"`
+// PlannedTransfer is a move that the controller would begin now.
+type PlannedTransfer struct {
+	Shard  string `json:"page"`
+	Source string `json:"from"`
+	Target string `json:"to"`
 }
 
-// MoveRequest asks for a page to be moved. It is accepted once it is on record; asked again
+// TransferRequest asks for a page to be moved. It is accepted once it is on record; asked again
 // under the same name it does nothing more.
-type MoveRequest struct {
-	Name string `json:"name"`
-	Page string `json:"page,omitempty"` // which page; or
-	From string `json:"from,omitempty"` // any one of this controller
-	To   string `json:"to"`
+type TransferRequest struct {
+	Name   string `json:"name"`
+	Shard  string `json:"page,omitempty"` // which page; or
+	Source string `json:"from,omitempty"` // any one of this controller
+	Target string `json:"to"`
 }
 
-// DrainRequest asks for a controller to give its machines away and be given none, or to
+// SetDrainingRequest asks for a controller to give its machines away and be given none, or to
 // take part again. It is accepted once it is on record, and holds for later processes, too.
-type DrainRequest struct {
-	Member string `json:"member"`
-	Drain  bool   `json:"drain"`
+type SetDrainingRequest struct {
+	Controller string `json:"member"`
+	Draining   bool   `json:"drain"`
 }
 
-// AbortRequest asks for a move to be aborted.
-type AbortRequest struct {
+// AbortTransferRequest asks for a move to be aborted.
+type AbortTransferRequest struct {
 	Name string `json:"name"`
 }
--- a/internal/bookkeeping/format.go
+++ b/internal/bookkeeping/format.go
@@ -17,44 +17,44 @@
 // FormatKey holds the format that may be written. It is raised once every controller of
 // the deployment has been seen to read that format, and never lowered. A version that
 // does not know the key ignores it.
-const FormatKey = Prefix + "format"
+const FormatKey = KeyPrefix + "format"
 
 // FormatRecord is the value of FormatKey.
 type FormatRecord struct {
-	Write Format `json:"w"`
-	By    Run    `json:"b"`
+	WriteFormat Format      `json:"w"`
+	UpdatedBy   Incarnation `json:"b"`
 }
 
-// plainJobSize is the size from which a job's record is packed as a whole.
-const plainJobSize = 1200
+// jobCompressionThreshold is the size from which a job's record is packed as a whole.
+const jobCompressionThreshold = 1200
 
-// compactJob is a job's record with its done tasks in compact form.
-type compactJob struct {
+// compactJobRecord is a job's record with its done tasks in compact form.
+type compactJobRecord struct {
 	JobRecord
-	Done compactRanges `json:"v,omitzero"` // stands in place of JobRecord.Done
+	CompletedTasks compactTaskSet `json:"v,omitzero"` // stands in place of JobRecord.Done
 }
 
-// packedJob is a job's record that is compressed as a whole.
-type packedJob struct {
+// packedJobRecord is a job's record that is compressed as a whole.
+type packedJobRecord struct {
 	Packed string `json:"z"`
 }
 
 // EncodeJob gives a job record's written form.
 func EncodeJob(format Format, r *JobRecord) json.RawMessage {
 	if format < FormatPacked {
-		return JSON(r)
+		return MustMarshal(r)
 	}
-	plain := JSON(compactJob{JobRecord: *r, Done: compactRanges{r.Done}})
-	if len(plain) < plainJobSize {
+	plain := MustMarshal(compactJobRecord{JobRecord: *r, CompletedTasks: compactTaskSet{r.CompletedTasks}})
+	if len(plain) < jobCompressionThreshold {
 		return plain
 	}
-	return JSON(packedJob{deflate(plain)})
+	return MustMarshal(packedJobRecord{deflate(plain)})
 }
 
 // decodeJob reads a job's record in any form.
 func decodeJob(data json.RawMessage) (r JobRecord, err error) {
 	if strings.HasPrefix(string(data), `{"z":`) {
-		var packed packedJob
+		var packed packedJobRecord
 		if err := json.Unmarshal(data, &packed); err != nil {
 			return r, err
 		}
--- a/internal/bookkeeping/replica.go
+++ b/internal/bookkeeping/replica.go
@@ -10,165 +10,165 @@
 	"tillerarch/internal/protocol"
 )
 
-// Entry is a record with its stamp.
-type Entry[T any] struct {
-	Rec   T
-	Stamp protocol.Stamp
-	Size  int // of its written form
+// Versioned is a record with its stamp.
+type Versioned[T any] struct {
+	Record      T
+	ModRevision protocol.ModRevision
+	EncodedSize int // of its written form
 }
 
 // Machine is a machine's record as the replica has it.
 type Machine struct {
-	ID   protocol.MachineID
-	Rec  MachineRecord
-	line string // its written form: a machine whose line stays is not read again
+	ID          protocol.MachineID
+	Record      MachineRecord
+	encodedLine string // its written form: a machine whose line stays is not read again
 }
 
-// Page is a page of machines as the replica has it.
-type Page struct {
-	Owner    Run
-	Epoch    Epoch
-	Stamp    protocol.Stamp
-	Since    protocol.Stamp // of the change that made Owner its owner, or a later one
-	Size     int
-	Format   Format               // in which it is written
-	packed   int                  // what it takes in the packed format, once that was asked for
-	Machines []protocol.MachineID // as written
-	Done     map[protocol.JobID]Ranges
+// Shard is a page of machines as the replica has it.
+type Shard struct {
+	Owner          Incarnation
+	Epoch          ShardEpoch
+	ModRevision    protocol.ModRevision
+	OwnedSince     protocol.ModRevision // of the change that made Owner its owner, or a later one
+	EncodedSize    int
+	Format         Format               // in which it is written
+	packedSize     int                  // what it takes in the packed format, once that was asked for
+	Machines       []protocol.MachineID // as written
+	CompletedTasks map[protocol.JobID]TaskSet
 }
 
 // Replica is a copy of all records, complete up to Rev; own writes may be newer.
 // What is asked often is kept as an index: nothing here walks the whole fleet
 // for one job or one machine.
 type Replica struct {
-	Rev         protocol.Rev
-	Jobs        map[protocol.JobID]*Entry[JobRecord]
-	Pages       map[PageID]*Page
-	Machines    map[protocol.MachineID]*Machine
-	Members     map[protocol.Member]*Entry[MemberRecord]
-	Teams       map[string]protocol.Stamp
-	Moves       map[MoveSlot]*Entry[MoveRecord]
-	Drains      map[protocol.Member]*Entry[DrainRecord]
-	Roll        protocol.Stamp                       // of RollKey
-	Format      Entry[FormatRecord]                  // of FormatKey
-	Open        map[protocol.JobID]*Entry[JobRecord] // the jobs that are neither done nor withdrawn
-	Withdrawing map[protocol.JobID]*Entry[JobRecord] // those of them that are called off
+	Revision         protocol.Revision
+	Jobs             map[protocol.JobID]*Versioned[JobRecord]
+	Shards           map[ShardID]*Shard
+	Machines         map[protocol.MachineID]*Machine
+	Controllers      map[protocol.ControllerID]*Versioned[ControllerRecord]
+	QuotaRevisions   map[string]protocol.ModRevision
+	Transfers        map[TransferSlot]*Versioned[TransferRecord]
+	Drains           map[protocol.ControllerID]*Versioned[DrainRecord]
+	RegistryRevision protocol.ModRevision                     // of RegistryKey
+	Format           Versioned[FormatRecord]                  // of FormatKey
+	UnfinishedJobs   map[protocol.JobID]*Versioned[JobRecord] // the jobs that are neither done nor withdrawn
+	CancellingJobs   map[protocol.JobID]*Versioned[JobRecord] // those of them that are called off
 
-	// Changed is called for each machine whose record has changed; before or
+	// OnMachineChange is called for each machine whose record has changed; before or
 	// after may be nil. May be nil itself.
-	Changed func(id protocol.MachineID, before, after *MachineRecord)
+	OnMachineChange func(id protocol.MachineID, before, after *MachineRecord)
 
-	doneOn map[protocol.JobID]map[PageID]bool // pages that have done tasks of a job
-	done   map[protocol.JobID]Ranges          // what Done has found, until it changes
+	shardsWithCompleted map[protocol.JobID]map[ShardID]bool // pages that have done tasks of a job
+	completedByJob      map[protocol.JobID]TaskSet          // what Done has found, until it changes
 
-	on   map[protocol.JobID]map[protocol.MachineID]bool // where a job has assignments
-	list []*Machine                                     // all machines in order; nil: to be made anew
-	lost []protocol.MachineID
-	gone map[string]protocol.Stamp // deleted keys, for changes that come late
+	machinesByJob   map[protocol.JobID]map[protocol.MachineID]bool // where a job has assignments
+	sortedMachines  []*Machine                                     // all machines in order; nil: to be made anew
+	removedMachines []protocol.MachineID
+	tombstones      map[string]protocol.ModRevision // deleted keys, for changes that come late
 }
 
 // NewReplica makes an empty replica.
 func NewReplica() *Replica {
 	return &Replica{
-		Jobs:        map[protocol.JobID]*Entry[JobRecord]{},
-		Open:        map[protocol.JobID]*Entry[JobRecord]{},
-		Withdrawing: map[protocol.JobID]*Entry[JobRecord]{},
-		Pages:       map[PageID]*Page{},
-		Machines:    map[protocol.MachineID]*Machine{},
-		Members:     map[protocol.Member]*Entry[MemberRecord]{},
-		Teams:       map[string]protocol.Stamp{},
-		Moves:       map[MoveSlot]*Entry[MoveRecord]{},
-		Drains:      map[protocol.Member]*Entry[DrainRecord]{},
-		on:          map[protocol.JobID]map[protocol.MachineID]bool{},
-		gone:        map[string]protocol.Stamp{},
-		doneOn:      map[protocol.JobID]map[PageID]bool{},
-		done:        map[protocol.JobID]Ranges{},
+		Jobs:                map[protocol.JobID]*Versioned[JobRecord]{},
+		UnfinishedJobs:      map[protocol.JobID]*Versioned[JobRecord]{},
+		CancellingJobs:      map[protocol.JobID]*Versioned[JobRecord]{},
+		Shards:              map[ShardID]*Shard{},
+		Machines:            map[protocol.MachineID]*Machine{},
+		Controllers:         map[protocol.ControllerID]*Versioned[ControllerRecord]{},
+		QuotaRevisions:      map[string]protocol.ModRevision{},
+		Transfers:           map[TransferSlot]*Versioned[TransferRecord]{},
+		Drains:              map[protocol.ControllerID]*Versioned[DrainRecord]{},
+		machinesByJob:       map[protocol.JobID]map[protocol.MachineID]bool{},
+		tombstones:          map[string]protocol.ModRevision{},
+		shardsWithCompleted: map[protocol.JobID]map[ShardID]bool{},
+		completedByJob:      map[protocol.JobID]TaskSet{},
 	}
 }
 
-// Stamp is the stamp of a key as far as the replica knows: 0 for none.
-func (m *Replica) Stamp(key string) protocol.Stamp {
+// ModRevision is the stamp of a key as far as the replica knows: 0 for none.
+func (r *Replica) ModRevision(key string) protocol.ModRevision {
 	switch {
 	case strings.HasPrefix(key, jobPrefix):
-		return stampOf(m.Jobs, protocol.JobID(key[len(jobPrefix):]))
-	case strings.HasPrefix(key, pagePrefix):
-		if p := m.Pages[PageID(key[len(pagePrefix):])]; p != nil {
-			return p.Stamp
+		return modRevisionOf(r.Jobs, protocol.JobID(key[len(jobPrefix):]))
+	case strings.HasPrefix(key, shardPrefix):
+		if shard := r.Shards[ShardID(key[len(shardPrefix):])]; shard != nil {
+			return shard.ModRevision
 		}
-	case strings.HasPrefix(key, memberPrefix):
-		return stampOf(m.Members, protocol.Member(key[len(memberPrefix):]))
-	case strings.HasPrefix(key, teamPrefix):
-		return m.Teams[key[len(teamPrefix):]]
-	case strings.HasPrefix(key, movePrefix):
-		return stampOf(m.Moves, MoveSlot(key[len(movePrefix):]))
+	case strings.HasPrefix(key, controllerPrefix):
+		return modRevisionOf(r.Controllers, protocol.ControllerID(key[len(controllerPrefix):]))
+	case strings.HasPrefix(key, quotaPrefix):
+		return r.QuotaRevisions[key[len(quotaPrefix):]]
+	case strings.HasPrefix(key, transferPrefix):
+		return modRevisionOf(r.Transfers, TransferSlot(key[len(transferPrefix):]))
 	case strings.HasPrefix(key, drainPrefix):
-		return stampOf(m.Drains, protocol.Member(key[len(drainPrefix):]))
-	case key == RollKey:
-		return m.Roll
+		return modRevisionOf(r.Drains, protocol.ControllerID(key[len(drainPrefix):]))
+	case key == RegistryKey:
+		return r.RegistryRevision
 	case key == FormatKey:
-		return m.Format.Stamp
+		return r.Format.ModRevision
 	}
 	return 0
 }
 
-func stampOf[K comparable, T any](m map[K]*Entry[T], k K) protocol.Stamp {
-	if e := m[k]; e != nil {
-		return e.Stamp
+func modRevisionOf[K comparable, T any](records map[K]*Versioned[T], key K) protocol.ModRevision {
+	if entry := records[key]; entry != nil {
+		return entry.ModRevision
 	}
 	return 0
 }
 
 // decodeJSON reads a record that is written in plain JSON in every format.
-func decodeJSON[T any](data json.RawMessage) (rec T, err error) {
-	err = json.Unmarshal(data, &rec)
-	return rec, err
+func decodeJSON[T any](data json.RawMessage) (record T, err error) {
+	err = json.Unmarshal(data, &record)
+	return record, err
 }
 
-func put[K comparable, T any](m map[K]*Entry[T], k K, data json.RawMessage, stamp protocol.Stamp, decode func(json.RawMessage) (T, error)) error {
-	rec, err := decode(data)
+func putRecord[K comparable, T any](records map[K]*Versioned[T], key K, data json.RawMessage, revision protocol.ModRevision, decode func(json.RawMessage) (T, error)) error {
+	record, err := decode(data)
 	if err != nil {
 		return err
 	}
-	m[k] = &Entry[T]{Rec: rec, Stamp: stamp, Size: len(data)}
+	records[key] = &Versioned[T]{Record: record, ModRevision: revision, EncodedSize: len(data)}
 	return nil
 }
 
 // Put takes in a key's value unless the replica has a newer one. fresh tells
 // whether it did.
-func (m *Replica) Put(key string, data json.RawMessage, stamp protocol.Stamp) (fresh bool, err error) {
-	if stamp <= m.Stamp(key) || stamp <= m.gone[key] {
+func (r *Replica) Put(key string, data json.RawMessage, revision protocol.ModRevision) (applied bool, err error) {
+	if revision <= r.ModRevision(key) || revision <= r.tombstones[key] {
 		return false, nil
 	}
-	delete(m.gone, key)
+	delete(r.tombstones, key)
 	switch {
 	case strings.HasPrefix(key, jobPrefix):
 		id := protocol.JobID(key[len(jobPrefix):])
-		delete(m.done, id)
-		if err = put(m.Jobs, id, data, stamp, decodeJob); err == nil {
-			e := m.Jobs[id]
-			delete(m.Withdrawing, id)
-			if e.Rec.Stage.Final() || e.Rec.Desc == nil {
-				delete(m.Open, id)
-			} else if m.Open[id] = e; e.Rec.Withdrawing {
-				m.Withdrawing[id] = e
+		delete(r.completedByJob, id)
+		if err = putRecord(r.Jobs, id, data, revision, decodeJob); err == nil {
+			entry := r.Jobs[id]
+			delete(r.CancellingJobs, id)
+			if entry.Record.State.IsTerminal() || entry.Record.Spec == nil {
+				delete(r.UnfinishedJobs, id)
+			} else if r.UnfinishedJobs[id] = entry; entry.Record.CancelRequested {
+				r.CancellingJobs[id] = entry
 			}
 		}
-	case strings.HasPrefix(key, pagePrefix):
-		err = m.putPage(PageID(key[len(pagePrefix):]), data, stamp)
-	case strings.HasPrefix(key, memberPrefix):
-		err = put(m.Members, protocol.Member(key[len(memberPrefix):]), data, stamp, decodeJSON)
-	case strings.HasPrefix(key, teamPrefix):
-		m.Teams[key[len(teamPrefix):]] = stamp
-	case strings.HasPrefix(key, movePrefix):
-		err = put(m.Moves, MoveSlot(key[len(movePrefix):]), data, stamp, decodeMove)
+	case strings.HasPrefix(key, shardPrefix):
+		err = r.putShard(ShardID(key[len(shardPrefix):]), data, revision)
+	case strings.HasPrefix(key, controllerPrefix):
+		err = putRecord(r.Controllers, protocol.ControllerID(key[len(controllerPrefix):]), data, revision, decodeJSON)
+	case strings.HasPrefix(key, quotaPrefix):
+		r.QuotaRevisions[key[len(quotaPrefix):]] = revision
+	case strings.HasPrefix(key, transferPrefix):
+		err = putRecord(r.Transfers, TransferSlot(key[len(transferPrefix):]), data, revision, decodeTransfer)
 	case strings.HasPrefix(key, drainPrefix):
-		err = put(m.Drains, protocol.Member(key[len(drainPrefix):]), data, stamp, decodeJSON)
-	case key == RollKey:
-		m.Roll = stamp
+		err = putRecord(r.Drains, protocol.ControllerID(key[len(drainPrefix):]), data, revision, decodeJSON)
+	case key == RegistryKey:
+		r.RegistryRevision = revision
 	case key == FormatKey:
-		var rec FormatRecord
-		if err = json.Unmarshal(data, &rec); err == nil {
-			m.Format = Entry[FormatRecord]{Rec: rec, Stamp: stamp, Size: len(data)}
+		var record FormatRecord
+		if err = json.Unmarshal(data, &record); err == nil {
+			r.Format = Versioned[FormatRecord]{Record: record, ModRevision: revision, EncodedSize: len(data)}
 		}
 	}
 	if err != nil {
@@ -177,214 +177,216 @@
 	return true, nil
 }
 
-func (m *Replica) putPage(id PageID, data json.RawMessage, stamp protocol.Stamp) error {
-	f, format, err := decodePage(data)
+func (r *Replica) putShard(id ShardID, data json.RawMessage, revision protocol.ModRevision) error {
+	decoded, format, err := decodeShard(data)
 	if err != nil {
 		return err
 	}
-	p := &Page{Owner: f.Owner, Epoch: f.Epoch, Stamp: stamp, Size: len(data), Format: format}
-	recs := make([]MachineRecord, len(f.Machines))
-	for i, line := range f.Machines {
-		mid, _, _ := strings.Cut(line, " ")
-		if e := m.Machines[protocol.MachineID(mid)]; e != nil && e.line == line {
-			recs[i] = e.Rec
-		} else if _, r, err := parseLine(line); err != nil {
+	shard := &Shard{Owner: decoded.Owner, Epoch: decoded.Epoch, ModRevision: revision, EncodedSize: len(data), Format: format}
+	records := make([]MachineRecord, len(decoded.Machines))
+	for i, line := range decoded.Machines {
+		machineID, _, _ := strings.Cut(line, " ")
+		if machine := r.Machines[protocol.MachineID(machineID)]; machine != nil && machine.encodedLine == line {
+			records[i] = machine.Record
+		} else if _, record, err := parseMachineLine(line); err != nil {
 			return err // the page is not trusted as a whole
 		} else {
-			recs[i] = r
+			records[i] = record
 		}
-		p.Machines = append(p.Machines, protocol.MachineID(mid))
+		shard.Machines = append(shard.Machines, protocol.MachineID(machineID))
 	}
-	old := m.Pages[id]
-	if p.Since = stamp; old != nil && old.Owner == p.Owner && old.Epoch == p.Epoch {
-		p.Since = old.Since
+	old := r.Shards[id]
+	if shard.OwnedSince = revision; old != nil && old.Owner == shard.Owner && old.Epoch == shard.Epoch {
+		shard.OwnedSince = old.OwnedSince
 	}
-	m.Pages[id] = p
-	p.Done = f.Done
-	m.setDone(id, old, p)
-	for i, mid := range p.Machines {
-		e := m.Machines[mid]
-		if e != nil && e.Rec.Page != id && m.Pages[e.Rec.Page] != nil && m.Pages[e.Rec.Page].Stamp > stamp {
+	r.Shards[id] = shard
+	shard.CompletedTasks = decoded.CompletedTasks
+	r.indexCompletedTasks(id, old, shard)
+	for i, machineID := range shard.Machines {
+		machine := r.Machines[machineID]
+		if machine != nil && machine.Record.Shard != id && r.Shards[machine.Record.Shard] != nil && r.Shards[machine.Record.Shard].ModRevision > revision {
 			continue // it has moved to another page since
 		}
-		r := recs[i]
-		r.Page, r.Owner, r.Epoch, r.FencingToken = id, p.Owner, p.Epoch, p.Epoch.FencingToken(r.Bump)
-		m.set(mid, &r, f.Machines[i])
+		record := records[i]
+		record.Shard, record.Owner, record.ShardEpoch, record.FencingToken = id, shard.Owner, shard.Epoch, shard.Epoch.FencingToken(record.TokenCounter)
+		r.setMachine(machineID, &record, decoded.Machines[i])
 	}
 	if old != nil {
-		m.strike(id, old, p)
+		r.removeUnlisted(id, old, shard)
 	}
 	return nil
 }
 
-// PackedSize is what a page takes in the packed format.
-func (m *Replica) PackedSize(id PageID) int {
-	p := m.Pages[id]
-	if p.Format >= FormatPacked {
-		return p.Size
+// PackedShardSize is what a page takes in the packed format.
+func (r *Replica) PackedShardSize(id ShardID) int {
+	shard := r.Shards[id]
+	if shard.Format >= FormatPacked {
+		return shard.EncodedSize
 	}
-	if p.packed == 0 {
-		lines := make([]string, len(p.Machines))
-		for i, mid := range p.Machines {
-			lines[i] = m.Line(mid)
+	if shard.packedSize == 0 {
+		lines := make([]string, len(shard.Machines))
+		for i, machineID := range shard.Machines {
+			lines[i] = r.EncodedLine(machineID)
 		}
-		p.packed = len(EncodePageAs(FormatPacked, p.Owner, p.Epoch, lines, p.Done))
+		shard.packedSize = len(EncodeShard(FormatPacked, shard.Owner, shard.Epoch, lines, shard.CompletedTasks))
 	}
-	return p.packed
+	return shard.packedSize
 }
 
-// setDone keeps the index of what pages know to be done.
-func (m *Replica) setDone(id PageID, old, now *Page) {
+// indexCompletedTasks keeps the index of what pages know to be done.
+func (r *Replica) indexCompletedTasks(id ShardID, old, current *Shard) {
 	if old != nil {
-		for j := range old.Done {
-			delete(m.done, j)
-			if delete(m.doneOn[j], id); len(m.doneOn[j]) == 0 {
-				delete(m.doneOn, j)
+		for job := range old.CompletedTasks {
+			delete(r.completedByJob, job)
+			if delete(r.shardsWithCompleted[job], id); len(r.shardsWithCompleted[job]) == 0 {
+				delete(r.shardsWithCompleted, job)
 			}
 		}
 	}
-	if now == nil {
+	if current == nil {
 		return
 	}
-	for j := range now.Done {
-		delete(m.done, j)
-		if m.doneOn[j] == nil {
-			m.doneOn[j] = map[PageID]bool{}
+	for job := range current.CompletedTasks {
+		delete(r.completedByJob, job)
+		if r.shardsWithCompleted[job] == nil {
+			r.shardsWithCompleted[job] = map[ShardID]bool{}
 		}
-		m.doneOn[j][id] = true
+		r.shardsWithCompleted[job][id] = true
 	}
 }
 
-// Done gives the tasks of a job that are done: those in its own record, and
+// CompletedTasks gives the tasks of a job that are done: those in its own record, and
 // those that are on pages only.
-func (m *Replica) Done(id protocol.JobID) Ranges {
-	if r, ok := m.done[id]; ok {
-		return r
+func (r *Replica) CompletedTasks(id protocol.JobID) TaskSet {
+	if tasks, ok := r.completedByJob[id]; ok {
+		return tasks
 	}
-	var r Ranges
-	if e := m.Jobs[id]; e != nil {
-		if d := e.Rec.Desc; d != nil && d.Daemon() {
-			return r // no replica is ever done, whatever an earlier version has noted
+	var tasks TaskSet
+	if entry := r.Jobs[id]; entry != nil {
+		if spec := entry.Record.Spec; spec != nil && spec.IsService() {
+			return tasks // no replica is ever done, whatever an earlier version has noted
 		}
-		r = e.Rec.Done
+		tasks = entry.Record.CompletedTasks
 	}
-	for p := range m.doneOn[id] {
-		r = r.Union(m.Pages[p].Done[id])
+	for shard := range r.shardsWithCompleted[id] {
+		tasks = tasks.Union(r.Shards[shard].CompletedTasks[id])
 	}
-	m.done[id] = r
-	return r
+	r.completedByJob[id] = tasks
+	return tasks
 }
 
-// strike takes out the machines that a page no longer has.
-func (m *Replica) strike(id PageID, old, now *Page) {
-	for _, mid := range old.Machines {
-		if e := m.Machines[mid]; e != nil && e.Rec.Page == id && (now == nil || !slices.Contains(now.Machines, mid)) {
-			m.set(mid, nil, "")
-			m.lost = append(m.lost, mid)
+// removeUnlisted takes out the machines that a page no longer has.
+func (r *Replica) removeUnlisted(id ShardID, old, current *Shard) {
+	for _, machineID := range old.Machines {
+		if machine := r.Machines[machineID]; machine != nil && machine.Record.Shard == id && (current == nil || !slices.Contains(current.Machines, machineID)) {
+			r.setMachine(machineID, nil, "")
+			r.removedMachines = append(r.removedMachines, machineID)
 		}
 	}
 }
 
-// set changes a machine's record and the indexes that rest on it.
-func (m *Replica) set(id protocol.MachineID, r *MachineRecord, line string) {
-	e := m.Machines[id]
-	same := e != nil && r != nil && e.line == line
-	if !same {
-		if e != nil {
-			for i := range e.Rec.Assigned {
-				j := e.Rec.Assigned[i].Job
-				if delete(m.on[j], id); len(m.on[j]) == 0 {
-					delete(m.on, j)
+// setMachine changes a machine's record and the indexes that rest on it.
+func (r *Replica) setMachine(id protocol.MachineID, record *MachineRecord, line string) {
+	machine := r.Machines[id]
+	unchanged := machine != nil && record != nil && machine.encodedLine == line
+	if !unchanged {
+		if machine != nil {
+			for i := range machine.Record.Assignments {
+				job := machine.Record.Assignments[i].Job
+				if delete(r.machinesByJob[job], id); len(r.machinesByJob[job]) == 0 {
+					delete(r.machinesByJob, job)
 				}
 			}
 		}
-		if r != nil {
-			for i := range r.Assigned {
-				j := r.Assigned[i].Job
-				if m.on[j] == nil {
-					m.on[j] = map[protocol.MachineID]bool{}
+		if record != nil {
+			for i := range record.Assignments {
+				job := record.Assignments[i].Job
+				if r.machinesByJob[job] == nil {
+					r.machinesByJob[job] = map[protocol.MachineID]bool{}
 				}
-				m.on[j][id] = true
+				r.machinesByJob[job][id] = true
 			}
 		}
-		if m.Changed != nil {
+		if r.OnMachineChange != nil {
 			var before *MachineRecord
-			if e != nil {
-				before = &e.Rec
+			if machine != nil {
+				before = &machine.Record
 			}
-			m.Changed(id, before, r)
+			r.OnMachineChange(id, before, record)
 		}
 	}
 	switch {
-	case r == nil:
-		delete(m.Machines, id)
-		m.list = nil
-	case e == nil:
-		m.Machines[id] = &Machine{id, *r, line}
-		m.list = nil
+	case record == nil:
+		delete(r.Machines, id)
+		r.sortedMachines = nil
+	case machine == nil:
+		r.Machines[id] = &Machine{id, *record, line}
+		r.sortedMachines = nil
 	default:
-		e.Rec, e.line = *r, line
+		machine.Record, machine.encodedLine = *record, line
 	}
 }
 
 // Delete takes in a key's removal.
-func (m *Replica) Delete(key string, stamp protocol.Stamp) {
-	if stamp <= m.Stamp(key) {
+func (r *Replica) Delete(key string, revision protocol.ModRevision) {
+	if revision <= r.ModRevision(key) {
 		return
 	}
-	if p, ok := strings.CutPrefix(key, pagePrefix); ok {
-		if len(m.gone) > 5000 {
-			m.gone = map[string]protocol.Stamp{}
+	if shard, ok := strings.CutPrefix(key, shardPrefix); ok {
+		if len(r.tombstones) > 5000 {
+			r.tombstones = map[string]protocol.ModRevision{}
 		}
-		m.gone[key] = stamp
-		if old := m.Pages[PageID(p)]; old != nil {
-			delete(m.Pages, PageID(p))
-			m.setDone(PageID(p), old, nil)
-			m.strike(PageID(p), old, nil)
+		r.tombstones[key] = revision
+		if old := r.Shards[ShardID(shard)]; old != nil {
+			delete(r.Shards, ShardID(shard))
+			r.indexCompletedTasks(ShardID(shard), old, nil)
+			r.removeUnlisted(ShardID(shard), old, nil)
 		}
-	} else if strings.HasPrefix(key, memberPrefix) {
-		delete(m.Members, protocol.Member(key[len(memberPrefix):]))
-	} else if strings.HasPrefix(key, movePrefix) {
-		delete(m.Moves, MoveSlot(key[len(movePrefix):]))
+	} else if strings.HasPrefix(key, controllerPrefix) {
+		delete(r.Controllers, protocol.ControllerID(key[len(controllerPrefix):]))
+	} else if strings.HasPrefix(key, transferPrefix) {
+		delete(r.Transfers, TransferSlot(key[len(transferPrefix):]))
 	} else if strings.HasPrefix(key, drainPrefix) {
-		delete(m.Drains, protocol.Member(key[len(drainPrefix):]))
+		delete(r.Drains, protocol.ControllerID(key[len(drainPrefix):]))
 	} else if strings.HasPrefix(key, jobPrefix) {
-		delete(m.Jobs, protocol.JobID(key[len(jobPrefix):]))
-		delete(m.Open, protocol.JobID(key[len(jobPrefix):]))
-		delete(m.Withdrawing, protocol.JobID(key[len(jobPrefix):]))
+		delete(r.Jobs, protocol.JobID(key[len(jobPrefix):]))
+		delete(r.UnfinishedJobs, protocol.JobID(key[len(jobPrefix):]))
+		delete(r.CancellingJobs, protocol.JobID(key[len(jobPrefix):]))
 	}
 }
 
-// Lost lists, once, the machines that have left the records. It is asked when
+// PopRemovedMachines lists, once, the machines that have left the records. It is asked when
 // all changes of a transaction are in: a machine that only moves from one page
 // to another has not left.
-func (m *Replica) Lost() []protocol.MachineID {
-	out := slices.DeleteFunc(m.lost, func(id protocol.MachineID) bool { return m.Machines[id] != nil })
-	m.lost = nil
+func (r *Replica) PopRemovedMachines() []protocol.MachineID {
+	out := slices.DeleteFunc(r.removedMachines, func(id protocol.MachineID) bool { return r.Machines[id] != nil })
+	r.removedMachines = nil
 	return out
 }
 
-// List gives all machines in the order of their names. It is not to be changed.
-func (m *Replica) List() []*Machine {
-	if m.list == nil {
-		m.list = slices.SortedFunc(maps.Values(m.Machines), func(a, z *Machine) int { return strings.Compare(string(a.ID), string(z.ID)) })
+// SortedMachines gives all machines in the order of their names. It is not to be changed.
+func (r *Replica) SortedMachines() []*Machine {
+	if r.sortedMachines == nil {
+		r.sortedMachines = slices.SortedFunc(maps.Values(r.Machines), func(a, z *Machine) int { return strings.Compare(string(a.ID), string(z.ID)) })
 	}
-	return m.list
+	return r.sortedMachines
 }
 
-// Line is a machine's written form as it is on record.
-func (m *Replica) Line(id protocol.MachineID) string {
-	if e := m.Machines[id]; e != nil {
-		return e.line
+// EncodedLine is a machine's written form as it is on record.
+func (r *Replica) EncodedLine(id protocol.MachineID) string {
+	if machine := r.Machines[id]; machine != nil {
+		return machine.encodedLine
 	}
 	return ""
 }
 
-// On gives the machines on which a job has assignments.
-func (m *Replica) On(j protocol.JobID) map[protocol.MachineID]bool { return m.on[j] }
+// MachinesWithJob gives the machines on which a job has assignments.
+func (r *Replica) MachinesWithJob(job protocol.JobID) map[protocol.MachineID]bool {
+	return r.machinesByJob[job]
+}
 
-// Alive tells whether a run is the living one of its member.
-func (m *Replica) Alive(r Run) bool {
-	e := m.Members[r.Member()]
-	return r != "" && e != nil && e.Rec.Run == r
+// IsAlive tells whether a run is the living one of its member.
+func (r *Replica) IsAlive(incarnation Incarnation) bool {
+	entry := r.Controllers[incarnation.Controller()]
+	return incarnation != "" && entry != nil && entry.Record.Incarnation == incarnation
 }
--- a/internal/bookkeeping/packed.go
+++ b/internal/bookkeeping/shards_packed.go
@@ -20,19 +20,19 @@
 // differs from the one before, and the whole is compressed. Versions before FormatPacked
 // can't read it, so it is written only once all controllers can.
 
-// maxUnpacked bounds what a packed value may expand to.
-const maxUnpacked = 1 << 20
+// maxUnpackedSize bounds what a packed value may expand to.
+const maxUnpackedSize = 1 << 20
 
-// lineFields is the number of columns; the assignments share the last one.
-const lineFields = 8
+// lineColumns is the number of columns; the assignments share the last one.
+const lineColumns = 8
 
-// errPacked is the cause of every failure to read a packed value.
-var errPacked = errors.New("malformed packed value")
+// errMalformedPacked is the cause of every failure to read a packed value.
+var errMalformedPacked = errors.New("malformed packed value")
 
 // encoding of packed values within JSON strings.
-var packedText = base64.RawStdEncoding
+var packedEncoding = base64.RawStdEncoding
 
-var deflaters = sync.Pool{New: func() any {
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
 		panic(fmt.Sprintf("bookkeeping: %v", err))
@@ -43,36 +43,36 @@
 // deflate compresses data to text that fits a JSON string as it is.
 func deflate(data []byte) string {
 	var out bytes.Buffer
-	w := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&out)
 	w.Write(data) // a bytes.Buffer takes everything
 	w.Close()
-	return packedText.EncodeToString(out.Bytes())
+	return packedEncoding.EncodeToString(out.Bytes())
 }
 
 // inflate reverses deflate.
 func inflate(text string) ([]byte, error) {
-	raw, err := packedText.DecodeString(text)
+	raw, err := packedEncoding.DecodeString(text)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errPacked, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedPacked, err)
 	}
 	r := flate.NewReader(bytes.NewReader(raw))
-	data, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
+	data, err := io.ReadAll(io.LimitReader(r, maxUnpackedSize+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errPacked, err)
+		return nil, fmt.Errorf("%w: %w", errMalformedPacked, err)
 	}
-	if len(data) > maxUnpacked {
-		return nil, fmt.Errorf("%w: too long", errPacked)
+	if len(data) > maxUnpackedSize {
+		return nil, fmt.Errorf("%w: too long", errMalformedPacked)
 	}
 	return data, nil
 }
 
-// packPage encodes the machine lines and the done tasks of a page.
-func packPage(lines []string, done map[protocol.JobID]Ranges) string {
-	columns := make([][]string, lineFields)
+// packShard encodes the machine lines and the done tasks of a page.
+func packShard(lines []string, completed map[protocol.JobID]TaskSet) string {
+	columns := make([][]string, lineColumns)
 	for _, line := range lines {
-		fields := strings.SplitN(line, " ", lineFields)
+		fields := strings.SplitN(line, " ", lineColumns)
 		for i := range columns {
 			value := ""
 			if i < len(fields) {
@@ -85,30 +85,30 @@
 	for _, column := range columns {
 		data = appendColumn(data, column)
 	}
-	var settled []string
-	for job, ranges := range done {
-		settled = append(settled, string(job)+"="+ranges.compactText())
+	var completedEntries []string
+	for job, tasks := range completed {
+		completedEntries = append(completedEntries, string(job)+"="+tasks.compactText())
 	}
-	slices.Sort(settled)
-	data = binary.AppendUvarint(data, uint64(len(settled)))
-	return deflate(appendColumn(data, settled))
+	slices.Sort(completedEntries)
+	data = binary.AppendUvarint(data, uint64(len(completedEntries)))
+	return deflate(appendColumn(data, completedEntries))
 }
 
-// unpackPage reverses packPage.
-func unpackPage(text string) (lines []string, done map[protocol.JobID]Ranges, err error) {
+// unpackShard reverses packShard.
+func unpackShard(text string) (lines []string, completed map[protocol.JobID]TaskSet, err error) {
 	data, err := inflate(text)
 	if err != nil {
 		return nil, nil, err
 	}
 	reader := columnReader{data: data}
-	count := reader.count()
-	var columns [lineFields][]string
+	count := reader.readCount()
+	var columns [lineColumns][]string
 	for i := range columns {
-		columns[i] = reader.column(count)
+		columns[i] = reader.readColumn(count)
 	}
-	settled := reader.column(reader.count())
+	completedEntries := reader.readColumn(reader.readCount())
 	if reader.failed || len(reader.data) > 0 {
-		return nil, nil, errPacked
+		return nil, nil, errMalformedPacked
 	}
 	for i := range count {
 		line := columns[0][i]
@@ -119,40 +119,40 @@
 		}
 		lines = append(lines, line)
 	}
-	for _, entry := range settled {
-		job, ranges, ok := strings.Cut(entry, "=")
-		var tasks Ranges
-		if !ok || tasks.UnmarshalText([]byte(ranges)) != nil {
-			return nil, nil, errPacked
+	for _, entry := range completedEntries {
+		job, tasksText, ok := strings.Cut(entry, "=")
+		var tasks TaskSet
+		if !ok || tasks.UnmarshalText([]byte(tasksText)) != nil {
+			return nil, nil, errMalformedPacked
 		}
-		if done == nil {
-			done = map[protocol.JobID]Ranges{}
+		if completed == nil {
+			completed = map[protocol.JobID]TaskSet{}
 		}
-		done[protocol.JobID(job)] = tasks
+		completed[protocol.JobID(job)] = tasks
 	}
-	return lines, done, nil
+	return lines, completed, nil
 }
 
 // appendColumn writes values as the lengths of their common prefixes with the one
 // before, the lengths of what differs, and what differs.
 func appendColumn(data []byte, values []string) []byte {
-	var rest []byte
+	var suffixes []byte
 	prefixes := make([]int, len(values))
-	before := ""
+	previous := ""
 	for i, value := range values {
 		n := 0
-		for n < len(value) && n < len(before) && value[n] == before[n] {
+		for n < len(value) && n < len(previous) && value[n] == previous[n] {
 			n++
 		}
 		prefixes[i] = n
 		data = binary.AppendUvarint(data, uint64(n))
-		rest = append(rest, value[n:]...)
-		before = value
+		suffixes = append(suffixes, value[n:]...)
+		previous = value
 	}
 	for i, value := range values {
 		data = binary.AppendUvarint(data, uint64(len(value)-prefixes[i]))
 	}
-	return append(data, rest...)
+	return append(data, suffixes...)
 }
 
 // columnReader reads what appendColumn wrote. After a failure everything it returns is
@@ -162,9 +162,9 @@
 	failed bool
 }
 
-func (r *columnReader) uvarint() int {
+func (r *columnReader) readUvarint() int {
 	v, n := binary.Uvarint(r.data)
-	if n <= 0 || v > maxUnpacked {
+	if n <= 0 || v > maxUnpackedSize {
 		r.failed = true
 		return 0
 	}
@@ -172,9 +172,9 @@
 	return int(v)
 }
 
-// count reads the number of values in a column: each takes two bytes at least.
-func (r *columnReader) count() int {
-	n := r.uvarint()
+// readCount reads the number of values in a column: each takes two bytes at least.
+func (r *columnReader) readCount() int {
+	n := r.readUvarint()
 	if 2*n > len(r.data) {
 		r.failed = true
 		return 0
@@ -182,24 +182,24 @@
 	return n
 }
 
-func (r *columnReader) column(count int) []string {
+func (r *columnReader) readColumn(count int) []string {
 	values := make([]string, count)
 	prefixes, lengths := make([]int, count), make([]int, count)
 	for i := range prefixes {
-		prefixes[i] = r.uvarint()
+		prefixes[i] = r.readUvarint()
 	}
 	for i := range lengths {
-		lengths[i] = r.uvarint()
+		lengths[i] = r.readUvarint()
 	}
-	before := ""
+	previous := ""
 	for i := range values {
-		if r.failed || prefixes[i] > len(before) || lengths[i] > len(r.data) {
+		if r.failed || prefixes[i] > len(previous) || lengths[i] > len(r.data) {
 			r.failed = true
 			return values
 		}
-		values[i] = before[:prefixes[i]] + string(r.data[:lengths[i]])
+		values[i] = previous[:prefixes[i]] + string(r.data[:lengths[i]])
 		r.data = r.data[lengths[i]:]
-		before = values[i]
+		previous = values[i]
 	}
 	return values
 }
--- a/internal/bookkeeping/ranges_test.go
+++ b/internal/bookkeeping/taskset_test.go
@@ -6,9 +6,9 @@
 )
 
 // Sets of task numbers must agree with plain maps whatever is done to them.
-func TestRangesAgainstMap(t *testing.T) {
+func TestTaskSetAgainstMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var r Ranges
+	var r TaskSet
 	want := map[int]bool{}
 	for i := 0; i < 3000; i++ {
 		n := rng.IntN(60)
@@ -19,7 +19,7 @@
 			r = r.Remove(n)
 			delete(want, n)
 		}
-		var back Ranges
+		var back TaskSet
 		if err := back.UnmarshalText([]byte(r.String())); err != nil {
 			t.Fatal(err)
 		}
@@ -31,18 +31,18 @@
 				t.Fatalf("step %d: %s, %d is %v", i, r, n, back.Has(n))
 			}
 		}
-		if g := len(r.Gaps(60, 60)); g != 60-len(want) {
+		if g := len(r.FirstMissing(60, 60)); g != 60-len(want) {
 			t.Fatalf("%s has %d gaps", r, g)
 		}
 	}
 }
 
-func TestRangesText(t *testing.T) {
+func TestTaskSetText(t *testing.T) {
 	for _, c := range []struct {
 		in string
 		ok bool
 	}{{"", true}, {"0", true}, {"0-5,7", true}, {"5-3", false}, {"7,7", false}, {"-1", false}, {"x", false}, {"1,", false}} {
-		var r Ranges
+		var r TaskSet
 		if err := r.UnmarshalText([]byte(c.in)); (err == nil) != c.ok {
 			t.Errorf("%q: %v", c.in, err)
 		}
--- /dev/null
+++ b/internal/coordination/cancel.go
@@ -0,0 +1,392 @@
+package coordination
+
+import (
+	"log/slog"
+	"time"
+
+	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/protocol"
+)
+
+// A job is withdrawn in two steps, both on record. The intent comes first: from then
+// on its claimant assigns nothing, and owners start nothing and stop its tasks. The
+// job is called withdrawn once nobody who could keep or begin a task of it is unaware:
+// a controller whose watch stands still would else go on answering its workers for as
+// long as an outage lasts. An intent is never taken back.
+//
+// For each machine that has an attempt of the job on record behind the intent, its
+// owner answers for it: this controller by what it knows itself (settled), another one
+// by an acknowledgement, which binds its process. A run that has ended answers for
+// nothing, as its process may be cut off with its workers and go on: its heir must have
+// been shown the token by the worker. Who takes a page over, or begins, knows the
+// intent by then: it answers no worker before its replica has its own write.
+
+// CancelIntent is the fact that a job is being withdrawn, for controllers whose replicas do
+// not have it yet.
+type CancelIntent struct {
+	Job      protocol.JobID
+	Revision protocol.Revision // at which it is on record
+}
+
+// peerIntent is an intent that another controller told of.
+type peerIntent struct {
+	revision   protocol.Revision
+	receivedAt protocol.Instant
+}
+
+// cancellations is what this process knows of jobs that are being withdrawn.
+type cancellations struct {
+	requestedAt       map[protocol.JobID]protocol.Instant                     // since when this run withdraws them
+	peerIntents       map[protocol.JobID]peerIntent                           // intents that the replica does not have yet
+	peerAcks          map[protocol.JobID]map[bk.Incarnation]protocol.Revision // runs that answer for one, and their replicas' revisions
+	localAcks         map[protocol.JobID]bool                                 // intents that this run answers for
+	fullyAcknowledged map[protocol.JobID]bool                                 // intents of which nobody who matters is unaware
+	intentSentAt      map[protocol.JobID]protocol.Instant                     // intents in the last message to the others
+
+	intentRotation, ackRotation rotation // which of them the next message begins with
+}
+
+func newCancellations() cancellations {
+	return cancellations{requestedAt: map[protocol.JobID]protocol.Instant{}, peerIntents: map[protocol.JobID]peerIntent{},
+		peerAcks: map[protocol.JobID]map[bk.Incarnation]protocol.Revision{}, fullyAcknowledged: map[protocol.JobID]bool{}, intentSentAt: map[protocol.JobID]protocol.Instant{}}
+}
+
+// Bounds of what controllers tell each other of withdrawals in one message, and of
+// what is kept of it.
+const (
+	maxIntentsPerMessage = 150
+	maxAcksPerMessage    = 200
+	maxPeerIntents       = 2000
+)
+
+// cancelRequested tells whether a job is withdrawn, or about to be: none of its tasks may
+// begin or go on.
+func (c *Core) cancelRequested(id protocol.JobID) bool {
+	if e := c.replica.Jobs[id]; e != nil && e.Record.IsCancelledOrPending() {
+		return true
+	}
+	_, ok := c.cancellations.peerIntents[id]
+	return ok
+}
+
+// timeSinceCancelRequest is for how long that has been so: counted from the confirmation as far
+// as it is on record.
+func (c *Core) timeSinceCancelRequest(id protocol.JobID) time.Duration {
+	d := time.Duration(0)
+	if e := c.replica.Jobs[id]; e != nil && e.Record.IsCancelledOrPending() {
+		d = millisToDuration(c.now.Wall - e.Record.CancelUpdatedAt)
+	}
+	if intent, ok := c.cancellations.peerIntents[id]; ok {
+		d = max(d, c.since(intent.receivedAt))
+	}
+	return d
+}
+
+// isMachineQuiescent tells whether on an owned machine no task of a job that is called off can
+// begin any more, and no earlier owner can keep one: the worker has shown this
+// ownership's token, and what its newest report shows is past its image or gone.
+func (c *Core) isMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
+	entry, m := c.replica.Machines[id], c.machineStates[id]
+	if c.isTerminationConfirmed(id) {
+		return true
+	}
+	if m == nil || m.latestHeartbeat == nil || bk.ShardEpochOf(m.confirmedToken) < entry.Record.ShardEpoch {
+		return false
+	}
+	if m.latestHeartbeat.AgentEpoch > entry.Record.AgentEpoch || c.isAgentLeaseExpired(m, &entry.Record) {
+		return true // killed
+	}
+	if m.currentHeartbeat(&entry.Record) == nil {
+		return false
+	}
+	for a := range entry.Record.AssignmentsOf(job) {
+		if !m.allTasksSatisfy(a, func(p *protocol.TaskStatus) bool { return p.State != protocol.TaskPullingImage }) {
+			return false
+		}
+	}
+	return true
+}
+
+// allTasksSatisfy tells whether no start of the assigned tasks is in flight, and the newest report
+// either lacks each of them or shows it as it should be.
+func (m *machineState) allTasksSatisfy(a *bk.Assignment, isSatisfied func(*protocol.TaskStatus) bool) bool {
+	satisfied := true
+	a.Tasks.Each(func(n int) bool {
+		task := protocol.Task{Job: a.Job, Index: n}
+		_, inFlight := m.inflightStarts[task]
+		status := m.taskStatuses[task]
+		satisfied = !inFlight && (status == nil || isSatisfied(status))
+		return satisfied
+	})
+	return satisfied
+}
+
+// isTerminationConfirmed tells whether the cloud has answered a release of the machine.
+func (c *Core) isTerminationConfirmed(id protocol.MachineID) bool {
+	r := c.terminations[id]
+	return r != nil && r.confirmed
+}
+
+// areOwnedMachinesQuiescent tells whether all owned machines are settled for a job.
+func (c *Core) areOwnedMachinesQuiescent(id protocol.JobID) bool {
+	for machineID := range c.replica.MachinesWithJob(id) {
+		if entry := c.replica.Machines[machineID]; c.ownsMachine(&entry.Record) && !c.isMachineQuiescent(machineID, id) {
+			return false
+		}
+	}
+	return true
+}
+
+// isCancelFullyAcknowledged tells whether nobody who could keep or begin a task of the job is unaware
+// of its intent.
+func (c *Core) isCancelFullyAcknowledged(id protocol.JobID) bool {
+	if c.replica.Revision < protocol.Revision(c.replica.Jobs[id].ModRevision) {
+		return false // what was assigned before the intent may be missing here
+	}
+	for machineID := range c.replica.MachinesWithJob(id) {
+		record := &c.replica.Machines[machineID].Record
+		if c.ownsMachine(record) {
+			if !c.isMachineQuiescent(machineID, id) {
+				return false
+			}
+			continue
+		}
+		if c.isTerminationConfirmed(machineID) {
+			continue
+		}
+		// An acknowledgement covers what its sender knew that it owns.
+		revision, ok := c.cancellations.peerAcks[id][record.Owner]
+		if !ok || !c.replica.IsAlive(record.Owner) || revision < protocol.Revision(c.replica.Shards[record.Shard].OwnedSince) {
+			return false
+		}
+	}
+	return true
+}
+
+// prepareDirectCancel tells whether a job can be called withdrawn with no intent before:
+// nothing of it is assigned but on settled machines of this run, and nothing can be,
+// as only this run assigns its tasks. The write rests on the pages of these machines:
+// one that is being given away goes first or not at all.
+func (c *Core) prepareDirectCancel(b *batch, id protocol.JobID) bool {
+	entry := c.replica.Jobs[id]
+	if entry.Record.Owner != c.incarnation || c.replica.Revision < protocol.Revision(entry.ModRevision) || c.hasPendingConditionOn(bk.JobKey(id)) ||
+		len(b.conditions)+len(c.replica.MachinesWithJob(id)) > 3*c.writeLimits().TransactionOps {
+		return false
+	}
+	for machineID := range c.replica.MachinesWithJob(id) {
+		if record := &c.replica.Machines[machineID].Record; !c.ownsMachine(record) || !c.isMachineQuiescent(machineID, id) {
+			return false
+		}
+	}
+	for machineID := range c.replica.MachinesWithJob(id) {
+		b.dependOn(bk.ShardKey(c.replica.Machines[machineID].Record.Shard))
+	}
+	return true
+}
+
+// expireCancellations gives up on withdrawals that could not be put on record for long.
+func (c *Core) expireCancellations() {
+	for id, requestedAt := range c.cancellations.requestedAt {
+		// The user is told to come back; withdrawing goes on all the same
+		// for a while, as it was asked for.
+		if c.replica.CancellingJobs[id] == nil && c.since(requestedAt) > 30*time.Second {
+			delete(c.cancellations.requestedAt, id)
+		}
+	}
+}
+
+// writeCancellations puts the next step of each withdrawal into the transaction.
+func (c *Core) writeCancellations(b *batch) {
+	for _, id := range sortedKeys(c.cancellations.requestedAt) {
+		entry := c.replica.Jobs[id]
+		switch {
+		case entry == nil || entry.Record.State.IsTerminal():
+			delete(c.cancellations.requestedAt, id)
+		case !b.hasCapacity(1) || entry.Record.CancelRequested && (!c.cancellations.fullyAcknowledged[id] || c.replica.CompletedTasks(id).Len() >= entry.Record.Spec.TaskCount):
+			// Not yet; or all its tasks turned out done first: its claimant says so.
+		case entry.Record.CancelRequested || c.prepareDirectCancel(b, id):
+			record := b.mutableJob(id)
+			record.State, record.CancelRequested, record.CancelUpdatedAt = protocol.JobCancelled, false, c.now.Wall
+		default:
+			record := b.mutableJob(id)
+			record.CancelRequested, record.CancelUpdatedAt = true, c.now.Wall
+		}
+	}
+}
+
+// tickCancellations finds out which withdrawals can be told, and what others are told.
+func (c *Core) tickCancellations() {
+	if !c.replication.isLoaded {
+		return
+	}
+	for id, intent := range c.cancellations.peerIntents {
+		if c.replica.Revision >= intent.revision {
+			delete(c.cancellations.peerIntents, id) // the replica has it, or it is over
+		}
+	}
+	for id := range c.cancellations.fullyAcknowledged {
+		if c.replica.CancellingJobs[id] == nil {
+			delete(c.cancellations.fullyAcknowledged, id)
+		}
+	}
+	for id := range c.cancellations.peerAcks {
+		if c.replica.CancellingJobs[id] == nil {
+			delete(c.cancellations.peerAcks, id)
+		}
+	}
+	previousAcks := c.cancellations.localAcks
+	c.cancellations.localAcks = map[protocol.JobID]bool{}
+	ack := func(id protocol.JobID) {
+		if c.areOwnedMachinesQuiescent(id) {
+			c.cancellations.localAcks[id] = true
+			c.isPeerStatusUrgent = c.isPeerStatusUrgent || !previousAcks[id]
+		}
+	}
+	for id := range c.cancellations.peerIntents {
+		ack(id)
+	}
+	for id := range c.replica.CancellingJobs {
+		ack(id)
+		if _, isRequested := c.cancellations.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.isSuccessor(bk.JobKey(id)) {
+			c.requestCancellation(id) // whoever began it may be gone
+		}
+		if !c.cancellations.fullyAcknowledged[id] {
+			c.cancellations.fullyAcknowledged[id] = c.isCancelFullyAcknowledged(id)
+			// Only who drives it tells of it: the others have nothing to send at once.
+			_, isSent := c.cancellations.intentSentAt[id]
+			_, isRequester := c.cancellations.requestedAt[id]
+			c.isPeerStatusUrgent = c.isPeerStatusUrgent || isRequester && !isSent && !c.cancellations.fullyAcknowledged[id]
+		}
+	}
+}
+
+// addCancellationStatus adds to what the other controllers are told: the intents that some of
+// them do not seem to know, and those that this one answers for. Both are repeated until
+// they are over; if there are too many for one message, they take turns.
+func (c *Core) addCancellationStatus(status *PeerStatus) {
+	status.Revision = c.replica.Revision
+	var unacknowledged []protocol.JobID
+	for _, id := range sortedKeys(c.cancellations.requestedAt) {
+		if e := c.replica.CancellingJobs[id]; e != nil && !c.cancellations.fullyAcknowledged[id] {
+			unacknowledged = append(unacknowledged, id)
+		}
+	}
+	clear(c.cancellations.intentSentAt)
+	for _, id := range c.cancellations.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
+		c.cancellations.intentSentAt[id] = c.now.Monotonic
+		status.CancelIntents = append(status.CancelIntents, CancelIntent{id, protocol.Revision(c.replica.CancellingJobs[id].ModRevision)})
+	}
+	status.CancelAcks = c.cancellations.ackRotation.nextChunk(sortedKeys(c.cancellations.localAcks), maxAcksPerMessage)
+}
+
+// rotation takes parts of a list in turn, so that each entry comes within as many takes as
+// the list has parts.
+type rotation struct{ offset int }
+
+// nextChunk gives the next entries, and goes on behind them the next time.
+func (r *rotation) nextChunk(ids []protocol.JobID, limit int) []protocol.JobID {
+	if len(ids) <= limit {
+		return ids
+	}
+	start := r.offset % len(ids)
+	r.offset = start + limit
+	return append(append([]protocol.JobID(nil), ids[start:]...), ids[:start]...)[:limit]
+}
+
+// onPeerCancellations takes in what another controller says of withdrawals.
+func (c *Core) onPeerCancellations(status *PeerStatus) {
+	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
+		if _, ok := c.cancellations.peerIntents[intent.Job]; !ok && intent.Job.IsValid() && c.replica.Revision < intent.Revision && len(c.cancellations.peerIntents) < maxPeerIntents {
+			c.cancellations.peerIntents[intent.Job] = peerIntent{intent.Revision, c.now.Monotonic}
+			c.shouldRecheckDeferred = true
+		}
+	}
+	if !c.replica.IsAlive(status.Incarnation) {
+		return // of an unknown or ended run
+	}
+	for _, id := range status.CancelAcks[:min(len(status.CancelAcks), maxAcksPerMessage)] {
+		if c.replica.CancellingJobs[id] == nil {
+			continue
+		}
+		if c.cancellations.peerAcks[id] == nil {
+			c.cancellations.peerAcks[id] = map[bk.Incarnation]protocol.Revision{}
+		}
+		c.cancellations.peerAcks[id][status.Incarnation] = max(c.cancellations.peerAcks[id][status.Incarnation], status.Revision)
+	}
+}
+
+// longestPendingCancel tells whether a task of a job that is called off may still be on the
+// machine, and for how long that job has been.
+func (c *Core) longestPendingCancel(m *machineState, record *bk.MachineRecord) (longest time.Duration, isPending bool) {
+	if m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch > record.AgentEpoch {
+		return 0, false // killed
+	}
+	isCurrent := m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch == record.AgentEpoch && bk.ShardEpochOf(m.latestHeartbeat.FencingToken) >= record.ShardEpoch
+	for i := range record.Assignments {
+		a := &record.Assignments[i]
+		if !c.cancelRequested(a.Job) {
+			continue
+		}
+		hasEnded := isCurrent && m.allTasksSatisfy(a, func(p *protocol.TaskStatus) bool { return p.State == protocol.TaskExited })
+		if !hasEnded {
+			longest, isPending = max(longest, c.timeSinceCancelRequest(a.Job)), true
+		}
+	}
+	return longest, isPending
+}
+
+// mustForceScaleIn tells whether a machine must go back because a task of a job that is
+// called off is still there: it hangs, or cannot be reached. Early enough for a slow
+// cloud, and late enough for what only needs a moment. cutOff: it is this node rather
+// that is not reached.
+func (c *Core) mustForceScaleIn(m *machineState, record *bk.MachineRecord, cutOff bool) bool {
+	pendingFor, isPending := c.longestPendingCancel(m, record)
+	return isPending && pendingFor > c.cfg.CancelTimeout*2/5 && (c.isSilent(m) && !cutOff || pendingFor > c.cfg.CancelTimeout*3/5)
+}
+
+// storeUnavailableEverywhere tells whether the state service is down, and not for this controller alone
+// as far as the others say.
+func (c *Core) storeUnavailableEverywhere() bool {
+	return c.storeUnavailable() && c.peersReportStoreUnavailable(5*time.Second)
+}
+
+// terminateUnrecorded sends a machine back with no mark on record: while the state service
+// is down for all, none can be written, and the task that is still there would break
+// its rule meanwhile. To others it is a machine that died, which they know to meet; the
+// mark keeps them from placing tasks there, which costs time only.
+func (c *Core) terminateUnrecorded(id protocol.MachineID) {
+	if c.terminations[id] != nil {
+		return
+	}
+	c.terminations[id] = &termination{unrecorded: true}
+	c.log(slog.LevelWarn, "machine goes back unrecorded", "machine", string(id), "why", "withdrawn task would not go")
+}
+
+// forceScaleIn looks after machines whose owner is not heard of while the state service is
+// down for all, so that nobody can take them over. If a task of a job that is called off
+// may be there, the worker is asked; one that does not answer goes back.
+func (c *Core) forceScaleIn() {
+	if !c.replication.isLoaded || !c.storeUnavailableEverywhere() {
+		return
+	}
+	ids := selectKeys(c.replica.Machines, func(entry *bk.Machine) bool {
+		return !c.ownsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
+	})
+	for _, id := range ids {
+		entry := c.replica.Machines[id]
+		if owner, ok := c.peers[entry.Record.Owner.Controller()]; ok && owner.status.Incarnation == entry.Record.Owner && c.since(owner.receivedAt) < 5*time.Second {
+			continue // its owner lives, and sees to it
+		}
+		m := c.machineState(id)
+		pendingFor, isPending := c.longestPendingCancel(m, &entry.Record)
+		switch {
+		case !isPending || pendingFor < c.cfg.CancelTimeout*2/5:
+		case pendingFor > c.cfg.CancelTimeout*3/5:
+			c.terminateUnrecorded(id)
+		case !m.isCallInFlight && c.since(m.callStartedAt) > 2*time.Second && entry.Record.Address != "" && c.agentCallsInFlight < c.maxAgentCalls():
+			m.isCallInFlight, m.callStartedAt = true, c.now.Monotonic
+			c.agentCallsInFlight++
+			c.emit(ProbeAgent{id, entry.Record.Address})
+		}
+	}
+}
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloud.go
@@ -9,308 +9,308 @@
 	"tillerarch/internal/protocol"
 )
 
-// release is a machine on its way back to the cloud.
-type release struct {
-	tryAt    protocol.Instant
-	out      bool
-	done     bool // answered 200: the machine and all on it are gone
-	unmarked bool // nothing on record says so
+// termination is a machine on its way back to the cloud.
+type termination struct {
+	retryAt    protocol.Instant
+	inFlight   bool
+	confirmed  bool // answered 200: the machine and all on it are gone
+	unrecorded bool // nothing on record says so
 }
 
-// cutOffFactor is how many times as long machines are waited for where nearly all are
+// isolatedTimeoutFactor is how many times as long machines are waited for where nearly all are
 // silent, so that it may be this node that is cut off. Their workers would have reached
 // another controller by then, which would have been handed them: nobody reaches them.
-const cutOffFactor = 2
+const isolatedTimeoutFactor = 2
 
-// listing is what the cloud's list says of a machine.
-type listing struct {
-	host    protocol.Host
-	seenAt  protocol.Instant // when the list that had it was asked for
-	missing int              // later lists in a row without it
+// listedInstance is what the cloud's list says of a machine.
+type listedInstance struct {
+	instance    protocol.Instance
+	listedAt    protocol.Instant // when the list that had it was asked for
+	missedLists int              // later lists in a row without it
 }
 
-func (c *Core) onFlavors(v FlavorsResult) {
-	c.flavorOut = false
+func (c *Core) onMachineTypes(v ListMachineTypesResult) {
+	c.isListingMachineTypes = false
 	if v.Err != nil {
-		c.flavorAt = c.now.Steady.Add(c.jitter(2 * time.Second))
+		c.nextMachineTypesAt = c.now.Monotonic.Add(c.jitter(2 * time.Second))
 		c.log(slog.LevelWarn, "machine types are not known", "err", v.Err.Error())
 		return
 	}
-	c.flavors = v.Flavors
-	c.flavorAt = c.now.Steady.Add(c.jitter(c.cfg.SpotCheck))
-	for _, f := range v.Flavors {
+	c.machineTypes = v.MachineTypes
+	c.nextMachineTypesAt = c.now.Monotonic.Add(c.jitter(c.cfg.PriceCheckInterval))
+	for _, f := range v.MachineTypes {
 		for _, z := range f.Zones {
-			k := priceKey{f.Sku, z}
-			t := c.spot[k]
+			k := priceKey{f.Name, z}
+			t := c.spotThresholds[k]
 			if t == nil {
-				c.spot[k] = NewThreshold(c.cfg.SpotWindow, c.now.Steady, f.LowPrice, f.Rate)
+				c.spotThresholds[k] = NewSpotPriceThreshold(c.cfg.SpotPriceWindow, c.now.Monotonic, f.SpotPrice, f.OnDemandPrice)
 				continue
 			}
-			if t.Observe(c.now.Steady, f.LowPrice, f.Rate) {
-				c.log(slog.LevelInfo, "spot halts, price above threshold", "type", string(f.Sku), "zone", string(z),
-					"price", f.LowPrice, "threshold", t.Value())
+			if t.Observe(c.now.Monotonic, f.SpotPrice, f.OnDemandPrice) {
+				c.log(slog.LevelInfo, "spot halts, price above threshold", "type", string(f.Name), "zone", string(z),
+					"price", f.SpotPrice, "threshold", t.Value())
 			}
 		}
 	}
 }
 
-// tickFlavors reads the machine types and their prices again when that is due.
-func (c *Core) tickFlavors() {
-	if !c.flavorOut && c.now.Steady >= c.flavorAt {
-		c.flavorOut = true
-		c.emit(AskFlavors{})
+// pollMachineTypes reads the machine types and their prices again when that is due.
+func (c *Core) pollMachineTypes() {
+	if !c.isListingMachineTypes && c.now.Monotonic >= c.nextMachineTypesAt {
+		c.isListingMachineTypes = true
+		c.emit(ListMachineTypes{})
 	}
 }
 
-// forgetReleased drops what is remembered of machines that went back long ago.
-func (c *Core) forgetReleased() {
-	for id, at := range c.released {
-		if c.since(at) > releasedKept {
-			delete(c.released, id)
+// forgetTerminated drops what is remembered of machines that went back long ago.
+func (c *Core) forgetTerminated() {
+	for id, at := range c.terminatedAt {
+		if c.since(at) > terminatedRetention {
+			delete(c.terminatedAt, id)
 		}
 	}
 }
 
-// releasedKept is how long a machine that went back is remembered: the cloud's list may
+// terminatedRetention is how long a machine that went back is remembered: the cloud's list may
 // show it for as long.
-const releasedKept = 90 * time.Second
+const terminatedRetention = 90 * time.Second
 
-// sendReleases sends the releases that are due, in one call.
-func (c *Core) sendReleases() {
-	now := c.now.Steady
-	var names []protocol.MachineID
-	for id, r := range c.releasing {
-		if e := c.replica.Machines[id]; e == nil || !r.unmarked && (!c.mine(&e.Rec) || !e.Rec.Releasing) {
-			delete(c.releasing, id)
+// sendTerminations sends the releases that are due, in one call.
+func (c *Core) sendTerminations() {
+	now := c.now.Monotonic
+	var ids []protocol.MachineID
+	for id, r := range c.terminations {
+		if e := c.replica.Machines[id]; e == nil || !r.unrecorded && (!c.ownsMachine(&e.Record) || !e.Record.Terminating) {
+			delete(c.terminations, id)
 			continue
 		}
-		if !r.done && !r.out && now >= r.tryAt && len(names) < protocol.MaxRelease {
-			names = append(names, id)
+		if !r.confirmed && !r.inFlight && now >= r.retryAt && len(ids) < protocol.MaxTerminateCount {
+			ids = append(ids, id)
 		}
 	}
-	if len(names) > 0 && !c.releaseOut {
-		sort.Slice(names, func(i, k int) bool { return names[i] < names[k] })
-		for _, id := range names {
-			c.releasing[id].out = true
+	if len(ids) > 0 && !c.isTerminating {
+		sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
+		for _, id := range ids {
+			c.terminations[id].inFlight = true
 		}
-		c.releaseOut = true
-		c.emit(SendRelease{names})
+		c.isTerminating = true
+		c.emit(TerminateMachines{ids})
 	}
 }
 
-// tickList reads the cloud's list of machines when that is due.
-func (c *Core) tickList() {
-	now := c.now.Steady
-	if c.silentOwn > 0 {
-		c.listAt = min(c.listAt, c.listedAt.Add(c.cfg.ListSilent))
-	}
-	if !c.listOut && now >= c.listAt {
-		c.listedAt = now
-		c.listOut = true
-		c.listAt = now.Add(c.jitter(c.cfg.ListEvery))
-		c.emit(AskList{})
+// pollInstances reads the cloud's list of machines when that is due.
+func (c *Core) pollInstances() {
+	now := c.now.Monotonic
+	if c.silentOwnedMachines > 0 {
+		c.nextInstanceListAt = min(c.nextInstanceListAt, c.lastInstanceListAt.Add(c.cfg.SilentInstanceListInterval))
+	}
+	if !c.isListingInstances && now >= c.nextInstanceListAt {
+		c.lastInstanceListAt = now
+		c.isListingInstances = true
+		c.nextInstanceListAt = now.Add(c.jitter(c.cfg.InstanceListInterval))
+		c.emit(ListInstances{})
 	}
 }
 
-func (c *Core) onRelease(v ReleaseResult) {
-	c.releaseOut = false
+func (c *Core) onTerminateResult(v TerminateMachinesResult) {
+	c.isTerminating = false
 	for _, id := range v.Machines {
-		r := c.releasing[id]
+		r := c.terminations[id]
 		if r == nil {
 			continue
 		}
-		r.out = false
+		r.inFlight = false
 		if v.Err != nil {
-			r.tryAt = c.now.Steady.Add(c.jitter(time.Second))
+			r.retryAt = c.now.Monotonic.Add(c.jitter(time.Second))
 			continue
 		}
-		r.done = true
+		r.confirmed = true
 	}
 	if v.Err != nil {
 		c.log(slog.LevelWarn, "release failed", "machines", len(v.Machines), "err", v.Err.Error())
 	}
 }
 
-// giveBack marks an owned machine's record; the release is sent once that is
+// markTerminating marks an owned machine's record; the release is sent once that is
 // durable, so that nobody places anything there meanwhile.
-func (c *Core) giveBack(b *batch, id protocol.MachineID, why string) {
-	b.machine(id).Releasing = true
-	b.log(slog.LevelInfo, "machine goes back", "machine", string(id), "why", why)
+func (c *Core) markTerminating(b *batch, id protocol.MachineID, reason string) {
+	b.mutableMachine(id).Terminating = true
+	b.log(slog.LevelInfo, "machine goes back", "machine", string(id), "why", reason)
 }
 
-// tickRelease decides whether an owned machine goes back, and why.
-func (c *Core) tickRelease(e *bk.Machine, m *mstate, cutOff bool) {
-	if e.Rec.Releasing {
-		if c.releasing[m.id] == nil && c.registered() {
-			c.releasing[m.id] = &release{}
+// evaluateScaleIn decides whether an owned machine goes back, and why.
+func (c *Core) evaluateScaleIn(e *bk.Machine, m *machineState, isolated bool) {
+	if e.Record.Terminating {
+		if c.terminations[m.id] == nil && c.isRegistered() {
+			c.terminations[m.id] = &termination{}
 		}
 		return
 	}
-	if m.leave = c.reasonToLeave(e, m, cutOff); m.leave != "" {
-		c.leaving = append(c.leaving, m.id)
+	if m.scaleInReason = c.scaleInReasonFor(e, m, isolated); m.scaleInReason != "" {
+		c.scaleInQueue = append(c.scaleInQueue, m.id)
 	}
 }
 
-func (c *Core) reasonToLeave(e *bk.Machine, m *mstate, cutOff bool) string {
-	rec := &e.Rec
-	fl := c.flavor(rec.Type)
-	age := millis(c.now.Wall - rec.Since)
-	if rec.Session == 0 {
-		if fl == nil {
+func (c *Core) scaleInReasonFor(e *bk.Machine, m *machineState, isolated bool) string {
+	rec := &e.Record
+	machineType := c.machineType(rec.MachineType)
+	age := millisToDuration(c.now.Wall - rec.AddedAt)
+	if rec.AgentEpoch == 0 {
+		if machineType == nil {
 			return ""
 		}
-		limit := time.Duration(float64(protocol.Seconds(fl.ReadyS))*c.cfg.BootFactor) + c.cfg.BootExtra
+		bootTimeout := time.Duration(float64(protocol.Seconds(machineType.BootSeconds))*c.cfg.BootTimeoutFactor) + c.cfg.BootTimeoutMargin
 		// Its age alone says nothing of a machine that this node has only just
 		// found in the list or taken over: its worker gets the time to report.
-		if age > limit && c.since(m.heardAt) > protocol.Seconds(fl.ReadyS) {
+		if age > bootTimeout && c.since(m.lastContactAt) > protocol.Seconds(machineType.BootSeconds) {
 			return "never came up"
 		}
-		if l := c.listed[m.id]; l != nil && l.host.Stage == protocol.HostFailed {
+		if l := c.listedInstances[m.id]; l != nil && l.instance.State == protocol.InstanceFailed {
 			return "failed while it booted"
 		}
 		return ""
 	}
-	quiet := c.unheard(m)
+	sinceContact := c.timeSinceContact(m)
 	// The list does not come by way of the workers' network: what it no longer has is gone,
 	// also where most machines of this node are silent.
-	if l := c.listed[m.id]; l != nil && c.silent(m) {
-		if l.host.Stage == protocol.HostFailed {
+	if l := c.listedInstances[m.id]; l != nil && c.isSilent(m) {
+		if l.instance.State == protocol.InstanceFailed {
 			return "failed"
 		}
-		if l.missing >= 2 {
+		if l.missedLists >= 2 {
 			return "no longer listed"
 		}
 	}
-	if given := c.cfg.Lease + c.cfg.SilentReturn; m.held == 0 && (quiet > given && !cutOff || quiet > cutOffFactor*given) {
+	if silenceTimeout := c.cfg.AgentLeaseTTL + c.cfg.SilentScaleInDelay; m.deferredRequest == 0 && (sinceContact > silenceTimeout && !isolated || sinceContact > isolatedTimeoutFactor*silenceTimeout) {
 		return "silent"
 	}
-	if m.deaf() && c.since(m.deafAt) > c.cfg.Lease+c.cfg.SilentReturn {
+	if m.commandsLost() && c.since(m.commandsLostAt) > c.cfg.AgentLeaseTTL+c.cfg.SilentScaleInDelay {
 		return "answers do not reach it"
 	}
-	if m.faulty && len(rec.Assigned) == 0 {
+	if m.isFaulty && len(rec.Assignments) == 0 {
 		return "faulty"
 	}
 	// A withdrawn task that will not go takes its machine with it.
-	if c.wouldNotGo(m, rec, cutOff) {
-		if c.outForAll() {
-			c.returnUnmarked(m.id)
+	if c.mustForceScaleIn(m, rec, isolated) {
+		if c.storeUnavailableEverywhere() {
+			c.terminateUnrecorded(m.id)
 		}
 		return "withdrawn task would not go"
 	}
-	if len(rec.Assigned) > 0 || c.planned.busy[m.id] || m.rep != nil && c.liveTasks(m) {
+	if len(rec.Assignments) > 0 || c.lastPlan.retainedMachines[m.id] || m.latestHeartbeat != nil && c.hasLiveTasks(m) {
 		m.idleSince = 0
 		return ""
 	}
 	if m.idleSince == 0 {
-		m.idleSince = c.now.Steady
+		m.idleSince = c.now.Monotonic
 	}
-	idle := c.since(m.idleSince)
-	if idle > c.idleLimit(m, fl) && age > c.cfg.MinPaid {
+	idleFor := c.since(m.idleSince)
+	if idleFor > c.idleTimeout(m, machineType) && age > c.cfg.MinMachineAge {
 		return "idle"
 	}
 	return ""
 }
 
-// idleLimit is how long an idle machine is kept: about as long as it would
+// idleTimeout is how long an idle machine is kept: about as long as it would
 // take to have its like again, up and with its images.
-func (c *Core) idleLimit(m *mstate, fl *protocol.Flavor) time.Duration {
-	if fl == nil {
+func (c *Core) idleTimeout(m *machineState, machineType *protocol.MachineType) time.Duration {
+	if machineType == nil {
 		return time.Minute
 	}
-	again := fl.ReadyS
-	if fl.FetchGBPerS > 0 && len(m.images) > 0 {
-		sum := 0.0
-		for _, i := range m.images {
-			sum += i.gb
+	replacementSeconds := machineType.BootSeconds
+	if machineType.ImagePullGBPerSecond > 0 && len(m.cachedImages) > 0 {
+		totalGB := 0.0
+		for _, i := range m.cachedImages {
+			totalGB += i.sizeGB
 		}
-		again += sum / float64(len(m.images)) / fl.FetchGBPerS
+		replacementSeconds += totalGB / float64(len(m.cachedImages)) / machineType.ImagePullGBPerSecond
 	}
-	factor := c.cfg.IdleFactor
-	if !c.warm.needs(m.id) {
-		factor *= surplusShare
+	factor := c.cfg.IdleTimeoutFactor
+	if !c.warmPool.shouldRetain(m.id) {
+		factor *= surplusIdleFactor
 	}
-	return time.Duration(again * factor * float64(time.Second))
+	return time.Duration(replacementSeconds * factor * float64(time.Second))
 }
 
-func (c *Core) liveTasks(m *mstate) bool {
-	for i := range m.rep.Tasks {
-		if m.rep.Tasks[i].Stage != protocol.Ended {
+func (c *Core) hasLiveTasks(m *machineState) bool {
+	for i := range m.latestHeartbeat.Tasks {
+		if m.latestHeartbeat.Tasks[i].State != protocol.TaskExited {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) onList(v ListResult) {
-	c.listOut = false
+func (c *Core) onInstanceList(v ListInstancesResult) {
+	c.isListingInstances = false
 	if v.Err != nil {
 		c.log(slog.LevelDebug, "machine list failed", "err", v.Err.Error())
 		return
 	}
-	if !c.replication.loaded {
+	if !c.replication.isLoaded {
 		return
 	}
-	have := map[protocol.MachineID]bool{}
-	for _, h := range v.Hosts {
-		if !h.UID.Valid() {
+	listed := map[protocol.MachineID]bool{}
+	for _, instance := range v.Instances {
+		if !instance.ID.IsValid() {
 			continue
 		}
-		have[h.UID] = true
-		c.listed[h.UID] = &listing{host: h, seenAt: v.Asked}
+		listed[instance.ID] = true
+		c.listedInstances[instance.ID] = &listedInstance{instance: instance, listedAt: v.RequestedAt}
 	}
-	for id, l := range c.listed {
+	for id, l := range c.listedInstances {
 		// Lists come late and out of order: one that lacks a machine counts
 		// only if it was asked for well after one that had it.
-		if !have[id] && v.Asked.Sub(l.seenAt) > 0 {
-			if l.missing++; l.missing > 5 {
-				delete(c.listed, id)
+		if !listed[id] && v.RequestedAt.Sub(l.listedAt) > 0 {
+			if l.missedLists++; l.missedLists > 5 {
+				delete(c.listedInstances, id)
 			}
 		}
 	}
 	// A machine that reported but was never listed counts as missing too, once
 	// it must have been.
 	for id, e := range c.replica.Machines {
-		if !have[id] && c.listed[id] == nil && millis(c.now.Wall-e.Rec.Since) > 3*c.cfg.ListLag+5*time.Second {
-			c.listed[id] = &listing{host: protocol.Host{UID: id}, seenAt: v.Asked}
+		if !listed[id] && c.listedInstances[id] == nil && millisToDuration(c.now.Wall-e.Record.AddedAt) > 3*c.cfg.InstanceListLag+5*time.Second {
+			c.listedInstances[id] = &listedInstance{instance: protocol.Instance{ID: id}, listedAt: v.RequestedAt}
 		}
 	}
 }
 
-// strangers are listed machines that no record tells of: late rentals, or ones
+// adoptOrphanedInstances are listed machines that no record tells of: late rentals, or ones
 // whose renter died before it wrote them down. They are adopted, to be used or
 // returned.
-func (c *Core) strangers(b *batch) {
-	unknown := pick(c.listed, func(l *listing) bool { return c.replica.Machines[l.host.UID] == nil })
-	for _, id := range unknown {
-		l := c.listed[id]
-		if l.missing > 0 || l.host.AgeS < 20 || l.host.Type == "" || !b.canAdd() || b.machines[id] != nil {
+func (c *Core) adoptOrphanedInstances(b *batch) {
+	orphaned := selectKeys(c.listedInstances, func(l *listedInstance) bool { return c.replica.Machines[l.instance.ID] == nil })
+	for _, id := range orphaned {
+		l := c.listedInstances[id]
+		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.canAddMachine() || b.machines[id] != nil {
 			continue
 		}
-		if _, ok := c.released[id]; ok || !c.heir(string(id)) || c.rentals.granted(id) {
+		if _, ok := c.terminatedAt[id]; ok || !c.isSuccessor(string(id)) || c.provisioning.isGranted(id) {
 			continue
 		}
-		b.add(id, &bk.MachineRecord{Addr: l.host.Addr, Type: l.host.Type, Zone: l.host.Zone,
-			Spot: l.host.Spot, Since: c.now.Wall - protocol.Millis(l.host.AgeS*1000)}, 0)
+		b.addMachine(id, &bk.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
+			Spot: l.instance.Spot, AddedAt: c.now.Wall - protocol.Millis(l.instance.AgeSeconds*1000)}, 0)
 		b.log(slog.LevelInfo, "unexpected machine adopted from the list", "machine", string(id))
 	}
 }
 
-// writeReleases marks the machines that are to go back.
-func (c *Core) writeReleases(b *batch) {
-	for _, id := range c.leaving {
+// writeTerminations marks the machines that are to go back.
+func (c *Core) writeTerminations(b *batch) {
+	for _, id := range c.scaleInQueue {
 		e := c.replica.Machines[id]
-		if m := c.machines[id]; m != nil && m.leave != "" && e != nil && c.mine(&e.Rec) && !e.Rec.Releasing && b.hasRoom(b.needs(id)) && !b.gone(id) {
-			if m.leave == "idle" && (b.machines[id] != nil || len(e.Rec.Assigned) > 0) {
+		if m := c.machineStates[id]; m != nil && m.scaleInReason != "" && e != nil && c.ownsMachine(&e.Record) && !e.Record.Terminating && b.hasCapacity(b.writesNeeded(id)) && !b.removesMachine(id) {
+			if m.scaleInReason == "idle" && (b.machines[id] != nil || len(e.Record.Assignments) > 0) {
 				continue
 			}
-			c.giveBack(b, id, m.leave)
-			m.leave = ""
+			c.markTerminating(b, id, m.scaleInReason)
+			m.scaleInReason = ""
 		}
 	}
 }
 
-// beginReview begins to ask anew which of the owned machines go back.
-func (c *Core) beginReview(silent int) {
-	c.silentOwn = silent
-	c.leaving = c.leaving[:0]
+// beginScaleInReview begins to ask anew which of the owned machines go back.
+func (c *Core) beginScaleInReview(silent int) {
+	c.silentOwnedMachines = silent
+	c.scaleInQueue = c.scaleInQueue[:0]
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -8,69 +8,69 @@
 	"tillerarch/internal/protocol"
 )
 
-// selfWhen ties a transaction to this run: once the run's key has gone or was
+// registrationCondition ties a transaction to this run: once the run's key has gone or was
 // fenced, nothing that it sent before can be applied any more.
-func (c *Core) selfWhen() protocol.When {
-	return protocol.When{Key: bk.MemberKey(c.cfg.Member), Stamp: c.self}
+func (c *Core) registrationCondition() protocol.Condition {
+	return protocol.Condition{Key: bk.ControllerKey(c.cfg.ControllerID), ModRevision: c.registrationRevision}
 }
 
-// flush sends the next transaction if there is something to write.
-func (c *Core) flush() {
-	c.flushUsers()
-	if c.tx != nil || !c.replication.loaded || c.now.Steady < c.flushAt || c.lease.id == 0 {
+// commitBatch sends the next transaction if there is something to write.
+func (c *Core) commitBatch() {
+	c.commitUserBatch()
+	if c.pendingTransaction != nil || !c.replication.isLoaded || c.now.Monotonic < c.nextCommitAt || c.lease.id == 0 {
 		return
 	}
-	if c.replica.Rev < c.minRev && c.since(c.minRevAt) < minRevWait {
+	if c.replica.Revision < c.minRevision && c.since(c.minRevisionSince) < minRevisionTimeout {
 		return
 	}
 	switch {
-	case !c.registered():
+	case !c.isRegistered():
 		c.register()
-	case c.fence:
-		c.sendFence()
-	case c.replica.Rev < c.minRev || c.raiseFormat():
+	case c.outcomeUnknown:
+		c.sendWriteBarrier()
+	case c.replica.Revision < c.minRevision || c.tryRaiseFormat():
 	default:
-		c.flushRecords()
+		c.commitRecordBatch()
 	}
 }
 
-// minRevWait is how long the replica is waited for before a run registers or sends a
+// minRevisionTimeout is how long the replica is waited for before a run registers or sends a
 // fence all the same.
-const minRevWait = 2 * time.Second
+const minRevisionTimeout = 2 * time.Second
 
-// sendFence rewrites this run's key, so that whatever was sent before is applied by now
+// sendWriteBarrier rewrites this run's key, so that whatever was sent before is applied by now
 // or never will be.
-func (c *Core) sendFence() {
-	e := c.replica.Members[c.cfg.Member]
-	if e == nil || !c.spend(1) {
+func (c *Core) sendWriteBarrier() {
+	e := c.replica.Controllers[c.cfg.ControllerID]
+	if e == nil || !c.takeWriteTokens(1) {
 		return
 	}
-	rec := e.Rec
-	rec.Fence++
-	c.send(&txn{fence: true, multi: protocol.Multi{When: []protocol.When{c.selfWhen()},
-		Then: []protocol.Then{{Put: bk.MemberKey(c.cfg.Member), Data: bk.JSON(rec), Tenancy: c.lease.id}}}})
+	rec := e.Record
+	rec.WriteBarrier++
+	c.sendTransaction(&pendingTransaction{isWriteBarrier: true, transaction: protocol.Transaction{Conditions: []protocol.Condition{c.registrationCondition()},
+		Operations: []protocol.Operation{{PutKey: bk.ControllerKey(c.cfg.ControllerID), Value: bk.MustMarshal(rec), Lease: c.lease.id}}}})
 }
 
-// flushRecords sends what there is to write of jobs and machines.
-func (c *Core) flushRecords() {
-	tokens := int(c.tokens.TokensAt(c.steady()))
-	room := min(tokens, c.txCap)
-	if room < 1 {
+// commitRecordBatch sends what there is to write of jobs and machines.
+func (c *Core) commitRecordBatch() {
+	tokens := int(c.writeLimiter.TokensAt(c.limiterTime()))
+	maxOps := min(tokens, c.maxTransactionOps)
+	if maxOps < 1 {
 		return
 	}
-	if len(c.halts)+len(c.adopting)+len(c.ownership.deadAt) == 0 && c.now.Steady < c.nextPlan() {
+	if len(c.gracefulStops)+len(c.awaitingOwner)+len(c.ownership.expiredAt) == 0 && c.now.Monotonic < c.nextPlanTime() {
 		return
 	}
-	b := c.newBatch(room)
-	c.repack(b)
-	c.writeHalts(b)
-	c.writeOwners(b)
+	b := c.newBatch(maxOps)
+	c.reencodeOversized(b)
+	c.writeGracefulStops(b)
+	c.writeOwnershipChanges(b)
 	// What can wait does so until a fair batch can be paid for: a record is then
 	// written once for many tasks, instead of with each of them. What users ask
 	// for does not wait behind it: a few tokens are left for them.
-	fair := min(c.limits().TxnOps, int(c.limits().RPS*c.cfg.WriteShare/2))
-	if tokens >= max(fair, c.gangNeeds) && c.now.Steady >= c.nextPlan() {
-		b.room = min(b.room, tokens-c.kept())
+	minBatchOps := min(c.writeLimits().TransactionOps, int(c.writeLimits().WritesPerSecond*c.cfg.WriteBudgetShare/2))
+	if tokens >= max(minBatchOps, c.pendingGangOps) && c.now.Monotonic >= c.nextPlanTime() {
+		b.opsLeft = min(b.opsLeft, tokens-c.reservedUserTokens())
 		c.writePlan(b)
 	}
 	c.sendBatch(b, tokens)
@@ -80,229 +80,231 @@
 func (c *Core) writePlan(b *batch) {
 	// A gang is written whole or not at all. One that found no room behind
 	// what ends all the time goes first the next time.
-	first := c.gangNeeds > 0
-	c.gangNeeds = 0
-	if first {
-		c.place(b)
+	gangFirst := c.pendingGangOps > 0
+	c.pendingGangOps = 0
+	if gangFirst {
+		c.placePendingJobs(b)
 	}
-	c.splitPages(b)
-	c.joinPages(b)
-	c.settleDone(b)
+	c.splitShards(b)
+	c.mergeShards(b)
+	c.consolidateDoneTasks(b)
 	// Own pages have news all the time; some room is left for others' pages, or what
 	// is free there would wait for ever.
-	keep := 0
-	if c.planned.abroad && c.partial {
-		keep = b.room / 4
+	reservedOps := 0
+	if c.lastPlan.hasPendingRemotePlacements && c.lastCommitWasPartial {
+		reservedOps = b.opsLeft / 4
 	}
-	b.room -= keep
-	c.handOver(b)
+	b.opsLeft -= reservedOps
+	c.handOffMachines(b)
 	c.writeMachines(b)
-	b.room += keep
-	c.recordRentals(b)
-	c.writeReleases(b)
-	c.strangers(b)
-	if !first {
-		c.place(b)
+	b.opsLeft += reservedOps
+	c.recordGrantedMachines(b)
+	c.writeTerminations(b)
+	c.adoptOrphanedInstances(b)
+	if !gangFirst {
+		c.placePendingJobs(b)
 	}
 }
 
 // sendBatch sends a transaction unless there is nothing in it.
 func (c *Core) sendBatch(b *batch, tokens int) {
-	if b.empty() {
+	if b.isEmpty() {
 		return
 	}
-	m := b.multi()
-	m.When = append(m.When, c.selfWhen())
-	if !c.withinLimits(&m) || !c.spend(len(m.Then)) {
+	transaction := b.transaction()
+	transaction.Conditions = append(transaction.Conditions, c.registrationCondition())
+	if !c.enforceWriteLimits(&transaction) || !c.takeWriteTokens(len(transaction.Operations)) {
 		return
 	}
-	for _, f := range b.marks {
-		f()
+	for _, onSend := range b.onSend {
+		onSend()
 	}
-	c.log(slog.LevelDebug, "transaction", "jobs", len(b.jobs), "pages", len(b.pages), "of", len(c.ownPages()), "bytes", b.bytes,
-		"tokens", tokens, "rate", c.rate, "whole", !c.partial)
-	c.send(&txn{multi: m, logs: b.logs})
+	c.log(slog.LevelDebug, "transaction", "jobs", len(b.jobs), "pages", len(b.shards), "of", len(c.ownedShards()), "bytes", b.estimatedBytes,
+		"tokens", tokens, "rate", c.writeRate, "whole", !c.lastCommitWasPartial)
+	c.sendTransaction(&pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply})
 }
 
-// flushUsers sends new and withdrawn jobs.
-func (c *Core) flushUsers() {
-	if c.userTx != nil || !c.replication.loaded || c.now.Steady < c.userAt || c.lease.id == 0 || !c.registered() || c.fence || c.replica.Rev < c.minRev ||
-		len(c.submits)+len(c.cancellations.wanted) == 0 {
+// commitUserBatch sends new and withdrawn jobs.
+func (c *Core) commitUserBatch() {
+	if c.pendingUserTransaction != nil || !c.replication.isLoaded || c.now.Monotonic < c.nextUserCommitAt || c.lease.id == 0 || !c.isRegistered() || c.outcomeUnknown || c.replica.Revision < c.minRevision ||
+		len(c.submissions)+len(c.cancellations.requestedAt) == 0 {
 		return
 	}
-	b := c.newBatch(min(int(c.tokens.TokensAt(c.steady())), c.txCap))
-	if c.writeUsers(b); b.empty() {
+	b := c.newBatch(min(int(c.writeLimiter.TokensAt(c.limiterTime())), c.maxTransactionOps))
+	if c.writeUserRequests(b); b.isEmpty() {
 		return
 	}
-	m := b.multi()
-	m.When = append(m.When, c.selfWhen())
-	if c.withinLimits(&m) && c.spend(len(m.Then)) {
-		c.send(&txn{multi: m, logs: b.logs, user: true})
+	transaction := b.transaction()
+	transaction.Conditions = append(transaction.Conditions, c.registrationCondition())
+	if c.enforceWriteLimits(&transaction) && c.takeWriteTokens(len(transaction.Operations)) {
+		c.sendTransaction(&pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply, isUserBatch: true})
 	}
 }
 
 // rebuildDelay is the pause before a transaction that outgrew the limits is built anew.
 const rebuildDelay = 100 * time.Millisecond
 
-// withinLimits tells whether a transaction can be sent. One that can't is built anew,
+// enforceWriteLimits tells whether a transaction can be sent. One that can't is built anew,
 // with less in it.
-func (c *Core) withinLimits(m *protocol.Multi) bool {
-	if c.limits().keepsTo(m) {
+func (c *Core) enforceWriteLimits(transaction *protocol.Transaction) bool {
+	if c.writeLimits().allows(transaction) {
 		return true
 	}
-	c.log(slog.LevelError, "transaction outgrew the limits and is not sent", "changes", len(m.Then))
-	c.shrink()
-	c.flushAt = c.now.Steady.Add(rebuildDelay)
-	c.userAt = c.flushAt
+	c.log(slog.LevelError, "transaction outgrew the limits and is not sent", "changes", len(transaction.Operations))
+	c.shrinkTransactions()
+	c.nextCommitAt = c.now.Monotonic.Add(rebuildDelay)
+	c.nextUserCommitAt = c.nextCommitAt
 	return false
 }
 
-func (c *Core) spend(n int) bool { return c.tokens.AllowN(c.steady(), n) }
+func (c *Core) takeWriteTokens(n int) bool { return c.writeLimiter.AllowN(c.limiterTime(), n) }
 
-func (c *Core) send(t *txn) {
-	c.txID++
-	t.id, t.sent = c.txID, c.now.Steady
-	if t.user {
-		c.userTx = t
+func (c *Core) sendTransaction(pending *pendingTransaction) {
+	c.lastTransactionID++
+	pending.id, pending.sentAt = c.lastTransactionID, c.now.Monotonic
+	if pending.isUserBatch {
+		c.pendingUserTransaction = pending
 	} else {
-		c.tx = t
+		c.pendingTransaction = pending
 	}
-	c.emit(Commit{t.id, t.multi})
+	c.emit(Commit{pending.id, pending.transaction})
 }
 
 // register makes this run known. The key of an earlier run of this member is
 // replaced: it was this machine's process, so it has ended or lost its lease.
 func (c *Core) register() {
-	if !c.spend(1) {
+	if !c.takeWriteTokens(1) {
 		return
 	}
-	key := bk.MemberKey(c.cfg.Member)
-	run := bk.NewRun(c.cfg.Member, c.lease.id)
-	c.send(&txn{reg: true, multi: protocol.Multi{
-		When: []protocol.When{{Key: key, Stamp: c.replica.Stamp(key)}},
-		Then: []protocol.Then{{Put: key, Data: bk.JSON(bk.MemberRecord{Run: run, Reads: bk.FormatPacked, Moves: c.cfg.RecordMoves}), Tenancy: c.lease.id}}}})
+	key := bk.ControllerKey(c.cfg.ControllerID)
+	incarnation := bk.NewIncarnation(c.cfg.ControllerID, c.lease.id)
+	c.sendTransaction(&pendingTransaction{registers: true, transaction: protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: key, ModRevision: c.replica.ModRevision(key)}},
+		Operations: []protocol.Operation{{PutKey: key, Value: bk.MustMarshal(bk.ControllerRecord{Incarnation: incarnation, ReadableFormat: bk.FormatPacked, SupportsTransfers: c.cfg.RecordTransfers}), Lease: c.lease.id}}}})
 }
 
-// committed takes in the outcome of a transaction.
-func (c *Core) committed(v CommitResult) {
-	t, next := c.tx, &c.flushAt
-	if c.userTx != nil && c.userTx.id == v.ID {
-		t, next = c.userTx, &c.userAt
+// onCommitResult takes in the outcome of a transaction.
+func (c *Core) onCommitResult(v CommitResult) {
+	pending, nextAt := c.pendingTransaction, &c.nextCommitAt
+	if c.pendingUserTransaction != nil && c.pendingUserTransaction.id == v.ID {
+		pending, nextAt = c.pendingUserTransaction, &c.nextUserCommitAt
 	}
-	if t == nil || t.id != v.ID {
+	if pending == nil || pending.id != v.ID {
 		return
 	}
-	if t.user {
-		c.userTx = nil
+	if pending.isUserBatch {
+		c.pendingUserTransaction = nil
 	} else {
-		c.tx = nil
+		c.pendingTransaction = nil
 	}
-	c.noteOutcome(t, &v)
-	*next = c.now.Steady.Add(c.settleTxn(t, &v))
+	c.recordOutcome(pending, &v)
+	*nextAt = c.now.Monotonic.Add(c.handleOutcome(pending, &v))
 }
 
-// noteOutcome takes in what an outcome says of the state service and its budget.
-func (c *Core) noteOutcome(t *txn, v *CommitResult) {
+// recordOutcome takes in what an outcome says of the state service and its budget.
+func (c *Core) recordOutcome(pending *pendingTransaction, v *CommitResult) {
 	err := v.Err
 	switch {
-	case v.Outcome == bk.Refused || v.Outcome == bk.Unknown:
+	case v.Outcome == bk.OutcomeUnavailable || v.Outcome == bk.OutcomeUnknown:
 		if err == nil {
-			err = errOutcome
+			err = errNoUsableResponse
 		}
 	default:
 		err = nil
 	}
-	c.heard(t.sent, err)
-	if v.Outcome != bk.Busy {
-		c.busyCount = 0
+	c.recordContact(pending.sentAt, err)
+	if v.Outcome != bk.OutcomeThrottled {
+		c.consecutiveBusy = 0
 	}
 	switch v.Outcome {
-	case bk.Applied, bk.Conflict, bk.Busy:
-		c.adapt(v.Outcome == bk.Busy)
+	case bk.OutcomeApplied, bk.OutcomeConflict, bk.OutcomeThrottled:
+		c.adaptWriteRate(v.Outcome == bk.OutcomeThrottled)
 	}
 }
 
-// settleTxn draws the consequences of an outcome, and tells how long the next
+// handleOutcome draws the consequences of an outcome, and tells how long the next
 // transaction has to wait.
-func (c *Core) settleTxn(t *txn, v *CommitResult) (wait time.Duration) {
+func (c *Core) handleOutcome(pending *pendingTransaction, v *CommitResult) (delay time.Duration) {
 	switch v.Outcome {
-	case bk.Applied:
-		c.applied(t, v.Answer.Rev)
-	case bk.Conflict:
-		c.log(slog.LevelDebug, "transaction refused, records have moved on", "keys", v.Answer.Failed)
-		c.waitRev(v.Answer.Rev)
-		wait = c.jitter(20 * time.Millisecond)
-		c.checkSelf()
-	case bk.Busy:
-		c.busyCount++
-		wait = c.jitter(min(50*time.Millisecond<<min(c.busyCount, 4), time.Second))
-	case bk.NoLease:
-		c.self, c.lease.id = 0, 0
-	case bk.Refused:
-		wait = c.jitter(300 * time.Millisecond)
-	case bk.Invalid:
-		c.log(slog.LevelError, "transaction called malformed", "err", errText(v.Err))
+	case bk.OutcomeApplied:
+		c.applyTransaction(pending, v.Result.Revision)
+	case bk.OutcomeConflict:
+		c.log(slog.LevelDebug, "transaction refused, records have moved on", "keys", v.Result.FailedKeys)
+		c.requireRevision(v.Result.Revision)
+		delay = c.jitter(20 * time.Millisecond)
+		c.checkRegistration()
+	case bk.OutcomeThrottled:
+		c.consecutiveBusy++
+		delay = c.jitter(min(50*time.Millisecond<<min(c.consecutiveBusy, 4), time.Second))
+	case bk.OutcomeLeaseExpired:
+		c.registrationRevision, c.lease.id = 0, 0
+	case bk.OutcomeUnavailable:
+		delay = c.jitter(300 * time.Millisecond)
+	case bk.OutcomeInvalid:
+		c.log(slog.LevelError, "transaction called malformed", "err", errorText(v.Err))
 		// Whatever made it too large, a smaller one gets on.
-		c.tooLarge(&t.multi)
-		wait = 200 * time.Millisecond
-	case bk.Unknown:
+		c.onTransactionTooLarge(&pending.transaction)
+		delay = 200 * time.Millisecond
+	case bk.OutcomeUnknown:
 		// It may be applied now, later or never. Only a fence settles it.
-		c.log(slog.LevelWarn, "transaction without outcome", "err", errText(v.Err))
-		if !t.reg {
-			c.fence = true
+		c.log(slog.LevelWarn, "transaction without outcome", "err", errorText(v.Err))
+		if !pending.registers {
+			c.outcomeUnknown = true
 		} else {
 			c.lease.id = 0 // register with a new lease; the old run's name is not used
 		}
-		wait = c.jitter(200 * time.Millisecond)
+		delay = c.jitter(200 * time.Millisecond)
 	}
-	return wait
+	return delay
 }
 
-// applied takes a transaction's changes into the replica.
-func (c *Core) applied(t *txn, rev protocol.Rev) {
-	c.out = append(c.out, t.logs...)
-	stamp := protocol.Stamp(rev)
-	for _, th := range t.multi.Then {
-		if th.Put != "" {
-			c.replicaPut(th.Put, th.Data, stamp)
+// applyTransaction takes a transaction's changes into the replica.
+func (c *Core) applyTransaction(pending *pendingTransaction, revision protocol.Revision) {
+	c.effects = append(c.effects, pending.logsOnApply...)
+	modRevision := protocol.ModRevision(revision)
+	for _, operation := range pending.transaction.Operations {
+		if operation.PutKey != "" {
+			c.putInReplica(operation.PutKey, operation.Value, modRevision)
 		} else {
-			c.replica.Delete(th.Delete, stamp)
+			c.replica.Delete(operation.DeleteKey, modRevision)
 		}
 	}
-	c.onLost()
-	c.txCap = c.limits().TxnOps
+	c.onMachinesRemoved()
+	c.maxTransactionOps = c.writeLimits().TransactionOps
 	switch {
-	case t.reg:
-		c.run = bk.NewRun(c.cfg.Member, c.lease.id)
-		c.self = stamp
-		c.waitRev(rev)
-		c.log(slog.LevelInfo, "run registered", "run", string(c.run))
-	case t.fence:
+	case pending.registers:
+		c.incarnation = bk.NewIncarnation(c.cfg.ControllerID, c.lease.id)
+		c.registrationRevision = modRevision
+		c.requireRevision(revision)
+		c.log(slog.LevelInfo, "run registered", "run", string(c.incarnation))
+	case pending.isWriteBarrier:
 		// Transactions sent before are now either applied, and seen once
 		// the replica is as new, or never will be.
-		c.fence = false
-		c.self = stamp
-		c.waitRev(rev)
+		c.outcomeUnknown = false
+		c.registrationRevision = modRevision
+		c.requireRevision(revision)
 	}
 }
 
-func (c *Core) waitRev(r protocol.Rev) {
-	c.minRev, c.minRevAt = max(c.minRev, r), c.now.Steady
+func (c *Core) requireRevision(revision protocol.Revision) {
+	c.minRevision, c.minRevisionSince = max(c.minRevision, revision), c.now.Monotonic
 }
 
-func (t *txn) restsOn(key string) bool {
-	for _, w := range t.multi.When {
-		if w.Key == key {
+func (t *pendingTransaction) hasConditionOn(key string) bool {
+	for _, condition := range t.transaction.Conditions {
+		if condition.Key == key {
 			return true
 		}
 	}
 	return false
 }
 
-// pendingRestsOn tells whether the transaction under way depends on a key.
-func (c *Core) pendingRestsOn(key string) bool { return c.tx != nil && c.tx.restsOn(key) }
+// hasPendingConditionOn tells whether the transaction under way depends on a key.
+func (c *Core) hasPendingConditionOn(key string) bool {
+	return c.pendingTransaction != nil && c.pendingTransaction.hasConditionOn(key)
+}
 
-func errText(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/coordination/contention.go
+++ b/internal/coordination/contention.go
@@ -13,95 +13,95 @@
 // ranked small tasks fill them, and dearer large machines are rented instead.
 
 const (
-	// bootMargin is how many times as long as usual a machine is taken to need to come up.
-	bootMargin = 1.2
-	// contendedFor is for how long a type counts as contended behind the last plan that
+	// bootTimeFactor is how many times as long as usual a machine is taken to need to come up.
+	bootTimeFactor = 1.2
+	// contentionWindow is for how long a type counts as contended behind the last plan that
 	// left tasks without it.
-	contendedFor = 2 * time.Second
+	contentionWindow = 2 * time.Second
 )
 
-// rentalOption is a machine type of one kind that a job may be served by.
-type rentalOption struct {
-	flavor    *protocol.Flavor
-	cost      float64 // of a task
-	available bool    // the cloud may have some
+// provisionOption is a machine type of one kind that a job may be served by.
+type provisionOption struct {
+	machineType *protocol.MachineType
+	costPerTask float64 // of a task
+	isAvailable bool    // the cloud may have some
 }
 
-// homeTypes lists the types that a job's tasks are to be rented on: the one that costs
+// preferredTypes lists the types that a job's tasks are to be rented on: the one that costs
 // least and has machines, and those that would cost less but have none. inTime tells
 // whether new machines of that one are up before the tasks have to begin.
-func (c *Core) homeTypes(q *queued) (types []protocol.Sku, inTime bool) {
-	for _, o := range c.rentalOptions(q.rec.Desc) {
-		types = append(types, o.flavor.Sku)
-		if !o.available {
+func (c *Core) preferredTypes(job *pendingJob) (types []protocol.MachineTypeName, bootsInTime bool) {
+	for _, option := range c.provisionOptions(job.record.Spec) {
+		types = append(types, option.machineType.Name)
+		if !option.isAvailable {
 			continue
 		}
-		boot := protocol.Seconds(o.flavor.ReadyS * (bootMargin - 1))
-		up := boot + startTime(o.flavor, q.rec.Desc)
-		inTime = !q.late && !q.aged && up <= millis(q.startBy-c.now.Wall)
-		return types, inTime
+		extraBootTime := protocol.Seconds(option.machineType.BootSeconds * (bootTimeFactor - 1))
+		startDelay := extraBootTime + machineStartupTime(option.machineType, job.record.Spec)
+		bootsInTime = !job.isLate && !job.isStarved && startDelay <= millisToDuration(job.latestStart-c.now.Wall)
+		return types, bootsInTime
 	}
 	return types, false
 }
 
-// rentalOptions lists how a job could be served, cheapest first.
-func (c *Core) rentalOptions(d *protocol.Job) []rentalOption {
-	var options []rentalOption
-	for i := range c.flavors {
-		f := &c.flavors[i]
-		tasks := float64(machineFits(f, d))
+// provisionOptions lists how a job could be served, cheapest first.
+func (c *Core) provisionOptions(d *protocol.Job) []provisionOption {
+	var options []provisionOption
+	for i := range c.machineTypes {
+		machineType := &c.machineTypes[i]
+		tasks := float64(machineTypeCapacity(machineType, d))
 		if tasks == 0 {
 			continue
 		}
-		if c.spotFor(d, f) {
-			options = append(options, rentalOption{f, f.LowPrice / tasks, c.available(f, d, true)})
+		if c.canUseSpot(d, machineType) {
+			options = append(options, provisionOption{machineType, machineType.SpotPrice / tasks, c.isTypeAvailable(machineType, d, true)})
 		}
-		options = append(options, rentalOption{f, f.Rate / tasks, c.available(f, d, false)})
+		options = append(options, provisionOption{machineType, machineType.OnDemandPrice / tasks, c.isTypeAvailable(machineType, d, false)})
 	}
-	slices.SortStableFunc(options, func(a, z rentalOption) int { return cmp.Compare(a.cost, z.cost) })
+	slices.SortStableFunc(options, func(a, z provisionOption) int { return cmp.Compare(a.costPerTask, z.costPerTask) })
 	return options
 }
 
-// available tells whether the cloud may have a machine of a type in a zone that the
+// isTypeAvailable tells whether the cloud may have a machine of a type in a zone that the
 // job allows.
-func (c *Core) available(f *protocol.Flavor, d *protocol.Job, spot bool) bool {
-	return slices.ContainsFunc(f.Zones, func(z protocol.Zone) bool {
-		return d.Allowed(f.Sku, z) && !c.exhausted(poolKey{f.Sku, z, spot})
+func (c *Core) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
+	return slices.ContainsFunc(machineType.Zones, func(zone protocol.Zone) bool {
+		return d.AllowsPlacement(machineType.Name, zone) && !c.isPoolExhausted(poolKey{machineType.Name, zone, spot})
 	})
 }
 
-// leaves lists the types that a job leaves to others which wait for them.
-func (c *Core) leaves(q *queued) map[protocol.Sku]bool {
-	out := map[protocol.Sku]bool{}
-	if len(c.planned.contended) == 0 {
-		return out
+// typesToAvoid lists the types that a job leaves to others which wait for them.
+func (c *Core) typesToAvoid(job *pendingJob) map[protocol.MachineTypeName]bool {
+	avoided := map[protocol.MachineTypeName]bool{}
+	if len(c.lastPlan.contendedTypes) == 0 {
+		return avoided
 	}
-	home, inTime := c.homeTypes(q)
-	if !inTime {
-		return out
+	preferred, bootsInTime := c.preferredTypes(job)
+	if !bootsInTime {
+		return avoided
 	}
-	for s := range c.planned.contended {
-		if !slices.Contains(home, s) {
-			out[s] = true
+	for name := range c.lastPlan.contendedTypes {
+		if !slices.Contains(preferred, name) {
+			avoided[name] = true
 		}
 	}
-	return out
+	return avoided
 }
 
-// noteContention notes that tasks of a job have found no machine.
-func (c *Core) noteContention(q *queued) {
-	types, _ := c.homeTypes(q)
-	for _, s := range types {
-		c.waitedFor[s] = c.now.Steady
+// recordContention notes that tasks of a job have found no machine.
+func (c *Core) recordContention(job *pendingJob) {
+	types, _ := c.preferredTypes(job)
+	for _, name := range types {
+		c.lastContendedAt[name] = c.now.Monotonic
 	}
 }
 
-// contended lists the types that tasks have waited for of late.
-func (c *Core) contended() map[protocol.Sku]bool {
-	out := map[protocol.Sku]bool{}
-	for s, at := range c.waitedFor {
-		if c.since(at) < contendedFor {
-			out[s] = true
+// contendedTypes lists the types that tasks have waited for of late.
+func (c *Core) contendedTypes() map[protocol.MachineTypeName]bool {
+	out := map[protocol.MachineTypeName]bool{}
+	for name, at := range c.lastContendedAt {
+		if c.since(at) < contentionWindow {
+			out[name] = true
 		}
 	}
 	return out
