--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -11,24 +11,24 @@
 	"tillerarch/internal/protocol"
 )
 
-// begin brings a core to the point where it is registered and up to date.
-func begin(t *testing.T) (*Core, func(after time.Duration, in Input) []Effect) {
+// newReadyCore brings a core to the point where it is registered and up to date.
+func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in Input) []Effect) {
 	t.Helper()
-	now := Now{Steady: 1, Wall: 1e12}
-	cfg := Config{Member: "stall-0", Teams: map[string]Team{"core": {}}, Report: 2 * time.Second, Lease: 14 * time.Second,
-		Cancel: 40 * time.Second, WriteRPS: 100, TxnOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}
+	now := Now{Monotonic: 1, Wall: 1e12}
+	cfg := Config{ControllerID: "stall-0", Quotas: map[string]Quota{"core": {}}, HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second,
+		CancelTimeout: 40 * time.Second, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}
 	c := New(cfg, now)
 	step := func(after time.Duration, in Input) []Effect {
-		now.Steady = now.Steady.Add(after)
+		now.Monotonic = now.Monotonic.Add(after)
 		now.Wall += protocol.Millis(after.Milliseconds())
 		return c.Step(now, in)
 	}
 	step(0, Tick{})
-	step(0, GrantResult{Hold: 7})
-	step(0, LoadResult{From: 1, Until: 1})
-	step(0, CommitResult{ID: c.tx.id, Outcome: bk.Applied, Answer: protocol.MultiAnswer{Rev: 2}})
-	step(0, FollowResult{From: 1, News: &protocol.Followed{Rev: 2}})
-	if !c.registered() || !c.fresh() {
+	step(0, GrantLeaseResult{LeaseID: 7})
+	step(0, LoadRecordsResult{StartRevision: 1, EndRevision: 1})
+	step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
+	step(0, WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
+	if !c.isRegistered() || !c.isUpToDate() {
 		t.Fatal("the core does not begin")
 	}
 	return c, step
@@ -36,7 +36,7 @@
 
 // New starts rest on a replica that is known to be up to date. Answered calls
 // alone do not show that: the watch may stand still while a job is withdrawn.
-func TestFresh(t *testing.T) {
+func TestIsUpToDate(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		calls, follow bool
@@ -46,19 +46,19 @@
 		{"the watch stands still", true, false, false},
 		{"nothing answers", false, false, false},
 	} {
-		core, step := begin(t)
+		core, step := newReadyCore(t)
 		for i := 0; i < 10; i++ {
 			step(time.Second, Tick{})
 			if c.calls {
-				step(0, ExtendResult{Hold: 7})
+				step(0, RenewLeaseResult{LeaseID: 7})
 			} else {
-				step(0, ExtendResult{Hold: 7, Err: errOutcome})
+				step(0, RenewLeaseResult{LeaseID: 7, Err: errNoUsableResponse})
 			}
 			if c.follow {
-				step(0, FollowResult{From: core.replica.Rev, News: &protocol.Followed{Rev: core.replica.Rev}})
+				step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 			}
 		}
-		if got := core.fresh(); got != c.want {
+		if got := core.isUpToDate(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -66,19 +66,19 @@
 
 // A transaction without outcome is followed by a fence, and by nothing else
 // before the replica has all that was written until then.
-func TestFenceAfterUnknownOutcome(t *testing.T) {
-	c, step := begin(t)
-	step(0, FlavorsResult{Flavors: []protocol.Flavor{{Sku: "s", Cores: 4, MemGB: 8, Zones: []protocol.Zone{"a"}}}})
+func TestWriteBarrierAfterUnknownOutcome(t *testing.T) {
+	c, step := newReadyCore(t)
+	step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 	submit := func() []Effect {
-		return step(time.Second, UserInput{Req: 1, Verb: protocol.Submit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
+		return step(time.Second, UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
 "pieces":1,"cores":1,"accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,"loaners":false,"reckon_s":1,"bookmark_s":0,"stow_s":0}`)})
 	}
 	commits := func(out []Effect) (n int, keys []string) {
 		for _, e := range out {
 			if v, ok := e.(Commit); ok {
 				n++
-				for _, t := range v.Multi.Then {
-					keys = append(keys, t.Put)
+				for _, t := range v.Transaction.Operations {
+					keys = append(keys, t.PutKey)
 				}
 			}
 		}
@@ -89,43 +89,43 @@
 	}
 	// Whatever is sent rests on this run's own key: once that has gone, nothing
 	// that is still on its way is applied.
-	if !slices.Contains(c.userTx.multi.When, protocol.When{Key: bk.MemberKey("stall-0"), Stamp: c.self}) {
-		t.Errorf("the transaction does not depend on the run's key: %v", c.userTx.multi.When)
+	if !slices.Contains(c.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: bk.ControllerKey("stall-0"), ModRevision: c.registrationRevision}) {
+		t.Errorf("the transaction does not depend on the run's key: %v", c.pendingUserTransaction.transaction.Conditions)
 	}
-	step(0, CommitResult{ID: c.userTx.id, Outcome: bk.Unknown, Err: errOutcome})
-	step(time.Second, ExtendResult{Hold: 7})
-	if c.tx == nil || !c.tx.fence || c.tx.multi.Then[0].Put != bk.MemberKey("stall-0") || c.tx.multi.Then[0].Tenancy != 7 {
-		t.Fatalf("no fence: %+v", c.tx)
+	step(0, CommitResult{ID: c.pendingUserTransaction.id, Outcome: bk.OutcomeUnknown, Err: errNoUsableResponse})
+	step(time.Second, RenewLeaseResult{LeaseID: 7})
+	if c.pendingTransaction == nil || !c.pendingTransaction.isWriteBarrier || c.pendingTransaction.transaction.Operations[0].PutKey != bk.ControllerKey("stall-0") || c.pendingTransaction.transaction.Operations[0].Lease != 7 {
+		t.Fatalf("no fence: %+v", c.pendingTransaction)
 	}
-	out := step(0, CommitResult{ID: c.tx.id, Outcome: bk.Applied, Answer: protocol.MultiAnswer{Rev: 9}})
+	out := step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
 	out = append(out, submit()...)
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
 	}
-	if n, _ := commits(step(0, FollowResult{From: c.replica.Rev, News: &protocol.Followed{Rev: 9}})); n != 1 {
+	if n, _ := commits(step(0, WatchResult{AfterRevision: c.replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
 		t.Fatal("nothing is written behind the fence")
 	}
 }
 
-// own gives the core a page with one machine, and the state of that machine.
-func own(t *testing.T, c *Core, rec bk.MachineRecord) (*bk.Machine, *mstate) {
+// addOwnedMachine gives the core a page with one machine, and the state of that machine.
+func addOwnedMachine(t *testing.T, c *Core, rec bk.MachineRecord) (*bk.Machine, *machineState) {
 	t.Helper()
-	key := bk.PageKey("p")
-	if _, err := c.replica.Put(key, bk.EncodePage(c.run, 3, []string{rec.Line("m-1")}, nil), c.replica.Stamp(key)+1); err != nil {
+	key := bk.ShardKey("p")
+	if _, err := c.replica.Put(key, bk.EncodePlainShard(c.incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
-	e := c.replica.Machines["m-1"]
-	return e, c.own(e, "m-1")
+	machine := c.replica.Machines["m-1"]
+	return machine, c.trackOwnedMachine(machine, "m-1")
 }
 
-func report(e *bk.Machine, tally protocol.Tally, pieces ...protocol.TaskReport) *protocol.Report {
-	return &protocol.Report{Machine: "m-1", Addr: "a", Type: "s", Zone: "a", Session: e.Rec.Session, Tally: tally, FencingToken: e.Rec.FencingToken, Tasks: pieces}
+func newHeartbeat(machine *bk.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+	return &protocol.Heartbeat{Machine: "m-1", Addr: "a", Type: "s", Zone: "a", AgentEpoch: machine.Record.AgentEpoch, Sequence: sequence, FencingToken: machine.Record.FencingToken, Tasks: tasks}
 }
 
 // What keeps an assigned task from being started: a stop or a requeue of this
 // attempt, not of an earlier one. (A stop whose task ended with its session once
 // held back the task's next attempt on that machine for ever.)
-func TestStartsHeldBack(t *testing.T) {
+func TestStartCommandsWithheld(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		stop, barred protocol.Attempt
@@ -138,27 +138,27 @@
 		{"this attempt taken back", 0, 5, false, false},
 		{"answers do not reach the worker", 0, 0, true, false},
 	} {
-		core, _ := begin(t)
+		core, _ := newReadyCore(t)
 		if _, err := core.replica.Put(bk.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		task := protocol.Task{Job: "j-1"}
-		rec := bk.MachineRecord{Type: "s", Zone: "a", Session: 2}
+		rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(task, 5)
-		e, m := own(t, core, rec)
-		m.take(report(e, 1), core.now.Steady)
+		e, m := addOwnedMachine(t, core, rec)
+		m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
 		if c.stop > 0 {
-			m.stops[task] = stopOrder{try: c.stop}
+			m.stopRequests[task] = stopRequest{attempt: c.stop}
 		}
 		if c.barred > 0 {
-			m.barred[task] = c.barred
+			m.revokedAttempts[task] = c.barred
 		}
 		if c.deaf {
-			m.deafAt = core.now.Steady
+			m.commandsLostAt = core.now.Monotonic
 		}
 		starts := 0
-		for _, o := range core.orders(e, m, true) {
-			if o.Verb == protocol.Start && o.Try == 5 {
+		for _, o := range core.commandsFor(e, m, true) {
+			if o.Type == protocol.CommandStart && o.Attempt == 5 {
 				starts++
 			}
 		}
@@ -170,11 +170,11 @@
 
 // A machine is handed over for a report that its owner has not had, not for a
 // copy of one that it has.
-func TestSeenElsewhere(t *testing.T) {
+func TestHandOffOnMisdirectedHeartbeat(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		session protocol.Session
-		tally   protocol.Tally
+		session protocol.AgentEpoch
+		tally   protocol.Sequence
 		want    bool
 	}{
 		{"newer report", 2, 8, true},
@@ -183,14 +183,14 @@
 		{"an earlier one", 2, 3, false},
 		{"an earlier session", 1, 99, false},
 	} {
-		core, step := begin(t)
-		e, m := own(t, core, bk.MachineRecord{Type: "s", Zone: "a", Session: 2})
-		step(0, ReportInput{Req: 1, Body: protocol.Encode(report(e, 7))})
-		if _, err := core.replica.Put(bk.MemberKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		core, step := newReadyCore(t)
+		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
+		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
+		if _, err := core.replica.Put(bk.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		step(0, HintInput{Hint{Member: "stall-1", Run: "stall-1#1", Seen: []Seen{{"m-1", c.session, c.tally}}}})
-		if got := m.handTo == "stall-1#1"; got != c.want {
+		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{"m-1", c.session, c.tally}}}})
+		if got := m.handOffTarget == "stall-1#1"; got != c.want {
 			t.Errorf("%s: handed over %v", c.name, got)
 		}
 	}
@@ -211,17 +211,17 @@
 		{"it hears nobody at all", 2, nil, false, false},
 		{"it is the only node", 0, nil, false, true},
 	} {
-		core, step := begin(t)
-		core.cfg.Peers = c.peers
+		core, step := newReadyCore(t)
+		core.cfg.PeerCount = c.peers
 		for i := 0; i < 8; i++ {
 			var err error
 			if !c.calls {
-				err = errOutcome
+				err = errNoUsableResponse
 			}
-			step(time.Second, ExtendResult{Hold: 7, Err: err})
-			step(0, FollowResult{From: core.replica.Rev, News: &protocol.Followed{Rev: core.replica.Rev}, Err: err})
+			step(time.Second, RenewLeaseResult{LeaseID: 7, Err: err})
+			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}, Err: err})
 			for k, ok := range c.hints {
-				step(0, HintInput{Hint{Member: protocol.Member(rune('a' + k)), StateOK: ok}})
+				step(0, PeerStatusInput{PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
 		}
 		if got := core.Healthy(); got != c.want {
@@ -233,7 +233,7 @@
 // A lease has surely expired only if the worker has shown this owner's epoch,
 // counted from its last answered report: the machine's own part of the token
 // changes nothing of that, a takeover changes everything.
-func TestSurelyExpired(t *testing.T) {
+func TestAgentLeaseExpired(t *testing.T) {
 	const epoch = 3 // as own writes it
 	for _, c := range []struct {
 		name      string
@@ -241,20 +241,20 @@
 		after     time.Duration
 		want      bool
 	}{
-		{"within the lease", bk.Epoch(epoch).FencingToken(0), 13 * time.Second, false},
-		{"at its end, clocks may drift", bk.Epoch(epoch).FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
-		{"behind it", bk.Epoch(epoch).FencingToken(0), 16 * time.Second, true},
-		{"behind it, before the newest rise was shown", bk.Epoch(epoch).FencingToken(1), 16 * time.Second, true},
-		{"the worker has shown an earlier owner's only", bk.Epoch(epoch - 1).FencingToken(9), 16 * time.Second, false},
+		{"within the lease", bk.ShardEpoch(epoch).FencingToken(0), 13 * time.Second, false},
+		{"at its end, clocks may drift", bk.ShardEpoch(epoch).FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
+		{"behind it", bk.ShardEpoch(epoch).FencingToken(0), 16 * time.Second, true},
+		{"behind it, before the newest rise was shown", bk.ShardEpoch(epoch).FencingToken(1), 16 * time.Second, true},
+		{"the worker has shown an earlier owner's only", bk.ShardEpoch(epoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
-		core, step := begin(t)
-		e, m := own(t, core, bk.MachineRecord{Type: "s", Zone: "a", Session: 1, Bump: 2})
-		r := report(e, 1)
+		core, step := newReadyCore(t)
+		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
+		r := newHeartbeat(e, 1)
 		r.FencingToken = c.confirmed
-		step(0, ReportInput{Req: 1, Body: protocol.Encode(r)})
+		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
 		step(3*time.Second, Tick{}) // answered by now
-		step(c.after-3*time.Second, ExtendResult{Hold: 7})
-		if got := core.surelyExpired(m, &e.Rec); got != c.want {
+		step(c.after-3*time.Second, RenewLeaseResult{LeaseID: 7})
+		if got := core.isAgentLeaseExpired(m, &e.Record); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -263,7 +263,7 @@
 // A controller that stood still reads, when it goes on, answers that lay in its
 // sockets, and nothing from workers that could not reach it: neither makes its
 // replica fresh, nor its machines silent.
-func TestStoodStill(t *testing.T) {
+func TestProcessPause(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		pause         time.Duration
@@ -273,30 +273,30 @@
 		{"within its lease", 5 * time.Second, false, false},
 		{"past all leases", 48 * time.Second, false, false},
 	} {
-		core, step := begin(t)
-		e, m := own(t, core, bk.MachineRecord{Type: "s", Zone: "a", Session: 1})
-		step(0, ReportInput{Req: 1, Body: protocol.Encode(report(e, 1))})
+		core, step := newReadyCore(t)
+		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
 		for i := 0; i < 40; i++ { // all is asked for before the pause
 			step(50*time.Millisecond, Tick{})
 		}
-		step(c.pause, FollowResult{From: core.replica.Rev, News: &protocol.Followed{Rev: core.replica.Rev}})
-		step(0, ExtendResult{Hold: 7})
+		step(c.pause, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+		step(0, RenewLeaseResult{LeaseID: 7})
 		step(0, Tick{})
-		if core.fresh() != c.fresh || core.silent(m) != c.silent {
-			t.Errorf("%s: fresh %v, silent %v", c.name, core.fresh(), core.silent(m))
+		if core.isUpToDate() != c.fresh || core.isSilent(m) != c.silent {
+			t.Errorf("%s: fresh %v, silent %v", c.name, core.isUpToDate(), core.isSilent(m))
 		}
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
 			step(600*time.Millisecond, Tick{})
-			step(0, ExtendResult{Hold: 7})
-			step(0, FollowResult{From: core.replica.Rev, News: &protocol.Followed{Rev: core.replica.Rev}})
+			step(0, RenewLeaseResult{LeaseID: 7})
+			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 		}
-		if !core.fresh() {
+		if !core.isUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
 		}
 		for i := 0; i < 10; i++ {
 			step(time.Second, Tick{})
 		}
-		if !core.silent(m) {
+		if !core.isSilent(m) {
 			t.Errorf("%s: silence behind the pause is not noticed", c.name)
 		}
 	}
@@ -305,7 +305,7 @@
 // A node that has lost its workers gives their pages away whole, and what it must
 // move machine by machine goes to pages that a value can hold. (Six hundred moved
 // to one page were refused as malformed again and again.)
-func TestHandOverMany(t *testing.T) {
+func TestHandOffManyMachines(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		pages int
@@ -313,75 +313,75 @@
 		whole bool
 		late  bool // the pages have changed hands since the machines were seen elsewhere
 	}{{"most of each page", 2, 40, true, false}, {"some of each page", 6, 28, false, false}, {"of an earlier ownership", 2, 28, false, true}} {
-		core, step := begin(t)
-		step(0, FlavorsResult{Flavors: []protocol.Flavor{{Sku: "s", Cores: 4, MemGB: 8, Zones: []protocol.Zone{"a"}}}})
-		if _, err := core.replica.Put(bk.MemberKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		core, step := newReadyCore(t)
+		step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+		if _, err := core.replica.Put(bk.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		var seen []Seen
+		var misdirected []MisdirectedHeartbeat
 		for p := 0; p < c.pages; p++ {
 			var lines []string
 			for i := 0; i < 60; i++ {
 				id := protocol.MachineID(fmt.Sprintf("m-%06d", p*60+i))
-				r := bk.MachineRecord{Addr: "10.1.0.1:9000", Type: "s", Zone: "a", Session: 1}
+				r := bk.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				for k := 0; k < 4; k++ {
 					r.Assign(protocol.Task{Job: "j-000001", Index: 4*i + k}, protocol.Attempt(1000+k))
 				}
-				lines = append(lines, r.Line(id))
+				lines = append(lines, r.EncodeLine(id))
 				if i < c.seen {
-					seen = append(seen, Seen{id, 1, 9})
+					misdirected = append(misdirected, MisdirectedHeartbeat{id, 1, 9})
 				}
 			}
-			if _, err := core.replica.Put(bk.PageKey(bk.PageID(fmt.Sprint("p-", p))), bk.EncodePage(core.run, 3, lines, nil), protocol.Stamp(4+p)); err != nil {
+			if _, err := core.replica.Put(bk.ShardKey(bk.ShardID(fmt.Sprint("p-", p))), bk.EncodePlainShard(core.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		step(0, Tick{})
 		for i := 0; i < 10; i++ { // all have fallen silent here
 			step(600*time.Millisecond, Tick{})
-			step(0, ExtendResult{Hold: 7})
+			step(0, RenewLeaseResult{LeaseID: 7})
 		}
-		step(0, HintInput{Hint{Member: "stall-1", Run: "stall-1#1", Seen: seen}})
+		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
 		if c.late {
-			for id, p := range core.replica.Pages {
+			for id, p := range core.replica.Shards {
 				var lines []string
 				for _, m := range p.Machines {
-					lines = append(lines, core.replica.Line(m))
+					lines = append(lines, core.replica.EncodedLine(m))
 				}
-				core.replica.Put(bk.PageKey(id), bk.EncodePage(core.run, 5, lines, nil), 99)
+				core.replica.Put(bk.ShardKey(id), bk.EncodePlainShard(core.incarnation, 5, lines, nil), 99)
 			}
 		}
 		b := core.newBatch(24)
-		core.cfg.TxnOps = 24
-		core.handOver(b)
-		given, moved := 0, 0
-		for id, d := range b.pages {
-			if d.owner == core.run {
+		core.cfg.TransactionOps = 24
+		core.handOffMachines(b)
+		transferredShards, movedMachines := 0, 0
+		for id, d := range b.shards {
+			if d.owner == core.incarnation {
 				continue
 			}
 			if d.owner == "" {
 				t.Errorf("%s: a page is given to nobody", c.name)
 			}
-			if core.replica.Pages[id] != nil {
-				given++
+			if core.replica.Shards[id] != nil {
+				transferredShards++
 			} else {
-				moved += len(d.ids)
+				movedMachines += len(d.machineIDs)
 			}
 		}
-		for _, then := range b.multi().Then {
-			if len(then.Data) > core.cfg.ValueBytes {
-				t.Errorf("%s: a value of %d bytes", c.name, len(then.Data))
+		for _, operation := range b.transaction().Operations {
+			if len(operation.Value) > core.cfg.ValueBytes {
+				t.Errorf("%s: a value of %d bytes", c.name, len(operation.Value))
 			}
 		}
-		if (given > 0) != c.whole || (moved > 0) == (c.whole || c.late) {
-			t.Errorf("%s: %d pages given, %d machines moved", c.name, given, moved)
+		if (transferredShards > 0) != c.whole || (movedMachines > 0) == (c.whole || c.late) {
+			t.Errorf("%s: %d pages given, %d machines moved", c.name, transferredShards, movedMachines)
 		}
 	}
 }
 
 // A process that begins in an outage takes requests, if only to send users away at
 // once, unless it alone is cut off.
-func TestHealthyInOutage(t *testing.T) {
+func TestHealthyDuringStoreOutage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		after time.Duration
@@ -393,15 +393,15 @@
 		{"it alone is cut off", 4 * time.Second, []bool{false, true}, false},
 		{"it hears nobody", 4 * time.Second, nil, false},
 	} {
-		now := Now{Steady: 1, Wall: 1e12}
-		core := New(Config{Member: "stall-0", Peers: 2, WriteRPS: 100, TxnOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}, now)
+		now := Now{Monotonic: 1, Wall: 1e12}
+		core := New(Config{ControllerID: "stall-0", PeerCount: 2, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}, now)
 		for core.since(1) < c.after {
 			core.Step(now, Tick{})
-			core.Step(now, LoadResult{Err: errOutcome})
+			core.Step(now, LoadRecordsResult{Err: errNoUsableResponse})
 			for k, ok := range c.hints {
-				core.Step(now, HintInput{Hint{Member: protocol.Member(rune('a' + k)), StateOK: ok}})
+				core.Step(now, PeerStatusInput{PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
-			now.Steady = now.Steady.Add(500 * time.Millisecond)
+			now.Monotonic = now.Monotonic.Add(500 * time.Millisecond)
 			core.Step(now, Tick{})
 		}
 		if got := core.Healthy(); got != c.want {
@@ -412,11 +412,11 @@
 
 // A page that has lost most of its machines is joined with another, with all that
 // it knows to be done; never where a machine's token would fall.
-func TestJoinPages(t *testing.T) {
+func TestMergeShards(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		small, large   int // machines on each
-		eSmall, eLarge bk.Epoch
+		eSmall, eLarge bk.ShardEpoch
 		want           bool
 	}{
 		{"one has few", 5, 30, 3, 3, true},
@@ -425,41 +425,41 @@
 		{"both have many", 30, 30, 3, 3, false},
 		{"the other is full", 5, 56, 3, 3, false},
 	} {
-		core, step := begin(t)
-		step(0, FlavorsResult{Flavors: []protocol.Flavor{{Sku: "s", Cores: 4, MemGB: 8, Zones: []protocol.Zone{"a"}}}})
+		core, step := newReadyCore(t)
+		step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 		n := 0
-		put := func(id bk.PageID, epoch bk.Epoch, count int, done bk.Ranges) {
+		put := func(id bk.ShardID, epoch bk.ShardEpoch, count int, done bk.TaskSet) {
 			var lines []string
 			for range count {
 				n++
-				r := bk.MachineRecord{Addr: "10.1.0.1:9000", Type: "s", Zone: "a", Session: 1}
-				lines = append(lines, r.Line(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
+				r := bk.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
+				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
-			data := bk.EncodePage(core.run, epoch, lines, map[protocol.JobID]bk.Ranges{"j-1": done})
-			if _, err := core.replica.Put(bk.PageKey(id), data, 4); err != nil {
+			data := bk.EncodePlainShard(core.incarnation, epoch, lines, map[protocol.JobID]bk.TaskSet{"j-1": done})
+			if _, err := core.replica.Put(bk.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
-		put("a", c.eSmall, c.small, bk.Range(0, 3))
-		put("b", c.eLarge, c.large, bk.Range(4, 5))
+		put("a", c.eSmall, c.small, bk.TaskRange(0, 3))
+		put("b", c.eLarge, c.large, bk.TaskRange(4, 5))
 		b := core.newBatch(8)
-		core.joinPages(b)
-		m := b.multi()
-		if joined := len(m.Then) == 2; joined != c.want {
-			t.Errorf("%s: joined %v", c.name, joined)
+		core.mergeShards(b)
+		transaction := b.transaction()
+		if merged := len(transaction.Operations) == 2; merged != c.want {
+			t.Errorf("%s: joined %v", c.name, merged)
 		}
 		if !c.want {
 			continue
 		}
-		for _, th := range m.Then {
-			if th.Put != "" {
-				core.replica.Put(th.Put, th.Data, 9)
+		for _, operation := range transaction.Operations {
+			if operation.PutKey != "" {
+				core.replica.Put(operation.PutKey, operation.Value, 9)
 			} else {
-				core.replica.Delete(th.Delete, 9)
+				core.replica.Delete(operation.DeleteKey, 9)
 			}
 		}
-		if len(core.replica.Pages) != 1 || len(core.replica.Machines) != n || len(core.replica.Lost()) != 0 || core.replica.Done("j-1").String() != "0-5" {
-			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.replica.Pages), len(core.replica.Machines), n, core.replica.Done("j-1"))
+		if len(core.replica.Shards) != 1 || len(core.replica.Machines) != n || len(core.replica.PopRemovedMachines()) != 0 || core.replica.CompletedTasks("j-1").String() != "0-5" {
+			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.replica.Shards), len(core.replica.Machines), n, core.replica.CompletedTasks("j-1"))
 		}
 	}
 }
@@ -478,34 +478,34 @@
 		{"slow, not seen to begin", []int{25, 24, 26, 25, 25, 26}, true, false},
 		{"was slow, has mended", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
 	} {
-		core, step := begin(t)
-		e, m := own(t, core, bk.MachineRecord{Type: "s", Zone: "a", Session: 1})
-		j := core.jstate("j-1")
-		j.runs, j.runTime = 100, 1000*time.Second
-		tally := protocol.Tally(0)
-		beat := func(after int, pieces ...protocol.TaskReport) {
-			tally++
-			step(time.Duration(after)*time.Second, ReportInput{Req: ReqID(tally), Body: protocol.Encode(report(e, tally, pieces...))})
-		}
-		beat(0)
+		core, step := newReadyCore(t)
+		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+		j := core.jobState("j-1")
+		j.measuredTasks, j.measuredRuntime = 100, 1000*time.Second
+		sequence := protocol.Sequence(0)
+		heartbeat := func(after int, tasks ...protocol.TaskStatus) {
+			sequence++
+			step(time.Duration(after)*time.Second, HeartbeatInput{RequestID: RequestID(sequence), Body: protocol.Encode(newHeartbeat(e, sequence, tasks...))})
+		}
+		heartbeat(0)
 		for i, s := range c.seconds {
 			if c.before {
-				m.clear()
+				m.reset()
 			}
 			task := protocol.Task{Job: "j-1", Index: i}
-			beat(1, protocol.TaskReport{Task: task, Try: 1, Stage: protocol.TaskRunning})
-			beat(s, protocol.TaskReport{Task: task, Try: 1, Stage: protocol.Ended, Cause: protocol.CauseDone})
-			core.paced(m, task)
+			heartbeat(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
+			heartbeat(s, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
+			core.recordTaskRuntime(m, task)
 		}
-		if got := m.pace.slow(); got != c.want {
-			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.pace.ratio)
+		if got := m.slowdown.isSlow(); got != c.want {
+			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.slowdown.ratio)
 		}
 	}
 }
 
 // A controller that computes several times slower than the others falls behind, says
 // so, and gives pages away; a pause or a moment's peak is no reason.
-func TestSlowController(t *testing.T) {
+func TestOverloadedController(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		gaps []time.Duration // of its ticks, each so often
@@ -515,30 +515,30 @@
 		{"slow all the while", []time.Duration{400 * time.Millisecond}, true},
 		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
 	} {
-		core, step := begin(t)
-		if _, err := core.replica.Put(bk.MemberKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		core, step := newReadyCore(t)
+		if _, err := core.replica.Put(bk.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		own(t, core, bk.MachineRecord{Type: "s", Zone: "a", Session: 1})
-		given := false
+		addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+		transferred := false
 		for i := 0; i < 400; i++ {
 			gap := c.gaps[min(i, len(c.gaps)-1)]
-			step(0, ExtendResult{Hold: 7})
-			step(0, FollowResult{From: core.replica.Rev, News: &protocol.Followed{Rev: core.replica.Rev}})
-			step(0, HintInput{Hint{Member: "stall-1", Run: "stall-1#1", StateOK: true, Fit: true}})
+			step(0, RenewLeaseResult{LeaseID: 7})
+			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+			step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
 			for _, e := range step(gap, Tick{}) {
 				v, ok := e.(Commit)
 				if !ok {
 					continue
 				}
-				for _, th := range v.Multi.Then {
-					given = given || th.Put == bk.PageKey("p") && strings.Contains(string(th.Data), "stall-1#1")
+				for _, operation := range v.Transaction.Operations {
+					transferred = transferred || operation.PutKey == bk.ShardKey("p") && strings.Contains(string(operation.Value), "stall-1#1")
 				}
-				step(0, CommitResult{ID: v.ID, Outcome: bk.Applied, Answer: protocol.MultiAnswer{Rev: core.replica.Rev + 10}})
+				step(0, CommitResult{ID: v.ID, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
 			}
 		}
-		if given != c.want || core.strained() != c.want {
-			t.Errorf("%s: page given %v, strained %v", c.name, given, core.strained())
+		if transferred != c.want || core.isOverloaded() != c.want {
+			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.isOverloaded())
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordination/format_upgrade_test.go
@@ -0,0 +1,303 @@
+package coordination
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/protocol"
+)
+
+var announcedLimits = WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
+
+// putController makes a run of a controller live.
+func putController(t *testing.T, c *Core, controllerID protocol.ControllerID, readFormat bk.Format) {
+	t.Helper()
+	key := bk.ControllerKey(controllerID)
+	incarnation := bk.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.replica.ModRevision(key)+1))
+	data := bk.MustMarshal(bk.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
+	if _, err := c.replica.Put(key, data, c.replica.ModRevision(key)+100); err != nil {
+		t.Fatal(err)
+	}
+	c.recordFormatSupport()
+}
+
+// The format is raised only once every controller has been seen to read the packed one,
+// and never while a run of an older version lives.
+func TestFormatRaisedOnlyWhenAllCanRead(t *testing.T) {
+	const packed, plain, absent = bk.FormatPacked, bk.FormatPlain, bk.Format(-1)
+	for _, c := range []struct {
+		name    string
+		seen    []bk.Format // of the two others, earlier
+		now     []bk.Format // and now
+		none    bool        // no limits are announced
+		refused bool        // a write within today's limits was refused
+		want    bool
+	}{
+		{"all read it", []bk.Format{absent, absent}, []bk.Format{packed, packed}, false, false, true},
+		{"no limits are announced", []bk.Format{absent, absent}, []bk.Format{packed, packed}, true, false, false},
+		{"one is old", []bk.Format{absent, absent}, []bk.Format{packed, plain}, false, false, false},
+		{"one has not been seen", []bk.Format{absent, absent}, []bk.Format{packed, absent}, false, false, false},
+		{"one was seen to read it and is away", []bk.Format{packed, packed}, []bk.Format{packed, absent}, false, false, true},
+		{"one came back old", []bk.Format{packed, packed}, []bk.Format{packed, plain}, false, false, false},
+		{"the new limits hold, one has not been seen", []bk.Format{absent, absent}, []bk.Format{packed, absent}, false, true, true},
+		{"the new limits seem to hold, one is old", []bk.Format{absent, absent}, []bk.Format{packed, plain}, false, true, false},
+	} {
+		core, _ := newReadyCore(t)
+		core.cfg.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
+		if !c.none {
+			core.cfg.AnnouncedLimits = &announcedLimits
+		}
+		core.formatUpgrade.areAnnouncedLimitsActive = c.refused
+		putController(t, core, "stall-0", packed)
+		for _, formats := range [][]bk.Format{c.seen, c.now} {
+			for i, f := range formats {
+				controllerID := core.cfg.PeerIDs[i]
+				if f == absent {
+					core.replica.Delete(bk.ControllerKey(controllerID), core.replica.ModRevision(bk.ControllerKey(controllerID))+1)
+				} else {
+					putController(t, core, controllerID, f)
+				}
+			}
+		}
+		if got := core.canRaiseFormat(); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+}
+
+// The limits on what is written are today's until the format is raised, and the tighter
+// of both from then on.
+func TestWriteLimitsFollowFormat(t *testing.T) {
+	core, _ := newReadyCore(t)
+	core.cfg.AnnouncedLimits = &WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
+	if got, want := core.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
+		t.Errorf("before: %+v", got)
+	}
+	core.putInReplica(bk.FormatKey, bk.MustMarshal(bk.FormatRecord{WriteFormat: bk.FormatPacked}), 50)
+	if got, want := core.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.maxTransactionOps != 4 {
+		t.Errorf("after: %+v, %d changes in a transaction", got, core.maxTransactionOps)
+	}
+	value := func(n int) protocol.Operation { return protocol.Operation{PutKey: "k", Value: make([]byte, n)} }
+	for _, c := range []struct {
+		then []protocol.Operation
+		when int
+		want bool
+	}{
+		{[]protocol.Operation{value(2048), value(1), value(1), value(1)}, 16, true},
+		{[]protocol.Operation{value(2049)}, 1, false},
+		{[]protocol.Operation{value(1), value(1), value(1), value(1), value(1)}, 1, false},
+		{[]protocol.Operation{value(1)}, 17, false},
+	} {
+		if got := core.writeLimits().allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
+			t.Errorf("%d changes, %d conditions: %v", len(c.then), c.when, got)
+		}
+	}
+}
+
+// putOversizedShard is a page as the version in production could leave it: near a value of
+// 8 KiB, with nothing on it that packs well.
+func putOversizedShard(t *testing.T, c *Core, owner bk.Incarnation) (machines int) {
+	t.Helper()
+	rng := rand.New(rand.NewPCG(9, 9))
+	var lines []string
+	for size := 0; size < 7400; machines++ {
+		m := bk.MachineRecord{AgentEpoch: 1, Address: "10.1.0.1:1", MachineType: "large", Zone: "a", AddedAt: protocol.Millis(rng.Int64N(1 << 40))}
+		for range 12 {
+			m.Assign(protocol.Task{Job: protocol.JobID(fmt.Sprintf("j-%06d", rng.IntN(1e6))), Index: rng.IntN(1000)}, protocol.Attempt(rng.IntN(1000)))
+		}
+		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
+		size += len(lines[machines]) + 3
+	}
+	c.putInReplica(bk.ShardKey("crowded"), bk.EncodePlainShard(owner, 3, lines, map[protocol.JobID]bk.TaskSet{"j-1": bk.TaskRange(4, 9)}), 60)
+	return machines
+}
+
+// A page that was written before the format was raised can neither be put as it is nor
+// does it pack into one value. It is taken over, or rewritten by its owner, in parts that
+// fit, in one transaction, with no machine lost and all tokens raised alike.
+func TestOversizedShardIsSplitOnRewrite(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		owner bk.Incarnation
+		epoch bk.ShardEpoch
+	}{{"of a dead run", "stall-1#1", 4}, {"of this run", "", 3}} {
+		core, step := newReadyCore(t)
+		core.cfg.AnnouncedLimits = &announcedLimits
+		if c.owner == "" {
+			c.owner = core.incarnation
+		}
+		core.putInReplica(bk.FormatKey, bk.MustMarshal(bk.FormatRecord{WriteFormat: bk.FormatPacked}), 50)
+		machines := putOversizedShard(t, core, c.owner)
+		if ops := core.shardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
+			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.replica.Shards["crowded"].EncodedSize)
+		}
+		var sent *protocol.Transaction
+		for i := 0; i < 400 && sent == nil; i++ {
+			for _, e := range step(50*time.Millisecond, Tick{}) {
+				if v, ok := e.(Commit); ok && len(v.Transaction.Operations) > 1 {
+					sent = &v.Transaction
+				} else if ok {
+					step(0, CommitResult{ID: v.ID, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 1}})
+				}
+			}
+			step(0, RenewLeaseResult{LeaseID: 7})
+			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+		}
+		if sent == nil || !announcedLimits.allows(sent) {
+			t.Fatalf("%s: %+v", c.name, sent)
+		}
+		step(0, CommitResult{ID: core.pendingTransaction.id, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
+		if len(core.replica.Machines) != machines {
+			t.Errorf("%s: %d machines of %d are left", c.name, len(core.replica.Machines), machines)
+		}
+		for id, m := range core.replica.Machines {
+			if m.Record.Owner != core.incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
+				t.Errorf("%s: %s of %s at epoch %d", c.name, id, m.Record.Owner, m.Record.ShardEpoch)
+			}
+		}
+		if got := core.replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
+			t.Errorf("%s: done tasks are %v", c.name, got)
+		}
+	}
+}
+
+// A transaction that the state service calls too large is never sent again as it is, and
+// shows that the announced limits hold if it kept to today's.
+func TestTooLargeTransaction(t *testing.T) {
+	core, _ := newReadyCore(t)
+	core.cfg.AnnouncedLimits = &announcedLimits
+	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
+	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
+	before := core.maxTransactionOps
+	if core.onTransactionTooLarge(small); core.formatUpgrade.areAnnouncedLimitsActive {
+		t.Error("a small transaction that is refused says nothing of the limits")
+	}
+	if core.onTransactionTooLarge(large); !core.formatUpgrade.areAnnouncedLimitsActive || core.maxTransactionOps >= before || core.maxTransactionOps < minTransactionOps {
+		t.Errorf("refused %v, %d changes in the next one", core.formatUpgrade.areAnnouncedLimitsActive, core.maxTransactionOps)
+	}
+}
+
+// Jobs whose description would not leave room in a record are refused for good.
+func TestOversizedJobRejected(t *testing.T) {
+	rng := rand.New(rand.NewPCG(2, 2))
+	random := func(n int) string {
+		b := make([]byte, n)
+		for i := range b {
+			b[i] = byte('!' + rng.IntN(90))
+		}
+		return string(b)
+	}
+	for _, c := range []struct {
+		types int
+		next  *WriteLimits
+		want  bool
+	}{{1, &announcedLimits, true}, {50, &announcedLimits, false}, {30, nil, true}} {
+		core, _ := newReadyCore(t)
+		core.cfg.AnnouncedLimits = c.next
+		j := &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1, Image: "b"}
+		for range c.types {
+			j.MachineTypes = append(j.MachineTypes, protocol.MachineTypeName(random(100)))
+		}
+		if got := core.jobRecordFits(j); got != c.want {
+			t.Errorf("%d types: %v", c.types, got)
+		}
+	}
+}
+
+// A replica that ends soon after its placement, on whoever's machine, is paused ever
+// longer, up to a bound; one that has run for a while begins anew at once, and so does
+// one whose machine has begun a new session.
+func TestReplicaRestartBackoff(t *testing.T) {
+	c, step := newReadyCore(t)
+	job := bk.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
+	c.putInReplica(bk.JobKey("j-1"), bk.MustMarshal(job), 40)
+	rec := bk.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
+	modRevision := protocol.ModRevision(50)
+	put := func(attempt protocol.Attempt) {
+		r := rec
+		if r.Assignments = nil; attempt > 0 {
+			r.Assign(protocol.Task{Job: "j-1"}, attempt)
+		}
+		modRevision++
+		c.putInReplica(bk.ShardKey("p"), bk.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
+	}
+	backoff := func() time.Duration { return c.jobState("j-1").notBefore.Sub(c.now.Monotonic) }
+	before := time.Duration(0)
+	for attempt := range protocol.Attempt(12) {
+		put(attempt + 1)
+		step(time.Second, Tick{})
+		put(0)
+		if got := backoff(); got < before || got <= 0 || got > maxRestartBackoff || attempt == 11 && got != maxRestartBackoff {
+			t.Errorf("end %d: %v after %v", attempt, got, before)
+		}
+		before = backoff()
+	}
+	for _, c := range []struct {
+		name string
+		end  func()
+	}{
+		{"it has run", func() {
+			step(earlyExitWindow+time.Second, Tick{})
+			put(0)
+		}},
+		{"a new session", func() {
+			rec.AgentEpoch++
+			put(0)
+		}},
+	} {
+		put(99)
+		c.end()
+		if got := backoff(); got > 0 {
+			t.Errorf("%s: paused for %v", c.name, got)
+		}
+	}
+}
+
+// What this run is responsible for is rewritten unasked once the format is raised: a page
+// as one packed value instead of two halves, and a job whose done tasks have many gaps.
+func TestOwnedRecordsAreReencoded(t *testing.T) {
+	core, step := newReadyCore(t)
+	core.cfg.AnnouncedLimits = &announcedLimits
+	var lines []string
+	for i := range 60 {
+		m := bk.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
+		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
+	}
+	core.putInReplica(bk.ShardKey("idle"), bk.EncodePlainShard(core.incarnation, 3, lines, nil), 40)
+	var done bk.TaskSet
+	for n := 0; n < 1800; n += 2 {
+		done = done.Add(n)
+	}
+	job := bk.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
+		Owner: core.incarnation, NextAttempt: 1024, CompletedTasks: done}
+	core.putInReplica(bk.JobKey("j-1"), bk.MustMarshal(job), 41)
+	core.putInReplica(bk.FormatKey, bk.MustMarshal(bk.FormatRecord{WriteFormat: bk.FormatPacked}), 50)
+	shardWrites, jobWrites := 0, 0
+	for range 20 {
+		for _, e := range step(50*time.Millisecond, Tick{}) {
+			v, ok := e.(Commit)
+			if !ok {
+				continue
+			}
+			if !announcedLimits.allows(&v.Transaction) {
+				t.Errorf("too large: %d changes", len(v.Transaction.Operations))
+			}
+			for _, operation := range v.Transaction.Operations {
+				switch operation.PutKey {
+				case bk.ShardKey("idle"):
+					shardWrites++
+				case bk.JobKey("j-1"):
+					jobWrites++
+				}
+			}
+			step(0, CommitResult{ID: v.ID, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 60}})
+		}
+		step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision + 61}})
+	}
+	if shardWrites != 1 || jobWrites == 0 || len(core.replica.Shards) != 1 || core.replica.CompletedTasks("j-1").String() != done.String() {
+		t.Errorf("the page is written %d times, the job %d times; %d pages", shardWrites, jobWrites, len(core.replica.Shards))
+	}
+}
--- a/internal/coordination/gangs.go
+++ b/internal/coordination/gangs.go
@@ -11,161 +11,161 @@
 )
 
 // placeGang places all tasks of a gang that are not done, or none.
-func (c *Core) placeGang(b *batch, q *queued, rooms []*room) {
-	d := q.rec.Desc
-	left := d.Tasks - q.done
-	if q.placed > 0 {
-		c.keepGang(q, rooms)
-		c.finishGang(b, q, rooms)
+func (c *Core) placeGang(b *batch, job *pendingJob, candidates []*candidate) {
+	d := job.record.Spec
+	remaining := d.TaskCount - job.doneTasks
+	if job.placedTasks > 0 {
+		c.retainGangMachines(job, candidates)
+		c.completeGangPlacement(b, job, candidates)
 		return
 	}
-	if left <= 0 || c.teamRoom(rooms, d) < left {
+	if remaining <= 0 || c.quotaHeadroom(candidates, d) < remaining {
 		return
 	}
 	zones := []protocol.Zone{""}
-	if d.OneZone {
+	if d.SingleZone {
 		zones = c.zones()
 	}
-	best := c.gangChoice(b, q, rooms, zones, left)
+	best := c.chooseGangPlacement(b, job, candidates, zones, remaining)
 	switch {
 	case best == nil:
-		c.makeRoom(b, q, rooms, zones, left)
-	case c.gangWritable(b, q, best):
-		c.writeGang(b, q, best, left)
+		c.preemptForGang(b, job, candidates, zones, remaining)
+	case c.canWriteGang(b, job, best):
+		c.writeGangPlacement(b, job, best, remaining)
 	default:
-		for _, s := range best {
-			q.put(s.r, s.n, 0)
-			c.planned.busy[s.r.id] = true
-			c.planned.expects[s.r.id] = true
+		for _, p := range best {
+			job.recordAllocation(p.machine, p.count, 0)
+			c.lastPlan.retainedMachines[p.machine.id] = true
+			c.lastPlan.pendingPlacements[p.machine.id] = true
 		}
 	}
 }
 
-// keepGang keeps the machines on which a gang has tasks.
-func (c *Core) keepGang(q *queued, rooms []*room) {
-	for _, r := range rooms {
-		for _, h := range r.used {
-			if h.job == q.id {
-				c.planned.busy[r.id] = true
+// retainGangMachines keeps the machines on which a gang has tasks.
+func (c *Core) retainGangMachines(job *pendingJob, candidates []*candidate) {
+	for _, machine := range candidates {
+		for _, alloc := range machine.allocations {
+			if alloc.job == job.id {
+				c.lastPlan.retainedMachines[machine.id] = true
 			}
 		}
 	}
 }
 
-// gangChoice chooses where the tasks of a gang go; nil: room is to be made for them. To
+// chooseGangPlacement chooses where the tasks of a gang go; nil: room is to be made for them. To
 // stop what ranks lower is quicker than to wait for a machine that boots, or for an
 // image where others have it.
-func (c *Core) gangChoice(b *batch, q *queued, rooms []*room, zones []protocol.Zone, left int) []share {
-	var best []share
+func (c *Core) chooseGangPlacement(b *batch, job *pendingJob, candidates []*candidate, zones []protocol.Zone, tasks int) []placement {
+	var best []placement
 	for _, z := range zones {
-		s := c.gangShares(b, q, rooms, z, left, nil)
-		if s != nil && (best == nil || shareCost(s) < shareCost(best)) {
-			best = s
+		p := c.distributeGang(b, job, candidates, z, tasks, nil)
+		if p != nil && (best == nil || placementCost(p) < placementCost(best)) {
+			best = p
 		}
 	}
-	d := q.rec.Desc
-	if kept := c.roomKept(q, rooms, left); kept != nil {
-		if slices.ContainsFunc(kept, func(s share) bool { return s.r.fits(d) < s.n }) {
+	d := job.record.Spec
+	if reservation := c.currentReservation(job, candidates, tasks); reservation != nil {
+		if slices.ContainsFunc(reservation, func(p placement) bool { return p.machine.capacityFor(d) < p.count }) {
 			return nil // once it is empty
 		}
-		return kept
+		return reservation
 	}
-	if best != nil && c.recordable(best) && (c.slow(best, d, true) && c.cheapestRoom(q, rooms, zones, left, true) != nil ||
-		c.slow(best, d, false) && c.cheapestRoom(q, rooms, zones, left, false) != nil) {
+	if best != nil && c.fitsJobRecord(best) && (c.wouldDelayGang(best, d, true) && c.cheapestPreemption(job, candidates, zones, tasks, true) != nil ||
+		c.wouldDelayGang(best, d, false) && c.cheapestPreemption(job, candidates, zones, tasks, false) != nil) {
 		return nil
 	}
 	return best
 }
 
-// gangWritable tells whether this run writes the choice now. A gang too large for one
+// canWriteGang tells whether this run writes the choice now. A gang too large for one
 // transaction is written in several; nobody starts a task of it before the last one.
-func (c *Core) gangWritable(b *batch, q *queued, choice []share) bool {
-	ours := c.ours(b, q) && c.now.Steady >= c.jstate(q.id).notBefore
+func (c *Core) canWriteGang(b *batch, job *pendingJob, placements []placement) bool {
+	canWrite := c.canWritePlacements(b, job) && c.now.Monotonic >= c.jobState(job.id).notBefore
 	var ids []protocol.MachineID
-	for _, s := range choice {
-		if s.r.coming {
+	for _, p := range placements {
+		if p.machine.isProvisioning {
 			return false
 		}
-		ids = append(ids, s.r.id)
-		ours = ours && b.roomy(s.r.rec)
+		ids = append(ids, p.machine.id)
+		canWrite = canWrite && b.hasShardHeadroom(p.machine.record)
 	}
-	if !ours {
+	if !canWrite {
 		return false
 	}
-	fits, alone := b.fits(ids)
-	if alone == 0 || fits {
+	fits, requiredOps := b.canWriteMachines(ids)
+	if requiredOps == 0 || fits {
 		return true
 	}
-	if c.gangNeeds == 0 {
-		c.gangNeeds = alone + c.kept()
+	if c.pendingGangOps == 0 {
+		c.pendingGangOps = requiredOps + c.reservedUserTokens()
 	}
 	return false
 }
 
-// writeGang writes as much of the choice as the transaction takes.
-func (c *Core) writeGang(b *batch, q *queued, choice []share, left int) {
-	open := c.openTasks(b, q, left)
-	try := c.jstate(q.id).next
-	b.marks = append(b.marks, func() { c.jstate(q.id).building = try })
-	for _, s := range choice {
-		if c.writable(b, s.r, q.rec.Desc) {
-			b.assign(s.r.id, q.id, open[:s.n], try)
-			c.hurry(b, s.r.id)
-			c.placed(b, q, s.r, s.n, try)
+// writeGangPlacement writes as much of the choice as the transaction takes.
+func (c *Core) writeGangPlacement(b *batch, job *pendingJob, placements []placement, tasks int) {
+	pending := c.pendingTasks(b, job, tasks)
+	attempt := c.jobState(job.id).nextAttempt
+	b.onSend = append(b.onSend, func() { c.jobState(job.id).gangAttemptInProgress = attempt })
+	for _, p := range placements {
+		if c.fitsTransaction(b, p.machine, job.record.Spec) {
+			b.assignTasks(p.machine.id, job.id, pending[:p.count], attempt)
+			c.expedite(b, p.machine.id)
+			c.recordPlacement(b, job, p.machine, p.count, attempt)
 		}
-		open = open[s.n:]
-		q.put(s.r, s.n, try)
-		c.planned.busy[s.r.id] = true
+		pending = pending[p.count:]
+		job.recordAllocation(p.machine, p.count, attempt)
+		c.lastPlan.retainedMachines[p.machine.id] = true
 	}
 }
 
-// finishGang writes what is missing of a gang that did not fit one transaction.
-func (c *Core) finishGang(b *batch, q *queued, rooms []*room) {
-	left := q.rec.Desc.Tasks - q.done - q.placed
-	j := c.jstate(q.id)
-	if left <= 0 {
-		j.building = 0
-	}
-	if left <= 0 || !c.ours(b, q) {
+// completeGangPlacement writes what is missing of a gang that did not fit one transaction.
+func (c *Core) completeGangPlacement(b *batch, job *pendingJob, candidates []*candidate) {
+	remaining := job.record.Spec.TaskCount - job.doneTasks - job.placedTasks
+	state := c.jobState(job.id)
+	if remaining <= 0 {
+		state.gangAttemptInProgress = 0
+	}
+	if remaining <= 0 || !c.canWritePlacements(b, job) {
 		return
 	}
-	try := c.lastTry(q.id, b)
+	attempt := c.highestAttempt(job.id, b)
 	// Only an attempt that is still being written. One that has lost a task is
 	// not mended: its other tasks end, and the gang starts anew as a whole.
-	if try == 0 || try != j.building || q.rec.Halt >= try || j.brokenAt != 0 && c.since(j.brokenAt) > 2*time.Second {
+	if attempt == 0 || attempt != state.gangAttemptInProgress || job.record.GracefulStopAttempt >= attempt || state.gangIncompleteAt != 0 && c.since(state.gangIncompleteAt) > 2*time.Second {
 		return
 	}
-	for _, s := range c.gangShares(b, q, rooms, q.onlyZone(), left, nil) {
-		if s.r.coming || !c.writable(b, s.r, q.rec.Desc) {
+	for _, p := range c.distributeGang(b, job, candidates, job.pinnedZone(), remaining, nil) {
+		if p.machine.isProvisioning || !c.fitsTransaction(b, p.machine, job.record.Spec) {
 			return
 		}
-		open := c.openTasks(b, q, s.n)
-		b.assign(s.r.id, q.id, open, try)
-		c.hurry(b, s.r.id)
-		c.placed(b, q, s.r, len(open), try)
-		q.put(s.r, len(open), try)
+		pending := c.pendingTasks(b, job, p.count)
+		b.assignTasks(p.machine.id, job.id, pending, attempt)
+		c.expedite(b, p.machine.id)
+		c.recordPlacement(b, job, p.machine, len(pending), attempt)
+		job.recordAllocation(p.machine, len(pending), attempt)
 	}
 }
 
-// hurry makes the machine's worker report as soon as the placement is on record.
+// expedite makes the machine's worker report as soon as the placement is on record.
 // A gang waits for the last of its machines: with reports some seconds apart
 // that is nearly a whole interval each time.
-func (c *Core) hurry(b *batch, id protocol.MachineID) {
-	if c.cfg.Report >= 4*time.Second {
-		b.nudge(id)
+func (c *Core) expedite(b *batch, id protocol.MachineID) {
+	if c.cfg.HeartbeatInterval >= 4*time.Second {
+		b.bumpFencingToken(id)
 	}
 }
 
-type share struct {
-	r *room
-	n int
+type placement struct {
+	machine *candidate
+	count   int
 }
 
-func shareCost(s []share) float64 {
+func placementCost(placements []placement) float64 {
 	cost := 0.0
-	for _, x := range s {
+	for _, p := range placements {
 		cost += 1
-		if x.r.coming {
+		if p.machine.isProvisioning {
 			cost += 1000
 		}
 	}
@@ -175,8 +175,8 @@
 func (c *Core) zones() []protocol.Zone {
 	seen := map[protocol.Zone]bool{}
 	var out []protocol.Zone
-	for i := range c.flavors {
-		for _, z := range c.flavors[i].Zones {
+	for i := range c.machineTypes {
+		for _, z := range c.machineTypes[i].Zones {
 			if !seen[z] {
 				seen[z] = true
 				out = append(out, z)
@@ -187,319 +187,323 @@
 	return out
 }
 
-// gangShares spreads n tasks over the machines of a zone (any, if empty).
+// distributeGang spreads n tasks over the machines of a zone (any, if empty).
 // freed adds what could be made free on a machine.
-func (c *Core) gangShares(b *batch, q *queued, rooms []*room, z protocol.Zone, n int, freed func(*room) int) []share {
-	var out []share
-	zones := map[protocol.Zone]int{}
-	d := q.rec.Desc
-	list := rooms
-	if freed == nil {
-		list = c.candidates(b, q, false)
-	}
-	for _, r := range list {
-		if n == 0 {
+func (c *Core) distributeGang(b *batch, job *pendingJob, candidates []*candidate, zone protocol.Zone, tasks int, capacity func(*candidate) int) []placement {
+	var placements []placement
+	tasksByZone := map[protocol.Zone]int{}
+	d := job.record.Spec
+	machines := candidates
+	if capacity == nil {
+		machines = c.rankedCandidates(b, job, false)
+	}
+	for _, machine := range machines {
+		if tasks == 0 {
 			break
 		}
-		if z != "" && r.rec.Zone != z || r.closed || !c.mayUse(d, r) {
+		if zone != "" && machine.record.Zone != zone || machine.isUnschedulable || !c.isMachineAllowed(d, machine) {
 			continue
 		}
-		k := r.fits(d)
-		if freed != nil {
-			k = freed(r)
+		count := machine.capacityFor(d)
+		if capacity != nil {
+			count = capacity(machine)
 		}
-		k = min(k, n, q.zoneRoom(r.rec.Zone)-zones[r.rec.Zone])
-		if k <= 0 {
+		count = min(count, tasks, job.zoneHeadroom(machine.record.Zone)-tasksByZone[machine.record.Zone])
+		if count <= 0 {
 			continue
 		}
-		zones[r.rec.Zone] += k
-		out = append(out, share{r, k})
-		n -= k
+		tasksByZone[machine.record.Zone] += count
+		placements = append(placements, placement{machine, count})
+		tasks -= count
 	}
-	if n > 0 {
+	if tasks > 0 {
 		return nil
 	}
-	return out
+	return placements
 }
 
-// slow tells whether a gang would wait on these machines: for one that boots,
+// wouldDelayGang tells whether a gang would wait on these machines: for one that boots,
 // or, if images count, for an image that takes longer than to make room elsewhere.
-func (c *Core) slow(list []share, d *protocol.Job, images bool) bool {
-	const roomMade = 6 // seconds that it takes to stop what runs, and to write it
-	return slices.ContainsFunc(list, func(s share) bool {
-		return s.r.coming || images && fetchSeconds(s.r.fl, d) > roomMade && !s.r.m.hasImage(d.Image)
+func (c *Core) wouldDelayGang(placements []placement, d *protocol.Job, includeImages bool) bool {
+	const preemptionSeconds = 6 // seconds that it takes to stop what runs, and to write it
+	return slices.ContainsFunc(placements, func(p placement) bool {
+		return p.machine.isProvisioning || includeImages && imageFetchSeconds(p.machine.machineType, d) > preemptionSeconds && !p.machine.state.hasImage(d.Image)
 	})
 }
 
-// makeRoom keeps machines for a gang that fits nowhere, while their owners stop
+// preemptForGang keeps machines for a gang that fits nowhere, while their owners stop
 // what ranks lower there. The job's claimant chooses them and writes its choice
 // down: if every owner chose for itself, two could make room for one gang.
-func (c *Core) makeRoom(b *batch, q *queued, rooms []*room, zones []protocol.Zone, n int) {
-	d := q.rec.Desc
-	ours := c.ours(b, q)
-	got := c.roomKept(q, rooms, n)
-	if got == nil && q.aged {
-		if c.reserve(b, q, rooms, zones, n) && ours {
-			c.demand = append(c.demand, unmetDemand{job: q.id, desc: d, tasks: n, zone: d.Zone, order: q.order, sent: q.rec.Sent, urgent: true})
+func (c *Core) preemptForGang(b *batch, job *pendingJob, candidates []*candidate, zones []protocol.Zone, tasks int) {
+	d := job.record.Spec
+	canWrite := c.canWritePlacements(b, job)
+	placements := c.currentReservation(job, candidates, tasks)
+	if placements == nil && job.isStarved {
+		if c.reserveMachines(b, job, candidates, zones, tasks) && canWrite {
+			c.unmetDemands = append(c.unmetDemands, unmetDemand{job: job.id, desc: d, tasks: tasks, zone: d.Zone, order: job.precedence, submittedAt: job.record.SubmittedAt, urgent: true})
 		}
-		if c.planned.reserved[q.order] {
+		if c.lastPlan.reservedPrecedences[job.precedence] {
 			return
 		}
 	}
-	if got == nil && ours {
-		if got = c.cheapestRoom(q, rooms, zones, n, true); got == nil {
-			got = c.cheapestRoom(q, rooms, zones, n, false)
+	if placements == nil && canWrite {
+		if placements = c.cheapestPreemption(job, candidates, zones, tasks, true); placements == nil {
+			placements = c.cheapestPreemption(job, candidates, zones, tasks, false)
 		}
-		if !c.recordable(got) {
-			got = nil
+		if !c.fitsJobRecord(placements) {
+			placements = nil
 		}
-		if got == nil {
-			c.demand = append(c.demand, unmetDemand{job: q.id, desc: d, tasks: n, zone: d.Zone, order: q.order, sent: q.rec.Sent, urgent: true})
-		} else if b.hasRoom(b.needs("", q.id)) {
-			b.writeRoom(q.id, got, "room is made for a gang")
+		if placements == nil {
+			c.unmetDemands = append(c.unmetDemands, unmetDemand{job: job.id, desc: d, tasks: tasks, zone: d.Zone, order: job.precedence, submittedAt: job.record.SubmittedAt, urgent: true})
+		} else if b.hasCapacity(b.writesNeeded("", job.id)) {
+			b.recordReservation(job.id, placements, "room is made for a gang")
 		}
 	}
-	written := c.replica.Jobs[q.id].Rec.Room
-	for _, s := range got {
-		need := *s.r
-		for _, h := range c.victims(s.r, q) {
-			if need.fits(d) >= s.n {
+	reserved := c.replica.Jobs[job.id].Record.ReservedMachines
+	for _, p := range placements {
+		simulated := *p.machine
+		for _, alloc := range c.victims(p.machine, job) {
+			if simulated.capacityFor(d) >= p.count {
 				break
 			}
-			need.take(h.desc, -h.n)
-			if h.try > 0 && slices.Contains(written, s.r.id) {
-				c.preempt(s.r, h, q, h.n)
+			simulated.allocate(alloc.desc, -alloc.count)
+			if alloc.attempt > 0 && slices.Contains(reserved, p.machine.id) {
+				c.preemptTasks(p.machine, alloc, job, alloc.count)
 			}
 		}
-		q.put(s.r, s.n, 0)
-		c.planned.busy[s.r.id] = true
+		job.recordAllocation(p.machine, p.count, 0)
+		c.lastPlan.retainedMachines[p.machine.id] = true
 	}
 }
 
-// reserve keeps machines for a job that has waited too long and fits nowhere,
+// reserveMachines keeps machines for a job that has waited too long and fits nowhere,
 // until what runs there has ended: nothing more is placed on them. Without it a
 // stream of smaller jobs of its own rank would take each gap as it opens. One job
 // of a rank at a time, so that few machines run empty. It tells whether the job
 // is the one. The choice is on record, so that all controllers keep to it.
-func (c *Core) reserve(b *batch, q *queued, rooms []*room, zones []protocol.Zone, n int) bool {
-	if c.planned.reserved[q.order] {
+func (c *Core) reserveMachines(b *batch, job *pendingJob, candidates []*candidate, zones []protocol.Zone, tasks int) bool {
+	if c.lastPlan.reservedPrecedences[job.precedence] {
 		return false
 	}
-	d := q.rec.Desc
+	d := job.record.Spec
 	// What an emptied machine takes, less what goes before this job.
-	emptied := func(r *room) int {
-		if r.coming {
+	capacityWhenEmptied := func(machine *candidate) int {
+		if machine.isProvisioning {
 			return 0
 		}
-		f := *r
-		for _, h := range r.used {
-			if h.order >= q.order {
-				f.take(h.desc, -h.n)
+		simulated := *machine
+		for _, alloc := range machine.allocations {
+			if alloc.precedence >= job.precedence {
+				simulated.allocate(alloc.desc, -alloc.count)
 			}
 		}
-		return f.fits(d)
+		return simulated.capacityFor(d)
 	}
-	pick := func(list []*room) []share {
+	distribute := func(machines []*candidate) []placement {
 		for _, z := range zones {
-			if got := c.gangShares(nil, q, list, z, n, emptied); got != nil {
-				return got
+			if placements := c.distributeGang(nil, job, machines, z, tasks, capacityWhenEmptied); placements != nil {
+				return placements
 			}
 		}
 		return nil
 	}
-	got := pick(q.chosen(rooms))
-	if got == nil {
-		if !c.ours(b, q) || !b.hasRoom(b.needs("", q.id)) {
+	placements := distribute(job.reservedCandidates(candidates))
+	if placements == nil {
+		if !c.canWritePlacements(b, job) || !b.hasCapacity(b.writesNeeded("", job.id)) {
 			return false
 		}
 		// Those that are emptiest, and where what runs has run longest.
-		list := slices.Clone(rooms)
-		cost := map[*room]float64{}
-		for _, r := range list {
-			for _, h := range r.used {
-				cost[r] += float64(h.n) * h.desc.Cores / r.fl.Cores * c.expectedLeft(r, h)
+		machines := slices.Clone(candidates)
+		cost := map[*candidate]float64{}
+		for _, machine := range machines {
+			for _, alloc := range machine.allocations {
+				cost[machine] += float64(alloc.count) * alloc.desc.Cores / machine.machineType.Cores * c.expectedRemainingSeconds(machine, alloc)
 			}
 		}
-		slices.SortStableFunc(list, func(a, z *room) int { return cmp.Compare(cost[a], cost[z]) })
-		if got = pick(list); got == nil || !c.recordable(got) {
+		slices.SortStableFunc(machines, func(a, z *candidate) int { return cmp.Compare(cost[a], cost[z]) })
+		if placements = distribute(machines); placements == nil || !c.fitsJobRecord(placements) {
 			return false
 		}
-		b.writeRoom(q.id, got, "machines are kept for a job that has waited long")
+		b.recordReservation(job.id, placements, "machines are kept for a job that has waited long")
 	}
-	c.planned.reserved[q.order] = true
-	for _, s := range got {
-		s.r.closed = true
-		s.r.cores = 0
-		c.planned.busy[s.r.id] = true
+	c.lastPlan.reservedPrecedences[job.precedence] = true
+	for _, p := range placements {
+		p.machine.isUnschedulable = true
+		p.machine.cores = 0
+		c.lastPlan.retainedMachines[p.machine.id] = true
 	}
 	return true
 }
 
-// expectedLeft is for how many seconds more tasks are expected to run.
-func (c *Core) expectedLeft(r *room, h held) float64 {
-	if h.desc.Daemon() {
-		return noEnd.Seconds()
+// expectedRemainingSeconds is for how many seconds more tasks are expected to run.
+func (c *Core) expectedRemainingSeconds(machine *candidate, alloc allocation) float64 {
+	if alloc.desc.IsService() {
+		return unboundedRuntime.Seconds()
 	}
-	return max(h.desc.EstimateS-c.running(r, h), 5)
+	return max(alloc.desc.EstimatedRunSeconds-c.runningSeconds(machine, alloc), 5)
 }
 
-// running is for how many seconds tasks have been assigned, as far as it is known.
-func (c *Core) running(r *room, h held) float64 {
-	if at, ok := c.assignedAt[assignment{r.id, h.job, h.try}]; ok {
-		return c.since(at).Seconds()
+// runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
+func (c *Core) runningSeconds(machine *candidate, alloc allocation) float64 {
+	if assignedAt, ok := c.assignedAt[assignmentKey{machine.id, alloc.job, alloc.attempt}]; ok {
+		return c.since(assignedAt).Seconds()
 	}
 	return 0
 }
 
-// writeRoom puts a choice of machines on record; the caller has asked for room.
-func (b *batch) writeRoom(id protocol.JobID, choice []share, why string) {
-	r := b.job(id)
-	r.Room = nil
-	for _, s := range choice {
-		r.Room = append(r.Room, s.r.id)
-	}
-	b.log(slog.LevelInfo, why, "job", string(id), "machines", r.Room)
+// recordReservation puts a choice of machines on record; the caller has asked for room.
+func (b *batch) recordReservation(id protocol.JobID, placements []placement, message string) {
+	record := b.mutableJob(id)
+	record.ReservedMachines = nil
+	for _, p := range placements {
+		record.ReservedMachines = append(record.ReservedMachines, p.machine.id)
+	}
+	b.log(slog.LevelInfo, message, "job", string(id), "machines", record.ReservedMachines)
 }
 
-// chosen lists the machines of the choice on record.
-func (q *queued) chosen(rooms []*room) []*room {
-	return slices.DeleteFunc(slices.Clone(rooms), func(r *room) bool { return !slices.Contains(q.rec.Room, r.id) })
+// reservedCandidates lists the machines of the choice on record.
+func (j *pendingJob) reservedCandidates(candidates []*candidate) []*candidate {
+	return slices.DeleteFunc(slices.Clone(candidates), func(machine *candidate) bool { return !slices.Contains(j.record.ReservedMachines, machine.id) })
 }
 
-// recordable tells whether a choice of machines fits the job's record. One that
+// fitsJobRecord tells whether a choice of machines fits the job's record. One that
 // does not would be refused with all else that is in its transaction.
-func (c *Core) recordable(s []share) bool { return len(s) <= c.freeForJob()/14 }
+func (c *Core) fitsJobRecord(placements []placement) bool {
+	return len(placements) <= c.jobRecordBudget()/14
+}
 
-// freeable tells how many tasks of the gang fit once what ranks lower is gone.
-func (c *Core) freeable(r *room, q *queued) int {
-	if r.coming {
+// capacityAfterPreemption tells how many tasks of the gang fit once what ranks lower is gone.
+func (c *Core) capacityAfterPreemption(machine *candidate, job *pendingJob) int {
+	if machine.isProvisioning {
 		return 0
 	}
-	f := *r
-	for _, h := range c.victims(r, q) {
-		f.take(h.desc, -h.n)
+	simulated := *machine
+	for _, alloc := range c.victims(machine, job) {
+		simulated.allocate(alloc.desc, -alloc.count)
 	}
-	return f.fits(q.rec.Desc)
+	return simulated.capacityFor(job.record.Spec)
 }
 
-// roomKept is the choice on record, as long as it still serves.
-func (c *Core) roomKept(q *queued, rooms []*room, n int) []share {
-	if len(q.rec.Room) == 0 {
+// currentReservation is the choice on record, as long as it still serves.
+func (c *Core) currentReservation(job *pendingJob, candidates []*candidate, tasks int) []placement {
+	if len(job.record.ReservedMachines) == 0 {
 		return nil
 	}
-	return c.gangShares(nil, q, q.chosen(rooms), "", n, func(r *room) int { return c.freeable(r, q) })
+	return c.distributeGang(nil, job, job.reservedCandidates(candidates), "", tasks, func(machine *candidate) int { return c.capacityAfterPreemption(machine, job) })
 }
 
-// cheapestRoom chooses the machines on which the least work is lost.
+// cheapestPreemption chooses the machines on which the least work is lost.
 // warm: only of those that have the image.
-func (c *Core) cheapestRoom(q *queued, rooms []*room, zones []protocol.Zone, n int, warm bool) []share {
-	cost := map[*room]float64{}
-	var list []*room
-	for _, r := range rooms {
-		if !r.closed && !r.coming && r.fl.Fits(q.rec.Desc) && (!warm || r.m.hasImage(q.rec.Desc.Image)) {
-			list = append(list, r)
+func (c *Core) cheapestPreemption(job *pendingJob, candidates []*candidate, zones []protocol.Zone, tasks int, requireImage bool) []placement {
+	cost := map[*candidate]float64{}
+	var machines []*candidate
+	for _, machine := range candidates {
+		if !machine.isUnschedulable && !machine.isProvisioning && machine.machineType.CanFitTask(job.record.Spec) && (!requireImage || machine.state.hasImage(job.record.Spec.Image)) {
+			machines = append(machines, machine)
 		}
 	}
-	for _, r := range list {
-		cost[r] = c.roomCost(r, q)
+	for _, machine := range machines {
+		cost[machine] = c.preemptionCost(machine, job)
 	}
-	sort.SliceStable(list, func(i, k int) bool { return cost[list[i]] < cost[list[k]] })
-	for _, z := range zones {
-		if got := c.gangShares(nil, q, list, z, n, func(r *room) int { return c.freeable(r, q) }); got != nil {
-			return got
+	sort.SliceStable(machines, func(i, k int) bool { return cost[machines[i]] < cost[machines[k]] })
+	for _, zone := range zones {
+		if placements := c.distributeGang(nil, job, machines, zone, tasks, func(machine *candidate) int { return c.capacityAfterPreemption(machine, job) }); placements != nil {
+			return placements
 		}
 	}
 	return nil
 }
 
-// roomCost is what making room on a machine costs, in core-seconds: work lost,
+// preemptionCost is what making room on a machine costs, in core-seconds: work lost,
 // and cores that wait for tasks to save or for the image.
-func (c *Core) roomCost(r *room, q *queued) float64 {
-	d := q.rec.Desc
-	need, cost, wait := *r, 0.0, 0.0
-	for _, h := range c.victims(r, q) {
-		if need.fits(d) > 0 {
+func (c *Core) preemptionCost(machine *candidate, job *pendingJob) float64 {
+	d := job.record.Spec
+	simulated, cost, waitSeconds := *machine, 0.0, 0.0
+	for _, alloc := range c.victims(machine, job) {
+		if simulated.capacityFor(d) > 0 {
 			break
 		}
-		need.take(h.desc, -h.n)
-		cost += c.lost(r, h)
-		if h.desc.Saves() {
-			wait = max(wait, h.desc.SaveS)
+		simulated.allocate(alloc.desc, -alloc.count)
+		cost += c.lostWork(machine, alloc)
+		if alloc.desc.CanCheckpoint() {
+			waitSeconds = max(waitSeconds, alloc.desc.CheckpointSaveSeconds)
 		}
 	}
-	if !r.m.hasImage(d.Image) {
-		wait += fetchSeconds(r.fl, d)
+	if !machine.state.hasImage(d.Image) {
+		waitSeconds += imageFetchSeconds(machine.machineType, d)
 	}
-	return cost + wait*d.Cores
+	return cost + waitSeconds*d.Cores
 }
 
-// lost is the work, in core-seconds, that stopping the tasks would throw away.
-func (c *Core) lost(r *room, h held) float64 {
-	if h.desc.Saves() {
-		return float64(h.n) * h.desc.Cores * h.desc.SaveS
+// lostWork is the work, in core-seconds, that stopping the tasks would throw away.
+func (c *Core) lostWork(machine *candidate, alloc allocation) float64 {
+	if alloc.desc.CanCheckpoint() {
+		return float64(alloc.count) * alloc.desc.Cores * alloc.desc.CheckpointSaveSeconds
 	}
-	if h.desc.Daemon() {
-		return float64(h.n) * h.desc.Cores * replicaRun
+	if alloc.desc.IsService() {
+		return float64(alloc.count) * alloc.desc.Cores * replicaStopCostSeconds
 	}
-	return float64(h.n) * h.desc.Cores * c.running(r, h)
+	return float64(alloc.count) * alloc.desc.Cores * c.runningSeconds(machine, alloc)
 }
 
-// assignment is the tasks of a job that one attempt has on a machine.
-type assignment struct {
+// assignmentKey is the tasks of a job that one attempt has on a machine.
+type assignmentKey struct {
 	machine protocol.MachineID
 	job     protocol.JobID
-	try     protocol.Attempt
+	attempt protocol.Attempt
 }
 
 // victims lists what ranks lower on a machine, least loss per core first.
-func (c *Core) victims(r *room, q *queued) []held {
-	var out []held
-	for _, h := range r.used {
-		if h.order > q.order {
-			out = append(out, h)
+func (c *Core) victims(machine *candidate, job *pendingJob) []allocation {
+	var out []allocation
+	for _, alloc := range machine.allocations {
+		if alloc.precedence > job.precedence {
+			out = append(out, alloc)
 		}
 	}
-	loss := func(h held) float64 { return c.lost(r, h) / max(float64(h.n)*h.desc.Cores, eps) }
-	slices.SortStableFunc(out, func(a, z held) int { return cmp.Compare(loss(a), loss(z)) })
+	loss := func(alloc allocation) float64 {
+		return c.lostWork(machine, alloc) / max(float64(alloc.count)*alloc.desc.Cores, epsilon)
+	}
+	slices.SortStableFunc(out, func(a, z allocation) int { return cmp.Compare(loss(a), loss(z)) })
 	return out
 }
 
-// preempt stops up to most of a job's tasks on an owned machine for one of higher rank,
+// preemptTasks stops up to most of a job's tasks on an owned machine for one of higher rank,
 // those that are being stopped already among them.
-func (c *Core) preempt(r *room, h held, for_ *queued, most int) {
-	if !c.mine(r.rec) || c.now.Wall-for_.rec.Sent < 500 {
+func (c *Core) preemptTasks(machine *candidate, alloc allocation, preemptor *pendingJob, maxTasks int) {
+	if !c.ownsMachine(machine.record) || c.now.Wall-preemptor.record.SubmittedAt < 500 {
 		return
 	}
-	m := c.machines[r.id]
-	if m == nil {
+	state := c.machineStates[machine.id]
+	if state == nil {
 		return
 	}
-	if h.desc.Gang() && h.desc.Tasks > 1 && h.desc.Saves() {
-		c.halts[h.job] = h.try // all its tasks must hear of it, not only those here
+	if alloc.desc.IsGang() && alloc.desc.TaskCount > 1 && alloc.desc.CanCheckpoint() {
+		c.gracefulStops[alloc.job] = alloc.attempt // all its tasks must hear of it, not only those here
 		return
 	}
 	grace := 0.0
-	if h.desc.Saves() {
-		grace = h.desc.SaveS + 0.5
+	if alloc.desc.CanCheckpoint() {
+		grace = alloc.desc.CheckpointSaveSeconds + 0.5
 	}
-	for i := range r.rec.Assigned {
-		a := &r.rec.Assigned[i]
-		if a.Job != h.job || a.Try != h.try {
+	for i := range machine.record.Assignments {
+		assigned := &machine.record.Assignments[i]
+		if assigned.Job != alloc.job || assigned.Attempt != alloc.attempt {
 			continue
 		}
-		a.Tasks.Each(func(n int) bool {
-			if s, ok := m.stops[protocol.Task{Job: a.Job, Index: n}]; ok && s.try == a.Try {
-				most--
+		assigned.Tasks.Each(func(index int) bool {
+			if s, ok := state.stopRequests[protocol.Task{Job: assigned.Job, Index: index}]; ok && s.attempt == assigned.Attempt {
+				maxTasks--
 			}
 			return true
 		})
-		a.Tasks.Each(func(n int) bool {
-			t := protocol.Task{Job: a.Job, Index: n}
-			if s, ok := m.stops[t]; most > 0 && (!ok || s.try != a.Try) {
-				c.stop(m, t, a.Try, grace, "makes room for "+string(for_.id))
-				most--
+		assigned.Tasks.Each(func(index int) bool {
+			task := protocol.Task{Job: assigned.Job, Index: index}
+			if s, ok := state.stopRequests[task]; maxTasks > 0 && (!ok || s.attempt != assigned.Attempt) {
+				c.requestStop(state, task, assigned.Attempt, grace, "makes room for "+string(preemptor.id))
+				maxTasks--
 			}
-			return most > 0
+			return maxTasks > 0
 		})
 	}
 }
--- a/internal/coordination/io.go
+++ b/internal/coordination/io.go
@@ -13,171 +13,171 @@
 
 // Now is the time as one step sees it.
 type Now struct {
-	Steady protocol.Instant
-	Wall   protocol.Millis
+	Monotonic protocol.Instant
+	Wall      protocol.Millis
 }
 
-// ReqID ties an answer to its request.
-type ReqID uint64
+// RequestID ties an answer to its request.
+type RequestID uint64
 
 // Inputs of the core.
 type (
 	// UserInput is a request on /work.
 	UserInput struct {
-		Req  ReqID
-		Verb protocol.Verb
-		Job  protocol.JobID
-		Body []byte
+		RequestID RequestID
+		Type      protocol.RequestType
+		Job       protocol.JobID
+		Body      []byte
 	}
-	// ReportInput is a worker's report.
-	ReportInput struct {
-		Req  ReqID
-		Body []byte
+	// HeartbeatInput is a worker's report.
+	HeartbeatInput struct {
+		RequestID RequestID
+		Body      []byte
 	}
 	// CommitResult is the outcome of a transaction.
 	CommitResult struct {
 		ID      uint64
 		Outcome bk.Outcome
-		Answer  protocol.MultiAnswer
+		Result  protocol.TransactionResult
 		Err     error
 	}
-	// LoadResult has all records.
-	LoadResult struct {
-		Items       []protocol.Item
-		From, Until protocol.Rev
-		Err         error
-	}
-	// FollowResult has changes.
-	FollowResult struct {
-		From protocol.Rev
-		News *protocol.Followed
-		Err  error
+	// LoadRecordsResult has all records.
+	LoadRecordsResult struct {
+		Entries                    []protocol.Entry
+		StartRevision, EndRevision protocol.Revision
+		Err                        error
 	}
-	// RevResult is the revision of the state service.
-	RevResult struct {
-		Rev protocol.Rev
-		Err error
+	// WatchResult has changes.
+	WatchResult struct {
+		AfterRevision protocol.Revision
+		Response      *protocol.WatchResponse
+		Err           error
 	}
-	// GrantResult is a new lease.
-	GrantResult struct {
-		Hold protocol.LeaseID
-		Err  error
+	// ReadRevisionResult is the revision of the state service.
+	ReadRevisionResult struct {
+		Revision protocol.Revision
+		Err      error
 	}
-	// ExtendResult is a renewed lease.
-	ExtendResult struct {
-		Hold protocol.LeaseID
-		Err  error
+	// GrantLeaseResult is a new lease.
+	GrantLeaseResult struct {
+		LeaseID protocol.LeaseID
+		Err     error
 	}
-	// FlavorsResult has the machine types.
-	FlavorsResult struct {
-		Flavors []protocol.Flavor
+	// RenewLeaseResult is a renewed lease.
+	RenewLeaseResult struct {
+		LeaseID protocol.LeaseID
 		Err     error
 	}
-	// RentalResult answers a rental. NoCapacity: the cloud has none.
-	RentalResult struct {
-		Hire       protocol.Hire
+	// ListMachineTypesResult has the machine types.
+	ListMachineTypesResult struct {
+		MachineTypes []protocol.MachineType
+		Err          error
+	}
+	// ProvisionMachinesResult answers a rental. NoCapacityBackoff: the cloud has none.
+	ProvisionMachinesResult struct {
+		Request    protocol.ProvisionRequest
 		Machines   []protocol.MachineID
 		NoCapacity bool
 		Invalid    bool
 		Err        error
 	}
-	// ReleaseResult answers a release.
-	ReleaseResult struct {
+	// TerminateMachinesResult answers a release.
+	TerminateMachinesResult struct {
 		Machines []protocol.MachineID
 		Err      error
 	}
-	// ListResult is the cloud's list.
-	ListResult struct {
-		Asked protocol.Instant
-		Hosts []protocol.Host
-		Err   error
+	// ListInstancesResult is the cloud's list.
+	ListInstancesResult struct {
+		RequestedAt protocol.Instant
+		Instances   []protocol.Instance
+		Err         error
 	}
-	// DoResult answers a direct command.
-	DoResult struct {
-		Machine protocol.MachineID
-		Report  *protocol.Report
-		Err     error
+	// AgentResult answers a direct command.
+	AgentResult struct {
+		Machine   protocol.MachineID
+		Heartbeat *protocol.Heartbeat
+		Err       error
 	}
-	// HintInput is what another controller says of itself.
-	HintInput struct{ Hint Hint }
+	// PeerStatusInput is what another controller says of itself.
+	PeerStatusInput struct{ Status PeerStatus }
 	// Tick lets time pass.
 	Tick struct{}
 )
 
-// Hint is all that controllers tell each other. Losing one costs time only.
-type Hint struct {
-	Member  protocol.Member
-	StateOK bool // the sender reaches the state service
-	Run     bk.Run
+// PeerStatus is all that controllers tell each other. Losing one costs time only.
+type PeerStatus struct {
+	ControllerID   protocol.ControllerID
+	StoreReachable bool // the sender reaches the state service
+	Incarnation    bk.Incarnation
 	// The sender can look after more machines: its workers reach it.
-	Fit bool
+	AcceptsShards bool
 	// Machines of other owners whose workers report to the sender: their owners
 	// may be cut off from them.
-	Seen []Seen
+	MisdirectedHeartbeats []MisdirectedHeartbeat
 	// How far the sender's replica is, withdrawals that some may not know of, and those
 	// that the sender answers for.
-	Rev     protocol.Rev
-	Intents []Intent
-	Acks    []protocol.JobID
+	Revision      protocol.Revision
+	CancelIntents []CancelIntent
+	CancelAcks    []protocol.JobID
 }
 
-// Seen is a report of another owner's machine, with its place among all of them.
-type Seen struct {
-	Machine protocol.MachineID
-	Session protocol.Session
-	Tally   protocol.Tally
+// MisdirectedHeartbeat is a report of another owner's machine, with its place among all of them.
+type MisdirectedHeartbeat struct {
+	Machine    protocol.MachineID
+	AgentEpoch protocol.AgentEpoch
+	Sequence   protocol.Sequence
 }
 
 // Effects of the core.
 type (
 	// Reply answers a request.
 	Reply struct {
-		Req        ReqID
-		Status     int
-		RetryAfter int
-		Body       []byte
+		RequestID         RequestID
+		Status            int
+		RetryAfterSeconds int
+		Body              []byte
 	}
 	// Commit sends a transaction.
 	Commit struct {
-		ID    uint64
-		Multi protocol.Multi
+		ID          uint64
+		Transaction protocol.Transaction
 	}
-	// Load reads all records.
-	Load struct{}
-	// Follow waits for changes.
-	Follow struct{ From protocol.Rev }
-	// ReadRev reads the state service's revision.
-	ReadRev struct{}
-	// Grant asks for a lease.
-	Grant struct{ TTL time.Duration }
-	// Extend renews a lease.
-	Extend struct{ Hold protocol.LeaseID }
-	// AskFlavors reads the machine types and prices.
-	AskFlavors struct{}
-	// SendRental rents machines.
-	SendRental struct{ Hire protocol.Hire }
-	// SendRelease gives machines back.
-	SendRelease struct{ Machines []protocol.MachineID }
-	// AskList reads the machine list.
-	AskList struct{}
-	// SendDo commands a worker directly.
-	SendDo struct {
-		Machine protocol.MachineID
-		Addr    string
-		Orders  protocol.Orders
+	// LoadRecords reads all records.
+	LoadRecords struct{}
+	// Watch waits for changes.
+	Watch struct{ AfterRevision protocol.Revision }
+	// ReadRevision reads the state service's revision.
+	ReadRevision struct{}
+	// GrantLease asks for a lease.
+	GrantLease struct{ TTL time.Duration }
+	// RenewLease renews a lease.
+	RenewLease struct{ LeaseID protocol.LeaseID }
+	// ListMachineTypes reads the machine types and prices.
+	ListMachineTypes struct{}
+	// ProvisionMachines rents machines.
+	ProvisionMachines struct{ Request protocol.ProvisionRequest }
+	// TerminateMachines gives machines back.
+	TerminateMachines struct{ Machines []protocol.MachineID }
+	// ListInstances reads the machine list.
+	ListInstances struct{}
+	// SendCommands commands a worker directly.
+	SendCommands struct {
+		Machine  protocol.MachineID
+		Addr     string
+		Commands protocol.Commands
 	}
-	// SendShow asks a worker for its report; a DoResult answers.
-	SendShow struct {
+	// ProbeAgent asks a worker for its report; a AgentResult answers.
+	ProbeAgent struct {
 		Machine protocol.MachineID
 		Addr    string
 	}
-	// SendHint tells the other controllers.
-	SendHint struct{ Hint Hint }
+	// SendPeerStatus tells the other controllers.
+	SendPeerStatus struct{ Status PeerStatus }
 	// Log is a line for the operator.
 	Log struct {
-		Level slog.Level
-		Msg   string
-		Args  []any
+		Level   slog.Level
+		Message string
+		Args    []any
 	}
 )
 
@@ -187,78 +187,78 @@
 	Effect any
 )
 
-// Team has a guarantee and a limit; 0 means none.
-type Team struct {
-	Cores, CoresMax, Accels, AccelsMax float64
+// Quota has a guarantee and a limit; 0 means none.
+type Quota struct {
+	GuaranteedCores, MaxCores, GuaranteedAccelerators, MaxAccelerators float64
 }
 
-func (t Team) limited() bool { return t.CoresMax > 0 || t.AccelsMax > 0 }
+func (t Quota) hasLimit() bool { return t.MaxCores > 0 || t.MaxAccelerators > 0 }
 
-// Aims of a class of jobs, as the platform states them: how soon its tasks
+// Objectives of a class of jobs, as the platform states them: how soon its tasks
 // begin, how soon its jobs are done, and by which multiple of their deadlines.
-type Aims struct {
-	Wait, Finished []time.Duration
-	Times          []float64
+type Objectives struct {
+	StartWithin, FinishWithin []time.Duration
+	DeadlineFactors           []float64
 }
 
 // Config is what the platform and the operator set.
 type Config struct {
-	Member protocol.Member
-	Teams  map[string]Team
-	Aims   map[string]Aims // by class
+	ControllerID protocol.ControllerID
+	Quotas       map[string]Quota
+	Objectives   map[string]Objectives // by class
 
-	Report, Lease, GangPeer, Cancel time.Duration
-	WriteRPS                        float64
-	Peers                           int               // how many other controllers there are
-	Members                         []protocol.Member // and their names
-	TxnOps                          int
-	ValueBytes                      int
-	NextLimits                      *WriteLimits // announced limits of the state service, if there are any
-	ListLag                         time.Duration
-	FollowGap                       time.Duration
-	Seed                            uint64
+	HeartbeatInterval, AgentLeaseTTL, GangPeerTimeout, CancelTimeout time.Duration
+	WritesPerSecond                                                  float64
+	PeerCount                                                        int                     // how many other controllers there are
+	PeerIDs                                                          []protocol.ControllerID // and their names
+	TransactionOps                                                   int
+	ValueBytes                                                       int
+	AnnouncedLimits                                                  *WriteLimits // announced limits of the state service, if there are any
+	InstanceListLag                                                  time.Duration
+	MinWatchInterval                                                 time.Duration
+	Seed                                                             uint64
 
 	Tuning
 }
 
 // Tuning is what an operator may change in the properties file.
 type Tuning struct {
-	HoldTTL      time.Duration // lease of a process run
-	FlushGap     time.Duration // least time between transactions that can wait
-	ReportHold   time.Duration // a report with news waits this long for the write
-	IdleHold     time.Duration // a report of a machine with nothing to do waits this long for something
-	WriteShare   float64       // part of the write budget that one controller uses
-	UserWait     time.Duration // a request gets its final answer by then
-	IdleFactor   float64       // of the time it takes to have an idle machine's like again
-	MinPaid      time.Duration
-	BootFactor   float64
-	BootExtra    time.Duration
-	SilentReturn time.Duration // behind the lease's end
-	SpotWindow   time.Duration
-	SpotPeriod   time.Duration
-	SpotMargin   time.Duration
-	SpotCheck    time.Duration
-	SpotCap      int
-	BalanceGap   time.Duration // least time between pages given to controllers that have fewer
-	RecordMoves  bool          // pages come to rest before they are given, and moves are on record
-	MoveByDemand float64       // part of a controller's share of the machines that follows the demand of its jobs
-	AgeAfter     time.Duration // a job that has not begun by then goes before all others
-	SpotLoss     float64       // reclaims an hour that a machine is reckoned with
-	RentalCap    int
-	NoCapacity   time.Duration // pause after the cloud had none
-	ListEvery    time.Duration
-	ListSilent   time.Duration // and while an owned machine is silent
+	LeaseTTL                   time.Duration // lease of a process run
+	MinCommitInterval          time.Duration // least time between transactions that can wait
+	MaxResponseDelay           time.Duration // a report with news waits this long for the write
+	MaxIdleResponseDelay       time.Duration // a report of a machine with nothing to do waits this long for something
+	WriteBudgetShare           float64       // part of the write budget that one controller uses
+	UserRequestTimeout         time.Duration // a request gets its final answer by then
+	IdleTimeoutFactor          float64       // of the time it takes to have an idle machine's like again
+	MinMachineAge              time.Duration
+	BootTimeoutFactor          float64
+	BootTimeoutMargin          time.Duration
+	SilentScaleInDelay         time.Duration // behind the lease's end
+	SpotPriceWindow            time.Duration
+	SpotPeriod                 time.Duration
+	SpotPeriodEndMargin        time.Duration
+	PriceCheckInterval         time.Duration
+	MaxSpotMachines            int
+	MinRebalanceInterval       time.Duration // least time between pages given to controllers that have fewer
+	RecordTransfers            bool          // pages come to rest before they are given, and moves are on record
+	RebalanceDemandWeight      float64       // part of a controller's share of the machines that follows the demand of its jobs
+	AgingThreshold             time.Duration // a job that has not begun by then goes before all others
+	SpotPreemptionsPerHour     float64       // reclaims an hour that a machine is reckoned with
+	MaxProvisionCount          int
+	NoCapacityBackoff          time.Duration // pause after the cloud had none
+	InstanceListInterval       time.Duration
+	SilentInstanceListInterval time.Duration // and while an owned machine is silent
 }
 
 // DefaultTuning holds the values chosen by measurement; docs/operations.md says how.
 func DefaultTuning() Tuning {
 	return Tuning{
-		HoldTTL: 6 * time.Second, FlushGap: 250 * time.Millisecond, ReportHold: 700 * time.Millisecond,
-		IdleHold: 2500 * time.Millisecond, WriteShare: 0.6, UserWait: 1500 * time.Millisecond,
-		IdleFactor: 2, MinPaid: 60 * time.Second,
-		BootFactor: 2, BootExtra: 15 * time.Second, SilentReturn: 15 * time.Second,
-		SpotWindow: 60 * time.Second, SpotPeriod: 300 * time.Second, SpotMargin: 10 * time.Second,
-		SpotCheck: 10 * time.Second, SpotCap: 5000, SpotLoss: 4, RentalCap: 50, BalanceGap: 3 * time.Second, AgeAfter: 120 * time.Second, NoCapacity: 12 * time.Second,
-		ListEvery: 10 * time.Second, ListSilent: 2500 * time.Millisecond,
+		LeaseTTL: 6 * time.Second, MinCommitInterval: 250 * time.Millisecond, MaxResponseDelay: 700 * time.Millisecond,
+		MaxIdleResponseDelay: 2500 * time.Millisecond, WriteBudgetShare: 0.6, UserRequestTimeout: 1500 * time.Millisecond,
+		IdleTimeoutFactor: 2, MinMachineAge: 60 * time.Second,
+		BootTimeoutFactor: 2, BootTimeoutMargin: 15 * time.Second, SilentScaleInDelay: 15 * time.Second,
+		SpotPriceWindow: 60 * time.Second, SpotPeriod: 300 * time.Second, SpotPeriodEndMargin: 10 * time.Second,
+		PriceCheckInterval: 10 * time.Second, MaxSpotMachines: 5000, SpotPreemptionsPerHour: 4, MaxProvisionCount: 50, MinRebalanceInterval: 3 * time.Second, AgingThreshold: 120 * time.Second, NoCapacityBackoff: 12 * time.Second,
+		InstanceListInterval: 10 * time.Second, SilentInstanceListInterval: 2500 * time.Millisecond,
 	}
 }
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -9,66 +9,66 @@
 	"tillerarch/internal/protocol"
 )
 
-// lease is the state service's lease of this process run: as long as it lives, the run
+// leaseState is the state service's lease of this process run: as long as it lives, the run
 // owns what the records say it owns.
-type lease struct {
-	id        protocol.LeaseID // of the run, or the one to register with; 0: none
-	granting  bool
-	grantAsk  protocol.Instant // when the one that is being granted was asked for
-	grantAt   protocol.Instant // when the next may be
-	extending bool
-	extendAsk protocol.Instant
-	extendAt  protocol.Instant
+type leaseState struct {
+	id                 protocol.LeaseID // of the run, or the one to register with; 0: none
+	isGranting         bool
+	grantRequestedAt   protocol.Instant // when the one that is being granted was asked for
+	grantedOrRetryAt   protocol.Instant // when the next may be
+	isRenewing         bool
+	renewalRequestedAt protocol.Instant
+	nextRenewalAt      protocol.Instant
 }
 
 // tickLease asks for a lease where there is none, and renews it in good time.
 func (c *Core) tickLease() {
-	now := c.now.Steady
-	if c.lease.id == 0 && !c.lease.granting && now >= c.lease.grantAt {
-		c.lease.granting, c.lease.grantAsk = true, now
-		c.emit(Grant{c.cfg.HoldTTL})
+	now := c.now.Monotonic
+	if c.lease.id == 0 && !c.lease.isGranting && now >= c.lease.grantedOrRetryAt {
+		c.lease.isGranting, c.lease.grantRequestedAt = true, now
+		c.emit(GrantLease{c.cfg.LeaseTTL})
 	}
-	if c.lease.id != 0 && !c.lease.extending && now >= c.lease.extendAt && c.since(c.lease.grantAt) > c.cfg.HoldTTL/4 {
-		c.lease.extending, c.lease.extendAsk = true, now
-		c.lease.extendAt = now.Add(c.jitter(c.cfg.HoldTTL / 4))
-		c.emit(Extend{c.lease.id})
+	if c.lease.id != 0 && !c.lease.isRenewing && now >= c.lease.nextRenewalAt && c.since(c.lease.grantedOrRetryAt) > c.cfg.LeaseTTL/4 {
+		c.lease.isRenewing, c.lease.renewalRequestedAt = true, now
+		c.lease.nextRenewalAt = now.Add(c.jitter(c.cfg.LeaseTTL / 4))
+		c.emit(RenewLease{c.lease.id})
 	}
 }
 
-func (c *Core) onGrant(v GrantResult) {
-	c.lease.granting = false
-	if c.heard(c.lease.grantAsk, v.Err) {
-		c.lease.id = v.Hold
-		c.lease.grantAt = c.now.Steady
+func (c *Core) onGrantLeaseResult(v GrantLeaseResult) {
+	c.lease.isGranting = false
+	if c.recordContact(c.lease.grantRequestedAt, v.Err) {
+		c.lease.id = v.LeaseID
+		c.lease.grantedOrRetryAt = c.now.Monotonic
 	} else {
-		c.lease.grantAt = c.now.Steady.Add(c.jitter(500 * time.Millisecond))
+		c.lease.grantedOrRetryAt = c.now.Monotonic.Add(c.jitter(500 * time.Millisecond))
 	}
 }
 
-func (c *Core) onExtend(v ExtendResult) {
-	c.lease.extending = false
-	if errors.Is(v.Err, bk.ErrGone) && v.Hold == c.lease.id {
-		c.log(slog.LevelWarn, "lease has ended", "run", string(c.run))
-		c.self, c.lease.id = 0, 0
+func (c *Core) onRenewLeaseResult(v RenewLeaseResult) {
+	c.lease.isRenewing = false
+	if errors.Is(v.Err, bk.ErrLeaseExpired) && v.LeaseID == c.lease.id {
+		c.log(slog.LevelWarn, "lease has ended", "run", string(c.incarnation))
+		c.registrationRevision, c.lease.id = 0, 0
 	}
-	if !c.heard(c.lease.extendAsk, v.Err) {
-		c.lease.extendAt = c.now.Steady.Add(c.jitter(300 * time.Millisecond))
+	if !c.recordContact(c.lease.renewalRequestedAt, v.Err) {
+		c.lease.nextRenewalAt = c.now.Monotonic.Add(c.jitter(300 * time.Millisecond))
 	}
 }
 
-// checkSelf compares this run with what the state service says of it.
-func (c *Core) checkSelf() {
-	if !c.registered() {
+// checkRegistration compares this run with what the state service says of it.
+func (c *Core) checkRegistration() {
+	if !c.isRegistered() {
 		return
 	}
-	e := c.replica.Members[c.cfg.Member]
-	if e != nil && e.Rec.Run == c.run {
-		c.self = e.Stamp
+	e := c.replica.Controllers[c.cfg.ControllerID]
+	if e != nil && e.Record.Incarnation == c.incarnation {
+		c.registrationRevision = e.ModRevision
 		return
 	}
-	if e == nil && c.replica.Rev < protocol.Rev(c.self) {
+	if e == nil && c.replica.Revision < protocol.Revision(c.registrationRevision) {
 		return // the replica is older than the registration
 	}
-	c.log(slog.LevelWarn, "this run's lease has ended, a new run begins", "run", string(c.run))
-	c.self, c.lease.id = 0, 0
+	c.log(slog.LevelWarn, "this run's lease has ended, a new run begins", "run", string(c.incarnation))
+	c.registrationRevision, c.lease.id = 0, 0
 }
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -10,88 +10,90 @@
 // WriteLimits are what the state service takes: changes a second of all controllers
 // together, changes in a transaction, and bytes in a value.
 type WriteLimits struct {
-	RPS        float64
-	TxnOps     int
-	ValueBytes int
+	WritesPerSecond float64
+	TransactionOps  int
+	ValueBytes      int
 }
 
-// tighter gives the smaller one of each limit.
-func (l WriteLimits) tighter(o WriteLimits) WriteLimits {
-	return WriteLimits{RPS: min(l.RPS, o.RPS), TxnOps: min(l.TxnOps, o.TxnOps), ValueBytes: min(l.ValueBytes, o.ValueBytes)}
+// strictest gives the smaller one of each limit.
+func (l WriteLimits) strictest(other WriteLimits) WriteLimits {
+	return WriteLimits{WritesPerSecond: min(l.WritesPerSecond, other.WritesPerSecond), TransactionOps: min(l.TransactionOps, other.TransactionOps), ValueBytes: min(l.ValueBytes, other.ValueBytes)}
 }
 
-// todaysLimits are those that the state service has before any that are announced.
-func (cfg *Config) todaysLimits() WriteLimits {
-	return WriteLimits{RPS: cfg.WriteRPS, TxnOps: cfg.TxnOps, ValueBytes: cfg.ValueBytes}
+// currentLimits are those that the state service has before any that are announced.
+func (cfg *Config) currentLimits() WriteLimits {
+	return WriteLimits{WritesPerSecond: cfg.WritesPerSecond, TransactionOps: cfg.TransactionOps, ValueBytes: cfg.ValueBytes}
 }
 
-// limits are those that everything written now keeps to. From the moment at which all
+// writeLimits are those that everything written now keeps to. From the moment at which all
 // controllers read the packed format it is the tighter of today's and the announced
 // ones: the announced ones may hold at any time from then on, and nobody says when.
-func (c *Core) limits() WriteLimits {
-	if c.format() < bk.FormatPacked {
-		return c.cfg.todaysLimits()
+func (c *Core) writeLimits() WriteLimits {
+	if c.storageFormat() < bk.FormatPacked {
+		return c.cfg.currentLimits()
 	}
-	return c.acceptable()
+	return c.admissionLimits()
 }
 
-// acceptable are the limits that a new job's record must keep to for good.
-func (c *Core) acceptable() WriteLimits {
-	if c.cfg.NextLimits == nil {
-		return c.cfg.todaysLimits()
+// admissionLimits are the limits that a new job's record must keep to for good.
+func (c *Core) admissionLimits() WriteLimits {
+	if c.cfg.AnnouncedLimits == nil {
+		return c.cfg.currentLimits()
 	}
-	return c.cfg.todaysLimits().tighter(*c.cfg.NextLimits)
+	return c.cfg.currentLimits().strictest(*c.cfg.AnnouncedLimits)
 }
 
-// applyLimits makes the write budget follow the limits.
-func (c *Core) applyLimits() {
-	l := c.limits()
-	full := l.RPS * c.cfg.WriteShare
-	c.rate, c.txCap = full, l.TxnOps
-	burst := max(int(full), l.TxnOps+c.kept(), 4)
-	if c.tokens == nil {
-		c.tokens = rate.NewLimiter(rate.Limit(c.rate), burst)
+// updateWriteLimiter makes the write budget follow the limits.
+func (c *Core) updateWriteLimiter() {
+	limits := c.writeLimits()
+	maxRate := limits.WritesPerSecond * c.cfg.WriteBudgetShare
+	c.writeRate, c.maxTransactionOps = maxRate, limits.TransactionOps
+	burst := max(int(maxRate), limits.TransactionOps+c.reservedUserTokens(), 4)
+	if c.writeLimiter == nil {
+		c.writeLimiter = rate.NewLimiter(rate.Limit(c.writeRate), burst)
 		return
 	}
-	c.tokens.SetLimitAt(c.steady(), rate.Limit(c.rate))
-	c.tokens.SetBurstAt(c.steady(), burst)
+	c.writeLimiter.SetLimitAt(c.limiterTime(), rate.Limit(c.writeRate))
+	c.writeLimiter.SetBurstAt(c.limiterTime(), burst)
 }
 
-// kept is the part of the write tokens that is left for what users ask for.
-func (c *Core) kept() int { return max(c.limits().TxnOps/8, 1) }
+// reservedUserTokens is the part of the write tokens that is left for what users ask for.
+func (c *Core) reservedUserTokens() int { return max(c.writeLimits().TransactionOps/8, 1) }
 
-// adapt sets how much this node writes: all share one budget, and what one may
+// adaptWriteRate sets how much this node writes: all share one budget, and what one may
 // take of it shows in refusals only.
-func (c *Core) adapt(refused bool) {
-	l := c.limits()
-	full := l.RPS * c.cfg.WriteShare
-	if refused {
-		c.rate = max(c.rate*0.8, l.RPS/float64(c.cfg.Peers+1)*0.7)
+func (c *Core) adaptWriteRate(wasBusy bool) {
+	limits := c.writeLimits()
+	maxRate := limits.WritesPerSecond * c.cfg.WriteBudgetShare
+	if wasBusy {
+		c.writeRate = max(c.writeRate*0.8, limits.WritesPerSecond/float64(c.cfg.PeerCount+1)*0.7)
 	} else {
-		c.rate = min(c.rate+full/100, full)
+		c.writeRate = min(c.writeRate+maxRate/100, maxRate)
 	}
-	c.tokens.SetLimitAt(c.steady(), rate.Limit(c.rate))
+	c.writeLimiter.SetLimitAt(c.limiterTime(), rate.Limit(c.writeRate))
 }
 
-// keepsTo tells whether a transaction is within the limits. One that is not would be
+// allows tells whether a transaction is within the limits. One that is not would be
 // refused as a whole each time.
-func (l WriteLimits) keepsTo(m *protocol.Multi) bool {
-	if len(m.Then) > l.TxnOps || len(m.When) > 4*l.TxnOps {
+func (l WriteLimits) allows(transaction *protocol.Transaction) bool {
+	if len(transaction.Operations) > l.TransactionOps || len(transaction.Conditions) > 4*l.TransactionOps {
 		return false
 	}
 	size := 0
-	for _, t := range m.Then {
-		if len(t.Data) > l.ValueBytes {
+	for _, operation := range transaction.Operations {
+		if len(operation.Value) > l.ValueBytes {
 			return false
 		}
-		size += len(t.Data) + len(t.Put) + len(t.Delete)
+		size += len(operation.Value) + len(operation.PutKey) + len(operation.DeleteKey)
 	}
-	return size <= protocol.MaxTxnSize
+	return size <= protocol.MaxTransactionBytes
 }
 
-// minTxnOps is the fewest changes that a transaction is cut down to: with fewer, what
+// minTransactionOps is the fewest changes that a transaction is cut down to: with fewer, what
 // is done could not move from a page to its job.
-const minTxnOps = 2
+const minTransactionOps = 2
 
-// shrink halves what the next transactions may hold, after one that was too large.
-func (c *Core) shrink() { c.txCap = max(c.txCap/2, minTxnOps) }
+// shrinkTransactions halves what the next transactions may hold, after one that was too large.
+func (c *Core) shrinkTransactions() {
+	c.maxTransactionOps = max(c.maxTransactionOps/2, minTransactionOps)
+}
--- /dev/null
+++ b/internal/coordination/machine_state.go
@@ -0,0 +1,327 @@
+package coordination
+
+import (
+	"log/slog"
+	"time"
+
+	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/protocol"
+)
+
+// machineState is what this process remembers of a machine beyond its record.
+type machineState struct {
+	id protocol.MachineID
+
+	latestHeartbeat     *protocol.Heartbeat // newest report
+	taskStatuses        map[protocol.Task]*protocol.TaskStatus
+	confirmedToken      protocol.FencingToken // highest token that the worker has shown
+	tokenConfirmedAt    protocol.Instant      // when it first did
+	lastAgentEpoch      protocol.AgentEpoch   // order of the reports
+	lastSequence        protocol.Sequence     //
+	answeredHeartbeatAt protocol.Instant      // receipt of the last report that was answered with 200
+	answeredToken       protocol.FencingToken // under which it was
+	lastContactAt       protocol.Instant      // any sign of life, or the begin of this ownership
+	lastHeartbeatAt     protocol.Instant      // last report that came by itself, or the begin of this ownership
+
+	deferredRequest  RequestID // a report that waits for its answer
+	deferredAt       protocol.Instant
+	awaitsOwnership  bool // it waits until this node owns the machine
+	hasAnsweredProbe bool // the worker of a machine that is on no record has answered here
+
+	// Whether what is sent to the worker arrives. Its reports may come in all
+	// the while: they say nothing of the way back.
+	awaitsDelivery     bool // the last answer had a start, or a token, that the worker must show
+	deliveryAgentEpoch protocol.AgentEpoch
+	suspectedAt        protocol.Instant // since when it is not sure that it hears; 0: it does
+	firstCallFailureAt protocol.Instant // when the first of the direct commands failed that have failed in a row
+	callFailures       int              // and how many those are
+	commandsLostAt     protocol.Instant // since when it is sure that it does not
+
+	// Starts in the answer that the worker may not have carried out yet. A
+	// report that lacks them proves nothing while they are in flight.
+	inflightStarts map[protocol.Task]protocol.Attempt
+	// Attempts that are being taken back: never started from then on, since
+	// the transaction that takes them back may still be applied.
+	revokedAttempts map[protocol.Task]protocol.Attempt
+	stopRequests    map[protocol.Task]stopRequest
+	callStartedAt   protocol.Instant
+	isCallInFlight  bool
+
+	firstSeenAt          map[protocol.Task]protocol.Instant
+	runningSince         map[protocol.Task]protocol.Instant // since when tasks are seen to run
+	awaitsFirstHeartbeat bool                               // no report has come under this ownership
+	slowdown             slowdown                           // of the machine against others
+	cachedImages         []cachedImage                      // most recently used last
+	jobsWithErrors       map[protocol.JobID]bool
+	quarantinedUntil     protocol.Instant
+	preemptionAt         protocol.Instant // 0: none; else when the cloud takes it
+	idleSince            protocol.Instant
+	isFaulty             bool
+	scaleInReason        string         // why the machine is to go back
+	handOffTarget        bk.Incarnation // a run to which the worker reports instead
+	handOffRequestedAt   protocol.Instant
+	ownerIncarnation     bk.Incarnation
+	ownershipEpoch       bk.ShardEpoch
+	ownershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
+}
+
+type cachedImage struct {
+	name   string
+	sizeGB float64
+}
+
+type stopRequest struct {
+	attempt      protocol.Attempt
+	graceSeconds float64
+}
+
+// jobState is what this process remembers of a job beyond its record.
+type jobState struct {
+	nextAttempt, attemptsEnd protocol.Attempt // attempts set aside for this claim
+	attemptsOwner            bk.Incarnation
+	failedMachines           map[protocol.MachineID]bool
+	placements               int // tasks placed so far, each time counted
+	measuredTasks            int // tasks that were seen from their begin to their end
+	measuredRuntime          time.Duration
+	notBefore                protocol.Instant
+	gangIncompleteAt         protocol.Instant
+	seenAttempt              protocol.Attempt
+	tasksDoneAt              protocol.Instant // since when all its tasks are done, and it is not called done
+	earlyExits               int              // replicas that ended soon after their start, in a row
+	gangAttemptInProgress    protocol.Attempt // of a gang whose assignment takes several transactions
+}
+
+func (c *Core) machineState(id protocol.MachineID) *machineState {
+	m := c.machineStates[id]
+	if m == nil {
+		m = &machineState{id: id, lastContactAt: c.now.Monotonic}
+		m.reset()
+		c.machineStates[id] = m
+	}
+	return m
+}
+
+func (m *machineState) reset() {
+	m.inflightStarts = map[protocol.Task]protocol.Attempt{}
+	m.revokedAttempts = map[protocol.Task]protocol.Attempt{}
+	m.stopRequests = map[protocol.Task]stopRequest{}
+	m.firstSeenAt = map[protocol.Task]protocol.Instant{}
+	m.runningSince = map[protocol.Task]protocol.Instant{}
+	m.awaitsFirstHeartbeat = true
+	m.jobsWithErrors = map[protocol.JobID]bool{}
+}
+
+// slowdown is how long a machine's tasks run, as a multiple of what others of the same
+// jobs do, smoothed over the last few.
+type slowdown struct {
+	samples int
+	ratio   float64
+}
+
+// isSlow tells whether a machine is surely slower than its like: a tenth is usual,
+// and tasks differ by themselves.
+func (p slowdown) isSlow() bool { return p.samples >= minRuntimeSamples && p.ratio > slowMachineRatio }
+
+// startTimeUnknown stands for the begin of a task that another owner saw, or nobody.
+const startTimeUnknown protocol.Instant = -1
+
+const (
+	minRuntimeSamples = 4   // one long task says nothing
+	slowMachineRatio  = 1.8 // estimates of one job's tasks, seen through reports, differ by less
+)
+
+// recordTaskRuntime takes in a task that was done.
+func (c *Core) recordTaskRuntime(m *machineState, task protocol.Task) {
+	startedAt := m.runningSince[task]
+	if startedAt <= 0 {
+		return
+	}
+	state, runtime := c.jobState(task.Job), c.since(startedAt)
+	if state.measuredTasks >= minRuntimeSamples {
+		ratio := runtime.Seconds() / max(state.measuredRuntime.Seconds()/float64(state.measuredTasks), 1)
+		wasSlow := m.slowdown.isSlow()
+		if m.slowdown.samples++; m.slowdown.samples == 1 {
+			m.slowdown.ratio = ratio
+		} else {
+			m.slowdown.ratio += (ratio - m.slowdown.ratio) / minRuntimeSamples
+		}
+		if isSlow := m.slowdown.isSlow(); isSlow != wasSlow {
+			c.log(slog.LevelInfo, "machine is slow", "machine", string(m.id), "on", isSlow, "times", m.slowdown.ratio)
+		}
+	}
+	// Slow machines do not set the measure.
+	if !m.slowdown.isSlow() {
+		state.measuredTasks++
+		state.measuredRuntime += runtime
+	}
+}
+
+func (c *Core) jobState(id protocol.JobID) *jobState {
+	j := c.jobStates[id]
+	if j == nil {
+		j = &jobState{failedMachines: map[protocol.MachineID]bool{}}
+		c.jobStates[id] = j
+	}
+	return j
+}
+
+// ownsMachine tells whether this run owns the machine, as far as it knows.
+func (c *Core) ownsMachine(record *bk.MachineRecord) bool {
+	return c.incarnation != "" && record.Owner == c.incarnation
+}
+
+// trackOwnedMachine begins or goes on with the ownership of a machine: what an earlier
+// owner was told proves nothing under a new token.
+func (c *Core) trackOwnedMachine(entry *bk.Machine, id protocol.MachineID) *machineState {
+	m := c.machineState(id)
+	if m.ownerIncarnation != entry.Record.Owner || m.ownershipEpoch != entry.Record.ShardEpoch {
+		m.ownerIncarnation, m.ownershipEpoch = entry.Record.Owner, entry.Record.ShardEpoch
+		m.ownershipRevision = protocol.Revision(c.replica.Shards[entry.Record.Shard].ModRevision)
+		m.reset()
+		m.answeredHeartbeatAt, m.answeredToken = 0, 0
+		m.lastContactAt, m.lastHeartbeatAt = c.now.Monotonic, c.now.Monotonic
+		m.idleSince = 0
+		m.handOffTarget = ""
+		m.awaitsDelivery, m.suspectedAt, m.callFailures, m.commandsLostAt = false, 0, 0, 0
+	}
+	return m
+}
+
+// currentHeartbeat is the newest report if it was sent under the current token and in
+// the recorded session: only then does what it lacks prove anything.
+func (m *machineState) currentHeartbeat(record *bk.MachineRecord) *protocol.Heartbeat {
+	if m.latestHeartbeat == nil || bk.ShardEpochOf(m.latestHeartbeat.FencingToken) != record.ShardEpoch || m.latestHeartbeat.AgentEpoch != record.AgentEpoch {
+		return nil
+	}
+	return m.latestHeartbeat
+}
+
+func (m *machineState) recordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
+	m.latestHeartbeat = heartbeat
+	m.lastContactAt = now
+	if bk.ShardEpochOf(heartbeat.FencingToken) > bk.ShardEpochOf(m.confirmedToken) {
+		m.tokenConfirmedAt = now
+	}
+	m.confirmedToken = max(m.confirmedToken, heartbeat.FencingToken)
+	m.taskStatuses = make(map[protocol.Task]*protocol.TaskStatus, len(heartbeat.Tasks))
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		m.taskStatuses[status.Task] = status
+		if status.State != protocol.TaskExited && m.firstSeenAt[status.Task] == 0 {
+			m.firstSeenAt[status.Task] = now
+		}
+		if status.State == protocol.TaskRunning && m.runningSince[status.Task] == 0 {
+			if m.runningSince[status.Task] = now; m.awaitsFirstHeartbeat {
+				m.runningSince[status.Task] = startTimeUnknown
+			}
+		}
+	}
+	m.awaitsFirstHeartbeat = false
+	for t := range m.runningSince {
+		if m.taskStatuses[t] == nil {
+			delete(m.runningSince, t)
+		}
+	}
+	for t := range m.firstSeenAt {
+		if status := m.taskStatuses[t]; status == nil || status.State == protocol.TaskExited {
+			delete(m.firstSeenAt, t)
+		}
+	}
+	for t, s := range m.stopRequests {
+		if status := m.taskStatuses[t]; status != nil && status.Attempt != s.attempt {
+			delete(m.stopRequests, t)
+		}
+	}
+	if heartbeat.PreemptionNoticeSeconds != nil {
+		preemptionAt := now.Add(protocol.Seconds(*heartbeat.PreemptionNoticeSeconds))
+		if m.preemptionAt == 0 || preemptionAt < m.preemptionAt {
+			m.preemptionAt = preemptionAt
+		}
+	} else {
+		m.preemptionAt = 0
+	}
+}
+
+func isStale(heartbeat *protocol.Heartbeat, agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
+	return heartbeat.AgentEpoch < agentEpoch || heartbeat.AgentEpoch == agentEpoch && heartbeat.Sequence <= sequence
+}
+
+// forgetMachines drops what is remembered of machines that are on no record.
+func (c *Core) forgetMachines() {
+	for id, m := range c.machineStates {
+		if c.replica.Machines[id] == nil && m.deferredRequest == 0 {
+			delete(c.machineStates, id)
+		}
+	}
+}
+
+// forgetJobs drops what is remembered of jobs that are over.
+func (c *Core) forgetJobs() {
+	for id := range c.jobStates {
+		if e := c.replica.Jobs[id]; e == nil || e.Record.State == protocol.JobDone || e.Record.State.IsTerminal() && len(c.replica.MachinesWithJob(id)) == 0 {
+			delete(c.jobStates, id)
+		}
+	}
+}
+
+// forgetAssignments drops since when tasks have been on machines.
+func (c *Core) forgetAssignments() { clear(c.assignedAt) }
+
+// forgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
+func (c *Core) forgetUnrecordedMachines(earlier *bk.Replica) {
+	for _, e := range earlier.SortedMachines() {
+		if id := e.ID; c.replica.Machines[id] == nil {
+			if m := c.machineStates[id]; m != nil {
+				c.dropDeferredRequest(m)
+				delete(c.machineStates, id)
+			}
+		}
+	}
+}
+
+// onMachinesRemoved forgets machines that have left the records.
+func (c *Core) onMachinesRemoved() {
+	for _, id := range c.replica.PopRemovedMachines() {
+		c.terminatedAt[id] = c.now.Monotonic
+		if m := c.machineStates[id]; m != nil {
+			c.dropDeferredRequest(m)
+			delete(c.machineStates, id)
+		}
+	}
+}
+
+// recordAssignments keeps what rests on the machines' records: since when tasks have
+// been on a machine, and which images it has.
+func (c *Core) recordAssignments(id protocol.MachineID, before, after *bk.MachineRecord) {
+	if before != nil {
+		for i := range before.Assignments {
+			a := &before.Assignments[i]
+			if after == nil || !hasAttempt(after, a) {
+				delete(c.assignedAt, assignmentKey{id, a.Job, a.Attempt})
+			}
+		}
+	}
+	if after == nil {
+		return
+	}
+	for i := range after.Assignments {
+		a := &after.Assignments[i]
+		key := assignmentKey{id, a.Job, a.Attempt}
+		if _, ok := c.assignedAt[key]; ok {
+			continue
+		}
+		c.assignedAt[key] = c.now.Monotonic
+		if job, machineType := c.replica.Jobs[a.Job], c.machineType(after.MachineType); job != nil && job.Record.Spec != nil && machineType != nil {
+			c.recordImage(id, machineType, job.Record.Spec)
+		}
+	}
+}
+
+func hasAttempt(record *bk.MachineRecord, a *bk.Assignment) bool {
+	for i := range record.Assignments {
+		if other := &record.Assignments[i]; other.Job == a.Job && other.Attempt == a.Attempt {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -13,239 +13,239 @@
 // records. What is to change is decided in package shares; this file and moves.go put it
 // into transactions.
 type ownership struct {
-	deadAt  map[bk.Run]protocol.Instant // since when a run is known to be dead
-	handing map[protocol.MachineID]bool // owned ones whose workers report to another controller
-	gaveAt  protocol.Instant            // when machines last left because this controller was no good for them
+	expiredAt       map[bk.Incarnation]protocol.Instant // since when a run is known to be dead
+	pendingHandOffs map[protocol.MachineID]bool         // owned ones whose workers report to another controller
+	lastShedAt      protocol.Instant                    // when machines last left because this controller was no good for them
 }
 
 func newOwnership() ownership {
-	return ownership{deadAt: map[bk.Run]protocol.Instant{}, handing: map[protocol.MachineID]bool{}}
+	return ownership{expiredAt: map[bk.Incarnation]protocol.Instant{}, pendingHandOffs: map[protocol.MachineID]bool{}}
 }
 
-// unfitFor is how long a controller that was no good for its machines is given none.
-const unfitFor = time.Minute
+// sheddingCooldown is how long a controller that was no good for its machines is given none.
+const sheddingCooldown = time.Minute
 
-// fit tells whether this controller may be given machines.
-func (c *Core) fit() bool {
-	return c.strainAt == 0 && (c.ownership.gaveAt == 0 || c.since(c.ownership.gaveAt) > unfitFor)
+// canAcceptMachines tells whether this controller may be given machines.
+func (c *Core) canAcceptMachines() bool {
+	return c.overloadedSince == 0 && (c.ownership.lastShedAt == 0 || c.since(c.ownership.lastShedAt) > sheddingCooldown)
 }
 
-// tickRuns notes since when runs are dead, so that takeovers spread out.
-func (c *Core) tickRuns() {
-	seen := map[bk.Run]bool{}
-	note := func(r bk.Run) {
-		if c.replica.Alive(r) {
+// trackExpiredIncarnations notes since when runs are dead, so that takeovers spread out.
+func (c *Core) trackExpiredIncarnations() {
+	expired := map[bk.Incarnation]bool{}
+	recordIfExpired := func(incarnation bk.Incarnation) {
+		if c.replica.IsAlive(incarnation) {
 			return // nobody's things are a dead run's too
 		}
-		seen[r] = true
-		if _, ok := c.ownership.deadAt[r]; !ok {
-			c.ownership.deadAt[r] = c.now.Steady
+		expired[incarnation] = true
+		if _, ok := c.ownership.expiredAt[incarnation]; !ok {
+			c.ownership.expiredAt[incarnation] = c.now.Monotonic
 		}
 	}
-	for _, p := range c.replica.Pages {
-		note(p.Owner)
+	for _, p := range c.replica.Shards {
+		recordIfExpired(p.Owner)
 	}
-	for _, j := range c.replica.Open {
-		note(j.Rec.Claim)
+	for _, j := range c.replica.UnfinishedJobs {
+		recordIfExpired(j.Record.Owner)
 	}
-	for r := range c.ownership.deadAt {
-		if !seen[r] {
-			delete(c.ownership.deadAt, r)
+	for incarnation := range c.ownership.expiredAt {
+		if !expired[incarnation] {
+			delete(c.ownership.expiredAt, incarnation)
 		}
 	}
 }
 
-// heir tells whether this node is the one to take over what key names.
-func (c *Core) heir(key string) bool {
-	return c.heirAmong(key, func(protocol.Member) bool { return true })
+// isSuccessor tells whether this node is the one to take over what key names.
+func (c *Core) isSuccessor(key string) bool {
+	return c.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
 }
 
-// heirAmong tells the same where some controllers come before all others.
-func (c *Core) heirAmong(key string, first func(protocol.Member) bool) bool {
-	var living, preferred []protocol.Member
-	for member, e := range c.replica.Members {
-		if e.Rec.Run == "" {
+// isSuccessorAmong tells the same where some controllers come before all others.
+func (c *Core) isSuccessorAmong(key string, isPreferred func(protocol.ControllerID) bool) bool {
+	var live, preferred []protocol.ControllerID
+	for controller, e := range c.replica.Controllers {
+		if e.Record.Incarnation == "" {
 			continue
 		}
-		living = append(living, member)
-		if first(member) {
-			preferred = append(preferred, member)
+		live = append(live, controller)
+		if isPreferred(controller) {
+			preferred = append(preferred, controller)
 		}
 	}
 	if len(preferred) > 0 {
-		living = preferred
+		live = preferred
 	}
-	return shares.Heir(living, key) == c.cfg.Member
+	return shares.Successor(live, key) == c.cfg.ControllerID
 }
 
-// pageHeir tells whether this node is the one to take over a page: one that is on its
+// isShardSuccessor tells whether this node is the one to take over a page: one that is on its
 // way falls to the controller to which it goes.
-func (c *Core) pageHeir(id bk.PageID) bool {
-	if _, move := c.replica.MoveOf(id); move != nil && move.Rec.Phase.Pending() && c.replica.Alive(move.Rec.To) {
-		return move.Rec.To == c.run
+func (c *Core) isShardSuccessor(id bk.ShardID) bool {
+	if _, transfer := c.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() && c.replica.IsAlive(transfer.Record.Target) {
+		return transfer.Record.Target == c.incarnation
 	}
-	return c.heirAmong(bk.PageKey(id), func(m protocol.Member) bool { return !c.replica.Draining(m) })
+	return c.isSuccessorAmong(bk.ShardKey(id), func(controller protocol.ControllerID) bool { return !c.replica.IsDraining(controller) })
 }
 
-// writeOwners writes what changes of ownership there are: machines that report here and
+// writeOwnershipChanges writes what changes of ownership there are: machines that report here and
 // have no owner, pages whose owner is dead and that fall to this node, moves.
-func (c *Core) writeOwners(b *batch) {
+func (c *Core) writeOwnershipChanges(b *batch) {
 	c.writeAdoptions(b)
-	if len(c.ownership.deadAt) > 0 {
-		c.writeTakeovers(b)
+	if len(c.ownership.expiredAt) > 0 {
+		c.writeFailovers(b)
 	}
-	c.writeMoves(b)
-	c.writeRequests(b)
-	if len(c.ownership.deadAt) == 0 {
-		c.planMoves(b)
+	c.advanceTransfers(b)
+	c.writeOperatorRequests(b)
+	if len(c.ownership.expiredAt) == 0 {
+		c.rebalance(b)
 	}
 }
 
 // writeAdoptions puts machines that report here and are on no record on a page, and takes
 // over the pages of those whose owner is dead.
 func (c *Core) writeAdoptions(b *batch) {
-	for _, id := range sorted(c.adopting) {
-		m := c.machines[id]
-		if !b.canAdd() {
+	for _, id := range sortedKeys(c.awaitingOwner) {
+		m := c.machineStates[id]
+		if !b.canAddMachine() {
 			break
 		}
 		e := c.replica.Machines[id]
 		if e == nil {
-			if !m.shown {
+			if !m.hasAnsweredProbe {
 				continue
 			}
-			b.add(id, &bk.MachineRecord{Session: m.rep.Session, Addr: m.rep.Addr, Type: m.rep.Type, Zone: m.rep.Zone,
-				Spot: m.rep.Spot, Since: c.now.Wall}, m.rep.FencingToken)
-			b.log(slog.LevelInfo, "machine adopted", "machine", string(id), "type", string(m.rep.Type), "zone", string(m.rep.Zone))
-		} else if at, dead := c.ownership.deadAt[e.Rec.Owner]; dead && b.hasRoom(c.takeoverOps(e.Rec.Page)) &&
-			shares.TakeoverDue(c.since(at), c.pageHeir(e.Rec.Page), true) {
+			b.addMachine(id, &bk.MachineRecord{AgentEpoch: m.latestHeartbeat.AgentEpoch, Address: m.latestHeartbeat.Addr, MachineType: m.latestHeartbeat.Type, Zone: m.latestHeartbeat.Zone,
+				Spot: m.latestHeartbeat.Spot, AddedAt: c.now.Wall}, m.latestHeartbeat.FencingToken)
+			b.log(slog.LevelInfo, "machine adopted", "machine", string(id), "type", string(m.latestHeartbeat.Type), "zone", string(m.latestHeartbeat.Zone))
+		} else if expiredAt, expired := c.ownership.expiredAt[e.Record.Owner]; expired && b.hasCapacity(c.failoverOps(e.Record.Shard)) &&
+			shares.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(e.Record.Shard), true) {
 			// Not whoever hears of it first: when all come back, the first one
 			// would have the whole fleet.
-			c.takeOver(b, e.Rec.Page, m.rep.FencingToken)
+			c.failOverShard(b, e.Record.Shard, m.latestHeartbeat.FencingToken)
 		}
 	}
 }
 
-// writeTakeovers takes over the pages of dead runs that fall to this node.
-func (c *Core) writeTakeovers(b *batch) {
-	for _, id := range sorted(c.replica.Pages) {
-		p := c.replica.Pages[id]
-		at, dead := c.ownership.deadAt[p.Owner]
-		if !dead || b.pages[id] != nil || !b.hasRoom(c.takeoverOps(id)) || !shares.TakeoverDue(c.since(at), c.pageHeir(id), false) {
+// writeFailovers takes over the pages of dead runs that fall to this node.
+func (c *Core) writeFailovers(b *batch) {
+	for _, id := range sortedKeys(c.replica.Shards) {
+		shard := c.replica.Shards[id]
+		expiredAt, expired := c.ownership.expiredAt[shard.Owner]
+		if !expired || b.shards[id] != nil || !b.hasCapacity(c.failoverOps(id)) || !shares.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(id), false) {
 			continue
 		}
-		c.takeOver(b, id, 0)
+		c.failOverShard(b, id, 0)
 	}
 }
 
-// takeoverOps is how many changes it takes to take over a page, and to end its move.
-func (c *Core) takeoverOps(id bk.PageID) int {
-	ops := c.pageOps(id)
-	if _, move := c.replica.MoveOf(id); move != nil && move.Rec.Phase.Pending() {
+// failoverOps is how many changes it takes to take over a page, and to end its move.
+func (c *Core) failoverOps(id bk.ShardID) int {
+	ops := c.shardWriteOps(id)
+	if _, transfer := c.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() {
 		ops++
 	}
 	return ops
 }
 
-// takeOver makes this run the owner of a page, with all machines on it. A move that the
+// failOverShard makes this run the owner of a page, with all machines on it. A move that the
 // dead owner had begun ends with it.
-func (c *Core) takeOver(b *batch, id bk.PageID, above protocol.FencingToken) {
-	d := b.page(id)
-	if d.owner == c.run {
+func (c *Core) failOverShard(b *batch, id bk.ShardID, observedToken protocol.FencingToken) {
+	d := b.mutableShard(id)
+	if d.owner == c.incarnation {
 		return
 	}
-	b.log(slog.LevelInfo, "page taken over", "page", string(id), "machines", len(d.ids), "from", string(d.owner), "epoch", uint64(d.epoch+1))
-	d.owner = c.run
-	d.epoch = max(d.epoch, bk.EpochOf(above)) + 1
-	c.endMoveByTakeover(b, id)
+	b.log(slog.LevelInfo, "page taken over", "page", string(id), "machines", len(d.machineIDs), "from", string(d.owner), "epoch", uint64(d.epoch+1))
+	d.owner = c.incarnation
+	d.epoch = max(d.epoch, bk.ShardEpochOf(observedToken)) + 1
+	c.endTransferOnFailover(b, id)
 }
 
-// givePage makes another run the owner of a page, with all machines on it. It rests on
+// transferShard makes another run the owner of a page, with all machines on it. It rests on
 // that run's key: a page never goes to a run that has ended.
-func (c *Core) givePage(b *batch, id bk.PageID, to bk.Run, why string) {
-	d := b.page(id)
-	b.on(bk.MemberKey(to.Member()))
-	d.owner = to
+func (c *Core) transferShard(b *batch, id bk.ShardID, target bk.Incarnation, reason string) {
+	d := b.mutableShard(id)
+	b.dependOn(bk.ControllerKey(target.Controller()))
+	d.owner = target
 	d.epoch++
-	b.log(slog.LevelInfo, "page handed over", "page", string(id), "machines", len(d.ids), "to", string(to), "why", why)
+	b.log(slog.LevelInfo, "page handed over", "page", string(id), "machines", len(d.machineIDs), "to", string(target), "why", reason)
 }
 
-// handOver moves machines that report to another controller to a page of it. A
+// handOffMachines moves machines that report to another controller to a page of it. A
 // page most of whose machines do so goes over as a whole: one change, where a node
 // that has lost its workers has hundreds to give. There is nothing to prepare: what
 // this node sends does not reach those workers.
-func (c *Core) handOver(b *batch) {
-	ids, wanted := c.straying()
-	for _, id := range sorted(wanted) {
-		best, all := bk.Run(""), 0
-		for _, to := range sorted(wanted[id]) {
-			if all += wanted[id][to]; best == "" || wanted[id][to] > wanted[id][best] {
-				best = to
+func (c *Core) handOffMachines(b *batch) {
+	ids, targetCounts := c.misdirectedMachines()
+	for _, id := range sortedKeys(targetCounts) {
+		target, total := bk.Incarnation(""), 0
+		for _, incarnation := range sortedKeys(targetCounts[id]) {
+			if total += targetCounts[id][incarnation]; target == "" || targetCounts[id][incarnation] > targetCounts[id][target] {
+				target = incarnation
 			}
 		}
-		page := c.replica.Pages[id]
-		if shares.WholePage(len(page.Machines), all, c.talking(page)) && b.hasRoom(c.pageOps(id)) && b.pages[id] == nil {
-			c.ownership.gaveAt = c.now.Steady
-			c.givePage(b, id, best, shares.WhyReportThere)
+		shard := c.replica.Shards[id]
+		if shares.ShouldHandOffShard(len(shard.Machines), total, c.countResponsive(shard)) && b.hasCapacity(c.shardWriteOps(id)) && b.shards[id] == nil {
+			c.ownership.lastShedAt = c.now.Monotonic
+			c.transferShard(b, id, target, shares.ReasonMisdirectedHeartbeats)
 		}
 	}
-	c.handOverSingly(b, ids)
+	c.handOffIndividually(b, ids)
 }
 
-// straying lists the owned machines whose workers report to another controller and not
+// misdirectedMachines lists the owned machines whose workers report to another controller and not
 // here, and for each page how many report to which.
-func (c *Core) straying() (ids []protocol.MachineID, wanted map[bk.PageID]map[bk.Run]int) {
-	wanted = map[bk.PageID]map[bk.Run]int{}
-	for _, id := range sorted(c.ownership.handing) {
+func (c *Core) misdirectedMachines() (ids []protocol.MachineID, targetCounts map[bk.ShardID]map[bk.Incarnation]int) {
+	targetCounts = map[bk.ShardID]map[bk.Incarnation]int{}
+	for _, id := range sortedKeys(c.ownership.pendingHandOffs) {
 		e := c.replica.Machines[id]
-		if e == nil || !c.mine(&e.Rec) {
-			delete(c.ownership.handing, id)
+		if e == nil || !c.ownsMachine(&e.Record) {
+			delete(c.ownership.pendingHandOffs, id)
 			continue
 		}
 		// What an earlier ownership was told is forgotten first.
-		m := c.own(e, id)
-		if m.handTo == "" || c.since(m.handAt) > c.cfg.Report+4*time.Second {
-			delete(c.ownership.handing, id)
+		m := c.trackOwnedMachine(e, id)
+		if m.handOffTarget == "" || c.since(m.handOffRequestedAt) > c.cfg.HeartbeatInterval+4*time.Second {
+			delete(c.ownership.pendingHandOffs, id)
 			continue
 		}
-		if !c.quiet(m) || !c.replica.Alive(m.handTo) || e.Rec.Releasing {
+		if !c.hasMissedHeartbeat(m) || !c.replica.IsAlive(m.handOffTarget) || e.Record.Terminating {
 			continue
 		}
-		if wanted[e.Rec.Page] == nil {
-			wanted[e.Rec.Page] = map[bk.Run]int{}
+		if targetCounts[e.Record.Shard] == nil {
+			targetCounts[e.Record.Shard] = map[bk.Incarnation]int{}
 		}
-		wanted[e.Rec.Page][m.handTo]++
+		targetCounts[e.Record.Shard][m.handOffTarget]++
 		ids = append(ids, id)
 	}
-	return ids, wanted
+	return ids, targetCounts
 }
 
-// handOverSingly moves machines to new pages of the controllers that their workers reach.
-func (c *Core) handOverSingly(b *batch, ids []protocol.MachineID) {
-	to := map[bk.Run]bk.PageID{}
+// handOffIndividually moves machines to new pages of the controllers that their workers reach.
+func (c *Core) handOffIndividually(b *batch, ids []protocol.MachineID) {
+	newShards := map[bk.Incarnation]bk.ShardID{}
 	for _, id := range ids {
-		m, e := c.machines[id], c.replica.Machines[id]
-		if d := b.pages[e.Rec.Page]; d != nil && d.owner != c.run || !b.hasRoom(2) {
+		m, e := c.machineStates[id], c.replica.Machines[id]
+		if d := b.shards[e.Record.Shard]; d != nil && d.owner != c.incarnation || !b.hasCapacity(2) {
 			continue
 		}
 		// A page takes what fits into a value, whatever still begins there.
-		if page := to[m.handTo]; page == "" || b.pages[page].size+c.written(len(c.replica.Line(id))) > c.limits().ValueBytes*3/4 {
-			to[m.handTo] = b.newPage(m.handTo, e.Rec.Epoch+1)
-			b.on(bk.MemberKey(m.handTo.Member()))
+		if shard := newShards[m.handOffTarget]; shard == "" || b.shards[shard].estimatedSize+c.estimateEncodedSize(len(c.replica.EncodedLine(id))) > c.writeLimits().ValueBytes*3/4 {
+			newShards[m.handOffTarget] = b.newShard(m.handOffTarget, e.Record.ShardEpoch+1)
+			b.dependOn(bk.ControllerKey(m.handOffTarget.Controller()))
 		}
-		if page := to[m.handTo]; b.pages[page].epoch > e.Rec.Epoch {
-			b.move(id, page)
-			b.machines[id].Drain = false
-			c.ownership.gaveAt = c.now.Steady
-			b.log(slog.LevelInfo, "machine handed over, its worker reports there", "machine", string(id), "to", string(m.handTo))
+		if shard := newShards[m.handOffTarget]; b.shards[shard].epoch > e.Record.ShardEpoch {
+			b.moveMachine(id, shard)
+			b.machines[id].Cordoned = false
+			c.ownership.lastShedAt = c.now.Monotonic
+			b.log(slog.LevelInfo, "machine handed over, its worker reports there", "machine", string(id), "to", string(m.handOffTarget))
 		}
 	}
 }
 
-// talking counts the machines of an own page whose workers have been heard of lately.
-func (c *Core) talking(p *bk.Page) (n int) {
-	for _, id := range p.Machines {
-		if e := c.replica.Machines[id]; e != nil && e.Rec.Session > 0 && !c.quiet(c.own(e, id)) {
+// countResponsive counts the machines of an own page whose workers have been heard of lately.
+func (c *Core) countResponsive(shard *bk.Shard) (n int) {
+	for _, id := range shard.Machines {
+		if e := c.replica.Machines[id]; e != nil && e.Record.AgentEpoch > 0 && !c.hasMissedHeartbeat(c.trackOwnedMachine(e, id)) {
 			n++
 		}
 	}
--- a/internal/coordination/peer_wire.go
+++ b/internal/coordination/peer_wire.go
@@ -12,47 +12,47 @@
 
 // PeerStatusWire is the form in which a Hint travels between controllers.
 type PeerStatusWire struct {
-	Member  protocol.Member
+	Member  protocol.ControllerID
 	StateOK bool
-	Run     bk.Run
+	Run     bk.Incarnation
 	Fit     bool
-	Seen    []seenWire
-	Rev     protocol.Rev
-	Intents []intentWire
+	Seen    []misdirectedHeartbeatWire
+	Rev     protocol.Revision
+	Intents []cancelIntentWire
 	Acks    []protocol.JobID
 }
 
-type seenWire struct {
+type misdirectedHeartbeatWire struct {
 	Machine protocol.MachineID
-	Session protocol.Session
-	Tally   protocol.Tally
+	Session protocol.AgentEpoch
+	Tally   protocol.Sequence
 }
 
-type intentWire struct {
+type cancelIntentWire struct {
 	Job protocol.JobID
-	Rev protocol.Rev
+	Rev protocol.Revision
 }
 
 // Wire converts a status to the form in which it is sent.
-func (h *Hint) Wire() *PeerStatusWire {
-	wire := &PeerStatusWire{Member: h.Member, StateOK: h.StateOK, Run: h.Run, Fit: h.Fit, Rev: h.Rev, Acks: h.Acks}
-	for _, s := range h.Seen {
-		wire.Seen = append(wire.Seen, seenWire{Machine: s.Machine, Session: s.Session, Tally: s.Tally})
+func (s *PeerStatus) Wire() *PeerStatusWire {
+	wire := &PeerStatusWire{Member: s.ControllerID, StateOK: s.StoreReachable, Run: s.Incarnation, Fit: s.AcceptsShards, Rev: s.Revision, Acks: s.CancelAcks}
+	for _, misdirected := range s.MisdirectedHeartbeats {
+		wire.Seen = append(wire.Seen, misdirectedHeartbeatWire{Machine: misdirected.Machine, Session: misdirected.AgentEpoch, Tally: misdirected.Sequence})
 	}
-	for _, in := range h.Intents {
-		wire.Intents = append(wire.Intents, intentWire{Job: in.Job, Rev: in.Rev})
+	for _, intent := range s.CancelIntents {
+		wire.Intents = append(wire.Intents, cancelIntentWire{Job: intent.Job, Rev: intent.Revision})
 	}
 	return wire
 }
 
 // Status converts a received message to the type that the core works with.
-func (w *PeerStatusWire) Status() Hint {
-	status := Hint{Member: w.Member, StateOK: w.StateOK, Run: w.Run, Fit: w.Fit, Rev: w.Rev, Acks: w.Acks}
-	for _, s := range w.Seen {
-		status.Seen = append(status.Seen, Seen{Machine: s.Machine, Session: s.Session, Tally: s.Tally})
+func (w *PeerStatusWire) Status() PeerStatus {
+	status := PeerStatus{ControllerID: w.Member, StoreReachable: w.StateOK, Incarnation: w.Run, AcceptsShards: w.Fit, Revision: w.Rev, CancelAcks: w.Acks}
+	for _, misdirected := range w.Seen {
+		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, MisdirectedHeartbeat{Machine: misdirected.Machine, AgentEpoch: misdirected.Session, Sequence: misdirected.Tally})
 	}
-	for _, in := range w.Intents {
-		status.Intents = append(status.Intents, Intent{Job: in.Job, Rev: in.Rev})
+	for _, intent := range w.Intents {
+		status.CancelIntents = append(status.CancelIntents, CancelIntent{Job: intent.Job, Revision: intent.Rev})
 	}
 	return status
 }
--- /dev/null
+++ b/internal/coordination/provisioning.go
@@ -0,0 +1,273 @@
+package coordination
+
+import (
+	"cmp"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/shares"
+)
+
+// poolKey names the machines of one type, zone and kind: the cloud runs out of each
+// of these pools alone.
+type poolKey struct {
+	machineType protocol.MachineTypeName
+	zone        protocol.Zone
+	spot        bool
+}
+
+// pendingProvision is a rental request that is not over yet.
+type pendingProvision struct {
+	request         protocol.ProvisionRequest
+	requestedAt     protocol.Instant
+	inFlight        bool
+	retryAt         protocol.Instant
+	grantedMachines []protocol.MachineID // as granted; their records are still to be written
+}
+
+// provisioningState keeps this run's rental requests, and which pools had no machines of late.
+type provisioningState struct {
+	requests    map[string]*pendingProvision
+	sequence    int
+	exhaustedAt map[poolKey]protocol.Instant // when a pool last had fewer machines than asked for
+}
+
+func newProvisioningState() provisioningState {
+	return provisioningState{requests: map[string]*pendingProvision{}, exhaustedAt: map[poolKey]protocol.Instant{}}
+}
+
+// isGranted tells whether a machine is one of those that a request was answered with.
+func (p *provisioningState) isGranted(id protocol.MachineID) bool {
+	for _, request := range p.requests {
+		if slices.Contains(request.grantedMachines, id) {
+			return true
+		}
+	}
+	return false
+}
+
+// pendingPools lists the pools that a request is under way for.
+func (p *provisioningState) pendingPools() map[poolKey]bool {
+	pools := map[poolKey]bool{}
+	for _, request := range p.requests {
+		pools[request.pool()] = true
+	}
+	return pools
+}
+
+func (p *pendingProvision) pool() poolKey {
+	return poolKey{p.request.Type, p.request.Zone, p.request.Spot}
+}
+
+// unmetDemand is work that no machine, up or coming, can take.
+type unmetDemand struct {
+	job         protocol.JobID
+	desc        *protocol.Job
+	tasks       int
+	zone        protocol.Zone // the only one it may be in, if not empty
+	order       int
+	submittedAt protocol.Millis
+	// All pools are asked for it at once; else dearer ones only where cheaper ones have
+	// no machines.
+	urgent bool
+}
+
+// minDemandAge is the age from which a job's unmet demand counts: a younger one may
+// not have been planned by its claimant yet.
+const minDemandAge protocol.Millis = 300
+
+// maxPoolCostRatio is how many times as dear as the cheapest pool another one may be that is
+// asked beside it for work that is not urgent.
+const maxPoolCostRatio = 1.05
+
+// maxPlanAge is the age up to which a plan may be acted on.
+const maxPlanAge = 2 * time.Second
+
+// scaleOut asks the cloud for what the claimed jobs need and no machine, up or
+// coming, can take.
+func (c *Core) scaleOut() {
+	c.retryProvisioning()
+	if c.storeUnavailable() || c.since(c.lastPlan.computedAt) > maxPlanAge {
+		return
+	}
+	slices.SortStableFunc(c.unmetDemands, func(a, z unmetDemand) int { return cmp.Compare(a.order, z.order) })
+	pendingPools := c.provisioning.pendingPools()
+	spotCount := c.countSpotMachines()
+	for _, d := range c.unmetDemands {
+		if c.now.Wall-d.submittedAt >= minDemandAge {
+			c.provisionForDemand(d, pendingPools, spotCount)
+		}
+	}
+	c.unmetDemands = c.unmetDemands[:0]
+}
+
+// retryProvisioning sends requests again that had no answer.
+func (c *Core) retryProvisioning() {
+	for _, name := range sortedKeys(c.provisioning.requests) {
+		r := c.provisioning.requests[name]
+		if r.grantedMachines == nil && !r.inFlight && c.now.Monotonic >= r.retryAt {
+			r.inFlight = true
+			c.emit(ProvisionMachines{r.request})
+		}
+	}
+}
+
+func (c *Core) countSpotMachines() int {
+	n := 0
+	for _, e := range c.replica.Machines {
+		if e.Record.Spot {
+			n++
+		}
+	}
+	return n
+}
+
+// provisionForDemand sends the requests for one job's demand, at most one at a time to a pool.
+func (c *Core) provisionForDemand(d unmetDemand, pendingPools map[poolKey]bool, spotCount int) {
+	remaining := d.tasks
+	cheapest := 0.0
+	for _, p := range c.poolsByCost(d) {
+		if c.isPoolExhausted(p.key) {
+			continue
+		}
+		if cheapest == 0 {
+			cheapest = p.costPerTask
+		}
+		if remaining <= 0 || !d.urgent && p.costPerTask > cheapest*maxPoolCostRatio {
+			return
+		}
+		if pendingPools[p.key] {
+			continue
+		}
+		n := min((remaining+p.tasksPerMachine-1)/p.tasksPerMachine, c.cfg.MaxProvisionCount, protocol.MaxProvisionCount)
+		if p.key.spot {
+			n = min(n, c.cfg.MaxSpotMachines-spotCount)
+		}
+		if n <= 0 {
+			continue
+		}
+		pendingPools[p.key] = true
+		c.sendProvisionRequest(p.key, n, d.job)
+		remaining -= n * p.tasksPerMachine
+	}
+}
+
+func (c *Core) sendProvisionRequest(pool poolKey, count int, job protocol.JobID) {
+	c.provisioning.sequence++
+	name := fmt.Sprintf("%s-%d", c.incarnation, c.provisioning.sequence)
+	request := protocol.ProvisionRequest{RequestID: name, Type: pool.machineType, Zone: pool.zone, Spot: pool.spot, Count: count}
+	c.provisioning.requests[name] = &pendingProvision{request: request, requestedAt: c.now.Monotonic, inFlight: true}
+	c.log(slog.LevelInfo, "machines are rented", "hire", name, "type", string(pool.machineType), "zone", string(pool.zone),
+		"spot", pool.spot, "count", count, "for", string(job))
+	c.emit(ProvisionMachines{request})
+}
+
+// isPoolExhausted tells whether the cloud had too few machines of a pool just now.
+func (c *Core) isPoolExhausted(p poolKey) bool {
+	at, known := c.provisioning.exhaustedAt[p]
+	return known && c.since(at) < c.cfg.NoCapacityBackoff
+}
+
+// pricedPool is what could be rented for a job.
+type pricedPool struct {
+	key             poolKey
+	tasksPerMachine int // tasks of the job on one machine
+	costPerTask     float64
+}
+
+// poolsByCost lists what could be rented for a job, cheapest per task first.
+func (c *Core) poolsByCost(d unmetDemand) []pricedPool {
+	var out []pricedPool
+	for i := range c.machineTypes {
+		f := &c.machineTypes[i]
+		tasksPerMachine := machineTypeCapacity(f, d.desc)
+		if tasksPerMachine == 0 {
+			continue
+		}
+		for _, z := range f.Zones {
+			if !d.desc.AllowsPlacement(f.Name, z) || d.zone != "" && z != d.zone {
+				continue
+			}
+			tasks := float64(min(tasksPerMachine, d.tasks))
+			out = append(out, pricedPool{poolKey{f.Name, z, false}, tasksPerMachine, f.OnDemandPrice / tasks})
+			if t := c.spotThresholds[priceKey{f.Name, z}]; !d.desc.IsService() && c.canUseSpot(d.desc, f) && t != nil && t.AllowsSpot() {
+				out = append(out, pricedPool{poolKey{f.Name, z, true}, tasksPerMachine, f.SpotPrice / tasks})
+			}
+		}
+	}
+	slices.SortStableFunc(out, func(a, z pricedPool) int {
+		// Controllers differ in the zone that they try first.
+		return cmp.Or(cmp.Compare(a.costPerTask, z.costPerTask), cmp.Compare(c.zonePreference(z), c.zonePreference(a)))
+	})
+	return out
+}
+
+func (c *Core) zonePreference(p pricedPool) uint64 {
+	return shares.RendezvousWeight(string(c.cfg.ControllerID), string(p.key.zone))
+}
+
+// machineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
+func machineTypeCapacity(f *protocol.MachineType, j *protocol.Job) int {
+	return (&candidate{cores: f.Cores, accelerators: f.Accelerators, memoryGB: f.MemoryGB}).capacityFor(j)
+}
+
+// onProvisionResult takes the answer to a rental request.
+func (c *Core) onProvisionResult(v ProvisionMachinesResult) {
+	r := c.provisioning.requests[v.Request.RequestID]
+	if r == nil {
+		return
+	}
+	r.inFlight = false
+	pool := r.pool()
+	switch {
+	case v.NoCapacity:
+		c.provisioning.exhaustedAt[pool] = c.now.Monotonic
+		delete(c.provisioning.requests, v.Request.RequestID)
+		c.log(slog.LevelInfo, "cloud has no capacity", "type", string(pool.machineType), "zone", string(pool.zone), "spot", pool.spot)
+	case v.Invalid:
+		c.provisioning.exhaustedAt[pool] = c.now.Monotonic
+		delete(c.provisioning.requests, v.Request.RequestID)
+		c.log(slog.LevelError, "cloud calls the rental malformed", "hire", v.Request.RequestID)
+	case v.Err != nil:
+		// It may have been carried out: the same name is asked again.
+		r.retryAt = c.now.Monotonic.Add(c.jitter(time.Second))
+		c.log(slog.LevelWarn, "rental without answer is repeated", "hire", v.Request.RequestID, "err", v.Err.Error())
+	default:
+		if len(v.Machines) < v.Request.Count {
+			c.provisioning.exhaustedAt[pool] = c.now.Monotonic
+		}
+		r.grantedMachines = v.Machines
+		if len(v.Machines) == 0 {
+			delete(c.provisioning.requests, v.Request.RequestID)
+		}
+		c.log(slog.LevelInfo, "machines come", "hire", v.Request.RequestID, "machines", len(v.Machines), "asked", v.Request.Count)
+	}
+}
+
+// recordGrantedMachines puts granted machines on record.
+func (c *Core) recordGrantedMachines(b *batch) {
+	for _, name := range sortedKeys(c.provisioning.requests) {
+		r := c.provisioning.requests[name]
+		if r.grantedMachines == nil {
+			continue
+		}
+		missing := 0
+		for _, id := range r.grantedMachines {
+			if _, released := c.terminatedAt[id]; released || c.replica.Machines[id] != nil {
+				continue
+			}
+			missing++
+			if b.machines[id] == nil && b.canAddMachine() {
+				b.addMachine(id, &bk.MachineRecord{MachineType: r.request.Type, Zone: r.request.Zone, Spot: r.request.Spot,
+					AddedAt: c.now.Wall - protocol.Millis(c.since(r.requestedAt).Milliseconds())}, 0)
+			}
+		}
+		if missing == 0 {
+			delete(c.provisioning.requests, name)
+		}
+	}
+}
--- a/internal/coordination/rentals_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -13,40 +13,40 @@
 
 // Small machines are cheap by the core and slow to boot, large ones the other way round.
 var (
-	smallType = protocol.Flavor{Sku: "small", Cores: 4, MemGB: 8, Rate: 0.16, LowPrice: 0.06, ReadyS: 40, FetchGBPerS: 0.25, Zones: []protocol.Zone{"a", "b"}}
-	largeType = protocol.Flavor{Sku: "large", Cores: 16, MemGB: 32, Rate: 0.64, LowPrice: 0.27, ReadyS: 15, FetchGBPerS: 0.8, Zones: []protocol.Zone{"a", "b"}}
+	smallMachineType = protocol.MachineType{Name: "small", Cores: 4, MemoryGB: 8, OnDemandPrice: 0.16, SpotPrice: 0.06, BootSeconds: 40, ImagePullGBPerSecond: 0.25, Zones: []protocol.Zone{"a", "b"}}
+	largeMachineType = protocol.MachineType{Name: "large", Cores: 16, MemoryGB: 32, OnDemandPrice: 0.64, SpotPrice: 0.27, BootSeconds: 15, ImagePullGBPerSecond: 0.8, Zones: []protocol.Zone{"a", "b"}}
 )
 
-func twoTypes(t *testing.T) *Core {
+func newCoreWithTwoMachineTypes(t *testing.T) *Core {
 	t.Helper()
-	c, step := begin(t)
-	step(0, FlavorsResult{Flavors: []protocol.Flavor{smallType, largeType}})
+	c, step := newReadyCore(t)
+	step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType}})
 	return c
 }
 
-func task(cores, reckon float64) *protocol.Job {
-	return &protocol.Job{UID: "j-1", Class: "lane", Team: "core", Shape: protocol.Batch, Tasks: 10, Cores: cores, MemGB: cores, Spot: true,
-		Image: "b", EstimateS: reckon}
+func newArrayJob(cores, estimate float64) *protocol.Job {
+	return &protocol.Job{ID: "j-1", Class: "lane", Team: "core", Kind: protocol.KindArray, TaskCount: 10, Cores: cores, MemoryGB: cores, AllowSpot: true,
+		Image: "b", EstimatedRunSeconds: estimate}
 }
 
-// testJob is a queued job whose tasks had this long to begin when it came, just now.
-func (c *Core) testJob(d *protocol.Job, slack time.Duration) *queued {
-	by := c.now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &queued{id: d.UID, rec: &bk.JobRecord{Desc: d, Claim: c.run, Sent: c.now.Wall}, startBy: by, beginBy: by}
-	q.urgent = c.urgent(q)
+// newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
+func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *pendingJob {
+	latestStart := c.now.Wall + protocol.Millis(slack.Milliseconds())
+	q := &pendingJob{id: d.ID, record: &bk.JobRecord{Spec: d, Owner: c.incarnation, SubmittedAt: c.now.Wall}, latestStart: latestStart, initialLatestStart: latestStart}
+	q.isUrgent = c.needsWarmCapacity(q)
 	return q
 }
 
-func machineOf(f *protocol.Flavor, id protocol.MachineID, spot bool) *room {
-	return &room{id: id, rec: &bk.MachineRecord{Type: f.Sku, Zone: "a", Spot: spot}, fl: f, cores: f.Cores, mem: f.MemGB}
+func newCandidate(f *protocol.MachineType, id protocol.MachineID, spot bool) *candidate {
+	return &candidate{id: id, record: &bk.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, machineType: f, cores: f.Cores, memoryGB: f.MemoryGB}
 }
 
 // Work that can wait is rented the cheapest machines only: else steady machines at
 // several times the price would be asked for while spot ones are on their way. Work
 // that is urgent asks for all at once.
-func TestRentalPools(t *testing.T) {
-	small := poolKey{"small", "a", true}
-	other := func(p poolKey) poolKey { p.zone = "b"; return p }
+func TestProvisioningPools(t *testing.T) {
+	smallSpotPool := poolKey{"small", "a", true}
+	inOtherZone := func(p poolKey) poolKey { p.zone = "b"; return p }
 	for _, c := range []struct {
 		name    string
 		cores   float64
@@ -55,25 +55,25 @@
 		want    []string // type and kind of the requests
 	}{
 		{"what can wait takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
-		{"and the next only once that has no more", 4, false, []poolKey{small, other(small)}, []string{"large spot", "large spot"}},
-		{"one zone is left", 4, false, []poolKey{small}, []string{"small spot"}},
+		{"and the next only once that has no more", 4, false, []poolKey{smallSpotPool, inOtherZone(smallSpotPool)}, []string{"large spot", "large spot"}},
+		{"one zone is left", 4, false, []poolKey{smallSpotPool}, []string{"small spot"}},
 		{"what is urgent takes all", 4, true, nil, []string{"small spot", "small spot", "large spot", "large spot", "small steady", "small steady", "large steady", "large steady"}},
 		{"large tasks fit one type", 16, false, nil, []string{"large spot", "large spot"}},
 	} {
-		core := twoTypes(t)
-		core.out = nil
+		core := newCoreWithTwoMachineTypes(t)
+		core.effects = nil
 		for _, p := range c.refused {
-			core.rentals.refused[p] = core.now.Steady
+			core.provisioning.exhaustedAt[p] = core.now.Monotonic
 		}
-		core.rentFor(unmetDemand{job: "j-1", desc: task(c.cores, 20), tasks: 5000, urgent: c.urgent}, map[poolKey]bool{}, 0)
+		core.provisionForDemand(unmetDemand{job: "j-1", desc: newArrayJob(c.cores, 20), tasks: 5000, urgent: c.urgent}, map[poolKey]bool{}, 0)
 		var got []string
-		for _, e := range core.out {
-			if v, ok := e.(SendRental); ok {
+		for _, e := range core.effects {
+			if v, ok := e.(ProvisionMachines); ok {
 				kind := " steady"
-				if v.Hire.Spot {
+				if v.Request.Spot {
 					kind = " spot"
 				}
-				got = append(got, string(v.Hire.Type)+kind)
+				got = append(got, string(v.Request.Type)+kind)
 			}
 		}
 		slices.Sort(got)
@@ -86,7 +86,7 @@
 
 // Nothing is rented for tasks that can follow those which run, as far as the job's
 // slack and the run times tell; a machine is counted once.
-func TestTasksToFollow(t *testing.T) {
+func TestBackfillReservations(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		runs   float64       // what runs there is reckoned to run so long
@@ -103,23 +103,23 @@
 		{"what runs longer than reckoned is given more time", 200, 300 * time.Second, 60 * time.Second, false, false, 0},
 		{"a machine that takes no new task is no hope", 20, 15 * time.Second, 60 * time.Second, false, true, 0},
 	} {
-		core := twoTypes(t)
-		q := core.testJob(task(4, 20), c.slack)
-		q.aged = c.aged
-		var rooms []*room
+		core := newCoreWithTwoMachineTypes(t)
+		q := core.newPendingJob(newArrayJob(4, 20), c.slack)
+		q.isStarved = c.aged
+		var candidates []*candidate
 		for _, id := range []protocol.MachineID{"m-1", "m-2"} {
-			r := machineOf(&smallType, id, false)
-			r.closed = c.closed
-			running := task(4, c.runs)
-			r.take(running, 1)
-			r.used = []held{{job: "j-2", try: 1, n: 1, desc: running}}
-			core.assignedAt[assignment{id, "j-2", 1}] = core.now.Steady.Add(-c.ran)
-			rooms = append(rooms, r)
+			r := newCandidate(&smallMachineType, id, false)
+			r.isUnschedulable = c.closed
+			running := newArrayJob(4, c.runs)
+			r.allocate(running, 1)
+			r.allocations = []allocation{{job: "j-2", attempt: 1, count: 1, desc: running}}
+			core.assignedAt[assignmentKey{id, "j-2", 1}] = core.now.Monotonic.Add(-c.ran)
+			candidates = append(candidates, r)
 		}
-		if got := core.tasksToFollow(q, rooms, 10); got != c.want {
+		if got := core.reserveBackfill(q, candidates, 10); got != c.want {
 			t.Errorf("%s: %d follow; wanted %d", c.name, got, c.want)
 		}
-		if got := core.tasksToFollow(q, rooms, 10); got != 0 {
+		if got := core.reserveBackfill(q, candidates, 10); got != 0 {
 			t.Errorf("%s: %d more follow on the same machines", c.name, got)
 		}
 	}
@@ -142,22 +142,22 @@
 		{"none for work that can wait", 2, 0, 600, 100, nil},
 		{"all where most is urgent", 2, 0, 8, 1, []protocol.MachineID{"m-1", "m-2", "m-3", "m-4"}},
 	} {
-		core := twoTypes(t)
-		work := func(n int, lane string, slack time.Duration) *queued {
-			d := task(4, 20)
-			d.Tasks, d.Class = n, lane
-			return core.testJob(d, slack)
+		core := newCoreWithTwoMachineTypes(t)
+		newWork := func(n int, class string, slack time.Duration) *pendingJob {
+			d := newArrayJob(4, 20)
+			d.TaskCount, d.Class = n, class
+			return core.newPendingJob(d, slack)
 		}
-		rooms := []*room{machineOf(&smallType, "m-1", false), machineOf(&smallType, "m-2", false),
-			machineOf(&smallType, "m-3", true), machineOf(&smallType, "m-4", true)}
+		candidates := []*candidate{newCandidate(&smallMachineType, "m-1", false), newCandidate(&smallMachineType, "m-2", false),
+			newCandidate(&smallMachineType, "m-3", true), newCandidate(&smallMachineType, "m-4", true)}
 		slack := time.Duration(c.slack) * time.Second
-		other := work(c.other, "other", 10*time.Minute)
-		core.warm.observe(core.now.Steady, []*queued{work(c.urgent, "urgent", slack), other})
-		core.warm.observe(core.now.Steady, []*queued{work(c.now, "urgent", slack), other})
-		core.warm.choose(rooms, core.mayUse)
+		other := newWork(c.other, "other", 10*time.Minute)
+		core.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.urgent, "urgent", slack), other})
+		core.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.now, "urgent", slack), other})
+		core.warmPool.selectRetained(candidates, core.isMachineAllowed)
 		var got []protocol.MachineID
-		for _, r := range rooms {
-			if core.warm.needs(r.id) {
+		for _, r := range candidates {
+			if core.warmPool.shouldRetain(r.id) {
 				got = append(got, r.id)
 			}
 		}
@@ -170,35 +170,35 @@
 // While tasks wait that fit one type only, jobs that can have a cheaper type in time
 // leave it to them. Small tasks of high rank used to fill the machines that had been
 // rented for large ones, which then were rented the dearest.
-func TestContendedTypes(t *testing.T) {
+func TestContendedMachineTypes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		waiting float64 // cores of the tasks that found no machine; 0: there are none
 		ago     time.Duration
 		slack   time.Duration
 		refused bool // the cloud has no small ones
-		want    []protocol.Sku
+		want    []protocol.MachineTypeName
 	}{
 		{"nobody waits", 0, 0, 90 * time.Second, false, nil},
-		{"large tasks wait", 16, 0, 90 * time.Second, false, []protocol.Sku{"large"}},
+		{"large tasks wait", 16, 0, 90 * time.Second, false, []protocol.MachineTypeName{"large"}},
 		{"they did some time ago", 16, 5 * time.Second, 90 * time.Second, false, nil},
 		{"a small machine would come too late", 16, 0, 30 * time.Second, false, nil},
 		{"there are no small machines", 16, 0, 90 * time.Second, true, nil},
 		{"small tasks wait", 4, 0, 90 * time.Second, false, nil},
 	} {
-		core := twoTypes(t)
+		core := newCoreWithTwoMachineTypes(t)
 		if c.waiting > 0 {
-			core.noteContention(core.testJob(task(c.waiting, 20), time.Minute))
+			core.recordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
 		}
-		core.now.Steady = core.now.Steady.Add(c.ago)
+		core.now.Monotonic = core.now.Monotonic.Add(c.ago)
 		if c.refused {
-			for _, z := range smallType.Zones {
-				core.rentals.refused[poolKey{"small", z, true}] = core.now.Steady
-				core.rentals.refused[poolKey{"small", z, false}] = core.now.Steady
+			for _, z := range smallMachineType.Zones {
+				core.provisioning.exhaustedAt[poolKey{"small", z, true}] = core.now.Monotonic
+				core.provisioning.exhaustedAt[poolKey{"small", z, false}] = core.now.Monotonic
 			}
 		}
-		core.planned.contended = core.contended()
-		got := slices.Sorted(maps.Keys(core.leaves(core.testJob(task(4, 20), c.slack))))
+		core.lastPlan.contendedTypes = core.contendedTypes()
+		got := slices.Sorted(maps.Keys(core.typesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: leaves %v; wanted %v", c.name, got, c.want)
 		}
@@ -207,27 +207,27 @@
 
 // A placement for a task that has to begin before its machine reports by itself makes
 // the machine's worker report at once; nothing else does.
-func TestPressing(t *testing.T) {
-	core := twoTypes(t)
-	core.cfg.Report = 6 * time.Second
+func TestExpediteUrgentTasks(t *testing.T) {
+	core := newCoreWithTwoMachineTypes(t)
+	core.cfg.HeartbeatInterval = 6 * time.Second
 	for _, c := range []struct {
 		slack time.Duration
 		late  bool
 		want  bool
 	}{{8 * time.Second, false, true}, {60 * time.Second, false, false}, {time.Second, true, false}} {
-		q := core.testJob(task(4, 20), c.slack)
-		q.late = c.late
-		if got := core.pressing(q); got != c.want {
+		q := core.newPendingJob(newArrayJob(4, 20), c.slack)
+		q.isLate = c.late
+		if got := core.shouldExpedite(q); got != c.want {
 			t.Errorf("slack %v, late %v: %v", c.slack, c.late, got)
 		}
 	}
-	r := machineOf(&smallType, "m-1", false)
-	r.rec.Owner = core.run
-	m := core.mstate("m-1")
-	for held, want := range map[ReqID]bool{0: true, 5: false} {
-		m.held = held
-		if got := core.waitsForReport(r); got != want {
-			t.Errorf("report held as %d: %v", held, got)
+	r := newCandidate(&smallMachineType, "m-1", false)
+	r.record.Owner = core.incarnation
+	m := core.machineState("m-1")
+	for deferred, want := range map[RequestID]bool{0: true, 5: false} {
+		m.deferredRequest = deferred
+		if got := core.awaitsHeartbeat(r); got != want {
+			t.Errorf("report held as %d: %v", deferred, got)
 		}
 	}
 }
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -17,382 +17,386 @@
 // is quicker than to fetch an image or to rent a machine.
 
 const (
-	// slowFetch is a fetch that takes longer than to make room on a machine which has
+	// slowImageFetch is a fetch that takes longer than to make room on a machine which has
 	// the image.
-	slowFetch = 3 * time.Second
-	// smallTypes is how many times the cores of the smallest type that fits a machine
+	slowImageFetch = 3 * time.Second
+	// largeTypeFactor is how many times the cores of the smallest type that fits a machine
 	// may have to take replicas before all others are full: one that never ends would
 	// keep gangs off a large machine for good.
-	smallTypes = 4
-	// replicaRun is what stopping a replica is taken to cost, in seconds of its run.
-	replicaRun = 60
-	// spotReplica puts spot machines behind all others for replicas.
-	spotReplica = 400
-	// quickEnd is the time from its placement within which the end of a replica counts as
+	largeTypeFactor = 4
+	// replicaStopCostSeconds is what stopping a replica is taken to cost, in seconds of its run.
+	replicaStopCostSeconds = 60
+	// spotReplicaPenalty puts spot machines behind all others for replicas.
+	spotReplicaPenalty = 400
+	// earlyExitWindow is the time from its placement within which the end of a replica counts as
 	// a failure.
-	quickEnd = 20 * time.Second
+	earlyExitWindow = 20 * time.Second
 	// Bounds of the pause before a replica of a job that fails again and again.
-	firstPause = time.Second
-	maxPause   = 30 * time.Second
-	// noEnd stands for the end of what does not end.
-	noEnd = 24 * time.Hour
-	// moveAhead is how long before its machine is taken a replica is stopped, so that
+	minRestartBackoff = time.Second
+	maxRestartBackoff = 30 * time.Second
+	// unboundedRuntime stands for the end of what does not end.
+	unboundedRuntime = 24 * time.Hour
+	// evictionLeadTime is how long before its machine is taken a replica is stopped, so that
 	// it can begin elsewhere at once.
-	moveAhead = 3 * time.Second
+	evictionLeadTime = 3 * time.Second
 )
 
 // placeReplicas places the replicas of a daemon that do not run.
-func (c *Core) placeReplicas(b *batch, q *queued, rooms []*room) {
-	d := q.rec.Desc
-	p := replicaPlacement{c: c, b: b, q: q, rooms: rooms, left: min(d.Tasks-q.placed, c.teamRoom(rooms, d)),
-		here: map[protocol.MachineID]int{}, used: map[protocol.MachineID]int{}}
-	if p.left <= 0 {
+func (c *Core) placeReplicas(b *batch, job *pendingJob, candidates []*candidate) {
+	d := job.record.Spec
+	p := replicaPlacer{core: c, batch: b, job: job, candidates: candidates, remaining: min(d.TaskCount-job.placedTasks, c.quotaHeadroom(candidates, d)),
+		replicasByMachine: map[protocol.MachineID]int{}, reservationUsed: map[protocol.MachineID]int{}}
+	if p.remaining <= 0 {
 		return
 	}
-	p.ours = c.ours(b, q) && c.now.Steady >= c.jstate(q.id).notBefore && !b.failed[q.id]
-	if p.ours {
-		p.open = c.openTasks(b, q, p.left)
-		p.left = min(p.left, len(p.open))
+	p.canWrite = c.canWritePlacements(b, job) && c.now.Monotonic >= c.jobState(job.id).notBefore && !b.failedServices[job.id]
+	if p.canWrite {
+		p.pending = c.pendingTasks(b, job, p.remaining)
+		p.remaining = min(p.remaining, len(p.pending))
 	}
-	for id := range c.replica.On(q.id) {
-		for a := range c.replica.Machines[id].Rec.Of(q.id) {
-			p.here[id] += a.Tasks.Len()
+	for id := range c.replica.MachinesWithJob(job.id) {
+		for a := range c.replica.Machines[id].Record.AssignmentsOf(job.id) {
+			p.replicasByMachine[id] += a.Tasks.Len()
 		}
 	}
-	q.leaves = c.largeTypes(d)
-	warm := func(r *room) bool { return c.fetchTime(r, d) < slowFetch }
-	anywhere := func(*room) bool { return true }
-	p.onFree(warm)
-	p.byStopping(warm)
-	p.byChoice(warm)
+	job.avoidedTypes = c.largeMachineTypes(d)
+	fetchesQuickly := func(machine *candidate) bool { return c.imageFetchTime(machine, d) < slowImageFetch }
+	anyMachine := func(*candidate) bool { return true }
+	p.placeOnFree(fetchesQuickly)
+	p.placeByPreemption(fetchesQuickly)
+	p.placeByReservation(fetchesQuickly)
 	// One on each machine that has to fetch the image: the more machines have it, the
 	// more of the next replicas begin at once.
-	p.spread = true
-	p.onFree(anywhere)
-	p.spread = false
-	p.onFree(anywhere)
-	p.byStopping(anywhere)
-	p.byChoice(anywhere)
+	p.onePerMachine = true
+	p.placeOnFree(anyMachine)
+	p.onePerMachine = false
+	p.placeOnFree(anyMachine)
+	p.placeByPreemption(anyMachine)
+	p.placeByReservation(anyMachine)
 	// To run beside each other is better than not to run.
-	p.crowd = true
-	p.onFree(anywhere)
-	q.leaves = nil
-	p.onFree(anywhere)
-	if p.left > 0 && q.rec.Claim == c.run {
-		c.demand = append(c.demand, unmetDemand{job: q.id, desc: d, tasks: p.left, zone: q.onlyZone(), order: q.order,
-			sent: q.rec.Sent, urgent: true})
+	p.unlimitedPerMachine = true
+	p.placeOnFree(anyMachine)
+	job.avoidedTypes = nil
+	p.placeOnFree(anyMachine)
+	if p.remaining > 0 && job.record.Owner == c.incarnation {
+		c.unmetDemands = append(c.unmetDemands, unmetDemand{job: job.id, desc: d, tasks: p.remaining, zone: job.pinnedZone(), order: job.precedence,
+			submittedAt: job.record.SubmittedAt, urgent: true})
 	}
 }
 
-// replicaPlacement is one pass over the replicas of one job.
-type replicaPlacement struct {
-	c     *Core
-	b     *batch
-	q     *queued
-	rooms []*room
-	ours  bool  // this run writes the job's placements
-	open  []int // replicas to place, where it does
-	left  int
-	here  map[protocol.MachineID]int // replicas of the job on a machine
-	used  map[protocol.MachineID]int // replicas that the choice on record has been used for
+// replicaPlacer is one pass over the replicas of one job.
+type replicaPlacer struct {
+	core              *Core
+	batch             *batch
+	job               *pendingJob
+	candidates        []*candidate
+	canWrite          bool  // this run writes the job's placements
+	pending           []int // replicas to place, where it does
+	remaining         int
+	replicasByMachine map[protocol.MachineID]int // replicas of the job on a machine
+	reservationUsed   map[protocol.MachineID]int // replicas that the choice on record has been used for
 	// How many replicas of the job a machine may have: spread: one; crowd: any number.
-	spread, crowd bool
+	onePerMachine, unlimitedPerMachine bool
 }
 
-// most is how many more replicas of the job the machine should have: half of them at
+// maxReplicasOn is how many more replicas of the job the machine should have: half of them at
 // most, as long as there are others, so that the loss of one does not stop the service.
-func (p *replicaPlacement) most(r *room) int {
-	most := (p.q.rec.Desc.Tasks + 1) / 2
+func (p *replicaPlacer) maxReplicasOn(machine *candidate) int {
+	maxReplicas := (p.job.record.Spec.TaskCount + 1) / 2
 	switch {
-	case p.spread:
-		most = 1
-	case p.crowd:
-		most = p.q.rec.Desc.Tasks
+	case p.onePerMachine:
+		maxReplicas = 1
+	case p.unlimitedPerMachine:
+		maxReplicas = p.job.record.Spec.TaskCount
 	}
-	return min(max(most-p.here[r.id], 0), p.left, p.q.zoneRoom(r.rec.Zone))
+	return min(max(maxReplicas-p.replicasByMachine[machine.id], 0), p.remaining, p.job.zoneHeadroom(machine.record.Zone))
 }
 
-// onFree places replicas where there is room.
-func (p *replicaPlacement) onFree(good func(*room) bool) {
-	if p.left <= 0 {
+// placeOnFree places replicas where there is room.
+func (p *replicaPlacer) placeOnFree(isEligible func(*candidate) bool) {
+	if p.remaining <= 0 {
 		return
 	}
-	for _, r := range p.c.candidates(p.b, p.q, false) {
-		if n := min(r.fits(p.q.rec.Desc), p.most(r)); n > 0 && good(r) {
-			p.take(r, n)
+	for _, machine := range p.core.rankedCandidates(p.batch, p.job, false) {
+		if n := min(machine.capacityFor(p.job.record.Spec), p.maxReplicasOn(machine)); n > 0 && isEligible(machine) {
+			p.placeOn(machine, n)
 		}
 	}
 }
 
-// take places n replicas on a machine that has room for them.
-func (p *replicaPlacement) take(r *room, n int) {
-	c := p.c
-	written := p.ours && !r.coming && c.writable(p.b, r, p.q.rec.Desc)
-	c.putTasks(p.b, p.q, r, n, written, p.nextOpen(n))
-	p.here[r.id] += n
-	p.left -= n
+// placeOn places n replicas on a machine that has room for them.
+func (p *replicaPlacer) placeOn(machine *candidate, count int) {
+	c := p.core
+	writeNow := p.canWrite && !machine.isProvisioning && c.fitsTransaction(p.batch, machine, p.job.record.Spec)
+	c.planTasks(p.batch, p.job, machine, count, writeNow, p.nextPending(count))
+	p.replicasByMachine[machine.id] += count
+	p.remaining -= count
 }
 
-func (p *replicaPlacement) nextOpen(n int) []int {
-	if !p.ours {
+func (p *replicaPlacer) nextPending(n int) []int {
+	if !p.canWrite {
 		return nil
 	}
-	next := p.open[:n]
-	p.open = p.open[n:]
+	next := p.pending[:n]
+	p.pending = p.pending[n:]
 	return next
 }
 
-// byStopping makes room for replicas on own machines by stopping what ranks lower. The
+// placeByPreemption makes room for replicas on own machines by stopping what ranks lower. The
 // claimant of the job chooses among its own machines only: no other controller makes
 // room for the same replicas then, and nothing has to be written before.
-func (p *replicaPlacement) byStopping(good func(*room) bool) {
-	if p.left <= 0 || !p.ours {
+func (p *replicaPlacer) placeByPreemption(isEligible func(*candidate) bool) {
+	if p.remaining <= 0 || !p.canWrite {
 		return
 	}
-	for _, r := range p.cheapest(func(r *room) bool { return p.c.mine(r.rec) && good(r) }) {
-		p.stopOn(r, p.left, true)
+	for _, machine := range p.cheapestToPreempt(func(machine *candidate) bool { return p.core.ownsMachine(machine.record) && isEligible(machine) }) {
+		p.preemptOn(machine, p.remaining, true)
 	}
 }
 
-// byChoice makes room where own machines don't do, on those of other controllers too:
+// placeByReservation makes room where own machines don't do, on those of other controllers too:
 // the claimant puts its choice on record, a machine once for each replica, and their
 // owners stop tasks there.
-func (p *replicaPlacement) byChoice(good func(*room) bool) {
-	c, q := p.c, p.q
-	if p.left <= 0 {
+func (p *replicaPlacer) placeByReservation(isEligible func(*candidate) bool) {
+	c, job := p.core, p.job
+	if p.remaining <= 0 {
 		return
 	}
-	chosen := p.cheapest(func(r *room) bool { return p.leftOf(q.rec.Room, r) > 0 && good(r) })
-	room := 0
-	for _, r := range chosen {
-		room += min(c.freeable(r, q), p.most(r), p.leftOf(q.rec.Room, r))
+	chosen := p.cheapestToPreempt(func(machine *candidate) bool {
+		return p.remainingReservation(job.record.ReservedMachines, machine) > 0 && isEligible(machine)
+	})
+	capacity := 0
+	for _, machine := range chosen {
+		capacity += min(c.capacityAfterPreemption(machine, job), p.maxReplicasOn(machine), p.remainingReservation(job.record.ReservedMachines, machine))
 	}
-	if p.ours && room < p.left && p.b.hasRoom(p.b.needs("", q.id)) {
-		if better := p.choose(good, room); better != nil {
+	if p.canWrite && capacity < p.remaining && p.batch.hasCapacity(p.batch.writesNeeded("", job.id)) {
+		if better := p.reserveMachines(isEligible, capacity); better != nil {
 			chosen = better
 		}
 	}
-	onRecord := c.replica.Jobs[q.id].Rec.Room
-	for _, r := range chosen {
-		before := p.left
-		p.stopOn(r, p.leftOf(p.b.viewJob(q.id).Room, r), slices.Contains(onRecord, r.id))
-		p.used[r.id] += before - p.left
+	reserved := c.replica.Jobs[job.id].Record.ReservedMachines
+	for _, machine := range chosen {
+		before := p.remaining
+		p.preemptOn(machine, p.remainingReservation(p.batch.jobRecord(job.id).ReservedMachines, machine), slices.Contains(reserved, machine.id))
+		p.reservationUsed[machine.id] += before - p.remaining
 	}
 }
 
-// leftOf counts the replicas that a choice has for a machine and that this pass has not
+// remainingReservation counts the replicas that a choice has for a machine and that this pass has not
 // provided for yet.
-func (p *replicaPlacement) leftOf(choice []protocol.MachineID, r *room) int {
-	n := -p.used[r.id]
-	for _, id := range choice {
-		if id == r.id {
+func (p *replicaPlacer) remainingReservation(reservation []protocol.MachineID, machine *candidate) int {
+	n := -p.reservationUsed[machine.id]
+	for _, id := range reservation {
+		if id == machine.id {
 			n++
 		}
 	}
 	return n
 }
 
-// choose puts machines on record on which room is made, if that is for more replicas than
+// reserveMachines puts machines on record on which room is made, if that is for more replicas than
 // the choice on record is.
-func (p *replicaPlacement) choose(good func(*room) bool, onRecord int) []*room {
-	var choice []share
-	left := p.left
-	for _, r := range p.cheapest(good) {
-		for range min(p.c.freeable(r, p.q), p.most(r), left) {
-			choice = append(choice, share{r, 1})
-			left--
+func (p *replicaPlacer) reserveMachines(isEligible func(*candidate) bool, reservedCount int) []*candidate {
+	var placements []placement
+	remaining := p.remaining
+	for _, machine := range p.cheapestToPreempt(isEligible) {
+		for range min(p.core.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), remaining) {
+			placements = append(placements, placement{machine, 1})
+			remaining--
 		}
 	}
-	if len(choice) <= onRecord || !p.c.recordable(choice) {
+	if len(placements) <= reservedCount || !p.core.fitsJobRecord(placements) {
 		return nil
 	}
-	p.b.writeRoom(p.q.id, choice, "room is made for replicas")
-	var rooms []*room
-	for _, s := range choice {
-		rooms = append(rooms, s.r)
+	p.batch.recordReservation(p.job.id, placements, "room is made for replicas")
+	var machines []*candidate
+	for _, chosen := range placements {
+		machines = append(machines, chosen.machine)
 	}
-	return slices.Compact(rooms)
+	return slices.Compact(machines)
 }
 
-// cheapest lists machines on which lower ranked tasks can be stopped for replicas, those
+// cheapestToPreempt lists machines on which lower ranked tasks can be stopped for replicas, those
 // first where that costs least.
-func (p *replicaPlacement) cheapest(good func(*room) bool) []*room {
-	c := p.c
-	cost := map[*room]float64{}
-	var list []*room
-	for _, r := range p.rooms {
-		if !r.coming && !r.closed && !p.q.leaves[r.rec.Type] && c.mayUse(p.q.rec.Desc, r) && good(r) && c.freeable(r, p.q) > 0 {
-			cost[r] = c.stopCost(r, p.q)
-			list = append(list, r)
+func (p *replicaPlacer) cheapestToPreempt(isEligible func(*candidate) bool) []*candidate {
+	c := p.core
+	cost := map[*candidate]float64{}
+	var machines []*candidate
+	for _, machine := range p.candidates {
+		if !machine.isProvisioning && !machine.isUnschedulable && !p.job.avoidedTypes[machine.record.MachineType] && c.isMachineAllowed(p.job.record.Spec, machine) && isEligible(machine) && c.capacityAfterPreemption(machine, p.job) > 0 {
+			cost[machine] = c.replicaStartCost(machine, p.job)
+			machines = append(machines, machine)
 		}
 	}
-	slices.SortStableFunc(list, func(a, z *room) int { return cmp.Compare(cost[a], cost[z]) })
-	return list
+	slices.SortStableFunc(machines, func(a, z *candidate) int { return cmp.Compare(cost[a], cost[z]) })
+	return machines
 }
 
-// stopOn keeps what up to most replicas are to take of a machine, and stops lower ranked
+// preemptOn keeps what up to most replicas are to take of a machine, and stops lower ranked
 // tasks there if that is decided and the machine is this run's.
-func (p *replicaPlacement) stopOn(r *room, most int, decided bool) {
-	c := p.c
-	n := min(c.freeable(r, p.q), p.most(r), most)
+func (p *replicaPlacer) preemptOn(machine *candidate, limit int, mayPreempt bool) {
+	c := p.core
+	n := min(c.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), limit)
 	if n <= 0 {
 		return
 	}
-	if decided && c.mine(r.rec) && r.m != nil {
-		c.stopFor(r, p.q, n)
+	if mayPreempt && c.ownsMachine(machine.record) && machine.state != nil {
+		c.preemptForReplicas(machine, p.job, n)
 	}
-	p.q.put(r, n, 0)
-	c.planned.busy[r.id] = true
-	c.planned.expects[r.id] = true
-	p.here[r.id] += n
-	p.nextOpen(n)
-	p.left -= n
+	p.job.recordAllocation(machine, n, 0)
+	c.lastPlan.retainedMachines[machine.id] = true
+	c.lastPlan.pendingPlacements[machine.id] = true
+	p.replicasByMachine[machine.id] += n
+	p.nextPending(n)
+	p.remaining -= n
 }
 
-// stopFor stops as few lower ranked tasks on an own machine as n replicas need.
-func (c *Core) stopFor(r *room, q *queued, n int) {
-	need := *r
-	for _, h := range c.stoppable(r, q) {
-		k := 0
-		for k < h.n && need.fits(q.rec.Desc) < n {
-			need.take(h.desc, -1)
-			k++
+// preemptForReplicas stops as few lower ranked tasks on an own machine as n replicas need.
+func (c *Core) preemptForReplicas(machine *candidate, job *pendingJob, replicas int) {
+	simulated := *machine
+	for _, alloc := range c.rankedVictims(machine, job) {
+		stopped := 0
+		for stopped < alloc.count && simulated.capacityFor(job.record.Spec) < replicas {
+			simulated.allocate(alloc.desc, -1)
+			stopped++
 		}
-		if k > 0 {
-			c.preempt(r, h, q, k)
+		if stopped > 0 {
+			c.preemptTasks(machine, alloc, job, stopped)
 		}
 	}
 }
 
-// stoppable lists the victims on a machine, those that are being stopped already first.
-func (c *Core) stoppable(r *room, q *queued) []held {
-	list := c.victims(r, q)
-	slices.SortStableFunc(list, func(a, z held) int { return cmp.Compare(c.beingStopped(r, z), c.beingStopped(r, a)) })
-	return list
+// rankedVictims lists the victims on a machine, those that are being stopped already first.
+func (c *Core) rankedVictims(machine *candidate, job *pendingJob) []allocation {
+	victims := c.victims(machine, job)
+	slices.SortStableFunc(victims, func(a, z allocation) int {
+		return cmp.Compare(c.countStopping(machine, z), c.countStopping(machine, a))
+	})
+	return victims
 }
 
-// beingStopped counts the tasks that a stop is under way for.
-func (c *Core) beingStopped(r *room, h held) int {
-	if r.m == nil {
+// countStopping counts the tasks that a stop is under way for.
+func (c *Core) countStopping(machine *candidate, alloc allocation) int {
+	if machine.state == nil {
 		return 0
 	}
 	n := 0
-	for t, s := range r.m.stops {
-		if t.Job == h.job && s.try == h.try {
+	for t, s := range machine.state.stopRequests {
+		if t.Job == alloc.job && s.attempt == alloc.attempt {
 			n++
 		}
 	}
 	return n
 }
 
-// stopCost is what it takes until one replica runs on a machine: work lost, and time.
+// replicaStartCost is what it takes until one replica runs on a machine: work lost, and time.
 // Tasks that are being stopped cost nothing more, so that a choice stays what it was.
-func (c *Core) stopCost(r *room, q *queued) float64 {
-	const perSecond = 10 // core-seconds that a second of a replica is worth
-	need, cost, wait := *r, 0.0, 0.0
-	for _, h := range c.stoppable(r, q) {
-		stopping := c.beingStopped(r, h)
-		for k := 0; k < h.n && need.fits(q.rec.Desc) == 0; k++ {
-			need.take(h.desc, -1)
+func (c *Core) replicaStartCost(machine *candidate, job *pendingJob) float64 {
+	const costPerSecond = 10 // core-seconds that a second of a replica is worth
+	simulated, cost, waitSeconds := *machine, 0.0, 0.0
+	for _, alloc := range c.rankedVictims(machine, job) {
+		stopping := c.countStopping(machine, alloc)
+		for k := 0; k < alloc.count && simulated.capacityFor(job.record.Spec) == 0; k++ {
+			simulated.allocate(alloc.desc, -1)
 			if k >= stopping {
-				cost += c.lost(r, h) / float64(h.n)
+				cost += c.lostWork(machine, alloc) / float64(alloc.count)
 			}
-			if h.desc.Saves() {
-				wait = max(wait, h.desc.SaveS)
+			if alloc.desc.CanCheckpoint() {
+				waitSeconds = max(waitSeconds, alloc.desc.CheckpointSaveSeconds)
 			}
 		}
 	}
-	return cost + perSecond*(wait+c.fetchTime(r, q.rec.Desc).Seconds())
+	return cost + costPerSecond*(waitSeconds+c.imageFetchTime(machine, job.record.Spec).Seconds())
 }
 
-// fetchTime is how long this machine takes until it has the job's image.
-func (c *Core) fetchTime(r *room, d *protocol.Job) time.Duration {
-	if r.m.hasImage(d.Image) {
+// imageFetchTime is how long this machine takes until it has the job's image.
+func (c *Core) imageFetchTime(machine *candidate, d *protocol.Job) time.Duration {
+	if machine.state.hasImage(d.Image) {
 		return 0
 	}
-	fetch := protocol.Seconds(fetchSeconds(r.fl, d))
-	if r.m.fetching() {
+	fetch := protocol.Seconds(imageFetchSeconds(machine.machineType, d))
+	if machine.state.isFetchingImage() {
 		fetch *= 2 // two images share the rate
 	}
 	return fetch
 }
 
-// fetching tells whether the newest report shows an image that is being fetched.
-func (m *mstate) fetching() bool {
+// isFetchingImage tells whether the newest report shows an image that is being fetched.
+func (m *machineState) isFetchingImage() bool {
 	if m == nil {
 		return false
 	}
-	for _, p := range m.byTask {
-		if p.Stage == protocol.Fetching {
+	for _, p := range m.taskStatuses {
+		if p.State == protocol.TaskPullingImage {
 			return true
 		}
 	}
 	return false
 }
 
-// largeTypes lists the machine types that replicas leave to others as long as they can.
-func (c *Core) largeTypes(d *protocol.Job) map[protocol.Sku]bool {
+// largeMachineTypes lists the machine types that replicas leave to others as long as they can.
+func (c *Core) largeMachineTypes(d *protocol.Job) map[protocol.MachineTypeName]bool {
 	smallest := 0.0
-	for i := range c.flavors {
-		if f := &c.flavors[i]; machineFits(f, d) > 0 && (smallest == 0 || f.Cores < smallest) {
-			smallest = f.Cores
+	for i := range c.machineTypes {
+		if machineType := &c.machineTypes[i]; machineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
+			smallest = machineType.Cores
 		}
 	}
-	large := map[protocol.Sku]bool{}
-	for i := range c.flavors {
-		if c.flavors[i].Cores > smallTypes*smallest {
-			large[c.flavors[i].Sku] = true
+	large := map[protocol.MachineTypeName]bool{}
+	for i := range c.machineTypes {
+		if c.machineTypes[i].Cores > largeTypeFactor*smallest {
+			large[c.machineTypes[i].Name] = true
 		}
 	}
 	return large
 }
 
-// noteEndedReplicas finds replicas that have left a machine's record though the machine
+// recordExitedReplicas finds replicas that have left a machine's record though the machine
 // and its session go on: they have ended by themselves, or were stopped. All controllers
 // see it, so whoever places the next ones knows how the last ones fared.
-func (c *Core) noteEndedReplicas(id protocol.MachineID, before, after *bk.MachineRecord) {
-	if after.Session != before.Session {
+func (c *Core) recordExitedReplicas(id protocol.MachineID, before, after *bk.MachineRecord) {
+	if after.AgentEpoch != before.AgentEpoch {
 		return
 	}
-	for i := range before.Assigned {
-		a := &before.Assigned[i]
-		e := c.replica.Jobs[a.Job]
-		if e == nil || e.Rec.Desc == nil || !e.Rec.Desc.Daemon() || e.Rec.CalledOff() {
+	for i := range before.Assignments {
+		assigned := &before.Assignments[i]
+		entry := c.replica.Jobs[assigned.Job]
+		if entry == nil || entry.Record.Spec == nil || !entry.Record.Spec.IsService() || entry.Record.IsCancelledOrPending() {
 			continue
 		}
-		left := 0
-		for b := range after.Of(a.Job) {
-			if b.Try == a.Try {
-				left = b.Tasks.Len()
+		remaining := 0
+		for current := range after.AssignmentsOf(assigned.Job) {
+			if current.Attempt == assigned.Attempt {
+				remaining = current.Tasks.Len()
 			}
 		}
-		if at, known := c.assignedAt[assignment{id, a.Job, a.Try}]; known && left < a.Tasks.Len() {
-			c.replicasEnded(a.Job, c.since(at))
+		if at, known := c.assignedAt[assignmentKey{id, assigned.Job, assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
+			c.onReplicasExited(assigned.Job, c.since(at))
 		}
 	}
 }
 
-// replicasEnded takes in that replicas have ended a while after they were placed. Those
+// onReplicasExited takes in that replicas have ended a while after they were placed. Those
 // that do so soon are tried ever less often, so that they neither use up the writes nor
 // hide others.
-func (c *Core) replicasEnded(id protocol.JobID, after time.Duration) {
-	j := c.jstate(id)
-	if after > quickEnd {
-		j.quickEnds, j.notBefore = 0, 0
-		clear(j.failedOn)
+func (c *Core) onReplicasExited(id protocol.JobID, after time.Duration) {
+	state := c.jobState(id)
+	if after > earlyExitWindow {
+		state.earlyExits, state.notBefore = 0, 0
+		clear(state.failedMachines)
 		return
 	}
-	pause := min(firstPause<<min(j.quickEnds, 8), maxPause)
-	j.quickEnds++
-	j.notBefore = c.now.Steady.Add(pause)
-	c.log(slog.LevelInfo, "replica ended soon after its start", "job", string(id), "pause_s", pause.Seconds())
+	backoff := min(minRestartBackoff<<min(state.earlyExits, 8), maxRestartBackoff)
+	state.earlyExits++
+	state.notBefore = c.now.Monotonic.Add(backoff)
+	c.log(slog.LevelInfo, "replica ended soon after its start", "job", string(id), "pause_s", backoff.Seconds())
 }
 
-// mustMove tells whether a replica has to leave its machine: it will soon be taken, or
+// mustEvict tells whether a replica has to leave its machine: it will soon be taken, or
 // is faulty.
-func (c *Core) mustMove(m *mstate, d *protocol.Job) bool {
-	if m.faulty {
+func (c *Core) mustEvict(m *machineState, d *protocol.Job) bool {
+	if m.isFaulty {
 		return true
 	}
-	return m.recallAt != 0 && m.recallAt.Sub(c.now.Steady) < protocol.Seconds(d.SaveS)+moveAhead
+	return m.preemptionAt != 0 && m.preemptionAt.Sub(c.now.Monotonic) < protocol.Seconds(d.CheckpointSaveSeconds)+evictionLeadTime
 }
--- a/internal/loopback/controllers.go
+++ b/internal/loopback/controllers.go
@@ -26,8 +26,8 @@
 	Controllers int
 	Program     string // the program that was built
 	Dir         string // for settings and logs
-	Flavors     []protocol.Flavor
-	Teams       map[string]coordination.Team
+	Flavors     []protocol.MachineType
+	Teams       map[string]coordination.Quota
 	Properties  string // the controllers' own settings, besides the admin service's address
 }
 
@@ -40,7 +40,7 @@
 
 // Controller is a controller process.
 type Controller struct {
-	Member  protocol.Member
+	Member  protocol.ControllerID
 	Admin   string // address of its admin service
 	fleet   *Fleet
 	number  int
@@ -67,7 +67,7 @@
 	f := &Fleet{options: o}
 	var remotes []standin.Remote
 	for i := range o.Controllers {
-		c := &Controller{fleet: f, number: i, Member: protocol.Member(fmt.Sprintf("stall-%d", i))}
+		c := &Controller{fleet: f, number: i, Member: protocol.ControllerID(fmt.Sprintf("stall-%d", i))}
 		for _, addr := range []*string{&c.listen, &c.back, &c.Admin} {
 			var err error
 			if *addr, err = freeAddress(); err != nil {
@@ -136,7 +136,7 @@
 	}
 	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.fleet.cloud, c.fleet.state[c.number])
 	for name, team := range c.fleet.options.Teams {
-		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %f\n", name, team.CoresMax)
+		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %f\n", name, team.MaxCores)
 	}
 	fmt.Fprintf(&b, "[params.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = 4.0\ncancel_s = %f\n",
 		reportTime.Seconds(), leaseTime.Seconds(), gangWait.Seconds(), cancelTime.Seconds())
@@ -185,18 +185,18 @@
 
 // Report sends a worker's report to the controller.
 func (c *Controller) Report(report []byte, back func(int, []byte)) {
-	c.send("POST", protocol.PathReport, report, back)
+	c.send("POST", protocol.PathHeartbeat, report, back)
 }
 
 // Ask sends a user's request to the controller.
-func (c *Controller) Ask(verb protocol.Verb, id protocol.JobID, job []byte, back func(int, []byte)) {
+func (c *Controller) Ask(verb protocol.RequestType, id protocol.JobID, job []byte, back func(int, []byte)) {
 	switch verb {
-	case protocol.Submit:
-		c.send("POST", protocol.PathWork, job, back)
-	case protocol.Query:
-		c.send("GET", protocol.PathWork+"/"+string(id), nil, back)
-	case protocol.Abort:
-		c.send("POST", protocol.PathWork+"/"+string(id)+"/abort", []byte("{}"), back)
+	case protocol.RequestSubmit:
+		c.send("POST", protocol.PathJobs, job, back)
+	case protocol.RequestQuery:
+		c.send("GET", protocol.PathJobs+"/"+string(id), nil, back)
+	case protocol.RequestCancel:
+		c.send("POST", protocol.PathJobs+"/"+string(id)+"/abort", []byte("{}"), back)
 	}
 }
 
--- a/internal/loopback/drill_test.go
+++ b/internal/loopback/drill_test.go
@@ -17,10 +17,10 @@
 type toolRun func(code int, answer any, args ...string)
 
 // wholeFleet waits until all machines have owners, so that nothing is adopted meanwhile.
-func wholeFleet(t *testing.T, f *Fleet, tool toolRun) admin.Shares {
+func wholeFleet(t *testing.T, f *Fleet, tool toolRun) admin.ShardingStatus {
 	t.Helper()
 	for range 60 {
-		var shares admin.Shares
+		var shares admin.ShardingStatus
 		tool(0, &shares, "list")
 		machines := 0
 		for _, c := range shares.Controllers {
@@ -34,7 +34,7 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	t.Fatal("machines are left without an owner")
-	return admin.Shares{}
+	return admin.ShardingStatus{}
 }
 
 // A drill as an operator does it, with the program itself: look, move a page, drain a
@@ -72,15 +72,15 @@
 	}
 	shares := wholeFleet(t, f, tool)
 	slices.SortFunc(shares.Controllers, func(a, z admin.Controller) int { return cmp.Compare(z.Machines, a.Machines) })
-	giver, taker := shares.Controllers[0].Member, shares.Controllers[1].Member
+	giver, taker := shares.Controllers[0].ID, shares.Controllers[1].ID
 	for _, c := range shares.Controllers {
-		if n := owned(c.Member); n != c.Machines {
-			t.Errorf("%s owns %d machines, the tool says %d", c.Member, n, c.Machines)
+		if n := owned(c.ID); n != c.Machines {
+			t.Errorf("%s owns %d machines, the tool says %d", c.ID, n, c.Machines)
 		}
 	}
-	var move admin.Move
+	var move admin.Transfer
 	tool(0, &move, "move", "--name", "drill", "--from", giver, "--to", taker, "--wait", "30s")
-	if move.Phase != string(bk.MoveClosed) || owned(taker) < move.Machines || move.Machines == 0 {
+	if move.Phase != string(bk.TransferClosed) || owned(taker) < move.Machines || move.Machines == 0 {
 		t.Errorf("%+v, the taker owns %d", move, owned(taker))
 	}
 	tool(0, &move, "move", "--name", "drill", "--from", giver, "--to", taker)
--- a/internal/loopback/front.go
+++ b/internal/loopback/front.go
@@ -131,7 +131,7 @@
 			switch {
 			case cut:
 				unreachable(r)
-			case down && !strings.HasPrefix(r.URL.Path, protocol.PathFollow):
+			case down && !strings.HasPrefix(r.URL.Path, protocol.PathWatch):
 				respond(rw, http.StatusServiceUnavailable, struct{}{})
 			default:
 				h(rw, r)
@@ -140,45 +140,45 @@
 	}
 	handle("GET "+protocol.PathKeys, f.list)
 	handle("GET "+protocol.PathKeys+"/{key...}", f.probe)
-	handle("POST "+protocol.PathMulti, f.multi)
-	handle("POST "+protocol.PathHolds, f.grant)
-	handle("POST "+protocol.PathHolds+"/{id}/extend", f.extend)
-	handle("GET "+protocol.PathFollow, f.follow)
+	handle("POST "+protocol.PathTransaction, f.multi)
+	handle("POST "+protocol.PathLeases, f.grant)
+	handle("POST "+protocol.PathLeases+"/{id}/extend", f.extend)
+	handle("GET "+protocol.PathWatch, f.follow)
 	return mux
 }
 
 // probe answers a read of one key. Controllers read only one that never exists, for the
 // revision.
 func (f *Front) probe(rw http.ResponseWriter, _ *http.Request) {
-	var rev protocol.Rev
+	var rev protocol.Revision
 	f.Do(func(w *standin.World) { rev = w.State.Rev() })
-	respond(rw, http.StatusNotFound, protocol.MultiAnswer{Rev: rev})
+	respond(rw, http.StatusNotFound, protocol.TransactionResult{Revision: rev})
 }
 
 func (f *Front) list(rw http.ResponseWriter, r *http.Request) {
-	page := protocol.Items{Items: []protocol.Item{}}
+	page := protocol.EntryPage{Entries: []protocol.Entry{}}
 	from := r.URL.Query().Get("from")
 	f.Do(func(w *standin.World) {
-		page.Rev = w.State.Rev()
+		page.Revision = w.State.Rev()
 		for _, item := range w.State.Items(r.URL.Query().Get("starts")) {
 			if item.Key > from {
-				page.Items = append(page.Items, item)
+				page.Entries = append(page.Entries, item)
 			}
 		}
 	})
-	if page.More = len(page.Items) > protocol.KeysPage; page.More {
-		page.Items = page.Items[:protocol.KeysPage]
+	if page.HasMore = len(page.Entries) > protocol.KeyPageSize; page.HasMore {
+		page.Entries = page.Entries[:protocol.KeyPageSize]
 	}
 	respond(rw, http.StatusOK, page)
 }
 
 func (f *Front) multi(rw http.ResponseWriter, r *http.Request) {
-	var m protocol.Multi
+	var m protocol.Transaction
 	if !body(r, &m) {
-		respond(rw, http.StatusBadRequest, protocol.MultiAnswer{Error: "malformed"})
+		respond(rw, http.StatusBadRequest, protocol.TransactionResult{Error: "malformed"})
 		return
 	}
-	code, answer := 0, protocol.MultiAnswer{}
+	code, answer := 0, protocol.TransactionResult{}
 	lost := false
 	f.Do(func(w *standin.World) {
 		code, answer = w.State.Multi(m)
@@ -191,13 +191,13 @@
 }
 
 func (f *Front) grant(rw http.ResponseWriter, r *http.Request) {
-	var h protocol.Hold
-	if !body(r, &h) || h.TTLMS <= 0 {
+	var h protocol.Lease
+	if !body(r, &h) || h.TTLMillis <= 0 {
 		respond(rw, http.StatusBadRequest, struct{}{})
 		return
 	}
-	f.Do(func(w *standin.World) { h.Tenancy = w.State.Grant(w.Now, time.Duration(h.TTLMS)*time.Millisecond) })
-	respond(rw, http.StatusOK, protocol.Hold{Tenancy: h.Tenancy})
+	f.Do(func(w *standin.World) { h.ID = w.State.Grant(w.Now, time.Duration(h.TTLMillis)*time.Millisecond) })
+	respond(rw, http.StatusOK, protocol.Lease{ID: h.ID})
 }
 
 func (f *Front) extend(rw http.ResponseWriter, r *http.Request) {
@@ -208,7 +208,7 @@
 		respond(rw, http.StatusNotFound, struct{}{})
 		return
 	}
-	respond(rw, http.StatusOK, protocol.Hold{Tenancy: protocol.LeaseID(id)})
+	respond(rw, http.StatusOK, protocol.Lease{ID: protocol.LeaseID(id)})
 }
 
 // follow waits for changes; during an outage it only waits.
@@ -221,18 +221,18 @@
 		return
 	}
 	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); r.Context().Err() == nil; time.Sleep(step) {
-		var news protocol.Followed
+		var news protocol.WatchResponse
 		var old, down bool
 		f.Do(func(w *standin.World) {
 			if down = w.State.Down; !down {
-				news, old = w.State.Follow(q.Get("starts"), protocol.Rev(from))
+				news, old = w.State.Follow(q.Get("starts"), protocol.Revision(from))
 			}
 		})
 		switch {
 		case old:
 			respond(rw, http.StatusGone, struct{}{})
 			return
-		case !down && (len(news.News) > 0 || time.Now().After(end)):
+		case !down && (len(news.Events) > 0 || time.Now().After(end)):
 			respond(rw, http.StatusOK, news)
 			return
 		}
@@ -242,23 +242,23 @@
 // cloudService is the cloud.
 func (f *Front) cloudService() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+protocol.PathFlavors, func(rw http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+protocol.PathMachineTypes, func(rw http.ResponseWriter, _ *http.Request) {
 		respond(rw, http.StatusOK, struct {
-			Types []protocol.Flavor `json:"builds"`
+			Types []protocol.MachineType `json:"builds"`
 		}{f.world.Flavors})
 	})
-	mux.HandleFunc("POST "+protocol.PathHosts, func(rw http.ResponseWriter, r *http.Request) {
-		var h protocol.Hire
-		if !body(r, &h) || h.Count < 1 || h.Count > protocol.MaxHire {
+	mux.HandleFunc("POST "+protocol.PathInstances, func(rw http.ResponseWriter, r *http.Request) {
+		var h protocol.ProvisionRequest
+		if !body(r, &h) || h.Count < 1 || h.Count > protocol.MaxProvisionCount {
 			respond(rw, http.StatusBadRequest, struct{}{})
 			return
 		}
-		var answer protocol.Machines
+		var answer protocol.MachineList
 		f.Do(func(w *standin.World) { answer.Machines = w.Rent(h) })
 		respond(rw, http.StatusOK, answer)
 	})
-	mux.HandleFunc("POST "+protocol.PathRelease, func(rw http.ResponseWriter, r *http.Request) {
-		var m protocol.Machines
+	mux.HandleFunc("POST "+protocol.PathTerminate, func(rw http.ResponseWriter, r *http.Request) {
+		var m protocol.MachineList
 		if !body(r, &m) {
 			respond(rw, http.StatusBadRequest, struct{}{})
 			return
@@ -270,12 +270,12 @@
 		})
 		respond(rw, http.StatusOK, struct{}{})
 	})
-	mux.HandleFunc("GET "+protocol.PathHosts, func(rw http.ResponseWriter, r *http.Request) {
-		answer := protocol.Hosts{Machines: []protocol.Host{}}
+	mux.HandleFunc("GET "+protocol.PathInstances, func(rw http.ResponseWriter, r *http.Request) {
+		answer := protocol.InstancePage{Instances: []protocol.Instance{}}
 		f.Do(func(w *standin.World) {
 			for _, h := range w.Hosts() {
-				if string(h.UID) > r.URL.Query().Get("from") {
-					answer.Machines = append(answer.Machines, h)
+				if string(h.ID) > r.URL.Query().Get("from") {
+					answer.Instances = append(answer.Instances, h)
 				}
 			}
 		})
@@ -287,7 +287,7 @@
 // serveWorker gives a worker an address of its own. The world's lock is held.
 func (f *Front) serveWorker(m *standin.Worker) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+protocol.PathShow, func(rw http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET "+protocol.PathAgentStatus, func(rw http.ResponseWriter, r *http.Request) {
 		var report []byte
 		f.Do(func(*standin.World) {
 			if !m.Gone && !m.Cut {
@@ -296,8 +296,8 @@
 		})
 		answerWorker(rw, r, http.StatusOK, report)
 	})
-	mux.HandleFunc("POST "+protocol.PathDo, func(rw http.ResponseWriter, r *http.Request) {
-		var o protocol.Orders
+	mux.HandleFunc("POST "+protocol.PathAgentCommands, func(rw http.ResponseWriter, r *http.Request) {
+		var o protocol.Commands
 		if !body(r, &o) {
 			respond(rw, http.StatusBadRequest, struct{}{})
 			return
