--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"tillerarch/internal/admin"
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // adminBackend answers the admin service by asking the core.
@@ -68,7 +68,7 @@
 
 // StartTransfer has a move put on record.
 func (b adminBackend) StartTransfer(ctx context.Context, r *admin.TransferRequest) (*admin.Transfer, error) {
-	return b.requestTransfer(ctx, coordination.TransferRequest{Name: r.Name, Shard: bk.ShardID(r.Shard), Source: protocol.ControllerID(r.Source), Target: protocol.ControllerID(r.Target)})
+	return b.requestTransfer(ctx, coordination.TransferRequest{Name: r.Name, Shard: storage.ShardID(r.Shard), Source: protocol.ControllerID(r.Source), Target: protocol.ControllerID(r.Target)})
 }
 
 // SetDraining has a controller's drain put on record, or its end.
@@ -136,7 +136,7 @@
 	return admin.Controller{ID: string(c.ID), Incarnation: string(c.Incarnation), Shards: c.Shards, Machines: c.Machines, SupportsTransfers: c.RecordsTransfers, Draining: c.Draining}
 }
 
-func transferMessage(record *bk.TransferRecord) admin.Transfer {
+func transferMessage(record *storage.TransferRecord) admin.Transfer {
 	return admin.Transfer{Name: record.Name, Shard: string(record.Shard), Source: string(record.Source), Target: string(record.Target), Phase: string(record.Phase), Reason: record.Reason,
 		Machines: record.MachineCount, ProposedAt: wallTime(record.ProposedAt), PreparedAt: wallTime(record.PreparedAt), CommittedAt: wallTime(record.CommittedAt), EndedAt: wallTime(record.EndedAt)}
 }
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -13,9 +13,9 @@
 
 	"golang.org/x/time/rate"
 
-	"tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
 )
 
@@ -50,7 +50,7 @@
 	core     *coordination.Core
 	inputs   chan queuedInput
 	server   *transport.Server
-	store    *bookkeeping.Client
+	store    *storage.Client
 	cloud    *transport.Client
 	peers    []*transport.PeerClient
 	agents   struct {
@@ -78,7 +78,7 @@
 	d := &daemon{settings: s, inputs: make(chan queuedInput, max(minQueueLength, s.maxSockets)), startedAt: time.Now(), pendingExchanges: map[coordination.RequestID]*transport.Exchange{}, pendingAdminRequests: map[coordination.RequestID]chan<- coordination.Effect{}}
 	d.agents.clients = map[string]*transport.Client{}
 	storeLimiter := perController(s.storeRPS)
-	d.store = &bookkeeping.Client{
+	d.store = &storage.Client{
 		RequestCaller: transport.NewClient(s.storeAddr, 6, storeLimiter),
 		WatchCaller:   transport.NewClient(s.storeAddr, 1, storeLimiter),
 		Timeout:       storeTimeout,
--- a/cmd/tillerarch/sharding_commands.go
+++ b/cmd/tillerarch/sharding_commands.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 
 	"tillerarch/internal/admin"
-	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/storage"
 )
 
 // Exit codes of the operators' commands.
@@ -204,7 +204,7 @@
 	if err := t.printResult(out, transfer, func(w io.Writer) { printTransfers(w, []admin.Transfer{*transfer}) }); err != nil {
 		return err
 	}
-	if bk.TransferPhase(transfer.Phase) == bk.TransferAborted {
+	if storage.TransferPhase(transfer.Phase) == storage.TransferAborted {
 		return &commandError{exitAborted, "the move was aborted: " + transfer.Reason}
 	}
 	return nil
@@ -236,7 +236,7 @@
 		if i := slices.IndexFunc(status.Transfers, func(m admin.Transfer) bool { return m.Name == transfer.Name }); i >= 0 {
 			transfer = &status.Transfers[i]
 		}
-		return !bk.TransferPhase(transfer.Phase).IsOpen(), nil
+		return !storage.TransferPhase(transfer.Phase).IsOpen(), nil
 	}, func() string {
 		return fmt.Sprintf("move %s is %s; it goes on, ask `shares history`", transfer.Name, transfer.Phase)
 	})
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // batch collects changes for one transaction. Every change rests on the stamps
@@ -18,25 +18,25 @@
 	opsLeft        int // puts and deletes still allowed
 	estimatedBytes int // what the records in it are reckoned to take, written
 	conditions     map[string]protocol.ModRevision
-	jobs           map[protocol.JobID]*bk.JobRecord
-	shards         map[bk.ShardID]*shardDraft
-	machines       map[protocol.MachineID]*bk.MachineRecord
+	jobs           map[protocol.JobID]*storage.JobRecord
+	shards         map[storage.ShardID]*shardDraft
+	machines       map[protocol.MachineID]*storage.MachineRecord
 	teams          map[string]bool
-	transfers      map[bk.TransferSlot]*bk.TransferRecord
+	transfers      map[storage.TransferSlot]*storage.TransferRecord
 	drains         map[protocol.ControllerID]*drainChange
-	newlyDone      map[protocol.JobID]bk.TaskSet // tasks that are done by what is in the batch
-	failedServices map[protocol.JobID]bool       // daemons of which a replica has ended
-	writesRegistry bool                          // a machine is put on record
-	onSend         []func()                      // what to remember once it is sent
-	logsOnApply    []Effect                      // lines for the operator once it is applied
+	newlyDone      map[protocol.JobID]storage.TaskSet // tasks that are done by what is in the batch
+	failedServices map[protocol.JobID]bool            // daemons of which a replica has ended
+	writesRegistry bool                               // a machine is put on record
+	onSend         []func()                           // what to remember once it is sent
+	logsOnApply    []Effect                           // lines for the operator once it is applied
 }
 
 // shardDraft is a page as the batch leaves it.
 type shardDraft struct {
-	owner         bk.Incarnation
-	epoch         bk.ShardEpoch
+	owner         storage.Incarnation
+	epoch         storage.ShardEpoch
 	machineIDs    []protocol.MachineID
-	doneTasks     map[protocol.JobID]bk.TaskSet
+	doneTasks     map[protocol.JobID]storage.TaskSet
 	estimatedSize int
 }
 
@@ -47,8 +47,8 @@
 const transferRecordSize = 400
 
 func (c *Core) newBatch(maxOps int) *batch {
-	return &batch{core: c, opsLeft: maxOps, conditions: map[string]protocol.ModRevision{}, jobs: map[protocol.JobID]*bk.JobRecord{},
-		shards: map[bk.ShardID]*shardDraft{}, machines: map[protocol.MachineID]*bk.MachineRecord{}, teams: map[string]bool{}, transfers: map[bk.TransferSlot]*bk.TransferRecord{}, drains: map[protocol.ControllerID]*drainChange{}, newlyDone: map[protocol.JobID]bk.TaskSet{}, failedServices: map[protocol.JobID]bool{}}
+	return &batch{core: c, opsLeft: maxOps, conditions: map[string]protocol.ModRevision{}, jobs: map[protocol.JobID]*storage.JobRecord{},
+		shards: map[storage.ShardID]*shardDraft{}, machines: map[protocol.MachineID]*storage.MachineRecord{}, teams: map[string]bool{}, transfers: map[storage.TransferSlot]*storage.TransferRecord{}, drains: map[protocol.ControllerID]*drainChange{}, newlyDone: map[protocol.JobID]storage.TaskSet{}, failedServices: map[protocol.JobID]bool{}}
 }
 
 // dependOn makes the transaction depend on a key as the replica has it.
@@ -71,26 +71,26 @@
 }
 
 // mutableJob gives a job's record to change; the caller has asked for room.
-func (b *batch) mutableJob(id protocol.JobID) *bk.JobRecord {
+func (b *batch) mutableJob(id protocol.JobID) *storage.JobRecord {
 	if r := b.jobs[id]; r != nil {
 		return r
 	}
 	e := b.core.replica.Jobs[id]
 	r := e.Record
-	b.reserveWrite(bk.JobKey(id), e.EncodedSize+200)
+	b.reserveWrite(storage.JobKey(id), e.EncodedSize+200)
 	b.jobs[id] = &r
 	return &r
 }
 
 // mutableShard gives a page to change; the caller has asked for room.
-func (b *batch) mutableShard(id bk.ShardID) *shardDraft {
+func (b *batch) mutableShard(id storage.ShardID) *shardDraft {
 	if draft := b.shards[id]; draft != nil {
 		return draft
 	}
 	shard := b.core.replica.Shards[id]
 	ops := b.core.shardWriteOps(id)
-	draft := &shardDraft{owner: shard.Owner, epoch: shard.Epoch, machineIDs: shard.Machines, estimatedSize: shard.EncodedSize, doneTasks: map[protocol.JobID]bk.TaskSet{}}
-	if b.core.storageFormat() >= bk.FormatPacked {
+	draft := &shardDraft{owner: shard.Owner, epoch: shard.Epoch, machineIDs: shard.Machines, estimatedSize: shard.EncodedSize, doneTasks: map[protocol.JobID]storage.TaskSet{}}
+	if b.core.storageFormat() >= storage.FormatPacked {
 		draft.estimatedSize = b.core.replica.PackedShardSize(id)
 	}
 	for j, r := range shard.CompletedTasks {
@@ -98,27 +98,27 @@
 			draft.doneTasks[j] = r
 		}
 	}
-	b.reserveWrite(bk.ShardKey(id), shard.EncodedSize+shardSizeMargin)
+	b.reserveWrite(storage.ShardKey(id), shard.EncodedSize+shardSizeMargin)
 	b.opsLeft -= ops - 1
 	b.shards[id] = draft
 	return draft
 }
 
 // newShard begins a page that is not on record yet.
-func (b *batch) newShard(owner bk.Incarnation, epoch bk.ShardEpoch) bk.ShardID {
+func (b *batch) newShard(owner storage.Incarnation, epoch storage.ShardEpoch) storage.ShardID {
 	shardID := b.core.newShardID()
-	b.reserveWrite(bk.ShardKey(shardID), shardSizeMargin)
-	b.shards[shardID] = &shardDraft{owner: owner, epoch: epoch, doneTasks: map[protocol.JobID]bk.TaskSet{}}
+	b.reserveWrite(storage.ShardKey(shardID), shardSizeMargin)
+	b.shards[shardID] = &shardDraft{owner: owner, epoch: epoch, doneTasks: map[protocol.JobID]storage.TaskSet{}}
 	return shardID
 }
 
-func (c *Core) newShardID() bk.ShardID {
+func (c *Core) newShardID() storage.ShardID {
 	c.shardSequence++
-	return bk.ShardID(fmt.Sprintf("%s-%d", c.incarnation, c.shardSequence))
+	return storage.ShardID(fmt.Sprintf("%s-%d", c.incarnation, c.shardSequence))
 }
 
 // mutableMachine gives a machine's record to change; the caller has asked for room.
-func (b *batch) mutableMachine(id protocol.MachineID) *bk.MachineRecord {
+func (b *batch) mutableMachine(id protocol.MachineID) *storage.MachineRecord {
 	if r := b.machines[id]; r != nil {
 		return r
 	}
@@ -129,26 +129,26 @@
 }
 
 // putTransfer writes a move's record; the caller has asked for room.
-func (b *batch) putTransfer(slot bk.TransferSlot, record *bk.TransferRecord) {
+func (b *batch) putTransfer(slot storage.TransferSlot, record *storage.TransferRecord) {
 	if b.transfers[slot] == nil {
-		b.reserveWrite(bk.TransferKey(slot), transferRecordSize)
+		b.reserveWrite(storage.TransferKey(slot), transferRecordSize)
 	}
 	b.transfers[slot] = record
 }
 
 // drainChange is what becomes of a controller's drain: no record ends it.
-type drainChange struct{ record *bk.DrainRecord }
+type drainChange struct{ record *storage.DrainRecord }
 
 func (d *drainChange) operation(controllerID protocol.ControllerID) protocol.Operation {
 	if d.record == nil {
-		return protocol.Operation{DeleteKey: bk.DrainKey(controllerID)}
+		return protocol.Operation{DeleteKey: storage.DrainKey(controllerID)}
 	}
-	return protocol.Operation{PutKey: bk.DrainKey(controllerID), Value: bk.MustMarshal(d.record)}
+	return protocol.Operation{PutKey: storage.DrainKey(controllerID), Value: storage.MustMarshal(d.record)}
 }
 
 // setDrain writes or ends a controller's drain; the caller has asked for room.
 func (b *batch) setDrain(controllerID protocol.ControllerID, change *drainChange) {
-	b.reserveWrite(bk.DrainKey(controllerID), 50)
+	b.reserveWrite(storage.DrainKey(controllerID), 50)
 	b.drains[controllerID] = change
 }
 
@@ -157,15 +157,15 @@
 
 // addMachine puts a machine that is not on record on a page of this run, with a token
 // above the one that its worker has seen. The caller has asked canAddMachine.
-func (b *batch) addMachine(id protocol.MachineID, record *bk.MachineRecord, seenToken protocol.FencingToken) {
+func (b *batch) addMachine(id protocol.MachineID, record *storage.MachineRecord, seenToken protocol.FencingToken) {
 	if !b.writesRegistry {
-		b.reserveWrite(bk.RegistryKey, 100)
+		b.reserveWrite(storage.RegistryKey, 100)
 		b.writesRegistry = true
 	}
 	size := b.core.estimateMachineSize(record.MachineType)
-	shardID := bk.ShardID("")
-	shardFits := func(p bk.ShardID, d *shardDraft) bool {
-		return d.owner == b.core.incarnation && d.epoch > bk.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.core.writeLimits().ValueBytes
+	shardID := storage.ShardID("")
+	shardFits := func(p storage.ShardID, d *shardDraft) bool {
+		return d.owner == b.core.incarnation && d.epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.core.writeLimits().ValueBytes
 	}
 	for _, p := range sortedKeys(b.shards) {
 		if shardFits(p, b.shards[p]) {
@@ -183,12 +183,12 @@
 		}
 	}
 	if shardID == "" {
-		shardID = b.newShard(b.core.incarnation, max(bk.ShardEpochOf(seenToken)+1, 1))
+		shardID = b.newShard(b.core.incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
 	}
 	b.putMachine(shardID, id, record)
 }
 
-func (b *batch) putMachine(shardID bk.ShardID, id protocol.MachineID, record *bk.MachineRecord) {
+func (b *batch) putMachine(shardID storage.ShardID, id protocol.MachineID, record *storage.MachineRecord) {
 	draft := b.mutableShard(shardID)
 	draft.machineIDs = append(draft.machineIDs[:len(draft.machineIDs):len(draft.machineIDs)], id)
 	draft.estimatedSize += b.core.estimateEncodedSize(len(record.EncodeLine(id)) + 3)
@@ -206,7 +206,7 @@
 }
 
 // moveMachine puts a machine on another page.
-func (b *batch) moveMachine(id protocol.MachineID, shardID bk.ShardID) {
+func (b *batch) moveMachine(id protocol.MachineID, shardID storage.ShardID) {
 	record := b.mutableMachine(id)
 	b.removeMachine(id)
 	b.putMachine(shardID, id, record)
@@ -235,7 +235,7 @@
 // bumpFencingToken raises the machine's own part of its token: its owner sends it to the
 // worker, and the worker reports at once, instead of some seconds later.
 func (b *batch) bumpFencingToken(id protocol.MachineID) {
-	if r := b.mutableMachine(id); r.TokenCounter < bk.MaxTokenCounter {
+	if r := b.mutableMachine(id); r.TokenCounter < storage.MaxTokenCounter {
 		r.TokenCounter++
 		r.FencingToken = r.ShardEpoch.FencingToken(r.TokenCounter)
 	}
@@ -243,7 +243,7 @@
 
 // hasShardHeadroom tells whether the machine's page can take more assignments: a page
 // stays well within a value, so that whatever ends there can be written.
-func (b *batch) hasShardHeadroom(r *bk.MachineRecord) bool {
+func (b *batch) hasShardHeadroom(r *storage.MachineRecord) bool {
 	size := 0
 	if d := b.shards[r.Shard]; d != nil {
 		size = d.estimatedSize
@@ -260,7 +260,7 @@
 	if r, ok := draft.doneTasks[task.Job]; ok {
 		draft.doneTasks[task.Job] = r.Add(task.Index)
 	} else {
-		draft.doneTasks[task.Job] = bk.TaskRange(task.Index, task.Index)
+		draft.doneTasks[task.Job] = storage.TaskRange(task.Index, task.Index)
 		draft.estimatedSize += b.core.estimateEncodedSize(16)
 	}
 	draft.estimatedSize += b.core.estimateEncodedSize(4)
@@ -269,7 +269,7 @@
 }
 
 // doneTasks is what is done of a job as the batch leaves it.
-func (b *batch) doneTasks(id protocol.JobID) bk.TaskSet {
+func (b *batch) doneTasks(id protocol.JobID) storage.TaskSet {
 	r := b.core.replica.CompletedTasks(id)
 	if added, ok := b.newlyDone[id]; ok {
 		r = r.Union(added)
@@ -284,7 +284,7 @@
 	}
 	r := b.mutableJob(id)
 	b.log(slog.LevelInfo, "job done", "job", string(id), "lane", r.Spec.Class, "after_s", float64(b.core.now.Wall-r.SubmittedAt)/1000)
-	*r = bk.JobRecord{State: protocol.JobDone, TaskCount: r.Spec.TaskCount, SubmittedAt: r.SubmittedAt}
+	*r = storage.JobRecord{State: protocol.JobDone, TaskCount: r.Spec.TaskCount, SubmittedAt: r.SubmittedAt}
 	for _, d := range b.shards {
 		delete(d.doneTasks, id)
 	}
@@ -323,9 +323,9 @@
 // needsConsolidation tells whether the done tasks on a page are to move to their jobs' records: a
 // change each, so not before the room is needed. A packed page that is full of machines
 // is cut in two instead.
-func (c *Core) needsConsolidation(p *bk.Shard) bool {
+func (c *Core) needsConsolidation(p *storage.Shard) bool {
 	limit := c.writeLimits().ValueBytes
-	if c.storageFormat() < bk.FormatPacked {
+	if c.storageFormat() < storage.FormatPacked {
 		return p.EncodedSize >= limit*3/4
 	}
 	const perJob, perSpan = 8, 2 // bytes, as packed
@@ -356,7 +356,7 @@
 // besides what is in the batch; alone is how many changes they are where an empty
 // batch could take them.
 func (b *batch) canWriteMachines(machines []protocol.MachineID) (fits bool, opsWhenEmpty int) {
-	seen := map[bk.ShardID]bool{}
+	seen := map[storage.ShardID]bool{}
 	opsToAdd, sizeToAdd, totalOps, totalSize := 1, b.core.writeLimits().ValueBytes, 1, b.core.writeLimits().ValueBytes
 	for _, id := range machines {
 		shardID := b.core.replica.Machines[id].Record.Shard
@@ -377,7 +377,7 @@
 }
 
 // machineRecord is the record as the batch leaves it.
-func (b *batch) machineRecord(id protocol.MachineID) *bk.MachineRecord {
+func (b *batch) machineRecord(id protocol.MachineID) *storage.MachineRecord {
 	if r := b.machines[id]; r != nil {
 		return r
 	}
@@ -388,7 +388,7 @@
 }
 
 // jobRecord is the record as the batch leaves it.
-func (b *batch) jobRecord(id protocol.JobID) *bk.JobRecord {
+func (b *batch) jobRecord(id protocol.JobID) *storage.JobRecord {
 	if r := b.jobs[id]; r != nil {
 		return r
 	}
@@ -411,29 +411,29 @@
 func (b *batch) transaction() protocol.Transaction {
 	var transaction protocol.Transaction
 	for _, id := range sortedKeys(b.jobs) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: bk.JobKey(id), Value: bk.EncodeJob(b.core.storageFormat(), b.jobs[id])})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.JobKey(id), Value: storage.EncodeJob(b.core.storageFormat(), b.jobs[id])})
 	}
 	for _, id := range sortedKeys(b.shards) {
 		draft := b.shards[id]
 		if len(draft.machineIDs) == 0 && len(draft.doneTasks) == 0 {
-			if b.conditions[bk.ShardKey(id)] != 0 {
-				transaction.Operations = append(transaction.Operations, protocol.Operation{DeleteKey: bk.ShardKey(id)})
+			if b.conditions[storage.ShardKey(id)] != 0 {
+				transaction.Operations = append(transaction.Operations, protocol.Operation{DeleteKey: storage.ShardKey(id)})
 			}
 			continue
 		}
 		transaction.Operations = append(transaction.Operations, b.encodeShard(id, draft)...)
 	}
 	for _, slot := range sortedKeys(b.transfers) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: bk.TransferKey(slot), Value: bk.MustMarshal(b.transfers[slot])})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.TransferKey(slot), Value: storage.MustMarshal(b.transfers[slot])})
 	}
 	for _, controllerID := range sortedKeys(b.drains) {
 		transaction.Operations = append(transaction.Operations, b.drains[controllerID].operation(controllerID))
 	}
 	if b.writesRegistry {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: bk.RegistryKey, Value: bk.MustMarshal(bk.RegistryRecord{UpdatedBy: b.core.incarnation})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.core.incarnation})})
 	}
 	for _, t := range sortedKeys(b.teams) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: bk.QuotaKey(t), Value: bk.MustMarshal(bk.QuotaRecord{UpdatedBy: b.core.incarnation, TransactionID: b.core.lastTransactionID})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.core.incarnation, TransactionID: b.core.lastTransactionID})})
 	}
 	for _, k := range sortedKeys(b.conditions) {
 		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: k, ModRevision: b.conditions[k]})
@@ -444,7 +444,7 @@
 // encodeShard writes a page; one that has outgrown a value in several parts, all of them
 // with the same owner and epoch. The new parts come first: a machine is on some page at
 // every moment then.
-func (b *batch) encodeShard(id bk.ShardID, draft *shardDraft) []protocol.Operation {
+func (b *batch) encodeShard(id storage.ShardID, draft *shardDraft) []protocol.Operation {
 	lines := make([]string, len(draft.machineIDs))
 	for i, x := range draft.machineIDs {
 		if r := b.machines[x]; r != nil {
@@ -454,13 +454,13 @@
 		}
 	}
 	format := b.core.storageFormat()
-	data := bk.EncodeShard(format, draft.owner, draft.epoch, lines, draft.doneTasks)
-	if len(data) <= b.core.writeLimits().ValueBytes || len(draft.machineIDs) < 2 || format < bk.FormatPacked {
-		return []protocol.Operation{{PutKey: bk.ShardKey(id), Value: data}}
+	data := storage.EncodeShard(format, draft.owner, draft.epoch, lines, draft.doneTasks)
+	if len(data) <= b.core.writeLimits().ValueBytes || len(draft.machineIDs) < 2 || format < storage.FormatPacked {
+		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
 	}
 	half := len(draft.machineIDs) / 2
 	newID := b.core.newShardID()
-	b.dependOn(bk.ShardKey(newID))
+	b.dependOn(storage.ShardKey(newID))
 	parts := b.encodeShard(newID, &shardDraft{owner: draft.owner, epoch: draft.epoch, machineIDs: draft.machineIDs[half:]})
 	return append(parts, b.encodeShard(id, &shardDraft{owner: draft.owner, epoch: draft.epoch, machineIDs: draft.machineIDs[:half], doneTasks: draft.doneTasks})...)
 }
@@ -471,7 +471,7 @@
 
 // estimateEncodedSize estimates what plain text takes of a page.
 func (c *Core) estimateEncodedSize(plain int) int {
-	if c.storageFormat() < bk.FormatPacked {
+	if c.storageFormat() < storage.FormatPacked {
 		return plain
 	}
 	return int(float64(plain)*packedSizeRatio) + 1
@@ -500,15 +500,15 @@
 // projectShardSize is what a page may come to take. What is packed hardly grows with the tasks of
 // its machines, so there it is what the page takes now, and a quarter more.
 func (b *batch) projectShardSize(d *shardDraft) int {
-	if b.core.storageFormat() < bk.FormatPacked {
+	if b.core.storageFormat() < storage.FormatPacked {
 		return b.estimateMachinesSize(d.machineIDs)
 	}
 	return d.estimatedSize * 5 / 4
 }
 
 // ownedShards lists the pages of this run.
-func (c *Core) ownedShards() []bk.ShardID {
-	return selectKeys(c.replica.Shards, func(p *bk.Shard) bool { return c.incarnation != "" && p.Owner == c.incarnation })
+func (c *Core) ownedShards() []storage.ShardID {
+	return selectKeys(c.replica.Shards, func(p *storage.Shard) bool { return c.incarnation != "" && p.Owner == c.incarnation })
 }
 
 // mergeShards puts what is left on a page that has lost most of its machines onto
@@ -520,14 +520,14 @@
 		return
 	}
 	c.nextShardMergeAt = c.now.Monotonic.Add(c.cfg.MinRebalanceInterval)
-	inTransfer := c.shardsInTransfer(bk.TransferPhase.IsOpen)
-	shards := slices.DeleteFunc(c.ownedShards(), func(id bk.ShardID) bool { return inTransfer[id] })
-	projected := map[bk.ShardID]int{}
+	inTransfer := c.shardsInTransfer(storage.TransferPhase.IsOpen)
+	shards := slices.DeleteFunc(c.ownedShards(), func(id storage.ShardID) bool { return inTransfer[id] })
+	projected := map[storage.ShardID]int{}
 	for _, id := range shards {
 		p := c.replica.Shards[id]
 		projected[id] = b.projectShardSize(&shardDraft{machineIDs: p.Machines, estimatedSize: p.EncodedSize})
 	}
-	slices.SortStableFunc(shards, func(a, z bk.ShardID) int { return cmp.Compare(projected[a], projected[z]) })
+	slices.SortStableFunc(shards, func(a, z storage.ShardID) int { return cmp.Compare(projected[a], projected[z]) })
 	for _, id := range shards {
 		p := c.replica.Shards[id]
 		if projected[id] > c.writeLimits().ValueBytes/3 || len(p.Machines) == 0 || b.shards[id] != nil {
@@ -558,7 +558,7 @@
 // shardSplitThreshold is the size from which a page is cut in two. What is packed changes its
 // size less evenly, and is cut before it takes no more tasks.
 func (c *Core) shardSplitThreshold() int {
-	if c.storageFormat() < bk.FormatPacked {
+	if c.storageFormat() < storage.FormatPacked {
 		return c.writeLimits().ValueBytes * 15 / 16
 	}
 	return c.writeLimits().ValueBytes * 7 / 8
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // A job is withdrawn in two steps, both on record. The intent comes first: from then
@@ -36,19 +36,19 @@
 
 // cancellations is what this process knows of jobs that are being withdrawn.
 type cancellations struct {
-	requestedAt       map[protocol.JobID]protocol.Instant                     // since when this run withdraws them
-	peerIntents       map[protocol.JobID]peerIntent                           // intents that the replica does not have yet
-	peerAcks          map[protocol.JobID]map[bk.Incarnation]protocol.Revision // runs that answer for one, and their replicas' revisions
-	localAcks         map[protocol.JobID]bool                                 // intents that this run answers for
-	fullyAcknowledged map[protocol.JobID]bool                                 // intents of which nobody who matters is unaware
-	intentSentAt      map[protocol.JobID]protocol.Instant                     // intents in the last message to the others
+	requestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
+	peerIntents       map[protocol.JobID]peerIntent                                // intents that the replica does not have yet
+	peerAcks          map[protocol.JobID]map[storage.Incarnation]protocol.Revision // runs that answer for one, and their replicas' revisions
+	localAcks         map[protocol.JobID]bool                                      // intents that this run answers for
+	fullyAcknowledged map[protocol.JobID]bool                                      // intents of which nobody who matters is unaware
+	intentSentAt      map[protocol.JobID]protocol.Instant                          // intents in the last message to the others
 
 	intentRotation, ackRotation rotation // which of them the next message begins with
 }
 
 func newCancellations() cancellations {
 	return cancellations{requestedAt: map[protocol.JobID]protocol.Instant{}, peerIntents: map[protocol.JobID]peerIntent{},
-		peerAcks: map[protocol.JobID]map[bk.Incarnation]protocol.Revision{}, fullyAcknowledged: map[protocol.JobID]bool{}, intentSentAt: map[protocol.JobID]protocol.Instant{}}
+		peerAcks: map[protocol.JobID]map[storage.Incarnation]protocol.Revision{}, fullyAcknowledged: map[protocol.JobID]bool{}, intentSentAt: map[protocol.JobID]protocol.Instant{}}
 }
 
 // Bounds of what controllers tell each other of withdrawals in one message, and of
@@ -90,7 +90,7 @@
 	if c.isTerminationConfirmed(id) {
 		return true
 	}
-	if m == nil || m.latestHeartbeat == nil || bk.ShardEpochOf(m.confirmedToken) < entry.Record.ShardEpoch {
+	if m == nil || m.latestHeartbeat == nil || storage.ShardEpochOf(m.confirmedToken) < entry.Record.ShardEpoch {
 		return false
 	}
 	if m.latestHeartbeat.AgentEpoch > entry.Record.AgentEpoch || c.isAgentLeaseExpired(m, &entry.Record) {
@@ -109,7 +109,7 @@
 
 // allTasksSatisfy tells whether no start of the assigned tasks is in flight, and the newest report
 // either lacks each of them or shows it as it should be.
-func (m *machineState) allTasksSatisfy(a *bk.Assignment, isSatisfied func(*protocol.TaskStatus) bool) bool {
+func (m *machineState) allTasksSatisfy(a *storage.Assignment, isSatisfied func(*protocol.TaskStatus) bool) bool {
 	satisfied := true
 	a.Tasks.Each(func(n int) bool {
 		task := protocol.Task{Job: a.Job, Index: n}
@@ -169,7 +169,7 @@
 // one that is being given away goes first or not at all.
 func (c *Core) prepareDirectCancel(b *batch, id protocol.JobID) bool {
 	entry := c.replica.Jobs[id]
-	if entry.Record.Owner != c.incarnation || c.replica.Revision < protocol.Revision(entry.ModRevision) || c.hasPendingConditionOn(bk.JobKey(id)) ||
+	if entry.Record.Owner != c.incarnation || c.replica.Revision < protocol.Revision(entry.ModRevision) || c.hasPendingConditionOn(storage.JobKey(id)) ||
 		len(b.conditions)+len(c.replica.MachinesWithJob(id)) > 3*c.writeLimits().TransactionOps {
 		return false
 	}
@@ -179,7 +179,7 @@
 		}
 	}
 	for machineID := range c.replica.MachinesWithJob(id) {
-		b.dependOn(bk.ShardKey(c.replica.Machines[machineID].Record.Shard))
+		b.dependOn(storage.ShardKey(c.replica.Machines[machineID].Record.Shard))
 	}
 	return true
 }
@@ -247,7 +247,7 @@
 	}
 	for id := range c.replica.CancellingJobs {
 		ack(id)
-		if _, isRequested := c.cancellations.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.isSuccessor(bk.JobKey(id)) {
+		if _, isRequested := c.cancellations.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.isSuccessor(storage.JobKey(id)) {
 			c.requestCancellation(id) // whoever began it may be gone
 		}
 		if !c.cancellations.fullyAcknowledged[id] {
@@ -309,7 +309,7 @@
 			continue
 		}
 		if c.cancellations.peerAcks[id] == nil {
-			c.cancellations.peerAcks[id] = map[bk.Incarnation]protocol.Revision{}
+			c.cancellations.peerAcks[id] = map[storage.Incarnation]protocol.Revision{}
 		}
 		c.cancellations.peerAcks[id][status.Incarnation] = max(c.cancellations.peerAcks[id][status.Incarnation], status.Revision)
 	}
@@ -317,11 +317,11 @@
 
 // longestPendingCancel tells whether a task of a job that is called off may still be on the
 // machine, and for how long that job has been.
-func (c *Core) longestPendingCancel(m *machineState, record *bk.MachineRecord) (longest time.Duration, isPending bool) {
+func (c *Core) longestPendingCancel(m *machineState, record *storage.MachineRecord) (longest time.Duration, isPending bool) {
 	if m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch > record.AgentEpoch {
 		return 0, false // killed
 	}
-	isCurrent := m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch == record.AgentEpoch && bk.ShardEpochOf(m.latestHeartbeat.FencingToken) >= record.ShardEpoch
+	isCurrent := m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch == record.AgentEpoch && storage.ShardEpochOf(m.latestHeartbeat.FencingToken) >= record.ShardEpoch
 	for i := range record.Assignments {
 		a := &record.Assignments[i]
 		if !c.cancelRequested(a.Job) {
@@ -339,7 +339,7 @@
 // called off is still there: it hangs, or cannot be reached. Early enough for a slow
 // cloud, and late enough for what only needs a moment. cutOff: it is this node rather
 // that is not reached.
-func (c *Core) mustForceScaleIn(m *machineState, record *bk.MachineRecord, cutOff bool) bool {
+func (c *Core) mustForceScaleIn(m *machineState, record *storage.MachineRecord, cutOff bool) bool {
 	pendingFor, isPending := c.longestPendingCancel(m, record)
 	return isPending && pendingFor > c.cfg.CancelTimeout*2/5 && (c.isSilent(m) && !cutOff || pendingFor > c.cfg.CancelTimeout*3/5)
 }
@@ -369,7 +369,7 @@
 	if !c.replication.isLoaded || !c.storeUnavailableEverywhere() {
 		return
 	}
-	ids := selectKeys(c.replica.Machines, func(entry *bk.Machine) bool {
+	ids := selectKeys(c.replica.Machines, func(entry *storage.Machine) bool {
 		return !c.ownsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
 	})
 	for _, id := range ids {
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // putCancellingJob puts a job on record whose withdrawal has begun.
 func putCancellingJob(t *testing.T, c *Core, modRevision protocol.ModRevision) {
 	t.Helper()
-	if _, err := c.replica.Put(bk.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
+	if _, err := c.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -27,43 +27,43 @@
 	}
 	for _, c := range []struct {
 		name string
-		do   func(core *Core, e *bk.Machine, m *machineState)
+		do   func(core *Core, e *storage.Machine, m *machineState)
 		want bool
 	}{
-		{"no report yet", func(*Core, *bk.Machine, *machineState) {}, false},
-		{"never started", func(core *Core, e *bk.Machine, m *machineState) {
+		{"no report yet", func(*Core, *storage.Machine, *machineState) {}, false},
+		{"never started", func(core *Core, e *storage.Machine, m *machineState) {
 			m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
 		}, true},
-		{"runs", func(core *Core, e *bk.Machine, m *machineState) {
+		{"runs", func(core *Core, e *storage.Machine, m *machineState) {
 			m.recordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.now.Monotonic)
 		}, true},
-		{"fetches its image", func(core *Core, e *bk.Machine, m *machineState) {
+		{"fetches its image", func(core *Core, e *storage.Machine, m *machineState) {
 			m.recordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.now.Monotonic)
 		}, false},
-		{"its start is on its way", func(core *Core, e *bk.Machine, m *machineState) {
+		{"its start is on its way", func(core *Core, e *storage.Machine, m *machineState) {
 			m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
 			m.inflightStarts[task] = 5
 		}, false},
-		{"the worker has shown an earlier token only", func(core *Core, e *bk.Machine, m *machineState) {
+		{"the worker has shown an earlier token only", func(core *Core, e *storage.Machine, m *machineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
-			r.FencingToken = bk.ShardEpoch(2).FencingToken(0)
+			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
 			m.recordHeartbeat(r, core.now.Monotonic)
 		}, false},
-		{"a newer session", func(core *Core, e *bk.Machine, m *machineState) {
+		{"a newer session", func(core *Core, e *storage.Machine, m *machineState) {
 			r := newHeartbeat(e, 1)
 			r.AgentEpoch++
 			m.recordHeartbeat(r, core.now.Monotonic)
 		}, true},
-		{"released, and that answered", func(core *Core, e *bk.Machine, m *machineState) {
+		{"released, and that answered", func(core *Core, e *storage.Machine, m *machineState) {
 			core.terminations["m-1"] = &termination{confirmed: true}
 		}, true},
-		{"released, with no answer yet", func(core *Core, e *bk.Machine, m *machineState) {
+		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *machineState) {
 			core.terminations["m-1"] = &termination{}
 		}, false},
 	} {
 		core, _ := newReadyCore(t)
 		putCancellingJob(t, core, 2)
-		rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		c.do(core, e, m)
@@ -96,14 +96,14 @@
 		{"one that has not registered", PeerStatus{Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
 	} {
 		core, step := newReadyCore(t)
-		for key, data := range map[string]string{bk.ControllerKey("stall-1"): `{"r":"stall-1#1"}`, bk.ControllerKey("stall-2"): `{"r":"stall-2#9"}`} {
+		for key, data := range map[string]string{storage.ControllerKey("stall-1"): `{"r":"stall-1#1"}`, storage.ControllerKey("stall-2"): `{"r":"stall-2#9"}`} {
 			if _, err := core.replica.Put(key, []byte(data), 2); err != nil {
 				t.Fatal(err)
 			}
 		}
-		rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.replica.Put(bk.ShardKey("p"), bk.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
+		if _, err := core.replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
 			t.Fatal(err)
 		}
 		putCancellingJob(t, core, 6)
@@ -114,7 +114,7 @@
 			t.Errorf("%s: %v", c.name, got)
 		}
 		// An answer counts only as long as its run lives.
-		core.replica.Delete(bk.ControllerKey("stall-1"), 7)
+		core.replica.Delete(storage.ControllerKey("stall-1"), 7)
 		if core.isCancelFullyAcknowledged("j-1") {
 			t.Errorf("%s: the word of a run that has ended counts", c.name)
 		}
@@ -130,10 +130,10 @@
 		want bool
 	}{{"newer than the replica", 50, true}, {"older: the replica would have it", 1, false}} {
 		core, step := newReadyCore(t)
-		if _, err := core.replica.Put(bk.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
+		if _, err := core.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
-		rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
 		rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 		e, m := addOwnedMachine(t, core, rec)
@@ -175,7 +175,7 @@
 // a withdrawal that the owner before knew of.
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
 	core, step := newReadyCore(t)
-	rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
 	if core.replica.Revision = 0; core.machineStates["m-1"].ownershipRevision == 0 {
 		t.Fatal("the page has no revision")
@@ -206,9 +206,9 @@
 func TestPeerStatusRateIsBounded(t *testing.T) {
 	for _, isRequester := range []bool{true, false} {
 		core, step := newReadyCore(t)
-		rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.replica.Put(bk.ShardKey("p"), bk.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
+		if _, err := core.replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
 			t.Fatal(err)
 		}
 		putCancellingJob(t, core, 2)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -5,15 +5,15 @@
 	"math"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // candidate is a machine as the planner sees it.
 type candidate struct {
 	id                  protocol.MachineID
 	state               *machineState // nil: nothing is remembered of it here
-	record              *bk.MachineRecord
+	record              *storage.MachineRecord
 	machineType         *protocol.MachineType
 	isProvisioning      bool // rented, but not up yet: nothing is written to it
 	isUnschedulable     bool // takes no new task
@@ -73,7 +73,7 @@
 func (c *Core) listCandidates(b *batch) []*candidate {
 	list := c.replica.SortedMachines()
 	out := make([]*candidate, 0, len(list)+16)
-	live := map[bk.Incarnation]bool{c.incarnation: true}
+	live := map[storage.Incarnation]bool{c.incarnation: true}
 	for _, entry := range c.replica.Controllers {
 		live[entry.Record.Incarnation] = true
 	}
@@ -145,7 +145,7 @@
 		}
 		for range missing {
 			out = append(out, &candidate{id: protocol.MachineID("~" + name), isProvisioning: true, machineType: machineType, cores: machineType.Cores, accelerators: machineType.Accelerators, memoryGB: machineType.MemoryGB,
-				record: &bk.MachineRecord{MachineType: request.request.Type, Zone: request.request.Zone, Spot: request.request.Spot}})
+				record: &storage.MachineRecord{MachineType: request.request.Type, Zone: request.request.Zone, Spot: request.request.Spot}})
 		}
 	}
 	return out
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/cloud.go
@@ -5,8 +5,8 @@
 	"sort"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // termination is a machine on its way back to the cloud.
@@ -139,7 +139,7 @@
 }
 
 // evaluateScaleIn decides whether an owned machine goes back, and why.
-func (c *Core) evaluateScaleIn(e *bk.Machine, m *machineState, isolated bool) {
+func (c *Core) evaluateScaleIn(e *storage.Machine, m *machineState, isolated bool) {
 	if e.Record.Terminating {
 		if c.terminations[m.id] == nil && c.isRegistered() {
 			c.terminations[m.id] = &termination{}
@@ -151,7 +151,7 @@
 	}
 }
 
-func (c *Core) scaleInReasonFor(e *bk.Machine, m *machineState, isolated bool) string {
+func (c *Core) scaleInReasonFor(e *storage.Machine, m *machineState, isolated bool) string {
 	rec := &e.Record
 	machineType := c.machineType(rec.MachineType)
 	age := millisToDuration(c.now.Wall - rec.AddedAt)
@@ -289,7 +289,7 @@
 		if _, ok := c.terminatedAt[id]; ok || !c.isSuccessor(string(id)) || c.provisioning.isGranted(id) {
 			continue
 		}
-		b.addMachine(id, &bk.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
+		b.addMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
 			Spot: l.instance.Spot, AddedAt: c.now.Wall - protocol.Millis(l.instance.AgeSeconds*1000)}, 0)
 		b.log(slog.LevelInfo, "unexpected machine adopted from the list", "machine", string(id))
 	}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -4,14 +4,14 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // registrationCondition ties a transaction to this run: once the run's key has gone or was
 // fenced, nothing that it sent before can be applied any more.
 func (c *Core) registrationCondition() protocol.Condition {
-	return protocol.Condition{Key: bk.ControllerKey(c.cfg.ControllerID), ModRevision: c.registrationRevision}
+	return protocol.Condition{Key: storage.ControllerKey(c.cfg.ControllerID), ModRevision: c.registrationRevision}
 }
 
 // commitBatch sends the next transaction if there is something to write.
@@ -48,7 +48,7 @@
 	rec := e.Record
 	rec.WriteBarrier++
 	c.sendTransaction(&pendingTransaction{isWriteBarrier: true, transaction: protocol.Transaction{Conditions: []protocol.Condition{c.registrationCondition()},
-		Operations: []protocol.Operation{{PutKey: bk.ControllerKey(c.cfg.ControllerID), Value: bk.MustMarshal(rec), Lease: c.lease.id}}}})
+		Operations: []protocol.Operation{{PutKey: storage.ControllerKey(c.cfg.ControllerID), Value: storage.MustMarshal(rec), Lease: c.lease.id}}}})
 }
 
 // commitRecordBatch sends what there is to write of jobs and machines.
@@ -176,11 +176,11 @@
 	if !c.takeWriteTokens(1) {
 		return
 	}
-	key := bk.ControllerKey(c.cfg.ControllerID)
-	incarnation := bk.NewIncarnation(c.cfg.ControllerID, c.lease.id)
+	key := storage.ControllerKey(c.cfg.ControllerID)
+	incarnation := storage.NewIncarnation(c.cfg.ControllerID, c.lease.id)
 	c.sendTransaction(&pendingTransaction{registers: true, transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: key, ModRevision: c.replica.ModRevision(key)}},
-		Operations: []protocol.Operation{{PutKey: key, Value: bk.MustMarshal(bk.ControllerRecord{Incarnation: incarnation, ReadableFormat: bk.FormatPacked, SupportsTransfers: c.cfg.RecordTransfers}), Lease: c.lease.id}}}})
+		Operations: []protocol.Operation{{PutKey: key, Value: storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: storage.FormatPacked, SupportsTransfers: c.cfg.RecordTransfers}), Lease: c.lease.id}}}})
 }
 
 // onCommitResult takes in the outcome of a transaction.
@@ -205,7 +205,7 @@
 func (c *Core) recordOutcome(pending *pendingTransaction, v *CommitResult) {
 	err := v.Err
 	switch {
-	case v.Outcome == bk.OutcomeUnavailable || v.Outcome == bk.OutcomeUnknown:
+	case v.Outcome == storage.OutcomeUnavailable || v.Outcome == storage.OutcomeUnknown:
 		if err == nil {
 			err = errNoUsableResponse
 		}
@@ -213,12 +213,12 @@
 		err = nil
 	}
 	c.recordContact(pending.sentAt, err)
-	if v.Outcome != bk.OutcomeThrottled {
+	if v.Outcome != storage.OutcomeThrottled {
 		c.consecutiveBusy = 0
 	}
 	switch v.Outcome {
-	case bk.OutcomeApplied, bk.OutcomeConflict, bk.OutcomeThrottled:
-		c.adaptWriteRate(v.Outcome == bk.OutcomeThrottled)
+	case storage.OutcomeApplied, storage.OutcomeConflict, storage.OutcomeThrottled:
+		c.adaptWriteRate(v.Outcome == storage.OutcomeThrottled)
 	}
 }
 
@@ -226,26 +226,26 @@
 // transaction has to wait.
 func (c *Core) handleOutcome(pending *pendingTransaction, v *CommitResult) (delay time.Duration) {
 	switch v.Outcome {
-	case bk.OutcomeApplied:
+	case storage.OutcomeApplied:
 		c.applyTransaction(pending, v.Result.Revision)
-	case bk.OutcomeConflict:
+	case storage.OutcomeConflict:
 		c.log(slog.LevelDebug, "transaction refused, records have moved on", "keys", v.Result.FailedKeys)
 		c.requireRevision(v.Result.Revision)
 		delay = c.jitter(20 * time.Millisecond)
 		c.checkRegistration()
-	case bk.OutcomeThrottled:
+	case storage.OutcomeThrottled:
 		c.consecutiveBusy++
 		delay = c.jitter(min(50*time.Millisecond<<min(c.consecutiveBusy, 4), time.Second))
-	case bk.OutcomeLeaseExpired:
+	case storage.OutcomeLeaseExpired:
 		c.registrationRevision, c.lease.id = 0, 0
-	case bk.OutcomeUnavailable:
+	case storage.OutcomeUnavailable:
 		delay = c.jitter(300 * time.Millisecond)
-	case bk.OutcomeInvalid:
+	case storage.OutcomeInvalid:
 		c.log(slog.LevelError, "transaction called malformed", "err", errorText(v.Err))
 		// Whatever made it too large, a smaller one gets on.
 		c.onTransactionTooLarge(&pending.transaction)
 		delay = 200 * time.Millisecond
-	case bk.OutcomeUnknown:
+	case storage.OutcomeUnknown:
 		// It may be applied now, later or never. Only a fence settles it.
 		c.log(slog.LevelWarn, "transaction without outcome", "err", errorText(v.Err))
 		if !pending.registers {
@@ -273,7 +273,7 @@
 	c.maxTransactionOps = c.writeLimits().TransactionOps
 	switch {
 	case pending.registers:
-		c.incarnation = bk.NewIncarnation(c.cfg.ControllerID, c.lease.id)
+		c.incarnation = storage.NewIncarnation(c.cfg.ControllerID, c.lease.id)
 		c.registrationRevision = modRevision
 		c.requireRevision(revision)
 		c.log(slog.LevelInfo, "run registered", "run", string(c.incarnation))
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -11,8 +11,8 @@
 
 	"golang.org/x/time/rate"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // Core is the state machine of one controller.
@@ -23,7 +23,7 @@
 	rng     *rand.Rand
 
 	// What the state service holds, as far as it is known here.
-	replica     *bk.Replica
+	replica     *storage.Replica
 	replication replication
 	store       storeHealth
 
@@ -31,7 +31,7 @@
 	lastStepAt protocol.Instant // last step
 
 	// This process run.
-	incarnation          bk.Incarnation
+	incarnation          storage.Incarnation
 	lease                leaseState
 	registrationRevision protocol.ModRevision // stamp of this member's key while run is registered
 
@@ -58,7 +58,7 @@
 	formatUpgrade formatUpgrade
 	ownership     ownership
 
-	transferObservations map[bk.TransferSlot]transferObservation
+	transferObservations map[storage.TransferSlot]transferObservation
 	lastRebalanceAt      protocol.Instant // when moves were last planned
 	lastTransferNumber   int              // of the last move that was named
 
@@ -143,13 +143,13 @@
 // New makes the core of a controller that knows nothing yet.
 func New(cfg Config, now Now) *Core {
 	c := &Core{
-		cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), replica: bk.NewReplica(),
+		cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), replica: storage.NewReplica(),
 		submissions: map[protocol.JobID]*submission{}, cancellations: newCancellations(),
 		gracefulStops: map[protocol.JobID]protocol.Attempt{}, machineStates: map[protocol.MachineID]*machineState{}, jobStates: map[protocol.JobID]*jobState{},
 		provisioning: newProvisioningState(), warmPool: newWarmPool(), lastContendedAt: map[protocol.MachineTypeName]protocol.Instant{}, terminations: map[protocol.MachineID]*termination{},
 		listedInstances: map[protocol.MachineID]*listedInstance{}, terminatedAt: map[protocol.MachineID]protocol.Instant{},
 		spotThresholds: map[priceKey]*SpotPriceThreshold{}, peers: map[protocol.ControllerID]peer{}, misdirectedHeartbeats: map[protocol.MachineID]misdirectedHeartbeat{},
-		ownership: newOwnership(), transferObservations: map[bk.TransferSlot]transferObservation{}, deferredHeartbeats: map[protocol.MachineID]bool{}, awaitingOwner: map[protocol.MachineID]bool{}, assignedAt: map[assignmentKey]protocol.Instant{},
+		ownership: newOwnership(), transferObservations: map[storage.TransferSlot]transferObservation{}, deferredHeartbeats: map[protocol.MachineID]bool{}, awaitingOwner: map[protocol.MachineID]bool{}, assignedAt: map[assignmentKey]protocol.Instant{},
 	}
 	c.replica.OnMachineChange = c.onMachineChanged
 	c.formatUpgrade.packedReaders = map[protocol.ControllerID]bool{}
@@ -257,7 +257,7 @@
 }
 
 // onMachineChanged takes in that a machine's record has changed.
-func (c *Core) onMachineChanged(id protocol.MachineID, before, after *bk.MachineRecord) {
+func (c *Core) onMachineChanged(id protocol.MachineID, before, after *storage.MachineRecord) {
 	c.shouldRecheckDeferred = true
 	if before != nil && after != nil {
 		c.recordExitedReplicas(id, before, after)
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // newReadyCore brings a core to the point where it is registered and up to date.
@@ -26,7 +26,7 @@
 	step(0, Tick{})
 	step(0, GrantLeaseResult{LeaseID: 7})
 	step(0, LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
+	step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
 	step(0, WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
 	if !c.isRegistered() || !c.isUpToDate() {
 		t.Fatal("the core does not begin")
@@ -84,20 +84,20 @@
 		}
 		return n, keys
 	}
-	if n, keys := commits(submit()); n != 1 || keys[0] != bk.JobKey("j-1") {
+	if n, keys := commits(submit()); n != 1 || keys[0] != storage.JobKey("j-1") {
 		t.Fatalf("%d commits of %v", n, keys)
 	}
 	// Whatever is sent rests on this run's own key: once that has gone, nothing
 	// that is still on its way is applied.
-	if !slices.Contains(c.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: bk.ControllerKey("stall-0"), ModRevision: c.registrationRevision}) {
+	if !slices.Contains(c.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.registrationRevision}) {
 		t.Errorf("the transaction does not depend on the run's key: %v", c.pendingUserTransaction.transaction.Conditions)
 	}
-	step(0, CommitResult{ID: c.pendingUserTransaction.id, Outcome: bk.OutcomeUnknown, Err: errNoUsableResponse})
+	step(0, CommitResult{ID: c.pendingUserTransaction.id, Outcome: storage.OutcomeUnknown, Err: errNoUsableResponse})
 	step(time.Second, RenewLeaseResult{LeaseID: 7})
-	if c.pendingTransaction == nil || !c.pendingTransaction.isWriteBarrier || c.pendingTransaction.transaction.Operations[0].PutKey != bk.ControllerKey("stall-0") || c.pendingTransaction.transaction.Operations[0].Lease != 7 {
+	if c.pendingTransaction == nil || !c.pendingTransaction.isWriteBarrier || c.pendingTransaction.transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.pendingTransaction.transaction.Operations[0].Lease != 7 {
 		t.Fatalf("no fence: %+v", c.pendingTransaction)
 	}
-	out := step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
+	out := step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
 	out = append(out, submit()...)
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
@@ -108,17 +108,17 @@
 }
 
 // addOwnedMachine gives the core a page with one machine, and the state of that machine.
-func addOwnedMachine(t *testing.T, c *Core, rec bk.MachineRecord) (*bk.Machine, *machineState) {
+func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *machineState) {
 	t.Helper()
-	key := bk.ShardKey("p")
-	if _, err := c.replica.Put(key, bk.EncodePlainShard(c.incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.replica.ModRevision(key)+1); err != nil {
+	key := storage.ShardKey("p")
+	if _, err := c.replica.Put(key, storage.EncodePlainShard(c.incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
 	machine := c.replica.Machines["m-1"]
 	return machine, c.trackOwnedMachine(machine, "m-1")
 }
 
-func newHeartbeat(machine *bk.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
+func newHeartbeat(machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
 	return &protocol.Heartbeat{Machine: "m-1", Addr: "a", Type: "s", Zone: "a", AgentEpoch: machine.Record.AgentEpoch, Sequence: sequence, FencingToken: machine.Record.FencingToken, Tasks: tasks}
 }
 
@@ -139,11 +139,11 @@
 		{"answers do not reach the worker", 0, 0, true, false},
 	} {
 		core, _ := newReadyCore(t)
-		if _, err := core.replica.Put(bk.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
+		if _, err := core.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		task := protocol.Task{Job: "j-1"}
-		rec := bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
@@ -184,9 +184,9 @@
 		{"an earlier session", 1, 99, false},
 	} {
 		core, step := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
+		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
 		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
-		if _, err := core.replica.Put(bk.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
 		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{"m-1", c.session, c.tally}}}})
@@ -241,14 +241,14 @@
 		after     time.Duration
 		want      bool
 	}{
-		{"within the lease", bk.ShardEpoch(epoch).FencingToken(0), 13 * time.Second, false},
-		{"at its end, clocks may drift", bk.ShardEpoch(epoch).FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
-		{"behind it", bk.ShardEpoch(epoch).FencingToken(0), 16 * time.Second, true},
-		{"behind it, before the newest rise was shown", bk.ShardEpoch(epoch).FencingToken(1), 16 * time.Second, true},
-		{"the worker has shown an earlier owner's only", bk.ShardEpoch(epoch - 1).FencingToken(9), 16 * time.Second, false},
+		{"within the lease", storage.ShardEpoch(epoch).FencingToken(0), 13 * time.Second, false},
+		{"at its end, clocks may drift", storage.ShardEpoch(epoch).FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
+		{"behind it", storage.ShardEpoch(epoch).FencingToken(0), 16 * time.Second, true},
+		{"behind it, before the newest rise was shown", storage.ShardEpoch(epoch).FencingToken(1), 16 * time.Second, true},
+		{"the worker has shown an earlier owner's only", storage.ShardEpoch(epoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
 		core, step := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
+		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
 		r := newHeartbeat(e, 1)
 		r.FencingToken = c.confirmed
 		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
@@ -274,7 +274,7 @@
 		{"past all leases", 48 * time.Second, false, false},
 	} {
 		core, step := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
 		for i := 0; i < 40; i++ { // all is asked for before the pause
 			step(50*time.Millisecond, Tick{})
@@ -315,7 +315,7 @@
 	}{{"most of each page", 2, 40, true, false}, {"some of each page", 6, 28, false, false}, {"of an earlier ownership", 2, 28, false, true}} {
 		core, step := newReadyCore(t)
 		step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
-		if _, err := core.replica.Put(bk.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
 		var misdirected []MisdirectedHeartbeat
@@ -323,7 +323,7 @@
 			var lines []string
 			for i := 0; i < 60; i++ {
 				id := protocol.MachineID(fmt.Sprintf("m-%06d", p*60+i))
-				r := bk.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
+				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				for k := 0; k < 4; k++ {
 					r.Assign(protocol.Task{Job: "j-000001", Index: 4*i + k}, protocol.Attempt(1000+k))
 				}
@@ -332,7 +332,7 @@
 					misdirected = append(misdirected, MisdirectedHeartbeat{id, 1, 9})
 				}
 			}
-			if _, err := core.replica.Put(bk.ShardKey(bk.ShardID(fmt.Sprint("p-", p))), bk.EncodePlainShard(core.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
+			if _, err := core.replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -348,7 +348,7 @@
 				for _, m := range p.Machines {
 					lines = append(lines, core.replica.EncodedLine(m))
 				}
-				core.replica.Put(bk.ShardKey(id), bk.EncodePlainShard(core.incarnation, 5, lines, nil), 99)
+				core.replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.incarnation, 5, lines, nil), 99)
 			}
 		}
 		b := core.newBatch(24)
@@ -416,7 +416,7 @@
 	for _, c := range []struct {
 		name           string
 		small, large   int // machines on each
-		eSmall, eLarge bk.ShardEpoch
+		eSmall, eLarge storage.ShardEpoch
 		want           bool
 	}{
 		{"one has few", 5, 30, 3, 3, true},
@@ -428,20 +428,20 @@
 		core, step := newReadyCore(t)
 		step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 		n := 0
-		put := func(id bk.ShardID, epoch bk.ShardEpoch, count int, done bk.TaskSet) {
+		put := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
 			var lines []string
 			for range count {
 				n++
-				r := bk.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
+				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
-			data := bk.EncodePlainShard(core.incarnation, epoch, lines, map[protocol.JobID]bk.TaskSet{"j-1": done})
-			if _, err := core.replica.Put(bk.ShardKey(id), data, 4); err != nil {
+			data := storage.EncodePlainShard(core.incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
+			if _, err := core.replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
-		put("a", c.eSmall, c.small, bk.TaskRange(0, 3))
-		put("b", c.eLarge, c.large, bk.TaskRange(4, 5))
+		put("a", c.eSmall, c.small, storage.TaskRange(0, 3))
+		put("b", c.eLarge, c.large, storage.TaskRange(4, 5))
 		b := core.newBatch(8)
 		core.mergeShards(b)
 		transaction := b.transaction()
@@ -479,7 +479,7 @@
 		{"was slow, has mended", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
 	} {
 		core, step := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 		j := core.jobState("j-1")
 		j.measuredTasks, j.measuredRuntime = 100, 1000*time.Second
 		sequence := protocol.Sequence(0)
@@ -516,10 +516,10 @@
 		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
 	} {
 		core, step := newReadyCore(t)
-		if _, err := core.replica.Put(bk.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		addOwnedMachine(t, core, bk.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+		addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 		transferred := false
 		for i := 0; i < 400; i++ {
 			gap := c.gaps[min(i, len(c.gaps)-1)]
@@ -532,9 +532,9 @@
 					continue
 				}
 				for _, operation := range v.Transaction.Operations {
-					transferred = transferred || operation.PutKey == bk.ShardKey("p") && strings.Contains(string(operation.Value), "stall-1#1")
+					transferred = transferred || operation.PutKey == storage.ShardKey("p") && strings.Contains(string(operation.Value), "stall-1#1")
 				}
-				step(0, CommitResult{ID: v.ID, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
+				step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
 			}
 		}
 		if transferred != c.want || core.isOverloaded() != c.want {
--- a/internal/coordination/drain_requests.go
+++ b/internal/coordination/drain_requests.go
@@ -3,8 +3,8 @@
 import (
 	"log/slog"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // SetDrainingRequest asks for a controller to be drained, or to be no longer. It is answered once
@@ -61,11 +61,11 @@
 	}
 	change := &drainChange{}
 	if v.Drain {
-		change.record = &bk.DrainRecord{Since: c.now.Wall}
+		change.record = &storage.DrainRecord{Since: c.now.Wall}
 	}
 	b.setDrain(v.Controller, change)
 	for controller := range c.replica.Controllers {
-		b.dependOn(bk.DrainKey(controller))
+		b.dependOn(storage.DrainKey(controller))
 	}
 	b.log(slog.LevelInfo, "controller is drained", "controller", string(v.Controller), "on", v.Drain)
 	return nil, nil
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 var announcedLimits = WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
 
 // putController makes a run of a controller live.
-func putController(t *testing.T, c *Core, controllerID protocol.ControllerID, readFormat bk.Format) {
+func putController(t *testing.T, c *Core, controllerID protocol.ControllerID, readFormat storage.Format) {
 	t.Helper()
-	key := bk.ControllerKey(controllerID)
-	incarnation := bk.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.replica.ModRevision(key)+1))
-	data := bk.MustMarshal(bk.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
+	key := storage.ControllerKey(controllerID)
+	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.replica.ModRevision(key)+1))
+	data := storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
 	if _, err := c.replica.Put(key, data, c.replica.ModRevision(key)+100); err != nil {
 		t.Fatal(err)
 	}
@@ -27,23 +27,23 @@
 // The format is raised only once every controller has been seen to read the packed one,
 // and never while a run of an older version lives.
 func TestFormatRaisedOnlyWhenAllCanRead(t *testing.T) {
-	const packed, plain, absent = bk.FormatPacked, bk.FormatPlain, bk.Format(-1)
+	const packed, plain, absent = storage.FormatPacked, storage.FormatPlain, storage.Format(-1)
 	for _, c := range []struct {
 		name    string
-		seen    []bk.Format // of the two others, earlier
-		now     []bk.Format // and now
-		none    bool        // no limits are announced
-		refused bool        // a write within today's limits was refused
+		seen    []storage.Format // of the two others, earlier
+		now     []storage.Format // and now
+		none    bool             // no limits are announced
+		refused bool             // a write within today's limits was refused
 		want    bool
 	}{
-		{"all read it", []bk.Format{absent, absent}, []bk.Format{packed, packed}, false, false, true},
-		{"no limits are announced", []bk.Format{absent, absent}, []bk.Format{packed, packed}, true, false, false},
-		{"one is old", []bk.Format{absent, absent}, []bk.Format{packed, plain}, false, false, false},
-		{"one has not been seen", []bk.Format{absent, absent}, []bk.Format{packed, absent}, false, false, false},
-		{"one was seen to read it and is away", []bk.Format{packed, packed}, []bk.Format{packed, absent}, false, false, true},
-		{"one came back old", []bk.Format{packed, packed}, []bk.Format{packed, plain}, false, false, false},
-		{"the new limits hold, one has not been seen", []bk.Format{absent, absent}, []bk.Format{packed, absent}, false, true, true},
-		{"the new limits seem to hold, one is old", []bk.Format{absent, absent}, []bk.Format{packed, plain}, false, true, false},
+		{"all read it", []storage.Format{absent, absent}, []storage.Format{packed, packed}, false, false, true},
+		{"no limits are announced", []storage.Format{absent, absent}, []storage.Format{packed, packed}, true, false, false},
+		{"one is old", []storage.Format{absent, absent}, []storage.Format{packed, plain}, false, false, false},
+		{"one has not been seen", []storage.Format{absent, absent}, []storage.Format{packed, absent}, false, false, false},
+		{"one was seen to read it and is away", []storage.Format{packed, packed}, []storage.Format{packed, absent}, false, false, true},
+		{"one came back old", []storage.Format{packed, packed}, []storage.Format{packed, plain}, false, false, false},
+		{"the new limits hold, one has not been seen", []storage.Format{absent, absent}, []storage.Format{packed, absent}, false, true, true},
+		{"the new limits seem to hold, one is old", []storage.Format{absent, absent}, []storage.Format{packed, plain}, false, true, false},
 	} {
 		core, _ := newReadyCore(t)
 		core.cfg.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
@@ -52,11 +52,11 @@
 		}
 		core.formatUpgrade.areAnnouncedLimitsActive = c.refused
 		putController(t, core, "stall-0", packed)
-		for _, formats := range [][]bk.Format{c.seen, c.now} {
+		for _, formats := range [][]storage.Format{c.seen, c.now} {
 			for i, f := range formats {
 				controllerID := core.cfg.PeerIDs[i]
 				if f == absent {
-					core.replica.Delete(bk.ControllerKey(controllerID), core.replica.ModRevision(bk.ControllerKey(controllerID))+1)
+					core.replica.Delete(storage.ControllerKey(controllerID), core.replica.ModRevision(storage.ControllerKey(controllerID))+1)
 				} else {
 					putController(t, core, controllerID, f)
 				}
@@ -76,7 +76,7 @@
 	if got, want := core.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
 		t.Errorf("before: %+v", got)
 	}
-	core.putInReplica(bk.FormatKey, bk.MustMarshal(bk.FormatRecord{WriteFormat: bk.FormatPacked}), 50)
+	core.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	if got, want := core.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.maxTransactionOps != 4 {
 		t.Errorf("after: %+v, %d changes in a transaction", got, core.maxTransactionOps)
 	}
@@ -99,19 +99,19 @@
 
 // putOversizedShard is a page as the version in production could leave it: near a value of
 // 8 KiB, with nothing on it that packs well.
-func putOversizedShard(t *testing.T, c *Core, owner bk.Incarnation) (machines int) {
+func putOversizedShard(t *testing.T, c *Core, owner storage.Incarnation) (machines int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(9, 9))
 	var lines []string
 	for size := 0; size < 7400; machines++ {
-		m := bk.MachineRecord{AgentEpoch: 1, Address: "10.1.0.1:1", MachineType: "large", Zone: "a", AddedAt: protocol.Millis(rng.Int64N(1 << 40))}
+		m := storage.MachineRecord{AgentEpoch: 1, Address: "10.1.0.1:1", MachineType: "large", Zone: "a", AddedAt: protocol.Millis(rng.Int64N(1 << 40))}
 		for range 12 {
 			m.Assign(protocol.Task{Job: protocol.JobID(fmt.Sprintf("j-%06d", rng.IntN(1e6))), Index: rng.IntN(1000)}, protocol.Attempt(rng.IntN(1000)))
 		}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
 		size += len(lines[machines]) + 3
 	}
-	c.putInReplica(bk.ShardKey("crowded"), bk.EncodePlainShard(owner, 3, lines, map[protocol.JobID]bk.TaskSet{"j-1": bk.TaskRange(4, 9)}), 60)
+	c.putInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
 	return machines
 }
 
@@ -121,15 +121,15 @@
 func TestOversizedShardIsSplitOnRewrite(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		owner bk.Incarnation
-		epoch bk.ShardEpoch
+		owner storage.Incarnation
+		epoch storage.ShardEpoch
 	}{{"of a dead run", "stall-1#1", 4}, {"of this run", "", 3}} {
 		core, step := newReadyCore(t)
 		core.cfg.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
 			c.owner = core.incarnation
 		}
-		core.putInReplica(bk.FormatKey, bk.MustMarshal(bk.FormatRecord{WriteFormat: bk.FormatPacked}), 50)
+		core.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 		machines := putOversizedShard(t, core, c.owner)
 		if ops := core.shardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
 			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.replica.Shards["crowded"].EncodedSize)
@@ -140,7 +140,7 @@
 				if v, ok := e.(Commit); ok && len(v.Transaction.Operations) > 1 {
 					sent = &v.Transaction
 				} else if ok {
-					step(0, CommitResult{ID: v.ID, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 1}})
+					step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 1}})
 				}
 			}
 			step(0, RenewLeaseResult{LeaseID: 7})
@@ -149,7 +149,7 @@
 		if sent == nil || !announcedLimits.allows(sent) {
 			t.Fatalf("%s: %+v", c.name, sent)
 		}
-		step(0, CommitResult{ID: core.pendingTransaction.id, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
+		step(0, CommitResult{ID: core.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
 		if len(core.replica.Machines) != machines {
 			t.Errorf("%s: %d machines of %d are left", c.name, len(core.replica.Machines), machines)
 		}
@@ -212,9 +212,9 @@
 // one whose machine has begun a new session.
 func TestReplicaRestartBackoff(t *testing.T) {
 	c, step := newReadyCore(t)
-	job := bk.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
-	c.putInReplica(bk.JobKey("j-1"), bk.MustMarshal(job), 40)
-	rec := bk.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
+	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
+	c.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
+	rec := storage.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
 	modRevision := protocol.ModRevision(50)
 	put := func(attempt protocol.Attempt) {
 		r := rec
@@ -222,7 +222,7 @@
 			r.Assign(protocol.Task{Job: "j-1"}, attempt)
 		}
 		modRevision++
-		c.putInReplica(bk.ShardKey("p"), bk.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
+		c.putInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
 	}
 	backoff := func() time.Duration { return c.jobState("j-1").notBefore.Sub(c.now.Monotonic) }
 	before := time.Duration(0)
@@ -263,18 +263,18 @@
 	core.cfg.AnnouncedLimits = &announcedLimits
 	var lines []string
 	for i := range 60 {
-		m := bk.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
+		m := storage.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
-	core.putInReplica(bk.ShardKey("idle"), bk.EncodePlainShard(core.incarnation, 3, lines, nil), 40)
-	var done bk.TaskSet
+	core.putInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.incarnation, 3, lines, nil), 40)
+	var done storage.TaskSet
 	for n := 0; n < 1800; n += 2 {
 		done = done.Add(n)
 	}
-	job := bk.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
+	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
 		Owner: core.incarnation, NextAttempt: 1024, CompletedTasks: done}
-	core.putInReplica(bk.JobKey("j-1"), bk.MustMarshal(job), 41)
-	core.putInReplica(bk.FormatKey, bk.MustMarshal(bk.FormatRecord{WriteFormat: bk.FormatPacked}), 50)
+	core.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
+	core.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
 		for _, e := range step(50*time.Millisecond, Tick{}) {
@@ -287,13 +287,13 @@
 			}
 			for _, operation := range v.Transaction.Operations {
 				switch operation.PutKey {
-				case bk.ShardKey("idle"):
+				case storage.ShardKey("idle"):
 					shardWrites++
-				case bk.JobKey("j-1"):
+				case storage.JobKey("j-1"):
 					jobWrites++
 				}
 			}
-			step(0, CommitResult{ID: v.ID, Outcome: bk.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 60}})
+			step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 60}})
 		}
 		step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision + 61}})
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // recordMisdirectedHeartbeat notes a report of a machine that another run owns. If its worker answers
@@ -121,7 +121,7 @@
 // processDeliveryEvidence notices a worker whose reports arrive while answers may not reach it: it
 // does not show the token, nor the starts, that the last answer had, or its
 // session has ended. Whether it hears is then asked directly.
-func (c *Core) processDeliveryEvidence(entry *bk.Machine, m *machineState, heartbeat *protocol.Heartbeat) {
+func (c *Core) processDeliveryEvidence(entry *storage.Machine, m *machineState, heartbeat *protocol.Heartbeat) {
 	switch {
 	case heartbeat.AgentEpoch > m.deliveryAgentEpoch && m.deliveryAgentEpoch != 0, m.awaitsDelivery && (heartbeat.FencingToken < m.answeredToken || !m.showsInflightStart(heartbeat)):
 		c.markSuspect(m)
@@ -168,7 +168,7 @@
 
 // shouldDeferResponse tells whether the answer should wait a moment for a write, so that
 // it can carry the starts that take the place of what has ended.
-func (c *Core) shouldDeferResponse(entry *bk.Machine, m *machineState) bool {
+func (c *Core) shouldDeferResponse(entry *storage.Machine, m *machineState) bool {
 	if c.replica.Revision < m.ownershipRevision {
 		return c.since(m.deferredAt) < 3*time.Second
 	}
@@ -183,9 +183,9 @@
 		return c.shouldDeferIdleResponse(entry, m)
 	}
 	if heartbeat.AgentEpoch != entry.Record.AgentEpoch {
-		return bk.ShardEpochOf(heartbeat.FencingToken) == entry.Record.ShardEpoch || entry.Record.AgentEpoch == 0
+		return storage.ShardEpochOf(heartbeat.FencingToken) == entry.Record.ShardEpoch || entry.Record.AgentEpoch == 0
 	}
-	if bk.ShardEpochOf(heartbeat.FencingToken) != entry.Record.ShardEpoch {
+	if storage.ShardEpochOf(heartbeat.FencingToken) != entry.Record.ShardEpoch {
 		return false
 	}
 	for i := range heartbeat.Tasks {
@@ -204,7 +204,7 @@
 // answer waits for them within maxResponseDelay: without that a core that has become free
 // stays so for half a report interval on average, where tasks are short a tenth of
 // all cores.
-func (c *Core) expectsAssignments(entry *bk.Machine, m *machineState) bool {
+func (c *Core) expectsAssignments(entry *storage.Machine, m *machineState) bool {
 	rec := &entry.Record
 	if !c.lastPlan.pendingPlacements[m.id] || !c.isUpToDate() || rec.Terminating || rec.Cordoned || m.latestHeartbeat.PreemptionNoticeSeconds != nil {
 		return false
@@ -228,9 +228,9 @@
 // to do: a start that is written meanwhile goes out at once instead of with the
 // next report. The worker waits longer than that for an answer. While tasks
 // run there it waits only where reports are so far apart that it pays.
-func (c *Core) shouldDeferIdleResponse(entry *bk.Machine, m *machineState) bool {
+func (c *Core) shouldDeferIdleResponse(entry *storage.Machine, m *machineState) bool {
 	heartbeat, rec := m.latestHeartbeat, &entry.Record
-	if c.since(m.deferredAt) >= c.cfg.MaxIdleResponseDelay || !c.isUpToDate() || bk.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
+	if c.since(m.deferredAt) >= c.cfg.MaxIdleResponseDelay || !c.isUpToDate() || storage.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
 		rec.Terminating || rec.Cordoned {
 		return false
 	}
@@ -264,7 +264,7 @@
 }
 
 // showsAllTasks tells whether the report shows all tasks of an assignment.
-func (c *Core) showsAllTasks(m *machineState, a *bk.Assignment) bool {
+func (c *Core) showsAllTasks(m *machineState, a *storage.Assignment) bool {
 	showsAll := true
 	a.Tasks.Each(func(n int) bool {
 		status := m.taskStatuses[protocol.Task{Job: a.Job, Index: n}]
@@ -311,7 +311,7 @@
 }
 
 // answerHeartbeat answers the report that is held: 200 with the orders.
-func (c *Core) answerHeartbeat(entry *bk.Machine, m *machineState) {
+func (c *Core) answerHeartbeat(entry *storage.Machine, m *machineState) {
 	if c.replica.Revision < m.ownershipRevision {
 		// The replica may lack what was written before this run became the owner: a job
 		// may have been withdrawn that nobody told this run of.
@@ -334,7 +334,7 @@
 
 // commandsFor lists what the worker is to do. Starts and reaps go into answers to
 // reports only: those are never carried out late.
-func (c *Core) commandsFor(entry *bk.Machine, m *machineState, inResponse bool) []protocol.Command {
+func (c *Core) commandsFor(entry *storage.Machine, m *machineState, inResponse bool) []protocol.Command {
 	var commands []protocol.Command
 	heartbeat, rec := m.latestHeartbeat, &entry.Record
 	isCurrent := m.currentHeartbeat(rec) != nil
@@ -397,7 +397,7 @@
 
 // isGangFullyAssigned tells whether every task of the gang is assigned with the attempt
 // or done: only then may any of them start.
-func (c *Core) isGangFullyAssigned(id protocol.JobID, record *bk.JobRecord, attempt protocol.Attempt) bool {
+func (c *Core) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
 	covered := c.replica.CompletedTasks(id)
 	for machineID := range c.replica.MachinesWithJob(id) {
 		m := c.replica.Machines[machineID]
@@ -473,7 +473,7 @@
 }
 
 // sendCommands sends a direct command, at most one at a time to a machine.
-func (c *Core) sendCommands(entry *bk.Machine, m *machineState, commands []protocol.Command, minInterval time.Duration) {
+func (c *Core) sendCommands(entry *storage.Machine, m *machineState, commands []protocol.Command, minInterval time.Duration) {
 	if m.isCallInFlight || m.callStartedAt != 0 && c.since(m.callStartedAt) < minInterval || entry.Record.Address == "" || len(commands) == 0 && c.agentCallsInFlight >= c.maxAgentCalls() {
 		return
 	}
--- a/internal/coordination/io.go
+++ b/internal/coordination/io.go
@@ -7,8 +7,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // Now is the time as one step sees it.
@@ -37,7 +37,7 @@
 	// CommitResult is the outcome of a transaction.
 	CommitResult struct {
 		ID      uint64
-		Outcome bk.Outcome
+		Outcome storage.Outcome
 		Result  protocol.TransactionResult
 		Err     error
 	}
@@ -108,7 +108,7 @@
 type PeerStatus struct {
 	ControllerID   protocol.ControllerID
 	StoreReachable bool // the sender reaches the state service
-	Incarnation    bk.Incarnation
+	Incarnation    storage.Incarnation
 	// The sender can look after more machines: its workers reach it.
 	AcceptsShards bool
 	// Machines of other owners whose workers report to the sender: their owners
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // leaseState is the state service's lease of this process run: as long as it lives, the run
@@ -47,7 +47,7 @@
 
 func (c *Core) onRenewLeaseResult(v RenewLeaseResult) {
 	c.lease.isRenewing = false
-	if errors.Is(v.Err, bk.ErrLeaseExpired) && v.LeaseID == c.lease.id {
+	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == c.lease.id {
 		c.log(slog.LevelWarn, "lease has ended", "run", string(c.incarnation))
 		c.registrationRevision, c.lease.id = 0, 0
 	}
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -3,8 +3,8 @@
 import (
 	"golang.org/x/time/rate"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // WriteLimits are what the state service takes: changes a second of all controllers
@@ -29,7 +29,7 @@
 // controllers read the packed format it is the tighter of today's and the announced
 // ones: the announced ones may hold at any time from then on, and nobody says when.
 func (c *Core) writeLimits() WriteLimits {
-	if c.storageFormat() < bk.FormatPacked {
+	if c.storageFormat() < storage.FormatPacked {
 		return c.cfg.currentLimits()
 	}
 	return c.admissionLimits()
--- a/internal/coordination/machine_state.go
+++ b/internal/coordination/machine_state.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // machineState is what this process remembers of a machine beyond its record.
@@ -57,11 +57,11 @@
 	preemptionAt         protocol.Instant // 0: none; else when the cloud takes it
 	idleSince            protocol.Instant
 	isFaulty             bool
-	scaleInReason        string         // why the machine is to go back
-	handOffTarget        bk.Incarnation // a run to which the worker reports instead
+	scaleInReason        string              // why the machine is to go back
+	handOffTarget        storage.Incarnation // a run to which the worker reports instead
 	handOffRequestedAt   protocol.Instant
-	ownerIncarnation     bk.Incarnation
-	ownershipEpoch       bk.ShardEpoch
+	ownerIncarnation     storage.Incarnation
+	ownershipEpoch       storage.ShardEpoch
 	ownershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
 }
 
@@ -78,7 +78,7 @@
 // jobState is what this process remembers of a job beyond its record.
 type jobState struct {
 	nextAttempt, attemptsEnd protocol.Attempt // attempts set aside for this claim
-	attemptsOwner            bk.Incarnation
+	attemptsOwner            storage.Incarnation
 	failedMachines           map[protocol.MachineID]bool
 	placements               int // tasks placed so far, each time counted
 	measuredTasks            int // tasks that were seen from their begin to their end
@@ -166,13 +166,13 @@
 }
 
 // ownsMachine tells whether this run owns the machine, as far as it knows.
-func (c *Core) ownsMachine(record *bk.MachineRecord) bool {
+func (c *Core) ownsMachine(record *storage.MachineRecord) bool {
 	return c.incarnation != "" && record.Owner == c.incarnation
 }
 
 // trackOwnedMachine begins or goes on with the ownership of a machine: what an earlier
 // owner was told proves nothing under a new token.
-func (c *Core) trackOwnedMachine(entry *bk.Machine, id protocol.MachineID) *machineState {
+func (c *Core) trackOwnedMachine(entry *storage.Machine, id protocol.MachineID) *machineState {
 	m := c.machineState(id)
 	if m.ownerIncarnation != entry.Record.Owner || m.ownershipEpoch != entry.Record.ShardEpoch {
 		m.ownerIncarnation, m.ownershipEpoch = entry.Record.Owner, entry.Record.ShardEpoch
@@ -189,8 +189,8 @@
 
 // currentHeartbeat is the newest report if it was sent under the current token and in
 // the recorded session: only then does what it lacks prove anything.
-func (m *machineState) currentHeartbeat(record *bk.MachineRecord) *protocol.Heartbeat {
-	if m.latestHeartbeat == nil || bk.ShardEpochOf(m.latestHeartbeat.FencingToken) != record.ShardEpoch || m.latestHeartbeat.AgentEpoch != record.AgentEpoch {
+func (m *machineState) currentHeartbeat(record *storage.MachineRecord) *protocol.Heartbeat {
+	if m.latestHeartbeat == nil || storage.ShardEpochOf(m.latestHeartbeat.FencingToken) != record.ShardEpoch || m.latestHeartbeat.AgentEpoch != record.AgentEpoch {
 		return nil
 	}
 	return m.latestHeartbeat
@@ -199,7 +199,7 @@
 func (m *machineState) recordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
 	m.latestHeartbeat = heartbeat
 	m.lastContactAt = now
-	if bk.ShardEpochOf(heartbeat.FencingToken) > bk.ShardEpochOf(m.confirmedToken) {
+	if storage.ShardEpochOf(heartbeat.FencingToken) > storage.ShardEpochOf(m.confirmedToken) {
 		m.tokenConfirmedAt = now
 	}
 	m.confirmedToken = max(m.confirmedToken, heartbeat.FencingToken)
@@ -268,7 +268,7 @@
 func (c *Core) forgetAssignments() { clear(c.assignedAt) }
 
 // forgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
-func (c *Core) forgetUnrecordedMachines(earlier *bk.Replica) {
+func (c *Core) forgetUnrecordedMachines(earlier *storage.Replica) {
 	for _, e := range earlier.SortedMachines() {
 		if id := e.ID; c.replica.Machines[id] == nil {
 			if m := c.machineStates[id]; m != nil {
@@ -292,7 +292,7 @@
 
 // recordAssignments keeps what rests on the machines' records: since when tasks have
 // been on a machine, and which images it has.
-func (c *Core) recordAssignments(id protocol.MachineID, before, after *bk.MachineRecord) {
+func (c *Core) recordAssignments(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if before != nil {
 		for i := range before.Assignments {
 			a := &before.Assignments[i]
@@ -317,7 +317,7 @@
 	}
 }
 
-func hasAttempt(record *bk.MachineRecord, a *bk.Assignment) bool {
+func hasAttempt(record *storage.MachineRecord, a *storage.Assignment) bool {
 	for i := range record.Assignments {
 		if other := &record.Assignments[i]; other.Job == a.Job && other.Attempt == a.Attempt {
 			return true
--- a/internal/coordination/monitor.go
+++ b/internal/coordination/monitor.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // tickMachines looks after owned machines: stops that are due, silence, release.
 func (c *Core) tickMachines() {
 	c.trackIncompleteGangs()
 	type ownedMachine struct {
-		e *bk.Machine
+		e *storage.Machine
 		m *machineState
 	}
 	var owned []ownedMachine
@@ -40,7 +40,7 @@
 		e, m := o.e, o.m
 		c.tickTaskStops(e, m)
 		c.evaluateScaleIn(e, m, cutOff)
-		if needsNewToken := m.confirmedToken < e.Record.FencingToken; e.Record.AgentEpoch > 0 && (needsNewToken && bk.ShardEpochOf(m.confirmedToken) == e.Record.ShardEpoch && m.deferredRequest == 0 ||
+		if needsNewToken := m.confirmedToken < e.Record.FencingToken; e.Record.AgentEpoch > 0 && (needsNewToken && storage.ShardEpochOf(m.confirmedToken) == e.Record.ShardEpoch && m.deferredRequest == 0 ||
 			needsNewToken && c.since(m.lastContactAt) > 500*time.Millisecond || m.suspectedAt != 0 && m.lastContactAt >= m.suspectedAt) {
 			// The worker may still report to an owner that was cut off: the
 			// higher token makes that one's answers worthless. One that may not
@@ -82,7 +82,7 @@
 
 // tickTaskStops decides which tasks of an owned machine must stop, and sends the
 // stops directly: the next report may be seconds away.
-func (c *Core) tickTaskStops(entry *bk.Machine, m *machineState) {
+func (c *Core) tickTaskStops(entry *storage.Machine, m *machineState) {
 	if m.latestHeartbeat == nil {
 		return
 	}
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -4,22 +4,22 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/shares"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
 )
 
 // ownership is what this process knows of how machines change their owners, beyond the
 // records. What is to change is decided in package shares; this file and moves.go put it
 // into transactions.
 type ownership struct {
-	expiredAt       map[bk.Incarnation]protocol.Instant // since when a run is known to be dead
-	pendingHandOffs map[protocol.MachineID]bool         // owned ones whose workers report to another controller
-	lastShedAt      protocol.Instant                    // when machines last left because this controller was no good for them
+	expiredAt       map[storage.Incarnation]protocol.Instant // since when a run is known to be dead
+	pendingHandOffs map[protocol.MachineID]bool              // owned ones whose workers report to another controller
+	lastShedAt      protocol.Instant                         // when machines last left because this controller was no good for them
 }
 
 func newOwnership() ownership {
-	return ownership{expiredAt: map[bk.Incarnation]protocol.Instant{}, pendingHandOffs: map[protocol.MachineID]bool{}}
+	return ownership{expiredAt: map[storage.Incarnation]protocol.Instant{}, pendingHandOffs: map[protocol.MachineID]bool{}}
 }
 
 // sheddingCooldown is how long a controller that was no good for its machines is given none.
@@ -32,8 +32,8 @@
 
 // trackExpiredIncarnations notes since when runs are dead, so that takeovers spread out.
 func (c *Core) trackExpiredIncarnations() {
-	expired := map[bk.Incarnation]bool{}
-	recordIfExpired := func(incarnation bk.Incarnation) {
+	expired := map[storage.Incarnation]bool{}
+	recordIfExpired := func(incarnation storage.Incarnation) {
 		if c.replica.IsAlive(incarnation) {
 			return // nobody's things are a dead run's too
 		}
@@ -75,16 +75,16 @@
 	if len(preferred) > 0 {
 		live = preferred
 	}
-	return shares.Successor(live, key) == c.cfg.ControllerID
+	return sharding.Successor(live, key) == c.cfg.ControllerID
 }
 
 // isShardSuccessor tells whether this node is the one to take over a page: one that is on its
 // way falls to the controller to which it goes.
-func (c *Core) isShardSuccessor(id bk.ShardID) bool {
+func (c *Core) isShardSuccessor(id storage.ShardID) bool {
 	if _, transfer := c.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() && c.replica.IsAlive(transfer.Record.Target) {
 		return transfer.Record.Target == c.incarnation
 	}
-	return c.isSuccessorAmong(bk.ShardKey(id), func(controller protocol.ControllerID) bool { return !c.replica.IsDraining(controller) })
+	return c.isSuccessorAmong(storage.ShardKey(id), func(controller protocol.ControllerID) bool { return !c.replica.IsDraining(controller) })
 }
 
 // writeOwnershipChanges writes what changes of ownership there are: machines that report here and
@@ -114,11 +114,11 @@
 			if !m.hasAnsweredProbe {
 				continue
 			}
-			b.addMachine(id, &bk.MachineRecord{AgentEpoch: m.latestHeartbeat.AgentEpoch, Address: m.latestHeartbeat.Addr, MachineType: m.latestHeartbeat.Type, Zone: m.latestHeartbeat.Zone,
+			b.addMachine(id, &storage.MachineRecord{AgentEpoch: m.latestHeartbeat.AgentEpoch, Address: m.latestHeartbeat.Addr, MachineType: m.latestHeartbeat.Type, Zone: m.latestHeartbeat.Zone,
 				Spot: m.latestHeartbeat.Spot, AddedAt: c.now.Wall}, m.latestHeartbeat.FencingToken)
 			b.log(slog.LevelInfo, "machine adopted", "machine", string(id), "type", string(m.latestHeartbeat.Type), "zone", string(m.latestHeartbeat.Zone))
 		} else if expiredAt, expired := c.ownership.expiredAt[e.Record.Owner]; expired && b.hasCapacity(c.failoverOps(e.Record.Shard)) &&
-			shares.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(e.Record.Shard), true) {
+			sharding.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(e.Record.Shard), true) {
 			// Not whoever hears of it first: when all come back, the first one
 			// would have the whole fleet.
 			c.failOverShard(b, e.Record.Shard, m.latestHeartbeat.FencingToken)
@@ -131,7 +131,7 @@
 	for _, id := range sortedKeys(c.replica.Shards) {
 		shard := c.replica.Shards[id]
 		expiredAt, expired := c.ownership.expiredAt[shard.Owner]
-		if !expired || b.shards[id] != nil || !b.hasCapacity(c.failoverOps(id)) || !shares.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(id), false) {
+		if !expired || b.shards[id] != nil || !b.hasCapacity(c.failoverOps(id)) || !sharding.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(id), false) {
 			continue
 		}
 		c.failOverShard(b, id, 0)
@@ -139,7 +139,7 @@
 }
 
 // failoverOps is how many changes it takes to take over a page, and to end its move.
-func (c *Core) failoverOps(id bk.ShardID) int {
+func (c *Core) failoverOps(id storage.ShardID) int {
 	ops := c.shardWriteOps(id)
 	if _, transfer := c.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() {
 		ops++
@@ -149,22 +149,22 @@
 
 // failOverShard makes this run the owner of a page, with all machines on it. A move that the
 // dead owner had begun ends with it.
-func (c *Core) failOverShard(b *batch, id bk.ShardID, observedToken protocol.FencingToken) {
+func (c *Core) failOverShard(b *batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	d := b.mutableShard(id)
 	if d.owner == c.incarnation {
 		return
 	}
 	b.log(slog.LevelInfo, "page taken over", "page", string(id), "machines", len(d.machineIDs), "from", string(d.owner), "epoch", uint64(d.epoch+1))
 	d.owner = c.incarnation
-	d.epoch = max(d.epoch, bk.ShardEpochOf(observedToken)) + 1
+	d.epoch = max(d.epoch, storage.ShardEpochOf(observedToken)) + 1
 	c.endTransferOnFailover(b, id)
 }
 
 // transferShard makes another run the owner of a page, with all machines on it. It rests on
 // that run's key: a page never goes to a run that has ended.
-func (c *Core) transferShard(b *batch, id bk.ShardID, target bk.Incarnation, reason string) {
+func (c *Core) transferShard(b *batch, id storage.ShardID, target storage.Incarnation, reason string) {
 	d := b.mutableShard(id)
-	b.dependOn(bk.ControllerKey(target.Controller()))
+	b.dependOn(storage.ControllerKey(target.Controller()))
 	d.owner = target
 	d.epoch++
 	b.log(slog.LevelInfo, "page handed over", "page", string(id), "machines", len(d.machineIDs), "to", string(target), "why", reason)
@@ -177,16 +177,16 @@
 func (c *Core) handOffMachines(b *batch) {
 	ids, targetCounts := c.misdirectedMachines()
 	for _, id := range sortedKeys(targetCounts) {
-		target, total := bk.Incarnation(""), 0
+		target, total := storage.Incarnation(""), 0
 		for _, incarnation := range sortedKeys(targetCounts[id]) {
 			if total += targetCounts[id][incarnation]; target == "" || targetCounts[id][incarnation] > targetCounts[id][target] {
 				target = incarnation
 			}
 		}
 		shard := c.replica.Shards[id]
-		if shares.ShouldHandOffShard(len(shard.Machines), total, c.countResponsive(shard)) && b.hasCapacity(c.shardWriteOps(id)) && b.shards[id] == nil {
+		if sharding.ShouldHandOffShard(len(shard.Machines), total, c.countResponsive(shard)) && b.hasCapacity(c.shardWriteOps(id)) && b.shards[id] == nil {
 			c.ownership.lastShedAt = c.now.Monotonic
-			c.transferShard(b, id, target, shares.ReasonMisdirectedHeartbeats)
+			c.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
 		}
 	}
 	c.handOffIndividually(b, ids)
@@ -194,8 +194,8 @@
 
 // misdirectedMachines lists the owned machines whose workers report to another controller and not
 // here, and for each page how many report to which.
-func (c *Core) misdirectedMachines() (ids []protocol.MachineID, targetCounts map[bk.ShardID]map[bk.Incarnation]int) {
-	targetCounts = map[bk.ShardID]map[bk.Incarnation]int{}
+func (c *Core) misdirectedMachines() (ids []protocol.MachineID, targetCounts map[storage.ShardID]map[storage.Incarnation]int) {
+	targetCounts = map[storage.ShardID]map[storage.Incarnation]int{}
 	for _, id := range sortedKeys(c.ownership.pendingHandOffs) {
 		e := c.replica.Machines[id]
 		if e == nil || !c.ownsMachine(&e.Record) {
@@ -212,7 +212,7 @@
 			continue
 		}
 		if targetCounts[e.Record.Shard] == nil {
-			targetCounts[e.Record.Shard] = map[bk.Incarnation]int{}
+			targetCounts[e.Record.Shard] = map[storage.Incarnation]int{}
 		}
 		targetCounts[e.Record.Shard][m.handOffTarget]++
 		ids = append(ids, id)
@@ -222,7 +222,7 @@
 
 // handOffIndividually moves machines to new pages of the controllers that their workers reach.
 func (c *Core) handOffIndividually(b *batch, ids []protocol.MachineID) {
-	newShards := map[bk.Incarnation]bk.ShardID{}
+	newShards := map[storage.Incarnation]storage.ShardID{}
 	for _, id := range ids {
 		m, e := c.machineStates[id], c.replica.Machines[id]
 		if d := b.shards[e.Record.Shard]; d != nil && d.owner != c.incarnation || !b.hasCapacity(2) {
@@ -231,7 +231,7 @@
 		// A page takes what fits into a value, whatever still begins there.
 		if shard := newShards[m.handOffTarget]; shard == "" || b.shards[shard].estimatedSize+c.estimateEncodedSize(len(c.replica.EncodedLine(id))) > c.writeLimits().ValueBytes*3/4 {
 			newShards[m.handOffTarget] = b.newShard(m.handOffTarget, e.Record.ShardEpoch+1)
-			b.dependOn(bk.ControllerKey(m.handOffTarget.Controller()))
+			b.dependOn(storage.ControllerKey(m.handOffTarget.Controller()))
 		}
 		if shard := newShards[m.handOffTarget]; b.shards[shard].epoch > e.Record.ShardEpoch {
 			b.moveMachine(id, shard)
@@ -243,7 +243,7 @@
 }
 
 // countResponsive counts the machines of an own page whose workers have been heard of lately.
-func (c *Core) countResponsive(shard *bk.Shard) (n int) {
+func (c *Core) countResponsive(shard *storage.Shard) (n int) {
 	for _, id := range shard.Machines {
 		if e := c.replica.Machines[id]; e != nil && e.Record.AgentEpoch > 0 && !c.hasMissedHeartbeat(c.trackOwnedMachine(e, id)) {
 			n++
--- a/internal/coordination/peer_wire.go
+++ b/internal/coordination/peer_wire.go
@@ -1,8 +1,8 @@
 package coordination
 
 import (
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // The messages between controllers are encoded with encoding/gob, which carries Go field
@@ -14,7 +14,7 @@
 type PeerStatusWire struct {
 	Member  protocol.ControllerID
 	StateOK bool
-	Run     bk.Incarnation
+	Run     storage.Incarnation
 	Fit     bool
 	Seen    []misdirectedHeartbeatWire
 	Rev     protocol.Revision
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // placementPlan is what the last pass of the planner found.
@@ -174,7 +174,7 @@
 			return
 		}
 	} else if expiredAt, isExpired := c.ownership.expiredAt[job.record.Owner]; !isExpired || c.since(expiredAt) < 500*time.Millisecond ||
-		!c.isSuccessor(bk.JobKey(job.id)) && c.since(expiredAt) < 10*time.Second {
+		!c.isSuccessor(storage.JobKey(job.id)) && c.since(expiredAt) < 10*time.Second {
 		return
 	}
 	if !b.hasCapacity(b.writesNeeded("", job.id)) {
@@ -281,7 +281,7 @@
 // pendingTasks lists up to max tasks that are neither done nor assigned, in order.
 func (c *Core) pendingTasks(b *batch, job *pendingJob, limit int) []int {
 	covered := b.doneTasks(job.id)
-	add := func(record *bk.MachineRecord) {
+	add := func(record *storage.MachineRecord) {
 		for a := range record.AssignmentsOf(job.id) {
 			covered = covered.Union(a.Tasks)
 		}
@@ -304,7 +304,7 @@
 func (c *Core) maxTasksInProgress(tasks int) int {
 	intervalSize := 2*len(strconv.Itoa(tasks)) + 2 // "lo-hi,"
 	budget := c.jobRecordBudget()
-	if c.storageFormat() >= bk.FormatPacked {
+	if c.storageFormat() >= storage.FormatPacked {
 		if tasks/6 <= budget { // a bit each, as base64
 			return tasks
 		}
@@ -318,7 +318,7 @@
 
 // jobRecordBudget is what a job's record may take besides its description.
 func (c *Core) jobRecordBudget() int {
-	if c.storageFormat() < bk.FormatPacked {
+	if c.storageFormat() < storage.FormatPacked {
 		return c.writeLimits().ValueBytes - 1500
 	}
 	return c.writeLimits().ValueBytes - c.writeLimits().ValueBytes/2
@@ -454,9 +454,9 @@
 // team's where the team has a limit.
 func (c *Core) recordPlacement(b *batch, job *pendingJob, machine *candidate, n int, attempt protocol.Attempt) {
 	d := job.record.Spec
-	b.dependOn(bk.JobKey(job.id))
+	b.dependOn(storage.JobKey(job.id))
 	if c.cfg.Quotas[d.Team].hasLimit() && !b.teams[d.Team] {
-		b.reserveWrite(bk.QuotaKey(d.Team), 100)
+		b.reserveWrite(storage.QuotaKey(d.Team), 100)
 		b.teams[d.Team] = true
 	}
 	state := c.jobState(job.id)
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/shares"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
 )
 
 // poolKey names the machines of one type, zone and kind: the cloud runs out of each
@@ -207,7 +207,7 @@
 }
 
 func (c *Core) zonePreference(p pricedPool) uint64 {
-	return shares.RendezvousWeight(string(c.cfg.ControllerID), string(p.key.zone))
+	return sharding.RendezvousWeight(string(c.cfg.ControllerID), string(p.key.zone))
 }
 
 // machineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
@@ -262,7 +262,7 @@
 			}
 			missing++
 			if b.machines[id] == nil && b.canAddMachine() {
-				b.addMachine(id, &bk.MachineRecord{MachineType: r.request.Type, Zone: r.request.Zone, Spot: r.request.Spot,
+				b.addMachine(id, &storage.MachineRecord{MachineType: r.request.Type, Zone: r.request.Zone, Spot: r.request.Spot,
 					AddedAt: c.now.Wall - protocol.Millis(c.since(r.requestedAt).Milliseconds())}, 0)
 			}
 		}
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // Small machines are cheap by the core and slow to boot, large ones the other way round.
@@ -32,13 +32,13 @@
 // newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
 func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *pendingJob {
 	latestStart := c.now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &pendingJob{id: d.ID, record: &bk.JobRecord{Spec: d, Owner: c.incarnation, SubmittedAt: c.now.Wall}, latestStart: latestStart, initialLatestStart: latestStart}
+	q := &pendingJob{id: d.ID, record: &storage.JobRecord{Spec: d, Owner: c.incarnation, SubmittedAt: c.now.Wall}, latestStart: latestStart, initialLatestStart: latestStart}
 	q.isUrgent = c.needsWarmCapacity(q)
 	return q
 }
 
 func newCandidate(f *protocol.MachineType, id protocol.MachineID, spot bool) *candidate {
-	return &candidate{id: id, record: &bk.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, machineType: f, cores: f.Cores, memoryGB: f.MemoryGB}
+	return &candidate{id: id, record: &storage.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, machineType: f, cores: f.Cores, memoryGB: f.MemoryGB}
 }
 
 // Work that can wait is rented the cheapest machines only: else steady machines at
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -4,14 +4,14 @@
 	"sort"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // task of a job in the planner's order.
 type pendingJob struct {
 	id              protocol.JobID
-	record          *bk.JobRecord
+	record          *storage.JobRecord
 	precedence      int
 	queuePrecedence int // the order in which it is served: that of its rank, or a better one
 	dueAt           protocol.Millis
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // writeGracefulStops puts the orderly stop of gangs on record. Every owner of a machine
@@ -53,13 +53,13 @@
 // isAgentLeaseExpired tells whether the worker's lease must have run out: this
 // token was confirmed by the worker, so only this run's answers counted, and
 // the last of them answered a report sent no later than it was received.
-func (c *Core) isAgentLeaseExpired(m *machineState, record *bk.MachineRecord) bool {
-	if bk.ShardEpochOf(m.confirmedToken) != record.ShardEpoch || m.latestHeartbeat == nil {
+func (c *Core) isAgentLeaseExpired(m *machineState, record *storage.MachineRecord) bool {
+	if storage.ShardEpochOf(m.confirmedToken) != record.ShardEpoch || m.latestHeartbeat == nil {
 		return false
 	}
 	// Before it showed this token, an earlier owner may have renewed its lease.
 	last := m.tokenConfirmedAt
-	if bk.ShardEpochOf(m.answeredToken) == record.ShardEpoch {
+	if storage.ShardEpochOf(m.answeredToken) == record.ShardEpoch {
 		last = max(last, m.answeredHeartbeatAt)
 	}
 	// Steady clocks drift by up to 0.05% each; the rest is margin.
@@ -67,7 +67,7 @@
 	return c.since(last) > expiry && m.deferredRequest == 0
 }
 
-func (c *Core) reconcileMachine(b *batch, id protocol.MachineID, entry *bk.Machine) {
+func (c *Core) reconcileMachine(b *batch, id protocol.MachineID, entry *storage.Machine) {
 	if b.machines[id] != nil || b.removesMachine(id) || b.shards[entry.Record.Shard] != nil && b.shards[entry.Record.Shard].owner != c.incarnation {
 		return // being handed over in this transaction
 	}
@@ -119,7 +119,7 @@
 	}
 }
 
-func (c *Core) requeueAll(b *batch, m *machineState, record *bk.MachineRecord, reason string) {
+func (c *Core) requeueAll(b *batch, m *machineState, record *storage.MachineRecord, reason string) {
 	for _, a := range record.Assignments {
 		a.Tasks.Each(func(n int) bool {
 			task := protocol.Task{Job: a.Job, Index: n}
@@ -134,7 +134,7 @@
 
 // reconcileTask compares one assigned task with the report. It returns false
 // once the transaction is full.
-func (c *Core) reconcileTask(b *batch, m *machineState, record *bk.MachineRecord, task protocol.Task, attempt protocol.Attempt) bool {
+func (c *Core) reconcileTask(b *batch, m *machineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt) bool {
 	status := m.taskStatuses[task]
 	job := b.jobRecord(task.Job)
 	if status != nil && (status.Attempt != attempt || status.State != protocol.TaskExited) {
@@ -214,7 +214,7 @@
 	}
 }
 
-func (c *Core) shouldDrain(m *machineState, record *bk.MachineRecord) bool {
+func (c *Core) shouldDrain(m *machineState, record *storage.MachineRecord) bool {
 	return m.preemptionAt != 0 || m.isFaulty || m.commandsLost() || c.isSuspect(m) || c.now.Monotonic < m.quarantinedUntil || record.AgentEpoch > 0 && (c.isSilent(m) || c.heartbeatsLost(m))
 }
 
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // A job of shape daemon is a standing service: its tasks are replicas that run until
@@ -354,7 +354,7 @@
 // recordExitedReplicas finds replicas that have left a machine's record though the machine
 // and its session go on: they have ended by themselves, or were stopped. All controllers
 // see it, so whoever places the next ones knows how the last ones fared.
-func (c *Core) recordExitedReplicas(id protocol.MachineID, before, after *bk.MachineRecord) {
+func (c *Core) recordExitedReplicas(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if after.AgentEpoch != before.AgentEpoch {
 		return
 	}
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // replication is how far the replica of the records is, and what is under way for it.
@@ -49,7 +49,7 @@
 
 // recordContact notes whether the state service answered what was asked at a time.
 func (c *Core) recordContact(requestedAt protocol.Instant, err error) bool {
-	if err == nil || errors.Is(err, bk.ErrLeaseExpired) || errors.Is(err, bk.ErrRevisionTooOld) {
+	if err == nil || errors.Is(err, storage.ErrLeaseExpired) || errors.Is(err, storage.ErrRevisionTooOld) {
 		if c.store.consecutiveFailures > 0 {
 			c.log(slog.LevelInfo, "state service answers again", "failures", c.store.consecutiveFailures)
 		}
@@ -86,7 +86,7 @@
 	}
 	// Records deleted while this node did not follow must not stay: begin anew.
 	previous := c.replica
-	c.replica = bk.NewReplica()
+	c.replica = storage.NewReplica()
 	c.replica.OnMachineChange = previous.OnMachineChange
 	c.forgetAssignments()
 	for _, entry := range v.Entries {
@@ -114,7 +114,7 @@
 
 func (c *Core) onWatchResult(v WatchResult) {
 	c.replication.isWatching = false
-	if errors.Is(v.Err, bk.ErrRevisionTooOld) {
+	if errors.Is(v.Err, storage.ErrRevisionTooOld) {
 		c.log(slog.LevelWarn, "changes are no longer kept, records are read again", "from", uint64(v.AfterRevision))
 		c.replication.isLoaded, c.replication.hasSnapshot = false, false
 		c.replication.retryAt = c.now.Monotonic
--- a/internal/coordination/spot.go
+++ b/internal/coordination/spot.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/shares"
+	"tillerarch/internal/sharding"
 )
 
 type priceKey struct {
@@ -67,6 +67,6 @@
 	if period <= 0 || margin <= 0 || age < 0 {
 		return false
 	}
-	offset := time.Duration(shares.RendezvousWeight("period", string(id)) % uint64(period))
+	offset := time.Duration(sharding.RendezvousWeight("period", string(id)) % uint64(period))
 	return period-(age+offset)%period < margin
 }
--- a/internal/coordination/transfer_requests.go
+++ b/internal/coordination/transfer_requests.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/shares"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
 )
 
 // TransferRequest asks for a page to be moved, or for a move to be aborted. It is answered
@@ -15,7 +15,7 @@
 	Req    RequestID
 	Name   string                // of the move
 	Abort  bool                  // end the move of that name instead
-	Shard  bk.ShardID            // which page; or
+	Shard  storage.ShardID       // which page; or
 	Source protocol.ControllerID // any one of this controller's
 	Target protocol.ControllerID
 }
@@ -26,7 +26,7 @@
 // TransferReply answers a TransferRequest.
 type TransferReply struct {
 	Req      RequestID
-	Transfer bk.TransferRecord
+	Transfer storage.TransferRecord
 	Err      error
 }
 
@@ -40,14 +40,14 @@
 	Stale            bool // the state service may have gone on without this controller
 	Controllers      []ControllerStatus
 	Shards           []ShardStatus
-	Transfers        []bk.TransferRecord
-	PlannedTransfers []shares.Transfer // what this controller would begin now
+	Transfers        []storage.TransferRecord
+	PlannedTransfers []sharding.Transfer // what this controller would begin now
 }
 
 // ControllerStatus is what a controller owns.
 type ControllerStatus struct {
 	ID               protocol.ControllerID
-	Incarnation      bk.Incarnation
+	Incarnation      storage.Incarnation
 	Shards           int
 	Machines         int
 	RecordsTransfers bool // its version takes part in moves on record
@@ -56,9 +56,9 @@
 
 // ShardStatus is a page with its owner.
 type ShardStatus struct {
-	ID       bk.ShardID
-	Owner    bk.Incarnation
-	Epoch    bk.ShardEpoch
+	ID       storage.ShardID
+	Owner    storage.Incarnation
+	Epoch    storage.ShardEpoch
 	Machines int
 	Tasks    int
 }
@@ -109,8 +109,8 @@
 }
 
 // findTransfer gives the newest move of a name.
-func (c *Core) findTransfer(name string) *bk.Versioned[bk.TransferRecord] {
-	var newest *bk.Versioned[bk.TransferRecord]
+func (c *Core) findTransfer(name string) *storage.Versioned[storage.TransferRecord] {
+	var newest *storage.Versioned[storage.TransferRecord]
 	for _, e := range c.replica.Transfers {
 		if e.Record.Name == name && (newest == nil || e.ModRevision > newest.ModRevision) {
 			newest = e
@@ -120,9 +120,9 @@
 }
 
 // writeTransferRequest writes one request. done: it is on record.
-func (c *Core) writeTransferRequest(b *batch, r *TransferRequest) (transfer bk.TransferRecord, recorded bool, err *RequestError) {
+func (c *Core) writeTransferRequest(b *batch, r *TransferRequest) (transfer storage.TransferRecord, recorded bool, err *RequestError) {
 	if e := c.findTransfer(r.Name); e != nil {
-		if !r.Abort || e.Record.Phase == bk.TransferAborted {
+		if !r.Abort || e.Record.Phase == storage.TransferAborted {
 			return e.Record, true, nil
 		}
 		if !e.Record.Phase.IsPending() {
@@ -149,7 +149,7 @@
 		}
 	}
 	if b.hasCapacity(1) {
-		c.openTransfer(b, shares.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}, bk.TransferProposed, "asked for by the operator", r.Name)
+		c.openTransfer(b, sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}, storage.TransferProposed, "asked for by the operator", r.Name)
 	}
 	return transfer, false, nil
 }
@@ -159,14 +159,14 @@
 	for _, slot := range sortedKeys(c.replica.Transfers) {
 		e := c.replica.Transfers[slot]
 		if e.Record.Name == name && e.Record.Phase.IsPending() && b.transfers[slot] == nil {
-			c.writeTransferStep(b, slot, shares.TransferStep{Phase: bk.TransferAborted, Reason: shares.ReasonOperatorAbort})
+			c.writeTransferStep(b, slot, sharding.TransferStep{Phase: storage.TransferAborted, Reason: sharding.ReasonOperatorAbort})
 		}
 	}
 }
 
 // requestedShard is the page that a request means: the one it names, or one of the
 // controller that it names with the fewest machines.
-func (c *Core) requestedShard(r *TransferRequest) (bk.ShardID, *RequestError) {
+func (c *Core) requestedShard(r *TransferRequest) (storage.ShardID, *RequestError) {
 	if r.Shard == "" {
 		return c.smallestTransferableShard(r)
 	}
@@ -185,7 +185,7 @@
 	return r.Shard, nil
 }
 
-func (c *Core) smallestTransferableShard(r *TransferRequest) (smallest bk.ShardID, err *RequestError) {
+func (c *Core) smallestTransferableShard(r *TransferRequest) (smallest storage.ShardID, err *RequestError) {
 	if r.Source == r.Target {
 		return "", newPermanentError("giver and taker are the same")
 	}
@@ -226,8 +226,8 @@
 		reply.Transfers = append(reply.Transfers, c.replica.Transfers[slot].Record)
 	}
 	if c.isRegistered() {
-		policy := shares.RebalancePolicy{MaxTransfers: 2 * maxIncomingTransfers, MaxIncomingTransfers: maxIncomingTransfers, DemandWeight: c.cfg.RebalanceDemandWeight}
-		reply.PlannedTransfers = shares.PlanRebalance(c.shardingSnapshot(c.isOverloaded()), policy)
+		policy := sharding.RebalancePolicy{MaxTransfers: 2 * maxIncomingTransfers, MaxIncomingTransfers: maxIncomingTransfers, DemandWeight: c.cfg.RebalanceDemandWeight}
+		reply.PlannedTransfers = sharding.PlanRebalance(c.shardingSnapshot(c.isOverloaded()), policy)
 	}
 	c.emit(reply)
 }
--- a/internal/coordination/transfers.go
+++ b/internal/coordination/transfers.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/shares"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
 )
 
 // A page of machines goes to another controller while its jobs run. Where moves are on
@@ -31,26 +31,26 @@
 )
 
 // transferLimits are how long a move may stay in each phase.
-func (c *Core) transferLimits() shares.TransferTimeouts {
+func (c *Core) transferLimits() sharding.TransferTimeouts {
 	quiesceTimeout := c.silenceTimeout() + c.cfg.MaxResponseDelay + c.cfg.MaxIdleResponseDelay
-	return shares.TransferTimeouts{GangPlacement: gangWaitTimeout, Proposal: gangWaitTimeout + quiesceTimeout, Quiesce: quiesceTimeout, TokenObservation: c.cfg.AgentLeaseTTL}
+	return sharding.TransferTimeouts{GangPlacement: gangWaitTimeout, Proposal: gangWaitTimeout + quiesceTimeout, Quiesce: quiesceTimeout, TokenObservation: c.cfg.AgentLeaseTTL}
 }
 
 // rebalance begins the moves that the load asks for, one at a time: writing what starts
 // and ends is the owner's work, and each may write only so much.
 func (c *Core) rebalance(b *batch) {
-	interval, reason := c.cfg.MinRebalanceInterval, shares.ReasonLoadImbalance
+	interval, reason := c.cfg.MinRebalanceInterval, sharding.ReasonLoadImbalance
 	overloaded := c.isOverloaded()
 	if overloaded {
-		interval, reason = interval/3, shares.ReasonSourceOverloaded
+		interval, reason = interval/3, sharding.ReasonSourceOverloaded
 	} else if c.replica.IsDraining(c.cfg.ControllerID) {
-		interval, reason = interval/3, shares.ReasonSourceDraining
+		interval, reason = interval/3, sharding.ReasonSourceDraining
 	}
 	if c.since(c.lastRebalanceAt) < interval || !b.hasCapacity(1) {
 		return
 	}
-	policy := shares.RebalancePolicy{MaxTransfers: maxTransfersPerPlan, MaxIncomingTransfers: maxIncomingTransfers, DemandWeight: c.cfg.RebalanceDemandWeight}
-	for _, transfer := range shares.PlanRebalance(c.shardingSnapshot(overloaded), policy) {
+	policy := sharding.RebalancePolicy{MaxTransfers: maxTransfersPerPlan, MaxIncomingTransfers: maxIncomingTransfers, DemandWeight: c.cfg.RebalanceDemandWeight}
+	for _, transfer := range sharding.PlanRebalance(c.shardingSnapshot(overloaded), policy) {
 		if b.shards[transfer.Shard] != nil || !b.hasCapacity(c.shardWriteOps(transfer.Shard)) {
 			continue
 		}
@@ -61,31 +61,31 @@
 		if overloaded || !c.recordsTransfers(transfer.Target) {
 			c.transferShard(b, transfer.Shard, transfer.Target, reason)
 		} else {
-			c.openTransfer(b, transfer, bk.TransferPrepared, reason, "")
+			c.openTransfer(b, transfer, storage.TransferPrepared, reason, "")
 		}
 	}
 }
 
 // recordsTransfers tells whether a move to a run goes on record: not if its version does not
 // know the records.
-func (c *Core) recordsTransfers(target bk.Incarnation) bool {
+func (c *Core) recordsTransfers(target storage.Incarnation) bool {
 	e := c.replica.Controllers[target.Controller()]
 	return c.cfg.RecordTransfers && e != nil && e.Record.SupportsTransfers
 }
 
 // shardingSnapshot is what moves are planned from.
-func (c *Core) shardingSnapshot(overloaded bool) shares.Snapshot {
-	snapshot := shares.Snapshot{Self: c.incarnation, IncomingTransfers: map[bk.Incarnation]int{}}
+func (c *Core) shardingSnapshot(overloaded bool) sharding.Snapshot {
+	snapshot := sharding.Snapshot{Self: c.incarnation, IncomingTransfers: map[storage.Incarnation]int{}}
 	demand := c.demandByOwner()
-	snapshot.Controllers = append(snapshot.Controllers, shares.Controller{Incarnation: c.incarnation, Overloaded: overloaded, DemandCores: demand[c.incarnation],
+	snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: c.incarnation, Overloaded: overloaded, DemandCores: demand[c.incarnation],
 		Draining: c.replica.IsDraining(c.cfg.ControllerID)})
 	for controller, p := range c.peers {
 		if c.since(p.receivedAt) <= 3*time.Second && p.status.StoreReachable && p.status.AcceptsShards && c.replica.IsAlive(p.status.Incarnation) {
-			snapshot.Controllers = append(snapshot.Controllers, shares.Controller{Incarnation: p.status.Incarnation, Eligible: true, DemandCores: demand[p.status.Incarnation],
+			snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: p.status.Incarnation, Eligible: true, DemandCores: demand[p.status.Incarnation],
 				Draining: c.replica.IsDraining(controller)})
 		}
 	}
-	transferTargets := map[bk.ShardID]bk.Incarnation{}
+	transferTargets := map[storage.ShardID]storage.Incarnation{}
 	for _, e := range c.replica.Transfers {
 		if e.Record.Phase.IsOpen() {
 			snapshot.IncomingTransfers[e.Record.Target]++
@@ -94,7 +94,7 @@
 	}
 	reserved := c.machinesReservedForGangs()
 	for id, p := range c.replica.Shards {
-		shard := shares.Shard{ID: id, Owner: p.Owner, Load: 1, Pinned: len(p.Machines) == 0}
+		shard := sharding.Shard{ID: id, Owner: p.Owner, Load: 1, Pinned: len(p.Machines) == 0}
 		if target, inTransfer := transferTargets[id]; inTransfer {
 			shard.Owner, shard.Pinned = target, true
 		} else if p.Owner == c.incarnation && !shard.Pinned {
@@ -107,7 +107,7 @@
 
 // transferCost is what a move of an own page would hold up: the tasks that it has yet to
 // start. fixed: machines of it are kept for a gang.
-func (c *Core) transferCost(shard *bk.Shard, reserved map[protocol.MachineID]bool) (cost float64, pinned bool) {
+func (c *Core) transferCost(shard *storage.Shard, reserved map[protocol.MachineID]bool) (cost float64, pinned bool) {
 	if !c.cfg.RecordTransfers {
 		return 0, false // nothing is held up
 	}
@@ -137,8 +137,8 @@
 
 // demandByOwner is how many cores the unfinished jobs of each controller ask for, as far
 // as any machine can be meant.
-func (c *Core) demandByOwner() map[bk.Incarnation]float64 {
-	demand := map[bk.Incarnation]float64{}
+func (c *Core) demandByOwner() map[storage.Incarnation]float64 {
+	demand := map[storage.Incarnation]float64{}
 	if c.cfg.RebalanceDemandWeight == 0 {
 		return demand
 	}
@@ -152,7 +152,7 @@
 
 // openTransfer puts a move on record, in a slot of its taker that no open move has. It rests
 // on the keys of both runs and on the page.
-func (c *Core) openTransfer(b *batch, transfer shares.Transfer, phase bk.TransferPhase, reason, name string) {
+func (c *Core) openTransfer(b *batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string) {
 	slot, ok := c.freeTransferSlot(b, transfer.Target.Controller())
 	if !ok {
 		return // all are taken; it is tried again
@@ -161,28 +161,28 @@
 		c.lastTransferNumber++
 		name = fmt.Sprintf("%s-%d", c.incarnation, c.lastTransferNumber)
 	}
-	record := bk.TransferRecord{Name: name, Shard: transfer.Shard, Source: transfer.Source, Target: transfer.Target, Phase: phase, Reason: reason,
+	record := storage.TransferRecord{Name: name, Shard: transfer.Shard, Source: transfer.Source, Target: transfer.Target, Phase: phase, Reason: reason,
 		MachineCount: len(c.replica.Shards[transfer.Shard].Machines), ProposedAt: c.now.Wall}
-	if phase == bk.TransferPrepared {
+	if phase == storage.TransferPrepared {
 		record.PreparedAt = c.now.Wall
 	}
 	b.putTransfer(slot, &record)
-	b.dependOn(bk.ShardKey(transfer.Shard))
-	b.dependOn(bk.ControllerKey(transfer.Source.Controller()))
-	b.dependOn(bk.ControllerKey(transfer.Target.Controller()))
+	b.dependOn(storage.ShardKey(transfer.Shard))
+	b.dependOn(storage.ControllerKey(transfer.Source.Controller()))
+	b.dependOn(storage.ControllerKey(transfer.Target.Controller()))
 	b.log(slog.LevelInfo, "move of machines begins", "move", name, "page", string(transfer.Shard), "machines", record.MachineCount,
 		"from", string(transfer.Source), "to", string(transfer.Target), "phase", string(phase), "why", reason)
 }
 
 // freeTransferSlot gives the slot of a taker whose move ended first, or that never had one.
-func (c *Core) freeTransferSlot(b *batch, target protocol.ControllerID) (best bk.TransferSlot, ok bool) {
+func (c *Core) freeTransferSlot(b *batch, target protocol.ControllerID) (best storage.TransferSlot, ok bool) {
 	var oldest protocol.ModRevision
-	for n := range bk.TransferSlotsPerController {
-		slot := bk.NewTransferSlot(target, n)
+	for n := range storage.TransferSlotsPerController {
+		slot := storage.NewTransferSlot(target, n)
 		if e := c.replica.Transfers[slot]; b.transfers[slot] != nil || e != nil && e.Record.Phase.IsOpen() {
 			continue
 		}
-		if modRevision := c.replica.ModRevision(bk.TransferKey(slot)); !ok || modRevision < oldest {
+		if modRevision := c.replica.ModRevision(storage.TransferKey(slot)); !ok || modRevision < oldest {
 			best, oldest, ok = slot, modRevision, true
 		}
 	}
@@ -207,16 +207,16 @@
 		}
 		progress := c.transferProgress(slot, &e.Record, reserved)
 		progress.PhaseAge = c.since(observation.observedAt)
-		if step := shares.NextStep(progress, c.transferLimits()); step.Phase != "" {
+		if step := sharding.NextStep(progress, c.transferLimits()); step.Phase != "" {
 			c.writeTransferStep(b, slot, step)
 		}
 	}
 }
 
 // transferProgress is how this controller sees a move.
-func (c *Core) transferProgress(slot bk.TransferSlot, transfer *bk.TransferRecord, reserved map[protocol.MachineID]bool) shares.TransferStatus {
-	progress := shares.TransferStatus{Transfer: *transfer, Self: c.incarnation, SourceAlive: c.replica.IsAlive(transfer.Source), TargetAlive: c.replica.IsAlive(transfer.Target),
-		IsSuccessor: c.isSuccessor(bk.TransferKey(slot))}
+func (c *Core) transferProgress(slot storage.TransferSlot, transfer *storage.TransferRecord, reserved map[protocol.MachineID]bool) sharding.TransferStatus {
+	progress := sharding.TransferStatus{Transfer: *transfer, Self: c.incarnation, SourceAlive: c.replica.IsAlive(transfer.Source), TargetAlive: c.replica.IsAlive(transfer.Target),
+		IsSuccessor: c.isSuccessor(storage.TransferKey(slot))}
 	activeSlot, _ := c.replica.OpenTransferOf(transfer.Shard)
 	progress.Superseded = activeSlot != slot
 	shard := c.replica.Shards[transfer.Shard]
@@ -226,8 +226,8 @@
 	progress.Owner = shard.Owner
 	progress.ReservedForGang = slices.ContainsFunc(shard.Machines, func(id protocol.MachineID) bool { return reserved[id] })
 	if shard.Owner == c.incarnation {
-		progress.Quiesced = transfer.Phase == bk.TransferPrepared && c.isShardQuiescent(shard)
-		progress.TargetTokenObserved = transfer.Phase == bk.TransferCommitted && c.isShardTokenConfirmed(shard)
+		progress.Quiesced = transfer.Phase == storage.TransferPrepared && c.isShardQuiescent(shard)
+		progress.TargetTokenObserved = transfer.Phase == storage.TransferCommitted && c.isShardTokenConfirmed(shard)
 	}
 	return progress
 }
@@ -235,15 +235,15 @@
 // isShardQuiescent tells whether nothing that this owner has sent to the page's workers is on
 // its way, and whether they do what cancellations want. A worker that is silent is not
 // waited for: an answer that it has not carried out within seconds it never will.
-func (c *Core) isShardQuiescent(shard *bk.Shard) bool {
-	return c.allResponsive(shard, func(e *bk.Machine, m *machineState) bool {
+func (c *Core) isShardQuiescent(shard *storage.Shard) bool {
+	return c.allResponsive(shard, func(e *storage.Machine, m *machineState) bool {
 		return len(m.inflightStarts) == 0 && c.areCancellationsResolved(e)
 	})
 }
 
 // areCancellationsResolved tells whether no task of a job that is called off can begin on an
 // owned machine any more.
-func (c *Core) areCancellationsResolved(e *bk.Machine) bool {
+func (c *Core) areCancellationsResolved(e *storage.Machine) bool {
 	for i := range e.Record.Assignments {
 		if job := e.Record.Assignments[i].Job; c.cancelRequested(job) && !c.isMachineQuiescent(e.ID, job) {
 			return false
@@ -254,14 +254,14 @@
 
 // isShardTokenConfirmed tells whether the workers of an owned page know its owner: they have shown
 // its token, so that an earlier one commands nothing.
-func (c *Core) isShardTokenConfirmed(shard *bk.Shard) bool {
-	return c.allResponsive(shard, func(e *bk.Machine, m *machineState) bool {
-		return bk.ShardEpochOf(m.confirmedToken) == e.Record.ShardEpoch
+func (c *Core) isShardTokenConfirmed(shard *storage.Shard) bool {
+	return c.allResponsive(shard, func(e *storage.Machine, m *machineState) bool {
+		return storage.ShardEpochOf(m.confirmedToken) == e.Record.ShardEpoch
 	})
 }
 
 // allResponsive asks the same of all machines of an owned page that are up and not silent.
-func (c *Core) allResponsive(shard *bk.Shard, predicate func(*bk.Machine, *machineState) bool) bool {
+func (c *Core) allResponsive(shard *storage.Shard, predicate func(*storage.Machine, *machineState) bool) bool {
 	for _, id := range shard.Machines {
 		e := c.replica.Machines[id]
 		if e == nil || !c.ownsMachine(&e.Record) || e.Record.AgentEpoch == 0 || e.Record.Terminating {
@@ -275,10 +275,10 @@
 }
 
 // writeTransferStep writes the next phase of a move.
-func (c *Core) writeTransferStep(b *batch, slot bk.TransferSlot, step shares.TransferStep) {
+func (c *Core) writeTransferStep(b *batch, slot storage.TransferSlot, step sharding.TransferStep) {
 	previous := c.replica.Transfers[slot].Record
 	ops := 1
-	if step.Phase == bk.TransferCommitted {
+	if step.Phase == storage.TransferCommitted {
 		ops += c.shardWriteOps(previous.Shard)
 		if b.shards[previous.Shard] != nil {
 			return // it changes in this transaction already; the next one does it
@@ -290,16 +290,16 @@
 	record := previous
 	record.Phase = step.Phase
 	switch step.Phase {
-	case bk.TransferPrepared:
+	case storage.TransferPrepared:
 		record.PreparedAt = c.now.Wall
-		b.dependOn(bk.ShardKey(record.Shard))
-	case bk.TransferCommitted:
+		b.dependOn(storage.ShardKey(record.Shard))
+	case storage.TransferCommitted:
 		record.CommittedAt = c.now.Wall
 		record.MachineCount = len(c.replica.Shards[record.Shard].Machines)
 		c.transferShard(b, record.Shard, record.Target, record.Reason)
-	case bk.TransferAborted:
+	case storage.TransferAborted:
 		record.Reason, record.EndedAt = step.Reason, c.now.Wall
-	case bk.TransferClosed:
+	case storage.TransferClosed:
 		record.EndedAt = c.now.Wall
 	}
 	b.putTransfer(slot, &record)
@@ -313,23 +313,23 @@
 
 // endTransferOnFailover ends the pending move of a page that this run takes over: it is
 // where it was to go, or it is over.
-func (c *Core) endTransferOnFailover(b *batch, id bk.ShardID) {
+func (c *Core) endTransferOnFailover(b *batch, id storage.ShardID) {
 	slot, e := c.replica.OpenTransferOf(id)
 	if e == nil || !e.Record.Phase.IsPending() || b.transfers[slot] != nil {
 		return
 	}
 	record := e.Record
 	if record.Target == c.incarnation {
-		record.Phase, record.CommittedAt = bk.TransferCommitted, c.now.Wall
+		record.Phase, record.CommittedAt = storage.TransferCommitted, c.now.Wall
 	} else {
-		record.Phase, record.EndedAt, record.Reason = bk.TransferAborted, c.now.Wall, shares.ReasonFailover
+		record.Phase, record.EndedAt, record.Reason = storage.TransferAborted, c.now.Wall, sharding.ReasonFailover
 	}
 	b.putTransfer(slot, &record)
 }
 
 // shardsInTransfer lists the pages that have a move in one of the phases.
-func (c *Core) shardsInTransfer(matches func(bk.TransferPhase) bool) map[bk.ShardID]bool {
-	shards := map[bk.ShardID]bool{}
+func (c *Core) shardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool {
+	shards := map[storage.ShardID]bool{}
 	for _, e := range c.replica.Transfers {
 		if matches(e.Record.Phase) {
 			shards[e.Record.Shard] = true
@@ -339,10 +339,10 @@
 }
 
 // isPrepared tells whether nothing new may begin on a page with a move in this phase.
-func isPrepared(phase bk.TransferPhase) bool { return phase == bk.TransferPrepared }
+func isPrepared(phase storage.TransferPhase) bool { return phase == storage.TransferPrepared }
 
 // isQuiesced tells whether nothing new may begin on a page. It is asked for each report.
-func (c *Core) isQuiesced(shard bk.ShardID) bool {
+func (c *Core) isQuiesced(shard storage.ShardID) bool {
 	for _, e := range c.replica.Transfers {
 		if e.Record.Shard == shard && isPrepared(e.Record.Phase) {
 			return true
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"slices"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 var errNoUsableResponse = errors.New("no usable answer")
@@ -56,7 +56,7 @@
 }
 
 // jobStatus is what the replica says of a job.
-func (c *Core) jobStatus(id protocol.JobID, record *bk.JobRecord, withCounts bool) protocol.JobStatus {
+func (c *Core) jobStatus(id protocol.JobID, record *storage.JobRecord, withCounts bool) protocol.JobStatus {
 	status := protocol.JobStatus{ID: id, State: record.State}
 	running := 0
 	if !record.State.IsTerminal() {
@@ -190,11 +190,11 @@
 // jobRecordFits tells whether a job's record stays within a value of the state service,
 // whatever is to be noted of it, also under the limits that are announced.
 func (c *Core) jobRecordFits(job *protocol.Job) bool {
-	format := bk.FormatPlain
+	format := storage.FormatPlain
 	if c.cfg.AnnouncedLimits != nil {
-		format = bk.FormatPacked
+		format = storage.FormatPacked
 	}
-	size := len(bk.EncodeJob(format, &bk.JobRecord{Spec: job, Owner: c.incarnation, NextAttempt: attemptBlockSize, SubmittedAt: c.now.Wall}))
+	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: c.incarnation, NextAttempt: attemptBlockSize, SubmittedAt: c.now.Wall}))
 	return size <= c.admissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
@@ -239,8 +239,8 @@
 		if c.replica.Jobs[id] != nil || !b.hasCapacity(1) {
 			continue
 		}
-		b.reserveWrite(bk.JobKey(id), 700)
-		b.jobs[id] = &bk.JobRecord{Spec: pending.job, Owner: c.incarnation, NextAttempt: attemptBlockSize, SubmittedAt: pending.submittedAt}
+		b.reserveWrite(storage.JobKey(id), 700)
+		b.jobs[id] = &storage.JobRecord{Spec: pending.job, Owner: c.incarnation, NextAttempt: attemptBlockSize, SubmittedAt: pending.submittedAt}
 	}
 }
 
--- a/internal/loopback/controllers.go
+++ b/internal/integration/controllers.go
@@ -1,4 +1,4 @@
-package loopback
+package integration
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"tillerarch/internal/admin"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/standin"
+	"tillerarch/internal/simulation"
 )
 
 // Options of a fleet.
@@ -65,7 +65,7 @@
 // Start brings a fleet up.
 func Start(o Options) (*Fleet, error) {
 	f := &Fleet{options: o}
-	var remotes []standin.Remote
+	var remotes []simulation.Remote
 	for i := range o.Controllers {
 		c := &Controller{fleet: f, number: i, Member: protocol.ControllerID(fmt.Sprintf("stall-%d", i))}
 		for _, addr := range []*string{&c.listen, &c.back, &c.Admin} {
@@ -78,7 +78,7 @@
 		f.Controllers = append(f.Controllers, c)
 		remotes = append(remotes, c)
 	}
-	w := standin.NewRemoteWorld(o.Seed, remotes, o.Flavors, o.Teams)
+	w := simulation.NewRemoteWorld(o.Seed, remotes, o.Flavors, o.Teams)
 	w.Report, w.Lease, w.GangWait, w.Rules.Cancel = reportTime, leaseTime, gangWait, cancelTime
 	w.State.Keep(10_000)
 	w.State.Value, w.State.Ops, w.State.Rate = valueBytes, txnOps, writeRPS
@@ -204,7 +204,7 @@
 func (c *Controller) send(method, path string, content []byte, back func(int, []byte)) {
 	go func() {
 		status, answer := c.call(method, path, content)
-		c.fleet.Do(func(*standin.World) { back(status, answer) })
+		c.fleet.Do(func(*simulation.World) { back(status, answer) })
 	}()
 }
 
--- a/internal/loopback/drill_test.go
+++ b/internal/integration/drill_test.go
@@ -1,4 +1,4 @@
-package loopback
+package integration
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"time"
 
 	"tillerarch/internal/admin"
-	bk "tillerarch/internal/bookkeeping"
-	"tillerarch/internal/standin"
+	"tillerarch/internal/simulation"
+	"tillerarch/internal/storage"
 )
 
 // toolRun runs `tillerarch shares` and reads its answer.
@@ -27,7 +27,7 @@
 			machines += c.Machines
 		}
 		up := 0
-		f.Do(func(w *standin.World) { up = len(w.Hosts()) })
+		f.Do(func(w *simulation.World) { up = len(w.Hosts()) })
 		if machines == up && len(shares.Controllers) == 3 {
 			return shares
 		}
@@ -61,7 +61,7 @@
 		}
 	}
 	owned := func(member string) (machines int) {
-		f.Do(func(w *standin.World) {
+		f.Do(func(w *simulation.World) {
 			for _, n := range w.Nodes {
 				if string(n.Member) == member {
 					machines = w.OwnedBy(n)
@@ -80,7 +80,7 @@
 	}
 	var move admin.Transfer
 	tool(0, &move, "move", "--name", "drill", "--from", giver, "--to", taker, "--wait", "30s")
-	if move.Phase != string(bk.TransferClosed) || owned(taker) < move.Machines || move.Machines == 0 {
+	if move.Phase != string(storage.TransferClosed) || owned(taker) < move.Machines || move.Machines == 0 {
 		t.Errorf("%+v, the taker owns %d", move, owned(taker))
 	}
 	tool(0, &move, "move", "--name", "drill", "--from", giver, "--to", taker)
@@ -102,10 +102,10 @@
 		t.Errorf("its next process was given %d machines", n)
 	}
 	tool(0, nil, "undrain", giver)
-	f.Do(func(w *standin.World) { w.State.Down = true })
+	f.Do(func(w *simulation.World) { w.State.Down = true })
 	time.Sleep(4 * time.Second)
 	tool(3, nil, "drain", taker)
-	f.Do(func(w *standin.World) { w.State.Down = false })
+	f.Do(func(w *simulation.World) { w.State.Down = false })
 	settle(f, jobs)
-	f.Do(func(w *standin.World) { judge(t, w, jobs, 1, nil, 0) })
+	f.Do(func(w *simulation.World) { judge(t, w, jobs, 1, nil, 0) })
 }
--- a/internal/loopback/front.go
+++ b/internal/integration/front.go
@@ -1,8 +1,8 @@
-// Package loopback plays a whole deployment on this machine's loopback: controllers are
-// real processes of the program, and the outside systems of package standin answer them
+// Package integration plays a whole deployment on this machine's loopback: controllers are
+// real processes of the program, and the outside systems of package simulation answer them
 // over HTTP, in real time. Tests kill, freeze and cut off controllers, and the checkers of
 // the stand-in world see all that the state service and the workers are told.
-package loopback
+package integration
 
 import (
 	"encoding/json"
@@ -16,7 +16,7 @@
 	"time"
 
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/standin"
+	"tillerarch/internal/simulation"
 )
 
 // step is how often the world's time is brought up to the clock's.
@@ -25,7 +25,7 @@
 // Front serves a stand-in world over HTTP.
 type Front struct {
 	mu    sync.Mutex // guards the world
-	world *standin.World
+	world *simulation.World
 	begun time.Time
 	stop  chan struct{}
 	done  sync.WaitGroup
@@ -36,14 +36,14 @@
 }
 
 // Do calls f with the world to itself.
-func (f *Front) Do(do func(w *standin.World)) {
+func (f *Front) Do(do func(w *simulation.World)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.world)
 }
 
 // start serves the world and lets its time pass with the clock's.
-func (f *Front) start(w *standin.World) error {
+func (f *Front) start(w *simulation.World) error {
 	f.world, f.begun, f.stop = w, time.Now(), make(chan struct{})
 	for i := range w.Nodes {
 		addr, err := f.serve(f.stateService(w.Nodes[i]))
@@ -72,7 +72,7 @@
 		case <-f.stop:
 			return
 		case <-ticker.C:
-			f.Do(func(w *standin.World) { w.Run(time.Since(f.begun) - w.Now) })
+			f.Do(func(w *simulation.World) { w.Run(time.Since(f.begun) - w.Now) })
 		}
 	}
 }
@@ -122,12 +122,12 @@
 }
 
 // stateService is the state service as one controller reaches it.
-func (f *Front) stateService(n *standin.Node) http.Handler {
+func (f *Front) stateService(n *simulation.Node) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, h http.HandlerFunc) {
 		mux.HandleFunc(pattern, func(rw http.ResponseWriter, r *http.Request) {
 			var cut, down bool
-			f.Do(func(w *standin.World) { cut, down = n.NoState, w.State.Down })
+			f.Do(func(w *simulation.World) { cut, down = n.NoState, w.State.Down })
 			switch {
 			case cut:
 				unreachable(r)
@@ -151,14 +151,14 @@
 // revision.
 func (f *Front) probe(rw http.ResponseWriter, _ *http.Request) {
 	var rev protocol.Revision
-	f.Do(func(w *standin.World) { rev = w.State.Rev() })
+	f.Do(func(w *simulation.World) { rev = w.State.Rev() })
 	respond(rw, http.StatusNotFound, protocol.TransactionResult{Revision: rev})
 }
 
 func (f *Front) list(rw http.ResponseWriter, r *http.Request) {
 	page := protocol.EntryPage{Entries: []protocol.Entry{}}
 	from := r.URL.Query().Get("from")
-	f.Do(func(w *standin.World) {
+	f.Do(func(w *simulation.World) {
 		page.Revision = w.State.Rev()
 		for _, item := range w.State.Items(r.URL.Query().Get("starts")) {
 			if item.Key > from {
@@ -180,7 +180,7 @@
 	}
 	code, answer := 0, protocol.TransactionResult{}
 	lost := false
-	f.Do(func(w *standin.World) {
+	f.Do(func(w *simulation.World) {
 		code, answer = w.State.Multi(m)
 		lost = w.Unheard > 0 && w.Rng.Float64() < w.Unheard
 	})
@@ -196,14 +196,14 @@
 		respond(rw, http.StatusBadRequest, struct{}{})
 		return
 	}
-	f.Do(func(w *standin.World) { h.ID = w.State.Grant(w.Now, time.Duration(h.TTLMillis)*time.Millisecond) })
+	f.Do(func(w *simulation.World) { h.ID = w.State.Grant(w.Now, time.Duration(h.TTLMillis)*time.Millisecond) })
 	respond(rw, http.StatusOK, protocol.Lease{ID: h.ID})
 }
 
 func (f *Front) extend(rw http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	alive := false
-	f.Do(func(w *standin.World) { alive = err == nil && w.State.Extend(w.Now, protocol.LeaseID(id)) })
+	f.Do(func(w *simulation.World) { alive = err == nil && w.State.Extend(w.Now, protocol.LeaseID(id)) })
 	if !alive {
 		respond(rw, http.StatusNotFound, struct{}{})
 		return
@@ -223,7 +223,7 @@
 	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); r.Context().Err() == nil; time.Sleep(step) {
 		var news protocol.WatchResponse
 		var old, down bool
-		f.Do(func(w *standin.World) {
+		f.Do(func(w *simulation.World) {
 			if down = w.State.Down; !down {
 				news, old = w.State.Follow(q.Get("starts"), protocol.Revision(from))
 			}
@@ -254,7 +254,7 @@
 			return
 		}
 		var answer protocol.MachineList
-		f.Do(func(w *standin.World) { answer.Machines = w.Rent(h) })
+		f.Do(func(w *simulation.World) { answer.Machines = w.Rent(h) })
 		respond(rw, http.StatusOK, answer)
 	})
 	mux.HandleFunc("POST "+protocol.PathTerminate, func(rw http.ResponseWriter, r *http.Request) {
@@ -263,7 +263,7 @@
 			respond(rw, http.StatusBadRequest, struct{}{})
 			return
 		}
-		f.Do(func(w *standin.World) {
+		f.Do(func(w *simulation.World) {
 			for _, id := range m.Machines {
 				w.Lose(id)
 			}
@@ -272,7 +272,7 @@
 	})
 	mux.HandleFunc("GET "+protocol.PathInstances, func(rw http.ResponseWriter, r *http.Request) {
 		answer := protocol.InstancePage{Instances: []protocol.Instance{}}
-		f.Do(func(w *standin.World) {
+		f.Do(func(w *simulation.World) {
 			for _, h := range w.Hosts() {
 				if string(h.ID) > r.URL.Query().Get("from") {
 					answer.Instances = append(answer.Instances, h)
@@ -285,11 +285,11 @@
 }
 
 // serveWorker gives a worker an address of its own. The world's lock is held.
-func (f *Front) serveWorker(m *standin.Worker) {
+func (f *Front) serveWorker(m *simulation.Worker) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathAgentStatus, func(rw http.ResponseWriter, r *http.Request) {
 		var report []byte
-		f.Do(func(*standin.World) {
+		f.Do(func(*simulation.World) {
 			if !m.Gone && !m.Cut {
 				report = m.Show()
 			}
@@ -303,7 +303,7 @@
 			return
 		}
 		code, report := 0, []byte(nil)
-		f.Do(func(*standin.World) {
+		f.Do(func(*simulation.World) {
 			if !m.Gone && !m.Cut {
 				code, report = m.Do(o)
 			}
--- a/internal/loopback/moves_test.go
+++ b/internal/integration/moves_test.go
@@ -1,4 +1,4 @@
-package loopback
+package integration
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"time"
 
 	"tillerarch/internal/admin"
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/standin"
+	"tillerarch/internal/simulation"
+	"tillerarch/internal/storage"
 )
 
 // buildProgram builds the program under test.
@@ -35,13 +35,13 @@
 // startFleet brings up three controllers and some machines.
 func startFleet(t *testing.T, program string, seed uint64) *Fleet {
 	t.Helper()
-	f, err := Start(Options{Seed: seed, Controllers: 3, Program: program, Dir: t.TempDir(), Flavors: standin.SmallAndLarge,
+	f, err := Start(Options{Seed: seed, Controllers: 3, Program: program, Dir: t.TempDir(), Flavors: simulation.SmallAndLarge,
 		Teams: map[string]coordination.Quota{"core": {}, "tight": {MaxCores: 10}}, Properties: "moves.recorded = true\nage.after = 60s\nidle.factor = 100"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Close)
-	f.Do(func(w *standin.World) {
+	f.Do(func(w *simulation.World) {
 		for i := range 24 {
 			w.Machine("small", []protocol.Zone{"a", "b"}[i%2], false, 0)
 		}
@@ -65,7 +65,7 @@
 }
 
 // next submits a job, and plans the one behind it. The world's lock is held.
-func (a *arrivals) next(w *standin.World) {
+func (a *arrivals) next(w *simulation.World) {
 	if a.stopped {
 		return
 	}
@@ -132,20 +132,20 @@
 // watch ends giver or taker of some of the moves just as they come to a phase.
 func (c *chaos) watch() {
 	n := 0
-	c.f.Do(func(w *standin.World) {
+	c.f.Do(func(w *simulation.World) {
 		before := w.State.Observe
 		w.State.Observe = func(rev protocol.Revision, news []protocol.Event) {
 			before(rev, news)
 			for _, change := range news {
-				var record bk.TransferRecord
-				if !strings.HasPrefix(change.PutKey, bk.TransferKey("")) || json.Unmarshal(change.Value, &record) != nil {
+				var record storage.TransferRecord
+				if !strings.HasPrefix(change.PutKey, storage.TransferKey("")) || json.Unmarshal(change.Value, &record) != nil {
 					continue
 				}
 				if n++; n%everyNth != 0 {
 					continue
 				}
 				select {
-				case c.events <- []bk.Incarnation{record.Source, record.Target}[n/everyNth%2].Controller():
+				case c.events <- []storage.Incarnation{record.Source, record.Target}[n/everyNth%2].Controller():
 				default:
 				}
 			}
@@ -183,10 +183,10 @@
 func (c *chaos) fail() {
 	number := c.rng.IntN(len(c.f.Controllers))
 	ctl := c.f.Controllers[number]
-	set := func(on bool, what func(w *standin.World, on bool)) {
-		c.f.Do(func(w *standin.World) { what(w, on) })
+	set := func(on bool, what func(w *simulation.World, on bool)) {
+		c.f.Do(func(w *simulation.World) { what(w, on) })
 	}
-	during := func(d time.Duration, what func(w *standin.World, on bool)) {
+	during := func(d time.Duration, what func(w *simulation.World, on bool)) {
 		set(true, what)
 		time.Sleep(d)
 		set(false, what)
@@ -203,20 +203,20 @@
 		c.check(ctl.Freeze(8 * time.Second))
 	case 3:
 		c.count("cut from the state service")
-		during(8*time.Second, func(w *standin.World, on bool) { w.Nodes[number].NoState = on })
+		during(8*time.Second, func(w *simulation.World, on bool) { w.Nodes[number].NoState = on })
 	case 4:
 		c.count("state service away")
-		during(4*time.Second, func(w *standin.World, on bool) { w.State.Down = on })
+		during(4*time.Second, func(w *simulation.World, on bool) { w.State.Down = on })
 	case 5:
 		c.count("answers of writes lost")
-		during(4*time.Second, func(w *standin.World, on bool) {
+		during(4*time.Second, func(w *simulation.World, on bool) {
 			if w.Unheard = 0; on {
 				w.Unheard = 0.2
 			}
 		})
 	case 6:
 		c.count("reports lost")
-		during(4*time.Second, func(w *standin.World, on bool) { w.Nodes[number].NoWorker = on })
+		during(4*time.Second, func(w *simulation.World, on bool) { w.Nodes[number].NoWorker = on })
 	}
 }
 
@@ -248,12 +248,12 @@
 	failures.Wait()
 	took := time.Since(began)
 	settle(f, jobs)
-	f.Do(func(w *standin.World) { judge(t, w, jobs, wanted(), c.counts, took) })
+	f.Do(func(w *simulation.World) { judge(t, w, jobs, wanted(), c.counts, took) })
 }
 
 // settle ends all troubles and lets the jobs come to their end.
 func settle(f *Fleet, jobs *arrivals) {
-	f.Do(func(w *standin.World) {
+	f.Do(func(w *simulation.World) {
 		jobs.stopped = true
 		w.Rules.Calm = w.Now
 		w.State.Observe = w.History.Apply
@@ -263,7 +263,7 @@
 	})
 	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
 		left := 0
-		f.Do(func(w *standin.World) { left = len(unfinished(w, jobs)) + len(w.History.Open()) })
+		f.Do(func(w *simulation.World) { left = len(unfinished(w, jobs)) + len(w.History.Open()) })
 		if left == 0 {
 			return
 		}
@@ -271,11 +271,11 @@
 }
 
 func passed(f *Fleet) (n int) {
-	f.Do(func(w *standin.World) { n = w.History.Passed })
+	f.Do(func(w *simulation.World) { n = w.History.Passed })
 	return n
 }
 
-func unfinished(w *standin.World, jobs *arrivals) (ids []protocol.JobID) {
+func unfinished(w *simulation.World, jobs *arrivals) (ids []protocol.JobID) {
 	for _, id := range jobs.ids {
 		if !w.Done[id] {
 			ids = append(ids, id)
@@ -285,7 +285,7 @@
 }
 
 // judge checks the whole run, and says what was measured.
-func judge(t *testing.T, w *standin.World, jobs *arrivals, wanted int, failures map[string]int, took time.Duration) {
+func judge(t *testing.T, w *simulation.World, jobs *arrivals, wanted int, failures map[string]int, took time.Duration) {
 	w.Rules.End(w.Now)
 	h := w.History
 	if len(w.Rules.Broken) > 0 {
--- a/internal/shares/doc.go
+++ b/internal/sharding/doc.go
@@ -1,4 +1,4 @@
-// Package shares decides which controller should own which machines, and how the
+// Package sharding decides which controller should own which machines, and how the
 // ownership of a page of machines passes from one controller to another. It is pure: it
 // looks at a snapshot of the records and says what is to be written. The coordination
 // layer takes the snapshots and writes, in transactions that rest on the stamps of what
@@ -10,4 +10,4 @@
 //     (takeover.go).
 //   - ShouldHandOffShard tells when the workers of a page have gone to another controller
 //     (handover.go).
-package shares
+package sharding
--- a/internal/shares/failover_test.go
+++ b/internal/sharding/failover_test.go
@@ -1,4 +1,4 @@
-package shares
+package sharding
 
 import (
 	"fmt"
--- a/internal/shares/handoff.go
+++ b/internal/sharding/handoff.go
@@ -1,4 +1,4 @@
-package shares
+package sharding
 
 // minMisdirectedMachines is the least number of workers whose word moves a whole page.
 const minMisdirectedMachines = 3
--- a/internal/shares/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -1,15 +1,15 @@
-package shares
+package sharding
 
 import (
 	"cmp"
 	"slices"
 
-	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/storage"
 )
 
 // Controller is a controller as the planner sees it.
 type Controller struct {
-	Incarnation bk.Incarnation
+	Incarnation storage.Incarnation
 	// It may be given machines: its workers and the state service reach it, and it keeps
 	// up with its work.
 	Eligible bool
@@ -22,8 +22,8 @@
 
 // Shard is a page of machines as the planner sees it.
 type Shard struct {
-	ID           bk.ShardID
-	Owner        bk.Incarnation // for a page on its way, the one that it goes to
+	ID           storage.ShardID
+	Owner        storage.Incarnation // for a page on its way, the one that it goes to
 	Load         float64
 	TransferCost float64 // what a move would hold up
 	Pinned       bool    // it stays: it is on its way, or a gang is about to be placed there
@@ -31,10 +31,10 @@
 
 // Snapshot is what a plan rests on.
 type Snapshot struct {
-	Self              bk.Incarnation
+	Self              storage.Incarnation
 	Controllers       []Controller
 	Shards            []Shard
-	IncomingTransfers map[bk.Incarnation]int // open moves to each controller
+	IncomingTransfers map[storage.Incarnation]int // open moves to each controller
 }
 
 // RebalancePolicy bounds what is planned.
@@ -46,9 +46,9 @@
 
 // Transfer is a page that is to go from its owner to another controller.
 type Transfer struct {
-	Shard  bk.ShardID
-	Source bk.Incarnation
-	Target bk.Incarnation
+	Shard  storage.ShardID
+	Source storage.Incarnation
+	Target storage.Incarnation
 }
 
 // controllerLoad is a controller's part of the load, and what it should be.
@@ -98,8 +98,8 @@
 }
 
 // computeLoads sums up what each controller has and should have.
-func computeLoads(snapshot Snapshot, policy RebalancePolicy) map[bk.Incarnation]*controllerLoad {
-	loads := map[bk.Incarnation]*controllerLoad{}
+func computeLoads(snapshot Snapshot, policy RebalancePolicy) map[storage.Incarnation]*controllerLoad {
+	loads := map[storage.Incarnation]*controllerLoad{}
 	demand, remaining := 0.0, 0
 	for _, controller := range snapshot.Controllers {
 		loads[controller.Incarnation] = &controllerLoad{Controller: controller, incomingTransfers: snapshot.IncomingTransfers[controller.Incarnation]}
@@ -137,7 +137,7 @@
 }
 
 // selectTarget is the controller that should be given a page, if there is one.
-func selectTarget(loads map[bk.Incarnation]*controllerLoad, source *controllerLoad, maxIncoming int) *controllerLoad {
+func selectTarget(loads map[storage.Incarnation]*controllerLoad, source *controllerLoad, maxIncoming int) *controllerLoad {
 	var best *controllerLoad
 	for _, load := range loads {
 		if load == source || !load.Eligible || load.isEvacuating() || load.incomingTransfers >= maxIncoming || load.fairShare <= 0 {
--- a/internal/shares/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -1,4 +1,4 @@
-package shares
+package sharding
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	"pgregory.net/rapid"
 
-	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/storage"
 )
 
 var testPolicy = RebalancePolicy{MaxTransfers: 1, MaxIncomingTransfers: 2}
 
-func shardsOf(owner bk.Incarnation, n int) (shards []Shard) {
+func shardsOf(owner storage.Incarnation, n int) (shards []Shard) {
 	for i := range n {
-		shards = append(shards, Shard{ID: bk.ShardID(fmt.Sprintf("%s-%d", owner, i)), Owner: owner, Load: 1})
+		shards = append(shards, Shard{ID: storage.ShardID(fmt.Sprintf("%s-%d", owner, i)), Owner: owner, Load: 1})
 	}
 	return shards
 }
@@ -28,16 +28,16 @@
 		name        string
 		controllers []Controller
 		pages       []Shard
-		arriving    map[bk.Incarnation]int
+		arriving    map[storage.Incarnation]int
 		policy      RebalancePolicy
-		to          bk.Incarnation // empty: nothing moves
+		to          storage.Incarnation // empty: nothing moves
 	}{
 		{"far fewer", []Controller{a, b}, append(shardsOf("a#1", 8), shardsOf("b#1", 4)...), nil, testPolicy, "b#1"},
 		{"a little fewer", []Controller{a, b}, append(shardsOf("a#1", 8), shardsOf("b#1", 6)...), nil, testPolicy, ""},
 		{"one more is no reason", []Controller{a, b}, append(shardsOf("a#1", 2), shardsOf("b#1", 1)...), nil, testPolicy, ""},
 		{"the one with fewest", []Controller{a, b, c}, append(shardsOf("a#1", 8), shardsOf("b#1", 2)...), nil, testPolicy, "c#1"},
 		{"an unfit one gets none", []Controller{a, ineligible}, shardsOf("a#1", 8), nil, testPolicy, ""},
-		{"enough on their way", []Controller{a, b}, shardsOf("a#1", 8), map[bk.Incarnation]int{"b#1": 2}, testPolicy, ""},
+		{"enough on their way", []Controller{a, b}, shardsOf("a#1", 8), map[storage.Incarnation]int{"b#1": 2}, testPolicy, ""},
 		{"a strained one gives its last", []Controller{overloaded, b}, append(shardsOf("a#1", 1), shardsOf("b#1", 6)...), nil, testPolicy, "b#1"},
 		{"a drained one gives its last", []Controller{{Incarnation: "a#1", Draining: true}, b}, append(shardsOf("a#1", 1), shardsOf("b#1", 6)...), nil, testPolicy, "b#1"},
 		{"a drained one gets none", []Controller{a, {Incarnation: "b#1", Eligible: true, Draining: true}}, shardsOf("a#1", 8), nil, testPolicy, ""},
@@ -89,7 +89,7 @@
 			if len(transfers) == 0 {
 				return
 			}
-			incoming := map[bk.Incarnation]int{}
+			incoming := map[storage.Incarnation]int{}
 			for _, transfer := range transfers {
 				i := slices.IndexFunc(snapshot.Shards, func(p Shard) bool { return p.ID == transfer.Shard })
 				j := slices.IndexFunc(snapshot.Controllers, func(c Controller) bool { return c.Incarnation == transfer.Target })
@@ -110,7 +110,7 @@
 	var s Snapshot
 	n := rapid.IntRange(1, 5).Draw(t, "controllers")
 	for i := range n {
-		c := Controller{Incarnation: bk.Incarnation(fmt.Sprintf("c%d#1", i)), DemandCores: rapid.Float64Range(0, 1000).Draw(t, "demand")}
+		c := Controller{Incarnation: storage.Incarnation(fmt.Sprintf("c%d#1", i)), DemandCores: rapid.Float64Range(0, 1000).Draw(t, "demand")}
 		switch rapid.IntRange(0, 5).Draw(t, "state") {
 		case 0:
 		case 1:
@@ -124,7 +124,7 @@
 	}
 	for i := range rapid.IntRange(0, 40).Draw(t, "pages") {
 		owner := s.Controllers[rapid.IntRange(0, n-1).Draw(t, "owner")].Incarnation
-		s.Shards = append(s.Shards, Shard{ID: bk.ShardID(fmt.Sprint(i)), Owner: owner, Load: 1, Pinned: rapid.IntRange(0, 9).Draw(t, "fixed") == 0})
+		s.Shards = append(s.Shards, Shard{ID: storage.ShardID(fmt.Sprint(i)), Owner: owner, Load: 1, Pinned: rapid.IntRange(0, 9).Draw(t, "fixed") == 0})
 	}
 	return s
 }
--- a/internal/shares/transfer.go
+++ b/internal/sharding/transfer.go
@@ -1,16 +1,16 @@
-package shares
+package sharding
 
 import (
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
+	"tillerarch/internal/storage"
 )
 
 // TransferStatus is a move on record as one controller sees it.
 type TransferStatus struct {
-	Transfer bk.TransferRecord
-	Self     bk.Incarnation
-	Owner    bk.Incarnation // of the page now; empty: there is no such page
+	Transfer storage.TransferRecord
+	Self     storage.Incarnation
+	Owner    storage.Incarnation // of the page now; empty: there is no such page
 	// How long this controller has seen the move in its phase.
 	PhaseAge                 time.Duration
 	SourceAlive, TargetAlive bool
@@ -31,7 +31,7 @@
 
 // TransferStep is what a controller has to write next for a move. Empty Phase: nothing.
 type TransferStep struct {
-	Phase  bk.TransferPhase
+	Phase  storage.TransferPhase
 	Reason string // of an abort
 }
 
@@ -58,11 +58,11 @@
 	if !status.Transfer.Phase.IsOpen() || !isResponsible(status) {
 		return TransferStep{}
 	}
-	if status.Transfer.Phase == bk.TransferCommitted {
+	if status.Transfer.Phase == storage.TransferCommitted {
 		return stepAfterCommit(status, timeouts)
 	}
 	if reason := abortReason(status); reason != "" {
-		return TransferStep{bk.TransferAborted, reason}
+		return TransferStep{storage.TransferAborted, reason}
 	}
 	if status.Self != status.Transfer.Source {
 		return TransferStep{} // the page's owner is dead: its heir takes the page over and ends the move
@@ -74,7 +74,7 @@
 // transfer, the taker behind it, and the heir of the move if that one is gone.
 func isResponsible(status TransferStatus) bool {
 	primary, primaryAlive, fallback, fallbackAlive := status.Transfer.Source, status.SourceAlive, status.Transfer.Target, status.TargetAlive
-	if status.Transfer.Phase == bk.TransferCommitted {
+	if status.Transfer.Phase == storage.TransferCommitted {
 		primary, primaryAlive, fallback, fallbackAlive = fallback, fallbackAlive, primary, primaryAlive
 	}
 	switch {
@@ -105,20 +105,20 @@
 
 // stepBeforeCommit is the giver's next step.
 func stepBeforeCommit(status TransferStatus, timeouts TransferTimeouts) TransferStep {
-	if status.Transfer.Phase == bk.TransferProposed {
+	if status.Transfer.Phase == storage.TransferProposed {
 		switch {
 		case status.PhaseAge > timeouts.Proposal:
-			return TransferStep{bk.TransferAborted, ReasonNotAccepted}
+			return TransferStep{storage.TransferAborted, ReasonNotAccepted}
 		case status.ReservedForGang && status.PhaseAge < timeouts.GangPlacement:
 			return TransferStep{}
 		}
-		return TransferStep{Phase: bk.TransferPrepared}
+		return TransferStep{Phase: storage.TransferPrepared}
 	}
 	switch {
 	case status.Quiesced:
-		return TransferStep{Phase: bk.TransferCommitted}
+		return TransferStep{Phase: storage.TransferCommitted}
 	case status.PhaseAge > timeouts.Quiesce:
-		return TransferStep{bk.TransferAborted, ReasonNotQuiesced}
+		return TransferStep{storage.TransferAborted, ReasonNotQuiesced}
 	}
 	return TransferStep{}
 }
@@ -127,7 +127,7 @@
 // somebody else.
 func stepAfterCommit(status TransferStatus, timeouts TransferTimeouts) TransferStep {
 	if status.TargetTokenObserved || status.Owner != status.Transfer.Target || !status.TargetAlive || status.PhaseAge > timeouts.TokenObservation {
-		return TransferStep{Phase: bk.TransferClosed}
+		return TransferStep{Phase: storage.TransferClosed}
 	}
 	return TransferStep{}
 }
--- a/internal/standin/added_test.go
+++ b/internal/simulation/added_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 func array(id protocol.JobID, lane string, rank protocol.Priority, pieces int, cores, reckon float64) *protocol.Job {
@@ -318,7 +318,7 @@
 		}
 		w.Run(6 * time.Second)
 		on := map[string]int{}
-		for _, i := range w.State.Items(bookkeeping.ShardKey("")) {
+		for _, i := range w.State.Items(storage.ShardKey("")) {
 			var page struct {
 				M []string `json:"m"`
 			}
@@ -377,7 +377,7 @@
 		w.Run(20 * time.Second)
 		c.events(w)
 		on := map[string]int{}
-		for _, i := range w.State.Items(bookkeeping.ShardKey("")) {
+		for _, i := range w.State.Items(storage.ShardKey("")) {
 			var page struct{ O string }
 			if err := json.Unmarshal(i.Value, &page); err != nil {
 				t.Fatal(err)
--- a/internal/standin/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"crypto/sha256"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
 )
 
@@ -79,7 +79,7 @@
 	share := func(s *coordination.ControllerStatus) string {
 		return fmt.Sprintf("%q %q %d %d %t %t;", string(s.ID), string(s.Incarnation), s.Shards, s.Machines, s.RecordsTransfers, s.Draining)
 	}
-	move := func(m *bk.TransferRecord) string {
+	move := func(m *storage.TransferRecord) string {
 		return fmt.Sprintf("%q %q %q %q %q %q %d %d %d %d %d;", m.Name, string(m.Shard), string(m.Source), string(m.Target), string(m.Phase), m.Reason, m.MachineCount,
 			int64(m.ProposedAt), int64(m.PreparedAt), int64(m.CommittedAt), int64(m.EndedAt))
 	}
@@ -338,7 +338,7 @@
 		w.moveAround(1200*time.Millisecond, seconds(90))
 		w.tellsShares(5)
 		moves := 0
-		w.onPhase(bk.TransferProposed, func(r bk.TransferRecord) {
+		w.onPhase(storage.TransferProposed, func(r storage.TransferRecord) {
 			if moves++; moves%5 == 0 {
 				w.Nodes[moves%3].Operator(func(id coordination.RequestID) coordination.Input {
 					return coordination.TransferRequest{Req: id, Name: r.Name, Abort: true}
@@ -349,7 +349,7 @@
 			}
 		})
 		prepared := 0
-		w.onPhase(bk.TransferPrepared, func(r bk.TransferRecord) {
+		w.onPhase(storage.TransferPrepared, func(r storage.TransferRecord) {
 			switch prepared++; prepared % 24 {
 			case 4:
 				w.bounce(r.Source, 200*time.Millisecond)
@@ -365,7 +365,7 @@
 			}
 		})
 		passed := 0
-		w.onPhase(bk.TransferCommitted, func(r bk.TransferRecord) {
+		w.onPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
 			switch passed++; passed % 16 {
 			case 6:
 				w.bounce(r.Target, 12*time.Second)
@@ -519,7 +519,7 @@
 // versions of the sources, one of them renamed or arranged anew, and has nothing to say of
 // one version alone; so it is skipped unless DIGEST is set:
 //
-//	DIGEST=1 go test -count=1 -v -run TestEffectDigest ./internal/standin | grep ' seed='
+//	DIGEST=1 go test -count=1 -v -run TestEffectDigest ./internal/simulation | grep ' seed='
 //
 // Log lines are left out. Whatever else differs in a byte, an instant or its order changes
 // the digest, and a different message leads to another day from there on.
--- a/internal/standin/golden_maker_test.go
+++ b/internal/simulation/golden_maker_test.go
@@ -1,6 +1,6 @@
 //go:build golden
 
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
 )
 
@@ -20,7 +20,7 @@
 // the version that it is built with writes them. testdata/production was made by running
 // it at the commit that deploy/service.toml names as production:
 //
-//	GOLDEN=DIR go test -tags golden -run TestWriteGolden ./internal/standin
+//	GOLDEN=DIR go test -tags golden -run TestWriteGolden ./internal/simulation
 func TestWriteGolden(t *testing.T) {
 	w := NewWorld(42, 3, testFlavors, testTeams())
 	for i := range 70 {
@@ -37,7 +37,7 @@
 		w.Abort(id)
 	}
 	w.Run(150 * time.Millisecond)
-	records, err := json.MarshalIndent(w.State.Items(bk.KeyPrefix), "", " ")
+	records, err := json.MarshalIndent(w.State.Items(storage.KeyPrefix), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"bytes"
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
 )
 
@@ -27,17 +27,17 @@
 }
 
 // rewritten gives a record that a replica holds in a format.
-func rewritten(r *bk.Replica, format bk.Format, key string) (json.RawMessage, bool) {
-	if id, ok := strings.CutPrefix(key, bk.JobKey("")); ok {
-		return bk.EncodeJob(format, &r.Jobs[protocol.JobID(id)].Record), true
+func rewritten(r *storage.Replica, format storage.Format, key string) (json.RawMessage, bool) {
+	if id, ok := strings.CutPrefix(key, storage.JobKey("")); ok {
+		return storage.EncodeJob(format, &r.Jobs[protocol.JobID(id)].Record), true
 	}
-	if id, ok := strings.CutPrefix(key, bk.ShardKey("")); ok {
-		p := r.Shards[bk.ShardID(id)]
+	if id, ok := strings.CutPrefix(key, storage.ShardKey("")); ok {
+		p := r.Shards[storage.ShardID(id)]
 		var lines []string
 		for _, m := range p.Machines {
 			lines = append(lines, r.EncodedLine(m))
 		}
-		return bk.EncodeShard(format, p.Owner, p.Epoch, lines, p.CompletedTasks), true
+		return storage.EncodeShard(format, p.Owner, p.Epoch, lines, p.CompletedTasks), true
 	}
 	return nil, false
 }
@@ -45,7 +45,7 @@
 // What the production version wrote is read without loss: written again in its format
 // it is the same to the byte, by way of the packed format too.
 func TestRecordsOfProduction(t *testing.T) {
-	plain, packed := bk.NewReplica(), bk.NewReplica()
+	plain, packed := storage.NewReplica(), storage.NewReplica()
 	kinds := map[string]int{}
 	for _, item := range golden(t) {
 		if _, err := plain.Put(item.Key, item.Value, item.ModRevision); err != nil {
@@ -57,7 +57,7 @@
 		if err := json.Compact(&original, item.Value); err != nil {
 			t.Fatal(err)
 		}
-		again, ok := rewritten(plain, bk.FormatPlain, item.Key)
+		again, ok := rewritten(plain, storage.FormatPlain, item.Key)
 		if !ok {
 			continue
 		}
@@ -65,11 +65,11 @@
 		if !bytes.Equal(again, original.Bytes()) {
 			t.Errorf("%s:\n%s is written again as\n%s", item.Key, original.Bytes(), again)
 		}
-		data, _ := rewritten(plain, bk.FormatPacked, item.Key)
+		data, _ := rewritten(plain, storage.FormatPacked, item.Key)
 		if _, err := packed.Put(item.Key, data, item.ModRevision); err != nil {
 			t.Fatal(err)
 		}
-		if back, _ := rewritten(packed, bk.FormatPlain, item.Key); !bytes.Equal(back, original.Bytes()) {
+		if back, _ := rewritten(packed, storage.FormatPlain, item.Key); !bytes.Equal(back, original.Bytes()) {
 			t.Errorf("%s:\n%s comes back from the packed format as\n%s", item.Key, original.Bytes(), back)
 		}
 	}
@@ -77,7 +77,7 @@
 		t.Errorf("too little is covered: %v, %d members, %d withdrawing", kinds, len(plain.Controllers), len(plain.CancellingJobs))
 	}
 	for _, e := range plain.Controllers {
-		if e.Record.ReadableFormat != bk.FormatPlain {
+		if e.Record.ReadableFormat != storage.FormatPlain {
 			t.Errorf("%s is taken for one that reads newer formats", e.Record.Incarnation)
 		}
 	}
--- a/internal/standin/history.go
+++ b/internal/simulation/history.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // History checks, at every revision of the state service, that each machine on record is
@@ -26,18 +26,18 @@
 	Machines  int             // that were moved, each time counted
 	Idle      time.Duration   // how long moving machines took no new task, all together
 
-	pages  map[bk.ShardID]bk.ShardSummary
-	on     map[protocol.MachineID]map[bk.ShardID]bool
-	tenure map[protocol.MachineID]bk.ShardSummary // of each machine: its newest owner and epoch
-	moves  map[string]bk.TransferRecord
-	living map[string]bk.Incarnation // by the key of the controller
-	owners map[tenure]bk.Incarnation // of each machine in each of its epochs
+	pages  map[storage.ShardID]storage.ShardSummary
+	on     map[protocol.MachineID]map[storage.ShardID]bool
+	tenure map[protocol.MachineID]storage.ShardSummary // of each machine: its newest owner and epoch
+	moves  map[string]storage.TransferRecord
+	living map[string]storage.Incarnation // by the key of the controller
+	owners map[tenure]storage.Incarnation // of each machine in each of its epochs
 }
 
 // NewHistory makes a checker of a store that is empty.
 func NewHistory(broken func(string)) *History {
-	return &History{Broken: broken, Aborted: map[string]int{}, pages: map[bk.ShardID]bk.ShardSummary{}, on: map[protocol.MachineID]map[bk.ShardID]bool{},
-		tenure: map[protocol.MachineID]bk.ShardSummary{}, moves: map[string]bk.TransferRecord{}, living: map[string]bk.Incarnation{}, owners: map[tenure]bk.Incarnation{}}
+	return &History{Broken: broken, Aborted: map[string]int{}, pages: map[storage.ShardID]storage.ShardSummary{}, on: map[protocol.MachineID]map[storage.ShardID]bool{},
+		tenure: map[protocol.MachineID]storage.ShardSummary{}, moves: map[string]storage.TransferRecord{}, living: map[string]storage.Incarnation{}, owners: map[tenure]storage.Incarnation{}}
 }
 
 func (h *History) broken(rev protocol.Revision, format string, args ...any) {
@@ -47,17 +47,17 @@
 // Apply takes in all changes of one revision.
 func (h *History) Apply(rev protocol.Revision, changes []protocol.Event) {
 	h.Revisions++
-	before := map[bk.ShardID]bk.ShardSummary{}
+	before := map[storage.ShardID]storage.ShardSummary{}
 	touched := map[protocol.MachineID]bool{}
-	var moved []bk.TransferRecord
+	var moved []storage.TransferRecord
 	for _, change := range changes {
 		key := change.PutKey + change.DeleteKey
-		if strings.HasPrefix(key, bk.ControllerKey("")) {
+		if strings.HasPrefix(key, storage.ControllerKey("")) {
 			h.setMember(rev, key, change.Value)
-		} else if id, ok := strings.CutPrefix(key, bk.ShardKey("")); ok {
-			before[bk.ShardID(id)] = h.pages[bk.ShardID(id)]
-			h.setPage(rev, bk.ShardID(id), change.Value, touched)
-		} else if strings.HasPrefix(change.PutKey, bk.TransferKey("")) {
+		} else if id, ok := strings.CutPrefix(key, storage.ShardKey("")); ok {
+			before[storage.ShardID(id)] = h.pages[storage.ShardID(id)]
+			h.setPage(rev, storage.ShardID(id), change.Value, touched)
+		} else if strings.HasPrefix(change.PutKey, storage.TransferKey("")) {
 			if record, ok := h.setMove(rev, change.PutKey, change.Value); ok {
 				moved = append(moved, record)
 			}
@@ -77,7 +77,7 @@
 	if len(data) == 0 {
 		return
 	}
-	var record bk.ControllerRecord
+	var record storage.ControllerRecord
 	if err := json.Unmarshal(data, &record); err != nil {
 		h.broken(rev, "controller %s can't be read: %v", key, err)
 		return
@@ -86,7 +86,7 @@
 }
 
 // setPage replaces what a page lists; data is empty where it is deleted.
-func (h *History) setPage(rev protocol.Revision, id bk.ShardID, data json.RawMessage, touched map[protocol.MachineID]bool) {
+func (h *History) setPage(rev protocol.Revision, id storage.ShardID, data json.RawMessage, touched map[protocol.MachineID]bool) {
 	for _, m := range h.pages[id].Machines {
 		touched[m] = true
 		delete(h.on[m], id)
@@ -95,7 +95,7 @@
 	if len(data) == 0 {
 		return
 	}
-	page, err := bk.DecodeShardSummary(data)
+	page, err := storage.DecodeShardSummary(data)
 	if err != nil {
 		h.broken(rev, "page %s can't be read: %v", id, err)
 		return
@@ -104,7 +104,7 @@
 	for _, m := range page.Machines {
 		touched[m] = true
 		if h.on[m] == nil {
-			h.on[m] = map[bk.ShardID]bool{}
+			h.on[m] = map[storage.ShardID]bool{}
 		}
 		h.on[m][id] = true
 	}
@@ -119,7 +119,7 @@
 	for page := range h.on[id] {
 		now, last := h.pages[page], h.tenure[id]
 		switch {
-		case now.Owner != last.Owner && h.living[bk.ControllerKey(now.Owner.Controller())] != now.Owner:
+		case now.Owner != last.Owner && h.living[storage.ControllerKey(now.Owner.Controller())] != now.Owner:
 			h.broken(rev, "machine %s goes to %s, which has ended", id, now.Owner)
 		case last.Owner == "":
 		case now.Owner != last.Owner && now.Epoch <= last.Epoch:
@@ -127,7 +127,7 @@
 		case now.Epoch < last.Epoch:
 			h.broken(rev, "the token of machine %s falls from %d to %d", id, last.Epoch, now.Epoch)
 		}
-		h.tenure[id] = bk.ShardSummary{Owner: now.Owner, Epoch: now.Epoch}
+		h.tenure[id] = storage.ShardSummary{Owner: now.Owner, Epoch: now.Epoch}
 		at := tenure{id, now.Epoch}
 		if other, known := h.owners[at]; known && other != now.Owner {
 			h.broken(rev, "machine %s has two owners in epoch %d: %s, %s", id, now.Epoch, other, now.Owner)
@@ -138,14 +138,14 @@
 
 // Commanded checks that who commands a machine under a token has owned it in that epoch.
 func (h *History) Commanded(id protocol.MachineID, token protocol.FencingToken, by protocol.ControllerID) {
-	epoch := bk.ShardEpochOf(token)
+	epoch := storage.ShardEpochOf(token)
 	if owner := h.owners[tenure{id, epoch}]; owner.Controller() != by {
 		h.Broken(fmt.Sprintf("machine %s takes commands of %s in epoch %d, which is %q's", id, by, epoch, owner))
 	}
 }
 
 // setMove takes in a move's record, and checks the order of its phases.
-func (h *History) setMove(rev protocol.Revision, key string, data json.RawMessage) (record bk.TransferRecord, ok bool) {
+func (h *History) setMove(rev protocol.Revision, key string, data json.RawMessage) (record storage.TransferRecord, ok bool) {
 	h.Puts++
 	if err := json.Unmarshal(data, &record); err != nil {
 		h.broken(rev, "move %s can't be read: %v", key, err)
@@ -153,14 +153,14 @@
 	}
 	last, known := h.moves[key]
 	if !known {
-		last.Phase = bk.TransferClosed
+		last.Phase = storage.TransferClosed
 	}
 	h.moves[key] = record
 	if !record.Phase.CanFollow(last.Phase) || record.Name != last.Name && last.Phase.IsOpen() {
 		h.broken(rev, "move %s %q goes from %s to %s", key, record.Name, last.Phase, record.Phase)
 	}
 	switch record.Phase {
-	case bk.TransferClosed:
+	case storage.TransferClosed:
 		h.Closed++
 		h.Took = append(h.Took, time.Duration(record.EndedAt-record.ProposedAt)*time.Millisecond)
 		held := time.Duration(0) // one that was taken over as proposed never came to rest
@@ -170,15 +170,15 @@
 		h.Held = append(h.Held, held)
 		h.Machines += record.MachineCount
 		h.Idle += time.Duration(record.MachineCount) * held
-	case bk.TransferAborted:
+	case storage.TransferAborted:
 		h.Aborted[record.Reason]++
 	}
 	return record, true
 }
 
 // checkTransfer checks that a move and its page change together.
-func (h *History) checkTransfer(rev protocol.Revision, record bk.TransferRecord, before map[bk.ShardID]bk.ShardSummary) {
-	if record.Phase != bk.TransferCommitted {
+func (h *History) checkTransfer(rev protocol.Revision, record storage.TransferRecord, before map[storage.ShardID]storage.ShardSummary) {
+	if record.Phase != storage.TransferCommitted {
 		return
 	}
 	old, changed := before[record.Shard]
--- a/internal/standin/history_test.go
+++ b/internal/simulation/history_test.go
@@ -1,33 +1,33 @@
-package standin
+package simulation
 
 import (
 	"strings"
 	"testing"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // The checker of histories sees each fault that it is there for, and none where there is none.
 func TestHistorySeesFaults(t *testing.T) {
 	line := func(id string) string {
-		return (&bk.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 1}).EncodeLine(protocol.MachineID(id))
+		return (&storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 1}).EncodeLine(protocol.MachineID(id))
 	}
-	page := func(id, owner string, epoch bk.ShardEpoch, machines ...string) protocol.Event {
+	page := func(id, owner string, epoch storage.ShardEpoch, machines ...string) protocol.Event {
 		var lines []string
 		for _, m := range machines {
 			lines = append(lines, line(m))
 		}
-		return protocol.Event{PutKey: bk.ShardKey(bk.ShardID(id)), Value: bk.EncodePlainShard(bk.Incarnation(owner), epoch, lines, nil)}
+		return protocol.Event{PutKey: storage.ShardKey(storage.ShardID(id)), Value: storage.EncodePlainShard(storage.Incarnation(owner), epoch, lines, nil)}
 	}
 	member := func(name, run string) protocol.Event {
 		if run == "" {
-			return protocol.Event{DeleteKey: bk.ControllerKey(protocol.ControllerID(name))}
+			return protocol.Event{DeleteKey: storage.ControllerKey(protocol.ControllerID(name))}
 		}
-		return protocol.Event{PutKey: bk.ControllerKey(protocol.ControllerID(name)), Value: bk.MustMarshal(bk.ControllerRecord{Incarnation: bk.Incarnation(run)})}
+		return protocol.Event{PutKey: storage.ControllerKey(protocol.ControllerID(name)), Value: storage.MustMarshal(storage.ControllerRecord{Incarnation: storage.Incarnation(run)})}
 	}
-	move := func(name string, phase bk.TransferPhase) protocol.Event {
-		return protocol.Event{PutKey: bk.TransferKey("b/0"), Value: bk.MustMarshal(bk.TransferRecord{Name: name, Shard: "p", Source: "a#1", Target: "b#1", Phase: phase})}
+	move := func(name string, phase storage.TransferPhase) protocol.Event {
+		return protocol.Event{PutKey: storage.TransferKey("b/0"), Value: storage.MustMarshal(storage.TransferRecord{Name: name, Shard: "p", Source: "a#1", Target: "b#1", Phase: phase})}
 	}
 	begin := [][]protocol.Event{{member("a", "a#1")}, {member("b", "b#1")}, {page("p", "a#1", 1, "m-1", "m-2")}}
 	for _, c := range []struct {
@@ -36,23 +36,23 @@
 		command func(h *History)
 		broken  string // part of what is said; empty: nothing
 	}{
-		{"a move", [][]protocol.Event{{move("x", bk.TransferPrepared)}, {page("p", "b#1", 2, "m-1", "m-2"), move("x", bk.TransferCommitted)}, {move("x", bk.TransferClosed)}},
-			func(h *History) { h.Commanded("m-1", bk.ShardEpoch(2).FencingToken(0), "b") }, ""},
+		{"a move", [][]protocol.Event{{move("x", storage.TransferPrepared)}, {page("p", "b#1", 2, "m-1", "m-2"), move("x", storage.TransferCommitted)}, {move("x", storage.TransferClosed)}},
+			func(h *History) { h.Commanded("m-1", storage.ShardEpoch(2).FencingToken(0), "b") }, ""},
 		{"a page in two parts", [][]protocol.Event{{page("q", "a#1", 1, "m-2"), page("p", "a#1", 1, "m-1")}}, nil, ""},
 		{"a machine on two pages", [][]protocol.Event{{page("q", "b#1", 2, "m-2")}}, nil, "machine m-2 is on 2 pages"},
 		{"a new owner under the old token", [][]protocol.Event{{page("p", "b#1", 1, "m-1", "m-2")}}, nil, "without a higher token"},
 		{"a token that falls", [][]protocol.Event{{page("p", "a#1", 3, "m-1")}, {page("p", "a#1", 2, "m-1")}}, nil, "falls from 3 to 2"},
 		{"an owner that has ended", [][]protocol.Event{{member("b", "")}, {page("p", "b#1", 2, "m-1", "m-2")}}, nil, "b#1, which has ended"},
 		{"an owner of an earlier run", [][]protocol.Event{{member("b", "b#2")}, {page("p", "b#1", 2, "m-1", "m-2")}}, nil, "b#1, which has ended"},
-		{"a transfer without its page", [][]protocol.Event{{move("x", bk.TransferPrepared)}, {move("x", bk.TransferCommitted)}}, nil, "is transferred"},
-		{"a transfer that loses a machine", [][]protocol.Event{{move("x", bk.TransferPrepared)}, {page("p", "b#1", 2, "m-1"), move("x", bk.TransferCommitted)}}, nil, "m-2 left the records"},
-		{"a phase left out", [][]protocol.Event{{move("x", bk.TransferProposed)}, {move("x", bk.TransferClosed)}}, nil, "from proposed to closed"},
-		{"an abort behind the transfer", [][]protocol.Event{{move("x", bk.TransferPrepared)},
-			{page("p", "b#1", 2, "m-1", "m-2"), move("x", bk.TransferCommitted)}, {move("x", bk.TransferAborted)}}, nil, "from transferred to aborted"},
-		{"an open move that is replaced", [][]protocol.Event{{move("x", bk.TransferProposed)}, {move("y", bk.TransferPrepared)}}, nil, `"y"`},
-		{"a command of somebody else", nil, func(h *History) { h.Commanded("m-1", bk.ShardEpoch(1).FencingToken(0), "b") }, "takes commands of b in epoch 1"},
-		{"a command under a token that nobody has", nil, func(h *History) { h.Commanded("m-1", bk.ShardEpoch(9).FencingToken(0), "a") }, "in epoch 9"},
-		{"an unreadable page", [][]protocol.Event{{{PutKey: bk.ShardKey("p"), Value: []byte(`{"m":7}`)}}}, nil, "can't be read"},
+		{"a transfer without its page", [][]protocol.Event{{move("x", storage.TransferPrepared)}, {move("x", storage.TransferCommitted)}}, nil, "is transferred"},
+		{"a transfer that loses a machine", [][]protocol.Event{{move("x", storage.TransferPrepared)}, {page("p", "b#1", 2, "m-1"), move("x", storage.TransferCommitted)}}, nil, "m-2 left the records"},
+		{"a phase left out", [][]protocol.Event{{move("x", storage.TransferProposed)}, {move("x", storage.TransferClosed)}}, nil, "from proposed to closed"},
+		{"an abort behind the transfer", [][]protocol.Event{{move("x", storage.TransferPrepared)},
+			{page("p", "b#1", 2, "m-1", "m-2"), move("x", storage.TransferCommitted)}, {move("x", storage.TransferAborted)}}, nil, "from transferred to aborted"},
+		{"an open move that is replaced", [][]protocol.Event{{move("x", storage.TransferProposed)}, {move("y", storage.TransferPrepared)}}, nil, `"y"`},
+		{"a command of somebody else", nil, func(h *History) { h.Commanded("m-1", storage.ShardEpoch(1).FencingToken(0), "b") }, "takes commands of b in epoch 1"},
+		{"a command under a token that nobody has", nil, func(h *History) { h.Commanded("m-1", storage.ShardEpoch(9).FencingToken(0), "a") }, "in epoch 9"},
+		{"an unreadable page", [][]protocol.Event{{{PutKey: storage.ShardKey("p"), Value: []byte(`{"m":7}`)}}}, nil, "can't be read"},
 	} {
 		var said []string
 		h := NewHistory(func(what string) { said = append(said, what) })
--- a/internal/standin/meetings_more_test.go
+++ b/internal/simulation/meetings_more_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
--- a/internal/standin/move_requests_test.go
+++ b/internal/simulation/move_requests_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // ask is what an operator hears of a request; it waits for the answer.
@@ -36,7 +36,7 @@
 }
 
 // shardsOf lists the pages of a controller.
-func (w *World) pagesOf(n *Node) (ids []bk.ShardID) {
+func (w *World) pagesOf(n *Node) (ids []storage.ShardID) {
 	for id, page := range w.History.pages {
 		if page.Owner.Controller() == n.Member && len(page.Machines) > 0 {
 			ids = append(ids, id)
@@ -51,7 +51,7 @@
 	type world struct {
 		*World
 		a, b *Node
-		page bk.ShardID // one of a's
+		page storage.ShardID // one of a's
 	}
 	for _, c := range []struct {
 		name      string
@@ -59,14 +59,14 @@
 		request   func(w world) coordination.TransferRequest
 		refused   string // part of the reason; empty: accepted
 		transient bool
-		phase     bk.TransferPhase // it is answered with
+		phase     storage.TransferPhase // it is answered with
 	}{
 		{"a page by name", nil, func(w world) coordination.TransferRequest {
 			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.Member}
-		}, "", false, bk.TransferProposed},
+		}, "", false, storage.TransferProposed},
 		{"any page of a controller", nil, func(w world) coordination.TransferRequest {
 			return coordination.TransferRequest{Name: "m", Source: w.a.Member, Target: w.b.Member}
-		}, "", false, bk.TransferProposed},
+		}, "", false, storage.TransferProposed},
 		{"no name", nil, func(w world) coordination.TransferRequest {
 			return coordination.TransferRequest{Shard: w.page, Target: w.b.Member}
 		}, "needs a name", false, ""},
@@ -115,7 +115,7 @@
 			w.Run(20 * time.Second)
 		}, func(w world) coordination.TransferRequest {
 			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.Member}
-		}, "", false, bk.TransferClosed},
+		}, "", false, storage.TransferClosed},
 		{"abort of an unknown move", nil, func(w world) coordination.TransferRequest {
 			return coordination.TransferRequest{Name: "m", Abort: true}
 		}, `no move "m"`, false, ""},
@@ -123,7 +123,7 @@
 			w.asked(t, w.b, coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.Member})
 		}, func(w world) coordination.TransferRequest {
 			return coordination.TransferRequest{Name: "m", Abort: true}
-		}, "", false, bk.TransferAborted},
+		}, "", false, storage.TransferAborted},
 		{"abort too late", func(w world) {
 			w.asked(t, w.b, coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.Member})
 			w.Run(20 * time.Second)
@@ -194,7 +194,7 @@
 	if left := w.OwnedBy(a); left > 0 {
 		t.Errorf("%d machines are left", left)
 	}
-	w.bounce(w.History.living[bk.ControllerKey(a.Member)], time.Second)
+	w.bounce(w.History.living[storage.ControllerKey(a.Member)], time.Second)
 	w.Run(30 * time.Second)
 	if left := w.OwnedBy(a); left > 0 {
 		t.Errorf("%d machines were given to the next process", left)
@@ -263,9 +263,9 @@
 	})
 	w.moveAround(700*time.Millisecond, 60*time.Second)
 	prepared := map[string]time.Duration{}
-	w.onPhase(bk.TransferPrepared, func(r bk.TransferRecord) { prepared[r.Name] = w.Now })
+	w.onPhase(storage.TransferPrepared, func(r storage.TransferRecord) { prepared[r.Name] = w.Now })
 	checked := 0
-	w.onPhase(bk.TransferCommitted, func(r bk.TransferRecord) {
+	w.onPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
 		for _, id := range w.machinesOf(r.Shard) {
 			m := w.Workers[id]
 			if m == nil || m.Gone || m.ordered == 0 {
@@ -299,8 +299,8 @@
 	w.Run(20 * time.Second)
 	started := w.Starts
 	var prepared, passed time.Duration
-	w.onPhase(bk.TransferPrepared, func(bk.TransferRecord) { prepared = w.Now })
-	w.onPhase(bk.TransferCommitted, func(bk.TransferRecord) { passed = w.Now })
+	w.onPhase(storage.TransferPrepared, func(storage.TransferRecord) { prepared = w.Now })
+	w.onPhase(storage.TransferCommitted, func(storage.TransferRecord) { passed = w.Now })
 	for i, n := range w.Nodes {
 		for _, page := range w.pagesOf(n) {
 			w.asked(t, n, coordination.TransferRequest{Name: string(page), Shard: page, Target: w.Nodes[(i+1)%3].Member})
--- a/internal/standin/moves_test.go
+++ b/internal/simulation/moves_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // movingWorld is a deployment of many small pages in which moves are on record.
@@ -34,13 +34,13 @@
 }
 
 // onPhase calls f each time a move comes to a phase.
-func (w *World) onPhase(phase bk.TransferPhase, f func(bk.TransferRecord)) {
+func (w *World) onPhase(phase storage.TransferPhase, f func(storage.TransferRecord)) {
 	before := w.State.Observe
 	w.State.Observe = func(rev protocol.Revision, news []protocol.Event) {
 		before(rev, news)
 		for _, change := range news {
-			var record bk.TransferRecord
-			if strings.HasPrefix(change.PutKey, bk.TransferKey("")) && json.Unmarshal(change.Value, &record) == nil && record.Phase == phase {
+			var record storage.TransferRecord
+			if strings.HasPrefix(change.PutKey, storage.TransferKey("")) && json.Unmarshal(change.Value, &record) == nil && record.Phase == phase {
 				w.At(0, func() { f(record) })
 			}
 		}
@@ -48,7 +48,7 @@
 }
 
 // node is the controller of a run.
-func (w *World) node(run bk.Incarnation) *Node {
+func (w *World) node(run storage.Incarnation) *Node {
 	for _, n := range w.Nodes {
 		if n.Member == run.Controller() {
 			return n
@@ -58,7 +58,7 @@
 }
 
 // bounce ends the controller of a run and brings it back, unless it is away already.
-func (w *World) bounce(run bk.Incarnation, away time.Duration) {
+func (w *World) bounce(run storage.Incarnation, away time.Duration) {
 	n := w.node(run)
 	if n == nil || !n.Alive {
 		return
@@ -93,9 +93,9 @@
 // revision, and once it is over all jobs and all moves must come to their end.
 func TestMovesUnderFailures(t *testing.T) {
 	const busy = 90 * time.Second
-	each := func(n int, f func(bk.TransferRecord)) func(bk.TransferRecord) {
+	each := func(n int, f func(storage.TransferRecord)) func(storage.TransferRecord) {
 		count := 0
-		return func(r bk.TransferRecord) {
+		return func(r storage.TransferRecord) {
 			if count++; count%n == 0 {
 				f(r)
 			}
@@ -108,46 +108,46 @@
 	}{
 		{"nothing fails", 25, func(w *World) {}},
 		{"the giver ends with a move proposed", 5, func(w *World) {
-			w.onPhase(bk.TransferProposed, each(4, func(r bk.TransferRecord) { w.bounce(r.Source, 3*time.Second) }))
+			w.onPhase(storage.TransferProposed, each(4, func(r storage.TransferRecord) { w.bounce(r.Source, 3*time.Second) }))
 		}},
 		{"the giver ends with a move prepared, and is back at once", 5, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(4, func(r bk.TransferRecord) { w.bounce(r.Source, 200*time.Millisecond) }))
+			w.onPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.bounce(r.Source, 200*time.Millisecond) }))
 		}},
 		{"the giver ends with a move prepared, and stays away", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(5, func(r bk.TransferRecord) { w.bounce(r.Source, 20*time.Second) }))
+			w.onPhase(storage.TransferPrepared, each(5, func(r storage.TransferRecord) { w.bounce(r.Source, 20*time.Second) }))
 		}},
 		{"the taker ends with a move prepared", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(4, func(r bk.TransferRecord) { w.bounce(r.Target, 4*time.Second) }))
+			w.onPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.bounce(r.Target, 4*time.Second) }))
 		}},
 		{"the taker ends as it has the page", 3, func(w *World) {
-			w.onPhase(bk.TransferCommitted, each(4, func(r bk.TransferRecord) { w.bounce(r.Target, 12*time.Second) }))
+			w.onPhase(storage.TransferCommitted, each(4, func(r storage.TransferRecord) { w.bounce(r.Target, 12*time.Second) }))
 		}},
 		{"both ends are gone with a move prepared", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(6, func(r bk.TransferRecord) {
+			w.onPhase(storage.TransferPrepared, each(6, func(r storage.TransferRecord) {
 				w.bounce(r.Source, 15*time.Second)
 				w.bounce(r.Target, 18*time.Second)
 			}))
 		}},
 		{"both ends are gone behind the transfer", 3, func(w *World) {
-			w.onPhase(bk.TransferCommitted, each(6, func(r bk.TransferRecord) {
+			w.onPhase(storage.TransferCommitted, each(6, func(r storage.TransferRecord) {
 				w.bounce(r.Source, 15*time.Second)
 				w.bounce(r.Target, 18*time.Second)
 			}))
 		}},
 		{"the giver is frozen past its lease, and goes on", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(5, func(r bk.TransferRecord) { w.node(r.Source).Freeze(12 * time.Second) }))
+			w.onPhase(storage.TransferPrepared, each(5, func(r storage.TransferRecord) { w.node(r.Source).Freeze(12 * time.Second) }))
 		}},
 		{"the taker is frozen past its lease, and goes on", 3, func(w *World) {
-			w.onPhase(bk.TransferCommitted, each(5, func(r bk.TransferRecord) { w.node(r.Target).Freeze(12 * time.Second) }))
+			w.onPhase(storage.TransferCommitted, each(5, func(r storage.TransferRecord) { w.node(r.Target).Freeze(12 * time.Second) }))
 		}},
 		{"the state service is away between two phases", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(6, func(bk.TransferRecord) {
+			w.onPhase(storage.TransferPrepared, each(6, func(storage.TransferRecord) {
 				w.State.Down = true
 				w.At(9*time.Second, func() { w.State.Down = false })
 			}))
 		}},
 		{"the giver alone loses the state service", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(6, func(r bk.TransferRecord) {
+			w.onPhase(storage.TransferPrepared, each(6, func(r storage.TransferRecord) {
 				n := w.node(r.Source)
 				n.NoState = true
 				w.At(15*time.Second, func() { n.NoState = false })
@@ -162,7 +162,7 @@
 			}
 		}},
 		{"machines of the page are reclaimed and lost on the way", 10, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(3, func(r bk.TransferRecord) {
+			w.onPhase(storage.TransferPrepared, each(3, func(r storage.TransferRecord) {
 				for i, m := range w.machinesOf(r.Shard) {
 					switch i % 3 {
 					case 0:
@@ -174,7 +174,7 @@
 			}))
 		}},
 		{"machines of the page fall silent on the way", 5, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(3, func(r bk.TransferRecord) {
+			w.onPhase(storage.TransferPrepared, each(3, func(r storage.TransferRecord) {
 				for _, id := range w.machinesOf(r.Shard) {
 					m := w.Workers[id]
 					m.Cut = true
@@ -183,17 +183,17 @@
 			}))
 		}},
 		{"the giver loses its workers", 3, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(8, func(r bk.TransferRecord) {
+			w.onPhase(storage.TransferPrepared, each(8, func(r storage.TransferRecord) {
 				n := w.node(r.Source)
 				n.NoWorker = true
 				w.At(20*time.Second, func() { n.NoWorker = false })
 			}))
 		}},
 		{"all running jobs are cancelled as a move is prepared", 10, func(w *World) {
-			w.onPhase(bk.TransferPrepared, each(5, func(bk.TransferRecord) { w.cancelRunning(3) }))
+			w.onPhase(storage.TransferPrepared, each(5, func(storage.TransferRecord) { w.cancelRunning(3) }))
 		}},
 		{"all running jobs are cancelled as a page has passed", 10, func(w *World) {
-			w.onPhase(bk.TransferCommitted, each(5, func(bk.TransferRecord) { w.cancelRunning(3) }))
+			w.onPhase(storage.TransferCommitted, each(5, func(storage.TransferRecord) { w.cancelRunning(3) }))
 		}},
 		{"records are packed and the limits tighten on the way", 10, func(w *World) {
 			w.Config.AnnouncedLimits = &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
@@ -246,7 +246,7 @@
 }
 
 // machinesOf lists the machines of a page, as they are on record.
-func (w *World) machinesOf(page bk.ShardID) []protocol.MachineID {
+func (w *World) machinesOf(page storage.ShardID) []protocol.MachineID {
 	return w.History.pages[page].Machines
 }
 
--- a/internal/standin/rules.go
+++ b/internal/simulation/rules.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // Rules checks the Rules of PROTOCOL by what users are told and what is on the
@@ -29,7 +29,7 @@
 // tenure is the time of a machine under one epoch of its owner.
 type tenure struct {
 	machine protocol.MachineID
-	epoch   bk.ShardEpoch
+	epoch   storage.ShardEpoch
 }
 
 type place struct {
@@ -74,7 +74,7 @@
 // Commanded notes whose answer a worker has taken under a token: nobody else's may come
 // under the same epoch.
 func (r *Rules) Commanded(m protocol.MachineID, token protocol.FencingToken, by string) {
-	at := tenure{m, bk.ShardEpochOf(token)}
+	at := tenure{m, storage.ShardEpochOf(token)}
 	if other, ok := r.commander[at]; ok && other != by {
 		r.broken("two_commanders", "%s takes commands of %s and of %s in epoch %d", m, other, by, at.epoch)
 	}
--- a/internal/standin/state.go
+++ b/internal/simulation/state.go
@@ -1,7 +1,7 @@
-// Package standin plays the outside systems in tests: state service, cloud,
+// Package simulation plays the outside systems in tests: state service, cloud,
 // workers and users, by their protocol, in simulated time; and it checks the
 // Rules of PROTOCOL from outside the controllers.
-package standin
+package simulation
 
 import (
 	"encoding/json"
