--- a/internal/standin/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // daemon is a standing service.
@@ -44,7 +44,7 @@
 
 // largestRecord is the size of the largest value in the state service.
 func (w *World) largestRecord() (size int) {
-	for _, i := range w.State.Items(bk.KeyPrefix) {
+	for _, i := range w.State.Items(storage.KeyPrefix) {
 		size = max(size, len(i.Value))
 	}
 	return size
@@ -180,7 +180,7 @@
 	if size := w.largestRecord(); size > tightened.ValueBytes {
 		t.Errorf("seed %d: a record of %d bytes is left", seed, size)
 	}
-	format := slices.ContainsFunc(w.State.Items(bk.KeyPrefix), func(i protocol.Entry) bool { return i.Key == bk.FormatKey })
+	format := slices.ContainsFunc(w.State.Items(storage.KeyPrefix), func(i protocol.Entry) bool { return i.Key == storage.FormatKey })
 	if !format {
 		t.Errorf("seed %d: the format was not raised", seed)
 	}
@@ -195,8 +195,8 @@
 	w.Nodes[1].Upgrade(seconds(26), seconds(2))
 	w.At(seconds(40), w.Nodes[2].Kill) // it is away before its turn, for as long as it likes
 	w.Run(seconds(100))
-	for _, i := range w.State.Items(bk.KeyPrefix) {
-		if err := oldFormat(i.Key, i.Value); err != nil || i.Key == bk.FormatKey {
+	for _, i := range w.State.Items(storage.KeyPrefix) {
+		if err := oldFormat(i.Key, i.Value); err != nil || i.Key == storage.FormatKey {
 			t.Errorf("%s is written while a controller may come back old: %v", i.Key, err)
 		}
 	}
@@ -207,11 +207,11 @@
 	w.Run(seconds(20))
 	packed := 0
 	for _, key := range slices.Sorted(maps.Keys(w.State.items)) {
-		if strings.HasPrefix(key, bk.ShardKey("")) && oldFormat(key, w.State.items[key].data) != nil {
+		if strings.HasPrefix(key, storage.ShardKey("")) && oldFormat(key, w.State.items[key].data) != nil {
 			packed++
 		}
 	}
-	if w.State.items[bk.FormatKey].data == nil || packed == 0 || len(w.Rules.Broken) > 0 {
+	if w.State.items[storage.FormatKey].data == nil || packed == 0 || len(w.Rules.Broken) > 0 {
 		t.Errorf("%d pages are packed, broken: %v", packed, w.Rules.Broken)
 	}
 }
--- a/internal/standin/versions.go
+++ b/internal/simulation/versions.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // Controllers of the version in production are played by cores of this one that are told
@@ -51,7 +51,7 @@
 		return d.Decode(v)
 	}
 	switch {
-	case strings.HasPrefix(key, bk.ShardKey("")):
+	case strings.HasPrefix(key, storage.ShardKey("")):
 		var p oldPage
 		if err := strict(&p); err != nil {
 			return err
@@ -67,7 +67,7 @@
 			}
 		}
 		return nil
-	case strings.HasPrefix(key, bk.JobKey("")):
+	case strings.HasPrefix(key, storage.JobKey("")):
 		var j oldJob
 		if err := strict(&j); err != nil {
 			return err
@@ -87,7 +87,7 @@
 	}
 	then := append([]protocol.Operation(nil), m.Operations...)
 	for i := range then {
-		if !strings.HasPrefix(then[i].PutKey, bk.ControllerKey("")) {
+		if !strings.HasPrefix(then[i].PutKey, storage.ControllerKey("")) {
 			continue
 		}
 		var old oldMember
@@ -110,7 +110,7 @@
 		n.w.Rules.broken("unreadable", "%s for %s of the version in production: %v", key, n.Member, err)
 		return false
 	}
-	return key != bk.FormatKey && !strings.HasPrefix(key, bk.TransferKey("")) && !strings.HasPrefix(key, bk.DrainKey(""))
+	return key != storage.FormatKey && !strings.HasPrefix(key, storage.TransferKey("")) && !strings.HasPrefix(key, storage.DrainKey(""))
 }
 
 // asRead is what the controller's version takes in of all records.
--- a/internal/standin/withdraw_test.go
+++ b/internal/simulation/withdraw_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"tillerarch/internal/bookkeeping"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 // leader is the controller to which most machines with tasks report.
@@ -154,7 +154,7 @@
 				w.At(s(0.2), func() { w.Ask(w.Nodes[i%2], protocol.RequestCancel, id, nil, func(int, protocol.JobState) {}) })
 			}
 			begun := func() bool {
-				for _, i := range w.State.Items(bookkeeping.JobKey("")) {
+				for _, i := range w.State.Items(storage.JobKey("")) {
 					if strings.Contains(string(i.Value), `"w":true`) {
 						return true
 					}
@@ -264,11 +264,11 @@
 				w.Run(s(130))
 				w.Rules.End(w.Now)
 				records := map[string]string{}
-				for _, i := range w.State.Items(bookkeeping.JobKey("")) {
+				for _, i := range w.State.Items(storage.JobKey("")) {
 					records[i.Key] = string(i.Value)
 				}
 				for _, id := range ids[:6] {
-					if r := records[bookkeeping.JobKey(id)]; !strings.Contains(r, `"s":"withdrawn"`) && (!c.once || strings.Contains(r, `"w":true`)) {
+					if r := records[storage.JobKey(id)]; !strings.Contains(r, `"s":"withdrawn"`) && (!c.once || strings.Contains(r, `"w":true`)) {
 						t.Errorf("seed %d: %s is never called withdrawn", seed, id)
 					}
 				}
--- a/internal/standin/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"container/heap"
@@ -11,9 +11,9 @@
 	"sort"
 	"time"
 
-	bk "tillerarch/internal/bookkeeping"
 	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 )
 
 type event struct {
@@ -304,18 +304,18 @@
 	case coordination.Commit:
 		n.state(wait, func() coordination.Input {
 			status, a := w.State.Multi(n.asWritten(v.Transaction))
-			o := map[int]bk.Outcome{200: bk.OutcomeApplied, 409: bk.OutcomeConflict, 429: bk.OutcomeThrottled, 503: bk.OutcomeUnavailable, 400: bk.OutcomeLeaseExpired}[status]
+			o := map[int]storage.Outcome{200: storage.OutcomeApplied, 409: storage.OutcomeConflict, 429: storage.OutcomeThrottled, 503: storage.OutcomeUnavailable, 400: storage.OutcomeLeaseExpired}[status]
 			if a.Error == "too large" {
-				o = bk.OutcomeInvalid
+				o = storage.OutcomeInvalid
 			}
 			return coordination.CommitResult{ID: v.ID, Outcome: o, Result: a}
-		}, coordination.CommitResult{ID: v.ID, Outcome: bk.OutcomeUnknown, Err: errLost}, coordination.CommitResult{ID: v.ID, Outcome: bk.OutcomeUnavailable, Err: errLost})
+		}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errLost}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errLost})
 	case coordination.LoadRecords:
 		n.state(wait, func() coordination.Input {
 			if w.State.Down {
 				return coordination.LoadRecordsResult{Err: errLost}
 			}
-			return coordination.LoadRecordsResult{Entries: n.asRead(w.State.Items(bk.KeyPrefix)), StartRevision: w.State.rev, EndRevision: w.State.rev}
+			return coordination.LoadRecordsResult{Entries: n.asRead(w.State.Items(storage.KeyPrefix)), StartRevision: w.State.rev, EndRevision: w.State.rev}
 		}, coordination.LoadRecordsResult{Err: errLost}, coordination.LoadRecordsResult{Err: errLost})
 	case coordination.Watch:
 		w.follow(n, n.life, v.AfterRevision, w.Now+3*time.Second)
@@ -339,7 +339,7 @@
 				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errLost}
 			}
 			if !w.State.Extend(w.Now, v.LeaseID) {
-				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: bk.ErrLeaseExpired}
+				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: storage.ErrLeaseExpired}
 			}
 			return coordination.RenewLeaseResult{LeaseID: v.LeaseID}
 		}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errLost}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errLost})
@@ -391,10 +391,10 @@
 			w.follow(n, life, from, until)
 			return
 		}
-		f, old := w.State.Follow(bk.KeyPrefix, from)
+		f, old := w.State.Follow(storage.KeyPrefix, from)
 		switch {
 		case old:
-			n.step(coordination.WatchResult{AfterRevision: from, Err: bk.ErrRevisionTooOld})
+			n.step(coordination.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
 		case len(f.Events) > 0 || w.Now > until:
 			f.Events = n.newsAsRead(f.Events)
 			n.step(coordination.WatchResult{AfterRevision: from, Response: &f})
@@ -430,7 +430,7 @@
 			return coordination.ListInstancesResult{RequestedAt: asked, Instances: w.Hosts()}
 		}, coordination.ListInstancesResult{Err: errLost})
 	default:
-		panic(fmt.Sprintf("standin: effect %T", e))
+		panic(fmt.Sprintf("simulation: effect %T", e))
 	}
 }
 
--- a/internal/bookkeeping/format.go
+++ b/internal/storage/format.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/json"
--- a/internal/bookkeeping/records.go
+++ b/internal/storage/records.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"encoding/json"
@@ -185,7 +185,7 @@
 func MustMarshal(v any) json.RawMessage {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("bookkeeping: %v", err))
+		panic(fmt.Sprintf("storage: %v", err))
 	}
 	return b
 }
--- a/internal/bookkeeping/shards_packed.go
+++ b/internal/storage/shards_packed.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"bytes"
@@ -35,7 +35,7 @@
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
-		panic(fmt.Sprintf("bookkeeping: %v", err))
+		panic(fmt.Sprintf("storage: %v", err))
 	}
 	return w
 }}
--- a/internal/bookkeeping/taskset.go
+++ b/internal/storage/taskset.go
@@ -1,6 +1,6 @@
-// Package bookkeeping keeps what must outlive a process: the records in the
+// Package storage keeps what must outlive a process: the records in the
 // state service, the client that reads and writes them, and their replica.
-package bookkeeping
+package storage
 
 import (
 	"fmt"
