--- a/internal/coordination/backfill.go
+++ b/internal/coordination/backfill.go
@@ -6,6 +6,16 @@
 	"tillerarch/internal/protocol"
 )
 
+// backfillPlanner predicts which busy machines will be free soon enough for waiting tasks.
+type backfillPlanner struct {
+	*stepContext
+
+	agents   *agentTable
+	capacity *candidateLister
+	catalog  *machineCatalog
+	jobs     *jobTable
+}
+
 // Tasks that can wait need no machine of their own where one that is in use will be
 // free in time. The forecast says where that is; rentals leave such tasks out.
 
@@ -21,35 +31,27 @@
 	overrunFraction = 0.25
 )
 
-// estimatedRuntime is how long a task of the job runs: as seen here, else as its owner reckons.
-func (c *Core) estimatedRuntime(id protocol.JobID, d *protocol.Job) time.Duration {
-	if state := c.jobStates[id]; state != nil && state.measuredTasks >= minRuntimeSamples {
-		return state.measuredRuntime / time.Duration(state.measuredTasks)
-	}
-	return protocol.Seconds(d.EstimatedRunSeconds)
-}
-
 // estimatedEnd estimates when what a job has on a machine will have ended.
-func (c *Core) estimatedEnd(machine *candidate, alloc *allocation) protocol.Instant {
-	now := c.now.Monotonic
+func (bp *backfillPlanner) estimatedEnd(machine *candidate, alloc *allocation) protocol.Instant {
+	now := bp.now.Monotonic
 	if alloc.desc.IsService() {
 		return now.Add(unboundedRuntime)
 	}
-	startedAt, known := c.assignedAt[assignmentKey{machine.id, alloc.job, alloc.attempt}]
+	startedAt, known := bp.agents.assignedAt[assignmentKey{machine.id, alloc.job, alloc.attempt}]
 	if !known {
 		startedAt = now
 	}
-	runtime := c.estimatedRuntime(alloc.job, alloc.desc)
-	endAt := startedAt.Add(runtime + c.cfg.HeartbeatInterval/4)
+	runtime := bp.jobs.estimatedRuntime(alloc.job, alloc.desc)
+	endAt := startedAt.Add(runtime + bp.cfg.HeartbeatInterval/4)
 	return max(endAt, now.Add(time.Duration(overrunFraction*float64(runtime))))
 }
 
 // capacityBy tells how many tasks of a job a machine could begin by a time, besides those
 // that are to follow what runs there already.
-func (c *Core) capacityBy(machine *candidate, d *protocol.Job, deadline protocol.Instant) int {
+func (bp *backfillPlanner) capacityBy(machine *candidate, d *protocol.Job, deadline protocol.Instant) int {
 	simulated := candidate{cores: machine.cores - machine.backfillReservation.cores, accelerators: machine.accelerators - machine.backfillReservation.accels, memoryGB: machine.memoryGB - machine.backfillReservation.mem}
 	for i := range machine.allocations {
-		if alloc := &machine.allocations[i]; c.estimatedEnd(machine, alloc) <= deadline {
+		if alloc := &machine.allocations[i]; bp.estimatedEnd(machine, alloc) <= deadline {
 			simulated.allocate(alloc.desc, -alloc.count)
 		}
 	}
@@ -57,34 +59,34 @@
 }
 
 // maxCapacityWait is how long a job's tasks may wait for machines that are in use.
-func (c *Core) maxCapacityWait(job *pendingJob) time.Duration {
-	boot := c.shortestTime(job.record.Spec, func(machineType *protocol.MachineType) time.Duration {
+func (bp *backfillPlanner) maxCapacityWait(job *pendingJob) time.Duration {
+	boot := bp.catalog.shortestTime(job.record.Spec, func(machineType *protocol.MachineType) time.Duration {
 		return protocol.Seconds(machineType.BootSeconds)
 	})
 	slack := time.Duration(0)
 	if !job.isLate && !job.isStarved {
-		slack = millisToDuration(job.latestStart - c.now.Wall)
+		slack = millisToDuration(job.latestStart - bp.now.Wall)
 	}
 	return max(time.Duration(backfillSlackFraction*float64(slack)), time.Duration(bootWaitFraction*float64(boot)))
 }
 
 // reserveBackfill sets aside what will be free soon enough for up to n tasks of a job, and
 // tells for how many that is.
-func (c *Core) reserveBackfill(job *pendingJob, candidates []*candidate, tasks int) int {
+func (bp *backfillPlanner) reserveBackfill(job *pendingJob, candidates []*candidate, tasks int) int {
 	d := job.record.Spec
 	if d.Zone != "" || d.SingleZone || d.SpreadZones {
 		return 0 // where they may be depends on more than room
 	}
-	deadline := c.now.Monotonic.Add(c.maxCapacityWait(job))
+	deadline := bp.now.Monotonic.Add(bp.maxCapacityWait(job))
 	reserved := 0
 	for _, machine := range candidates {
 		if reserved >= tasks {
 			break
 		}
-		if machine.isProvisioning || machine.isUnschedulable || job.avoidedTypes[machine.record.MachineType] || machineTypeCapacity(machine.machineType, d) == 0 || !c.isMachineAllowed(d, machine) {
+		if machine.isProvisioning || machine.isUnschedulable || job.avoidedTypes[machine.record.MachineType] || machineTypeCapacity(machine.machineType, d) == 0 || !bp.capacity.isMachineAllowed(d, machine) {
 			continue
 		}
-		if count := min(c.capacityBy(machine, d, deadline), tasks-reserved); count > 0 {
+		if count := min(bp.capacityBy(machine, d, deadline), tasks-reserved); count > 0 {
 			reserved += count
 			machine.backfillReservation.cores += float64(count) * d.Cores
 			machine.backfillReservation.accels += float64(count) * d.Accelerators
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -1,11 +1,8 @@
 package coordination
 
 import (
-	"cmp"
-	"fmt"
 	"log/slog"
 	"slices"
-	"time"
 
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
@@ -14,7 +11,7 @@
 // batch collects changes for one transaction. Every change rests on the stamps
 // that the replica has; the service refuses it if one of them has moved on.
 type batch struct {
-	core           *Core
+	shardWriter    *shardWriter
 	opsLeft        int // puts and deletes still allowed
 	estimatedBytes int // what the records in it are reckoned to take, written
 	conditions     map[string]protocol.ModRevision
@@ -46,13 +43,8 @@
 // transferRecordSize is what a move's record is reckoned to take.
 const transferRecordSize = 400
 
-func (c *Core) newBatch(maxOps int) *batch {
-	return &batch{core: c, opsLeft: maxOps, conditions: map[string]protocol.ModRevision{}, jobs: map[protocol.JobID]*storage.JobRecord{},
-		shards: map[storage.ShardID]*shardDraft{}, machines: map[protocol.MachineID]*storage.MachineRecord{}, teams: map[string]bool{}, transfers: map[storage.TransferSlot]*storage.TransferRecord{}, drains: map[protocol.ControllerID]*drainChange{}, newlyDone: map[protocol.JobID]storage.TaskSet{}, failedServices: map[protocol.JobID]bool{}}
-}
-
 // dependOn makes the transaction depend on a key as the replica has it.
-func (b *batch) dependOn(key string) { b.conditions[key] = b.core.replica.ModRevision(key) }
+func (b *batch) dependOn(key string) { b.conditions[key] = b.shardWriter.replica.ModRevision(key) }
 
 func (b *batch) reserveWrite(key string, size int) {
 	b.dependOn(key)
@@ -62,12 +54,12 @@
 
 // hasCapacity tells whether n more records can be changed, however large they are.
 func (b *batch) hasCapacity(n int) bool {
-	return n == 0 && b.estimatedBytes < protocol.MaxTransactionBytes || b.hasCapacityFor(n, n*b.core.writeLimits().ValueBytes)
+	return n == 0 && b.estimatedBytes < protocol.MaxTransactionBytes || b.hasCapacityFor(n, n*b.shardWriter.limits.writeLimits().ValueBytes)
 }
 
 // hasCapacityFor tells whether n more records of this size together can be changed.
 func (b *batch) hasCapacityFor(n, size int) bool {
-	return b.opsLeft >= n && b.estimatedBytes+size <= protocol.MaxTransactionBytes && len(b.conditions)+2*n < 4*b.core.writeLimits().TransactionOps
+	return b.opsLeft >= n && b.estimatedBytes+size <= protocol.MaxTransactionBytes && len(b.conditions)+2*n < 4*b.shardWriter.limits.writeLimits().TransactionOps
 }
 
 // mutableJob gives a job's record to change; the caller has asked for room.
@@ -75,7 +67,7 @@
 	if r := b.jobs[id]; r != nil {
 		return r
 	}
-	e := b.core.replica.Jobs[id]
+	e := b.shardWriter.replica.Jobs[id]
 	r := e.Record
 	b.reserveWrite(storage.JobKey(id), e.EncodedSize+200)
 	b.jobs[id] = &r
@@ -87,14 +79,14 @@
 	if draft := b.shards[id]; draft != nil {
 		return draft
 	}
-	shard := b.core.replica.Shards[id]
-	ops := b.core.shardWriteOps(id)
+	shard := b.shardWriter.replica.Shards[id]
+	ops := b.shardWriter.shardWriteOps(id)
 	draft := &shardDraft{owner: shard.Owner, epoch: shard.Epoch, machineIDs: shard.Machines, estimatedSize: shard.EncodedSize, doneTasks: map[protocol.JobID]storage.TaskSet{}}
-	if b.core.storageFormat() >= storage.FormatPacked {
-		draft.estimatedSize = b.core.replica.PackedShardSize(id)
+	if b.shardWriter.limits.storageFormat() >= storage.FormatPacked {
+		draft.estimatedSize = b.shardWriter.replica.PackedShardSize(id)
 	}
 	for j, r := range shard.CompletedTasks {
-		if e := b.core.replica.Jobs[j]; e == nil || !e.Record.State.IsTerminal() {
+		if e := b.shardWriter.replica.Jobs[j]; e == nil || !e.Record.State.IsTerminal() {
 			draft.doneTasks[j] = r
 		}
 	}
@@ -106,23 +98,18 @@
 
 // newShard begins a page that is not on record yet.
 func (b *batch) newShard(owner storage.Incarnation, epoch storage.ShardEpoch) storage.ShardID {
-	shardID := b.core.newShardID()
+	shardID := b.shardWriter.newShardID()
 	b.reserveWrite(storage.ShardKey(shardID), shardSizeMargin)
 	b.shards[shardID] = &shardDraft{owner: owner, epoch: epoch, doneTasks: map[protocol.JobID]storage.TaskSet{}}
 	return shardID
 }
 
-func (c *Core) newShardID() storage.ShardID {
-	c.shardSequence++
-	return storage.ShardID(fmt.Sprintf("%s-%d", c.incarnation, c.shardSequence))
-}
-
 // mutableMachine gives a machine's record to change; the caller has asked for room.
 func (b *batch) mutableMachine(id protocol.MachineID) *storage.MachineRecord {
 	if r := b.machines[id]; r != nil {
 		return r
 	}
-	r := b.core.replica.Machines[id].Record.Clone()
+	r := b.shardWriter.replica.Machines[id].Record.Clone()
 	b.mutableShard(r.Shard)
 	b.machines[id] = r
 	return r
@@ -162,10 +149,10 @@
 		b.reserveWrite(storage.RegistryKey, 100)
 		b.writesRegistry = true
 	}
-	size := b.core.estimateMachineSize(record.MachineType)
+	size := b.shardWriter.estimateMachineSize(record.MachineType)
 	shardID := storage.ShardID("")
 	shardFits := func(p storage.ShardID, d *shardDraft) bool {
-		return d.owner == b.core.incarnation && d.epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.core.writeLimits().ValueBytes
+		return d.owner == b.shardWriter.lease.incarnation && d.epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.shardWriter.limits.writeLimits().ValueBytes
 	}
 	for _, p := range sortedKeys(b.shards) {
 		if shardFits(p, b.shards[p]) {
@@ -174,8 +161,8 @@
 		}
 	}
 	if shardID == "" {
-		for _, p := range b.core.ownedShards() {
-			e := b.core.replica.Shards[p]
+		for _, p := range b.shardWriter.ownedShards() {
+			e := b.shardWriter.replica.Shards[p]
 			if b.shards[p] == nil && shardFits(p, &shardDraft{owner: e.Owner, epoch: e.Epoch, machineIDs: e.Machines, estimatedSize: e.EncodedSize}) {
 				shardID = p
 				break
@@ -183,7 +170,7 @@
 		}
 	}
 	if shardID == "" {
-		shardID = b.newShard(b.core.incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
+		shardID = b.newShard(b.shardWriter.lease.incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
 	}
 	b.putMachine(shardID, id, record)
 }
@@ -191,7 +178,7 @@
 func (b *batch) putMachine(shardID storage.ShardID, id protocol.MachineID, record *storage.MachineRecord) {
 	draft := b.mutableShard(shardID)
 	draft.machineIDs = append(draft.machineIDs[:len(draft.machineIDs):len(draft.machineIDs)], id)
-	draft.estimatedSize += b.core.estimateEncodedSize(len(record.EncodeLine(id)) + 3)
+	draft.estimatedSize += b.shardWriter.estimateEncodedSize(len(record.EncodeLine(id)) + 3)
 	b.estimatedBytes += len(record.EncodeLine(id)) + 3
 	record.Shard, record.Owner, record.ShardEpoch, record.FencingToken = shardID, draft.owner, draft.epoch, draft.epoch.FencingToken(record.TokenCounter)
 	b.machines[id] = record
@@ -214,7 +201,7 @@
 
 // removesMachine tells whether the batch takes the machine off the records.
 func (b *batch) removesMachine(id protocol.MachineID) bool {
-	e := b.core.replica.Machines[id]
+	e := b.shardWriter.replica.Machines[id]
 	if e == nil || b.machines[id] != nil {
 		return false
 	}
@@ -228,7 +215,7 @@
 	for _, index := range tasks {
 		r.Assign(protocol.Task{Job: job, Index: index}, attempt)
 	}
-	b.mutableShard(r.Shard).estimatedSize += b.core.estimateEncodedSize(24 + 3*len(tasks))
+	b.mutableShard(r.Shard).estimatedSize += b.shardWriter.estimateEncodedSize(24 + 3*len(tasks))
 	b.estimatedBytes += 24 + 3*len(tasks)
 }
 
@@ -247,10 +234,10 @@
 	size := 0
 	if d := b.shards[r.Shard]; d != nil {
 		size = d.estimatedSize
-	} else if p := b.core.replica.Shards[r.Shard]; p != nil {
+	} else if p := b.shardWriter.replica.Shards[r.Shard]; p != nil {
 		size = p.EncodedSize
 	}
-	return size < b.core.writeLimits().ValueBytes*7/8
+	return size < b.shardWriter.limits.writeLimits().ValueBytes*7/8
 }
 
 // recordTaskDone notes on the machine's page that a task is done; the caller has
@@ -261,16 +248,16 @@
 		draft.doneTasks[task.Job] = r.Add(task.Index)
 	} else {
 		draft.doneTasks[task.Job] = storage.TaskRange(task.Index, task.Index)
-		draft.estimatedSize += b.core.estimateEncodedSize(16)
+		draft.estimatedSize += b.shardWriter.estimateEncodedSize(16)
 	}
-	draft.estimatedSize += b.core.estimateEncodedSize(4)
+	draft.estimatedSize += b.shardWriter.estimateEncodedSize(4)
 	b.estimatedBytes += 4
 	b.newlyDone[task.Job] = b.newlyDone[task.Job].Add(task.Index)
 }
 
 // doneTasks is what is done of a job as the batch leaves it.
 func (b *batch) doneTasks(id protocol.JobID) storage.TaskSet {
-	r := b.core.replica.CompletedTasks(id)
+	r := b.shardWriter.replica.CompletedTasks(id)
 	if added, ok := b.newlyDone[id]; ok {
 		r = r.Union(added)
 	}
@@ -283,66 +270,20 @@
 		return
 	}
 	r := b.mutableJob(id)
-	b.log(slog.LevelInfo, "job done", "job", string(id), "lane", r.Spec.Class, "after_s", float64(b.core.now.Wall-r.SubmittedAt)/1000)
+	b.log(slog.LevelInfo, "job done", "job", string(id), "lane", r.Spec.Class, "after_s", float64(b.shardWriter.now.Wall-r.SubmittedAt)/1000)
 	*r = storage.JobRecord{State: protocol.JobDone, TaskCount: r.Spec.TaskCount, SubmittedAt: r.SubmittedAt}
 	for _, d := range b.shards {
 		delete(d.doneTasks, id)
 	}
 }
 
-// consolidateDoneTasks moves what is done from own pages to the jobs' records: where a
-// page fills up, or has no machines left.
-func (c *Core) consolidateDoneTasks(b *batch) {
-	for _, id := range sortedKeys(c.replica.UnfinishedJobs) {
-		if j, e := c.jobState(id), c.replica.UnfinishedJobs[id]; c.replica.CompletedTasks(id).Len() < e.Record.Spec.TaskCount {
-			j.tasksDoneAt = 0
-		} else if j.tasksDoneAt == 0 && e.Record.Owner != c.incarnation {
-			j.tasksDoneAt = c.now.Monotonic // its claimant writes it, if it lives
-		} else if e.Record.Owner == c.incarnation || c.since(j.tasksDoneAt) > 1500*time.Millisecond {
-			b.completeJobIfDone(id)
-		}
-	}
-	for _, id := range c.ownedShards() {
-		p := c.replica.Shards[id]
-		if len(p.CompletedTasks) == 0 || !c.needsConsolidation(p) && len(p.Machines) > 0 || b.shards[id] == nil && !b.hasCapacity(2) {
-			continue
-		}
-		d := b.mutableShard(id)
-		for _, j := range sortedKeys(d.doneTasks) {
-			if c.replica.Jobs[j] == nil || !b.hasCapacity(b.writesNeeded("", j)) {
-				continue
-			}
-			if r := b.mutableJob(j); !r.State.IsTerminal() {
-				r.CompletedTasks = r.CompletedTasks.Union(d.doneTasks[j])
-			}
-			delete(d.doneTasks, j)
-		}
-	}
-}
-
-// needsConsolidation tells whether the done tasks on a page are to move to their jobs' records: a
-// change each, so not before the room is needed. A packed page that is full of machines
-// is cut in two instead.
-func (c *Core) needsConsolidation(p *storage.Shard) bool {
-	limit := c.writeLimits().ValueBytes
-	if c.storageFormat() < storage.FormatPacked {
-		return p.EncodedSize >= limit*3/4
-	}
-	const perJob, perSpan = 8, 2 // bytes, as packed
-	size := 0
-	for _, r := range p.CompletedTasks {
-		size += perJob + perSpan*r.IntervalCount()
-	}
-	return size >= limit/4
-}
-
 // writesNeeded counts the records that a change would add to the batch.
 func (b *batch) writesNeeded(machineID protocol.MachineID, jobs ...protocol.JobID) int {
 	n := 0
-	if e := b.core.replica.Machines[machineID]; machineID != "" && b.machines[machineID] == nil && e == nil {
+	if e := b.shardWriter.replica.Machines[machineID]; machineID != "" && b.machines[machineID] == nil && e == nil {
 		n++
 	} else if machineID != "" && b.machines[machineID] == nil && b.shards[e.Record.Shard] == nil {
-		n += b.core.shardWriteOps(e.Record.Shard)
+		n += b.shardWriter.shardWriteOps(e.Record.Shard)
 	}
 	for _, j := range jobs {
 		if b.jobs[j] == nil {
@@ -357,20 +298,20 @@
 // batch could take them.
 func (b *batch) canWriteMachines(machines []protocol.MachineID) (fits bool, opsWhenEmpty int) {
 	seen := map[storage.ShardID]bool{}
-	opsToAdd, sizeToAdd, totalOps, totalSize := 1, b.core.writeLimits().ValueBytes, 1, b.core.writeLimits().ValueBytes
+	opsToAdd, sizeToAdd, totalOps, totalSize := 1, b.shardWriter.limits.writeLimits().ValueBytes, 1, b.shardWriter.limits.writeLimits().ValueBytes
 	for _, id := range machines {
-		shardID := b.core.replica.Machines[id].Record.Shard
+		shardID := b.shardWriter.replica.Machines[id].Record.Shard
 		if seen[shardID] {
 			continue
 		}
 		seen[shardID] = true
-		shardSize, shardOps := b.core.replica.Shards[shardID].EncodedSize+shardSizeMargin, b.core.shardWriteOps(shardID)
+		shardSize, shardOps := b.shardWriter.replica.Shards[shardID].EncodedSize+shardSizeMargin, b.shardWriter.shardWriteOps(shardID)
 		totalOps, totalSize = totalOps+shardOps, totalSize+shardSize
 		if b.shards[shardID] == nil {
 			opsToAdd, sizeToAdd = opsToAdd+shardOps, sizeToAdd+shardSize
 		}
 	}
-	if totalOps <= b.core.writeLimits().TransactionOps*3/4 && totalSize <= protocol.MaxTransactionBytes {
+	if totalOps <= b.shardWriter.limits.writeLimits().TransactionOps*3/4 && totalSize <= protocol.MaxTransactionBytes {
 		opsWhenEmpty = totalOps
 	}
 	return b.hasCapacityFor(opsToAdd, sizeToAdd), opsWhenEmpty
@@ -381,7 +322,7 @@
 	if r := b.machines[id]; r != nil {
 		return r
 	}
-	if e := b.core.replica.Machines[id]; e != nil {
+	if e := b.shardWriter.replica.Machines[id]; e != nil {
 		return &e.Record
 	}
 	return nil
@@ -392,7 +333,7 @@
 	if r := b.jobs[id]; r != nil {
 		return r
 	}
-	if e := b.core.replica.Jobs[id]; e != nil {
+	if e := b.shardWriter.replica.Jobs[id]; e != nil {
 		return &e.Record
 	}
 	return nil
@@ -411,7 +352,7 @@
 func (b *batch) transaction() protocol.Transaction {
 	var transaction protocol.Transaction
 	for _, id := range sortedKeys(b.jobs) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.JobKey(id), Value: storage.EncodeJob(b.core.storageFormat(), b.jobs[id])})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.JobKey(id), Value: storage.EncodeJob(b.shardWriter.limits.storageFormat(), b.jobs[id])})
 	}
 	for _, id := range sortedKeys(b.shards) {
 		draft := b.shards[id]
@@ -430,10 +371,10 @@
 		transaction.Operations = append(transaction.Operations, b.drains[controllerID].operation(controllerID))
 	}
 	if b.writesRegistry {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.core.incarnation})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.shardWriter.lease.incarnation})})
 	}
 	for _, t := range sortedKeys(b.teams) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.core.incarnation, TransactionID: b.core.lastTransactionID})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.shardWriter.lease.incarnation, TransactionID: b.shardWriter.commits.lastTransactionID})})
 	}
 	for _, k := range sortedKeys(b.conditions) {
 		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: k, ModRevision: b.conditions[k]})
@@ -450,16 +391,16 @@
 		if r := b.machines[x]; r != nil {
 			lines[i] = r.EncodeLine(x)
 		} else {
-			lines[i] = b.core.replica.EncodedLine(x)
+			lines[i] = b.shardWriter.replica.EncodedLine(x)
 		}
 	}
-	format := b.core.storageFormat()
+	format := b.shardWriter.limits.storageFormat()
 	data := storage.EncodeShard(format, draft.owner, draft.epoch, lines, draft.doneTasks)
-	if len(data) <= b.core.writeLimits().ValueBytes || len(draft.machineIDs) < 2 || format < storage.FormatPacked {
+	if len(data) <= b.shardWriter.limits.writeLimits().ValueBytes || len(draft.machineIDs) < 2 || format < storage.FormatPacked {
 		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
 	}
 	half := len(draft.machineIDs) / 2
-	newID := b.core.newShardID()
+	newID := b.shardWriter.newShardID()
 	b.dependOn(storage.ShardKey(newID))
 	parts := b.encodeShard(newID, &shardDraft{owner: draft.owner, epoch: draft.epoch, machineIDs: draft.machineIDs[half:]})
 	return append(parts, b.encodeShard(id, &shardDraft{owner: draft.owner, epoch: draft.epoch, machineIDs: draft.machineIDs[:half], doneTasks: draft.doneTasks})...)
@@ -469,29 +410,11 @@
 // is far less where its machines are alike.
 const packedSizeRatio = 0.4
 
-// estimateEncodedSize estimates what plain text takes of a page.
-func (c *Core) estimateEncodedSize(plain int) int {
-	if c.storageFormat() < storage.FormatPacked {
-		return plain
-	}
-	return int(float64(plain)*packedSizeRatio) + 1
-}
-
-// estimateMachineSize is what a machine of a type is reckoned to take of a page: more
-// cores have more assignments.
-func (c *Core) estimateMachineSize(machineType protocol.MachineTypeName) int {
-	cores := 4.0
-	if f := c.machineType(machineType); f != nil {
-		cores = f.Cores
-	}
-	return c.estimateEncodedSize(64 + 18*int(min(max(cores, 2), 20)))
-}
-
 func (b *batch) estimateMachinesSize(ids []protocol.MachineID) int {
 	n := 0
 	for _, id := range ids {
 		if r := b.machineRecord(id); r != nil {
-			n += b.core.estimateMachineSize(r.MachineType)
+			n += b.shardWriter.estimateMachineSize(r.MachineType)
 		}
 	}
 	return n
@@ -500,81 +423,8 @@
 // projectShardSize is what a page may come to take. What is packed hardly grows with the tasks of
 // its machines, so there it is what the page takes now, and a quarter more.
 func (b *batch) projectShardSize(d *shardDraft) int {
-	if b.core.storageFormat() < storage.FormatPacked {
+	if b.shardWriter.limits.storageFormat() < storage.FormatPacked {
 		return b.estimateMachinesSize(d.machineIDs)
 	}
 	return d.estimatedSize * 5 / 4
 }
-
-// ownedShards lists the pages of this run.
-func (c *Core) ownedShards() []storage.ShardID {
-	return selectKeys(c.replica.Shards, func(p *storage.Shard) bool { return c.incarnation != "" && p.Owner == c.incarnation })
-}
-
-// mergeShards puts what is left on a page that has lost most of its machines onto
-// another page of this run: each page costs a change of its own whenever something
-// begins or ends there. One at a time, and only to where tokens do not fall. Pages with an
-// open move stay as they are until it has ended.
-func (c *Core) mergeShards(b *batch) {
-	if c.now.Monotonic < c.nextShardMergeAt || !b.hasCapacity(2) {
-		return
-	}
-	c.nextShardMergeAt = c.now.Monotonic.Add(c.cfg.MinRebalanceInterval)
-	inTransfer := c.shardsInTransfer(storage.TransferPhase.IsOpen)
-	shards := slices.DeleteFunc(c.ownedShards(), func(id storage.ShardID) bool { return inTransfer[id] })
-	projected := map[storage.ShardID]int{}
-	for _, id := range shards {
-		p := c.replica.Shards[id]
-		projected[id] = b.projectShardSize(&shardDraft{machineIDs: p.Machines, estimatedSize: p.EncodedSize})
-	}
-	slices.SortStableFunc(shards, func(a, z storage.ShardID) int { return cmp.Compare(projected[a], projected[z]) })
-	for _, id := range shards {
-		p := c.replica.Shards[id]
-		if projected[id] > c.writeLimits().ValueBytes/3 || len(p.Machines) == 0 || b.shards[id] != nil {
-			continue
-		}
-		for _, targetID := range shards {
-			target := c.replica.Shards[targetID]
-			if targetID == id || b.shards[targetID] != nil || target.Epoch < p.Epoch || len(target.Machines) == 0 ||
-				projected[targetID]+projected[id] > c.writeLimits().ValueBytes*7/8 || target.EncodedSize+p.EncodedSize > c.writeLimits().ValueBytes*3/4 {
-				continue
-			}
-			sourceDraft := b.mutableShard(id)
-			for _, m := range p.Machines {
-				b.moveMachine(m, targetID)
-			}
-			targetDraft := b.mutableShard(targetID)
-			for j, r := range sourceDraft.doneTasks {
-				targetDraft.doneTasks[j] = targetDraft.doneTasks[j].Union(r)
-				targetDraft.estimatedSize += 20 + len(r.String())
-			}
-			clear(sourceDraft.doneTasks)
-			b.log(slog.LevelInfo, "pages joined", "page", string(id), "machines", len(p.Machines), "to", string(targetID))
-			return
-		}
-	}
-}
-
-// shardSplitThreshold is the size from which a page is cut in two. What is packed changes its
-// size less evenly, and is cut before it takes no more tasks.
-func (c *Core) shardSplitThreshold() int {
-	if c.storageFormat() < storage.FormatPacked {
-		return c.writeLimits().ValueBytes * 15 / 16
-	}
-	return c.writeLimits().ValueBytes * 7 / 8
-}
-
-// splitShards cuts own pages in two that come near the size of a value.
-func (c *Core) splitShards(b *batch) {
-	for _, id := range c.ownedShards() {
-		p := c.replica.Shards[id]
-		if p.EncodedSize < c.shardSplitThreshold() || len(p.Machines) < 2 || b.shards[id] != nil || !b.hasCapacity(2) {
-			continue
-		}
-		b.mutableShard(id)
-		targetID := b.newShard(p.Owner, p.Epoch)
-		for _, m := range p.Machines[len(p.Machines)/2:] {
-			b.moveMachine(m, targetID)
-		}
-	}
-}
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -1,13 +1,47 @@
 package coordination
 
 import (
-	"log/slog"
 	"time"
 
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
+// canceller takes jobs through the two steps of a cancellation, the request and its confirmation.
+type canceller struct {
+	*stepContext
+
+	agents      *agentTable
+	calls       *agentCaller
+	commits     *committer
+	lease       *incarnationLease
+	limits      *writeLimiter
+	ownership   *shardOwnership
+	peers       *peerTable
+	replication *replicaSync
+	terminator  *machineTerminator
+
+	requestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
+	peerIntents       map[protocol.JobID]peerIntent                                // intents that the replica does not have yet
+	peerAcks          map[protocol.JobID]map[storage.Incarnation]protocol.Revision // runs that answer for one, and their replicas' revisions
+	localAcks         map[protocol.JobID]bool                                      // intents that this run answers for
+	fullyAcknowledged map[protocol.JobID]bool                                      // intents of which nobody who matters is unaware
+	intentSentAt      map[protocol.JobID]protocol.Instant                          // intents in the last message to the others
+
+	intentRotation, ackRotation rotation // which of them the next message begins with
+}
+
+func newCanceller(step *stepContext) *canceller {
+	return &canceller{
+		stepContext:       step,
+		requestedAt:       map[protocol.JobID]protocol.Instant{},
+		peerIntents:       map[protocol.JobID]peerIntent{},
+		peerAcks:          map[protocol.JobID]map[storage.Incarnation]protocol.Revision{},
+		fullyAcknowledged: map[protocol.JobID]bool{},
+		intentSentAt:      map[protocol.JobID]protocol.Instant{},
+	}
+}
+
 // A job is withdrawn in two steps, both on record. The intent comes first: from then
 // on its claimant assigns nothing, and owners start nothing and stop its tasks. The
 // job is called withdrawn once nobody who could keep or begin a task of it is unaware:
@@ -34,23 +68,6 @@
 	receivedAt protocol.Instant
 }
 
-// cancellations is what this process knows of jobs that are being withdrawn.
-type cancellations struct {
-	requestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
-	peerIntents       map[protocol.JobID]peerIntent                                // intents that the replica does not have yet
-	peerAcks          map[protocol.JobID]map[storage.Incarnation]protocol.Revision // runs that answer for one, and their replicas' revisions
-	localAcks         map[protocol.JobID]bool                                      // intents that this run answers for
-	fullyAcknowledged map[protocol.JobID]bool                                      // intents of which nobody who matters is unaware
-	intentSentAt      map[protocol.JobID]protocol.Instant                          // intents in the last message to the others
-
-	intentRotation, ackRotation rotation // which of them the next message begins with
-}
-
-func newCancellations() cancellations {
-	return cancellations{requestedAt: map[protocol.JobID]protocol.Instant{}, peerIntents: map[protocol.JobID]peerIntent{},
-		peerAcks: map[protocol.JobID]map[storage.Incarnation]protocol.Revision{}, fullyAcknowledged: map[protocol.JobID]bool{}, intentSentAt: map[protocol.JobID]protocol.Instant{}}
-}
-
 // Bounds of what controllers tell each other of withdrawals in one message, and of
 // what is kept of it.
 const (
@@ -61,22 +78,22 @@
 
 // cancelRequested tells whether a job is withdrawn, or about to be: none of its tasks may
 // begin or go on.
-func (c *Core) cancelRequested(id protocol.JobID) bool {
+func (c *canceller) cancelRequested(id protocol.JobID) bool {
 	if e := c.replica.Jobs[id]; e != nil && e.Record.IsCancelledOrPending() {
 		return true
 	}
-	_, ok := c.cancellations.peerIntents[id]
+	_, ok := c.peerIntents[id]
 	return ok
 }
 
 // timeSinceCancelRequest is for how long that has been so: counted from the confirmation as far
 // as it is on record.
-func (c *Core) timeSinceCancelRequest(id protocol.JobID) time.Duration {
+func (c *canceller) timeSinceCancelRequest(id protocol.JobID) time.Duration {
 	d := time.Duration(0)
 	if e := c.replica.Jobs[id]; e != nil && e.Record.IsCancelledOrPending() {
 		d = millisToDuration(c.now.Wall - e.Record.CancelUpdatedAt)
 	}
-	if intent, ok := c.cancellations.peerIntents[id]; ok {
+	if intent, ok := c.peerIntents[id]; ok {
 		d = max(d, c.since(intent.receivedAt))
 	}
 	return d
@@ -85,15 +102,15 @@
 // isMachineQuiescent tells whether on an owned machine no task of a job that is called off can
 // begin any more, and no earlier owner can keep one: the worker has shown this
 // ownership's token, and what its newest report shows is past its image or gone.
-func (c *Core) isMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
-	entry, m := c.replica.Machines[id], c.machineStates[id]
-	if c.isTerminationConfirmed(id) {
+func (c *canceller) isMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
+	entry, m := c.replica.Machines[id], c.agents.machineStates[id]
+	if c.terminator.isTerminationConfirmed(id) {
 		return true
 	}
 	if m == nil || m.latestHeartbeat == nil || storage.ShardEpochOf(m.confirmedToken) < entry.Record.ShardEpoch {
 		return false
 	}
-	if m.latestHeartbeat.AgentEpoch > entry.Record.AgentEpoch || c.isAgentLeaseExpired(m, &entry.Record) {
+	if m.latestHeartbeat.AgentEpoch > entry.Record.AgentEpoch || c.agents.isAgentLeaseExpired(m, &entry.Record) {
 		return true // killed
 	}
 	if m.currentHeartbeat(&entry.Record) == nil {
@@ -121,16 +138,10 @@
 	return satisfied
 }
 
-// isTerminationConfirmed tells whether the cloud has answered a release of the machine.
-func (c *Core) isTerminationConfirmed(id protocol.MachineID) bool {
-	r := c.terminations[id]
-	return r != nil && r.confirmed
-}
-
 // areOwnedMachinesQuiescent tells whether all owned machines are settled for a job.
-func (c *Core) areOwnedMachinesQuiescent(id protocol.JobID) bool {
+func (c *canceller) areOwnedMachinesQuiescent(id protocol.JobID) bool {
 	for machineID := range c.replica.MachinesWithJob(id) {
-		if entry := c.replica.Machines[machineID]; c.ownsMachine(&entry.Record) && !c.isMachineQuiescent(machineID, id) {
+		if entry := c.replica.Machines[machineID]; c.lease.ownsMachine(&entry.Record) && !c.isMachineQuiescent(machineID, id) {
 			return false
 		}
 	}
@@ -139,23 +150,23 @@
 
 // isCancelFullyAcknowledged tells whether nobody who could keep or begin a task of the job is unaware
 // of its intent.
-func (c *Core) isCancelFullyAcknowledged(id protocol.JobID) bool {
+func (c *canceller) isCancelFullyAcknowledged(id protocol.JobID) bool {
 	if c.replica.Revision < protocol.Revision(c.replica.Jobs[id].ModRevision) {
 		return false // what was assigned before the intent may be missing here
 	}
 	for machineID := range c.replica.MachinesWithJob(id) {
 		record := &c.replica.Machines[machineID].Record
-		if c.ownsMachine(record) {
+		if c.lease.ownsMachine(record) {
 			if !c.isMachineQuiescent(machineID, id) {
 				return false
 			}
 			continue
 		}
-		if c.isTerminationConfirmed(machineID) {
+		if c.terminator.isTerminationConfirmed(machineID) {
 			continue
 		}
 		// An acknowledgement covers what its sender knew that it owns.
-		revision, ok := c.cancellations.peerAcks[id][record.Owner]
+		revision, ok := c.peerAcks[id][record.Owner]
 		if !ok || !c.replica.IsAlive(record.Owner) || revision < protocol.Revision(c.replica.Shards[record.Shard].OwnedSince) {
 			return false
 		}
@@ -167,14 +178,14 @@
 // nothing of it is assigned but on settled machines of this run, and nothing can be,
 // as only this run assigns its tasks. The write rests on the pages of these machines:
 // one that is being given away goes first or not at all.
-func (c *Core) prepareDirectCancel(b *batch, id protocol.JobID) bool {
+func (c *canceller) prepareDirectCancel(b *batch, id protocol.JobID) bool {
 	entry := c.replica.Jobs[id]
-	if entry.Record.Owner != c.incarnation || c.replica.Revision < protocol.Revision(entry.ModRevision) || c.hasPendingConditionOn(storage.JobKey(id)) ||
-		len(b.conditions)+len(c.replica.MachinesWithJob(id)) > 3*c.writeLimits().TransactionOps {
+	if entry.Record.Owner != c.lease.incarnation || c.replica.Revision < protocol.Revision(entry.ModRevision) || c.commits.hasPendingConditionOn(storage.JobKey(id)) ||
+		len(b.conditions)+len(c.replica.MachinesWithJob(id)) > 3*c.limits.writeLimits().TransactionOps {
 		return false
 	}
 	for machineID := range c.replica.MachinesWithJob(id) {
-		if record := &c.replica.Machines[machineID].Record; !c.ownsMachine(record) || !c.isMachineQuiescent(machineID, id) {
+		if record := &c.replica.Machines[machineID].Record; !c.lease.ownsMachine(record) || !c.isMachineQuiescent(machineID, id) {
 			return false
 		}
 	}
@@ -185,24 +196,24 @@
 }
 
 // expireCancellations gives up on withdrawals that could not be put on record for long.
-func (c *Core) expireCancellations() {
-	for id, requestedAt := range c.cancellations.requestedAt {
+func (c *canceller) expireCancellations() {
+	for id, requestedAt := range c.requestedAt {
 		// The user is told to come back; withdrawing goes on all the same
 		// for a while, as it was asked for.
 		if c.replica.CancellingJobs[id] == nil && c.since(requestedAt) > 30*time.Second {
-			delete(c.cancellations.requestedAt, id)
+			delete(c.requestedAt, id)
 		}
 	}
 }
 
 // writeCancellations puts the next step of each withdrawal into the transaction.
-func (c *Core) writeCancellations(b *batch) {
-	for _, id := range sortedKeys(c.cancellations.requestedAt) {
+func (c *canceller) writeCancellations(b *batch) {
+	for _, id := range sortedKeys(c.requestedAt) {
 		entry := c.replica.Jobs[id]
 		switch {
 		case entry == nil || entry.Record.State.IsTerminal():
-			delete(c.cancellations.requestedAt, id)
-		case !b.hasCapacity(1) || entry.Record.CancelRequested && (!c.cancellations.fullyAcknowledged[id] || c.replica.CompletedTasks(id).Len() >= entry.Record.Spec.TaskCount):
+			delete(c.requestedAt, id)
+		case !b.hasCapacity(1) || entry.Record.CancelRequested && (!c.fullyAcknowledged[id] || c.replica.CompletedTasks(id).Len() >= entry.Record.Spec.TaskCount):
 			// Not yet; or all its tasks turned out done first: its claimant says so.
 		case entry.Record.CancelRequested || c.prepareDirectCancel(b, id):
 			record := b.mutableJob(id)
@@ -215,47 +226,47 @@
 }
 
 // tickCancellations finds out which withdrawals can be told, and what others are told.
-func (c *Core) tickCancellations() {
+func (c *canceller) tickCancellations() {
 	if !c.replication.isLoaded {
 		return
 	}
-	for id, intent := range c.cancellations.peerIntents {
+	for id, intent := range c.peerIntents {
 		if c.replica.Revision >= intent.revision {
-			delete(c.cancellations.peerIntents, id) // the replica has it, or it is over
+			delete(c.peerIntents, id) // the replica has it, or it is over
 		}
 	}
-	for id := range c.cancellations.fullyAcknowledged {
+	for id := range c.fullyAcknowledged {
 		if c.replica.CancellingJobs[id] == nil {
-			delete(c.cancellations.fullyAcknowledged, id)
+			delete(c.fullyAcknowledged, id)
 		}
 	}
-	for id := range c.cancellations.peerAcks {
+	for id := range c.peerAcks {
 		if c.replica.CancellingJobs[id] == nil {
-			delete(c.cancellations.peerAcks, id)
+			delete(c.peerAcks, id)
 		}
 	}
-	previousAcks := c.cancellations.localAcks
-	c.cancellations.localAcks = map[protocol.JobID]bool{}
+	previousAcks := c.localAcks
+	c.localAcks = map[protocol.JobID]bool{}
 	ack := func(id protocol.JobID) {
 		if c.areOwnedMachinesQuiescent(id) {
-			c.cancellations.localAcks[id] = true
-			c.isPeerStatusUrgent = c.isPeerStatusUrgent || !previousAcks[id]
+			c.localAcks[id] = true
+			c.peers.isPeerStatusUrgent = c.peers.isPeerStatusUrgent || !previousAcks[id]
 		}
 	}
-	for id := range c.cancellations.peerIntents {
+	for id := range c.peerIntents {
 		ack(id)
 	}
 	for id := range c.replica.CancellingJobs {
 		ack(id)
-		if _, isRequested := c.cancellations.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.isSuccessor(storage.JobKey(id)) {
+		if _, isRequested := c.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.ownership.isSuccessor(storage.JobKey(id)) {
 			c.requestCancellation(id) // whoever began it may be gone
 		}
-		if !c.cancellations.fullyAcknowledged[id] {
-			c.cancellations.fullyAcknowledged[id] = c.isCancelFullyAcknowledged(id)
+		if !c.fullyAcknowledged[id] {
+			c.fullyAcknowledged[id] = c.isCancelFullyAcknowledged(id)
 			// Only who drives it tells of it: the others have nothing to send at once.
-			_, isSent := c.cancellations.intentSentAt[id]
-			_, isRequester := c.cancellations.requestedAt[id]
-			c.isPeerStatusUrgent = c.isPeerStatusUrgent || isRequester && !isSent && !c.cancellations.fullyAcknowledged[id]
+			_, isSent := c.intentSentAt[id]
+			_, isRequester := c.requestedAt[id]
+			c.peers.isPeerStatusUrgent = c.peers.isPeerStatusUrgent || isRequester && !isSent && !c.fullyAcknowledged[id]
 		}
 	}
 }
@@ -263,20 +274,20 @@
 // addCancellationStatus adds to what the other controllers are told: the intents that some of
 // them do not seem to know, and those that this one answers for. Both are repeated until
 // they are over; if there are too many for one message, they take turns.
-func (c *Core) addCancellationStatus(status *PeerStatus) {
+func (c *canceller) addCancellationStatus(status *PeerStatus) {
 	status.Revision = c.replica.Revision
 	var unacknowledged []protocol.JobID
-	for _, id := range sortedKeys(c.cancellations.requestedAt) {
-		if e := c.replica.CancellingJobs[id]; e != nil && !c.cancellations.fullyAcknowledged[id] {
+	for _, id := range sortedKeys(c.requestedAt) {
+		if e := c.replica.CancellingJobs[id]; e != nil && !c.fullyAcknowledged[id] {
 			unacknowledged = append(unacknowledged, id)
 		}
 	}
-	clear(c.cancellations.intentSentAt)
-	for _, id := range c.cancellations.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
-		c.cancellations.intentSentAt[id] = c.now.Monotonic
+	clear(c.intentSentAt)
+	for _, id := range c.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
+		c.intentSentAt[id] = c.now.Monotonic
 		status.CancelIntents = append(status.CancelIntents, CancelIntent{id, protocol.Revision(c.replica.CancellingJobs[id].ModRevision)})
 	}
-	status.CancelAcks = c.cancellations.ackRotation.nextChunk(sortedKeys(c.cancellations.localAcks), maxAcksPerMessage)
+	status.CancelAcks = c.ackRotation.nextChunk(sortedKeys(c.localAcks), maxAcksPerMessage)
 }
 
 // rotation takes parts of a list in turn, so that each entry comes within as many takes as
@@ -294,10 +305,10 @@
 }
 
 // onPeerCancellations takes in what another controller says of withdrawals.
-func (c *Core) onPeerCancellations(status *PeerStatus) {
+func (c *canceller) onPeerCancellations(status *PeerStatus) {
 	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
-		if _, ok := c.cancellations.peerIntents[intent.Job]; !ok && intent.Job.IsValid() && c.replica.Revision < intent.Revision && len(c.cancellations.peerIntents) < maxPeerIntents {
-			c.cancellations.peerIntents[intent.Job] = peerIntent{intent.Revision, c.now.Monotonic}
+		if _, ok := c.peerIntents[intent.Job]; !ok && intent.Job.IsValid() && c.replica.Revision < intent.Revision && len(c.peerIntents) < maxPeerIntents {
+			c.peerIntents[intent.Job] = peerIntent{intent.Revision, c.now.Monotonic}
 			c.shouldRecheckDeferred = true
 		}
 	}
@@ -308,16 +319,16 @@
 		if c.replica.CancellingJobs[id] == nil {
 			continue
 		}
-		if c.cancellations.peerAcks[id] == nil {
-			c.cancellations.peerAcks[id] = map[storage.Incarnation]protocol.Revision{}
+		if c.peerAcks[id] == nil {
+			c.peerAcks[id] = map[storage.Incarnation]protocol.Revision{}
 		}
-		c.cancellations.peerAcks[id][status.Incarnation] = max(c.cancellations.peerAcks[id][status.Incarnation], status.Revision)
+		c.peerAcks[id][status.Incarnation] = max(c.peerAcks[id][status.Incarnation], status.Revision)
 	}
 }
 
 // longestPendingCancel tells whether a task of a job that is called off may still be on the
 // machine, and for how long that job has been.
-func (c *Core) longestPendingCancel(m *machineState, record *storage.MachineRecord) (longest time.Duration, isPending bool) {
+func (c *canceller) longestPendingCancel(m *machineState, record *storage.MachineRecord) (longest time.Duration, isPending bool) {
 	if m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch > record.AgentEpoch {
 		return 0, false // killed
 	}
@@ -339,54 +350,42 @@
 // called off is still there: it hangs, or cannot be reached. Early enough for a slow
 // cloud, and late enough for what only needs a moment. cutOff: it is this node rather
 // that is not reached.
-func (c *Core) mustForceScaleIn(m *machineState, record *storage.MachineRecord, cutOff bool) bool {
+func (c *canceller) mustForceScaleIn(m *machineState, record *storage.MachineRecord, cutOff bool) bool {
 	pendingFor, isPending := c.longestPendingCancel(m, record)
-	return isPending && pendingFor > c.cfg.CancelTimeout*2/5 && (c.isSilent(m) && !cutOff || pendingFor > c.cfg.CancelTimeout*3/5)
-}
-
-// storeUnavailableEverywhere tells whether the state service is down, and not for this controller alone
-// as far as the others say.
-func (c *Core) storeUnavailableEverywhere() bool {
-	return c.storeUnavailable() && c.peersReportStoreUnavailable(5*time.Second)
-}
-
-// terminateUnrecorded sends a machine back with no mark on record: while the state service
-// is down for all, none can be written, and the task that is still there would break
-// its rule meanwhile. To others it is a machine that died, which they know to meet; the
-// mark keeps them from placing tasks there, which costs time only.
-func (c *Core) terminateUnrecorded(id protocol.MachineID) {
-	if c.terminations[id] != nil {
-		return
-	}
-	c.terminations[id] = &termination{unrecorded: true}
-	c.log(slog.LevelWarn, "machine goes back unrecorded", "machine", string(id), "why", "withdrawn task would not go")
+	return isPending && pendingFor > c.cfg.CancelTimeout*2/5 && (c.agents.isSilent(m) && !cutOff || pendingFor > c.cfg.CancelTimeout*3/5)
 }
 
 // forceScaleIn looks after machines whose owner is not heard of while the state service is
 // down for all, so that nobody can take them over. If a task of a job that is called off
 // may be there, the worker is asked; one that does not answer goes back.
-func (c *Core) forceScaleIn() {
-	if !c.replication.isLoaded || !c.storeUnavailableEverywhere() {
+func (c *canceller) forceScaleIn() {
+	if !c.replication.isLoaded || !c.replication.storeUnavailableEverywhere() {
 		return
 	}
 	ids := selectKeys(c.replica.Machines, func(entry *storage.Machine) bool {
-		return !c.ownsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
+		return !c.lease.ownsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
 	})
 	for _, id := range ids {
 		entry := c.replica.Machines[id]
-		if owner, ok := c.peers[entry.Record.Owner.Controller()]; ok && owner.status.Incarnation == entry.Record.Owner && c.since(owner.receivedAt) < 5*time.Second {
+		if owner, ok := c.peers.peers[entry.Record.Owner.Controller()]; ok && owner.status.Incarnation == entry.Record.Owner && c.since(owner.receivedAt) < 5*time.Second {
 			continue // its owner lives, and sees to it
 		}
-		m := c.machineState(id)
+		m := c.agents.machineState(id)
 		pendingFor, isPending := c.longestPendingCancel(m, &entry.Record)
 		switch {
 		case !isPending || pendingFor < c.cfg.CancelTimeout*2/5:
 		case pendingFor > c.cfg.CancelTimeout*3/5:
-			c.terminateUnrecorded(id)
-		case !m.isCallInFlight && c.since(m.callStartedAt) > 2*time.Second && entry.Record.Address != "" && c.agentCallsInFlight < c.maxAgentCalls():
+			c.terminator.terminateUnrecorded(id)
+		case !m.isCallInFlight && c.since(m.callStartedAt) > 2*time.Second && entry.Record.Address != "" && c.calls.agentCallsInFlight < c.calls.maxAgentCalls():
 			m.isCallInFlight, m.callStartedAt = true, c.now.Monotonic
-			c.agentCallsInFlight++
+			c.calls.agentCallsInFlight++
 			c.emit(ProbeAgent{id, entry.Record.Address})
 		}
 	}
 }
+
+func (c *canceller) requestCancellation(id protocol.JobID) {
+	if _, ok := c.requestedAt[id]; !ok {
+		c.requestedAt[id] = c.now.Monotonic
+	}
+}
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -55,10 +55,10 @@
 			m.recordHeartbeat(r, core.now.Monotonic)
 		}, true},
 		{"released, and that answered", func(core *Core, e *storage.Machine, m *machineState) {
-			core.terminations["m-1"] = &termination{confirmed: true}
+			core.terminator.terminations["m-1"] = &termination{confirmed: true}
 		}, true},
 		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *machineState) {
-			core.terminations["m-1"] = &termination{}
+			core.terminator.terminations["m-1"] = &termination{}
 		}, false},
 	} {
 		core, _ := newReadyCore(t)
@@ -67,13 +67,13 @@
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		c.do(core, e, m)
-		if pending := core.listPendingJobs(core.newBatch(8), nil); len(pending) != 0 {
+		if pending := core.queue.listPendingJobs(core.shards.newBatch(8), nil); len(pending) != 0 {
 			t.Errorf("%s: the job is still placed", c.name)
 		}
-		if got := core.isMachineQuiescent("m-1", "j-1"); got != c.want {
+		if got := core.cancellations.isMachineQuiescent("m-1", "j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
-		if got := core.isCancelFullyAcknowledged("j-1"); got != c.want {
+		if got := core.cancellations.isCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: all aware %v", c.name, got)
 		}
 	}
@@ -110,12 +110,12 @@
 		core.replica.Revision = 6
 		c.hint.ControllerID = c.hint.Incarnation.Controller()
 		step(0, PeerStatusInput{c.hint})
-		if got := core.isCancelFullyAcknowledged("j-1"); got != c.want {
+		if got := core.cancellations.isCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 		// An answer counts only as long as its run lives.
 		core.replica.Delete(storage.ControllerKey("stall-1"), 7)
-		if core.isCancelFullyAcknowledged("j-1") {
+		if core.cancellations.isCancelFullyAcknowledged("j-1") {
 			t.Errorf("%s: the word of a run that has ended counts", c.name)
 		}
 	}
@@ -140,7 +140,7 @@
 		m.recordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.now.Monotonic)
 		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", CancelIntents: []CancelIntent{{"j-1", c.rev}}}})
 		starts, stops, acked := 0, 0, false
-		for _, o := range core.commandsFor(e, m, true) {
+		for _, o := range core.heartbeats.commandsFor(e, m, true) {
 			switch o.Type {
 			case protocol.CommandStart:
 				starts++
@@ -158,7 +158,7 @@
 		}
 		step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
 		step(60*time.Millisecond, Tick{})
-		if core.cancelRequested("j-1") {
+		if core.cancellations.cancelRequested("j-1") {
 			t.Errorf("%s: still bound though its replica has gone past it", c.name)
 		}
 	}
@@ -177,7 +177,7 @@
 	core, step := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
-	if core.replica.Revision = 0; core.machineStates["m-1"].ownershipRevision == 0 {
+	if core.replica.Revision = 0; core.agents.machineStates["m-1"].ownershipRevision == 0 {
 		t.Fatal("the page has no revision")
 	}
 	status := func(out []Effect) int {
@@ -213,7 +213,7 @@
 		}
 		putCancellingJob(t, core, 2)
 		if isRequester {
-			core.requestCancellation("j-1")
+			core.cancellations.requestCancellation("j-1")
 		}
 		messages, intents := 0, 0
 		for range 60 { // 3 s
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -9,6 +9,22 @@
 	"tillerarch/internal/storage"
 )
 
+// candidateLister lists machines with their free capacity as candidates for placement.
+type candidateLister struct {
+	*stepContext
+
+	agents      *agentTable
+	catalog     *machineCatalog
+	lease       *incarnationLease
+	provisioner *machineProvisioner
+	queue       *jobQueue
+	spot        *spotPricing
+	terminator  *machineTerminator
+	transfers   *transferManager
+
+	nextFleetLogAt protocol.Instant
+}
+
 // candidate is a machine as the planner sees it.
 type candidate struct {
 	id                  protocol.MachineID
@@ -54,34 +70,23 @@
 }
 
 // isMachineAllowed tells whether the job's tasks may be on the machine at all.
-func (c *Core) isMachineAllowed(j *protocol.Job, machine *candidate) bool {
-	return j.AllowsPlacement(machine.record.MachineType, machine.record.Zone) && (!machine.record.Spot || c.canUseSpot(j, machine.machineType))
-}
-
-// canUseSpot tells whether the job may use spot machines of a type. The rule
-// gives them to jobs that keep checkpoints. The exception: where a task is so
-// short that what a reclaim is expected to cost is less than what spot saves,
-// it may do without (docs/design.md).
-func (c *Core) canUseSpot(j *protocol.Job, machineType *protocol.MachineType) bool {
-	if !j.AllowSpot {
-		return false
-	}
-	return j.CanCheckpoint() || machineType.OnDemandPrice > 0 && j.EstimatedRunSeconds/3600*c.cfg.SpotPreemptionsPerHour < 1-machineType.SpotPrice/machineType.OnDemandPrice
+func (l *candidateLister) isMachineAllowed(j *protocol.Job, machine *candidate) bool {
+	return j.AllowsPlacement(machine.record.MachineType, machine.record.Zone) && (!machine.record.Spot || l.spot.canUseSpot(j, machine.machineType))
 }
 
 // listCandidates lists the machines, with what is left on them.
-func (c *Core) listCandidates(b *batch) []*candidate {
-	list := c.replica.SortedMachines()
+func (l *candidateLister) listCandidates(b *batch) []*candidate {
+	list := l.replica.SortedMachines()
 	out := make([]*candidate, 0, len(list)+16)
-	live := map[storage.Incarnation]bool{c.incarnation: true}
-	for _, entry := range c.replica.Controllers {
+	live := map[storage.Incarnation]bool{l.lease.incarnation: true}
+	for _, entry := range l.replica.Controllers {
 		live[entry.Record.Incarnation] = true
 	}
 	machineTypes := map[protocol.MachineTypeName]*protocol.MachineType{}
-	for i := range c.machineTypes {
-		machineTypes[c.machineTypes[i].Name] = &c.machineTypes[i]
+	for i := range l.catalog.machineTypes {
+		machineTypes[l.catalog.machineTypes[i].Name] = &l.catalog.machineTypes[i]
 	}
-	quiescedShards := c.shardsInTransfer(isPrepared)
+	quiescedShards := l.transfers.shardsInTransfer(isPrepared)
 	precedences := map[*protocol.Job]int{}
 	for _, entry := range list {
 		id, record := entry.ID, &entry.Record
@@ -95,8 +100,8 @@
 		if machineType == nil {
 			continue
 		}
-		machine := &candidate{id: id, state: c.machineStates[id], record: record, machineType: machineType, cores: machineType.Cores, accelerators: machineType.Accelerators, memoryGB: machineType.MemoryGB, isProvisioning: record.AgentEpoch == 0}
-		machine.isUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || c.terminations[id] != nil
+		machine := &candidate{id: id, state: l.agents.machineStates[id], record: record, machineType: machineType, cores: machineType.Cores, accelerators: machineType.Accelerators, memoryGB: machineType.MemoryGB, isProvisioning: record.AgentEpoch == 0}
+		machine.isUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || l.terminator.terminations[id] != nil
 		for i := range record.Assignments {
 			assigned := &record.Assignments[i]
 			j := b.jobRecord(assigned.Job)
@@ -106,7 +111,7 @@
 			}
 			precedence, ok := precedences[j.Spec]
 			if !ok {
-				precedence = c.precedenceOf(j.Spec)
+				precedence = l.queue.precedenceOf(j.Spec)
 				precedences[j.Spec] = precedence
 			}
 			n := assigned.Tasks.Len()
@@ -114,23 +119,23 @@
 			machine.allocations = append(machine.allocations, allocation{assigned.Job, assigned.Attempt, n, j.Spec, precedence})
 		}
 		if record.Spot && !machine.isUnschedulable {
-			age := millisToDuration(c.now.Wall - record.AddedAt)
-			machine.isNearSpotPeriodEnd = IsNearPeriodBoundary(id, age, c.cfg.SpotPeriod, c.cfg.SpotPeriodEndMargin)
-			if threshold := c.spotThresholds[priceKey{record.MachineType, record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
+			age := millisToDuration(l.now.Wall - record.AddedAt)
+			machine.isNearSpotPeriodEnd = IsNearPeriodBoundary(id, age, l.cfg.SpotPeriod, l.cfg.SpotPeriodEndMargin)
+			if threshold := l.spot.spotThresholds[priceKey{record.MachineType, record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
 				machine.isUnschedulable = true
 			}
 		}
 		out = append(out, machine)
 	}
-	return append(out, c.provisioningCandidates()...)
+	return append(out, l.provisioningCandidates()...)
 }
 
 // provisioningCandidates lists the machines of rental requests that are on no record yet.
-func (c *Core) provisioningCandidates() []*candidate {
+func (l *candidateLister) provisioningCandidates() []*candidate {
 	var out []*candidate
-	for _, name := range sortedKeys(c.provisioning.requests) {
-		request := c.provisioning.requests[name]
-		machineType := c.machineType(request.request.Type)
+	for _, name := range sortedKeys(l.provisioner.requests) {
+		request := l.provisioner.requests[name]
+		machineType := l.catalog.machineType(request.request.Type)
 		if machineType == nil {
 			continue
 		}
@@ -138,7 +143,7 @@
 		if request.grantedMachines != nil {
 			missing = 0
 			for _, id := range request.grantedMachines {
-				if c.replica.Machines[id] == nil {
+				if l.replica.Machines[id] == nil {
 					missing++
 				}
 			}
@@ -152,11 +157,11 @@
 }
 
 // logFleet tells, every ten seconds, what is rented and how much of it is in use.
-func (c *Core) logFleet(candidates []*candidate) {
-	if c.now.Monotonic < c.nextFleetLogAt {
+func (l *candidateLister) logFleet(candidates []*candidate) {
+	if l.now.Monotonic < l.nextFleetLogAt {
 		return
 	}
-	c.nextFleetLogAt = c.now.Monotonic.Add(10 * time.Second)
+	l.nextFleetLogAt = l.now.Monotonic.Add(10 * time.Second)
 	type totals struct {
 		up, coming  int
 		margin      int
@@ -183,11 +188,11 @@
 		byPool[key].cores += machine.machineType.Cores
 		byPool[key].used += machine.machineType.Cores - machine.cores
 	}
-	for key, threshold := range c.spotThresholds {
-		c.log(slog.LevelDebug, "spot rule", "type", string(key.machineType), "zone", string(key.zone), "price", threshold.spotPrice, "threshold", threshold.value, "open", threshold.AllowsSpot())
+	for key, threshold := range l.spot.spotThresholds {
+		l.log(slog.LevelDebug, "spot rule", "type", string(key.machineType), "zone", string(key.zone), "price", threshold.spotPrice, "threshold", threshold.value, "open", threshold.AllowsSpot())
 	}
 	for key, total := range byPool {
-		c.log(slog.LevelDebug, "fleet", "type", string(key.machineType), "spot", key.spot, "up", total.up, "coming", total.coming, "cores", total.cores, "used", total.used, "margin", total.margin, "closed", total.closed)
+		l.log(slog.LevelDebug, "fleet", "type", string(key.machineType), "spot", key.spot, "up", total.up, "coming", total.coming, "cores", total.cores, "used", total.used, "margin", total.margin, "closed", total.closed)
 	}
 }
 
@@ -203,20 +208,9 @@
 	return false
 }
 
-func (c *Core) recordImage(id protocol.MachineID, machineType *protocol.MachineType, j *protocol.Job) {
-	m := c.machineState(id)
-	for i := range m.cachedImages {
-		if m.cachedImages[i].name == j.Image {
-			m.cachedImages = append(m.cachedImages[:i], m.cachedImages[i+1:]...)
-			break
-		}
-	}
-	m.cachedImages = append(m.cachedImages, cachedImage{j.Image, j.ImageGB})
-	totalGB := 0.0
-	for i := len(m.cachedImages) - 1; i >= 0; i-- {
-		if totalGB += m.cachedImages[i].sizeGB; totalGB > machineType.LocalDiskGB {
-			m.cachedImages = append([]cachedImage(nil), m.cachedImages[i+1:]...)
-			break
-		}
-	}
+// awaitsHeartbeat tells whether what is written to a machine goes out with its next
+// report only: none of it waits for an answer here.
+func (l *candidateLister) awaitsHeartbeat(machine *candidate) bool {
+	state := l.agents.machineStates[machine.id]
+	return machine.record.Owner == l.lease.incarnation && state != nil && state.deferredRequest == 0
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -8,27 +8,50 @@
 	"tillerarch/internal/storage"
 )
 
+// committer sends transactions and handles their outcomes: one at a time, and one beside it for
+// what users ask for, which would otherwise wait behind the bulk of task state changes.
+type committer struct {
+	*stepContext
+
+	agents      *agentTable
+	lease       *incarnationLease
+	limits      *writeLimiter
+	reconciler  *reconciler
+	replication *replicaSync
+	shards      *shardWriter
+	store       *storeHealth
+	upgrade     *formatUpgrade
+
+	lastTransactionID      uint64
+	pendingTransaction     *pendingTransaction
+	pendingUserTransaction *pendingTransaction
+	nextUserCommitAt       protocol.Instant // next one of those
+	outcomeUnknown         bool             // a transaction had an unknown outcome
+	nextCommitAt           protocol.Instant
+	consecutiveBusy        int
+}
+
 // registrationCondition ties a transaction to this run: once the run's key has gone or was
 // fenced, nothing that it sent before can be applied any more.
-func (c *Core) registrationCondition() protocol.Condition {
-	return protocol.Condition{Key: storage.ControllerKey(c.cfg.ControllerID), ModRevision: c.registrationRevision}
+func (c *committer) registrationCondition() protocol.Condition {
+	return protocol.Condition{Key: storage.ControllerKey(c.cfg.ControllerID), ModRevision: c.lease.registrationRevision}
 }
 
 // commitBatch sends the next transaction if there is something to write.
 func (c *Core) commitBatch() {
 	c.commitUserBatch()
-	if c.pendingTransaction != nil || !c.replication.isLoaded || c.now.Monotonic < c.nextCommitAt || c.lease.id == 0 {
+	if c.commits.pendingTransaction != nil || !c.replication.isLoaded || c.now.Monotonic < c.commits.nextCommitAt || c.lease.id == 0 {
 		return
 	}
-	if c.replica.Revision < c.minRevision && c.since(c.minRevisionSince) < minRevisionTimeout {
+	if c.replica.Revision < c.replication.minRevision && c.since(c.replication.minRevisionSince) < minRevisionTimeout {
 		return
 	}
 	switch {
-	case !c.isRegistered():
-		c.register()
-	case c.outcomeUnknown:
-		c.sendWriteBarrier()
-	case c.replica.Revision < c.minRevision || c.tryRaiseFormat():
+	case !c.lease.isRegistered():
+		c.commits.register()
+	case c.commits.outcomeUnknown:
+		c.commits.sendWriteBarrier()
+	case c.replica.Revision < c.replication.minRevision || c.upgrade.tryRaiseFormat():
 	default:
 		c.commitRecordBatch()
 	}
@@ -40,9 +63,9 @@
 
 // sendWriteBarrier rewrites this run's key, so that whatever was sent before is applied by now
 // or never will be.
-func (c *Core) sendWriteBarrier() {
+func (c *committer) sendWriteBarrier() {
 	e := c.replica.Controllers[c.cfg.ControllerID]
-	if e == nil || !c.takeWriteTokens(1) {
+	if e == nil || !c.limits.takeWriteTokens(1) {
 		return
 	}
 	rec := e.Record
@@ -53,91 +76,91 @@
 
 // commitRecordBatch sends what there is to write of jobs and machines.
 func (c *Core) commitRecordBatch() {
-	tokens := int(c.writeLimiter.TokensAt(c.limiterTime()))
-	maxOps := min(tokens, c.maxTransactionOps)
+	tokens := int(c.limits.writeLimiter.TokensAt(c.limiterTime()))
+	maxOps := min(tokens, c.limits.maxTransactionOps)
 	if maxOps < 1 {
 		return
 	}
-	if len(c.gracefulStops)+len(c.awaitingOwner)+len(c.ownership.expiredAt) == 0 && c.now.Monotonic < c.nextPlanTime() {
+	if len(c.stopper.gracefulStops)+len(c.agents.awaitingOwner)+len(c.ownership.expiredAt) == 0 && c.now.Monotonic < c.plan.nextPlanTime() {
 		return
 	}
-	b := c.newBatch(maxOps)
-	c.reencodeOversized(b)
-	c.writeGracefulStops(b)
+	b := c.shards.newBatch(maxOps)
+	c.shards.reencodeOversized(b)
+	c.stopper.writeGracefulStops(b)
 	c.writeOwnershipChanges(b)
 	// What can wait does so until a fair batch can be paid for: a record is then
 	// written once for many tasks, instead of with each of them. What users ask
 	// for does not wait behind it: a few tokens are left for them.
-	minBatchOps := min(c.writeLimits().TransactionOps, int(c.writeLimits().WritesPerSecond*c.cfg.WriteBudgetShare/2))
-	if tokens >= max(minBatchOps, c.pendingGangOps) && c.now.Monotonic >= c.nextPlanTime() {
-		b.opsLeft = min(b.opsLeft, tokens-c.reservedUserTokens())
+	minBatchOps := min(c.limits.writeLimits().TransactionOps, int(c.limits.writeLimits().WritesPerSecond*c.cfg.WriteBudgetShare/2))
+	if tokens >= max(minBatchOps, c.plan.pendingGangOps) && c.now.Monotonic >= c.plan.nextPlanTime() {
+		b.opsLeft = min(b.opsLeft, tokens-c.limits.reservedUserTokens())
 		c.writePlan(b)
 	}
-	c.sendBatch(b, tokens)
+	c.commits.sendBatch(b, tokens)
 }
 
 // writePlan puts the news of own machines and the next plan into the transaction.
 func (c *Core) writePlan(b *batch) {
 	// A gang is written whole or not at all. One that found no room behind
 	// what ends all the time goes first the next time.
-	gangFirst := c.pendingGangOps > 0
-	c.pendingGangOps = 0
+	gangFirst := c.plan.pendingGangOps > 0
+	c.plan.pendingGangOps = 0
 	if gangFirst {
-		c.placePendingJobs(b)
+		c.scheduler.placePendingJobs(b)
 	}
-	c.splitShards(b)
-	c.mergeShards(b)
-	c.consolidateDoneTasks(b)
+	c.shards.splitShards(b)
+	c.shards.mergeShards(b)
+	c.shards.consolidateDoneTasks(b)
 	// Own pages have news all the time; some room is left for others' pages, or what
 	// is free there would wait for ever.
 	reservedOps := 0
-	if c.lastPlan.hasPendingRemotePlacements && c.lastCommitWasPartial {
+	if c.plan.hasPendingRemotePlacements && c.reconciler.lastCommitWasPartial {
 		reservedOps = b.opsLeft / 4
 	}
 	b.opsLeft -= reservedOps
-	c.handOffMachines(b)
-	c.writeMachines(b)
+	c.ownership.handOffMachines(b)
+	c.reconciler.writeMachines(b)
 	b.opsLeft += reservedOps
-	c.recordGrantedMachines(b)
-	c.writeTerminations(b)
-	c.adoptOrphanedInstances(b)
+	c.provisioner.recordGrantedMachines(b)
+	c.terminator.writeTerminations(b)
+	c.inventory.adoptOrphanedInstances(b)
 	if !gangFirst {
-		c.placePendingJobs(b)
+		c.scheduler.placePendingJobs(b)
 	}
 }
 
 // sendBatch sends a transaction unless there is nothing in it.
-func (c *Core) sendBatch(b *batch, tokens int) {
+func (c *committer) sendBatch(b *batch, tokens int) {
 	if b.isEmpty() {
 		return
 	}
 	transaction := b.transaction()
 	transaction.Conditions = append(transaction.Conditions, c.registrationCondition())
-	if !c.enforceWriteLimits(&transaction) || !c.takeWriteTokens(len(transaction.Operations)) {
+	if !c.enforceWriteLimits(&transaction) || !c.limits.takeWriteTokens(len(transaction.Operations)) {
 		return
 	}
 	for _, onSend := range b.onSend {
 		onSend()
 	}
-	c.log(slog.LevelDebug, "transaction", "jobs", len(b.jobs), "pages", len(b.shards), "of", len(c.ownedShards()), "bytes", b.estimatedBytes,
-		"tokens", tokens, "rate", c.writeRate, "whole", !c.lastCommitWasPartial)
+	c.log(slog.LevelDebug, "transaction", "jobs", len(b.jobs), "pages", len(b.shards), "of", len(c.shards.ownedShards()), "bytes", b.estimatedBytes,
+		"tokens", tokens, "rate", c.limits.writeRate, "whole", !c.reconciler.lastCommitWasPartial)
 	c.sendTransaction(&pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply})
 }
 
 // commitUserBatch sends new and withdrawn jobs.
 func (c *Core) commitUserBatch() {
-	if c.pendingUserTransaction != nil || !c.replication.isLoaded || c.now.Monotonic < c.nextUserCommitAt || c.lease.id == 0 || !c.isRegistered() || c.outcomeUnknown || c.replica.Revision < c.minRevision ||
-		len(c.submissions)+len(c.cancellations.requestedAt) == 0 {
+	if c.commits.pendingUserTransaction != nil || !c.replication.isLoaded || c.now.Monotonic < c.commits.nextUserCommitAt || c.lease.id == 0 || !c.lease.isRegistered() || c.commits.outcomeUnknown || c.replica.Revision < c.replication.minRevision ||
+		len(c.users.submissions)+len(c.cancellations.requestedAt) == 0 {
 		return
 	}
-	b := c.newBatch(min(int(c.writeLimiter.TokensAt(c.limiterTime())), c.maxTransactionOps))
-	if c.writeUserRequests(b); b.isEmpty() {
+	b := c.shards.newBatch(min(int(c.limits.writeLimiter.TokensAt(c.limiterTime())), c.limits.maxTransactionOps))
+	if c.users.writeUserRequests(b); b.isEmpty() {
 		return
 	}
 	transaction := b.transaction()
-	transaction.Conditions = append(transaction.Conditions, c.registrationCondition())
-	if c.enforceWriteLimits(&transaction) && c.takeWriteTokens(len(transaction.Operations)) {
-		c.sendTransaction(&pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply, isUserBatch: true})
+	transaction.Conditions = append(transaction.Conditions, c.commits.registrationCondition())
+	if c.commits.enforceWriteLimits(&transaction) && c.limits.takeWriteTokens(len(transaction.Operations)) {
+		c.commits.sendTransaction(&pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply, isUserBatch: true})
 	}
 }
 
@@ -146,20 +169,18 @@
 
 // enforceWriteLimits tells whether a transaction can be sent. One that can't is built anew,
 // with less in it.
-func (c *Core) enforceWriteLimits(transaction *protocol.Transaction) bool {
-	if c.writeLimits().allows(transaction) {
+func (c *committer) enforceWriteLimits(transaction *protocol.Transaction) bool {
+	if c.limits.writeLimits().allows(transaction) {
 		return true
 	}
 	c.log(slog.LevelError, "transaction outgrew the limits and is not sent", "changes", len(transaction.Operations))
-	c.shrinkTransactions()
+	c.limits.shrinkTransactions()
 	c.nextCommitAt = c.now.Monotonic.Add(rebuildDelay)
 	c.nextUserCommitAt = c.nextCommitAt
 	return false
 }
 
-func (c *Core) takeWriteTokens(n int) bool { return c.writeLimiter.AllowN(c.limiterTime(), n) }
-
-func (c *Core) sendTransaction(pending *pendingTransaction) {
+func (c *committer) sendTransaction(pending *pendingTransaction) {
 	c.lastTransactionID++
 	pending.id, pending.sentAt = c.lastTransactionID, c.now.Monotonic
 	if pending.isUserBatch {
@@ -172,8 +193,8 @@
 
 // register makes this run known. The key of an earlier run of this member is
 // replaced: it was this machine's process, so it has ended or lost its lease.
-func (c *Core) register() {
-	if !c.takeWriteTokens(1) {
+func (c *committer) register() {
+	if !c.limits.takeWriteTokens(1) {
 		return
 	}
 	key := storage.ControllerKey(c.cfg.ControllerID)
@@ -184,7 +205,7 @@
 }
 
 // onCommitResult takes in the outcome of a transaction.
-func (c *Core) onCommitResult(v CommitResult) {
+func (c *committer) onCommitResult(v CommitResult) {
 	pending, nextAt := c.pendingTransaction, &c.nextCommitAt
 	if c.pendingUserTransaction != nil && c.pendingUserTransaction.id == v.ID {
 		pending, nextAt = c.pendingUserTransaction, &c.nextUserCommitAt
@@ -202,7 +223,7 @@
 }
 
 // recordOutcome takes in what an outcome says of the state service and its budget.
-func (c *Core) recordOutcome(pending *pendingTransaction, v *CommitResult) {
+func (c *committer) recordOutcome(pending *pendingTransaction, v *CommitResult) {
 	err := v.Err
 	switch {
 	case v.Outcome == storage.OutcomeUnavailable || v.Outcome == storage.OutcomeUnknown:
@@ -212,38 +233,38 @@
 	default:
 		err = nil
 	}
-	c.recordContact(pending.sentAt, err)
+	c.store.recordContact(pending.sentAt, err)
 	if v.Outcome != storage.OutcomeThrottled {
 		c.consecutiveBusy = 0
 	}
 	switch v.Outcome {
 	case storage.OutcomeApplied, storage.OutcomeConflict, storage.OutcomeThrottled:
-		c.adaptWriteRate(v.Outcome == storage.OutcomeThrottled)
+		c.limits.adaptWriteRate(v.Outcome == storage.OutcomeThrottled)
 	}
 }
 
 // handleOutcome draws the consequences of an outcome, and tells how long the next
 // transaction has to wait.
-func (c *Core) handleOutcome(pending *pendingTransaction, v *CommitResult) (delay time.Duration) {
+func (c *committer) handleOutcome(pending *pendingTransaction, v *CommitResult) (delay time.Duration) {
 	switch v.Outcome {
 	case storage.OutcomeApplied:
 		c.applyTransaction(pending, v.Result.Revision)
 	case storage.OutcomeConflict:
 		c.log(slog.LevelDebug, "transaction refused, records have moved on", "keys", v.Result.FailedKeys)
-		c.requireRevision(v.Result.Revision)
+		c.replication.requireRevision(v.Result.Revision)
 		delay = c.jitter(20 * time.Millisecond)
-		c.checkRegistration()
+		c.lease.checkRegistration()
 	case storage.OutcomeThrottled:
 		c.consecutiveBusy++
 		delay = c.jitter(min(50*time.Millisecond<<min(c.consecutiveBusy, 4), time.Second))
 	case storage.OutcomeLeaseExpired:
-		c.registrationRevision, c.lease.id = 0, 0
+		c.lease.registrationRevision, c.lease.id = 0, 0
 	case storage.OutcomeUnavailable:
 		delay = c.jitter(300 * time.Millisecond)
 	case storage.OutcomeInvalid:
 		c.log(slog.LevelError, "transaction called malformed", "err", errorText(v.Err))
 		// Whatever made it too large, a smaller one gets on.
-		c.onTransactionTooLarge(&pending.transaction)
+		c.upgrade.onTransactionTooLarge(&pending.transaction)
 		delay = 200 * time.Millisecond
 	case storage.OutcomeUnknown:
 		// It may be applied now, later or never. Only a fence settles it.
@@ -259,37 +280,33 @@
 }
 
 // applyTransaction takes a transaction's changes into the replica.
-func (c *Core) applyTransaction(pending *pendingTransaction, revision protocol.Revision) {
+func (c *committer) applyTransaction(pending *pendingTransaction, revision protocol.Revision) {
 	c.effects = append(c.effects, pending.logsOnApply...)
 	modRevision := protocol.ModRevision(revision)
 	for _, operation := range pending.transaction.Operations {
 		if operation.PutKey != "" {
-			c.putInReplica(operation.PutKey, operation.Value, modRevision)
+			c.replication.putInReplica(operation.PutKey, operation.Value, modRevision)
 		} else {
 			c.replica.Delete(operation.DeleteKey, modRevision)
 		}
 	}
-	c.onMachinesRemoved()
-	c.maxTransactionOps = c.writeLimits().TransactionOps
+	c.agents.onMachinesRemoved()
+	c.limits.maxTransactionOps = c.limits.writeLimits().TransactionOps
 	switch {
 	case pending.registers:
-		c.incarnation = storage.NewIncarnation(c.cfg.ControllerID, c.lease.id)
-		c.registrationRevision = modRevision
-		c.requireRevision(revision)
-		c.log(slog.LevelInfo, "run registered", "run", string(c.incarnation))
+		c.lease.incarnation = storage.NewIncarnation(c.cfg.ControllerID, c.lease.id)
+		c.lease.registrationRevision = modRevision
+		c.replication.requireRevision(revision)
+		c.log(slog.LevelInfo, "run registered", "run", string(c.lease.incarnation))
 	case pending.isWriteBarrier:
 		// Transactions sent before are now either applied, and seen once
 		// the replica is as new, or never will be.
 		c.outcomeUnknown = false
-		c.registrationRevision = modRevision
-		c.requireRevision(revision)
+		c.lease.registrationRevision = modRevision
+		c.replication.requireRevision(revision)
 	}
 }
 
-func (c *Core) requireRevision(revision protocol.Revision) {
-	c.minRevision, c.minRevisionSince = max(c.minRevision, revision), c.now.Monotonic
-}
-
 func (t *pendingTransaction) hasConditionOn(key string) bool {
 	for _, condition := range t.transaction.Conditions {
 		if condition.Key == key {
@@ -300,7 +317,7 @@
 }
 
 // hasPendingConditionOn tells whether the transaction under way depends on a key.
-func (c *Core) hasPendingConditionOn(key string) bool {
+func (c *committer) hasPendingConditionOn(key string) bool {
 	return c.pendingTransaction != nil && c.pendingTransaction.hasConditionOn(key)
 }
 
--- a/internal/coordination/contention.go
+++ b/internal/coordination/contention.go
@@ -8,6 +8,25 @@
 	"tillerarch/internal/protocol"
 )
 
+// contentionTracker keeps machine types that are in short supply for the jobs that need them.
+type contentionTracker struct {
+	*stepContext
+
+	catalog     *machineCatalog
+	plan        *placementPlan
+	provisioner *machineProvisioner
+	spot        *spotPricing
+
+	lastContendedAt map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of a type
+}
+
+func newContentionTracker(step *stepContext) *contentionTracker {
+	return &contentionTracker{
+		stepContext:     step,
+		lastContendedAt: map[protocol.MachineTypeName]protocol.Instant{},
+	}
+}
+
 // Some machine types are the only ones that certain tasks fit. While such tasks wait,
 // jobs that can have a cheaper type in time leave those machines to them: else higher
 // ranked small tasks fill them, and dearer large machines are rented instead.
@@ -30,33 +49,33 @@
 // preferredTypes lists the types that a job's tasks are to be rented on: the one that costs
 // least and has machines, and those that would cost less but have none. inTime tells
 // whether new machines of that one are up before the tasks have to begin.
-func (c *Core) preferredTypes(job *pendingJob) (types []protocol.MachineTypeName, bootsInTime bool) {
-	for _, option := range c.provisionOptions(job.record.Spec) {
+func (ct *contentionTracker) preferredTypes(job *pendingJob) (types []protocol.MachineTypeName, bootsInTime bool) {
+	for _, option := range ct.provisionOptions(job.record.Spec) {
 		types = append(types, option.machineType.Name)
 		if !option.isAvailable {
 			continue
 		}
 		extraBootTime := protocol.Seconds(option.machineType.BootSeconds * (bootTimeFactor - 1))
 		startDelay := extraBootTime + machineStartupTime(option.machineType, job.record.Spec)
-		bootsInTime = !job.isLate && !job.isStarved && startDelay <= millisToDuration(job.latestStart-c.now.Wall)
+		bootsInTime = !job.isLate && !job.isStarved && startDelay <= millisToDuration(job.latestStart-ct.now.Wall)
 		return types, bootsInTime
 	}
 	return types, false
 }
 
 // provisionOptions lists how a job could be served, cheapest first.
-func (c *Core) provisionOptions(d *protocol.Job) []provisionOption {
+func (ct *contentionTracker) provisionOptions(d *protocol.Job) []provisionOption {
 	var options []provisionOption
-	for i := range c.machineTypes {
-		machineType := &c.machineTypes[i]
+	for i := range ct.catalog.machineTypes {
+		machineType := &ct.catalog.machineTypes[i]
 		tasks := float64(machineTypeCapacity(machineType, d))
 		if tasks == 0 {
 			continue
 		}
-		if c.canUseSpot(d, machineType) {
-			options = append(options, provisionOption{machineType, machineType.SpotPrice / tasks, c.isTypeAvailable(machineType, d, true)})
+		if ct.spot.canUseSpot(d, machineType) {
+			options = append(options, provisionOption{machineType, machineType.SpotPrice / tasks, ct.isTypeAvailable(machineType, d, true)})
 		}
-		options = append(options, provisionOption{machineType, machineType.OnDemandPrice / tasks, c.isTypeAvailable(machineType, d, false)})
+		options = append(options, provisionOption{machineType, machineType.OnDemandPrice / tasks, ct.isTypeAvailable(machineType, d, false)})
 	}
 	slices.SortStableFunc(options, func(a, z provisionOption) int { return cmp.Compare(a.costPerTask, z.costPerTask) })
 	return options
@@ -64,23 +83,23 @@
 
 // isTypeAvailable tells whether the cloud may have a machine of a type in a zone that the
 // job allows.
-func (c *Core) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
+func (ct *contentionTracker) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
 	return slices.ContainsFunc(machineType.Zones, func(zone protocol.Zone) bool {
-		return d.AllowsPlacement(machineType.Name, zone) && !c.isPoolExhausted(poolKey{machineType.Name, zone, spot})
+		return d.AllowsPlacement(machineType.Name, zone) && !ct.provisioner.isPoolExhausted(poolKey{machineType.Name, zone, spot})
 	})
 }
 
 // typesToAvoid lists the types that a job leaves to others which wait for them.
-func (c *Core) typesToAvoid(job *pendingJob) map[protocol.MachineTypeName]bool {
+func (ct *contentionTracker) typesToAvoid(job *pendingJob) map[protocol.MachineTypeName]bool {
 	avoided := map[protocol.MachineTypeName]bool{}
-	if len(c.lastPlan.contendedTypes) == 0 {
+	if len(ct.plan.contendedTypes) == 0 {
 		return avoided
 	}
-	preferred, bootsInTime := c.preferredTypes(job)
+	preferred, bootsInTime := ct.preferredTypes(job)
 	if !bootsInTime {
 		return avoided
 	}
-	for name := range c.lastPlan.contendedTypes {
+	for name := range ct.plan.contendedTypes {
 		if !slices.Contains(preferred, name) {
 			avoided[name] = true
 		}
@@ -89,18 +108,18 @@
 }
 
 // recordContention notes that tasks of a job have found no machine.
-func (c *Core) recordContention(job *pendingJob) {
-	types, _ := c.preferredTypes(job)
+func (ct *contentionTracker) recordContention(job *pendingJob) {
+	types, _ := ct.preferredTypes(job)
 	for _, name := range types {
-		c.lastContendedAt[name] = c.now.Monotonic
+		ct.lastContendedAt[name] = ct.now.Monotonic
 	}
 }
 
 // contendedTypes lists the types that tasks have waited for of late.
-func (c *Core) contendedTypes() map[protocol.MachineTypeName]bool {
+func (ct *contentionTracker) contendedTypes() map[protocol.MachineTypeName]bool {
 	out := map[protocol.MachineTypeName]bool{}
-	for name, at := range c.lastContendedAt {
-		if c.since(at) < contentionWindow {
+	for name, at := range ct.lastContendedAt {
+		if ct.since(at) < contentionWindow {
 			out[name] = true
 		}
 	}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -3,113 +3,235 @@
 import (
 	"cmp"
 	"fmt"
-	"log/slog"
 	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-// Core is the state machine of one controller.
+// Core is the state machine of one controller. It wires the parts, each of which owns its
+// state, and passes inputs and time to them.
 type Core struct {
-	cfg     Config
-	now     Now
-	effects []Effect
-	rng     *rand.Rand
-
-	// What the state service holds, as far as it is known here.
-	replica     *storage.Replica
-	replication replication
-	store       storeHealth
-
-	resumedAt  protocol.Instant // when this process last went on after it had stood still
-	lastStepAt protocol.Instant // last step
-
-	// This process run.
-	incarnation          storage.Incarnation
-	lease                leaseState
-	registrationRevision protocol.ModRevision // stamp of this member's key while run is registered
-
-	// Transactions: one at a time, and one beside it for what users ask for, which
-	// would else wait for all that ends and starts.
-	writeLimiter           *rate.Limiter
-	lastTransactionID      uint64
-	pendingTransaction     *pendingTransaction
-	pendingUserTransaction *pendingTransaction
-	nextUserCommitAt       protocol.Instant  // next one of those
-	outcomeUnknown         bool              // a transaction had an unknown outcome
-	minRevision            protocol.Revision // the replica must be as new before the next one
-	minRevisionSince       protocol.Instant
-	nextCommitAt           protocol.Instant
-	consecutiveBusy        int
-	writeRate              float64 // writes a second that this node allows itself
-	maxTransactionOps      int     // changes that a transaction may have now
-	pendingGangOps         int     // changes that a gang needs which found no room in the last one
-	shardSequence          int
-	nextShardMergeAt       protocol.Instant // when pages may next be joined
-	nextShardIndex         int              // of own pages, the one to go on with
-	lastCommitWasPartial   bool             // the last transaction could not take the news of all
-
-	formatUpgrade formatUpgrade
-	ownership     ownership
-
-	transferObservations map[storage.TransferSlot]transferObservation
-	lastRebalanceAt      protocol.Instant // when moves were last planned
-	lastTransferNumber   int              // of the last move that was named
-
-	pendingOperatorRequests []*operatorRequest // that are not on record yet
-
-	// Users and workers that wait.
-	submissions           map[protocol.JobID]*submission
-	cancellations         cancellations
-	gracefulStops         map[protocol.JobID]protocol.Attempt // attempts of gangs that are to stop in order
-	deferredRequests      []*deferredRequest
-	revisionRead          revisionRead
-	machineStates         map[protocol.MachineID]*machineState
-	scaleInQueue          []protocol.MachineID        // owned ones that are to go back
-	deferredHeartbeats    map[protocol.MachineID]bool // whose reports wait for their answers
-	awaitingOwner         map[protocol.MachineID]bool // those of them that wait for an owner
-	shouldRecheckDeferred bool                        // something has changed that they may wait for
-	agentCallsInFlight    int                         // direct commands under way
-
-	// Jobs, as far as this process remembers more than the records.
-	jobStates map[protocol.JobID]*jobState
-
-	// Cloud.
-	machineTypes          []protocol.MachineType
-	isListingMachineTypes bool
-	nextMachineTypesAt    protocol.Instant
-	provisioning          provisioningState
-	terminations          map[protocol.MachineID]*termination
-	isTerminating         bool
-	isListingInstances    bool
-	nextInstanceListAt    protocol.Instant // next read of the list
-	lastInstanceListAt    protocol.Instant // last one
-	silentOwnedMachines   int              // owned machines that are silent
-	listedInstances       map[protocol.MachineID]*listedInstance
-	terminatedAt          map[protocol.MachineID]protocol.Instant
-	spotThresholds        map[priceKey]*SpotPriceThreshold
-	unmetDemands          []unmetDemand
-	warmPool              warmPool
-	lastContendedAt       map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of a type
+	*stepContext
+
+	store         *storeHealth
+	lease         *incarnationLease
+	replication   *replicaSync
+	limits        *writeLimiter
+	upgrade       *formatUpgrade
+	commits       *committer
+	shards        *shardWriter
+	peers         *peerTable
+	overload      *overloadDetector
+	agents        *agentTable
+	misdirected   *misdirectedHeartbeats
+	heartbeats    *heartbeatHandler
+	calls         *agentCaller
+	reconciler    *reconciler
+	stopper       *taskStopper
+	monitor       *agentMonitor
+	jobs          *jobTable
+	cancellations *canceller
+	ownership     *shardOwnership
+	transfers     *transferManager
+	operators     *operatorRequests
+	catalog       *machineCatalog
+	spot          *spotPricing
+	inventory     *instanceInventory
+	provisioner   *machineProvisioner
+	terminator    *machineTerminator
+	queue         *jobQueue
+	capacity      *candidateLister
+	contention    *contentionTracker
+	backfill      *backfillPlanner
+	plan          *placementPlan
+	acquirer      *jobAcquirer
+	scheduler     *scheduler
+	gangs         *gangScheduler
+	services      *serviceScheduler
+	preemption    *preemptor
+	users         *userRequestHandler
+
+	nextFullTickAt protocol.Instant
+	nextCleanupAt  protocol.Instant // when what is remembered of machines and jobs that are gone is dropped next
+}
 
-	peers                 map[protocol.ControllerID]peer
-	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat // reported here though another run owns them
-	nextPeerStatusAt      protocol.Instant
-	isPeerStatusUrgent    bool // there is something that the others should hear at once
-	lastPlan              placementPlan
-	assignedAt            map[assignmentKey]protocol.Instant
-	nextFleetLogAt        protocol.Instant
-	nextFullTickAt        protocol.Instant
-	lastTickAt            protocol.Instant // last tick
-	meanTickInterval      time.Duration    // mean distance of ticks
-	overloadedSince       protocol.Instant // since when it is too long; 0: it is not
-	nextCleanupAt         protocol.Instant // when what is remembered of machines and jobs that are gone is dropped next
+// connect gives each part the other parts that it works with.
+func (c *Core) connect() {
+	c.lease.store = c.store
+	c.replication.agents = c.agents
+	c.replication.lease = c.lease
+	c.replication.limits = c.limits
+	c.replication.peers = c.peers
+	c.replication.store = c.store
+	c.upgrade.commits = c.commits
+	c.upgrade.lease = c.lease
+	c.upgrade.limits = c.limits
+	c.upgrade.ownership = c.ownership
+	c.commits.agents = c.agents
+	c.commits.lease = c.lease
+	c.commits.limits = c.limits
+	c.commits.reconciler = c.reconciler
+	c.commits.replication = c.replication
+	c.commits.shards = c.shards
+	c.commits.store = c.store
+	c.commits.upgrade = c.upgrade
+	c.shards.catalog = c.catalog
+	c.shards.commits = c.commits
+	c.shards.jobs = c.jobs
+	c.shards.lease = c.lease
+	c.shards.limits = c.limits
+	c.shards.transfers = c.transfers
+	c.peers.cancellations = c.cancellations
+	c.peers.lease = c.lease
+	c.peers.misdirected = c.misdirected
+	c.peers.ownership = c.ownership
+	c.peers.replication = c.replication
+	c.peers.store = c.store
+	c.agents.catalog = c.catalog
+	c.agents.terminator = c.terminator
+	c.misdirected.calls = c.calls
+	c.heartbeats.agents = c.agents
+	c.heartbeats.calls = c.calls
+	c.heartbeats.cancellations = c.cancellations
+	c.heartbeats.catalog = c.catalog
+	c.heartbeats.jobs = c.jobs
+	c.heartbeats.lease = c.lease
+	c.heartbeats.misdirected = c.misdirected
+	c.heartbeats.plan = c.plan
+	c.heartbeats.replication = c.replication
+	c.heartbeats.transfers = c.transfers
+	c.calls.agents = c.agents
+	c.calls.lease = c.lease
+	c.calls.misdirected = c.misdirected
+	c.reconciler.agents = c.agents
+	c.reconciler.cancellations = c.cancellations
+	c.reconciler.jobs = c.jobs
+	c.reconciler.lease = c.lease
+	c.reconciler.shards = c.shards
+	c.reconciler.stopper = c.stopper
+	c.reconciler.terminator = c.terminator
+	c.stopper.calls = c.calls
+	c.stopper.cancellations = c.cancellations
+	c.stopper.heartbeats = c.heartbeats
+	c.stopper.jobs = c.jobs
+	c.monitor.agents = c.agents
+	c.monitor.calls = c.calls
+	c.monitor.jobs = c.jobs
+	c.monitor.shards = c.shards
+	c.monitor.stopper = c.stopper
+	c.monitor.terminator = c.terminator
+	c.cancellations.agents = c.agents
+	c.cancellations.calls = c.calls
+	c.cancellations.commits = c.commits
+	c.cancellations.lease = c.lease
+	c.cancellations.limits = c.limits
+	c.cancellations.ownership = c.ownership
+	c.cancellations.peers = c.peers
+	c.cancellations.replication = c.replication
+	c.cancellations.terminator = c.terminator
+	c.ownership.agents = c.agents
+	c.ownership.lease = c.lease
+	c.ownership.limits = c.limits
+	c.ownership.overload = c.overload
+	c.ownership.shards = c.shards
+	c.ownership.transfers = c.transfers
+	c.transfers.agents = c.agents
+	c.transfers.cancellations = c.cancellations
+	c.transfers.lease = c.lease
+	c.transfers.overload = c.overload
+	c.transfers.ownership = c.ownership
+	c.transfers.peers = c.peers
+	c.transfers.shards = c.shards
+	c.operators.lease = c.lease
+	c.operators.overload = c.overload
+	c.operators.replication = c.replication
+	c.operators.transfers = c.transfers
+	c.catalog.spot = c.spot
+	c.inventory.ownership = c.ownership
+	c.inventory.provisioner = c.provisioner
+	c.inventory.replication = c.replication
+	c.inventory.terminator = c.terminator
+	c.provisioner.catalog = c.catalog
+	c.provisioner.lease = c.lease
+	c.provisioner.plan = c.plan
+	c.provisioner.replication = c.replication
+	c.provisioner.spot = c.spot
+	c.provisioner.terminator = c.terminator
+	c.terminator.agents = c.agents
+	c.terminator.cancellations = c.cancellations
+	c.terminator.catalog = c.catalog
+	c.terminator.inventory = c.inventory
+	c.terminator.lease = c.lease
+	c.terminator.plan = c.plan
+	c.terminator.replication = c.replication
+	c.terminator.scheduler = c.scheduler
+	c.queue.catalog = c.catalog
+	c.capacity.agents = c.agents
+	c.capacity.catalog = c.catalog
+	c.capacity.lease = c.lease
+	c.capacity.provisioner = c.provisioner
+	c.capacity.queue = c.queue
+	c.capacity.spot = c.spot
+	c.capacity.terminator = c.terminator
+	c.capacity.transfers = c.transfers
+	c.contention.catalog = c.catalog
+	c.contention.plan = c.plan
+	c.contention.provisioner = c.provisioner
+	c.contention.spot = c.spot
+	c.backfill.agents = c.agents
+	c.backfill.capacity = c.capacity
+	c.backfill.catalog = c.catalog
+	c.backfill.jobs = c.jobs
+	c.acquirer.jobs = c.jobs
+	c.acquirer.lease = c.lease
+	c.acquirer.limits = c.limits
+	c.acquirer.ownership = c.ownership
+	c.scheduler.acquirer = c.acquirer
+	c.scheduler.backfill = c.backfill
+	c.scheduler.capacity = c.capacity
+	c.scheduler.catalog = c.catalog
+	c.scheduler.contention = c.contention
+	c.scheduler.gangs = c.gangs
+	c.scheduler.jobs = c.jobs
+	c.scheduler.lease = c.lease
+	c.scheduler.plan = c.plan
+	c.scheduler.queue = c.queue
+	c.scheduler.reconciler = c.reconciler
+	c.scheduler.services = c.services
+	c.gangs.acquirer = c.acquirer
+	c.gangs.capacity = c.capacity
+	c.gangs.catalog = c.catalog
+	c.gangs.jobs = c.jobs
+	c.gangs.limits = c.limits
+	c.gangs.plan = c.plan
+	c.gangs.preemption = c.preemption
+	c.gangs.queue = c.queue
+	c.gangs.scheduler = c.scheduler
+	c.services.acquirer = c.acquirer
+	c.services.capacity = c.capacity
+	c.services.agents = c.agents
+	c.services.catalog = c.catalog
+	c.services.jobs = c.jobs
+	c.services.lease = c.lease
+	c.services.plan = c.plan
+	c.services.preemption = c.preemption
+	c.services.queue = c.queue
+	c.services.scheduler = c.scheduler
+	c.preemption.agents = c.agents
+	c.preemption.gangs = c.gangs
+	c.preemption.lease = c.lease
+	c.preemption.limits = c.limits
+	c.preemption.stopper = c.stopper
+	c.users.cancellations = c.cancellations
+	c.users.catalog = c.catalog
+	c.users.lease = c.lease
+	c.users.limits = c.limits
+	c.users.replication = c.replication
+	c.users.store = c.store
 }
 
 // misdirectedHeartbeat is a report that came to a node that does not own its machine.
@@ -140,20 +262,55 @@
 	logsOnApply    []Effect
 }
 
+// rngStream selects the random sequence of the core.
+const rngStream = 7
+
 // New makes the core of a controller that knows nothing yet.
 func New(cfg Config, now Now) *Core {
+	step := &stepContext{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, rngStream)), replica: storage.NewReplica()}
 	c := &Core{
-		cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), replica: storage.NewReplica(),
-		submissions: map[protocol.JobID]*submission{}, cancellations: newCancellations(),
-		gracefulStops: map[protocol.JobID]protocol.Attempt{}, machineStates: map[protocol.MachineID]*machineState{}, jobStates: map[protocol.JobID]*jobState{},
-		provisioning: newProvisioningState(), warmPool: newWarmPool(), lastContendedAt: map[protocol.MachineTypeName]protocol.Instant{}, terminations: map[protocol.MachineID]*termination{},
-		listedInstances: map[protocol.MachineID]*listedInstance{}, terminatedAt: map[protocol.MachineID]protocol.Instant{},
-		spotThresholds: map[priceKey]*SpotPriceThreshold{}, peers: map[protocol.ControllerID]peer{}, misdirectedHeartbeats: map[protocol.MachineID]misdirectedHeartbeat{},
-		ownership: newOwnership(), transferObservations: map[storage.TransferSlot]transferObservation{}, deferredHeartbeats: map[protocol.MachineID]bool{}, awaitingOwner: map[protocol.MachineID]bool{}, assignedAt: map[assignmentKey]protocol.Instant{},
+		stepContext:   step,
+		store:         &storeHealth{stepContext: step},
+		lease:         &incarnationLease{stepContext: step},
+		replication:   &replicaSync{stepContext: step},
+		limits:        &writeLimiter{stepContext: step},
+		upgrade:       newFormatUpgrade(step),
+		commits:       &committer{stepContext: step},
+		shards:        &shardWriter{stepContext: step},
+		peers:         newPeerTable(step),
+		overload:      &overloadDetector{stepContext: step},
+		agents:        newAgentTable(step),
+		misdirected:   newMisdirectedHeartbeats(step),
+		heartbeats:    &heartbeatHandler{stepContext: step},
+		calls:         &agentCaller{stepContext: step},
+		reconciler:    &reconciler{stepContext: step},
+		stopper:       newTaskStopper(step),
+		monitor:       &agentMonitor{stepContext: step},
+		jobs:          newJobTable(step),
+		cancellations: newCanceller(step),
+		ownership:     newShardOwnership(step),
+		transfers:     newTransferManager(step),
+		operators:     &operatorRequests{stepContext: step},
+		catalog:       &machineCatalog{stepContext: step},
+		spot:          newSpotPricing(step),
+		inventory:     newInstanceInventory(step),
+		provisioner:   newMachineProvisioner(step),
+		terminator:    newMachineTerminator(step),
+		queue:         &jobQueue{stepContext: step},
+		capacity:      &candidateLister{stepContext: step},
+		contention:    newContentionTracker(step),
+		backfill:      &backfillPlanner{stepContext: step},
+		plan:          &placementPlan{stepContext: step},
+		acquirer:      &jobAcquirer{stepContext: step},
+		scheduler:     newScheduler(step),
+		gangs:         &gangScheduler{stepContext: step},
+		services:      &serviceScheduler{stepContext: step},
+		preemption:    &preemptor{stepContext: step},
+		users:         newUserRequestHandler(step),
 	}
+	c.connect()
 	c.replica.OnMachineChange = c.onMachineChanged
-	c.formatUpgrade.packedReaders = map[protocol.ControllerID]bool{}
-	c.updateWriteLimiter()
+	c.limits.updateWriteLimiter()
 	return c
 }
 
@@ -173,22 +330,8 @@
 	return out
 }
 
-func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
-
-func (c *Core) log(l slog.Level, msg string, args ...any) { c.emit(Log{l, msg, args}) }
-
-// limiterTime is the wall-free time as x/time/rate wants it.
-func (c *Core) limiterTime() time.Time { return time.Unix(0, int64(c.now.Monotonic)) }
-
 func millisToDuration(m protocol.Millis) time.Duration { return time.Duration(m) * time.Millisecond }
 
-func (c *Core) since(t protocol.Instant) time.Duration { return c.now.Monotonic.Sub(t) }
-
-// jitter gives d, give or take a quarter.
-func (c *Core) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + c.rng.Float64()/2))
-}
-
 // Step takes one input and gives the effects it has.
 func (c *Core) Step(now Now, in Input) []Effect {
 	if c.lastStepAt != 0 && now.Monotonic.Sub(c.lastStepAt) > pauseThreshold {
@@ -200,38 +343,38 @@
 	c.effects = nil
 	switch v := in.(type) {
 	case UserInput:
-		c.onUserInput(v)
+		c.users.onUserInput(v)
 	case HeartbeatInput:
-		c.onHeartbeat(v)
+		c.heartbeats.onHeartbeat(v)
 	case CommitResult:
-		c.onCommitResult(v)
+		c.commits.onCommitResult(v)
 	case LoadRecordsResult:
-		c.onLoadRecordsResult(v)
+		c.replication.onLoadRecordsResult(v)
 	case WatchResult:
-		c.onWatchResult(v)
+		c.replication.onWatchResult(v)
 	case ReadRevisionResult:
-		c.onReadRevisionResult(v)
+		c.users.onReadRevisionResult(v)
 	case GrantLeaseResult:
-		c.onGrantLeaseResult(v)
+		c.lease.onGrantLeaseResult(v)
 	case RenewLeaseResult:
-		c.onRenewLeaseResult(v)
+		c.lease.onRenewLeaseResult(v)
 	case ListMachineTypesResult:
-		c.onMachineTypes(v)
+		c.catalog.onMachineTypes(v)
 	case ProvisionMachinesResult:
-		c.onProvisionResult(v)
+		c.provisioner.onProvisionResult(v)
 	case TerminateMachinesResult:
-		c.onTerminateResult(v)
+		c.terminator.onTerminateResult(v)
 	case ListInstancesResult:
-		c.onInstanceList(v)
+		c.inventory.onInstanceList(v)
 	case AgentResult:
 		c.shouldRecheckDeferred = true
-		c.onAgentResult(v)
+		c.calls.onAgentResult(v)
 	case TransferRequest:
-		c.onTransferRequest(v)
+		c.operators.onTransferRequest(v)
 	case DrainRequest:
-		c.onDrainRequest(v)
+		c.operators.onDrainRequest(v)
 	case ShardingStatusRequest:
-		c.onShardingStatusRequest(v)
+		c.operators.onShardingStatusRequest(v)
 	case PeerStatusInput:
 		c.onPeerStatus(v.Status)
 	case Tick:
@@ -240,10 +383,10 @@
 	default:
 		panic(fmt.Sprintf("coordination: unknown input %T", in))
 	}
-	c.replyPending()
-	c.resolveDeferredHeartbeats()
+	c.users.replyPending()
+	c.heartbeats.resolveDeferredHeartbeats()
 	c.commitBatch()
-	c.watchRecords(len(c.deferredRequests) > 0)
+	c.replication.watchRecords(len(c.users.deferredRequests) > 0)
 	return c.effects
 }
 
@@ -251,101 +394,65 @@
 // silent here but reports there is handed over: the way between its worker and
 // this node is broken, and waiting would only let its lease run out.
 func (c *Core) onPeerStatus(status PeerStatus) {
-	c.peers[status.ControllerID] = peer{status, c.now.Monotonic}
-	c.onPeerCancellations(&status)
-	c.recordHeartbeatsElsewhere(&status)
+	c.peers.peers[status.ControllerID] = peer{status, c.now.Monotonic}
+	c.cancellations.onPeerCancellations(&status)
+	c.ownership.recordHeartbeatsElsewhere(&status)
 }
 
 // onMachineChanged takes in that a machine's record has changed.
 func (c *Core) onMachineChanged(id protocol.MachineID, before, after *storage.MachineRecord) {
 	c.shouldRecheckDeferred = true
 	if before != nil && after != nil {
-		c.recordExitedReplicas(id, before, after)
+		c.services.recordExitedReplicas(id, before, after)
 	}
-	c.recordAssignments(id, before, after)
+	c.agents.recordAssignments(id, before, after)
 }
 
-// recordHeartbeatsElsewhere marks the owned machines whose workers report to the sender of a
-// hint, to be handed over.
-func (c *Core) recordHeartbeatsElsewhere(h *PeerStatus) {
-	for _, misdirected := range h.MisdirectedHeartbeats[:min(len(h.MisdirectedHeartbeats), maxMisdirectedPerStatus)] {
-		if e := c.replica.Machines[misdirected.Machine]; e != nil && c.ownsMachine(&e.Record) && c.replica.IsAlive(h.Incarnation) {
-			m := c.trackOwnedMachine(e, misdirected.Machine)
-			if misdirected.AgentEpoch < m.lastAgentEpoch || misdirected.AgentEpoch == m.lastAgentEpoch && misdirected.Sequence <= m.lastSequence {
-				continue // a late copy of a report that has been here
-			}
-			// What was sent before and comes here late is no sign that the worker reaches
-			// this node.
-			m.lastAgentEpoch, m.lastSequence = misdirected.AgentEpoch, misdirected.Sequence
-			m.handOffTarget, m.handOffRequestedAt = h.Incarnation, c.now.Monotonic
-			c.ownership.pendingHandOffs[misdirected.Machine] = true
-		}
-	}
-}
-
-func (c *Core) isRegistered() bool { return c.registrationRevision != 0 }
-
 // Healthy tells whether the node can take requests. In an outage that all see
 // it stays healthy: it can answer, if only that the user must come back.
 func (c *Core) Healthy() bool {
-	if !c.replication.isLoaded || c.incarnation == "" {
+	if !c.replication.isLoaded || c.lease.incarnation == "" {
 		// A process that begins in an outage has read nothing, and is no worse than
 		// the others: it says so at once, and serves as soon as it can, while a node
 		// that was called unhealthy would be passed over for a while behind the outage.
 		if c.store.consecutiveFailures == 0 || c.since(c.store.firstFailureAt) < 2*time.Second {
 			return false
 		}
-	} else if !c.storeUnavailable() || c.since(c.store.lastResponseAt) < 3*time.Second {
+	} else if !c.replication.storeUnavailable() || c.since(c.store.lastResponseAt) < 3*time.Second {
 		return true
 	}
 	// If another one reaches the state service, it is this node alone that is cut off. A
 	// node that hears neither the state service nor any other node must take it that it
 	// is the one that is cut off: users do better elsewhere.
-	return c.peersReportStoreUnavailable(3 * time.Second)
-}
-
-// peersReportStoreUnavailable tells whether other controllers have been heard of within a time, and
-// all of those say that they do not reach the state service.
-func (c *Core) peersReportStoreUnavailable(within time.Duration) bool {
-	anyHeard := c.cfg.PeerCount == 0
-	for _, p := range c.peers {
-		if c.since(p.receivedAt) >= within {
-			continue
-		}
-		if p.status.StoreReachable {
-			return false
-		}
-		anyHeard = true
-	}
-	return anyHeard
+	return c.peers.peersReportStoreUnavailable(3 * time.Second)
 }
 
 func (c *Core) tick() {
 	now := c.now.Monotonic
-	c.measureOverload()
+	c.overload.measureOverload()
 	if !c.replication.isLoaded && !c.replication.isLoading && !c.replication.isWatching && now >= c.replication.retryAt {
 		c.replication.isLoading, c.replication.loadRequestedAt = true, now
 		c.emit(LoadRecords{})
 	}
-	c.tickLease()
-	c.tickCancellations()
-	c.tickPeerStatus()
-	c.expireUserRequests()
-	c.expireCancellations()
+	c.lease.tickLease()
+	c.cancellations.tickCancellations()
+	c.peers.tickPeerStatus()
+	c.users.expireUserRequests()
+	c.cancellations.expireCancellations()
 	if now < c.nextFullTickAt {
 		return
 	}
 	c.nextFullTickAt = now.Add(200 * time.Millisecond)
 	if c.replication.isLoaded {
-		c.recordFormatSupport()
-		c.trackExpiredIncarnations()
+		c.upgrade.recordFormatSupport()
+		c.ownership.trackExpiredIncarnations()
 	}
-	c.expireOperatorRequests()
+	c.operators.expireOperatorRequests()
 	if c.replication.isLoaded {
-		c.tickMachines()
+		c.monitor.tickMachines()
 		c.forgetGone()
 	}
-	c.forceScaleIn()
+	c.cancellations.forceScaleIn()
 	c.pollCloud()
 }
 
@@ -359,43 +466,20 @@
 		return
 	}
 	c.nextCleanupAt = c.now.Monotonic.Add(forgetInterval)
-	c.forgetMachines()
-	c.forgetJobs()
+	c.agents.forgetMachines()
+	c.jobs.forgetJobs()
 }
 
 // pollCloud asks the cloud for what is due.
 func (c *Core) pollCloud() {
-	c.pollMachineTypes()
-	if !c.replication.isLoaded || !c.isRegistered() {
-		return
-	}
-	c.forgetTerminated()
-	c.scaleOut()
-	c.sendTerminations()
-	c.pollInstances()
-}
-
-// tickPeerStatus tells the other controllers of this one when that is due.
-func (c *Core) tickPeerStatus() {
-	now := c.now.Monotonic
-	if now < c.nextPeerStatusAt && !c.isPeerStatusUrgent {
+	c.catalog.pollMachineTypes()
+	if !c.replication.isLoaded || !c.lease.isRegistered() {
 		return
 	}
-	c.isPeerStatusUrgent = false
-	c.nextPeerStatusAt = now.Add(c.jitter(time.Second))
-	status := PeerStatus{ControllerID: c.cfg.ControllerID, StoreReachable: c.replication.isLoaded && c.since(c.store.lastResponseAt) < 2*time.Second && c.store.consecutiveFailures == 0}
-	if c.isRegistered() {
-		status.Incarnation = c.incarnation
-		c.addCancellationStatus(&status)
-		status.AcceptsShards = c.canAcceptMachines()
-		if c.addMisdirectedHeartbeats(&status) {
-			c.nextPeerStatusAt = now.Add(c.jitter(peerStatusBacklogInterval))
-		}
-	}
-	maps.DeleteFunc(c.misdirectedHeartbeats, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
-		return c.since(heartbeat.receivedAt) > 3*time.Second
-	})
-	c.emit(SendPeerStatus{status})
+	c.terminator.forgetTerminated()
+	c.provisioner.scaleOut()
+	c.terminator.sendTerminations()
+	c.inventory.pollInstances()
 }
 
 // maxMisdirectedPerStatus is how many machines of others one hint names: what fits into a frame beside
@@ -405,49 +489,6 @@
 // peerStatusBacklogInterval is the distance of hints while there is more to tell than fits into one.
 const peerStatusBacklogInterval = 200 * time.Millisecond
 
-// addMisdirectedHeartbeats adds to a hint the machines of others whose workers report here, in turn, and
-// tells whether there are more.
-func (c *Core) addMisdirectedHeartbeats(status *PeerStatus) (hasMore bool) {
-	responded := selectKeys(c.misdirectedHeartbeats, func(heartbeat misdirectedHeartbeat) bool {
-		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
-	})
-	for _, id := range responded[:min(len(responded), maxMisdirectedPerStatus)] {
-		heartbeat := c.misdirectedHeartbeats[id]
-		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, MisdirectedHeartbeat{id, heartbeat.agentEpoch, heartbeat.sequence})
-		heartbeat.isAnnounced = true
-		c.misdirectedHeartbeats[id] = heartbeat
-	}
-	if len(responded) > maxMisdirectedPerStatus {
-		return true
-	}
-	for id, heartbeat := range c.misdirectedHeartbeats {
-		heartbeat.isAnnounced = false // a hint may have been lost: they are told once more
-		c.misdirectedHeartbeats[id] = heartbeat
-	}
-	return false
-}
-
-// measureOverload notes whether this process falls behind: its ticks, which are due every 50
-// ms, come late for seconds on end. One that computes several times slower than the
-// others gives pages away, before their workers lose patience and their leases.
-func (c *Core) measureOverload() {
-	gap := min(c.since(c.lastTickAt), time.Second)
-	if c.lastTickAt != 0 {
-		c.meanTickInterval += (gap - c.meanTickInterval) / 16
-	}
-	c.lastTickAt = c.now.Monotonic
-	if c.meanTickInterval < overloadTickInterval {
-		c.overloadedSince = 0
-	} else if c.overloadedSince == 0 {
-		c.overloadedSince = c.now.Monotonic
-	}
-}
-
-// isOverloaded tells whether it has fallen behind for so long that it is no passing peak.
-func (c *Core) isOverloaded() bool {
-	return c.overloadedSince != 0 && c.since(c.overloadedSince) > 3*time.Second
-}
-
 // overloadTickInterval is a mean distance of ticks that shows a process short of time: five
 // times what it should be.
 const overloadTickInterval = 250 * time.Millisecond
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -26,9 +26,9 @@
 	step(0, Tick{})
 	step(0, GrantLeaseResult{LeaseID: 7})
 	step(0, LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
+	step(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
 	step(0, WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
-	if !c.isRegistered() || !c.isUpToDate() {
+	if !c.lease.isRegistered() || !c.replication.isUpToDate() {
 		t.Fatal("the core does not begin")
 	}
 	return c, step
@@ -58,7 +58,7 @@
 				step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 			}
 		}
-		if got := core.isUpToDate(); got != c.want {
+		if got := core.replication.isUpToDate(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -89,15 +89,15 @@
 	}
 	// Whatever is sent rests on this run's own key: once that has gone, nothing
 	// that is still on its way is applied.
-	if !slices.Contains(c.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.registrationRevision}) {
-		t.Errorf("the transaction does not depend on the run's key: %v", c.pendingUserTransaction.transaction.Conditions)
+	if !slices.Contains(c.commits.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.lease.registrationRevision}) {
+		t.Errorf("the transaction does not depend on the run's key: %v", c.commits.pendingUserTransaction.transaction.Conditions)
 	}
-	step(0, CommitResult{ID: c.pendingUserTransaction.id, Outcome: storage.OutcomeUnknown, Err: errNoUsableResponse})
+	step(0, CommitResult{ID: c.commits.pendingUserTransaction.id, Outcome: storage.OutcomeUnknown, Err: errNoUsableResponse})
 	step(time.Second, RenewLeaseResult{LeaseID: 7})
-	if c.pendingTransaction == nil || !c.pendingTransaction.isWriteBarrier || c.pendingTransaction.transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.pendingTransaction.transaction.Operations[0].Lease != 7 {
-		t.Fatalf("no fence: %+v", c.pendingTransaction)
+	if c.commits.pendingTransaction == nil || !c.commits.pendingTransaction.isWriteBarrier || c.commits.pendingTransaction.transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commits.pendingTransaction.transaction.Operations[0].Lease != 7 {
+		t.Fatalf("no fence: %+v", c.commits.pendingTransaction)
 	}
-	out := step(0, CommitResult{ID: c.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
+	out := step(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
 	out = append(out, submit()...)
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
@@ -111,11 +111,11 @@
 func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *machineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
-	if _, err := c.replica.Put(key, storage.EncodePlainShard(c.incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.replica.ModRevision(key)+1); err != nil {
+	if _, err := c.replica.Put(key, storage.EncodePlainShard(c.lease.incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
 	machine := c.replica.Machines["m-1"]
-	return machine, c.trackOwnedMachine(machine, "m-1")
+	return machine, c.agents.trackOwnedMachine(machine, "m-1")
 }
 
 func newHeartbeat(machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
@@ -157,7 +157,7 @@
 			m.commandsLostAt = core.now.Monotonic
 		}
 		starts := 0
-		for _, o := range core.commandsFor(e, m, true) {
+		for _, o := range core.heartbeats.commandsFor(e, m, true) {
 			if o.Type == protocol.CommandStart && o.Attempt == 5 {
 				starts++
 			}
@@ -254,7 +254,7 @@
 		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
 		step(3*time.Second, Tick{}) // answered by now
 		step(c.after-3*time.Second, RenewLeaseResult{LeaseID: 7})
-		if got := core.isAgentLeaseExpired(m, &e.Record); got != c.want {
+		if got := core.agents.isAgentLeaseExpired(m, &e.Record); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -282,21 +282,21 @@
 		step(c.pause, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 		step(0, RenewLeaseResult{LeaseID: 7})
 		step(0, Tick{})
-		if core.isUpToDate() != c.fresh || core.isSilent(m) != c.silent {
-			t.Errorf("%s: fresh %v, silent %v", c.name, core.isUpToDate(), core.isSilent(m))
+		if core.replication.isUpToDate() != c.fresh || core.agents.isSilent(m) != c.silent {
+			t.Errorf("%s: fresh %v, silent %v", c.name, core.replication.isUpToDate(), core.agents.isSilent(m))
 		}
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
 			step(600*time.Millisecond, Tick{})
 			step(0, RenewLeaseResult{LeaseID: 7})
 			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 		}
-		if !core.isUpToDate() {
+		if !core.replication.isUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
 		}
 		for i := 0; i < 10; i++ {
 			step(time.Second, Tick{})
 		}
-		if !core.isSilent(m) {
+		if !core.agents.isSilent(m) {
 			t.Errorf("%s: silence behind the pause is not noticed", c.name)
 		}
 	}
@@ -332,7 +332,7 @@
 					misdirected = append(misdirected, MisdirectedHeartbeat{id, 1, 9})
 				}
 			}
-			if _, err := core.replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
+			if _, err := core.replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.lease.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -348,15 +348,15 @@
 				for _, m := range p.Machines {
 					lines = append(lines, core.replica.EncodedLine(m))
 				}
-				core.replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.incarnation, 5, lines, nil), 99)
+				core.replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.lease.incarnation, 5, lines, nil), 99)
 			}
 		}
-		b := core.newBatch(24)
+		b := core.shards.newBatch(24)
 		core.cfg.TransactionOps = 24
-		core.handOffMachines(b)
+		core.ownership.handOffMachines(b)
 		transferredShards, movedMachines := 0, 0
 		for id, d := range b.shards {
-			if d.owner == core.incarnation {
+			if d.owner == core.lease.incarnation {
 				continue
 			}
 			if d.owner == "" {
@@ -435,15 +435,15 @@
 				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
-			data := storage.EncodePlainShard(core.incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
+			data := storage.EncodePlainShard(core.lease.incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
 			if _, err := core.replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
 		put("a", c.eSmall, c.small, storage.TaskRange(0, 3))
 		put("b", c.eLarge, c.large, storage.TaskRange(4, 5))
-		b := core.newBatch(8)
-		core.mergeShards(b)
+		b := core.shards.newBatch(8)
+		core.shards.mergeShards(b)
 		transaction := b.transaction()
 		if merged := len(transaction.Operations) == 2; merged != c.want {
 			t.Errorf("%s: joined %v", c.name, merged)
@@ -480,7 +480,7 @@
 	} {
 		core, step := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		j := core.jobState("j-1")
+		j := core.jobs.jobState("j-1")
 		j.measuredTasks, j.measuredRuntime = 100, 1000*time.Second
 		sequence := protocol.Sequence(0)
 		heartbeat := func(after int, tasks ...protocol.TaskStatus) {
@@ -495,7 +495,7 @@
 			task := protocol.Task{Job: "j-1", Index: i}
 			heartbeat(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 			heartbeat(s, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
-			core.recordTaskRuntime(m, task)
+			core.jobs.recordTaskRuntime(m, task)
 		}
 		if got := m.slowdown.isSlow(); got != c.want {
 			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.slowdown.ratio)
@@ -537,8 +537,8 @@
 				step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
 			}
 		}
-		if transferred != c.want || core.isOverloaded() != c.want {
-			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.isOverloaded())
+		if transferred != c.want || core.overload.isOverloaded() != c.want {
+			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.overload.isOverloaded())
 		}
 	}
 }
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -21,7 +21,7 @@
 	if _, err := c.replica.Put(key, data, c.replica.ModRevision(key)+100); err != nil {
 		t.Fatal(err)
 	}
-	c.recordFormatSupport()
+	c.upgrade.recordFormatSupport()
 }
 
 // The format is raised only once every controller has been seen to read the packed one,
@@ -50,7 +50,7 @@
 		if !c.none {
 			core.cfg.AnnouncedLimits = &announcedLimits
 		}
-		core.formatUpgrade.areAnnouncedLimitsActive = c.refused
+		core.upgrade.areAnnouncedLimitsActive = c.refused
 		putController(t, core, "stall-0", packed)
 		for _, formats := range [][]storage.Format{c.seen, c.now} {
 			for i, f := range formats {
@@ -62,7 +62,7 @@
 				}
 			}
 		}
-		if got := core.canRaiseFormat(); got != c.want {
+		if got := core.upgrade.canRaiseFormat(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -73,12 +73,12 @@
 func TestWriteLimitsFollowFormat(t *testing.T) {
 	core, _ := newReadyCore(t)
 	core.cfg.AnnouncedLimits = &WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
-	if got, want := core.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
+	if got, want := core.limits.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
 		t.Errorf("before: %+v", got)
 	}
-	core.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
-	if got, want := core.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.maxTransactionOps != 4 {
-		t.Errorf("after: %+v, %d changes in a transaction", got, core.maxTransactionOps)
+	core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+	if got, want := core.limits.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.limits.maxTransactionOps != 4 {
+		t.Errorf("after: %+v, %d changes in a transaction", got, core.limits.maxTransactionOps)
 	}
 	value := func(n int) protocol.Operation { return protocol.Operation{PutKey: "k", Value: make([]byte, n)} }
 	for _, c := range []struct {
@@ -91,7 +91,7 @@
 		{[]protocol.Operation{value(1), value(1), value(1), value(1), value(1)}, 1, false},
 		{[]protocol.Operation{value(1)}, 17, false},
 	} {
-		if got := core.writeLimits().allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
+		if got := core.limits.writeLimits().allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
 			t.Errorf("%d changes, %d conditions: %v", len(c.then), c.when, got)
 		}
 	}
@@ -111,7 +111,7 @@
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
 		size += len(lines[machines]) + 3
 	}
-	c.putInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
+	c.replication.putInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
 	return machines
 }
 
@@ -127,11 +127,11 @@
 		core, step := newReadyCore(t)
 		core.cfg.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
-			c.owner = core.incarnation
+			c.owner = core.lease.incarnation
 		}
-		core.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+		core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 		machines := putOversizedShard(t, core, c.owner)
-		if ops := core.shardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
+		if ops := core.shards.shardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
 			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.replica.Shards["crowded"].EncodedSize)
 		}
 		var sent *protocol.Transaction
@@ -149,12 +149,12 @@
 		if sent == nil || !announcedLimits.allows(sent) {
 			t.Fatalf("%s: %+v", c.name, sent)
 		}
-		step(0, CommitResult{ID: core.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
+		step(0, CommitResult{ID: core.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
 		if len(core.replica.Machines) != machines {
 			t.Errorf("%s: %d machines of %d are left", c.name, len(core.replica.Machines), machines)
 		}
 		for id, m := range core.replica.Machines {
-			if m.Record.Owner != core.incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
+			if m.Record.Owner != core.lease.incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
 				t.Errorf("%s: %s of %s at epoch %d", c.name, id, m.Record.Owner, m.Record.ShardEpoch)
 			}
 		}
@@ -171,12 +171,12 @@
 	core.cfg.AnnouncedLimits = &announcedLimits
 	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
 	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
-	before := core.maxTransactionOps
-	if core.onTransactionTooLarge(small); core.formatUpgrade.areAnnouncedLimitsActive {
+	before := core.limits.maxTransactionOps
+	if core.upgrade.onTransactionTooLarge(small); core.upgrade.areAnnouncedLimitsActive {
 		t.Error("a small transaction that is refused says nothing of the limits")
 	}
-	if core.onTransactionTooLarge(large); !core.formatUpgrade.areAnnouncedLimitsActive || core.maxTransactionOps >= before || core.maxTransactionOps < minTransactionOps {
-		t.Errorf("refused %v, %d changes in the next one", core.formatUpgrade.areAnnouncedLimitsActive, core.maxTransactionOps)
+	if core.upgrade.onTransactionTooLarge(large); !core.upgrade.areAnnouncedLimitsActive || core.limits.maxTransactionOps >= before || core.limits.maxTransactionOps < minTransactionOps {
+		t.Errorf("refused %v, %d changes in the next one", core.upgrade.areAnnouncedLimitsActive, core.limits.maxTransactionOps)
 	}
 }
 
@@ -201,7 +201,7 @@
 		for range c.types {
 			j.MachineTypes = append(j.MachineTypes, protocol.MachineTypeName(random(100)))
 		}
-		if got := core.jobRecordFits(j); got != c.want {
+		if got := core.users.jobRecordFits(j); got != c.want {
 			t.Errorf("%d types: %v", c.types, got)
 		}
 	}
@@ -213,7 +213,7 @@
 func TestReplicaRestartBackoff(t *testing.T) {
 	c, step := newReadyCore(t)
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
-	c.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
+	c.replication.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
 	rec := storage.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
 	modRevision := protocol.ModRevision(50)
 	put := func(attempt protocol.Attempt) {
@@ -222,9 +222,9 @@
 			r.Assign(protocol.Task{Job: "j-1"}, attempt)
 		}
 		modRevision++
-		c.putInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
+		c.replication.putInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
 	}
-	backoff := func() time.Duration { return c.jobState("j-1").notBefore.Sub(c.now.Monotonic) }
+	backoff := func() time.Duration { return c.jobs.jobState("j-1").notBefore.Sub(c.now.Monotonic) }
 	before := time.Duration(0)
 	for attempt := range protocol.Attempt(12) {
 		put(attempt + 1)
@@ -266,15 +266,15 @@
 		m := storage.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
-	core.putInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.incarnation, 3, lines, nil), 40)
+	core.replication.putInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.lease.incarnation, 3, lines, nil), 40)
 	var done storage.TaskSet
 	for n := 0; n < 1800; n += 2 {
 		done = done.Add(n)
 	}
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
-		Owner: core.incarnation, NextAttempt: 1024, CompletedTasks: done}
-	core.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
-	core.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+		Owner: core.lease.incarnation, NextAttempt: 1024, CompletedTasks: done}
+	core.replication.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
+	core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
 		for _, e := range step(50*time.Millisecond, Tick{}) {
--- /dev/null
+++ b/internal/coordination/instance_inventory.go
@@ -0,0 +1,99 @@
+package coordination
+
+import (
+	"log/slog"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+	"time"
+)
+
+// instanceInventory holds the cloud's list of instances and adopts those that no record knows.
+type instanceInventory struct {
+	*stepContext
+
+	ownership   *shardOwnership
+	provisioner *machineProvisioner
+	replication *replicaSync
+	terminator  *machineTerminator
+
+	isListingInstances  bool
+	nextInstanceListAt  protocol.Instant // next read of the list
+	lastInstanceListAt  protocol.Instant // last one
+	silentOwnedMachines int              // owned machines that are silent
+	listedInstances     map[protocol.MachineID]*listedInstance
+}
+
+func newInstanceInventory(step *stepContext) *instanceInventory {
+	return &instanceInventory{
+		stepContext:     step,
+		listedInstances: map[protocol.MachineID]*listedInstance{},
+	}
+}
+
+// pollInstances reads the cloud's list of machines when that is due.
+func (ii *instanceInventory) pollInstances() {
+	now := ii.now.Monotonic
+	if ii.silentOwnedMachines > 0 {
+		ii.nextInstanceListAt = min(ii.nextInstanceListAt, ii.lastInstanceListAt.Add(ii.cfg.SilentInstanceListInterval))
+	}
+	if !ii.isListingInstances && now >= ii.nextInstanceListAt {
+		ii.lastInstanceListAt = now
+		ii.isListingInstances = true
+		ii.nextInstanceListAt = now.Add(ii.jitter(ii.cfg.InstanceListInterval))
+		ii.emit(ListInstances{})
+	}
+}
+
+func (ii *instanceInventory) onInstanceList(v ListInstancesResult) {
+	ii.isListingInstances = false
+	if v.Err != nil {
+		ii.log(slog.LevelDebug, "machine list failed", "err", v.Err.Error())
+		return
+	}
+	if !ii.replication.isLoaded {
+		return
+	}
+	listed := map[protocol.MachineID]bool{}
+	for _, instance := range v.Instances {
+		if !instance.ID.IsValid() {
+			continue
+		}
+		listed[instance.ID] = true
+		ii.listedInstances[instance.ID] = &listedInstance{instance: instance, listedAt: v.RequestedAt}
+	}
+	for id, l := range ii.listedInstances {
+		// Lists come late and out of order: one that lacks a machine counts
+		// only if it was asked for well after one that had it.
+		if !listed[id] && v.RequestedAt.Sub(l.listedAt) > 0 {
+			if l.missedLists++; l.missedLists > 5 {
+				delete(ii.listedInstances, id)
+			}
+		}
+	}
+	// A machine that reported but was never listed counts as missing too, once
+	// it must have been.
+	for id, e := range ii.replica.Machines {
+		if !listed[id] && ii.listedInstances[id] == nil && millisToDuration(ii.now.Wall-e.Record.AddedAt) > 3*ii.cfg.InstanceListLag+5*time.Second {
+			ii.listedInstances[id] = &listedInstance{instance: protocol.Instance{ID: id}, listedAt: v.RequestedAt}
+		}
+	}
+}
+
+// adoptOrphanedInstances are listed machines that no record tells of: late rentals, or ones
+// whose renter died before it wrote them down. They are adopted, to be used or
+// returned.
+func (ii *instanceInventory) adoptOrphanedInstances(b *batch) {
+	orphaned := selectKeys(ii.listedInstances, func(l *listedInstance) bool { return ii.replica.Machines[l.instance.ID] == nil })
+	for _, id := range orphaned {
+		l := ii.listedInstances[id]
+		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.canAddMachine() || b.machines[id] != nil {
+			continue
+		}
+		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.isSuccessor(string(id)) || ii.provisioner.isGranted(id) {
+			continue
+		}
+		b.addMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
+			Spot: l.instance.Spot, AddedAt: ii.now.Wall - protocol.Millis(l.instance.AgeSeconds*1000)}, 0)
+		b.log(slog.LevelInfo, "unexpected machine adopted from the list", "machine", string(id))
+	}
+}
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -7,6 +7,15 @@
 	"tillerarch/internal/storage"
 )
 
+// writeLimiter bounds what this controller writes: the rate, and the size of transactions.
+type writeLimiter struct {
+	*stepContext
+
+	writeLimiter      *rate.Limiter
+	writeRate         float64 // writes a second that this node allows itself
+	maxTransactionOps int     // changes that a transaction may have now
+}
+
 // WriteLimits are what the state service takes: changes a second of all controllers
 // together, changes in a transaction, and bytes in a value.
 type WriteLimits struct {
@@ -28,49 +37,49 @@
 // writeLimits are those that everything written now keeps to. From the moment at which all
 // controllers read the packed format it is the tighter of today's and the announced
 // ones: the announced ones may hold at any time from then on, and nobody says when.
-func (c *Core) writeLimits() WriteLimits {
-	if c.storageFormat() < storage.FormatPacked {
-		return c.cfg.currentLimits()
+func (w *writeLimiter) writeLimits() WriteLimits {
+	if w.storageFormat() < storage.FormatPacked {
+		return w.cfg.currentLimits()
 	}
-	return c.admissionLimits()
+	return w.admissionLimits()
 }
 
 // admissionLimits are the limits that a new job's record must keep to for good.
-func (c *Core) admissionLimits() WriteLimits {
-	if c.cfg.AnnouncedLimits == nil {
-		return c.cfg.currentLimits()
+func (w *writeLimiter) admissionLimits() WriteLimits {
+	if w.cfg.AnnouncedLimits == nil {
+		return w.cfg.currentLimits()
 	}
-	return c.cfg.currentLimits().strictest(*c.cfg.AnnouncedLimits)
+	return w.cfg.currentLimits().strictest(*w.cfg.AnnouncedLimits)
 }
 
 // updateWriteLimiter makes the write budget follow the limits.
-func (c *Core) updateWriteLimiter() {
-	limits := c.writeLimits()
-	maxRate := limits.WritesPerSecond * c.cfg.WriteBudgetShare
-	c.writeRate, c.maxTransactionOps = maxRate, limits.TransactionOps
-	burst := max(int(maxRate), limits.TransactionOps+c.reservedUserTokens(), 4)
-	if c.writeLimiter == nil {
-		c.writeLimiter = rate.NewLimiter(rate.Limit(c.writeRate), burst)
+func (w *writeLimiter) updateWriteLimiter() {
+	limits := w.writeLimits()
+	maxRate := limits.WritesPerSecond * w.cfg.WriteBudgetShare
+	w.writeRate, w.maxTransactionOps = maxRate, limits.TransactionOps
+	burst := max(int(maxRate), limits.TransactionOps+w.reservedUserTokens(), 4)
+	if w.writeLimiter == nil {
+		w.writeLimiter = rate.NewLimiter(rate.Limit(w.writeRate), burst)
 		return
 	}
-	c.writeLimiter.SetLimitAt(c.limiterTime(), rate.Limit(c.writeRate))
-	c.writeLimiter.SetBurstAt(c.limiterTime(), burst)
+	w.writeLimiter.SetLimitAt(w.limiterTime(), rate.Limit(w.writeRate))
+	w.writeLimiter.SetBurstAt(w.limiterTime(), burst)
 }
 
 // reservedUserTokens is the part of the write tokens that is left for what users ask for.
-func (c *Core) reservedUserTokens() int { return max(c.writeLimits().TransactionOps/8, 1) }
+func (w *writeLimiter) reservedUserTokens() int { return max(w.writeLimits().TransactionOps/8, 1) }
 
 // adaptWriteRate sets how much this node writes: all share one budget, and what one may
 // take of it shows in refusals only.
-func (c *Core) adaptWriteRate(wasBusy bool) {
-	limits := c.writeLimits()
-	maxRate := limits.WritesPerSecond * c.cfg.WriteBudgetShare
+func (w *writeLimiter) adaptWriteRate(wasBusy bool) {
+	limits := w.writeLimits()
+	maxRate := limits.WritesPerSecond * w.cfg.WriteBudgetShare
 	if wasBusy {
-		c.writeRate = max(c.writeRate*0.8, limits.WritesPerSecond/float64(c.cfg.PeerCount+1)*0.7)
+		w.writeRate = max(w.writeRate*0.8, limits.WritesPerSecond/float64(w.cfg.PeerCount+1)*0.7)
 	} else {
-		c.writeRate = min(c.writeRate+maxRate/100, maxRate)
+		w.writeRate = min(w.writeRate+maxRate/100, maxRate)
 	}
-	c.writeLimiter.SetLimitAt(c.limiterTime(), rate.Limit(c.writeRate))
+	w.writeLimiter.SetLimitAt(w.limiterTime(), rate.Limit(w.writeRate))
 }
 
 // allows tells whether a transaction is within the limits. One that is not would be
@@ -94,6 +103,19 @@
 const minTransactionOps = 2
 
 // shrinkTransactions halves what the next transactions may hold, after one that was too large.
-func (c *Core) shrinkTransactions() {
-	c.maxTransactionOps = max(c.maxTransactionOps/2, minTransactionOps)
+func (w *writeLimiter) shrinkTransactions() {
+	w.maxTransactionOps = max(w.maxTransactionOps/2, minTransactionOps)
+}
+
+func (w *writeLimiter) takeWriteTokens(n int) bool { return w.writeLimiter.AllowN(w.limiterTime(), n) }
+
+// storageFormat is the newest format that may be written.
+func (w *writeLimiter) storageFormat() storage.Format { return w.replica.Format.Record.WriteFormat }
+
+// jobRecordBudget is what a job's record may take besides its description.
+func (w *writeLimiter) jobRecordBudget() int {
+	if w.storageFormat() < storage.FormatPacked {
+		return w.writeLimits().ValueBytes - 1500
+	}
+	return w.writeLimits().ValueBytes - w.writeLimits().ValueBytes/2
 }
--- a/internal/coordination/machine_state.go
+++ b/internal/coordination/machine_state.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"log/slog"
 	"time"
 
 	"tillerarch/internal/protocol"
@@ -91,16 +90,6 @@
 	gangAttemptInProgress    protocol.Attempt // of a gang whose assignment takes several transactions
 }
 
-func (c *Core) machineState(id protocol.MachineID) *machineState {
-	m := c.machineStates[id]
-	if m == nil {
-		m = &machineState{id: id, lastContactAt: c.now.Monotonic}
-		m.reset()
-		c.machineStates[id] = m
-	}
-	return m
-}
-
 func (m *machineState) reset() {
 	m.inflightStarts = map[protocol.Task]protocol.Attempt{}
 	m.revokedAttempts = map[protocol.Task]protocol.Attempt{}
@@ -130,63 +119,6 @@
 	slowMachineRatio  = 1.8 // estimates of one job's tasks, seen through reports, differ by less
 )
 
-// recordTaskRuntime takes in a task that was done.
-func (c *Core) recordTaskRuntime(m *machineState, task protocol.Task) {
-	startedAt := m.runningSince[task]
-	if startedAt <= 0 {
-		return
-	}
-	state, runtime := c.jobState(task.Job), c.since(startedAt)
-	if state.measuredTasks >= minRuntimeSamples {
-		ratio := runtime.Seconds() / max(state.measuredRuntime.Seconds()/float64(state.measuredTasks), 1)
-		wasSlow := m.slowdown.isSlow()
-		if m.slowdown.samples++; m.slowdown.samples == 1 {
-			m.slowdown.ratio = ratio
-		} else {
-			m.slowdown.ratio += (ratio - m.slowdown.ratio) / minRuntimeSamples
-		}
-		if isSlow := m.slowdown.isSlow(); isSlow != wasSlow {
-			c.log(slog.LevelInfo, "machine is slow", "machine", string(m.id), "on", isSlow, "times", m.slowdown.ratio)
-		}
-	}
-	// Slow machines do not set the measure.
-	if !m.slowdown.isSlow() {
-		state.measuredTasks++
-		state.measuredRuntime += runtime
-	}
-}
-
-func (c *Core) jobState(id protocol.JobID) *jobState {
-	j := c.jobStates[id]
-	if j == nil {
-		j = &jobState{failedMachines: map[protocol.MachineID]bool{}}
-		c.jobStates[id] = j
-	}
-	return j
-}
-
-// ownsMachine tells whether this run owns the machine, as far as it knows.
-func (c *Core) ownsMachine(record *storage.MachineRecord) bool {
-	return c.incarnation != "" && record.Owner == c.incarnation
-}
-
-// trackOwnedMachine begins or goes on with the ownership of a machine: what an earlier
-// owner was told proves nothing under a new token.
-func (c *Core) trackOwnedMachine(entry *storage.Machine, id protocol.MachineID) *machineState {
-	m := c.machineState(id)
-	if m.ownerIncarnation != entry.Record.Owner || m.ownershipEpoch != entry.Record.ShardEpoch {
-		m.ownerIncarnation, m.ownershipEpoch = entry.Record.Owner, entry.Record.ShardEpoch
-		m.ownershipRevision = protocol.Revision(c.replica.Shards[entry.Record.Shard].ModRevision)
-		m.reset()
-		m.answeredHeartbeatAt, m.answeredToken = 0, 0
-		m.lastContactAt, m.lastHeartbeatAt = c.now.Monotonic, c.now.Monotonic
-		m.idleSince = 0
-		m.handOffTarget = ""
-		m.awaitsDelivery, m.suspectedAt, m.callFailures, m.commandsLostAt = false, 0, 0, 0
-	}
-	return m
-}
-
 // currentHeartbeat is the newest report if it was sent under the current token and in
 // the recorded session: only then does what it lacks prove anything.
 func (m *machineState) currentHeartbeat(record *storage.MachineRecord) *protocol.Heartbeat {
@@ -246,77 +178,6 @@
 	return heartbeat.AgentEpoch < agentEpoch || heartbeat.AgentEpoch == agentEpoch && heartbeat.Sequence <= sequence
 }
 
-// forgetMachines drops what is remembered of machines that are on no record.
-func (c *Core) forgetMachines() {
-	for id, m := range c.machineStates {
-		if c.replica.Machines[id] == nil && m.deferredRequest == 0 {
-			delete(c.machineStates, id)
-		}
-	}
-}
-
-// forgetJobs drops what is remembered of jobs that are over.
-func (c *Core) forgetJobs() {
-	for id := range c.jobStates {
-		if e := c.replica.Jobs[id]; e == nil || e.Record.State == protocol.JobDone || e.Record.State.IsTerminal() && len(c.replica.MachinesWithJob(id)) == 0 {
-			delete(c.jobStates, id)
-		}
-	}
-}
-
-// forgetAssignments drops since when tasks have been on machines.
-func (c *Core) forgetAssignments() { clear(c.assignedAt) }
-
-// forgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
-func (c *Core) forgetUnrecordedMachines(earlier *storage.Replica) {
-	for _, e := range earlier.SortedMachines() {
-		if id := e.ID; c.replica.Machines[id] == nil {
-			if m := c.machineStates[id]; m != nil {
-				c.dropDeferredRequest(m)
-				delete(c.machineStates, id)
-			}
-		}
-	}
-}
-
-// onMachinesRemoved forgets machines that have left the records.
-func (c *Core) onMachinesRemoved() {
-	for _, id := range c.replica.PopRemovedMachines() {
-		c.terminatedAt[id] = c.now.Monotonic
-		if m := c.machineStates[id]; m != nil {
-			c.dropDeferredRequest(m)
-			delete(c.machineStates, id)
-		}
-	}
-}
-
-// recordAssignments keeps what rests on the machines' records: since when tasks have
-// been on a machine, and which images it has.
-func (c *Core) recordAssignments(id protocol.MachineID, before, after *storage.MachineRecord) {
-	if before != nil {
-		for i := range before.Assignments {
-			a := &before.Assignments[i]
-			if after == nil || !hasAttempt(after, a) {
-				delete(c.assignedAt, assignmentKey{id, a.Job, a.Attempt})
-			}
-		}
-	}
-	if after == nil {
-		return
-	}
-	for i := range after.Assignments {
-		a := &after.Assignments[i]
-		key := assignmentKey{id, a.Job, a.Attempt}
-		if _, ok := c.assignedAt[key]; ok {
-			continue
-		}
-		c.assignedAt[key] = c.now.Monotonic
-		if job, machineType := c.replica.Jobs[a.Job], c.machineType(after.MachineType); job != nil && job.Record.Spec != nil && machineType != nil {
-			c.recordImage(id, machineType, job.Record.Spec)
-		}
-	}
-}
-
 func hasAttempt(record *storage.MachineRecord, a *storage.Assignment) bool {
 	for i := range record.Assignments {
 		if other := &record.Assignments[i]; other.Job == a.Job && other.Attempt == a.Attempt {
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -9,61 +9,72 @@
 	"tillerarch/internal/storage"
 )
 
-// ownership is what this process knows of how machines change their owners, beyond the
-// records. What is to change is decided in package shares; this file and moves.go put it
-// into transactions.
-type ownership struct {
+// shardOwnership decides when this controller takes over or hands off shards, and writes the change.
+type shardOwnership struct {
+	*stepContext
+
+	agents    *agentTable
+	lease     *incarnationLease
+	limits    *writeLimiter
+	overload  *overloadDetector
+	shards    *shardWriter
+	transfers *transferManager
+
 	expiredAt       map[storage.Incarnation]protocol.Instant // since when a run is known to be dead
 	pendingHandOffs map[protocol.MachineID]bool              // owned ones whose workers report to another controller
 	lastShedAt      protocol.Instant                         // when machines last left because this controller was no good for them
 }
 
-func newOwnership() ownership {
-	return ownership{expiredAt: map[storage.Incarnation]protocol.Instant{}, pendingHandOffs: map[protocol.MachineID]bool{}}
+func newShardOwnership(step *stepContext) *shardOwnership {
+	return &shardOwnership{
+		stepContext:     step,
+		expiredAt:       map[storage.Incarnation]protocol.Instant{},
+		pendingHandOffs: map[protocol.MachineID]bool{},
+	}
 }
 
 // sheddingCooldown is how long a controller that was no good for its machines is given none.
 const sheddingCooldown = time.Minute
 
 // canAcceptMachines tells whether this controller may be given machines.
-func (c *Core) canAcceptMachines() bool {
-	return c.overloadedSince == 0 && (c.ownership.lastShedAt == 0 || c.since(c.ownership.lastShedAt) > sheddingCooldown)
+func (o *shardOwnership) canAcceptMachines() bool {
+	return o.overload.overloadedSince == 0 && (o.lastShedAt == 0 || o.since(o.lastShedAt) > sheddingCooldown)
 }
 
 // trackExpiredIncarnations notes since when runs are dead, so that takeovers spread out.
-func (c *Core) trackExpiredIncarnations() {
+func (o *shardOwnership) trackExpiredIncarnations() {
 	expired := map[storage.Incarnation]bool{}
 	recordIfExpired := func(incarnation storage.Incarnation) {
-		if c.replica.IsAlive(incarnation) {
+		if o.replica.IsAlive(incarnation) {
 			return // nobody's things are a dead run's too
 		}
 		expired[incarnation] = true
-		if _, ok := c.ownership.expiredAt[incarnation]; !ok {
-			c.ownership.expiredAt[incarnation] = c.now.Monotonic
+		if _, ok := o.expiredAt[incarnation]; !ok {
+			o.expiredAt[incarnation] = o.now.Monotonic
 		}
 	}
-	for _, p := range c.replica.Shards {
+	for _, p := range o.replica.Shards {
 		recordIfExpired(p.Owner)
 	}
-	for _, j := range c.replica.UnfinishedJobs {
+	for _, j := range o.replica.UnfinishedJobs {
 		recordIfExpired(j.Record.Owner)
 	}
-	for incarnation := range c.ownership.expiredAt {
+	for incarnation := range o.expiredAt {
 		if !expired[incarnation] {
-			delete(c.ownership.expiredAt, incarnation)
+			delete(o.expiredAt, incarnation)
 		}
 	}
 }
 
 // isSuccessor tells whether this node is the one to take over what key names.
-func (c *Core) isSuccessor(key string) bool {
-	return c.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
+func (o *shardOwnership) isSuccessor(key string) bool {
+	return o.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
 }
 
 // isSuccessorAmong tells the same where some controllers come before all others.
-func (c *Core) isSuccessorAmong(key string, isPreferred func(protocol.ControllerID) bool) bool {
+func (o *shardOwnership) isSuccessorAmong(key string, isPreferred func(protocol.ControllerID) bool) bool {
 	var live, preferred []protocol.ControllerID
-	for controller, e := range c.replica.Controllers {
+	for controller, e := range o.replica.Controllers {
 		if e.Record.Incarnation == "" {
 			continue
 		}
@@ -75,73 +86,73 @@
 	if len(preferred) > 0 {
 		live = preferred
 	}
-	return sharding.Successor(live, key) == c.cfg.ControllerID
+	return sharding.Successor(live, key) == o.cfg.ControllerID
 }
 
 // isShardSuccessor tells whether this node is the one to take over a page: one that is on its
 // way falls to the controller to which it goes.
-func (c *Core) isShardSuccessor(id storage.ShardID) bool {
-	if _, transfer := c.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() && c.replica.IsAlive(transfer.Record.Target) {
-		return transfer.Record.Target == c.incarnation
+func (o *shardOwnership) isShardSuccessor(id storage.ShardID) bool {
+	if _, transfer := o.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() && o.replica.IsAlive(transfer.Record.Target) {
+		return transfer.Record.Target == o.lease.incarnation
 	}
-	return c.isSuccessorAmong(storage.ShardKey(id), func(controller protocol.ControllerID) bool { return !c.replica.IsDraining(controller) })
+	return o.isSuccessorAmong(storage.ShardKey(id), func(controller protocol.ControllerID) bool { return !o.replica.IsDraining(controller) })
 }
 
 // writeOwnershipChanges writes what changes of ownership there are: machines that report here and
 // have no owner, pages whose owner is dead and that fall to this node, moves.
 func (c *Core) writeOwnershipChanges(b *batch) {
-	c.writeAdoptions(b)
+	c.ownership.writeAdoptions(b)
 	if len(c.ownership.expiredAt) > 0 {
-		c.writeFailovers(b)
+		c.ownership.writeFailovers(b)
 	}
-	c.advanceTransfers(b)
-	c.writeOperatorRequests(b)
+	c.transfers.advanceTransfers(b)
+	c.operators.writeOperatorRequests(b)
 	if len(c.ownership.expiredAt) == 0 {
-		c.rebalance(b)
+		c.transfers.rebalance(b)
 	}
 }
 
 // writeAdoptions puts machines that report here and are on no record on a page, and takes
 // over the pages of those whose owner is dead.
-func (c *Core) writeAdoptions(b *batch) {
-	for _, id := range sortedKeys(c.awaitingOwner) {
-		m := c.machineStates[id]
+func (o *shardOwnership) writeAdoptions(b *batch) {
+	for _, id := range sortedKeys(o.agents.awaitingOwner) {
+		m := o.agents.machineStates[id]
 		if !b.canAddMachine() {
 			break
 		}
-		e := c.replica.Machines[id]
+		e := o.replica.Machines[id]
 		if e == nil {
 			if !m.hasAnsweredProbe {
 				continue
 			}
 			b.addMachine(id, &storage.MachineRecord{AgentEpoch: m.latestHeartbeat.AgentEpoch, Address: m.latestHeartbeat.Addr, MachineType: m.latestHeartbeat.Type, Zone: m.latestHeartbeat.Zone,
-				Spot: m.latestHeartbeat.Spot, AddedAt: c.now.Wall}, m.latestHeartbeat.FencingToken)
+				Spot: m.latestHeartbeat.Spot, AddedAt: o.now.Wall}, m.latestHeartbeat.FencingToken)
 			b.log(slog.LevelInfo, "machine adopted", "machine", string(id), "type", string(m.latestHeartbeat.Type), "zone", string(m.latestHeartbeat.Zone))
-		} else if expiredAt, expired := c.ownership.expiredAt[e.Record.Owner]; expired && b.hasCapacity(c.failoverOps(e.Record.Shard)) &&
-			sharding.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(e.Record.Shard), true) {
+		} else if expiredAt, expired := o.expiredAt[e.Record.Owner]; expired && b.hasCapacity(o.failoverOps(e.Record.Shard)) &&
+			sharding.IsFailoverDue(o.since(expiredAt), o.isShardSuccessor(e.Record.Shard), true) {
 			// Not whoever hears of it first: when all come back, the first one
 			// would have the whole fleet.
-			c.failOverShard(b, e.Record.Shard, m.latestHeartbeat.FencingToken)
+			o.failOverShard(b, e.Record.Shard, m.latestHeartbeat.FencingToken)
 		}
 	}
 }
 
 // writeFailovers takes over the pages of dead runs that fall to this node.
-func (c *Core) writeFailovers(b *batch) {
-	for _, id := range sortedKeys(c.replica.Shards) {
-		shard := c.replica.Shards[id]
-		expiredAt, expired := c.ownership.expiredAt[shard.Owner]
-		if !expired || b.shards[id] != nil || !b.hasCapacity(c.failoverOps(id)) || !sharding.IsFailoverDue(c.since(expiredAt), c.isShardSuccessor(id), false) {
+func (o *shardOwnership) writeFailovers(b *batch) {
+	for _, id := range sortedKeys(o.replica.Shards) {
+		shard := o.replica.Shards[id]
+		expiredAt, expired := o.expiredAt[shard.Owner]
+		if !expired || b.shards[id] != nil || !b.hasCapacity(o.failoverOps(id)) || !sharding.IsFailoverDue(o.since(expiredAt), o.isShardSuccessor(id), false) {
 			continue
 		}
-		c.failOverShard(b, id, 0)
+		o.failOverShard(b, id, 0)
 	}
 }
 
 // failoverOps is how many changes it takes to take over a page, and to end its move.
-func (c *Core) failoverOps(id storage.ShardID) int {
-	ops := c.shardWriteOps(id)
-	if _, transfer := c.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() {
+func (o *shardOwnership) failoverOps(id storage.ShardID) int {
+	ops := o.shards.shardWriteOps(id)
+	if _, transfer := o.replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() {
 		ops++
 	}
 	return ops
@@ -149,20 +160,20 @@
 
 // failOverShard makes this run the owner of a page, with all machines on it. A move that the
 // dead owner had begun ends with it.
-func (c *Core) failOverShard(b *batch, id storage.ShardID, observedToken protocol.FencingToken) {
+func (o *shardOwnership) failOverShard(b *batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	d := b.mutableShard(id)
-	if d.owner == c.incarnation {
+	if d.owner == o.lease.incarnation {
 		return
 	}
 	b.log(slog.LevelInfo, "page taken over", "page", string(id), "machines", len(d.machineIDs), "from", string(d.owner), "epoch", uint64(d.epoch+1))
-	d.owner = c.incarnation
+	d.owner = o.lease.incarnation
 	d.epoch = max(d.epoch, storage.ShardEpochOf(observedToken)) + 1
-	c.endTransferOnFailover(b, id)
+	o.transfers.endTransferOnFailover(b, id)
 }
 
 // transferShard makes another run the owner of a page, with all machines on it. It rests on
 // that run's key: a page never goes to a run that has ended.
-func (c *Core) transferShard(b *batch, id storage.ShardID, target storage.Incarnation, reason string) {
+func (o *shardOwnership) transferShard(b *batch, id storage.ShardID, target storage.Incarnation, reason string) {
 	d := b.mutableShard(id)
 	b.dependOn(storage.ControllerKey(target.Controller()))
 	d.owner = target
@@ -174,8 +185,8 @@
 // page most of whose machines do so goes over as a whole: one change, where a node
 // that has lost its workers has hundreds to give. There is nothing to prepare: what
 // this node sends does not reach those workers.
-func (c *Core) handOffMachines(b *batch) {
-	ids, targetCounts := c.misdirectedMachines()
+func (o *shardOwnership) handOffMachines(b *batch) {
+	ids, targetCounts := o.misdirectedMachines()
 	for _, id := range sortedKeys(targetCounts) {
 		target, total := storage.Incarnation(""), 0
 		for _, incarnation := range sortedKeys(targetCounts[id]) {
@@ -183,32 +194,32 @@
 				target = incarnation
 			}
 		}
-		shard := c.replica.Shards[id]
-		if sharding.ShouldHandOffShard(len(shard.Machines), total, c.countResponsive(shard)) && b.hasCapacity(c.shardWriteOps(id)) && b.shards[id] == nil {
-			c.ownership.lastShedAt = c.now.Monotonic
-			c.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
+		shard := o.replica.Shards[id]
+		if sharding.ShouldHandOffShard(len(shard.Machines), total, o.countResponsive(shard)) && b.hasCapacity(o.shards.shardWriteOps(id)) && b.shards[id] == nil {
+			o.lastShedAt = o.now.Monotonic
+			o.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
 		}
 	}
-	c.handOffIndividually(b, ids)
+	o.handOffIndividually(b, ids)
 }
 
 // misdirectedMachines lists the owned machines whose workers report to another controller and not
 // here, and for each page how many report to which.
-func (c *Core) misdirectedMachines() (ids []protocol.MachineID, targetCounts map[storage.ShardID]map[storage.Incarnation]int) {
+func (o *shardOwnership) misdirectedMachines() (ids []protocol.MachineID, targetCounts map[storage.ShardID]map[storage.Incarnation]int) {
 	targetCounts = map[storage.ShardID]map[storage.Incarnation]int{}
-	for _, id := range sortedKeys(c.ownership.pendingHandOffs) {
-		e := c.replica.Machines[id]
-		if e == nil || !c.ownsMachine(&e.Record) {
-			delete(c.ownership.pendingHandOffs, id)
+	for _, id := range sortedKeys(o.pendingHandOffs) {
+		e := o.replica.Machines[id]
+		if e == nil || !o.lease.ownsMachine(&e.Record) {
+			delete(o.pendingHandOffs, id)
 			continue
 		}
 		// What an earlier ownership was told is forgotten first.
-		m := c.trackOwnedMachine(e, id)
-		if m.handOffTarget == "" || c.since(m.handOffRequestedAt) > c.cfg.HeartbeatInterval+4*time.Second {
-			delete(c.ownership.pendingHandOffs, id)
+		m := o.agents.trackOwnedMachine(e, id)
+		if m.handOffTarget == "" || o.since(m.handOffRequestedAt) > o.cfg.HeartbeatInterval+4*time.Second {
+			delete(o.pendingHandOffs, id)
 			continue
 		}
-		if !c.hasMissedHeartbeat(m) || !c.replica.IsAlive(m.handOffTarget) || e.Record.Terminating {
+		if !o.agents.hasMissedHeartbeat(m) || !o.replica.IsAlive(m.handOffTarget) || e.Record.Terminating {
 			continue
 		}
 		if targetCounts[e.Record.Shard] == nil {
@@ -221,33 +232,51 @@
 }
 
 // handOffIndividually moves machines to new pages of the controllers that their workers reach.
-func (c *Core) handOffIndividually(b *batch, ids []protocol.MachineID) {
+func (o *shardOwnership) handOffIndividually(b *batch, ids []protocol.MachineID) {
 	newShards := map[storage.Incarnation]storage.ShardID{}
 	for _, id := range ids {
-		m, e := c.machineStates[id], c.replica.Machines[id]
-		if d := b.shards[e.Record.Shard]; d != nil && d.owner != c.incarnation || !b.hasCapacity(2) {
+		m, e := o.agents.machineStates[id], o.replica.Machines[id]
+		if d := b.shards[e.Record.Shard]; d != nil && d.owner != o.lease.incarnation || !b.hasCapacity(2) {
 			continue
 		}
 		// A page takes what fits into a value, whatever still begins there.
-		if shard := newShards[m.handOffTarget]; shard == "" || b.shards[shard].estimatedSize+c.estimateEncodedSize(len(c.replica.EncodedLine(id))) > c.writeLimits().ValueBytes*3/4 {
+		if shard := newShards[m.handOffTarget]; shard == "" || b.shards[shard].estimatedSize+o.shards.estimateEncodedSize(len(o.replica.EncodedLine(id))) > o.limits.writeLimits().ValueBytes*3/4 {
 			newShards[m.handOffTarget] = b.newShard(m.handOffTarget, e.Record.ShardEpoch+1)
 			b.dependOn(storage.ControllerKey(m.handOffTarget.Controller()))
 		}
 		if shard := newShards[m.handOffTarget]; b.shards[shard].epoch > e.Record.ShardEpoch {
 			b.moveMachine(id, shard)
 			b.machines[id].Cordoned = false
-			c.ownership.lastShedAt = c.now.Monotonic
+			o.lastShedAt = o.now.Monotonic
 			b.log(slog.LevelInfo, "machine handed over, its worker reports there", "machine", string(id), "to", string(m.handOffTarget))
 		}
 	}
 }
 
 // countResponsive counts the machines of an own page whose workers have been heard of lately.
-func (c *Core) countResponsive(shard *storage.Shard) (n int) {
+func (o *shardOwnership) countResponsive(shard *storage.Shard) (n int) {
 	for _, id := range shard.Machines {
-		if e := c.replica.Machines[id]; e != nil && e.Record.AgentEpoch > 0 && !c.hasMissedHeartbeat(c.trackOwnedMachine(e, id)) {
+		if e := o.replica.Machines[id]; e != nil && e.Record.AgentEpoch > 0 && !o.agents.hasMissedHeartbeat(o.agents.trackOwnedMachine(e, id)) {
 			n++
 		}
 	}
 	return n
 }
+
+// recordHeartbeatsElsewhere marks the owned machines whose workers report to the sender of a
+// hint, to be handed over.
+func (o *shardOwnership) recordHeartbeatsElsewhere(h *PeerStatus) {
+	for _, misdirected := range h.MisdirectedHeartbeats[:min(len(h.MisdirectedHeartbeats), maxMisdirectedPerStatus)] {
+		if e := o.replica.Machines[misdirected.Machine]; e != nil && o.lease.ownsMachine(&e.Record) && o.replica.IsAlive(h.Incarnation) {
+			m := o.agents.trackOwnedMachine(e, misdirected.Machine)
+			if misdirected.AgentEpoch < m.lastAgentEpoch || misdirected.AgentEpoch == m.lastAgentEpoch && misdirected.Sequence <= m.lastSequence {
+				continue // a late copy of a report that has been here
+			}
+			// What was sent before and comes here late is no sign that the worker reaches
+			// this node.
+			m.lastAgentEpoch, m.lastSequence = misdirected.AgentEpoch, misdirected.Sequence
+			m.handOffTarget, m.handOffRequestedAt = h.Incarnation, o.now.Monotonic
+			o.pendingHandOffs[misdirected.Machine] = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/peers.go
@@ -0,0 +1,69 @@
+package coordination
+
+import (
+	"maps"
+	"tillerarch/internal/protocol"
+	"time"
+)
+
+// peerTable holds the last status of each other controller, and tells them the status of this one.
+type peerTable struct {
+	*stepContext
+
+	cancellations *canceller
+	lease         *incarnationLease
+	misdirected   *misdirectedHeartbeats
+	ownership     *shardOwnership
+	replication   *replicaSync
+	store         *storeHealth
+
+	peers              map[protocol.ControllerID]peer
+	nextPeerStatusAt   protocol.Instant
+	isPeerStatusUrgent bool // there is something that the others should hear at once
+}
+
+func newPeerTable(step *stepContext) *peerTable {
+	return &peerTable{
+		stepContext: step,
+		peers:       map[protocol.ControllerID]peer{},
+	}
+}
+
+// peersReportStoreUnavailable tells whether other controllers have been heard of within a time, and
+// all of those say that they do not reach the state service.
+func (t *peerTable) peersReportStoreUnavailable(within time.Duration) bool {
+	anyHeard := t.cfg.PeerCount == 0
+	for _, p := range t.peers {
+		if t.since(p.receivedAt) >= within {
+			continue
+		}
+		if p.status.StoreReachable {
+			return false
+		}
+		anyHeard = true
+	}
+	return anyHeard
+}
+
+// tickPeerStatus tells the other controllers of this one when that is due.
+func (t *peerTable) tickPeerStatus() {
+	now := t.now.Monotonic
+	if now < t.nextPeerStatusAt && !t.isPeerStatusUrgent {
+		return
+	}
+	t.isPeerStatusUrgent = false
+	t.nextPeerStatusAt = now.Add(t.jitter(time.Second))
+	status := PeerStatus{ControllerID: t.cfg.ControllerID, StoreReachable: t.replication.isLoaded && t.since(t.store.lastResponseAt) < 2*time.Second && t.store.consecutiveFailures == 0}
+	if t.lease.isRegistered() {
+		status.Incarnation = t.lease.incarnation
+		t.cancellations.addCancellationStatus(&status)
+		status.AcceptsShards = t.ownership.canAcceptMachines()
+		if t.misdirected.addMisdirectedHeartbeats(&status) {
+			t.nextPeerStatusAt = now.Add(t.jitter(peerStatusBacklogInterval))
+		}
+	}
+	maps.DeleteFunc(t.misdirected.misdirectedHeartbeats, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
+		return t.since(heartbeat.receivedAt) > 3*time.Second
+	})
+	t.emit(SendPeerStatus{status})
+}
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -12,6 +12,30 @@
 	"tillerarch/internal/storage"
 )
 
+// machineProvisioner scales out: it requests machines for demand that no machine can take.
+type machineProvisioner struct {
+	*stepContext
+
+	catalog     *machineCatalog
+	lease       *incarnationLease
+	plan        *placementPlan
+	replication *replicaSync
+	spot        *spotPricing
+	terminator  *machineTerminator
+
+	requests    map[string]*pendingProvision
+	sequence    int
+	exhaustedAt map[poolKey]protocol.Instant // when a pool last had fewer machines than asked for
+}
+
+func newMachineProvisioner(step *stepContext) *machineProvisioner {
+	return &machineProvisioner{
+		stepContext: step,
+		requests:    map[string]*pendingProvision{},
+		exhaustedAt: map[poolKey]protocol.Instant{},
+	}
+}
+
 // poolKey names the machines of one type, zone and kind: the cloud runs out of each
 // of these pools alone.
 type poolKey struct {
@@ -29,19 +53,8 @@
 	grantedMachines []protocol.MachineID // as granted; their records are still to be written
 }
 
-// provisioningState keeps this run's rental requests, and which pools had no machines of late.
-type provisioningState struct {
-	requests    map[string]*pendingProvision
-	sequence    int
-	exhaustedAt map[poolKey]protocol.Instant // when a pool last had fewer machines than asked for
-}
-
-func newProvisioningState() provisioningState {
-	return provisioningState{requests: map[string]*pendingProvision{}, exhaustedAt: map[poolKey]protocol.Instant{}}
-}
-
 // isGranted tells whether a machine is one of those that a request was answered with.
-func (p *provisioningState) isGranted(id protocol.MachineID) bool {
+func (p *machineProvisioner) isGranted(id protocol.MachineID) bool {
 	for _, request := range p.requests {
 		if slices.Contains(request.grantedMachines, id) {
 			return true
@@ -51,7 +64,7 @@
 }
 
 // pendingPools lists the pools that a request is under way for.
-func (p *provisioningState) pendingPools() map[poolKey]bool {
+func (p *machineProvisioner) pendingPools() map[poolKey]bool {
 	pools := map[poolKey]bool{}
 	for _, request := range p.requests {
 		pools[request.pool()] = true
@@ -89,36 +102,36 @@
 
 // scaleOut asks the cloud for what the claimed jobs need and no machine, up or
 // coming, can take.
-func (c *Core) scaleOut() {
-	c.retryProvisioning()
-	if c.storeUnavailable() || c.since(c.lastPlan.computedAt) > maxPlanAge {
+func (mp *machineProvisioner) scaleOut() {
+	mp.retryProvisioning()
+	if mp.replication.storeUnavailable() || mp.since(mp.plan.computedAt) > maxPlanAge {
 		return
 	}
-	slices.SortStableFunc(c.unmetDemands, func(a, z unmetDemand) int { return cmp.Compare(a.order, z.order) })
-	pendingPools := c.provisioning.pendingPools()
-	spotCount := c.countSpotMachines()
-	for _, d := range c.unmetDemands {
-		if c.now.Wall-d.submittedAt >= minDemandAge {
-			c.provisionForDemand(d, pendingPools, spotCount)
+	slices.SortStableFunc(mp.plan.unmetDemands, func(a, z unmetDemand) int { return cmp.Compare(a.order, z.order) })
+	pendingPools := mp.pendingPools()
+	spotCount := mp.countSpotMachines()
+	for _, d := range mp.plan.unmetDemands {
+		if mp.now.Wall-d.submittedAt >= minDemandAge {
+			mp.provisionForDemand(d, pendingPools, spotCount)
 		}
 	}
-	c.unmetDemands = c.unmetDemands[:0]
+	mp.plan.unmetDemands = mp.plan.unmetDemands[:0]
 }
 
 // retryProvisioning sends requests again that had no answer.
-func (c *Core) retryProvisioning() {
-	for _, name := range sortedKeys(c.provisioning.requests) {
-		r := c.provisioning.requests[name]
-		if r.grantedMachines == nil && !r.inFlight && c.now.Monotonic >= r.retryAt {
+func (mp *machineProvisioner) retryProvisioning() {
+	for _, name := range sortedKeys(mp.requests) {
+		r := mp.requests[name]
+		if r.grantedMachines == nil && !r.inFlight && mp.now.Monotonic >= r.retryAt {
 			r.inFlight = true
-			c.emit(ProvisionMachines{r.request})
+			mp.emit(ProvisionMachines{r.request})
 		}
 	}
 }
 
-func (c *Core) countSpotMachines() int {
+func (mp *machineProvisioner) countSpotMachines() int {
 	n := 0
-	for _, e := range c.replica.Machines {
+	for _, e := range mp.replica.Machines {
 		if e.Record.Spot {
 			n++
 		}
@@ -127,11 +140,11 @@
 }
 
 // provisionForDemand sends the requests for one job's demand, at most one at a time to a pool.
-func (c *Core) provisionForDemand(d unmetDemand, pendingPools map[poolKey]bool, spotCount int) {
+func (mp *machineProvisioner) provisionForDemand(d unmetDemand, pendingPools map[poolKey]bool, spotCount int) {
 	remaining := d.tasks
 	cheapest := 0.0
-	for _, p := range c.poolsByCost(d) {
-		if c.isPoolExhausted(p.key) {
+	for _, p := range mp.poolsByCost(d) {
+		if mp.isPoolExhausted(p.key) {
 			continue
 		}
 		if cheapest == 0 {
@@ -143,33 +156,33 @@
 		if pendingPools[p.key] {
 			continue
 		}
-		n := min((remaining+p.tasksPerMachine-1)/p.tasksPerMachine, c.cfg.MaxProvisionCount, protocol.MaxProvisionCount)
+		n := min((remaining+p.tasksPerMachine-1)/p.tasksPerMachine, mp.cfg.MaxProvisionCount, protocol.MaxProvisionCount)
 		if p.key.spot {
-			n = min(n, c.cfg.MaxSpotMachines-spotCount)
+			n = min(n, mp.cfg.MaxSpotMachines-spotCount)
 		}
 		if n <= 0 {
 			continue
 		}
 		pendingPools[p.key] = true
-		c.sendProvisionRequest(p.key, n, d.job)
+		mp.sendProvisionRequest(p.key, n, d.job)
 		remaining -= n * p.tasksPerMachine
 	}
 }
 
-func (c *Core) sendProvisionRequest(pool poolKey, count int, job protocol.JobID) {
-	c.provisioning.sequence++
-	name := fmt.Sprintf("%s-%d", c.incarnation, c.provisioning.sequence)
+func (mp *machineProvisioner) sendProvisionRequest(pool poolKey, count int, job protocol.JobID) {
+	mp.sequence++
+	name := fmt.Sprintf("%s-%d", mp.lease.incarnation, mp.sequence)
 	request := protocol.ProvisionRequest{RequestID: name, Type: pool.machineType, Zone: pool.zone, Spot: pool.spot, Count: count}
-	c.provisioning.requests[name] = &pendingProvision{request: request, requestedAt: c.now.Monotonic, inFlight: true}
-	c.log(slog.LevelInfo, "machines are rented", "hire", name, "type", string(pool.machineType), "zone", string(pool.zone),
+	mp.requests[name] = &pendingProvision{request: request, requestedAt: mp.now.Monotonic, inFlight: true}
+	mp.log(slog.LevelInfo, "machines are rented", "hire", name, "type", string(pool.machineType), "zone", string(pool.zone),
 		"spot", pool.spot, "count", count, "for", string(job))
-	c.emit(ProvisionMachines{request})
+	mp.emit(ProvisionMachines{request})
 }
 
 // isPoolExhausted tells whether the cloud had too few machines of a pool just now.
-func (c *Core) isPoolExhausted(p poolKey) bool {
-	at, known := c.provisioning.exhaustedAt[p]
-	return known && c.since(at) < c.cfg.NoCapacityBackoff
+func (mp *machineProvisioner) isPoolExhausted(p poolKey) bool {
+	at, known := mp.exhaustedAt[p]
+	return known && mp.since(at) < mp.cfg.NoCapacityBackoff
 }
 
 // pricedPool is what could be rented for a job.
@@ -180,10 +193,10 @@
 }
 
 // poolsByCost lists what could be rented for a job, cheapest per task first.
-func (c *Core) poolsByCost(d unmetDemand) []pricedPool {
+func (mp *machineProvisioner) poolsByCost(d unmetDemand) []pricedPool {
 	var out []pricedPool
-	for i := range c.machineTypes {
-		f := &c.machineTypes[i]
+	for i := range mp.catalog.machineTypes {
+		f := &mp.catalog.machineTypes[i]
 		tasksPerMachine := machineTypeCapacity(f, d.desc)
 		if tasksPerMachine == 0 {
 			continue
@@ -194,20 +207,20 @@
 			}
 			tasks := float64(min(tasksPerMachine, d.tasks))
 			out = append(out, pricedPool{poolKey{f.Name, z, false}, tasksPerMachine, f.OnDemandPrice / tasks})
-			if t := c.spotThresholds[priceKey{f.Name, z}]; !d.desc.IsService() && c.canUseSpot(d.desc, f) && t != nil && t.AllowsSpot() {
+			if t := mp.spot.spotThresholds[priceKey{f.Name, z}]; !d.desc.IsService() && mp.spot.canUseSpot(d.desc, f) && t != nil && t.AllowsSpot() {
 				out = append(out, pricedPool{poolKey{f.Name, z, true}, tasksPerMachine, f.SpotPrice / tasks})
 			}
 		}
 	}
 	slices.SortStableFunc(out, func(a, z pricedPool) int {
 		// Controllers differ in the zone that they try first.
-		return cmp.Or(cmp.Compare(a.costPerTask, z.costPerTask), cmp.Compare(c.zonePreference(z), c.zonePreference(a)))
+		return cmp.Or(cmp.Compare(a.costPerTask, z.costPerTask), cmp.Compare(mp.zonePreference(z), mp.zonePreference(a)))
 	})
 	return out
 }
 
-func (c *Core) zonePreference(p pricedPool) uint64 {
-	return sharding.RendezvousWeight(string(c.cfg.ControllerID), string(p.key.zone))
+func (mp *machineProvisioner) zonePreference(p pricedPool) uint64 {
+	return sharding.RendezvousWeight(string(mp.cfg.ControllerID), string(p.key.zone))
 }
 
 // machineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
@@ -216,8 +229,8 @@
 }
 
 // onProvisionResult takes the answer to a rental request.
-func (c *Core) onProvisionResult(v ProvisionMachinesResult) {
-	r := c.provisioning.requests[v.Request.RequestID]
+func (mp *machineProvisioner) onProvisionResult(v ProvisionMachinesResult) {
+	r := mp.requests[v.Request.RequestID]
 	if r == nil {
 		return
 	}
@@ -225,49 +238,49 @@
 	pool := r.pool()
 	switch {
 	case v.NoCapacity:
-		c.provisioning.exhaustedAt[pool] = c.now.Monotonic
-		delete(c.provisioning.requests, v.Request.RequestID)
-		c.log(slog.LevelInfo, "cloud has no capacity", "type", string(pool.machineType), "zone", string(pool.zone), "spot", pool.spot)
+		mp.exhaustedAt[pool] = mp.now.Monotonic
+		delete(mp.requests, v.Request.RequestID)
+		mp.log(slog.LevelInfo, "cloud has no capacity", "type", string(pool.machineType), "zone", string(pool.zone), "spot", pool.spot)
 	case v.Invalid:
-		c.provisioning.exhaustedAt[pool] = c.now.Monotonic
-		delete(c.provisioning.requests, v.Request.RequestID)
-		c.log(slog.LevelError, "cloud calls the rental malformed", "hire", v.Request.RequestID)
+		mp.exhaustedAt[pool] = mp.now.Monotonic
+		delete(mp.requests, v.Request.RequestID)
+		mp.log(slog.LevelError, "cloud calls the rental malformed", "hire", v.Request.RequestID)
 	case v.Err != nil:
 		// It may have been carried out: the same name is asked again.
-		r.retryAt = c.now.Monotonic.Add(c.jitter(time.Second))
-		c.log(slog.LevelWarn, "rental without answer is repeated", "hire", v.Request.RequestID, "err", v.Err.Error())
+		r.retryAt = mp.now.Monotonic.Add(mp.jitter(time.Second))
+		mp.log(slog.LevelWarn, "rental without answer is repeated", "hire", v.Request.RequestID, "err", v.Err.Error())
 	default:
 		if len(v.Machines) < v.Request.Count {
-			c.provisioning.exhaustedAt[pool] = c.now.Monotonic
+			mp.exhaustedAt[pool] = mp.now.Monotonic
 		}
 		r.grantedMachines = v.Machines
 		if len(v.Machines) == 0 {
-			delete(c.provisioning.requests, v.Request.RequestID)
+			delete(mp.requests, v.Request.RequestID)
 		}
-		c.log(slog.LevelInfo, "machines come", "hire", v.Request.RequestID, "machines", len(v.Machines), "asked", v.Request.Count)
+		mp.log(slog.LevelInfo, "machines come", "hire", v.Request.RequestID, "machines", len(v.Machines), "asked", v.Request.Count)
 	}
 }
 
 // recordGrantedMachines puts granted machines on record.
-func (c *Core) recordGrantedMachines(b *batch) {
-	for _, name := range sortedKeys(c.provisioning.requests) {
-		r := c.provisioning.requests[name]
+func (mp *machineProvisioner) recordGrantedMachines(b *batch) {
+	for _, name := range sortedKeys(mp.requests) {
+		r := mp.requests[name]
 		if r.grantedMachines == nil {
 			continue
 		}
 		missing := 0
 		for _, id := range r.grantedMachines {
-			if _, released := c.terminatedAt[id]; released || c.replica.Machines[id] != nil {
+			if _, released := mp.terminator.terminatedAt[id]; released || mp.replica.Machines[id] != nil {
 				continue
 			}
 			missing++
 			if b.machines[id] == nil && b.canAddMachine() {
 				b.addMachine(id, &storage.MachineRecord{MachineType: r.request.Type, Zone: r.request.Zone, Spot: r.request.Spot,
-					AddedAt: c.now.Wall - protocol.Millis(c.since(r.requestedAt).Milliseconds())}, 0)
+					AddedAt: mp.now.Wall - protocol.Millis(mp.since(r.requestedAt).Milliseconds())}, 0)
 			}
 		}
 		if missing == 0 {
-			delete(c.provisioning.requests, name)
+			delete(mp.requests, name)
 		}
 	}
 }
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -32,8 +32,8 @@
 // newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
 func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *pendingJob {
 	latestStart := c.now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &pendingJob{id: d.ID, record: &storage.JobRecord{Spec: d, Owner: c.incarnation, SubmittedAt: c.now.Wall}, latestStart: latestStart, initialLatestStart: latestStart}
-	q.isUrgent = c.needsWarmCapacity(q)
+	q := &pendingJob{id: d.ID, record: &storage.JobRecord{Spec: d, Owner: c.lease.incarnation, SubmittedAt: c.now.Wall}, latestStart: latestStart, initialLatestStart: latestStart}
+	q.isUrgent = c.queue.needsWarmCapacity(q)
 	return q
 }
 
@@ -63,9 +63,9 @@
 		core := newCoreWithTwoMachineTypes(t)
 		core.effects = nil
 		for _, p := range c.refused {
-			core.provisioning.exhaustedAt[p] = core.now.Monotonic
+			core.provisioner.exhaustedAt[p] = core.now.Monotonic
 		}
-		core.provisionForDemand(unmetDemand{job: "j-1", desc: newArrayJob(c.cores, 20), tasks: 5000, urgent: c.urgent}, map[poolKey]bool{}, 0)
+		core.provisioner.provisionForDemand(unmetDemand{job: "j-1", desc: newArrayJob(c.cores, 20), tasks: 5000, urgent: c.urgent}, map[poolKey]bool{}, 0)
 		var got []string
 		for _, e := range core.effects {
 			if v, ok := e.(ProvisionMachines); ok {
@@ -113,13 +113,13 @@
 			running := newArrayJob(4, c.runs)
 			r.allocate(running, 1)
 			r.allocations = []allocation{{job: "j-2", attempt: 1, count: 1, desc: running}}
-			core.assignedAt[assignmentKey{id, "j-2", 1}] = core.now.Monotonic.Add(-c.ran)
+			core.agents.assignedAt[assignmentKey{id, "j-2", 1}] = core.now.Monotonic.Add(-c.ran)
 			candidates = append(candidates, r)
 		}
-		if got := core.reserveBackfill(q, candidates, 10); got != c.want {
+		if got := core.backfill.reserveBackfill(q, candidates, 10); got != c.want {
 			t.Errorf("%s: %d follow; wanted %d", c.name, got, c.want)
 		}
-		if got := core.reserveBackfill(q, candidates, 10); got != 0 {
+		if got := core.backfill.reserveBackfill(q, candidates, 10); got != 0 {
 			t.Errorf("%s: %d more follow on the same machines", c.name, got)
 		}
 	}
@@ -152,12 +152,12 @@
 			newCandidate(&smallMachineType, "m-3", true), newCandidate(&smallMachineType, "m-4", true)}
 		slack := time.Duration(c.slack) * time.Second
 		other := newWork(c.other, "other", 10*time.Minute)
-		core.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.urgent, "urgent", slack), other})
-		core.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.now, "urgent", slack), other})
-		core.warmPool.selectRetained(candidates, core.isMachineAllowed)
+		core.scheduler.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.urgent, "urgent", slack), other})
+		core.scheduler.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.now, "urgent", slack), other})
+		core.scheduler.warmPool.selectRetained(candidates, core.capacity.isMachineAllowed)
 		var got []protocol.MachineID
 		for _, r := range candidates {
-			if core.warmPool.shouldRetain(r.id) {
+			if core.scheduler.warmPool.shouldRetain(r.id) {
 				got = append(got, r.id)
 			}
 		}
@@ -188,17 +188,17 @@
 	} {
 		core := newCoreWithTwoMachineTypes(t)
 		if c.waiting > 0 {
-			core.recordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
+			core.contention.recordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
 		}
 		core.now.Monotonic = core.now.Monotonic.Add(c.ago)
 		if c.refused {
 			for _, z := range smallMachineType.Zones {
-				core.provisioning.exhaustedAt[poolKey{"small", z, true}] = core.now.Monotonic
-				core.provisioning.exhaustedAt[poolKey{"small", z, false}] = core.now.Monotonic
+				core.provisioner.exhaustedAt[poolKey{"small", z, true}] = core.now.Monotonic
+				core.provisioner.exhaustedAt[poolKey{"small", z, false}] = core.now.Monotonic
 			}
 		}
-		core.lastPlan.contendedTypes = core.contendedTypes()
-		got := slices.Sorted(maps.Keys(core.typesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
+		core.plan.contendedTypes = core.contention.contendedTypes()
+		got := slices.Sorted(maps.Keys(core.contention.typesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: leaves %v; wanted %v", c.name, got, c.want)
 		}
@@ -217,16 +217,16 @@
 	}{{8 * time.Second, false, true}, {60 * time.Second, false, false}, {time.Second, true, false}} {
 		q := core.newPendingJob(newArrayJob(4, 20), c.slack)
 		q.isLate = c.late
-		if got := core.shouldExpedite(q); got != c.want {
+		if got := core.queue.shouldExpedite(q); got != c.want {
 			t.Errorf("slack %v, late %v: %v", c.slack, c.late, got)
 		}
 	}
 	r := newCandidate(&smallMachineType, "m-1", false)
-	r.record.Owner = core.incarnation
-	m := core.machineState("m-1")
+	r.record.Owner = core.lease.incarnation
+	m := core.agents.machineState("m-1")
 	for deferred, want := range map[RequestID]bool{0: true, 5: false} {
 		m.deferredRequest = deferred
-		if got := core.awaitsHeartbeat(r); got != want {
+		if got := core.capacity.awaitsHeartbeat(r); got != want {
 			t.Errorf("report held as %d: %v", deferred, got)
 		}
 	}
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"math"
 	"sort"
 	"time"
 
@@ -8,6 +9,13 @@
 	"tillerarch/internal/storage"
 )
 
+// jobQueue orders unfinished jobs by the precedence in which they are served.
+type jobQueue struct {
+	*stepContext
+
+	catalog *machineCatalog
+}
+
 // task of a job in the planner's order.
 type pendingJob struct {
 	id              protocol.JobID
@@ -31,23 +39,23 @@
 
 // precedenceOf ranks jobs: a smaller one goes first and may take the place of a
 // larger one. A team within its guarantee goes before all others.
-func (c *Core) precedenceOf(j *protocol.Job) int {
-	if c.isWithinGuarantee(j.Team) {
+func (jq *jobQueue) precedenceOf(j *protocol.Job) int {
+	if jq.isWithinGuarantee(j.Team) {
 		return -1
 	}
 	return j.Priority.Precedence()
 }
 
 // isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee.
-func (c *Core) isWithinGuarantee(team string) bool {
-	quota := c.cfg.Quotas[team]
-	if quota.GuaranteedCores <= 0 && quota.GuaranteedAccelerators <= 0 || len(c.cfg.Quotas) < 2 {
+func (jq *jobQueue) isWithinGuarantee(team string) bool {
+	quota := jq.cfg.Quotas[team]
+	if quota.GuaranteedCores <= 0 && quota.GuaranteedAccelerators <= 0 || len(jq.cfg.Quotas) < 2 {
 		return false
 	}
 	cores, accelerators := 0.0, 0.0
-	for id, e := range c.replica.UnfinishedJobs {
+	for id, e := range jq.replica.UnfinishedJobs {
 		if d := e.Record.Spec; d.Team == team {
-			remaining := float64(d.TaskCount - c.replica.CompletedTasks(id).Len())
+			remaining := float64(d.TaskCount - jq.replica.CompletedTasks(id).Len())
 			cores += remaining * d.Cores
 			accelerators += remaining * d.Accelerators
 		}
@@ -56,18 +64,18 @@
 }
 
 // listPendingJobs lists the unfinished jobs in the order in which they are served.
-func (c *Core) listPendingJobs(b *batch, candidates []*candidate) []*pendingJob {
+func (jq *jobQueue) listPendingJobs(b *batch, candidates []*candidate) []*pendingJob {
 	byJob := map[protocol.JobID]*pendingJob{}
 	var jobs []*pendingJob
-	for id := range c.replica.UnfinishedJobs {
+	for id := range jq.replica.UnfinishedJobs {
 		r := b.jobRecord(id)
 		if r.State.IsTerminal() || r.CancelRequested || r.Spec == nil {
 			continue
 		}
-		job := &pendingJob{id: id, record: r, precedence: c.precedenceOf(r.Spec), tasksByZone: map[protocol.Zone]int{}, doneTasks: b.doneTasks(id).Len()}
+		job := &pendingJob{id: id, record: r, precedence: jq.precedenceOf(r.Spec), tasksByZone: map[protocol.Zone]int{}, doneTasks: b.doneTasks(id).Len()}
 		job.queuePrecedence = job.precedence
-		c.computeDeadlines(job)
-		job.isUrgent = c.needsWarmCapacity(job)
+		jq.computeDeadlines(job)
+		job.isUrgent = jq.needsWarmCapacity(job)
 		byJob[id] = job
 		jobs = append(jobs, job)
 	}
@@ -80,9 +88,9 @@
 		}
 	}
 	for _, job := range jobs {
-		waited := millisToDuration(c.now.Wall - job.record.SubmittedAt)
-		job.isStarved = waited > c.cfg.AgingThreshold && job.placedTasks == 0 && job.doneTasks == 0
-		job.isLongRunning = waited > 2*c.cfg.AgingThreshold && !job.isStarved && job.record.Spec.Kind == protocol.KindArray
+		waited := millisToDuration(jq.now.Wall - job.record.SubmittedAt)
+		job.isStarved = waited > jq.cfg.AgingThreshold && job.placedTasks == 0 && job.doneTasks == 0
+		job.isLongRunning = waited > 2*jq.cfg.AgingThreshold && !job.isStarved && job.record.Spec.Kind == protocol.KindArray
 	}
 	sort.Slice(jobs, func(i, k int) bool {
 		a, z := jobs[i], jobs[k]
@@ -111,31 +119,31 @@
 // of its deadline, that can still be met. What has missed all of them goes last
 // within its rank. A job of low rank whose tasks should begin soon is served like
 // the rank above: it stops nobody's work, but gets some of what becomes free.
-func (c *Core) computeDeadlines(job *pendingJob) {
+func (jq *jobQueue) computeDeadlines(job *pendingJob) {
 	d, sent := job.record.Spec, job.record.SubmittedAt
 	if d.IsService() {
 		// No replica can wait, whatever has become of the aims for the first ones.
-		job.dueAt, job.latestStart, job.initialLatestStart = sent, c.now.Wall, sent
+		job.dueAt, job.latestStart, job.initialLatestStart = sent, jq.now.Wall, sent
 		return
 	}
-	objectives := c.cfg.Objectives[d.Class]
+	objectives := jq.cfg.Objectives[d.Class]
 	job.dueAt, job.isLate = sent+protocol.Millis(600_000), true
 	job.latestStart, job.initialLatestStart = job.dueAt, job.dueAt
 	applyObjective := func(target, leadTime time.Duration) {
 		dueAt := sent + protocol.Millis(target.Milliseconds())
 		start := dueAt - startLeadFactor*protocol.Millis(leadTime.Milliseconds())
 		job.initialLatestStart = min(job.initialLatestStart, start)
-		if c.now.Wall < start {
+		if jq.now.Wall < start {
 			job.latestStart = min(job.latestStart, start)
 		}
-		if c.now.Wall+protocol.Millis(leadTime.Milliseconds()) <= dueAt && (job.isLate || dueAt < job.dueAt) {
+		if jq.now.Wall+protocol.Millis(leadTime.Milliseconds()) <= dueAt && (job.isLate || dueAt < job.dueAt) {
 			job.dueAt, job.isLate = dueAt, false
 		}
 	}
 	minRuntime := protocol.Seconds(d.EstimatedRunSeconds / 2) // estimates are often wrong by half
 	for _, objective := range objectives.StartWithin {
 		applyObjective(objective, 0)
-		if remaining := sent + protocol.Millis(objective.Milliseconds()) - c.now.Wall; job.queuePrecedence > 1 && remaining > 0 && 3*remaining < protocol.Millis(objective.Milliseconds()) {
+		if remaining := sent + protocol.Millis(objective.Milliseconds()) - jq.now.Wall; job.queuePrecedence > 1 && remaining > 0 && 3*remaining < protocol.Millis(objective.Milliseconds()) {
 			job.queuePrecedence--
 		}
 	}
@@ -157,3 +165,41 @@
 func (j *pendingJob) hasSamePrecedence(other *pendingJob) bool {
 	return j.queuePrecedence == other.queuePrecedence && j.isLate == other.isLate && !j.isStarved && !other.isStarved
 }
+
+// quotaHeadroom tells how many more tasks of the job its team's limit allows.
+func (jq *jobQueue) quotaHeadroom(candidates []*candidate, j *protocol.Job) int {
+	quota := jq.cfg.Quotas[j.Team]
+	if !quota.hasLimit() {
+		return protocol.MaxTasks
+	}
+	cores, accelerators := 0.0, 0.0
+	for _, machine := range candidates {
+		for _, alloc := range machine.allocations {
+			if alloc.desc.Team == j.Team {
+				cores += float64(alloc.count) * alloc.desc.Cores
+				accelerators += float64(alloc.count) * alloc.desc.Accelerators
+			}
+		}
+	}
+	n := protocol.MaxTasks
+	if quota.MaxCores > 0 && j.Cores > 0 {
+		n = min(n, int(math.Floor((quota.MaxCores-cores)/j.Cores+epsilon)))
+	}
+	if quota.MaxAccelerators > 0 && j.Accelerators > 0 {
+		n = min(n, int(math.Floor((quota.MaxAccelerators-accelerators)/j.Accelerators+epsilon)))
+	}
+	return max(n, 0)
+}
+
+// shouldExpedite tells whether a job's tasks have to begin sooner than all machines report
+// by themselves.
+func (jq *jobQueue) shouldExpedite(job *pendingJob) bool {
+	return !job.isLate && millisToDuration(job.latestStart-jq.now.Wall) < 2*jq.cfg.HeartbeatInterval
+}
+
+// needsWarmCapacity tells whether a job's tasks have to begin sooner than machines can be relied
+// on to be rented for them.
+func (jq *jobQueue) needsWarmCapacity(q *pendingJob) bool {
+	slack := millisToDuration(q.initialLatestStart - q.record.SubmittedAt)
+	return slack < time.Duration(jq.cfg.IdleTimeoutFactor*float64(jq.catalog.provisioningTime(q.record.Spec)))
+}
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -10,6 +10,22 @@
 	"tillerarch/internal/storage"
 )
 
+// serviceScheduler places the replicas of services.
+type serviceScheduler struct {
+	*stepContext
+
+	capacity   *candidateLister
+	acquirer   *jobAcquirer
+	agents     *agentTable
+	catalog    *machineCatalog
+	jobs       *jobTable
+	lease      *incarnationLease
+	plan       *placementPlan
+	preemption *preemptor
+	queue      *jobQueue
+	scheduler  *scheduler
+}
+
 // A job of shape daemon is a standing service: its tasks are replicas that run until
 // their user cancels the job. It is never done, has no end to plan with, and every
 // second in which a replica does not run counts. So replicas are urgent at all times,
@@ -42,25 +58,25 @@
 )
 
 // placeReplicas places the replicas of a daemon that do not run.
-func (c *Core) placeReplicas(b *batch, job *pendingJob, candidates []*candidate) {
+func (s *serviceScheduler) placeReplicas(b *batch, job *pendingJob, candidates []*candidate) {
 	d := job.record.Spec
-	p := replicaPlacer{core: c, batch: b, job: job, candidates: candidates, remaining: min(d.TaskCount-job.placedTasks, c.quotaHeadroom(candidates, d)),
+	p := replicaPlacer{services: s, batch: b, job: job, candidates: candidates, remaining: min(d.TaskCount-job.placedTasks, s.queue.quotaHeadroom(candidates, d)),
 		replicasByMachine: map[protocol.MachineID]int{}, reservationUsed: map[protocol.MachineID]int{}}
 	if p.remaining <= 0 {
 		return
 	}
-	p.canWrite = c.canWritePlacements(b, job) && c.now.Monotonic >= c.jobState(job.id).notBefore && !b.failedServices[job.id]
+	p.canWrite = s.acquirer.canWritePlacements(b, job) && s.now.Monotonic >= s.jobs.jobState(job.id).notBefore && !b.failedServices[job.id]
 	if p.canWrite {
-		p.pending = c.pendingTasks(b, job, p.remaining)
+		p.pending = s.acquirer.pendingTasks(b, job, p.remaining)
 		p.remaining = min(p.remaining, len(p.pending))
 	}
-	for id := range c.replica.MachinesWithJob(job.id) {
-		for a := range c.replica.Machines[id].Record.AssignmentsOf(job.id) {
+	for id := range s.replica.MachinesWithJob(job.id) {
+		for a := range s.replica.Machines[id].Record.AssignmentsOf(job.id) {
 			p.replicasByMachine[id] += a.Tasks.Len()
 		}
 	}
-	job.avoidedTypes = c.largeMachineTypes(d)
-	fetchesQuickly := func(machine *candidate) bool { return c.imageFetchTime(machine, d) < slowImageFetch }
+	job.avoidedTypes = s.largeMachineTypes(d)
+	fetchesQuickly := func(machine *candidate) bool { return s.imageFetchTime(machine, d) < slowImageFetch }
 	anyMachine := func(*candidate) bool { return true }
 	p.placeOnFree(fetchesQuickly)
 	p.placeByPreemption(fetchesQuickly)
@@ -78,15 +94,15 @@
 	p.placeOnFree(anyMachine)
 	job.avoidedTypes = nil
 	p.placeOnFree(anyMachine)
-	if p.remaining > 0 && job.record.Owner == c.incarnation {
-		c.unmetDemands = append(c.unmetDemands, unmetDemand{job: job.id, desc: d, tasks: p.remaining, zone: job.pinnedZone(), order: job.precedence,
+	if p.remaining > 0 && job.record.Owner == s.lease.incarnation {
+		s.plan.unmetDemands = append(s.plan.unmetDemands, unmetDemand{job: job.id, desc: d, tasks: p.remaining, zone: job.pinnedZone(), order: job.precedence,
 			submittedAt: job.record.SubmittedAt, urgent: true})
 	}
 }
 
 // replicaPlacer is one pass over the replicas of one job.
 type replicaPlacer struct {
-	core              *Core
+	services          *serviceScheduler
 	batch             *batch
 	job               *pendingJob
 	candidates        []*candidate
@@ -117,7 +133,7 @@
 	if p.remaining <= 0 {
 		return
 	}
-	for _, machine := range p.core.rankedCandidates(p.batch, p.job, false) {
+	for _, machine := range p.services.scheduler.rankedCandidates(p.batch, p.job, false) {
 		if n := min(machine.capacityFor(p.job.record.Spec), p.maxReplicasOn(machine)); n > 0 && isEligible(machine) {
 			p.placeOn(machine, n)
 		}
@@ -126,9 +142,9 @@
 
 // placeOn places n replicas on a machine that has room for them.
 func (p *replicaPlacer) placeOn(machine *candidate, count int) {
-	c := p.core
-	writeNow := p.canWrite && !machine.isProvisioning && c.fitsTransaction(p.batch, machine, p.job.record.Spec)
-	c.planTasks(p.batch, p.job, machine, count, writeNow, p.nextPending(count))
+	services := p.services
+	writeNow := p.canWrite && !machine.isProvisioning && services.scheduler.fitsTransaction(p.batch, machine, p.job.record.Spec)
+	services.scheduler.planTasks(p.batch, p.job, machine, count, writeNow, p.nextPending(count))
 	p.replicasByMachine[machine.id] += count
 	p.remaining -= count
 }
@@ -149,7 +165,9 @@
 	if p.remaining <= 0 || !p.canWrite {
 		return
 	}
-	for _, machine := range p.cheapestToPreempt(func(machine *candidate) bool { return p.core.ownsMachine(machine.record) && isEligible(machine) }) {
+	for _, machine := range p.cheapestToPreempt(func(machine *candidate) bool {
+		return p.services.lease.ownsMachine(machine.record) && isEligible(machine)
+	}) {
 		p.preemptOn(machine, p.remaining, true)
 	}
 }
@@ -158,7 +176,7 @@
 // the claimant puts its choice on record, a machine once for each replica, and their
 // owners stop tasks there.
 func (p *replicaPlacer) placeByReservation(isEligible func(*candidate) bool) {
-	c, job := p.core, p.job
+	c, job := p.services, p.job
 	if p.remaining <= 0 {
 		return
 	}
@@ -167,7 +185,7 @@
 	})
 	capacity := 0
 	for _, machine := range chosen {
-		capacity += min(c.capacityAfterPreemption(machine, job), p.maxReplicasOn(machine), p.remainingReservation(job.record.ReservedMachines, machine))
+		capacity += min(c.preemption.capacityAfterPreemption(machine, job), p.maxReplicasOn(machine), p.remainingReservation(job.record.ReservedMachines, machine))
 	}
 	if p.canWrite && capacity < p.remaining && p.batch.hasCapacity(p.batch.writesNeeded("", job.id)) {
 		if better := p.reserveMachines(isEligible, capacity); better != nil {
@@ -200,12 +218,12 @@
 	var placements []placement
 	remaining := p.remaining
 	for _, machine := range p.cheapestToPreempt(isEligible) {
-		for range min(p.core.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), remaining) {
+		for range min(p.services.preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), remaining) {
 			placements = append(placements, placement{machine, 1})
 			remaining--
 		}
 	}
-	if len(placements) <= reservedCount || !p.core.fitsJobRecord(placements) {
+	if len(placements) <= reservedCount || !p.services.preemption.fitsJobRecord(placements) {
 		return nil
 	}
 	p.batch.recordReservation(p.job.id, placements, "room is made for replicas")
@@ -219,12 +237,12 @@
 // cheapestToPreempt lists machines on which lower ranked tasks can be stopped for replicas, those
 // first where that costs least.
 func (p *replicaPlacer) cheapestToPreempt(isEligible func(*candidate) bool) []*candidate {
-	c := p.core
+	services := p.services
 	cost := map[*candidate]float64{}
 	var machines []*candidate
 	for _, machine := range p.candidates {
-		if !machine.isProvisioning && !machine.isUnschedulable && !p.job.avoidedTypes[machine.record.MachineType] && c.isMachineAllowed(p.job.record.Spec, machine) && isEligible(machine) && c.capacityAfterPreemption(machine, p.job) > 0 {
-			cost[machine] = c.replicaStartCost(machine, p.job)
+		if !machine.isProvisioning && !machine.isUnschedulable && !p.job.avoidedTypes[machine.record.MachineType] && services.capacity.isMachineAllowed(p.job.record.Spec, machine) && isEligible(machine) && services.preemption.capacityAfterPreemption(machine, p.job) > 0 {
+			cost[machine] = services.replicaStartCost(machine, p.job)
 			machines = append(machines, machine)
 		}
 	}
@@ -235,82 +253,59 @@
 // preemptOn keeps what up to most replicas are to take of a machine, and stops lower ranked
 // tasks there if that is decided and the machine is this run's.
 func (p *replicaPlacer) preemptOn(machine *candidate, limit int, mayPreempt bool) {
-	c := p.core
-	n := min(c.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), limit)
+	services := p.services
+	n := min(services.preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), limit)
 	if n <= 0 {
 		return
 	}
-	if mayPreempt && c.ownsMachine(machine.record) && machine.state != nil {
-		c.preemptForReplicas(machine, p.job, n)
+	if mayPreempt && services.lease.ownsMachine(machine.record) && machine.state != nil {
+		services.preemptForReplicas(machine, p.job, n)
 	}
 	p.job.recordAllocation(machine, n, 0)
-	c.lastPlan.retainedMachines[machine.id] = true
-	c.lastPlan.pendingPlacements[machine.id] = true
+	services.plan.retainedMachines[machine.id] = true
+	services.plan.pendingPlacements[machine.id] = true
 	p.replicasByMachine[machine.id] += n
 	p.nextPending(n)
 	p.remaining -= n
 }
 
 // preemptForReplicas stops as few lower ranked tasks on an own machine as n replicas need.
-func (c *Core) preemptForReplicas(machine *candidate, job *pendingJob, replicas int) {
+func (s *serviceScheduler) preemptForReplicas(machine *candidate, job *pendingJob, replicas int) {
 	simulated := *machine
-	for _, alloc := range c.rankedVictims(machine, job) {
+	for _, alloc := range s.preemption.rankedVictims(machine, job) {
 		stopped := 0
 		for stopped < alloc.count && simulated.capacityFor(job.record.Spec) < replicas {
 			simulated.allocate(alloc.desc, -1)
 			stopped++
 		}
 		if stopped > 0 {
-			c.preemptTasks(machine, alloc, job, stopped)
+			s.preemption.preemptTasks(machine, alloc, job, stopped)
 		}
 	}
 }
 
-// rankedVictims lists the victims on a machine, those that are being stopped already first.
-func (c *Core) rankedVictims(machine *candidate, job *pendingJob) []allocation {
-	victims := c.victims(machine, job)
-	slices.SortStableFunc(victims, func(a, z allocation) int {
-		return cmp.Compare(c.countStopping(machine, z), c.countStopping(machine, a))
-	})
-	return victims
-}
-
-// countStopping counts the tasks that a stop is under way for.
-func (c *Core) countStopping(machine *candidate, alloc allocation) int {
-	if machine.state == nil {
-		return 0
-	}
-	n := 0
-	for t, s := range machine.state.stopRequests {
-		if t.Job == alloc.job && s.attempt == alloc.attempt {
-			n++
-		}
-	}
-	return n
-}
-
 // replicaStartCost is what it takes until one replica runs on a machine: work lost, and time.
 // Tasks that are being stopped cost nothing more, so that a choice stays what it was.
-func (c *Core) replicaStartCost(machine *candidate, job *pendingJob) float64 {
+func (s *serviceScheduler) replicaStartCost(machine *candidate, job *pendingJob) float64 {
 	const costPerSecond = 10 // core-seconds that a second of a replica is worth
 	simulated, cost, waitSeconds := *machine, 0.0, 0.0
-	for _, alloc := range c.rankedVictims(machine, job) {
-		stopping := c.countStopping(machine, alloc)
+	for _, alloc := range s.preemption.rankedVictims(machine, job) {
+		stopping := s.preemption.countStopping(machine, alloc)
 		for k := 0; k < alloc.count && simulated.capacityFor(job.record.Spec) == 0; k++ {
 			simulated.allocate(alloc.desc, -1)
 			if k >= stopping {
-				cost += c.lostWork(machine, alloc) / float64(alloc.count)
+				cost += s.preemption.lostWork(machine, alloc) / float64(alloc.count)
 			}
 			if alloc.desc.CanCheckpoint() {
 				waitSeconds = max(waitSeconds, alloc.desc.CheckpointSaveSeconds)
 			}
 		}
 	}
-	return cost + costPerSecond*(waitSeconds+c.imageFetchTime(machine, job.record.Spec).Seconds())
+	return cost + costPerSecond*(waitSeconds+s.imageFetchTime(machine, job.record.Spec).Seconds())
 }
 
 // imageFetchTime is how long this machine takes until it has the job's image.
-func (c *Core) imageFetchTime(machine *candidate, d *protocol.Job) time.Duration {
+func (s *serviceScheduler) imageFetchTime(machine *candidate, d *protocol.Job) time.Duration {
 	if machine.state.hasImage(d.Image) {
 		return 0
 	}
@@ -335,17 +330,17 @@
 }
 
 // largeMachineTypes lists the machine types that replicas leave to others as long as they can.
-func (c *Core) largeMachineTypes(d *protocol.Job) map[protocol.MachineTypeName]bool {
+func (s *serviceScheduler) largeMachineTypes(d *protocol.Job) map[protocol.MachineTypeName]bool {
 	smallest := 0.0
-	for i := range c.machineTypes {
-		if machineType := &c.machineTypes[i]; machineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
+	for i := range s.catalog.machineTypes {
+		if machineType := &s.catalog.machineTypes[i]; machineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
 			smallest = machineType.Cores
 		}
 	}
 	large := map[protocol.MachineTypeName]bool{}
-	for i := range c.machineTypes {
-		if c.machineTypes[i].Cores > largeTypeFactor*smallest {
-			large[c.machineTypes[i].Name] = true
+	for i := range s.catalog.machineTypes {
+		if s.catalog.machineTypes[i].Cores > largeTypeFactor*smallest {
+			large[s.catalog.machineTypes[i].Name] = true
 		}
 	}
 	return large
@@ -354,13 +349,13 @@
 // recordExitedReplicas finds replicas that have left a machine's record though the machine
 // and its session go on: they have ended by themselves, or were stopped. All controllers
 // see it, so whoever places the next ones knows how the last ones fared.
-func (c *Core) recordExitedReplicas(id protocol.MachineID, before, after *storage.MachineRecord) {
+func (s *serviceScheduler) recordExitedReplicas(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if after.AgentEpoch != before.AgentEpoch {
 		return
 	}
 	for i := range before.Assignments {
 		assigned := &before.Assignments[i]
-		entry := c.replica.Jobs[assigned.Job]
+		entry := s.replica.Jobs[assigned.Job]
 		if entry == nil || entry.Record.Spec == nil || !entry.Record.Spec.IsService() || entry.Record.IsCancelledOrPending() {
 			continue
 		}
@@ -370,8 +365,8 @@
 				remaining = current.Tasks.Len()
 			}
 		}
-		if at, known := c.assignedAt[assignmentKey{id, assigned.Job, assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
-			c.onReplicasExited(assigned.Job, c.since(at))
+		if at, known := s.agents.assignedAt[assignmentKey{id, assigned.Job, assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
+			s.onReplicasExited(assigned.Job, s.since(at))
 		}
 	}
 }
@@ -379,8 +374,8 @@
 // onReplicasExited takes in that replicas have ended a while after they were placed. Those
 // that do so soon are tried ever less often, so that they neither use up the writes nor
 // hide others.
-func (c *Core) onReplicasExited(id protocol.JobID, after time.Duration) {
-	state := c.jobState(id)
+func (s *serviceScheduler) onReplicasExited(id protocol.JobID, after time.Duration) {
+	state := s.jobs.jobState(id)
 	if after > earlyExitWindow {
 		state.earlyExits, state.notBefore = 0, 0
 		clear(state.failedMachines)
@@ -388,15 +383,6 @@
 	}
 	backoff := min(minRestartBackoff<<min(state.earlyExits, 8), maxRestartBackoff)
 	state.earlyExits++
-	state.notBefore = c.now.Monotonic.Add(backoff)
-	c.log(slog.LevelInfo, "replica ended soon after its start", "job", string(id), "pause_s", backoff.Seconds())
-}
-
-// mustEvict tells whether a replica has to leave its machine: it will soon be taken, or
-// is faulty.
-func (c *Core) mustEvict(m *machineState, d *protocol.Job) bool {
-	if m.isFaulty {
-		return true
-	}
-	return m.preemptionAt != 0 && m.preemptionAt.Sub(c.now.Monotonic) < protocol.Seconds(d.CheckpointSaveSeconds)+evictionLeadTime
+	state.notBefore = s.now.Monotonic.Add(backoff)
+	s.log(slog.LevelInfo, "replica ended soon after its start", "job", string(id), "pause_s", backoff.Seconds())
 }
