--- a/internal/coordination/spot.go
+++ b/internal/coordination/spot.go
@@ -7,6 +7,20 @@
 	"tillerarch/internal/sharding"
 )
 
+// spotPricing decides from observed prices whether spot machines may be used.
+type spotPricing struct {
+	*stepContext
+
+	spotThresholds map[priceKey]*SpotPriceThreshold
+}
+
+func newSpotPricing(step *stepContext) *spotPricing {
+	return &spotPricing{
+		stepContext:    step,
+		spotThresholds: map[priceKey]*SpotPriceThreshold{},
+	}
+}
+
 type priceKey struct {
 	machineType protocol.MachineTypeName
 	zone        protocol.Zone
@@ -70,3 +84,14 @@
 	offset := time.Duration(sharding.RendezvousWeight("period", string(id)) % uint64(period))
 	return period-(age+offset)%period < margin
 }
+
+// canUseSpot tells whether the job may use spot machines of a type. The rule
+// gives them to jobs that keep checkpoints. The exception: where a task is so
+// short that what a reclaim is expected to cost is less than what spot saves,
+// it may do without (docs/design.md).
+func (sp *spotPricing) canUseSpot(j *protocol.Job, machineType *protocol.MachineType) bool {
+	if !j.AllowSpot {
+		return false
+	}
+	return j.CanCheckpoint() || machineType.OnDemandPrice > 0 && j.EstimatedRunSeconds/3600*sp.cfg.SpotPreemptionsPerHour < 1-machineType.SpotPrice/machineType.OnDemandPrice
+}
--- /dev/null
+++ b/internal/coordination/store_health.go
@@ -0,0 +1,35 @@
+package coordination
+
+import (
+	"errors"
+	"log/slog"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// storeHealth records whether the key-value store answers this process.
+type storeHealth struct {
+	*stepContext
+
+	lastResponseAt        protocol.Instant // last answer
+	lastAnsweredRequestAt protocol.Instant // when the newest request was sent that it has answered
+	consecutiveFailures   int              // requests in a row without an answer
+	firstFailureAt        protocol.Instant // when the first of those was
+}
+
+// recordContact notes whether the state service answered what was asked at a time.
+func (h *storeHealth) recordContact(requestedAt protocol.Instant, err error) bool {
+	if err == nil || errors.Is(err, storage.ErrLeaseExpired) || errors.Is(err, storage.ErrRevisionTooOld) {
+		if h.consecutiveFailures > 0 {
+			h.log(slog.LevelInfo, "state service answers again", "failures", h.consecutiveFailures)
+		}
+		h.lastResponseAt, h.lastAnsweredRequestAt, h.consecutiveFailures = h.now.Monotonic, max(h.lastAnsweredRequestAt, requestedAt), 0
+		return err == nil
+	}
+	if h.consecutiveFailures == 0 {
+		h.firstFailureAt = h.now.Monotonic
+		h.log(slog.LevelWarn, "state service does not answer", "err", err.Error())
+	}
+	h.consecutiveFailures++
+	return false
+}
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -108,26 +108,6 @@
 	return price / max(c.machineType.Cores, epsilon)
 }
 
-// provisioningTime is how long it takes until a task runs on a machine that is rented for it.
-func (c *Core) provisioningTime(d *protocol.Job) time.Duration {
-	return c.shortestTime(d, func(f *protocol.MachineType) time.Duration { return machineStartupTime(f, d) })
-}
-
-// shortestTime is the least time that a machine type which fits the job needs.
-func (c *Core) shortestTime(d *protocol.Job, timeFor func(*protocol.MachineType) time.Duration) time.Duration {
-	shortest := time.Duration(0)
-	for i := range c.machineTypes {
-		f := &c.machineTypes[i]
-		if machineTypeCapacity(f, d) == 0 {
-			continue
-		}
-		if t := timeFor(f); shortest == 0 || t < shortest {
-			shortest = t
-		}
-	}
-	return shortest
-}
-
 // machineStartupTime is how long a new machine of a type takes until it can run a task.
 func machineStartupTime(f *protocol.MachineType, d *protocol.Job) time.Duration {
 	return protocol.Seconds(f.BootSeconds + imageFetchSeconds(f, d))
@@ -140,10 +120,3 @@
 	}
 	return d.ImageGB / f.ImagePullGBPerSecond
 }
-
-// needsWarmCapacity tells whether a job's tasks have to begin sooner than machines can be relied
-// on to be rented for them.
-func (c *Core) needsWarmCapacity(q *pendingJob) bool {
-	slack := millisToDuration(q.initialLatestStart - q.record.SubmittedAt)
-	return slack < time.Duration(c.cfg.IdleTimeoutFactor*float64(c.provisioningTime(q.record.Spec)))
-}
