--- /dev/null
+++ b/internal/integration/cluster.go
@@ -0,0 +1,225 @@
+package integration
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"tillerarch/internal/admin"
+	"tillerarch/internal/coordination"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/simulation"
+)
+
+// Options of a fleet.
+type Options struct {
+	Seed         uint64
+	Controllers  int
+	BinaryPath   string // the program that was built
+	WorkDir      string // for settings and logs
+	MachineTypes []protocol.MachineType
+	Teams        map[string]coordination.Quota
+	Properties   string // the controllers' own settings, besides the admin service's address
+}
+
+// Cluster is a deployment on loopback.
+type Cluster struct {
+	SimulationServer
+	Controllers []*Controller
+	options     Options
+}
+
+// Controller is a controller process.
+type Controller struct {
+	ID         protocol.ControllerID
+	AdminAddr  string // address of its admin service
+	cluster    *Cluster
+	index      int
+	listenAddr string
+	peerAddr   string
+	httpClient *http.Client
+	process    *exec.Cmd
+	logFile    *os.File
+}
+
+// Limits and times of the deployment that the controllers are told.
+const (
+	heartbeatInterval = time.Second
+	agentLeaseTTL     = 8 * time.Second
+	cancelTimeout     = 30 * time.Second
+	gangStartTimeout  = 20 * time.Second
+	maxValueBytes     = 2560
+	maxTransactionOps = 24
+	writesPerSecond   = 150
+)
+
+// StartCluster brings a fleet up.
+func StartCluster(options Options) (*Cluster, error) {
+	cluster := &Cluster{options: options}
+	var remotes []simulation.RemoteController
+	for i := range options.Controllers {
+		c := &Controller{cluster: cluster, index: i, ID: protocol.ControllerID(fmt.Sprintf("stall-%d", i))}
+		for _, addr := range []*string{&c.listenAddr, &c.peerAddr, &c.AdminAddr} {
+			var err error
+			if *addr, err = freeAddress(); err != nil {
+				return nil, err
+			}
+		}
+		c.httpClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+		cluster.Controllers = append(cluster.Controllers, c)
+		remotes = append(remotes, c)
+	}
+	w := simulation.NewRemoteWorld(options.Seed, remotes, options.MachineTypes, options.Teams)
+	w.HeartbeatInterval, w.AgentLeaseTTL, w.GangStartTimeout, w.Rules.CancelTimeout = heartbeatInterval, agentLeaseTTL, gangStartTimeout, cancelTimeout
+	w.Store.SetMaxEvents(10_000)
+	w.Store.MaxValueBytes, w.Store.MaxOperations, w.Store.WriteRate = maxValueBytes, maxTransactionOps, writesPerSecond
+	if err := cluster.start(w); err != nil {
+		return nil, err
+	}
+	for _, c := range cluster.Controllers {
+		if err := c.Start(); err != nil {
+			return nil, err
+		}
+	}
+	return cluster, nil
+}
+
+// freeAddress finds a loopback port that nobody listens on.
+func freeAddress() (string, error) {
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
+// Start starts the controller's process.
+func (c *Controller) Start() error {
+	config := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".toml")
+	properties := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".properties")
+	propertyText := c.cluster.options.Properties + "\nadmin.listen = " + c.AdminAddr + "\n"
+	if err := os.WriteFile(config, []byte(c.configFile()), 0o600); err != nil {
+		return err
+	}
+	if err := os.WriteFile(properties, []byte(propertyText), 0o600); err != nil {
+		return err
+	}
+	var err error
+	if c.logFile == nil {
+		if c.logFile, err = os.Create(filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".log")); err != nil {
+			return err
+		}
+	}
+	c.process = exec.Command(c.cluster.options.BinaryPath, "--properties", properties, "--config", config)
+	c.process.Stderr = c.logFile
+	return c.process.Start()
+}
+
+// configFile is the platform's settings file.
+func (c *Controller) configFile() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "member = %q\narea = \"a\"\nlisten = %q\nback = %q\n", c.ID, c.listenAddr, c.peerAddr)
+	for _, other := range c.cluster.Controllers {
+		if other != c {
+			fmt.Fprintf(&b, "[[members]]\nmember = %q\naddr = %q\n", other.ID, other.peerAddr)
+		}
+	}
+	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.cluster.cloudAddr, c.cluster.storeAddrs[c.index])
+	for name, team := range c.cluster.options.Teams {
+		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %f\n", name, team.MaxCores)
+	}
+	fmt.Fprintf(&b, "[params.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = 4.0\ncancel_s = %f\n",
+		heartbeatInterval.Seconds(), agentLeaseTTL.Seconds(), gangStartTimeout.Seconds(), cancelTimeout.Seconds())
+	fmt.Fprintf(&b, "[params.state]\nrps = 500.0\nwrite_rps = %d\nvalue_kb = %f\ntxn_ops = %d\n", writesPerSecond, float64(maxValueBytes)/1024, maxTransactionOps)
+	fmt.Fprint(&b, "[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[params.resources]\nmemory_mb = 400.0\nmax_sockets = 2000\n")
+	return b.String()
+}
+
+// Kill ends the process with no notice.
+func (c *Controller) Kill() {
+	c.process.Process.Kill()
+	c.process.Wait()
+}
+
+// Restart ends the process and starts it again after a while.
+func (c *Controller) Restart(downtime time.Duration) error {
+	c.Kill()
+	time.Sleep(downtime)
+	return c.Start()
+}
+
+// Pause lets the process stand still for a while.
+func (c *Controller) Pause(d time.Duration) error {
+	if err := c.process.Process.Signal(syscall.SIGSTOP); err != nil {
+		return err
+	}
+	time.Sleep(d)
+	return c.process.Process.Signal(syscall.SIGCONT)
+}
+
+// AdminClient is a client of the controller's admin service.
+func (c *Controller) AdminClient() (*admin.Client, error) { return admin.Dial(c.AdminAddr) }
+
+// Close ends the fleet, and waits for its processes.
+func (c *Cluster) Close() {
+	for _, c := range c.Controllers {
+		if c.process != nil {
+			c.Kill()
+		}
+		if c.logFile != nil {
+			c.logFile.Close()
+		}
+	}
+	c.SimulationServer.Close()
+}
+
+// DeliverHeartbeat sends a worker's report to the controller.
+func (c *Controller) DeliverHeartbeat(heartbeat []byte, reply func(int, []byte)) {
+	c.sendAsync("POST", protocol.PathHeartbeat, heartbeat, reply)
+}
+
+// DeliverUserRequest sends a user's request to the controller.
+func (c *Controller) DeliverUserRequest(requestType protocol.RequestType, id protocol.JobID, job []byte, reply func(int, []byte)) {
+	switch requestType {
+	case protocol.RequestSubmit:
+		c.sendAsync("POST", protocol.PathJobs, job, reply)
+	case protocol.RequestQuery:
+		c.sendAsync("GET", protocol.PathJobs+"/"+string(id), nil, reply)
+	case protocol.RequestCancel:
+		c.sendAsync("POST", protocol.PathJobs+"/"+string(id)+"/abort", []byte("{}"), reply)
+	}
+}
+
+// sendAsync makes a call and brings the answer into the world; status 0 if there is none.
+func (c *Controller) sendAsync(method, path string, content []byte, reply func(int, []byte)) {
+	go func() {
+		status, body := c.call(method, path, content)
+		c.cluster.WithWorld(func(*simulation.World) { reply(status, body) })
+	}()
+}
+
+func (c *Controller) call(method, path string, content []byte) (status int, answer []byte) {
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.listenAddr+path, bytes.NewReader(content))
+	if err != nil {
+		return 0, nil
+	}
+	response, err := c.httpClient.Do(request)
+	if err != nil {
+		return 0, nil
+	}
+	defer response.Body.Close()
+	if answer, err = io.ReadAll(response.Body); err != nil {
+		return 0, nil
+	}
+	return response.StatusCode, answer
+}
--- /dev/null
+++ b/internal/simulation/compatibility.go
@@ -0,0 +1,144 @@
+package simulation
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// Controllers of the version in production are played by cores of this one that are told
+// nothing of new limits, and whose records are stripped of what that version does not
+// write. What they are given to read is checked against the formats of that version.
+
+// productionShard and productionJob are the records as the version in production reads them.
+type (
+	productionShard struct {
+		Owner          string            `json:"o"`
+		Epoch          uint64            `json:"b"`
+		Machines       []string          `json:"m"`
+		CompletedTasks map[string]string `json:"d"`
+	}
+	productionJob struct {
+		Spec                json.RawMessage `json:"d"`
+		State               string          `json:"s"`
+		Owner               string          `json:"c"`
+		NextAttempt         uint64          `json:"n"`
+		CompletedTasks      string          `json:"v"`
+		GracefulStopAttempt uint64          `json:"h"`
+		ReservedMachines    []string        `json:"m"`
+		SubmittedAt         int64           `json:"t"`
+		CancelRequested     bool            `json:"w"`
+		CancelUpdatedAt     int64           `json:"o"`
+		TaskCount           int             `json:"k"`
+	}
+	productionController struct {
+		Incarnation  string `json:"r"`
+		WriteBarrier int    `json:"f"`
+	}
+)
+
+// checkProductionFormat reads a record as the version in production does, strictly: a field that it
+// does not know would be lost when it writes the record again.
+func checkProductionFormat(key string, data json.RawMessage) error {
+	strict := func(v any) error {
+		d := json.NewDecoder(bytes.NewReader(data))
+		d.DisallowUnknownFields()
+		return d.Decode(v)
+	}
+	switch {
+	case strings.HasPrefix(key, storage.ShardKey("")):
+		var p productionShard
+		if err := strict(&p); err != nil {
+			return err
+		}
+		for _, line := range p.Machines {
+			if len(strings.Split(line, " ")) < 7 {
+				return fmt.Errorf("machine %q", line)
+			}
+		}
+		for _, ranges := range p.CompletedTasks {
+			if strings.Trim(ranges, "0123456789,-") != "" {
+				return fmt.Errorf("done tasks %q", ranges)
+			}
+		}
+		return nil
+	case strings.HasPrefix(key, storage.JobKey("")):
+		var j productionJob
+		if err := strict(&j); err != nil {
+			return err
+		}
+		if strings.Trim(j.CompletedTasks, "0123456789,-") != "" || j.State == "" && len(j.Spec) == 0 {
+			return fmt.Errorf("job %s", data)
+		}
+		return nil
+	}
+	return nil
+}
+
+// transactionForVersion is a transaction as the controller's version writes it.
+func (c *Controller) transactionForVersion(transaction protocol.Transaction) protocol.Transaction {
+	if !c.RunsProductionVersion {
+		return transaction
+	}
+	operations := append([]protocol.Operation(nil), transaction.Operations...)
+	for i := range operations {
+		if !strings.HasPrefix(operations[i].PutKey, storage.ControllerKey("")) {
+			continue
+		}
+		var old productionController
+		if err := json.Unmarshal(operations[i].Value, &old); err != nil {
+			panic(err)
+		}
+		operations[i].Value = protocol.Encode(old)
+	}
+	transaction.Operations = operations
+	return transaction
+}
+
+// acceptsRecord checks a record that a controller of the version in production is given, and
+// tells whether that version takes it in.
+func (c *Controller) acceptsRecord(key string, data json.RawMessage) bool {
+	if !c.RunsProductionVersion {
+		return true
+	}
+	if err := checkProductionFormat(key, data); err != nil {
+		c.world.Rules.recordViolation("unreadable", "%s for %s of the version in production: %v", key, c.ID, err)
+		return false
+	}
+	return key != storage.FormatKey && !strings.HasPrefix(key, storage.TransferKey("")) && !strings.HasPrefix(key, storage.DrainKey(""))
+}
+
+// readableEntries is what the controller's version takes in of all records.
+func (c *Controller) readableEntries(items []protocol.Entry) (out []protocol.Entry) {
+	for _, i := range items {
+		if c.acceptsRecord(i.Key, i.Value) {
+			out = append(out, i)
+		}
+	}
+	return out
+}
+
+// readableEvents is what the controller's version takes in of changes.
+func (c *Controller) readableEvents(events []protocol.Event) (out []protocol.Event) {
+	for _, event := range events {
+		if event.PutKey == "" || c.acceptsRecord(event.PutKey, event.Value) {
+			out = append(out, event)
+		}
+	}
+	return out
+}
+
+// Upgrade ends the controller at a time and starts it again with the new version after
+// a while.
+func (c *Controller) Upgrade(at, downtime time.Duration) {
+	c.world.After(at, func() {
+		c.Kill()
+		c.RunsProductionVersion = false
+	})
+	c.world.After(at+downtime, c.Start)
+}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -152,8 +152,8 @@
 
 // holds lets a trouble last from one time to another.
 func (w *World) holds(flag *bool, from, lasts float64) {
-	w.At(seconds(from), func() { *flag = true })
-	w.At(seconds(from+lasts), func() { *flag = false })
+	w.After(seconds(from), func() { *flag = true })
+	w.After(seconds(from+lasts), func() { *flag = false })
 }
 
 // tellsShares lets an operator ask for the shares again and again, at one controller after
@@ -162,7 +162,7 @@
 	k := 0
 	w.Every(seconds(every), func() {
 		k++
-		w.Nodes[k%len(w.Nodes)].Operator(func(id coordination.RequestID) coordination.Input { return coordination.ShardingStatusRequest{Req: id} },
+		w.Controllers[k%len(w.Controllers)].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input { return coordination.ShardingStatusRequest{Req: id} },
 			func(coordination.Effect) {})
 	})
 }
@@ -170,347 +170,347 @@
 // The leader of other tests depends on the order of a map if two are equal: the days
 // below name the controllers that fail.
 var digestDays = []digestDay{
-	{"crashes", mixedWorld, func(t *testing.T, w *World) {
-		w.Drop = 0.02
-		submitMix(w, 30)
-		w.odd(seconds(10), seconds(100))
+	{"crashes", newMixedWorld, func(t *testing.T, w *World) {
+		w.MessageLossRate = 0.02
+		submitMixedJobs(w, 30)
+		w.sendUnusualRequests(seconds(10), seconds(100))
 		for i := 1; i < 7; i++ {
-			w.restart(w.Nodes[i%3], seconds(10*float64(i)), seconds([]float64{0.2, 5}[i%2]))
+			w.restartController(w.Controllers[i%3], seconds(10*float64(i)), seconds([]float64{0.2, 5}[i%2]))
 		}
-		for i, n := range w.Nodes {
-			w.restart(n, seconds(85), seconds(4+float64(i)))
+		for i, n := range w.Controllers {
+			w.restartController(n, seconds(85), seconds(4+float64(i)))
 		}
 	}, seconds(110), seconds(60)},
-	{"refused-and-outage", mixedWorld, func(t *testing.T, w *World) {
-		submitMix(w, 24)
-		w.long(8, "core", 60)
+	{"refused-and-outage", newMixedWorld, func(t *testing.T, w *World) {
+		submitMixedJobs(w, 24)
+		w.submitLongJobs(8, "core", 60)
 		for i, at := range []float64{25, 68} {
-			w.holds(&w.Nodes[i].Refused, at, 14)
-			w.At(seconds(at+0.2), func() { w.cancelRunning(5) })
-			w.holds(&w.State.Down, at+1, 34)
+			w.holds(&w.Controllers[i].RefusedByStore, at, 14)
+			w.After(seconds(at+0.2), func() { w.cancelRunningJobs(5) })
+			w.holds(&w.Store.Unavailable, at+1, 34)
 		}
 	}, seconds(110), seconds(60)},
-	{"late-and-lost-transactions", mixedWorld, func(t *testing.T, w *World) {
+	{"late-and-lost-transactions", newMixedWorld, func(t *testing.T, w *World) {
 		w.Config.ValueBytes = 1700
-		for _, n := range w.Nodes {
+		for _, n := range w.Controllers {
 			n.Start()
 		}
-		w.Late, w.Unheard, w.Held, w.Drop, w.Slow = 0.15, 0.15, 0.2, 0.03, seconds(0.4)
-		submitMix(w, 24)
-		w.long(6, "core", 40)
+		w.DelayedWriteRate, w.LostWriteReplyRate, w.DelayedCommandRate, w.MessageLossRate, w.MaxStoreDelay = 0.15, 0.15, 0.2, 0.03, seconds(0.4)
+		submitMixedJobs(w, 24)
+		w.submitLongJobs(6, "core", 40)
 		for i := range 5 {
-			w.restart(w.Nodes[i%3], seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
-			w.At(seconds(24+15*float64(i)), func() { w.cancelRunning(2) })
+			w.restartController(w.Controllers[i%3], seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
+			w.After(seconds(24+15*float64(i)), func() { w.cancelRunningJobs(2) })
 		}
 	}, seconds(105), seconds(70)},
-	{"deaf-mute-hanging-machines", mixedWorld, func(t *testing.T, w *World) {
-		w.Drop = 0.01
-		submitMix(w, 24)
-		w.long(6, "core", 50)
+	{"deaf-mute-hanging-machines", newMixedWorld, func(t *testing.T, w *World) {
+		w.MessageLossRate = 0.01
+		submitMixedJobs(w, 24)
+		w.submitLongJobs(6, "core", 50)
 		for i := range 5 {
 			at, lasts := 16+15*float64(i), seconds(3+6*float64(i))
-			w.At(seconds(at), func() {
-				for k, m := range w.some(0.6) {
-					flag := []*bool{&m.Deaf, &m.Mute, &m.Cut}[k%3]
+			w.After(seconds(at), func() {
+				for k, m := range w.randomMachines(0.6) {
+					flag := []*bool{&m.CommandsLost, &m.HeartbeatsLost, &m.Partitioned}[k%3]
 					*flag = true
-					w.At(lasts, func() { *flag = false })
+					w.After(lasts, func() { *flag = false })
 				}
-				w.cancelRunning(1)
+				w.cancelRunningJobs(1)
 			})
-			w.At(seconds(at+4), func() {
-				for _, m := range w.some(0.15) {
+			w.After(seconds(at+4), func() {
+				for _, m := range w.randomMachines(0.15) {
 					m.Hang(lasts)
 				}
 			})
 		}
-		w.restart(w.Nodes[1], seconds(45), seconds(1))
+		w.restartController(w.Controllers[1], seconds(45), seconds(1))
 	}, seconds(110), seconds(60)},
-	{"zone-cut", mixedWorld, func(t *testing.T, w *World) {
-		submitMix(w, 24)
-		w.long(10, "core", 50)
+	{"zone-cut", newMixedWorld, func(t *testing.T, w *World) {
+		submitMixedJobs(w, 24)
+		w.submitLongJobs(10, "core", 50)
 		for i := range 2 {
-			n, z, at := w.Nodes[2-i], []protocol.Zone{"a", "b"}[i], 20+45*float64(i)
-			for _, flag := range []*bool{&n.NoState, &n.NoPeers, &n.NoUsers} {
+			n, z, at := w.Controllers[2-i], []protocol.Zone{"a", "b"}[i], 20+45*float64(i)
+			for _, flag := range []*bool{&n.StoreUnreachable, &n.PeersUnreachable, &n.UsersUnreachable} {
 				w.holds(flag, at, 38)
 			}
-			w.At(seconds(at), func() { w.Zone[z] = n })
-			w.At(seconds(at+38), func() { delete(w.Zone, z) })
-			w.At(seconds(at+3), func() { w.cancelRunning(3) })
-			w.At(seconds(at+20), func() { w.cancelRunning(2) })
+			w.After(seconds(at), func() { w.PartitionedZones[z] = n })
+			w.After(seconds(at+38), func() { delete(w.PartitionedZones, z) })
+			w.After(seconds(at+3), func() { w.cancelRunningJobs(3) })
+			w.After(seconds(at+20), func() { w.cancelRunningJobs(2) })
 		}
-		w.restart(w.Nodes[0], seconds(30), seconds(0.4))
+		w.restartController(w.Controllers[0], seconds(30), seconds(0.4))
 	}, seconds(110), seconds(60)},
 	{"cancelled-in-outage", func(t *testing.T, seed uint64) *World {
-		w := NewWorld(seed, 3, testFlavors[:1], testTeams())
-		w.NoHire = true
+		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
+		w.CloudOutOfCapacity = true
 		w.Config.IdleTimeoutFactor = 100
-		for _, n := range w.Nodes {
+		for _, n := range w.Controllers {
 			n.Start()
 		}
 		for i := range 14 {
-			w.Machine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+			w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
 		}
 		return w
 	}, func(t *testing.T, w *World) {
-		w.AtEnd = 0.5
+		w.CancelAtEndRate = 0.5
 		var ids []protocol.JobID
 		for i := range 9 {
-			d := array(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 4, 1, []float64{250, 250, 30}[i%3])
+			d := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 4, 1, []float64{250, 250, 30}[i%3])
 			ids = append(ids, d.ID)
-			w.At(seconds(5+float64(i)), func() { w.Submit(d) })
+			w.After(seconds(5+float64(i)), func() { w.Submit(d) })
 			if i%3 < 2 {
-				w.At(seconds(25.2+0.1*float64(i)), func() { w.Abort(d.ID) })
+				w.After(seconds(25.2+0.1*float64(i)), func() { w.Cancel(d.ID) })
 			}
 		}
-		w.holds(&w.Nodes[1].Refused, 25, 14)
-		w.holds(&w.Nodes[2].NoPeers, 26, 20)
-		w.holds(&w.State.Down, 29, 50)
-		w.restart(w.Nodes[1], seconds(33), seconds(0.3))
-		w.At(seconds(31), func() {
-			for _, m := range w.some(0.4) {
+		w.holds(&w.Controllers[1].RefusedByStore, 25, 14)
+		w.holds(&w.Controllers[2].PeersUnreachable, 26, 20)
+		w.holds(&w.Store.Unavailable, 29, 50)
+		w.restartController(w.Controllers[1], seconds(33), seconds(0.3))
+		w.After(seconds(31), func() {
+			for _, m := range w.randomMachines(0.4) {
 				m.Hang(seconds(30))
 			}
 		})
 		k := 0
 		w.Every(300*time.Millisecond, func() {
 			k++
-			id, n := ids[k%len(ids)], w.Nodes[k/len(ids)%3]
+			id, n := ids[k%len(ids)], w.Controllers[k/len(ids)%3]
 			switch {
 			case w.Jobs[id] == nil:
 			case k%2 == 0:
-				w.Ask(n, protocol.RequestQuery, id, nil, func(int, protocol.JobState) {})
+				w.SendUserRequestTo(n, protocol.RequestQuery, id, nil, func(int, protocol.JobState) {})
 			default:
-				w.Ask(n, protocol.RequestSubmit, id, protocol.Encode(w.Jobs[id]), func(int, protocol.JobState) {})
+				w.SendUserRequestTo(n, protocol.RequestSubmit, id, protocol.Encode(w.Jobs[id]), func(int, protocol.JobState) {})
 			}
 		})
 	}, seconds(90), seconds(80)},
 	{"gangs-arrays-services-limits", func(t *testing.T, seed uint64) *World {
-		flavors := append(slices.Clone(testFlavors), testFlavors[0])
+		flavors := append(slices.Clone(testMachineTypes), testMachineTypes[0])
 		flavors[2].Name, flavors[2].Accelerators = "gpu", 2
 		w := NewWorld(seed, 3, flavors, testTeams())
 		for i := range 8 {
-			w.Machine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+			w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
 		}
 		w.Config.Quotas["promised"] = coordination.Quota{GuaranteedCores: 12, MaxCores: 40}
 		w.Config.Objectives = map[string]coordination.Objectives{"l": {StartWithin: []time.Duration{seconds(5), seconds(20)}, FinishWithin: []time.Duration{seconds(60)}, DeadlineFactors: []float64{1, 2}}}
-		w.limitAll(60)
+		w.limitAllTeams(60)
 		return w
 	}, func(t *testing.T, w *World) {
-		submitMix(w, 30)
+		submitMixedJobs(w, 30)
 		due := 40.0
 		for i := range 18 {
 			id := protocol.JobID(fmt.Sprintf("j-7%03d", i))
-			d := array(id, "l", []protocol.Priority{"high", "low", "standard", "critical"}[i%4], 3+i%5, 2, 12)
+			d := newArray(id, "l", []protocol.Priority{"high", "low", "standard", "critical"}[i%4], 3+i%5, 2, 12)
 			switch i % 6 {
 			case 0:
-				d = daemon(id, 2+i%4)
+				d = newService(id, 2+i%4)
 				d.Team, d.SpreadZones = []string{"tight", "core"}[i%2], i%4 == 0
 			case 1:
-				d = gang(id, "l", "high", 2+i%3, 3, 10)
+				d = newGang(id, "l", "high", 2+i%3, 3, 10)
 				d.Team = "promised"
 			case 2:
 				d.Team, d.DeadlineSeconds = "promised", &due
 			case 3:
 				d.Accelerators, d.Cores = 1, 0.5
 			case 4:
-				d.Class = []string{laneFails, laneEnds}[i/6%2]
+				d.Class = []string{classFails, classExits}[i/6%2]
 			}
-			w.At(seconds(4+4*float64(i)), func() { w.Submit(d) })
+			w.After(seconds(4+4*float64(i)), func() { w.Submit(d) })
 		}
-		w.holds(&w.NoHire, 30, 25)
-		w.holds(&w.NoCloud, 70, 12)
+		w.holds(&w.CloudOutOfCapacity, 30, 25)
+		w.holds(&w.CloudUnreachable, 70, 12)
 		for i := range 6 {
-			w.At(seconds(20+12*float64(i)), func() {
-				for _, m := range w.some(0.1) {
-					w.Lose(m.ID)
+			w.After(seconds(20+12*float64(i)), func() {
+				for _, m := range w.randomMachines(0.1) {
+					w.TerminateMachine(m.ID)
 				}
 			})
 		}
-		w.restart(w.Nodes[2], seconds(50), seconds(2))
-		w.At(seconds(90), func() { w.cancelRunning(6) })
+		w.restartController(w.Controllers[2], seconds(50), seconds(2))
+		w.After(seconds(90), func() { w.cancelRunningJobs(6) })
 	}, seconds(110), seconds(60)},
-	{"moves-with-failures", movingWorld, func(t *testing.T, w *World) {
+	{"moves-with-failures", newTransferWorld, func(t *testing.T, w *World) {
 		w.Config.RebalanceDemandWeight = 0.5
-		for _, n := range w.Nodes {
+		for _, n := range w.Controllers {
 			n.Start()
 		}
-		submitMix(w, 40)
-		w.moveAround(1200*time.Millisecond, seconds(90))
+		submitMixedJobs(w, 40)
+		w.requestRandomTransfers(1200*time.Millisecond, seconds(90))
 		w.tellsShares(5)
 		moves := 0
-		w.onPhase(storage.TransferProposed, func(r storage.TransferRecord) {
+		w.onTransferPhase(storage.TransferProposed, func(r storage.TransferRecord) {
 			if moves++; moves%5 == 0 {
-				w.Nodes[moves%3].Operator(func(id coordination.RequestID) coordination.Input {
+				w.Controllers[moves%3].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input {
 					return coordination.TransferRequest{Req: id, Name: r.Name, Abort: true}
 				}, func(coordination.Effect) {})
 			}
 			if moves%9 == 0 {
-				w.bounce(r.Source, 3*time.Second)
+				w.restartIfAlive(r.Source, 3*time.Second)
 			}
 		})
 		prepared := 0
-		w.onPhase(storage.TransferPrepared, func(r storage.TransferRecord) {
+		w.onTransferPhase(storage.TransferPrepared, func(r storage.TransferRecord) {
 			switch prepared++; prepared % 24 {
 			case 4:
-				w.bounce(r.Source, 200*time.Millisecond)
+				w.restartIfAlive(r.Source, 200*time.Millisecond)
 			case 9:
-				w.bounce(r.Target, 4*time.Second)
+				w.restartIfAlive(r.Target, 4*time.Second)
 			case 13:
-				w.node(r.Source).Freeze(12 * time.Second)
+				w.controllerOf(r.Source).Pause(12 * time.Second)
 			case 18:
-				w.State.Down = true
-				w.At(9*time.Second, func() { w.State.Down = false })
+				w.Store.Unavailable = true
+				w.After(9*time.Second, func() { w.Store.Unavailable = false })
 			case 23:
-				w.cancelRunning(3)
+				w.cancelRunningJobs(3)
 			}
 		})
 		passed := 0
-		w.onPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
+		w.onTransferPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
 			switch passed++; passed % 16 {
 			case 6:
-				w.bounce(r.Target, 12*time.Second)
+				w.restartIfAlive(r.Target, 12*time.Second)
 			case 14:
-				w.node(r.Target).Freeze(10 * time.Second)
+				w.controllerOf(r.Target).Pause(10 * time.Second)
 			}
 		})
 	}, seconds(90), seconds(80)},
-	{"moves-late-writes", movingWorld, func(t *testing.T, w *World) {
-		w.Late, w.Unheard, w.Copies = 0.05, 0.1, 0.1
-		submitMix(w, 30)
-		w.moveAround(1500*time.Millisecond, seconds(90))
+	{"moves-late-writes", newTransferWorld, func(t *testing.T, w *World) {
+		w.DelayedWriteRate, w.LostWriteReplyRate, w.DuplicateHeartbeatRate = 0.05, 0.1, 0.1
+		submitMixedJobs(w, 30)
+		w.requestRandomTransfers(1500*time.Millisecond, seconds(90))
 		w.tellsShares(9)
-		w.holds(&w.Nodes[0].NoPeers, 20, 15)
-		w.holds(&w.Nodes[1].NoState, 40, 12)
-		w.holds(&w.Nodes[2].NoWorker, 60, 20)
+		w.holds(&w.Controllers[0].PeersUnreachable, 20, 15)
+		w.holds(&w.Controllers[1].StoreUnreachable, 40, 12)
+		w.holds(&w.Controllers[2].AgentsUnreachable, 60, 20)
 	}, seconds(90), seconds(80)},
-	{"drains", movingWorld, func(t *testing.T, w *World) {
-		submitMix(w, 24)
+	{"drains", newTransferWorld, func(t *testing.T, w *World) {
+		submitMixedJobs(w, 24)
 		w.tellsShares(4)
 		drain := func(at float64, asked int, member protocol.ControllerID, on bool) {
-			w.At(seconds(at), func() {
-				w.Nodes[asked].Operator(func(id coordination.RequestID) coordination.Input {
+			w.After(seconds(at), func() {
+				w.Controllers[asked].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input {
 					return coordination.DrainRequest{Req: id, Controller: member, Drain: on}
 				}, func(coordination.Effect) {})
 			})
 		}
 		drain(12, 1, "stall-0", true)
 		drain(14, 1, "stall-0", true)
-		w.restart(w.Nodes[0], seconds(35), seconds(1))
+		w.restartController(w.Controllers[0], seconds(35), seconds(1))
 		drain(45, 1, "stall-1", true)
 		drain(46, 1, "stall-2", true)
 		drain(47, 0, "stall-9", true)
-		w.holds(&w.State.Down, 50, 4)
+		w.holds(&w.Store.Unavailable, 50, 4)
 		drain(52, 2, "stall-0", false)
 		drain(65, 2, "stall-0", false)
 		drain(80, 2, "stall-1", false)
-		w.restart(w.Nodes[2], seconds(85), seconds(6))
+		w.restartController(w.Controllers[2], seconds(85), seconds(6))
 	}, seconds(100), seconds(60)},
-	{"upgrade-with-announced-limits", upgradeWorld, func(t *testing.T, w *World) {
-		w.Drop, w.Copies = 0.01, 0.1
-		submitMix(w, 30)
-		w.At(seconds(2), func() { w.Submit(array("j-700000", "l", "standard", 600, 1, 5)) })
-		for i, n := range w.Nodes {
+	{"upgrade-with-announced-limits", newUpgradeWorld, func(t *testing.T, w *World) {
+		w.MessageLossRate, w.DuplicateHeartbeatRate = 0.01, 0.1
+		submitMixedJobs(w, 30)
+		w.After(seconds(2), func() { w.Submit(newArray("j-700000", "l", "standard", 600, 1, 5)) })
+		for i, n := range w.Controllers {
 			n.Upgrade(seconds(20+8*float64(i)), seconds(3))
 		}
-		w.At(seconds(55), w.tighten)
+		w.After(seconds(55), w.tightenLimits)
 		for i := range 6 {
-			d := daemon(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
+			d := newService(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
 			d.SpreadZones = i%2 == 0
-			w.At(seconds(57+2*float64(i)), func() { w.Submit(d) })
-			w.At(seconds(24+6*float64(i)), func() {
-				for _, m := range w.some(0.03) {
-					w.Lose(m.ID)
+			w.After(seconds(57+2*float64(i)), func() { w.Submit(d) })
+			w.After(seconds(24+6*float64(i)), func() {
+				for _, m := range w.randomMachines(0.03) {
+					w.TerminateMachine(m.ID)
 				}
 			})
 		}
-		w.holds(&w.State.Down, 60, 7)
-		w.restart(w.Nodes[0], seconds(69), seconds(0.3))
-		w.At(seconds(75), func() { w.cancelRunning(3) })
+		w.holds(&w.Store.Unavailable, 60, 7)
+		w.restartController(w.Controllers[0], seconds(69), seconds(0.3))
+		w.After(seconds(75), func() { w.cancelRunningJobs(3) })
 	}, seconds(110), seconds(50)},
-	{"upgrade-and-moves", movingWorld, func(t *testing.T, w *World) {
+	{"upgrade-and-moves", newTransferWorld, func(t *testing.T, w *World) {
 		w.Config.AnnouncedLimits = &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
-		for _, n := range w.Nodes {
-			n.Old = true
+		for _, n := range w.Controllers {
+			n.RunsProductionVersion = true
 			n.Start()
 		}
-		submitMix(w, 30)
-		w.moveAround(1500*time.Millisecond, seconds(100))
+		submitMixedJobs(w, 30)
+		w.requestRandomTransfers(1500*time.Millisecond, seconds(100))
 		w.tellsShares(9)
-		for i, n := range w.Nodes {
+		for i, n := range w.Controllers {
 			n.Upgrade(seconds(20+10*float64(i)), seconds(2))
 		}
-		w.At(seconds(60), func() { w.State.Value, w.State.Ops = 2048, 6 })
+		w.After(seconds(60), func() { w.Store.MaxValueBytes, w.Store.MaxOperations = 2048, 6 })
 	}, seconds(100), seconds(70)},
-	{"lost-machines-late-copies", mixedWorld, func(t *testing.T, w *World) {
-		w.Drop, w.Copies = 0.01, 0.4
-		submitMix(w, 30)
-		w.At(seconds(6), func() { w.Submit(daemon("j-800000", 4)) })
+	{"lost-machines-late-copies", newMixedWorld, func(t *testing.T, w *World) {
+		w.MessageLossRate, w.DuplicateHeartbeatRate = 0.01, 0.4
+		submitMixedJobs(w, 30)
+		w.After(seconds(6), func() { w.Submit(newService("j-800000", 4)) })
 		for i := range 10 {
-			w.At(seconds(16+8*float64(i)), func() {
-				for k, m := range w.some(0.2) {
+			w.After(seconds(16+8*float64(i)), func() {
+				for k, m := range w.randomMachines(0.2) {
 					switch (i + k) % 3 {
 					case 0:
-						w.Lose(m.ID)
+						w.TerminateMachine(m.ID)
 					case 1:
 						m.Reboot()
 					case 2:
-						w.Recall(m.ID, seconds(9))
+						w.PreemptMachine(m.ID, seconds(9))
 					}
 				}
 			})
 		}
 		for i := range 6 {
-			w.restart(w.Nodes[i%3], seconds(24+13*float64(i)), seconds(0.1+0.7*float64(i)))
+			w.restartController(w.Controllers[i%3], seconds(24+13*float64(i)), seconds(0.1+0.7*float64(i)))
 		}
 	}, seconds(110), seconds(60)},
 	{"spot-prices", func(t *testing.T, seed uint64) *World {
-		return NewWorld(seed, 3, slices.Clone(testFlavors), testTeams())
+		return NewWorld(seed, 3, slices.Clone(testMachineTypes), testTeams())
 	}, func(t *testing.T, w *World) {
 		for i := range 16 {
-			d := array(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 8, 4, 10)
+			d := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 8, 4, 10)
 			d.AllowSpot, d.CheckpointIntervalSeconds, d.CheckpointSaveSeconds = true, 5, 1
-			w.At(seconds(2+6*float64(i)), func() { w.Submit(d) })
+			w.After(seconds(2+6*float64(i)), func() { w.Submit(d) })
 		}
 		for i, part := range []float64{0.9, 0.3, 0.95, 0.1, 0.6} {
-			w.At(seconds(25+18*float64(i)), func() {
-				dearer := slices.Clone(w.Flavors) // what was answered before stays as it was
+			w.After(seconds(25+18*float64(i)), func() {
+				dearer := slices.Clone(w.MachineTypes) // what was answered before stays as it was
 				for k := range dearer {
-					dearer[k].SpotPrice = part * dearer[k].OnDemandPrice * (1 + 0.1*w.Rng.Float64())
+					dearer[k].SpotPrice = part * dearer[k].OnDemandPrice * (1 + 0.1*w.Rand.Float64())
 				}
-				w.Flavors = dearer
+				w.MachineTypes = dearer
 			})
 		}
-		w.At(seconds(50), func() {
-			for _, m := range w.some(0.5) {
+		w.After(seconds(50), func() {
+			for _, m := range w.randomMachines(0.5) {
 				if m.Spot {
-					w.Recall(m.ID, seconds(9))
+					w.PreemptMachine(m.ID, seconds(9))
 				}
 			}
 		})
-		w.holds(&w.NoCloud, 70, 15)
-		w.restart(w.Nodes[1], seconds(60), seconds(2))
+		w.holds(&w.CloudUnreachable, 70, 15)
+		w.restartController(w.Controllers[1], seconds(60), seconds(2))
 	}, seconds(120), seconds(60)},
-	{"alone-and-frozen", mixedWorld, func(t *testing.T, w *World) {
-		w.Copies = 0.1
-		submitMix(w, 24)
-		w.long(8, "tight", 30)
-		for i, n := range w.Nodes {
+	{"alone-and-frozen", newMixedWorld, func(t *testing.T, w *World) {
+		w.DuplicateHeartbeatRate = 0.1
+		submitMixedJobs(w, 24)
+		w.submitLongJobs(8, "tight", 30)
+		for i, n := range w.Controllers {
 			at := 18 + 28*float64(i)
-			for _, flag := range [][]*bool{{&n.NoState, &n.NoPeers}, {&n.NoWorker}, {&n.NoUsers, &n.NoPeers}}[i] {
+			for _, flag := range [][]*bool{{&n.StoreUnreachable, &n.PeersUnreachable}, {&n.AgentsUnreachable}, {&n.UsersUnreachable, &n.PeersUnreachable}}[i] {
 				w.holds(flag, at, 22)
 			}
-			o := w.Nodes[(i+1)%3]
-			w.At(seconds(at+8), func() { o.Freeze(seconds([]float64{4, 9, 22}[i])) })
-			w.At(seconds(at+2), func() { w.cancelRunning(3) })
+			o := w.Controllers[(i+1)%3]
+			w.After(seconds(at+8), func() { o.Pause(seconds([]float64{4, 9, 22}[i])) })
+			w.After(seconds(at+2), func() { w.cancelRunningJobs(3) })
 		}
 	}, seconds(110), seconds(60)},
 	{"large-fleet", func(t *testing.T, seed uint64) *World {
-		w := fleet(1000)
-		w.Rng = rand.New(rand.NewPCG(seed, 11))
+		w := newBusyLargeWorld(1000)
+		w.Rand = rand.New(rand.NewPCG(seed, 11))
 		return w
 	}, func(t *testing.T, w *World) {
-		w.At(seconds(20), func() { w.Nodes[0].NoWorker = true })
-		w.At(seconds(25), func() { w.cancelRunning(4) })
+		w.After(seconds(20), func() { w.Controllers[0].AgentsUnreachable = true })
+		w.After(seconds(25), func() { w.cancelRunningJobs(4) })
 	}, seconds(40), seconds(10)},
 }
 
@@ -563,17 +563,17 @@
 					fmt.Fprintf(sum, "%d %s %c %d %s\n", int64(at), string(member), code, len(form), form)
 				}
 				day.play(t, w)
-				w.Run(day.busy)
-				w.calm()
-				w.AtEnd, w.Held, w.Slow = 0, 0, 0
-				w.Run(day.calm)
+				w.Advance(day.busy)
+				w.endFaults()
+				w.CancelAtEndRate, w.DelayedCommandRate, w.MaxStoreDelay = 0, 0, 0
+				w.Advance(day.calm)
 				mu.Lock()
 				defer mu.Unlock()
 				for code, n := range seen {
 					kinds[code] += n
 				}
 				lines = append(lines, fmt.Sprintf("%s seed=%d %x effects=%d", day.name, seed, sum.Sum(nil)[:8], effects))
-				t.Logf("broken rules: %d %v", len(w.Rules.Broken), w.Rules.Broken[:min(1, len(w.Rules.Broken))])
+				t.Logf("broken rules: %d %v", len(w.Rules.Violations), w.Rules.Violations[:min(1, len(w.Rules.Violations))])
 			})
 		}
 	}
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -13,8 +13,8 @@
 	"tillerarch/internal/transport"
 )
 
-// golden reads what the production version wrote; TestWriteGolden made it.
-func golden(t *testing.T) (items []protocol.Entry) {
+// readGoldenRecords reads what the production version wrote; TestWriteGolden made it.
+func readGoldenRecords(t *testing.T) (items []protocol.Entry) {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production/records.json")
 	if err != nil {
@@ -26,38 +26,38 @@
 	return items
 }
 
-// rewritten gives a record that a replica holds in a format.
-func rewritten(r *storage.Replica, format storage.Format, key string) (json.RawMessage, bool) {
+// reencode gives a record that a replica holds in a format.
+func reencode(r *storage.Replica, format storage.Format, key string) (json.RawMessage, bool) {
 	if id, ok := strings.CutPrefix(key, storage.JobKey("")); ok {
 		return storage.EncodeJob(format, &r.Jobs[protocol.JobID(id)].Record), true
 	}
 	if id, ok := strings.CutPrefix(key, storage.ShardKey("")); ok {
-		p := r.Shards[storage.ShardID(id)]
+		shard := r.Shards[storage.ShardID(id)]
 		var lines []string
-		for _, m := range p.Machines {
+		for _, m := range shard.Machines {
 			lines = append(lines, r.EncodedLine(m))
 		}
-		return storage.EncodeShard(format, p.Owner, p.Epoch, lines, p.CompletedTasks), true
+		return storage.EncodeShard(format, shard.Owner, shard.Epoch, lines, shard.CompletedTasks), true
 	}
 	return nil, false
 }
 
 // What the production version wrote is read without loss: written again in its format
 // it is the same to the byte, by way of the packed format too.
-func TestRecordsOfProduction(t *testing.T) {
+func TestReadProductionRecords(t *testing.T) {
 	plain, packed := storage.NewReplica(), storage.NewReplica()
 	kinds := map[string]int{}
-	for _, item := range golden(t) {
+	for _, item := range readGoldenRecords(t) {
 		if _, err := plain.Put(item.Key, item.Value, item.ModRevision); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, item := range golden(t) {
+	for _, item := range readGoldenRecords(t) {
 		var original bytes.Buffer
 		if err := json.Compact(&original, item.Value); err != nil {
 			t.Fatal(err)
 		}
-		again, ok := rewritten(plain, storage.FormatPlain, item.Key)
+		again, ok := reencode(plain, storage.FormatPlain, item.Key)
 		if !ok {
 			continue
 		}
@@ -65,11 +65,11 @@
 		if !bytes.Equal(again, original.Bytes()) {
 			t.Errorf("%s:\n%s is written again as\n%s", item.Key, original.Bytes(), again)
 		}
-		data, _ := rewritten(plain, storage.FormatPacked, item.Key)
+		data, _ := reencode(plain, storage.FormatPacked, item.Key)
 		if _, err := packed.Put(item.Key, data, item.ModRevision); err != nil {
 			t.Fatal(err)
 		}
-		if back, _ := rewritten(packed, storage.FormatPlain, item.Key); !bytes.Equal(back, original.Bytes()) {
+		if back, _ := reencode(packed, storage.FormatPlain, item.Key); !bytes.Equal(back, original.Bytes()) {
 			t.Errorf("%s:\n%s comes back from the packed format as\n%s", item.Key, original.Bytes(), back)
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // A message of the production version between controllers is read.
-func TestFrameOfProduction(t *testing.T) {
+func TestReadProductionFrame(t *testing.T) {
 	stream, err := os.ReadFile("testdata/production/hint.gob")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/golden_maker_test.go
+++ b/internal/simulation/golden_write_test.go
@@ -22,22 +22,22 @@
 //
 //	GOLDEN=DIR go test -tags golden -run TestWriteGolden ./internal/simulation
 func TestWriteGolden(t *testing.T) {
-	w := NewWorld(42, 3, testFlavors, testTeams())
+	w := NewWorld(42, 3, testMachineTypes, testTeams())
 	for i := range 70 {
-		w.Machine("small", protocol.Zone([]string{"a", "b"}[i%2]), i%5 == 4, 0)
+		w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), i%5 == 4, 0)
 	}
-	submitMix(w, 30)
+	submitMixedJobs(w, 30)
 	for i := range 4 {
-		d := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("j-7%05d", i)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
+		job := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("j-7%05d", i)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
 			TaskCount: 900, Cores: 1, MemoryGB: 1, Image: "img-1", ImageGB: 1, EstimatedRunSeconds: 9}
-		w.At(time.Duration(2+i)*time.Second, func() { w.Submit(d) })
+		w.After(time.Duration(2+i)*time.Second, func() { w.Submit(job) })
 	}
-	w.Run(40 * time.Second)
-	for _, id := range w.running()[:2] {
-		w.Abort(id)
+	w.Advance(40 * time.Second)
+	for _, id := range w.runningJobs()[:2] {
+		w.Cancel(id)
 	}
-	w.Run(150 * time.Millisecond)
-	records, err := json.MarshalIndent(w.State.Items(storage.KeyPrefix), "", " ")
+	w.Advance(150 * time.Millisecond)
+	records, err := json.MarshalIndent(w.Store.List(storage.KeyPrefix), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/simulation/history_checker.go
@@ -0,0 +1,215 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"time"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// HistoryChecker checks, at every revision of the state service, that each machine on record is
+// on one page with one owner, that a new owner lives and has a token above all before it,
+// and that moves take their phases in order. It reads the records by themselves, not by
+// way of a controller's replica.
+type HistoryChecker struct {
+	OnViolation         func(string) // is told of what is wrong
+	Revisions           int
+	ShardsTransferred   int // pages that went from one living owner to another by a move
+	TransfersClosed     int // moves that came to their end
+	AbortedByReason     map[string]int
+	QuiesceTimes        []time.Duration // how long pages took no new task
+	TransferTimes       []time.Duration // how long moves took from their begin to their end
+	TransferWrites      int             // writes of moves' records
+	MachinesTransferred int             // that were moved, each time counted
+	MachineIdleTime     time.Duration   // how long moving machines took no new task, all together
+
+	shards           map[storage.ShardID]storage.ShardSummary
+	shardsByMachine  map[protocol.MachineID]map[storage.ShardID]bool
+	lastOwners       map[protocol.MachineID]storage.ShardSummary // of each machine: its newest owner and epoch
+	transfers        map[string]storage.TransferRecord
+	liveIncarnations map[string]storage.Incarnation       // by the key of the controller
+	ownersByEpoch    map[machineEpoch]storage.Incarnation // of each machine in each of its epochs
+}
+
+// NewHistoryChecker makes a checker of a store that is empty.
+func NewHistoryChecker(onViolation func(string)) *HistoryChecker {
+	return &HistoryChecker{OnViolation: onViolation, AbortedByReason: map[string]int{}, shards: map[storage.ShardID]storage.ShardSummary{}, shardsByMachine: map[protocol.MachineID]map[storage.ShardID]bool{},
+		lastOwners: map[protocol.MachineID]storage.ShardSummary{}, transfers: map[string]storage.TransferRecord{}, liveIncarnations: map[string]storage.Incarnation{}, ownersByEpoch: map[machineEpoch]storage.Incarnation{}}
+}
+
+func (h *HistoryChecker) recordViolation(revision protocol.Revision, format string, args ...any) {
+	h.OnViolation(fmt.Sprintf("revision %d: ", revision) + fmt.Sprintf(format, args...))
+}
+
+// Apply takes in all changes of one revision.
+func (h *HistoryChecker) Apply(revision protocol.Revision, changes []protocol.Event) {
+	h.Revisions++
+	before := map[storage.ShardID]storage.ShardSummary{}
+	changedMachines := map[protocol.MachineID]bool{}
+	var transfers []storage.TransferRecord
+	for _, change := range changes {
+		key := change.PutKey + change.DeleteKey
+		if strings.HasPrefix(key, storage.ControllerKey("")) {
+			h.applyController(revision, key, change.Value)
+		} else if id, ok := strings.CutPrefix(key, storage.ShardKey("")); ok {
+			before[storage.ShardID(id)] = h.shards[storage.ShardID(id)]
+			h.applyShard(revision, storage.ShardID(id), change.Value, changedMachines)
+		} else if strings.HasPrefix(change.PutKey, storage.TransferKey("")) {
+			if record, ok := h.applyTransfer(revision, change.PutKey, change.Value); ok {
+				transfers = append(transfers, record)
+			}
+		}
+	}
+	for id := range changedMachines {
+		h.checkMachineOwner(revision, id)
+	}
+	for _, record := range transfers {
+		h.checkOwnershipChange(revision, record, before)
+	}
+}
+
+// applyController notes which run of a controller lives; data is empty where its lease has ended.
+func (h *HistoryChecker) applyController(revision protocol.Revision, key string, data json.RawMessage) {
+	delete(h.liveIncarnations, key)
+	if len(data) == 0 {
+		return
+	}
+	var record storage.ControllerRecord
+	if err := json.Unmarshal(data, &record); err != nil {
+		h.recordViolation(revision, "controller %s can't be read: %v", key, err)
+		return
+	}
+	h.liveIncarnations[key] = record.Incarnation
+}
+
+// applyShard replaces what a page lists; data is empty where it is deleted.
+func (h *HistoryChecker) applyShard(revision protocol.Revision, id storage.ShardID, data json.RawMessage, changedMachines map[protocol.MachineID]bool) {
+	for _, m := range h.shards[id].Machines {
+		changedMachines[m] = true
+		delete(h.shardsByMachine[m], id)
+	}
+	delete(h.shards, id)
+	if len(data) == 0 {
+		return
+	}
+	shard, err := storage.DecodeShardSummary(data)
+	if err != nil {
+		h.recordViolation(revision, "page %s can't be read: %v", id, err)
+		return
+	}
+	h.shards[id] = shard
+	for _, m := range shard.Machines {
+		changedMachines[m] = true
+		if h.shardsByMachine[m] == nil {
+			h.shardsByMachine[m] = map[storage.ShardID]bool{}
+		}
+		h.shardsByMachine[m][id] = true
+	}
+}
+
+// checkMachineOwner checks who owns a machine behind a revision.
+func (h *HistoryChecker) checkMachineOwner(revision protocol.Revision, id protocol.MachineID) {
+	if len(h.shardsByMachine[id]) > 1 {
+		h.recordViolation(revision, "machine %s is on %d pages", id, len(h.shardsByMachine[id]))
+		return
+	}
+	for shard := range h.shardsByMachine[id] {
+		current, last := h.shards[shard], h.lastOwners[id]
+		switch {
+		case current.Owner != last.Owner && h.liveIncarnations[storage.ControllerKey(current.Owner.Controller())] != current.Owner:
+			h.recordViolation(revision, "machine %s goes to %s, which has ended", id, current.Owner)
+		case last.Owner == "":
+		case current.Owner != last.Owner && current.Epoch <= last.Epoch:
+			h.recordViolation(revision, "machine %s goes from %s to %s without a higher token: %d, %d", id, last.Owner, current.Owner, last.Epoch, current.Epoch)
+		case current.Epoch < last.Epoch:
+			h.recordViolation(revision, "the token of machine %s falls from %d to %d", id, last.Epoch, current.Epoch)
+		}
+		h.lastOwners[id] = storage.ShardSummary{Owner: current.Owner, Epoch: current.Epoch}
+		epoch := machineEpoch{id, current.Epoch}
+		if other, known := h.ownersByEpoch[epoch]; known && other != current.Owner {
+			h.recordViolation(revision, "machine %s has two owners in epoch %d: %s, %s", id, current.Epoch, other, current.Owner)
+		}
+		h.ownersByEpoch[epoch] = current.Owner
+	}
+}
+
+// CheckCommand checks that who commands a machine under a token has owned it in that epoch.
+func (h *HistoryChecker) CheckCommand(id protocol.MachineID, token protocol.FencingToken, controller protocol.ControllerID) {
+	epoch := storage.ShardEpochOf(token)
+	if owner := h.ownersByEpoch[machineEpoch{id, epoch}]; owner.Controller() != controller {
+		h.OnViolation(fmt.Sprintf("machine %s takes commands of %s in epoch %d, which is %q's", id, controller, epoch, owner))
+	}
+}
+
+// applyTransfer takes in a move's record, and checks the order of its phases.
+func (h *HistoryChecker) applyTransfer(revision protocol.Revision, key string, data json.RawMessage) (record storage.TransferRecord, ok bool) {
+	h.TransferWrites++
+	if err := json.Unmarshal(data, &record); err != nil {
+		h.recordViolation(revision, "move %s can't be read: %v", key, err)
+		return record, false
+	}
+	last, known := h.transfers[key]
+	if !known {
+		last.Phase = storage.TransferClosed
+	}
+	h.transfers[key] = record
+	if !record.Phase.CanFollow(last.Phase) || record.Name != last.Name && last.Phase.IsOpen() {
+		h.recordViolation(revision, "move %s %q goes from %s to %s", key, record.Name, last.Phase, record.Phase)
+	}
+	switch record.Phase {
+	case storage.TransferClosed:
+		h.TransfersClosed++
+		h.TransferTimes = append(h.TransferTimes, time.Duration(record.EndedAt-record.ProposedAt)*time.Millisecond)
+		quiesced := time.Duration(0) // one that was taken over as proposed never came to rest
+		if record.PreparedAt > 0 {
+			quiesced = time.Duration(record.CommittedAt-record.PreparedAt) * time.Millisecond
+		}
+		h.QuiesceTimes = append(h.QuiesceTimes, quiesced)
+		h.MachinesTransferred += record.MachineCount
+		h.MachineIdleTime += time.Duration(record.MachineCount) * quiesced
+	case storage.TransferAborted:
+		h.AbortedByReason[record.Reason]++
+	}
+	return record, true
+}
+
+// checkOwnershipChange checks that a move and its page change together.
+func (h *HistoryChecker) checkOwnershipChange(revision protocol.Revision, record storage.TransferRecord, before map[storage.ShardID]storage.ShardSummary) {
+	if record.Phase != storage.TransferCommitted {
+		return
+	}
+	old, changed := before[record.Shard]
+	if !changed || old.Owner != record.Source || h.shards[record.Shard].Owner != record.Target {
+		h.recordViolation(revision, "move %q is transferred, its page went from %q to %q", record.Name, old.Owner, h.shards[record.Shard].Owner)
+		return
+	}
+	for _, m := range old.Machines {
+		if len(h.shardsByMachine[m]) == 0 {
+			h.recordViolation(revision, "machine %s left the records with move %q", m, record.Name)
+		}
+	}
+	h.ShardsTransferred++
+}
+
+// MachinesOwnedBy counts the machines of a controller.
+func (w *World) MachinesOwnedBy(controller *Controller) (machines int) {
+	for _, shard := range w.History.shards {
+		if shard.Owner.Controller() == controller.ID {
+			machines += len(shard.Machines)
+		}
+	}
+	return machines
+}
+
+// OpenTransfers lists the moves that are not at their end.
+func (h *HistoryChecker) OpenTransfers() (names []string) {
+	for _, record := range h.transfers {
+		if record.Phase.IsOpen() {
+			names = append(names, fmt.Sprintf("%s %s %s", record.Name, record.Shard, record.Phase))
+		}
+	}
+	return names
+}
--- /dev/null
+++ b/internal/simulation/history_checker_test.go
@@ -0,0 +1,69 @@
+package simulation
+
+import (
+	"strings"
+	"testing"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// The checker of histories sees each fault that it is there for, and none where there is none.
+func TestHistoryCheckerDetectsViolations(t *testing.T) {
+	line := func(id string) string {
+		return (&storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 1}).EncodeLine(protocol.MachineID(id))
+	}
+	shard := func(id, owner string, epoch storage.ShardEpoch, machines ...string) protocol.Event {
+		var lines []string
+		for _, m := range machines {
+			lines = append(lines, line(m))
+		}
+		return protocol.Event{PutKey: storage.ShardKey(storage.ShardID(id)), Value: storage.EncodePlainShard(storage.Incarnation(owner), epoch, lines, nil)}
+	}
+	controller := func(name, incarnation string) protocol.Event {
+		if incarnation == "" {
+			return protocol.Event{DeleteKey: storage.ControllerKey(protocol.ControllerID(name))}
+		}
+		return protocol.Event{PutKey: storage.ControllerKey(protocol.ControllerID(name)), Value: storage.MustMarshal(storage.ControllerRecord{Incarnation: storage.Incarnation(incarnation)})}
+	}
+	transfer := func(name string, phase storage.TransferPhase) protocol.Event {
+		return protocol.Event{PutKey: storage.TransferKey("b/0"), Value: storage.MustMarshal(storage.TransferRecord{Name: name, Shard: "p", Source: "a#1", Target: "b#1", Phase: phase})}
+	}
+	begin := [][]protocol.Event{{controller("a", "a#1")}, {controller("b", "b#1")}, {shard("p", "a#1", 1, "m-1", "m-2")}}
+	for _, c := range []struct {
+		name    string
+		changes [][]protocol.Event
+		command func(h *HistoryChecker)
+		broken  string // part of what is said; empty: nothing
+	}{
+		{"a move", [][]protocol.Event{{transfer("x", storage.TransferPrepared)}, {shard("p", "b#1", 2, "m-1", "m-2"), transfer("x", storage.TransferCommitted)}, {transfer("x", storage.TransferClosed)}},
+			func(h *HistoryChecker) { h.CheckCommand("m-1", storage.ShardEpoch(2).FencingToken(0), "b") }, ""},
+		{"a page in two parts", [][]protocol.Event{{shard("q", "a#1", 1, "m-2"), shard("p", "a#1", 1, "m-1")}}, nil, ""},
+		{"a machine on two pages", [][]protocol.Event{{shard("q", "b#1", 2, "m-2")}}, nil, "machine m-2 is on 2 pages"},
+		{"a new owner under the old token", [][]protocol.Event{{shard("p", "b#1", 1, "m-1", "m-2")}}, nil, "without a higher token"},
+		{"a token that falls", [][]protocol.Event{{shard("p", "a#1", 3, "m-1")}, {shard("p", "a#1", 2, "m-1")}}, nil, "falls from 3 to 2"},
+		{"an owner that has ended", [][]protocol.Event{{controller("b", "")}, {shard("p", "b#1", 2, "m-1", "m-2")}}, nil, "b#1, which has ended"},
+		{"an owner of an earlier run", [][]protocol.Event{{controller("b", "b#2")}, {shard("p", "b#1", 2, "m-1", "m-2")}}, nil, "b#1, which has ended"},
+		{"a transfer without its page", [][]protocol.Event{{transfer("x", storage.TransferPrepared)}, {transfer("x", storage.TransferCommitted)}}, nil, "is transferred"},
+		{"a transfer that loses a machine", [][]protocol.Event{{transfer("x", storage.TransferPrepared)}, {shard("p", "b#1", 2, "m-1"), transfer("x", storage.TransferCommitted)}}, nil, "m-2 left the records"},
+		{"a phase left out", [][]protocol.Event{{transfer("x", storage.TransferProposed)}, {transfer("x", storage.TransferClosed)}}, nil, "from proposed to closed"},
+		{"an abort behind the transfer", [][]protocol.Event{{transfer("x", storage.TransferPrepared)},
+			{shard("p", "b#1", 2, "m-1", "m-2"), transfer("x", storage.TransferCommitted)}, {transfer("x", storage.TransferAborted)}}, nil, "from transferred to aborted"},
+		{"an open move that is replaced", [][]protocol.Event{{transfer("x", storage.TransferProposed)}, {transfer("y", storage.TransferPrepared)}}, nil, `"y"`},
+		{"a command of somebody else", nil, func(h *HistoryChecker) { h.CheckCommand("m-1", storage.ShardEpoch(1).FencingToken(0), "b") }, "takes commands of b in epoch 1"},
+		{"a command under a token that nobody has", nil, func(h *HistoryChecker) { h.CheckCommand("m-1", storage.ShardEpoch(9).FencingToken(0), "a") }, "in epoch 9"},
+		{"an unreadable page", [][]protocol.Event{{{PutKey: storage.ShardKey("p"), Value: []byte(`{"m":7}`)}}}, nil, "can't be read"},
+	} {
+		var violations []string
+		h := NewHistoryChecker(func(violation string) { violations = append(violations, violation) })
+		for i, changes := range append(begin[:3:3], c.changes...) {
+			h.Apply(protocol.Revision(i+1), changes)
+		}
+		if c.command != nil {
+			c.command(h)
+		}
+		if all := strings.Join(violations, "; "); c.broken == "" && all != "" || !strings.Contains(all, c.broken) {
+			t.Errorf("%s: %q, want %q", c.name, all, c.broken)
+		}
+	}
+}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -16,166 +16,166 @@
 	"tillerarch/internal/storage"
 )
 
-type event struct {
-	at  time.Duration
-	seq int
-	f   func()
+type scheduledEvent struct {
+	at     time.Duration
+	seq    int
+	action func()
 }
 
-type events []event
+type eventQueue []scheduledEvent
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, k int) bool {
 	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].seq < e[k].seq
 }
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(scheduledEvent)) }
+func (e *eventQueue) Pop() any {
 	x := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return x
 }
 
-// Node is one controller.
-type Node struct {
-	w        *World
-	Member   protocol.ControllerID
-	Core     *coordination.Core
-	Alive    bool
-	NoState  bool // cut from the state service alone
-	Refused  bool // the state service refuses it alone
-	NoWorker bool // cut from the workers alone
-	NoPeers  bool // cut from the other controllers
-	NoUsers  bool // cut from the users
-	Old      bool // runs the version in production before the upgrade
-	frozen   bool // it stands still while its clocks run on
-	stuck    []coordination.Input
-	life     int
-	Remote   Remote // a process of its own that plays the controller; nil: Core does
-	started  time.Duration
-	drift    float64
-	reqs     map[coordination.RequestID]func(int, []byte)
-	nextReq  coordination.RequestID
-
-	operators map[coordination.RequestID]func(coordination.Effect) // that wait for an answer
+// Controller is one controller.
+type Controller struct {
+	world                 *World
+	ID                    protocol.ControllerID
+	Core                  *coordination.Core
+	Alive                 bool
+	StoreUnreachable      bool // cut from the state service alone
+	RefusedByStore        bool // the state service refuses it alone
+	AgentsUnreachable     bool // cut from the workers alone
+	PeersUnreachable      bool // cut from the other controllers
+	UsersUnreachable      bool // cut from the users
+	RunsProductionVersion bool // runs the version in production before the upgrade
+	paused                bool // it stands still while its clocks run on
+	pendingInputs         []coordination.Input
+	generation            int
+	Remote                RemoteController // a process of its own that plays the controller; nil: Core does
+	startedAt             time.Duration
+	clockDrift            float64
+	pendingReplies        map[coordination.RequestID]func(int, []byte)
+	nextRequestID         coordination.RequestID
+
+	pendingOperatorReplies map[coordination.RequestID]func(coordination.Effect) // that wait for an answer
 }
 
 // World is a whole deployment in simulated time.
 type World struct {
-	Now      time.Duration
-	Rng      *rand.Rand
-	State    *State
-	History  *History
-	Rules    *Rules
-	Nodes    []*Node
-	Workers  map[protocol.MachineID]*Worker
-	Jobs     map[protocol.JobID]*protocol.Job
-	Flavors  []protocol.MachineType
-	Config   coordination.Config
-	Report   time.Duration
-	Lease    time.Duration
-	GangWait time.Duration
-	Copies   float64                 // part of the reports of which a copy comes late, to any controller
-	Zone     map[protocol.Zone]*Node // zones that are cut off, with the controller in them
-	Drop     float64                 // part of the messages that are lost or held up
-	Late     float64                 // part of the transactions that get no answer and are carried out 2 to 12 s later
-	Unheard  float64                 // part of the transactions that are carried out at once and whose answers are lost
-	Held     float64                 // part of the direct commands that get no answer and are carried out once, 2 to 16 s late
-	Slow     time.Duration           // by which the state service answers later
-	Fetch    time.Duration           // what an image takes
-	Lag      time.Duration           // most by which messages take longer
-	Ended    func(protocol.JobID)    // hears of each job's end, if it is not nil
-	AtEnd    float64                 // part of the jobs that are called off at the moment of their end
-	Starts   int                     // start commands that workers have taken
-	Done     map[protocol.JobID]bool
-	Saved    map[protocol.JobID]int // tasks that saved when they were stopped
-	Trace    func(string)
-	Rented   func(*Worker) // hears of each machine before it is up, if it is not nil
-	Cost     Costs         // what steps take, if it is not nil
+	Now                    time.Duration
+	Rand                   *rand.Rand
+	Store                  *Store
+	History                *HistoryChecker
+	Rules                  *RuleChecker
+	Controllers            []*Controller
+	Machines               map[protocol.MachineID]*Machine
+	Jobs                   map[protocol.JobID]*protocol.Job
+	MachineTypes           []protocol.MachineType
+	Config                 coordination.Config
+	HeartbeatInterval      time.Duration
+	AgentLeaseTTL          time.Duration
+	GangStartTimeout       time.Duration
+	DuplicateHeartbeatRate float64                       // part of the reports of which a copy comes late, to any controller
+	PartitionedZones       map[protocol.Zone]*Controller // zones that are cut off, with the controller in them
+	MessageLossRate        float64                       // part of the messages that are lost or held up
+	DelayedWriteRate       float64                       // part of the transactions that get no answer and are carried out 2 to 12 s later
+	LostWriteReplyRate     float64                       // part of the transactions that are carried out at once and whose answers are lost
+	DelayedCommandRate     float64                       // part of the direct commands that get no answer and are carried out once, 2 to 16 s late
+	MaxStoreDelay          time.Duration                 // by which the state service answers later
+	ImagePullTime          time.Duration                 // what an image takes
+	MaxNetworkDelay        time.Duration                 // most by which messages take longer
+	OnJobEnd               func(protocol.JobID)          // hears of each job's end, if it is not nil
+	CancelAtEndRate        float64                       // part of the jobs that are called off at the moment of their end
+	StartCommands          int                           // start commands that workers have taken
+	FinishedJobs           map[protocol.JobID]bool
+	SavedTasks             map[protocol.JobID]int // tasks that saved when they were stopped
+	Trace                  func(string)
+	OnProvision            func(*Machine) // hears of each machine before it is up, if it is not nil
+	StepCosts              StepCosts      // what steps take, if it is not nil
 
 	// Observe hears of each effect of a controller as it is carried out, if it is not nil.
 	Observe func(at time.Duration, member protocol.ControllerID, e coordination.Effect)
 
-	queue   events
-	seq     int
-	hires   map[string][]protocol.MachineID
-	nextID  int
-	NoCloud bool
-	NoHire  bool // the cloud has no capacity
+	queue              eventQueue
+	seq                int
+	provisioned        map[string][]protocol.MachineID
+	nextMachineID      int
+	CloudUnreachable   bool
+	CloudOutOfCapacity bool // the cloud has no capacity
 }
 
-var errLost = errors.New("no answer")
+var errNoReply = errors.New("no answer")
 
-// SmallAndLarge are two machine types in two zones.
-var SmallAndLarge = []protocol.MachineType{
+// SmallAndLargeTypes are two machine types in two zones.
+var SmallAndLargeTypes = []protocol.MachineType{
 	{Name: "small", Cores: 4, MemoryGB: 16, LocalDiskGB: 20, ImagePullGBPerSecond: 1, OnDemandPrice: 0.2, SpotPrice: 0.05, BootSeconds: 3, Zones: []protocol.Zone{"a", "b"}},
 	{Name: "large", Cores: 32, MemoryGB: 64, LocalDiskGB: 20, ImagePullGBPerSecond: 1, OnDemandPrice: 1.6, SpotPrice: 0.4, BootSeconds: 3, Zones: []protocol.Zone{"a", "b"}},
 }
 
 // NewWorld makes a deployment with controllers in the given zones.
-func NewWorld(seed uint64, nodes int, flavors []protocol.MachineType, teams map[string]coordination.Quota) *World {
-	w := &World{Rng: rand.New(rand.NewPCG(seed, 11)), State: NewState(500), Rules: NewRules(30 * time.Second),
-		Workers: map[protocol.MachineID]*Worker{}, Jobs: map[protocol.JobID]*protocol.Job{}, Flavors: flavors,
-		Report: 2 * time.Second, Lease: 14 * time.Second, Fetch: time.Second, GangWait: 20 * time.Second, hires: map[string][]protocol.MachineID{},
-		Zone: map[protocol.Zone]*Node{}, Done: map[protocol.JobID]bool{}, Saved: map[protocol.JobID]int{}}
-	w.History = NewHistory(func(what string) { w.Rules.broken("ownership", "%s", what) })
-	w.State.Observe = w.History.Apply
+func NewWorld(seed uint64, controllers int, machineTypes []protocol.MachineType, teams map[string]coordination.Quota) *World {
+	w := &World{Rand: rand.New(rand.NewPCG(seed, 11)), Store: NewStore(500), Rules: NewRuleChecker(30 * time.Second),
+		Machines: map[protocol.MachineID]*Machine{}, Jobs: map[protocol.JobID]*protocol.Job{}, MachineTypes: machineTypes,
+		HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second, ImagePullTime: time.Second, GangStartTimeout: 20 * time.Second, provisioned: map[string][]protocol.MachineID{},
+		PartitionedZones: map[protocol.Zone]*Controller{}, FinishedJobs: map[protocol.JobID]bool{}, SavedTasks: map[protocol.JobID]int{}}
+	w.History = NewHistoryChecker(func(violation string) { w.Rules.recordViolation("ownership", "%s", violation) })
+	w.Store.OnRevision = w.History.Apply
 	for name, t := range teams {
-		w.Rules.Limits[name] = t.MaxCores
+		w.Rules.QuotaLimits[name] = t.MaxCores
 	}
-	w.Config = coordination.Config{Quotas: teams, HeartbeatInterval: w.Report, AgentLeaseTTL: w.Lease, GangPeerTimeout: 4 * time.Second,
-		CancelTimeout: w.Rules.Cancel, PeerCount: nodes - 1, WritesPerSecond: 60, TransactionOps: 8, ValueBytes: 8192, InstanceListLag: 4 * time.Second, MinWatchInterval: 40 * time.Millisecond,
+	w.Config = coordination.Config{Quotas: teams, HeartbeatInterval: w.HeartbeatInterval, AgentLeaseTTL: w.AgentLeaseTTL, GangPeerTimeout: 4 * time.Second,
+		CancelTimeout: w.Rules.CancelTimeout, PeerCount: controllers - 1, WritesPerSecond: 60, TransactionOps: 8, ValueBytes: 8192, InstanceListLag: 4 * time.Second, MinWatchInterval: 40 * time.Millisecond,
 		Tuning: coordination.DefaultTuning()}
-	for i := 0; i < nodes; i++ {
-		w.Nodes = append(w.Nodes, &Node{w: w, Member: protocol.ControllerID(fmt.Sprintf("stall-%d", i)), drift: 1 + float64(i)*0.0002})
+	for i := 0; i < controllers; i++ {
+		w.Controllers = append(w.Controllers, &Controller{world: w, ID: protocol.ControllerID(fmt.Sprintf("stall-%d", i)), clockDrift: 1 + float64(i)*0.0002})
 	}
-	for _, n := range w.Nodes {
-		n.Start()
+	for _, controller := range w.Controllers {
+		controller.Start()
 	}
 	w.Every(100*time.Millisecond, func() {
-		w.State.Expire(w.Now)
-		w.Rules.Watch(w.Now)
+		w.Store.ExpireLeases(w.Now)
+		w.Rules.CheckTimeouts(w.Now)
 	})
-	w.Every(time.Second, w.watchRoom)
+	w.Every(time.Second, w.checkPlaceableJobs)
 	return w
 }
 
-// At plans something.
-func (w *World) At(d time.Duration, f func()) {
+// After plans something.
+func (w *World) After(delay time.Duration, action func()) {
 	w.seq++
-	heap.Push(&w.queue, event{w.Now + d, w.seq, f})
+	heap.Push(&w.queue, scheduledEvent{w.Now + delay, w.seq, action})
 }
 
 // Every repeats something.
-func (w *World) Every(d time.Duration, f func()) {
-	w.At(d, func() { f(); w.Every(d, f) })
+func (w *World) Every(interval time.Duration, action func()) {
+	w.After(interval, func() { action(); w.Every(interval, action) })
 }
 
-// Run lets time pass.
-func (w *World) Run(d time.Duration) {
+// Advance lets time pass.
+func (w *World) Advance(d time.Duration) {
 	end := w.Now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
+		e := heap.Pop(&w.queue).(scheduledEvent)
 		w.Now = e.at
-		e.f()
+		e.action()
 	}
 	w.Now = end
 }
 
-func (w *World) delay() time.Duration {
-	d := time.Duration(1+w.Rng.IntN(8)) * time.Millisecond
-	if w.Lag > 0 {
-		d += time.Duration(w.Rng.Int64N(int64(w.Lag)))
+func (w *World) messageDelay() time.Duration {
+	d := time.Duration(1+w.Rand.IntN(8)) * time.Millisecond
+	if w.MaxNetworkDelay > 0 {
+		d += time.Duration(w.Rand.Int64N(int64(w.MaxNetworkDelay)))
 	}
-	if w.Rng.Float64() < 0.02 {
-		d += time.Duration(w.Rng.IntN(300)) * time.Millisecond
+	if w.Rand.Float64() < 0.02 {
+		d += time.Duration(w.Rand.IntN(300)) * time.Millisecond
 	}
 	return d
 }
 
-// Cores of a machine type.
-func (w *World) Cores(s protocol.MachineTypeName) float64 {
-	for _, f := range w.Flavors {
+// CoresOf of a machine type.
+func (w *World) CoresOf(s protocol.MachineTypeName) float64 {
+	for _, f := range w.MachineTypes {
 		if f.Name == s {
 			return f.Cores
 		}
@@ -184,514 +184,514 @@
 }
 
 // Start begins a new life of the controller.
-func (n *Node) Start() {
-	n.Alive, n.frozen, n.stuck = true, false, nil
-	n.life++
-	n.started = n.w.Now
-	n.reqs = map[coordination.RequestID]func(int, []byte){}
-	n.operators = map[coordination.RequestID]func(coordination.Effect){}
-	cfg := n.w.Config
-	cfg.ControllerID = n.Member
-	for _, o := range n.w.Nodes {
-		if o != n {
-			cfg.PeerIDs = append(cfg.PeerIDs, o.Member)
+func (c *Controller) Start() {
+	c.Alive, c.paused, c.pendingInputs = true, false, nil
+	c.generation++
+	c.startedAt = c.world.Now
+	c.pendingReplies = map[coordination.RequestID]func(int, []byte){}
+	c.pendingOperatorReplies = map[coordination.RequestID]func(coordination.Effect){}
+	config := c.world.Config
+	config.ControllerID = c.ID
+	for _, other := range c.world.Controllers {
+		if other != c {
+			config.PeerIDs = append(config.PeerIDs, other.ID)
 		}
 	}
-	if n.Old {
-		cfg.AnnouncedLimits = nil
-		cfg.RecordTransfers = false
+	if c.RunsProductionVersion {
+		config.AnnouncedLimits = nil
+		config.RecordTransfers = false
 	}
-	cfg.Seed = uint64(n.life)
-	n.Core = coordination.New(cfg, n.time())
-	n.tick(n.life)
+	config.Seed = uint64(c.generation)
+	c.Core = coordination.New(config, c.now())
+	c.scheduleTick(c.generation)
 }
 
-func (n *Node) tick(life int) {
-	n.w.At(50*time.Millisecond, func() {
-		if n.Alive && n.life == life {
-			n.step(coordination.Tick{})
-			n.tick(life)
+func (c *Controller) scheduleTick(generation int) {
+	c.world.After(50*time.Millisecond, func() {
+		if c.Alive && c.generation == generation {
+			c.step(coordination.Tick{})
+			c.scheduleTick(generation)
 		}
 	})
 }
 
 // Kill ends the controller with all it holds in memory.
-func (n *Node) Kill() { n.Alive = false }
+func (c *Controller) Kill() { c.Alive = false }
 
-func (n *Node) time() coordination.Now {
-	return coordination.Now{Monotonic: protocol.Instant(float64(n.w.Now-n.started)*n.drift) + 1, Wall: protocol.Millis(1e12 + n.w.Now.Milliseconds())}
+func (c *Controller) now() coordination.Now {
+	return coordination.Now{Monotonic: protocol.Instant(float64(c.world.Now-c.startedAt)*c.clockDrift) + 1, Wall: protocol.Millis(1e12 + c.world.Now.Milliseconds())}
 }
 
-func (n *Node) step(in coordination.Input) {
-	if n.frozen {
-		if _, tick := in.(coordination.Tick); !tick {
-			n.stuck = append(n.stuck, in)
+func (c *Controller) step(input coordination.Input) {
+	if c.paused {
+		if _, tick := input.(coordination.Tick); !tick {
+			c.pendingInputs = append(c.pendingInputs, input)
 		}
 		return
 	}
-	began := time.Now()
-	out := n.Core.Step(n.time(), in)
-	if n.w.Cost != nil {
-		n.w.Cost.add(in, time.Since(began))
+	startedAt := time.Now()
+	effects := c.Core.Step(c.now(), input)
+	if c.world.StepCosts != nil {
+		c.world.StepCosts.add(input, time.Since(startedAt))
 	}
-	for _, e := range out {
-		n.effect(e)
+	for _, e := range effects {
+		c.perform(e)
 	}
 }
 
-// call sends something to an outside system and brings the answer back. Either
+// callService sends something to an outside system and brings the answer back. Either
 // way may be lost, or the request may be carried out late; the controller then
 // hears nothing until its time is up.
-func (n *Node) call(cut bool, wait time.Duration, do func() coordination.Input, lost coordination.Input) {
-	w, life := n.w, n.life
+func (c *Controller) callService(unreachable bool, timeout time.Duration, execute func() coordination.Input, timeoutInput coordination.Input) {
+	w, generation := c.world, c.generation
 	answered := false
-	back := func(in coordination.Input) {
-		if !answered && n.Alive && n.life == life {
+	deliver := func(input coordination.Input) {
+		if !answered && c.Alive && c.generation == generation {
 			answered = true
-			n.step(in)
+			c.step(input)
 		}
 	}
-	w.At(wait, func() { back(lost) })
-	d := w.delay()
-	if cut || w.Rng.Float64() < w.Drop {
-		if w.Rng.IntN(2) == 0 {
+	w.After(timeout, func() { deliver(timeoutInput) })
+	d := w.messageDelay()
+	if unreachable || w.Rand.Float64() < w.MessageLossRate {
+		if w.Rand.IntN(2) == 0 {
 			return // never arrives
 		}
-		d = wait + time.Duration(w.Rng.IntN(8000))*time.Millisecond // held up, arrives late
+		d = timeout + time.Duration(w.Rand.IntN(8000))*time.Millisecond // held up, arrives late
 	}
-	w.At(d, func() {
-		in := do()
-		if in != nil && !cut && w.Rng.Float64() >= w.Drop {
-			w.At(w.delay(), func() { back(in) })
+	w.After(d, func() {
+		input := execute()
+		if input != nil && !unreachable && w.Rand.Float64() >= w.MessageLossRate {
+			w.After(w.messageDelay(), func() { deliver(input) })
 		}
 	})
 }
 
-func (n *Node) effect(e coordination.Effect) {
-	w := n.w
+func (c *Controller) perform(e coordination.Effect) {
+	w := c.world
 	if w.Observe != nil {
-		w.Observe(w.Now, n.Member, e)
+		w.Observe(w.Now, c.ID, e)
 	}
-	const wait = 1500 * time.Millisecond
+	const timeout = 1500 * time.Millisecond
 	switch v := e.(type) {
 	case coordination.Reply:
-		f := n.reqs[v.RequestID]
-		delete(n.reqs, v.RequestID)
-		if f != nil {
-			f(v.Status, v.Body)
+		reply := c.pendingReplies[v.RequestID]
+		delete(c.pendingReplies, v.RequestID)
+		if reply != nil {
+			reply(v.Status, v.Body)
 		}
 	case coordination.TransferReply:
-		n.answerOperator(v.Req, v)
+		c.replyToOperator(v.Req, v)
 	case coordination.DrainReply:
-		n.answerOperator(v.Req, v)
+		c.replyToOperator(v.Req, v)
 	case coordination.ShardingStatusReply:
-		n.answerOperator(v.Req, v)
+		c.replyToOperator(v.Req, v)
 	case coordination.Log:
 		if w.Trace != nil {
-			w.Trace(fmt.Sprintf("%8.3f %s %s %v", w.Now.Seconds(), n.Member, v.Message, v.Args))
+			w.Trace(fmt.Sprintf("%8.3f %s %s %v", w.Now.Seconds(), c.ID, v.Message, v.Args))
 		}
 	case coordination.SendPeerStatus:
-		for _, o := range w.Nodes {
-			if o != n && !n.NoPeers && !o.NoPeers {
-				life := o.life
-				w.At(w.delay(), func() {
-					if o.Alive && o.life == life {
+		for _, o := range w.Controllers {
+			if o != c && !c.PeersUnreachable && !o.PeersUnreachable {
+				generation := o.generation
+				w.After(w.messageDelay(), func() {
+					if o.Alive && o.generation == generation {
 						o.step(coordination.PeerStatusInput(v))
 					}
 				})
 			}
 		}
 	case coordination.Commit:
-		n.state(wait, func() coordination.Input {
-			status, a := w.State.Multi(n.asWritten(v.Transaction))
+		c.callStore(timeout, func() coordination.Input {
+			status, result := w.Store.Commit(c.transactionForVersion(v.Transaction))
 			o := map[int]storage.Outcome{200: storage.OutcomeApplied, 409: storage.OutcomeConflict, 429: storage.OutcomeThrottled, 503: storage.OutcomeUnavailable, 400: storage.OutcomeLeaseExpired}[status]
-			if a.Error == "too large" {
+			if result.Error == "too large" {
 				o = storage.OutcomeInvalid
 			}
-			return coordination.CommitResult{ID: v.ID, Outcome: o, Result: a}
-		}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errLost}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errLost})
+			return coordination.CommitResult{ID: v.ID, Outcome: o, Result: result}
+		}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errNoReply}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
 	case coordination.LoadRecords:
-		n.state(wait, func() coordination.Input {
-			if w.State.Down {
-				return coordination.LoadRecordsResult{Err: errLost}
+		c.callStore(timeout, func() coordination.Input {
+			if w.Store.Unavailable {
+				return coordination.LoadRecordsResult{Err: errNoReply}
 			}
-			return coordination.LoadRecordsResult{Entries: n.asRead(w.State.Items(storage.KeyPrefix)), StartRevision: w.State.rev, EndRevision: w.State.rev}
-		}, coordination.LoadRecordsResult{Err: errLost}, coordination.LoadRecordsResult{Err: errLost})
+			return coordination.LoadRecordsResult{Entries: c.readableEntries(w.Store.List(storage.KeyPrefix)), StartRevision: w.Store.revision, EndRevision: w.Store.revision}
+		}, coordination.LoadRecordsResult{Err: errNoReply}, coordination.LoadRecordsResult{Err: errNoReply})
 	case coordination.Watch:
-		w.follow(n, n.life, v.AfterRevision, w.Now+3*time.Second)
+		w.watchStore(c, c.generation, v.AfterRevision, w.Now+3*time.Second)
 	case coordination.ReadRevision:
-		n.state(wait, func() coordination.Input {
-			if w.State.Down {
-				return coordination.ReadRevisionResult{Err: errLost}
+		c.callStore(timeout, func() coordination.Input {
+			if w.Store.Unavailable {
+				return coordination.ReadRevisionResult{Err: errNoReply}
 			}
-			return coordination.ReadRevisionResult{Revision: w.State.rev}
-		}, coordination.ReadRevisionResult{Err: errLost}, coordination.ReadRevisionResult{Err: errLost})
+			return coordination.ReadRevisionResult{Revision: w.Store.revision}
+		}, coordination.ReadRevisionResult{Err: errNoReply}, coordination.ReadRevisionResult{Err: errNoReply})
 	case coordination.GrantLease:
-		n.state(wait, func() coordination.Input {
-			if w.State.Down {
-				return coordination.GrantLeaseResult{Err: errLost}
+		c.callStore(timeout, func() coordination.Input {
+			if w.Store.Unavailable {
+				return coordination.GrantLeaseResult{Err: errNoReply}
 			}
-			return coordination.GrantLeaseResult{LeaseID: w.State.Grant(w.Now, v.TTL)}
-		}, coordination.GrantLeaseResult{Err: errLost}, coordination.GrantLeaseResult{Err: errLost})
+			return coordination.GrantLeaseResult{LeaseID: w.Store.GrantLease(w.Now, v.TTL)}
+		}, coordination.GrantLeaseResult{Err: errNoReply}, coordination.GrantLeaseResult{Err: errNoReply})
 	case coordination.RenewLease:
-		n.state(wait, func() coordination.Input {
-			if w.State.Down {
-				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errLost}
+		c.callStore(timeout, func() coordination.Input {
+			if w.Store.Unavailable {
+				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply}
 			}
-			if !w.State.Extend(w.Now, v.LeaseID) {
+			if !w.Store.RenewLease(w.Now, v.LeaseID) {
 				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: storage.ErrLeaseExpired}
 			}
 			return coordination.RenewLeaseResult{LeaseID: v.LeaseID}
-		}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errLost}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errLost})
+		}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply})
 	case coordination.ProbeAgent:
-		n.call(n.NoWorker, 2*time.Second, func() coordination.Input {
-			m := w.Workers[v.Machine]
-			if m == nil || w.apart(n, m) || m.Gone || m.Cut || m.Deaf || m.hung {
+		c.callService(c.AgentsUnreachable, 2*time.Second, func() coordination.Input {
+			m := w.Machines[v.Machine]
+			if m == nil || w.isPartitioned(c, m) || m.Terminated || m.Partitioned || m.CommandsLost || m.hung {
 				return nil
 			}
-			r, err := protocol.ParseHeartbeat(m.body())
-			return coordination.AgentResult{Machine: v.Machine, Heartbeat: r, Err: err}
-		}, coordination.AgentResult{Machine: v.Machine, Err: errLost})
+			heartbeat, err := protocol.ParseHeartbeat(m.nextHeartbeat())
+			return coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
+		}, coordination.AgentResult{Machine: v.Machine, Err: errNoReply})
 	case coordination.SendCommands:
-		if w.Held > 0 && w.Rng.Float64() < w.Held {
-			n.holdCommand(v)
+		if w.DelayedCommandRate > 0 && w.Rand.Float64() < w.DelayedCommandRate {
+			c.delayCommand(v)
 			return
 		}
-		n.call(n.NoWorker, 2*time.Second, func() coordination.Input {
-			m := w.Workers[v.Machine]
-			if m == nil || w.apart(n, m) || m.Gone || m.Deaf {
+		c.callService(c.AgentsUnreachable, 2*time.Second, func() coordination.Input {
+			m := w.Machines[v.Machine]
+			if m == nil || w.isPartitioned(c, m) || m.Terminated || m.CommandsLost {
 				return nil
 			}
 			if m.hung { // carried out late, if token and session still match
-				m.late = append(m.late, func() { m.Do(v.Commands) })
+				m.deferredCommands = append(m.deferredCommands, func() { m.ExecuteCommands(v.Commands) })
 				return nil
 			}
-			_, body := m.Do(v.Commands)
-			if m.Cut {
+			_, body := m.ExecuteCommands(v.Commands)
+			if m.Partitioned {
 				return nil
 			}
-			r, err := protocol.ParseHeartbeat(body)
-			return coordination.AgentResult{Machine: v.Machine, Heartbeat: r, Err: err}
-		}, coordination.AgentResult{Machine: v.Machine, Err: errLost})
+			heartbeat, err := protocol.ParseHeartbeat(body)
+			return coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
+		}, coordination.AgentResult{Machine: v.Machine, Err: errNoReply})
 	default:
-		w.cloudCall(n, e)
+		w.callCloud(c, e)
 	}
 }
 
-func (w *World) follow(n *Node, life int, from protocol.Revision, until time.Duration) {
-	w.At(time.Duration(2+w.Rng.IntN(20))*time.Millisecond, func() {
-		if !n.Alive || n.life != life {
+func (w *World) watchStore(controller *Controller, generation int, from protocol.Revision, until time.Duration) {
+	w.After(time.Duration(2+w.Rand.IntN(20))*time.Millisecond, func() {
+		if !controller.Alive || controller.generation != generation {
 			return
 		}
-		if n.NoState || n.Refused || w.State.Down { // open watches wait
+		if controller.StoreUnreachable || controller.RefusedByStore || w.Store.Unavailable { // open watches wait
 			if w.Now > until+2*time.Second {
-				n.step(coordination.WatchResult{AfterRevision: from, Err: errLost})
+				controller.step(coordination.WatchResult{AfterRevision: from, Err: errNoReply})
 				return
 			}
-			w.follow(n, life, from, until)
+			w.watchStore(controller, generation, from, until)
 			return
 		}
-		f, old := w.State.Follow(storage.KeyPrefix, from)
+		response, compacted := w.Store.Watch(storage.KeyPrefix, from)
 		switch {
-		case old:
-			n.step(coordination.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
-		case len(f.Events) > 0 || w.Now > until:
-			f.Events = n.newsAsRead(f.Events)
-			n.step(coordination.WatchResult{AfterRevision: from, Response: &f})
+		case compacted:
+			controller.step(coordination.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
+		case len(response.Events) > 0 || w.Now > until:
+			response.Events = controller.readableEvents(response.Events)
+			controller.step(coordination.WatchResult{AfterRevision: from, Response: &response})
 		default:
-			w.follow(n, life, from, until)
+			w.watchStore(controller, generation, from, until)
 		}
 	})
 }
 
-func (w *World) cloudCall(n *Node, e coordination.Effect) {
-	const wait = 10 * time.Second
+func (w *World) callCloud(controller *Controller, e coordination.Effect) {
+	const timeout = 10 * time.Second
 	switch v := e.(type) {
 	case coordination.ListMachineTypes:
-		n.call(w.NoCloud, wait, func() coordination.Input { return coordination.ListMachineTypesResult{MachineTypes: w.Flavors} },
-			coordination.ListMachineTypesResult{Err: errLost})
+		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input { return coordination.ListMachineTypesResult{MachineTypes: w.MachineTypes} },
+			coordination.ListMachineTypesResult{Err: errNoReply})
 	case coordination.ProvisionMachines:
-		n.call(w.NoCloud, wait, func() coordination.Input {
-			if w.NoHire {
+		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input {
+			if w.CloudOutOfCapacity {
 				return coordination.ProvisionMachinesResult{Request: v.Request, NoCapacity: true}
 			}
-			return coordination.ProvisionMachinesResult{Request: v.Request, Machines: w.Rent(v.Request)}
-		}, coordination.ProvisionMachinesResult{Request: v.Request, Err: errLost})
+			return coordination.ProvisionMachinesResult{Request: v.Request, Machines: w.Provision(v.Request)}
+		}, coordination.ProvisionMachinesResult{Request: v.Request, Err: errNoReply})
 	case coordination.TerminateMachines:
-		n.call(w.NoCloud, wait, func() coordination.Input {
+		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input {
 			for _, id := range v.Machines {
-				w.Lose(id)
+				w.TerminateMachine(id)
 			}
 			return coordination.TerminateMachinesResult{Machines: v.Machines}
-		}, coordination.TerminateMachinesResult{Machines: v.Machines, Err: errLost})
+		}, coordination.TerminateMachinesResult{Machines: v.Machines, Err: errNoReply})
 	case coordination.ListInstances:
-		asked := n.time().Monotonic
-		n.call(w.NoCloud, wait, func() coordination.Input {
-			return coordination.ListInstancesResult{RequestedAt: asked, Instances: w.Hosts()}
-		}, coordination.ListInstancesResult{Err: errLost})
+		requestedAt := controller.now().Monotonic
+		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input {
+			return coordination.ListInstancesResult{RequestedAt: requestedAt, Instances: w.Instances()}
+		}, coordination.ListInstancesResult{Err: errNoReply})
 	default:
 		panic(fmt.Sprintf("simulation: effect %T", e))
 	}
 }
 
-// Rent carries out a rental request, once.
-func (w *World) Rent(h protocol.ProvisionRequest) []protocol.MachineID {
-	if _, ok := w.hires[h.RequestID]; !ok {
-		w.hires[h.RequestID] = nil
-		for i := 0; i < h.Count && len(w.Workers) < maxMachines; i++ {
-			id := w.Machine(h.Type, h.Zone, h.Spot, time.Duration(500+w.Rng.IntN(4000))*time.Millisecond)
-			w.hires[h.RequestID] = append(w.hires[h.RequestID], id)
+// Provision carries out a rental request, once.
+func (w *World) Provision(request protocol.ProvisionRequest) []protocol.MachineID {
+	if _, ok := w.provisioned[request.RequestID]; !ok {
+		w.provisioned[request.RequestID] = nil
+		for i := 0; i < request.Count && len(w.Machines) < maxProvisioned; i++ {
+			id := w.AddMachine(request.Type, request.Zone, request.Spot, time.Duration(500+w.Rand.IntN(4000))*time.Millisecond)
+			w.provisioned[request.RequestID] = append(w.provisioned[request.RequestID], id)
 		}
 	}
-	return w.hires[h.RequestID]
+	return w.provisioned[request.RequestID]
 }
 
-// maxMachines is how many machines the cloud rents in all.
-const maxMachines = 400
+// maxProvisioned is how many machines the cloud rents in all.
+const maxProvisioned = 400
 
-// Hosts is the cloud's list, in the order of the names.
-func (w *World) Hosts() (hosts []protocol.Instance) {
-	for id, m := range w.Workers {
-		if !m.Gone {
-			hosts = append(hosts, protocol.Instance{ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: "running", AgeSeconds: 60})
+// Instances is the cloud's list, in the order of the names.
+func (w *World) Instances() (instances []protocol.Instance) {
+	for id, m := range w.Machines {
+		if !m.Terminated {
+			instances = append(instances, protocol.Instance{ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: "running", AgeSeconds: 60})
 		}
 	}
-	sort.Slice(hosts, func(i, k int) bool { return hosts[i].ID < hosts[k].ID })
-	return hosts
+	sort.Slice(instances, func(i, k int) bool { return instances[i].ID < instances[k].ID })
+	return instances
 }
 
-// Machine brings a machine up after a while.
-func (w *World) Machine(s protocol.MachineTypeName, z protocol.Zone, loaner bool, boot time.Duration) protocol.MachineID {
-	w.nextID++
-	id := protocol.MachineID(fmt.Sprintf("m-%06d", w.nextID))
-	m := &Worker{w: w, ID: id, Type: s, Zone: z, Spot: loaner, shift: 1, tasks: map[protocol.Task]*task{},
-		images: map[string]bool{}, node: w.Rng.IntN(len(w.Nodes)), leased: w.Now + boot, Addr: "10.1.0.1:1"}
-	w.Workers[id] = m
-	if w.Rented != nil {
-		w.Rented(m)
+// AddMachine brings a machine up after a while.
+func (w *World) AddMachine(s protocol.MachineTypeName, z protocol.Zone, spot bool, boot time.Duration) protocol.MachineID {
+	w.nextMachineID++
+	id := protocol.MachineID(fmt.Sprintf("m-%06d", w.nextMachineID))
+	m := &Machine{world: w, ID: id, Type: s, Zone: z, Spot: spot, epoch: 1, tasks: map[protocol.Task]*taskExecution{},
+		cachedImages: map[string]bool{}, controllerIndex: w.Rand.IntN(len(w.Controllers)), leaseRenewedAt: w.Now + boot, Addr: "10.1.0.1:1"}
+	w.Machines[id] = m
+	if w.OnProvision != nil {
+		w.OnProvision(m)
 	}
-	w.At(boot, func() {
-		m.dueAt = w.Now
+	w.After(boot, func() {
+		m.nextHeartbeatAt = w.Now
 		m.loop()
 	})
 	return id
 }
 
-func (m *Worker) loop() {
-	if m.Gone {
+func (m *Machine) loop() {
+	if m.Terminated {
 		return
 	}
-	m.step()
-	m.gather()
-	m.w.At(100*time.Millisecond, m.loop)
+	m.advance()
+	m.updateGangs()
+	m.world.After(100*time.Millisecond, m.loop)
 }
 
-// gather starts a gang whose tasks are all here, and ends one that lost a task.
-func (m *Worker) gather() {
-	w := m.w
-	for _, t := range m.order() {
-		k := m.tasks[t]
-		d := w.Jobs[t.Job]
-		if d == nil || !d.IsGang() || k.stage != protocol.TaskAwaitingGang && k.stage != protocol.TaskRunning {
+// updateGangs starts a gang whose tasks are all here, and ends one that lost a task.
+func (m *Machine) updateGangs() {
+	w := m.world
+	for _, t := range m.sortedTasks() {
+		execution := m.tasks[t]
+		job := w.Jobs[t.Job]
+		if job == nil || !job.IsGang() || execution.state != protocol.TaskAwaitingGang && execution.state != protocol.TaskRunning {
 			continue
 		}
-		mates := w.mates(t.Job, k.try)
-		if k.stage == protocol.TaskAwaitingGang && len(mates) == d.TaskCount {
+		members := w.gangMembers(t.Job, execution.attempt)
+		if execution.state == protocol.TaskAwaitingGang && len(members) == job.TaskCount {
 			all := true
-			for _, x := range mates {
-				all = all && x.k.stage == protocol.TaskAwaitingGang
+			for _, member := range members {
+				all = all && member.execution.state == protocol.TaskAwaitingGang
 			}
 			if all {
-				end := w.Now + protocol.Seconds(d.EstimatedRunSeconds)
-				for _, x := range mates {
-					x.k.next = end
-					x.m.set(x.t, x.k, protocol.TaskRunning)
+				end := w.Now + protocol.Seconds(job.EstimatedRunSeconds)
+				for _, member := range members {
+					member.execution.stateEndsAt = end
+					member.machine.setState(member.task, member.execution, protocol.TaskRunning)
 				}
 			}
-		} else if k.stage == protocol.TaskRunning && len(mates) < d.TaskCount {
-			m.end(t, k, "mates_gone")
+		} else if execution.state == protocol.TaskRunning && len(members) < job.TaskCount {
+			m.endTask(t, execution, "mates_gone")
 		}
 	}
 }
 
-type mate struct {
-	m *Worker
-	t protocol.Task
-	k *task
+type gangMember struct {
+	machine   *Machine
+	task      protocol.Task
+	execution *taskExecution
 }
 
-func (w *World) mates(id protocol.JobID, try protocol.Attempt) []mate {
-	var out []mate
-	for _, name := range slices.Sorted(maps.Keys(w.Workers)) {
-		m := w.Workers[name]
-		for _, t := range m.order() {
-			k := m.tasks[t]
-			if t.Job == id && k.try == try && (k.stage != protocol.TaskExited || k.cause == protocol.ReasonDone) && !m.Gone {
-				out = append(out, mate{m, t, k})
+func (w *World) gangMembers(id protocol.JobID, attempt protocol.Attempt) []gangMember {
+	var out []gangMember
+	for _, name := range slices.Sorted(maps.Keys(w.Machines)) {
+		m := w.Machines[name]
+		for _, t := range m.sortedTasks() {
+			execution := m.tasks[t]
+			if t.Job == id && execution.attempt == attempt && (execution.state != protocol.TaskExited || execution.reason == protocol.ReasonDone) && !m.Terminated {
+				out = append(out, gangMember{m, t, execution})
 			}
 		}
 	}
 	return out
 }
 
-// answer is what a controller answers a report; by says which process it was.
-type answer struct {
+// heartbeatReply is what a controller answers a report; by says which process it was.
+type heartbeatReply struct {
 	status int
 	body   []byte
-	by     string
+	sender string
 }
 
-// toNode brings a worker's report to a controller and the answer back.
-func (w *World) toNode(n *Node, m *Worker, body []byte, back func(answer)) {
-	if w.Copies > 0 && w.Rng.Float64() < w.Copies {
-		o := w.Nodes[w.Rng.IntN(len(w.Nodes))]
-		w.At(time.Duration(500+w.Rng.IntN(40000))*time.Millisecond, func() { // from seconds to well over a lease
-			if o.Alive {
-				o.Report(body, func(int, []byte) {})
+// transmitHeartbeat brings a worker's report to a controller and the answer back.
+func (w *World) transmitHeartbeat(controller *Controller, m *Machine, body []byte, reply func(heartbeatReply)) {
+	if w.DuplicateHeartbeatRate > 0 && w.Rand.Float64() < w.DuplicateHeartbeatRate {
+		other := w.Controllers[w.Rand.IntN(len(w.Controllers))]
+		w.After(time.Duration(500+w.Rand.IntN(40000))*time.Millisecond, func() { // from seconds to well over a lease
+			if other.Alive {
+				other.DeliverHeartbeat(body, func(int, []byte) {})
 			}
 		})
 	}
-	d := w.delay()
-	if m.Mute {
+	d := w.messageDelay()
+	if m.HeartbeatsLost {
 		return // it can't even connect
 	}
-	if m.Cut || n.NoWorker || w.apart(n, m) || w.Rng.Float64() < w.Drop {
-		if w.Rng.IntN(2) == 0 {
+	if m.Partitioned || controller.AgentsUnreachable || w.isPartitioned(controller, m) || w.Rand.Float64() < w.MessageLossRate {
+		if w.Rand.IntN(2) == 0 {
 			return
 		}
-		d = 5*time.Second + time.Duration(w.Rng.IntN(20000))*time.Millisecond // held up, arrives late
+		d = 5*time.Second + time.Duration(w.Rand.IntN(20000))*time.Millisecond // held up, arrives late
 	}
-	w.At(d, func() {
-		if !n.Alive {
-			w.At(w.delay(), func() { back(answer{}) })
+	w.After(d, func() {
+		if !controller.Alive {
+			w.After(w.messageDelay(), func() { reply(heartbeatReply{}) })
 			return
 		}
-		n.Report(body, func(status int, b []byte) {
-			if m.Cut || m.Mute || m.Deaf || n.NoWorker || w.apart(n, m) || w.Rng.Float64() < w.Drop {
+		controller.DeliverHeartbeat(body, func(status int, b []byte) {
+			if m.Partitioned || m.HeartbeatsLost || m.CommandsLost || controller.AgentsUnreachable || w.isPartitioned(controller, m) || w.Rand.Float64() < w.MessageLossRate {
 				return
 			}
-			a := answer{status, b, n.name()}
-			w.At(w.delay(), func() { back(a) })
+			response := heartbeatReply{status, b, controller.processName()}
+			w.After(w.messageDelay(), func() { reply(response) })
 		})
 	})
 }
 
-// Report hands a report to the controller.
-func (n *Node) Report(body []byte, back func(int, []byte)) {
-	if n.Remote != nil {
-		n.Remote.Report(body, back)
+// DeliverHeartbeat hands a report to the controller.
+func (c *Controller) DeliverHeartbeat(body []byte, reply func(int, []byte)) {
+	if c.Remote != nil {
+		c.Remote.DeliverHeartbeat(body, reply)
 		return
 	}
-	n.request(back, func(id coordination.RequestID) coordination.Input {
+	c.deliverRequest(reply, func(id coordination.RequestID) coordination.Input {
 		return coordination.HeartbeatInput{RequestID: id, Body: body}
 	})
 }
 
-func (n *Node) request(back func(int, []byte), in func(coordination.RequestID) coordination.Input) {
-	n.nextReq++
-	n.reqs[n.nextReq] = back
-	n.step(in(n.nextReq))
+func (c *Controller) deliverRequest(reply func(int, []byte), input func(coordination.RequestID) coordination.Input) {
+	c.nextRequestID++
+	c.pendingReplies[c.nextRequestID] = reply
+	c.step(input(c.nextRequestID))
 }
 
-// Operator asks a controller something, as an operator's tool does.
-func (n *Node) Operator(request func(coordination.RequestID) coordination.Input, tell func(coordination.Effect)) {
-	if !n.Alive {
+// DeliverOperatorRequest asks a controller something, as an operator's tool does.
+func (c *Controller) DeliverOperatorRequest(request func(coordination.RequestID) coordination.Input, reply func(coordination.Effect)) {
+	if !c.Alive {
 		return
 	}
-	n.nextReq++
-	n.operators[n.nextReq] = tell
-	n.step(request(n.nextReq))
+	c.nextRequestID++
+	c.pendingOperatorReplies[c.nextRequestID] = reply
+	c.step(request(c.nextRequestID))
 }
 
 // replyToAdmin hands an answer to the operator who waits for it.
-func (n *Node) answerOperator(id coordination.RequestID, e coordination.Effect) {
-	if tell := n.operators[id]; tell != nil {
-		delete(n.operators, id)
-		tell(e)
+func (c *Controller) replyToOperator(id coordination.RequestID, e coordination.Effect) {
+	if reply := c.pendingOperatorReplies[id]; reply != nil {
+		delete(c.pendingOperatorReplies, id)
+		reply(e)
 	}
 }
 
-// balance picks a controller as the load balancer does: a healthy one if there is one.
-func (w *World) balance() *Node {
-	var healthy []*Node
-	for _, n := range w.Nodes {
-		if n.Alive && !n.frozen && !n.NoUsers && n.healthy() {
-			healthy = append(healthy, n)
+// pickController picks a controller as the load balancer does: a healthy one if there is one.
+func (w *World) pickController() *Controller {
+	var healthy []*Controller
+	for _, controller := range w.Controllers {
+		if controller.Alive && !controller.paused && !controller.UsersUnreachable && controller.isHealthy() {
+			healthy = append(healthy, controller)
 		}
 	}
 	if len(healthy) == 0 {
-		healthy = w.Nodes
+		healthy = w.Controllers
 	}
-	return healthy[w.Rng.IntN(len(healthy))]
+	return healthy[w.Rand.IntN(len(healthy))]
 }
 
-// User sends a user's request to a node; tell gets the answer unless it is lost.
-func (w *World) User(verb protocol.RequestType, id protocol.JobID, body []byte, tell func(int, protocol.JobState)) {
-	w.Ask(w.balance(), verb, id, body, tell)
+// SendUserRequest sends a user's request to a node; tell gets the answer unless it is lost.
+func (w *World) SendUserRequest(requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(int, protocol.JobState)) {
+	w.SendUserRequestTo(w.pickController(), requestType, id, body, reply)
 }
 
-// Ask sends a user's request to one controller.
-func (w *World) Ask(n *Node, verb protocol.RequestType, id protocol.JobID, body []byte, tell func(int, protocol.JobState)) {
-	w.Rules.Asked(w.Now, id)
-	asked := w.Now
-	over := false
-	once := tell
-	tell = func(status int, s protocol.JobState) {
-		if !over {
-			over = true
-			once(status, s)
+// SendUserRequestTo sends a user's request to one controller.
+func (w *World) SendUserRequestTo(controller *Controller, requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(int, protocol.JobState)) {
+	w.Rules.RecordRequest(w.Now, id)
+	sentAt := w.Now
+	replied := false
+	deliver := reply
+	reply = func(status int, s protocol.JobState) {
+		if !replied {
+			replied = true
+			deliver(status, s)
 		}
 	}
-	w.At(5*time.Second, func() { tell(0, "") })
-	w.At(w.delay(), func() {
-		if !n.Alive || n.NoUsers {
-			tell(0, "")
+	w.After(5*time.Second, func() { reply(0, "") })
+	w.After(w.messageDelay(), func() {
+		if !controller.Alive || controller.UsersUnreachable {
+			reply(0, "")
 			return
 		}
-		n.ask(verb, id, body, func(status int, b []byte) {
-			var a protocol.JobStatus
+		controller.deliverUserRequest(requestType, id, body, func(status int, b []byte) {
+			var jobAnswer protocol.JobStatus
 			if status < 300 {
-				json.Unmarshal(b, &a)
+				json.Unmarshal(b, &jobAnswer)
 			}
-			w.Rules.Told(w.Now, asked, verb, id, status, a.State)
-			tell(status, a.State)
+			w.Rules.RecordReply(w.Now, sentAt, requestType, id, status, jobAnswer.State)
+			reply(status, jobAnswer.State)
 		})
 	})
 }
 
 // Submit sends a job until it is accepted or refused for good, then polls it.
-func (w *World) Submit(d *protocol.Job) {
-	w.Jobs[d.ID] = d
-	w.Rules.Submitted(w.Now, d)
-	body := protocol.Encode(d)
-	var try, poll func()
+func (w *World) Submit(job *protocol.Job) {
+	w.Jobs[job.ID] = job
+	w.Rules.RecordSubmission(w.Now, job)
+	body := protocol.Encode(job)
+	var submit, poll func()
 	poll = func() {
-		w.User(protocol.RequestQuery, d.ID, nil, func(status int, s protocol.JobState) {
+		w.SendUserRequest(protocol.RequestQuery, job.ID, nil, func(status int, s protocol.JobState) {
 			if status == 200 && s.IsTerminal() {
-				w.Done[d.ID] = true
+				w.FinishedJobs[job.ID] = true
 				return
 			}
-			w.At(3*time.Second, poll)
+			w.After(3*time.Second, poll)
 		})
 	}
-	try = func() {
-		w.User(protocol.RequestSubmit, d.ID, body, func(status int, _ protocol.JobState) {
+	submit = func() {
+		w.SendUserRequest(protocol.RequestSubmit, job.ID, body, func(status int, _ protocol.JobState) {
 			if status >= 200 && status < 300 {
-				w.At(time.Second, poll)
+				w.After(time.Second, poll)
 			} else if status != 422 && status != 400 {
-				w.At(time.Second, try)
+				w.After(time.Second, submit)
 			}
 		})
 	}
-	try()
+	submit()
 }
 
-// Abort asks to cancel a job until that is answered.
-func (w *World) Abort(id protocol.JobID) {
-	w.Rules.CancelWanted(id)
-	w.User(protocol.RequestCancel, id, nil, func(status int, _ protocol.JobState) {
+// Cancel asks to cancel a job until that is answered.
+func (w *World) Cancel(id protocol.JobID) {
+	w.Rules.RecordCancelRequest(id)
+	w.SendUserRequest(protocol.RequestCancel, id, nil, func(status int, _ protocol.JobState) {
 		if status != 200 {
-			w.At(time.Second, func() { w.Abort(id) })
+			w.After(time.Second, func() { w.Cancel(id) })
 		}
 	})
 }
