--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -22,9 +22,8 @@
 func (ac *agentCaller) onAgentResult(result AgentResult) {
 	ac.agentCallsInFlight--
 	ok := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
-	if misdirected, found := ac.misdirected.misdirectedHeartbeats[result.Machine]; found && ok {
-		misdirected.hasAgentResponded = true
-		ac.misdirected.misdirectedHeartbeats[result.Machine] = misdirected
+	if ok {
+		ac.misdirected.confirm(result.Machine)
 	}
 	m := ac.agents.machineStates[result.Machine]
 	if m == nil {
@@ -86,12 +85,41 @@
 	ac.emit(SendCommands{m.id, entry.Record.Address, protocol.Commands{FencingToken: entry.Record.FencingToken, AgentEpoch: agentEpoch, Commands: commands}})
 }
 
-// probeAgent asks the worker of a machine that this run does not own for its report.
-func (ac *agentCaller) probeAgent(m *machineState, addr string) {
-	if m.isCallInFlight || m.hasAnsweredProbe || addr == "" || ac.agentCallsInFlight >= 2*ac.maxAgentCalls() {
+// unownedProbeInterval is the least time between probes of an agent whose machine another
+// controller owns.
+const unownedProbeInterval = 2 * time.Second
+
+// probeUnownedAgent asks the agent of a machine whose owner is not heard of for its status,
+// unless it was asked a moment ago or too many calls are in flight.
+func (ac *agentCaller) probeUnownedAgent(m *machineState, addr string) {
+	if m.isCallInFlight || ac.since(m.callStartedAt) <= unownedProbeInterval || addr == "" || ac.agentCallsInFlight >= ac.maxAgentCalls() {
 		return
 	}
+	ac.startProbe(m, addr)
+}
+
+// tryProbe sends a probe to the agent of a machine of which nothing else is remembered here,
+// unless too many calls are in flight.
+func (ac *agentCaller) tryProbe(id protocol.MachineID, addr string) bool {
+	if ac.agentCallsInFlight >= ac.maxAgentCalls() {
+		return false
+	}
+	ac.agentCallsInFlight++
+	ac.emit(ProbeAgent{id, addr})
+	return true
+}
+
+// startProbe sends a probe to an agent.
+func (ac *agentCaller) startProbe(m *machineState, addr string) {
 	m.isCallInFlight, m.callStartedAt = true, ac.now.Monotonic
 	ac.agentCallsInFlight++
 	ac.emit(ProbeAgent{m.id, addr})
 }
+
+// probeAgent asks the worker of a machine that this run does not own for its report.
+func (ac *agentCaller) probeAgent(m *machineState, addr string) {
+	if m.isCallInFlight || m.hasAnsweredProbe || addr == "" || ac.agentCallsInFlight >= 2*ac.maxAgentCalls() {
+		return
+	}
+	ac.startProbe(m, addr)
+}
--- a/internal/coordination/agent_table.go
+++ b/internal/coordination/agent_table.go
@@ -150,7 +150,7 @@
 // onMachinesRemoved forgets machines that have left the records.
 func (at *agentTable) onMachinesRemoved() {
 	for _, id := range at.replica.PopRemovedMachines() {
-		at.terminator.terminatedAt[id] = at.now.Monotonic
+		at.terminator.recordRemoval(id)
 		if m := at.machineStates[id]; m != nil {
 			at.dropDeferredRequest(m)
 			delete(at.machineStates, id)
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -250,7 +250,9 @@
 	ack := func(id protocol.JobID) {
 		if c.areOwnedMachinesQuiescent(id) {
 			c.localAcks[id] = true
-			c.peers.isPeerStatusUrgent = c.peers.isPeerStatusUrgent || !previousAcks[id]
+			if !previousAcks[id] {
+				c.peers.expediteStatus()
+			}
 		}
 	}
 	for id := range c.peerIntents {
@@ -266,7 +268,9 @@
 			// Only who drives it tells of it: the others have nothing to send at once.
 			_, isSent := c.intentSentAt[id]
 			_, isRequester := c.requestedAt[id]
-			c.peers.isPeerStatusUrgent = c.peers.isPeerStatusUrgent || isRequester && !isSent && !c.fullyAcknowledged[id]
+			if isRequester && !isSent && !c.fullyAcknowledged[id] {
+				c.peers.expediteStatus()
+			}
 		}
 	}
 }
@@ -355,6 +359,10 @@
 	return isPending && pendingFor > c.cfg.CancelTimeout*2/5 && (c.agents.isSilent(m) && !cutOff || pendingFor > c.cfg.CancelTimeout*3/5)
 }
 
+// ownerContactTimeout is how long an owner counts as alive after its last status while the
+// store is down for all.
+const ownerContactTimeout = 5 * time.Second
+
 // forceScaleIn looks after machines whose owner is not heard of while the state service is
 // down for all, so that nobody can take them over. If a task of a job that is called off
 // may be there, the worker is asked; one that does not answer goes back.
@@ -367,7 +375,7 @@
 	})
 	for _, id := range ids {
 		entry := c.replica.Machines[id]
-		if owner, ok := c.peers.peers[entry.Record.Owner.Controller()]; ok && owner.status.Incarnation == entry.Record.Owner && c.since(owner.receivedAt) < 5*time.Second {
+		if c.peers.hasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
 			continue // its owner lives, and sees to it
 		}
 		m := c.agents.machineState(id)
@@ -376,10 +384,8 @@
 		case !isPending || pendingFor < c.cfg.CancelTimeout*2/5:
 		case pendingFor > c.cfg.CancelTimeout*3/5:
 			c.terminator.terminateUnrecorded(id)
-		case !m.isCallInFlight && c.since(m.callStartedAt) > 2*time.Second && entry.Record.Address != "" && c.calls.agentCallsInFlight < c.calls.maxAgentCalls():
-			m.isCallInFlight, m.callStartedAt = true, c.now.Monotonic
-			c.calls.agentCallsInFlight++
-			c.emit(ProbeAgent{id, entry.Record.Address})
+		default:
+			c.calls.probeUnownedAgent(m, entry.Record.Address)
 		}
 	}
 }
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -16,7 +16,6 @@
 	agents      *agentTable
 	lease       *incarnationLease
 	limits      *writeLimiter
-	reconciler  *reconciler
 	replication *replicaSync
 	shards      *shardWriter
 	store       *storeHealth
@@ -28,6 +27,7 @@
 	nextUserCommitAt       protocol.Instant // next one of those
 	outcomeUnknown         bool             // a transaction had an unknown outcome
 	nextCommitAt           protocol.Instant
+	isPartial              bool // the last transaction could not take all changes of owned shards that were due
 	consecutiveBusy        int
 }
 
@@ -114,7 +114,7 @@
 	// Own pages have news all the time; some room is left for others' pages, or what
 	// is free there would wait for ever.
 	reservedOps := 0
-	if c.plan.hasPendingRemotePlacements && c.reconciler.lastCommitWasPartial {
+	if c.plan.hasPendingRemotePlacements && c.commits.isPartial {
 		reservedOps = b.opsLeft / 4
 	}
 	b.opsLeft -= reservedOps
@@ -143,7 +143,7 @@
 		onSend()
 	}
 	c.log(slog.LevelDebug, "transaction sent", "jobs", len(b.jobs), "shards", len(b.shards), "owned_shards", len(c.shards.ownedShards()), "bytes", b.estimatedBytes,
-		"write_tokens", tokens, "write_rate", c.limits.writeRate, "complete", !c.reconciler.lastCommitWasPartial)
+		"write_tokens", tokens, "write_rate", c.limits.writeRate, "complete", !c.isPartial)
 	c.sendTransaction(&pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply})
 }
 
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -74,14 +74,12 @@
 	c.commits.agents = c.agents
 	c.commits.lease = c.lease
 	c.commits.limits = c.limits
-	c.commits.reconciler = c.reconciler
 	c.commits.replication = c.replication
 	c.commits.shards = c.shards
 	c.commits.store = c.store
 	c.commits.upgrade = c.upgrade
 	c.shards.catalog = c.catalog
 	c.shards.commits = c.commits
-	c.shards.jobs = c.jobs
 	c.shards.lease = c.lease
 	c.shards.limits = c.limits
 	c.shards.transfers = c.transfers
@@ -108,6 +106,7 @@
 	c.calls.lease = c.lease
 	c.calls.misdirected = c.misdirected
 	c.reconciler.agents = c.agents
+	c.reconciler.commits = c.commits
 	c.reconciler.cancellations = c.cancellations
 	c.reconciler.jobs = c.jobs
 	c.reconciler.lease = c.lease
@@ -200,7 +199,7 @@
 	c.scheduler.lease = c.lease
 	c.scheduler.plan = c.plan
 	c.scheduler.queue = c.queue
-	c.scheduler.reconciler = c.reconciler
+	c.scheduler.commits = c.commits
 	c.scheduler.services = c.services
 	c.gangs.acquirer = c.acquirer
 	c.gangs.capacity = c.capacity
@@ -276,7 +275,7 @@
 		limits:        &writeLimiter{stepContext: step},
 		upgrade:       newFormatUpgrade(step),
 		commits:       &committer{stepContext: step},
-		shards:        &shardWriter{stepContext: step},
+		shards:        newShardWriter(step),
 		peers:         newPeerTable(step),
 		overload:      &overloadDetector{stepContext: step},
 		agents:        newAgentTable(step),
@@ -394,7 +393,7 @@
 // silent here but reports there is handed over: the way between its worker and
 // this node is broken, and waiting would only let its lease run out.
 func (c *Core) onPeerStatus(status PeerStatus) {
-	c.peers.peers[status.ControllerID] = peer{status, c.now.Monotonic}
+	c.peers.recordStatus(&status)
 	c.cancellations.onPeerCancellations(&status)
 	c.ownership.recordHeartbeatsElsewhere(&status)
 }
@@ -430,10 +429,7 @@
 func (c *Core) tick() {
 	now := c.now.Monotonic
 	c.overload.measureOverload()
-	if !c.replication.isLoaded && !c.replication.isLoading && !c.replication.isWatching && now >= c.replication.retryAt {
-		c.replication.isLoading, c.replication.loadRequestedAt = true, now
-		c.emit(LoadRecords{})
-	}
+	c.replication.tickLoad()
 	c.lease.tickLease()
 	c.cancellations.tickCancellations()
 	c.peers.tickPeerStatus()
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -155,7 +155,7 @@
 // all cores.
 func (h *heartbeatHandler) expectsAssignments(entry *storage.Machine, m *machineState) bool {
 	rec := &entry.Record
-	if !h.plan.pendingPlacements[m.id] || !h.replication.isUpToDate() || rec.Terminating || rec.Cordoned || m.latestHeartbeat.PreemptionNoticeSeconds != nil {
+	if !h.plan.expectsPlacement(m.id) || !h.replication.isUpToDate() || rec.Terminating || rec.Cordoned || m.latestHeartbeat.PreemptionNoticeSeconds != nil {
 		return false
 	}
 	for i := range rec.Assignments {
--- a/internal/coordination/machine_state.go
+++ b/internal/coordination/machine_state.go
@@ -85,7 +85,6 @@
 	notBefore                protocol.Instant
 	gangIncompleteAt         protocol.Instant
 	seenAttempt              protocol.Attempt
-	tasksDoneAt              protocol.Instant // since when all its tasks are done, and it is not called done
 	earlyExits               int              // replicas that ended soon after their start, in a row
 	gangAttemptInProgress    protocol.Attempt // of a gang whose assignment takes several transactions
 }
--- a/internal/coordination/misdirected.go
+++ b/internal/coordination/misdirected.go
@@ -1,6 +1,10 @@
 package coordination
 
-import "tillerarch/internal/protocol"
+import (
+	"maps"
+	"tillerarch/internal/protocol"
+	"time"
+)
 
 // misdirectedHeartbeats remembers heartbeats of machines that another controller owns.
 type misdirectedHeartbeats struct {
@@ -40,6 +44,24 @@
 	return false
 }
 
+// misdirectedRetention is how long a misdirected heartbeat is remembered.
+const misdirectedRetention = 3 * time.Second
+
+// expire forgets heartbeats that are too old to say where an agent reports now.
+func (mh *misdirectedHeartbeats) expire() {
+	maps.DeleteFunc(mh.misdirectedHeartbeats, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
+		return mh.since(heartbeat.receivedAt) > misdirectedRetention
+	})
+}
+
+// confirm notes that the agent of a machine has answered a probe from here.
+func (mh *misdirectedHeartbeats) confirm(id protocol.MachineID) {
+	if heartbeat, ok := mh.misdirectedHeartbeats[id]; ok {
+		heartbeat.hasAgentResponded = true
+		mh.misdirectedHeartbeats[id] = heartbeat
+	}
+}
+
 // recordMisdirectedHeartbeat notes a report of a machine that another run owns. If its worker answers
 // here, its owner is told: the way between those two may be broken. (A worker
 // that answers nobody, or a late copy, is no reason to hand anything over.)
@@ -48,10 +70,8 @@
 	if ok && (heartbeat.AgentEpoch < known.agentEpoch || heartbeat.AgentEpoch == known.agentEpoch && heartbeat.Sequence <= known.sequence) || heartbeat.Addr == "" || len(mh.misdirectedHeartbeats) >= mh.maxMisdirectedHeartbeats() {
 		return
 	}
-	if mh.calls.agentCallsInFlight < mh.calls.maxAgentCalls() {
+	if mh.calls.tryProbe(heartbeat.Machine, heartbeat.Addr) {
 		mh.misdirectedHeartbeats[heartbeat.Machine] = misdirectedHeartbeat{receivedAt: mh.now.Monotonic, agentEpoch: heartbeat.AgentEpoch, sequence: heartbeat.Sequence}
-		mh.calls.agentCallsInFlight++
-		mh.emit(ProbeAgent{heartbeat.Machine, heartbeat.Addr})
 	}
 }
 
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -1,8 +1,8 @@
 package coordination
 
 import (
-	"maps"
 	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
 	"time"
 )
 
@@ -45,6 +45,20 @@
 	return anyHeard
 }
 
+// expediteStatus has the next status sent at the next tick.
+func (t *peerTable) expediteStatus() { t.isPeerStatusUrgent = true }
+
+// recordStatus takes in the status of another controller.
+func (t *peerTable) recordStatus(status *PeerStatus) {
+	t.peers[status.ControllerID] = peer{*status, t.now.Monotonic}
+}
+
+// hasHeardFrom tells whether an incarnation has sent its status within a time.
+func (t *peerTable) hasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
+	p, ok := t.peers[incarnation.Controller()]
+	return ok && p.status.Incarnation == incarnation && t.since(p.receivedAt) < within
+}
+
 // tickPeerStatus tells the other controllers of this one when that is due.
 func (t *peerTable) tickPeerStatus() {
 	now := t.now.Monotonic
@@ -53,7 +67,7 @@
 	}
 	t.isPeerStatusUrgent = false
 	t.nextPeerStatusAt = now.Add(t.jitter(time.Second))
-	status := PeerStatus{ControllerID: t.cfg.ControllerID, StoreReachable: t.replication.isLoaded && t.since(t.store.lastResponseAt) < 2*time.Second && t.store.consecutiveFailures == 0}
+	status := PeerStatus{ControllerID: t.cfg.ControllerID, StoreReachable: t.replication.isLoaded && t.store.isAnswering(2*time.Second)}
 	if t.lease.isRegistered() {
 		status.Incarnation = t.lease.incarnation
 		t.cancellations.addCancellationStatus(&status)
@@ -62,8 +76,6 @@
 			t.nextPeerStatusAt = now.Add(t.jitter(peerStatusBacklogInterval))
 		}
 	}
-	maps.DeleteFunc(t.misdirected.misdirectedHeartbeats, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
-		return t.since(heartbeat.receivedAt) > 3*time.Second
-	})
+	t.misdirected.expire()
 	t.emit(SendPeerStatus{status})
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -24,7 +24,7 @@
 	lease      *incarnationLease
 	plan       *placementPlan
 	queue      *jobQueue
-	reconciler *reconciler
+	commits    *committer
 	services   *serviceScheduler
 
 	warmPool warmPool
@@ -53,6 +53,12 @@
 	return protocol.MaxTasks
 }
 
+// retainsIdleMachine tells whether an idle machine is kept for work that cannot wait until
+// another one is provisioned.
+func (s *scheduler) retainsIdleMachine(id protocol.MachineID) bool {
+	return s.warmPool.shouldRetain(id)
+}
+
 // placePendingJobs plans where all queued tasks go, in order, and writes the part of it
 // that belongs to jobs claimed by this run. Jobs that others have claimed are
 // planned just the same, so that all nodes keep the same room for them.
@@ -96,7 +102,7 @@
 			s.gangs.placeGang(b, job, candidates)
 		} else if job.record.Spec.IsService() {
 			s.services.placeReplicas(b, job, candidates)
-		} else if len(jobs) > 1 && s.reconciler.lastCommitWasPartial {
+		} else if len(jobs) > 1 && s.commits.isPartial {
 			s.placeArray(b, job, candidates, protocol.MaxTasks, true)
 		}
 	}
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -104,18 +104,19 @@
 // coming, can take.
 func (mp *machineProvisioner) scaleOut() {
 	mp.retryProvisioning()
-	if mp.replication.storeUnavailable() || mp.since(mp.plan.computedAt) > maxPlanAge {
+	if mp.replication.storeUnavailable() || mp.plan.age() > maxPlanAge {
 		return
 	}
-	slices.SortStableFunc(mp.plan.unmetDemands, func(a, z unmetDemand) int { return cmp.Compare(a.order, z.order) })
+	demands := mp.plan.demands()
+	slices.SortStableFunc(demands, func(a, z unmetDemand) int { return cmp.Compare(a.order, z.order) })
 	pendingPools := mp.pendingPools()
 	spotCount := mp.countSpotMachines()
-	for _, d := range mp.plan.unmetDemands {
+	for _, d := range demands {
 		if mp.now.Wall-d.submittedAt >= minDemandAge {
 			mp.provisionForDemand(d, pendingPools, spotCount)
 		}
 	}
-	mp.plan.unmetDemands = mp.plan.unmetDemands[:0]
+	mp.plan.clearDemands()
 }
 
 // retryProvisioning sends requests again that had no answer.
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -12,6 +12,7 @@
 type reconciler struct {
 	*stepContext
 
+	commits       *committer
 	agents        *agentTable
 	cancellations *canceller
 	jobs          *jobTable
@@ -20,8 +21,7 @@
 	stopper       *taskStopper
 	terminator    *machineTerminator
 
-	nextShardIndex       int  // of own pages, the one to go on with
-	lastCommitWasPartial bool // the last transaction could not take the news of all
+	nextShardIndex int // of own pages, the one to go on with
 }
 
 // writeMachines brings the records of owned machines in line with what their
@@ -37,11 +37,13 @@
 			}
 		}
 		if !b.hasCapacity(1) {
-			r.nextShardIndex, r.lastCommitWasPartial = k, true
+			r.nextShardIndex = k
+			r.commits.isPartial = true
 			return
 		}
 	}
-	r.nextShardIndex, r.lastCommitWasPartial = 0, false
+	r.nextShardIndex = 0
+	r.commits.isPartial = false
 }
 
 // requeue takes a task back from a machine where it provably is no more.
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -50,6 +50,15 @@
 	s.emit(Watch{s.replica.Revision})
 }
 
+// tickLoad asks for all records where there is no replica to go on from.
+func (s *replicaSync) tickLoad() {
+	if s.isLoaded || s.isLoading || s.isWatching || s.now.Monotonic < s.retryAt {
+		return
+	}
+	s.isLoading, s.loadRequestedAt = true, s.now.Monotonic
+	s.emit(LoadRecords{})
+}
+
 // storeUnavailable tells whether a request to the state service would likely fail.
 func (s *replicaSync) storeUnavailable() bool {
 	return !s.isLoaded || s.store.consecutiveFailures > 1 && s.since(s.store.lastResponseAt) > time.Second || s.since(s.store.lastResponseAt) > s.cfg.LeaseTTL
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -53,6 +53,12 @@
 	mt.log(slog.LevelWarn, "unrecorded machine termination", "machine", string(id), "reason", "withdrawn task would not go")
 }
 
+// recordRemoval remembers that a machine has left the records, so that a stale list of the
+// cloud does not bring it back.
+func (mt *machineTerminator) recordRemoval(id protocol.MachineID) {
+	mt.terminatedAt[id] = mt.now.Monotonic
+}
+
 // forgetTerminated drops what is remembered of machines that went back long ago.
 func (mt *machineTerminator) forgetTerminated() {
 	for id, at := range mt.terminatedAt {
@@ -170,7 +176,7 @@
 		}
 		return "cancelled task does not stop"
 	}
-	if len(rec.Assignments) > 0 || mt.plan.retainedMachines[m.id] || m.latestHeartbeat != nil && mt.hasLiveTasks(m) {
+	if len(rec.Assignments) > 0 || mt.plan.retainsMachine(m.id) || m.latestHeartbeat != nil && mt.hasLiveTasks(m) {
 		m.idleSince = 0
 		return ""
 	}
@@ -199,7 +205,7 @@
 		replacementSeconds += totalGB / float64(len(m.cachedImages)) / machineType.ImagePullGBPerSecond
 	}
 	factor := mt.cfg.IdleTimeoutFactor
-	if !mt.scheduler.warmPool.shouldRetain(m.id) {
+	if !mt.scheduler.retainsIdleMachine(m.id) {
 		factor *= surplusIdleFactor
 	}
 	return time.Duration(replacementSeconds * factor * float64(time.Second))
--- a/internal/coordination/shard_writer.go
+++ b/internal/coordination/shard_writer.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"log/slog"
+	"maps"
 	"slices"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
@@ -17,13 +18,21 @@
 
 	catalog   *machineCatalog
 	commits   *committer
-	jobs      *jobTable
 	lease     *incarnationLease
 	limits    *writeLimiter
 	transfers *transferManager
 
 	shardSequence    int
-	nextShardMergeAt protocol.Instant // when pages may next be joined
+	completeSince    map[protocol.JobID]protocol.Instant // since when all tasks of an unfinished job of another owner are done
+	nextShardMergeAt protocol.Instant                    // when pages may next be joined
+}
+
+// ownerCompletionTimeout is how long the owner of a job has to record that all its tasks are
+// done, before another controller does.
+const ownerCompletionTimeout = 1500 * time.Millisecond
+
+func newShardWriter(step *stepContext) *shardWriter {
+	return &shardWriter{stepContext: step, completeSince: map[protocol.JobID]protocol.Instant{}}
 }
 
 func (w *shardWriter) newBatch(maxOps int) *batch {
@@ -39,12 +48,16 @@
 // consolidateDoneTasks moves what is done from own pages to the jobs' records: where a
 // page fills up, or has no machines left.
 func (w *shardWriter) consolidateDoneTasks(b *batch) {
+	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool { return w.replica.UnfinishedJobs[id] == nil })
 	for _, id := range sortedKeys(w.replica.UnfinishedJobs) {
-		if j, e := w.jobs.jobState(id), w.replica.UnfinishedJobs[id]; w.replica.CompletedTasks(id).Len() < e.Record.Spec.TaskCount {
-			j.tasksDoneAt = 0
-		} else if j.tasksDoneAt == 0 && e.Record.Owner != w.lease.incarnation {
-			j.tasksDoneAt = w.now.Monotonic // its claimant writes it, if it lives
-		} else if e.Record.Owner == w.lease.incarnation || w.since(j.tasksDoneAt) > 1500*time.Millisecond {
+		entry := w.replica.UnfinishedJobs[id]
+		isOwner := entry.Record.Owner == w.lease.incarnation
+		completeSince, isKnown := w.completeSince[id]
+		if w.replica.CompletedTasks(id).Len() < entry.Record.Spec.TaskCount {
+			delete(w.completeSince, id)
+		} else if !isKnown && !isOwner {
+			w.completeSince[id] = w.now.Monotonic // its owner writes it, if it is alive
+		} else if isOwner || w.since(completeSince) > ownerCompletionTimeout {
 			b.completeJobIfDone(id)
 		}
 	}
--- a/internal/coordination/store_health.go
+++ b/internal/coordination/store_health.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
+	"time"
 )
 
 // storeHealth records whether the key-value store answers this process.
@@ -17,6 +18,12 @@
 	firstFailureAt        protocol.Instant // when the first of those was
 }
 
+// isAnswering tells whether the store has answered within a time and no request has failed
+// since.
+func (h *storeHealth) isAnswering(within time.Duration) bool {
+	return h.since(h.lastResponseAt) < within && h.consecutiveFailures == 0
+}
+
 // recordContact notes whether the state service answered what was asked at a time.
 func (h *storeHealth) recordContact(requestedAt protocol.Instant, err error) bool {
 	if err == nil || errors.Is(err, storage.ErrLeaseExpired) || errors.Is(err, storage.ErrRevisionTooOld) {
