--- a/internal/coordination/agent_table.go
+++ b/internal/coordination/agent_table.go
@@ -7,13 +7,18 @@
 	"time"
 )
 
+// RemovalRecorder remembers machines that have left the records.
+type RemovalRecorder interface {
+	RecordRemoval(id protocol.MachineID)
+}
+
 // agentTable holds what this process remembers of machines and their agents beyond the records:
 // heartbeats, reachability, deferred responses, cached images.
 type agentTable struct {
 	*stepContext
 
 	catalog    *machineCatalog
-	terminator *machineTerminator
+	terminator RemovalRecorder
 
 	machineStates      map[protocol.MachineID]*machineState
 	deferredHeartbeats map[protocol.MachineID]bool // whose reports wait for their answers
@@ -132,11 +137,11 @@
 	}
 }
 
-// forgetAssignments drops since when tasks have been on machines.
-func (at *agentTable) forgetAssignments() { clear(at.assignedAt) }
+// ForgetAssignments drops since when tasks have been on machines.
+func (at *agentTable) ForgetAssignments() { clear(at.assignedAt) }
 
-// forgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
-func (at *agentTable) forgetUnrecordedMachines(earlier *storage.Replica) {
+// ForgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
+func (at *agentTable) ForgetUnrecordedMachines(earlier *storage.Replica) {
 	for _, e := range earlier.SortedMachines() {
 		if id := e.ID; at.replica.Machines[id] == nil {
 			if m := at.machineStates[id]; m != nil {
@@ -147,10 +152,10 @@
 	}
 }
 
-// onMachinesRemoved forgets machines that have left the records.
-func (at *agentTable) onMachinesRemoved() {
+// OnMachinesRemoved forgets machines that have left the records.
+func (at *agentTable) OnMachinesRemoved() {
 	for _, id := range at.replica.PopRemovedMachines() {
-		at.terminator.recordRemoval(id)
+		at.terminator.RecordRemoval(id)
 		if m := at.machineStates[id]; m != nil {
 			at.dropDeferredRequest(m)
 			delete(at.machineStates, id)
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -7,6 +7,24 @@
 	"tillerarch/internal/storage"
 )
 
+// OwnerElection names the one controller to which a key falls.
+type OwnerElection interface {
+	IsSuccessor(key string) bool
+}
+
+// PeerNotifier has the next status sent to the other controllers, and knows when they were
+// last heard of.
+type PeerNotifier interface {
+	ExpediteStatus()
+	HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool
+}
+
+// ForcedTerminator returns machines to the cloud that a cancelled task does not leave.
+type ForcedTerminator interface {
+	IsTerminationConfirmed(id protocol.MachineID) bool
+	TerminateUnrecorded(id protocol.MachineID)
+}
+
 // canceller takes jobs through the two steps of a cancellation, the request and its confirmation.
 type canceller struct {
 	*stepContext
@@ -16,10 +34,10 @@
 	commits     *committer
 	lease       *incarnationLease
 	limits      *writeLimiter
-	ownership   *shardOwnership
-	peers       *peerTable
+	ownership   OwnerElection
+	peers       PeerNotifier
 	replication *replicaSync
-	terminator  *machineTerminator
+	terminator  ForcedTerminator
 
 	requestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
 	peerIntents       map[protocol.JobID]peerIntent                                // intents that the replica does not have yet
@@ -76,9 +94,9 @@
 	maxPeerIntents       = 2000
 )
 
-// cancelRequested tells whether a job is withdrawn, or about to be: none of its tasks may
+// CancelRequested tells whether a job is withdrawn, or about to be: none of its tasks may
 // begin or go on.
-func (c *canceller) cancelRequested(id protocol.JobID) bool {
+func (c *canceller) CancelRequested(id protocol.JobID) bool {
 	if e := c.replica.Jobs[id]; e != nil && e.Record.IsCancelledOrPending() {
 		return true
 	}
@@ -104,7 +122,7 @@
 // ownership's token, and what its newest report shows is past its image or gone.
 func (c *canceller) isMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
 	entry, m := c.replica.Machines[id], c.agents.machineStates[id]
-	if c.terminator.isTerminationConfirmed(id) {
+	if c.terminator.IsTerminationConfirmed(id) {
 		return true
 	}
 	if m == nil || m.latestHeartbeat == nil || storage.ShardEpochOf(m.confirmedToken) < entry.Record.ShardEpoch {
@@ -162,7 +180,7 @@
 			}
 			continue
 		}
-		if c.terminator.isTerminationConfirmed(machineID) {
+		if c.terminator.IsTerminationConfirmed(machineID) {
 			continue
 		}
 		// An acknowledgement covers what its sender knew that it owns.
@@ -251,7 +269,7 @@
 		if c.areOwnedMachinesQuiescent(id) {
 			c.localAcks[id] = true
 			if !previousAcks[id] {
-				c.peers.expediteStatus()
+				c.peers.ExpediteStatus()
 			}
 		}
 	}
@@ -260,7 +278,7 @@
 	}
 	for id := range c.replica.CancellingJobs {
 		ack(id)
-		if _, isRequested := c.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.ownership.isSuccessor(storage.JobKey(id)) {
+		if _, isRequested := c.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.ownership.IsSuccessor(storage.JobKey(id)) {
 			c.requestCancellation(id) // whoever began it may be gone
 		}
 		if !c.fullyAcknowledged[id] {
@@ -269,7 +287,7 @@
 			_, isSent := c.intentSentAt[id]
 			_, isRequester := c.requestedAt[id]
 			if isRequester && !isSent && !c.fullyAcknowledged[id] {
-				c.peers.expediteStatus()
+				c.peers.ExpediteStatus()
 			}
 		}
 	}
@@ -339,7 +357,7 @@
 	isCurrent := m.latestHeartbeat != nil && m.latestHeartbeat.AgentEpoch == record.AgentEpoch && storage.ShardEpochOf(m.latestHeartbeat.FencingToken) >= record.ShardEpoch
 	for i := range record.Assignments {
 		a := &record.Assignments[i]
-		if !c.cancelRequested(a.Job) {
+		if !c.CancelRequested(a.Job) {
 			continue
 		}
 		hasEnded := isCurrent && m.allTasksSatisfy(a, func(p *protocol.TaskStatus) bool { return p.State == protocol.TaskExited })
@@ -375,7 +393,7 @@
 	})
 	for _, id := range ids {
 		entry := c.replica.Machines[id]
-		if c.peers.hasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
+		if c.peers.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
 			continue // its owner lives, and sees to it
 		}
 		m := c.agents.machineState(id)
@@ -383,7 +401,7 @@
 		switch {
 		case !isPending || pendingFor < c.cfg.CancelTimeout*2/5:
 		case pendingFor > c.cfg.CancelTimeout*3/5:
-			c.terminator.terminateUnrecorded(id)
+			c.terminator.TerminateUnrecorded(id)
 		default:
 			c.calls.probeUnownedAgent(m, entry.Record.Address)
 		}
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -158,7 +158,7 @@
 		}
 		step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
 		step(60*time.Millisecond, Tick{})
-		if core.cancellations.cancelRequested("j-1") {
+		if core.cancellations.CancelRequested("j-1") {
 			t.Errorf("%s: still bound though its replica has gone past it", c.name)
 		}
 	}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -86,7 +86,7 @@
 	for i := range l.catalog.machineTypes {
 		machineTypes[l.catalog.machineTypes[i].Name] = &l.catalog.machineTypes[i]
 	}
-	quiescedShards := l.transfers.shardsInTransfer(isPrepared)
+	quiescedShards := l.transfers.ShardsInTransfer(isPrepared)
 	precedences := map[*protocol.Job]int{}
 	for _, entry := range list {
 		id, record := entry.ID, &entry.Record
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -13,7 +13,7 @@
 type committer struct {
 	*stepContext
 
-	agents      *agentTable
+	agents      MachineTracker
 	lease       *incarnationLease
 	limits      *writeLimiter
 	replication *replicaSync
@@ -290,7 +290,7 @@
 			c.replica.Delete(operation.DeleteKey, modRevision)
 		}
 	}
-	c.agents.onMachinesRemoved()
+	c.agents.OnMachinesRemoved()
 	c.limits.maxTransactionOps = c.limits.writeLimits().TransactionOps
 	switch {
 	case pending.registers:
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -423,7 +423,7 @@
 	// If another one reaches the state service, it is this node alone that is cut off. A
 	// node that hears neither the state service nor any other node must take it that it
 	// is the one that is cut off: users do better elsewhere.
-	return c.peers.peersReportStoreUnavailable(3 * time.Second)
+	return c.peers.PeersReportStoreUnavailable(3 * time.Second)
 }
 
 func (c *Core) tick() {
--- a/internal/coordination/format_upgrade.go
+++ b/internal/coordination/format_upgrade.go
@@ -8,6 +8,11 @@
 	"tillerarch/internal/storage"
 )
 
+// SuccessorElection names the one controller to which a key falls.
+type SuccessorElection interface {
+	IsSuccessor(key string) bool
+}
+
 // formatUpgrade raises the storage format once every controller can read the new one.
 type formatUpgrade struct {
 	*stepContext
@@ -15,7 +20,7 @@
 	commits   *committer
 	lease     *incarnationLease
 	limits    *writeLimiter
-	ownership *shardOwnership
+	ownership SuccessorElection
 
 	packedReaders            map[protocol.ControllerID]bool // controllers last seen to read the packed format
 	areAnnouncedLimitsActive bool                           // the announced limits hold: a write within today's was refused as too large
@@ -88,7 +93,7 @@
 	if u.raisableSince == 0 {
 		u.raisableSince = u.now.Monotonic
 	}
-	if !u.ownership.isSuccessor(storage.FormatKey) && u.since(u.raisableSince) < raiseFormatDelay || !u.limits.takeWriteTokens(1) {
+	if !u.ownership.IsSuccessor(storage.FormatKey) && u.since(u.raisableSince) < raiseFormatDelay || !u.limits.takeWriteTokens(1) {
 		return false
 	}
 	conditions := []protocol.Condition{{Key: storage.FormatKey, ModRevision: u.replica.ModRevision(storage.FormatKey)}}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -7,20 +7,35 @@
 	"tillerarch/internal/storage"
 )
 
+// CancellationChecker knows the jobs whose cancellation has been requested.
+type CancellationChecker interface {
+	CancelRequested(id protocol.JobID) bool
+}
+
+// PlacementForecast knows the machines for which a placement is about to be recorded.
+type PlacementForecast interface {
+	ExpectsPlacement(id protocol.MachineID) bool
+}
+
+// QuiesceChecker knows the shards on which nothing new may begin.
+type QuiesceChecker interface {
+	IsQuiesced(id storage.ShardID) bool
+}
+
 // heartbeatHandler handles heartbeats: it decides when to answer one, and with which commands.
 type heartbeatHandler struct {
 	*stepContext
 
 	agents        *agentTable
 	calls         *agentCaller
-	cancellations *canceller
+	cancellations CancellationChecker
 	catalog       *machineCatalog
 	jobs          *jobTable
 	lease         *incarnationLease
 	misdirected   *misdirectedHeartbeats
-	plan          *placementPlan
+	plan          PlacementForecast
 	replication   *replicaSync
-	transfers     *transferManager
+	transfers     QuiesceChecker
 }
 
 // onHeartbeat handles a worker's report.
@@ -155,7 +170,7 @@
 // all cores.
 func (h *heartbeatHandler) expectsAssignments(entry *storage.Machine, m *machineState) bool {
 	rec := &entry.Record
-	if !h.plan.expectsPlacement(m.id) || !h.replication.isUpToDate() || rec.Terminating || rec.Cordoned || m.latestHeartbeat.PreemptionNoticeSeconds != nil {
+	if !h.plan.ExpectsPlacement(m.id) || !h.replication.isUpToDate() || rec.Terminating || rec.Cordoned || m.latestHeartbeat.PreemptionNoticeSeconds != nil {
 		return false
 	}
 	for i := range rec.Assignments {
@@ -304,7 +319,7 @@
 				graceSeconds = stop.graceSeconds
 			}
 		}
-		if !assigned && upToDate || h.cancellations.cancelRequested(status.Task.Job) {
+		if !assigned && upToDate || h.cancellations.CancelRequested(status.Task.Job) {
 			graceSeconds = 0
 		}
 		if graceSeconds >= 0 {
@@ -312,13 +327,13 @@
 			commands = append(commands, protocol.Command{Type: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GracePeriodSeconds: &seconds})
 		}
 	}
-	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.commandsLost() || h.transfers.isQuiesced(rec.Shard) {
+	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.commandsLost() || h.transfers.IsQuiesced(rec.Shard) {
 		return commands
 	}
 	for i := range rec.Assignments {
 		a := &rec.Assignments[i]
 		job := h.replica.Jobs[a.Job]
-		if job == nil || job.Record.State.IsTerminal() || h.cancellations.cancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
+		if job == nil || job.Record.State.IsTerminal() || h.cancellations.CancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
 			continue
 		}
 		if job.Record.Spec.IsGang() && !h.jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt) {
--- a/internal/coordination/instance_inventory.go
+++ b/internal/coordination/instance_inventory.go
@@ -89,7 +89,7 @@
 		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.canAddMachine() || b.machines[id] != nil {
 			continue
 		}
-		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.isSuccessor(string(id)) || ii.provisioner.isGranted(id) {
+		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.IsSuccessor(string(id)) || ii.provisioner.isGranted(id) {
 			continue
 		}
 		b.addMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
--- a/internal/coordination/job_acquisition.go
+++ b/internal/coordination/job_acquisition.go
@@ -29,7 +29,7 @@
 			return
 		}
 	} else if expiredAt, isExpired := ja.ownership.expiredAt[job.record.Owner]; !isExpired || ja.since(expiredAt) < 500*time.Millisecond ||
-		!ja.ownership.isSuccessor(storage.JobKey(job.id)) && ja.since(expiredAt) < 10*time.Second {
+		!ja.ownership.IsSuccessor(storage.JobKey(job.id)) && ja.since(expiredAt) < 10*time.Second {
 		return
 	}
 	if !b.hasCapacity(b.writesNeeded("", job.id)) {
--- a/internal/coordination/monitor.go
+++ b/internal/coordination/monitor.go
@@ -6,6 +6,12 @@
 	"tillerarch/internal/storage"
 )
 
+// ScaleInEvaluator decides which owned machines are returned to the cloud.
+type ScaleInEvaluator interface {
+	BeginScaleInReview(silent int)
+	EvaluateScaleIn(entry *storage.Machine, state *machineState, isolated bool)
+}
+
 // agentMonitor looks after the owned machines at each tick: silence, stops that are due, scale-in.
 type agentMonitor struct {
 	*stepContext
@@ -15,7 +21,7 @@
 	jobs       *jobTable
 	shards     *shardWriter
 	stopper    *taskStopper
-	terminator *machineTerminator
+	terminator ScaleInEvaluator
 }
 
 // tickMachines looks after owned machines: stops that are due, silence, release.
@@ -46,11 +52,11 @@
 	}
 	// If nearly all fall silent, it is this node that is cut off.
 	cutOff := silentCount > 3 && silentCount*3 > monitored*2
-	am.terminator.beginScaleInReview(silentCount)
+	am.terminator.BeginScaleInReview(silentCount)
 	for _, o := range owned {
 		e, m := o.e, o.m
 		am.stopper.tickTaskStops(e, m)
-		am.terminator.evaluateScaleIn(e, m, cutOff)
+		am.terminator.EvaluateScaleIn(e, m, cutOff)
 		if needsNewToken := m.confirmedToken < e.Record.FencingToken; e.Record.AgentEpoch > 0 && (needsNewToken && storage.ShardEpochOf(m.confirmedToken) == e.Record.ShardEpoch && m.deferredRequest == 0 ||
 			needsNewToken && am.since(m.lastContactAt) > 500*time.Millisecond || m.suspectedAt != 0 && m.lastContactAt >= m.suspectedAt) {
 			// The worker may still report to an owner that was cut off: the
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// isSuccessor tells whether this node is the one to take over what key names.
-func (o *shardOwnership) isSuccessor(key string) bool {
+// IsSuccessor tells whether this node is the one to take over what key names.
+func (o *shardOwnership) IsSuccessor(key string) bool {
 	return o.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
 }
 
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// peersReportStoreUnavailable tells whether other controllers have been heard of within a time, and
+// PeersReportStoreUnavailable tells whether other controllers have been heard of within a time, and
 // all of those say that they do not reach the state service.
-func (t *peerTable) peersReportStoreUnavailable(within time.Duration) bool {
+func (t *peerTable) PeersReportStoreUnavailable(within time.Duration) bool {
 	anyHeard := t.cfg.PeerCount == 0
 	for _, p := range t.peers {
 		if t.since(p.receivedAt) >= within {
@@ -45,16 +45,16 @@
 	return anyHeard
 }
 
-// expediteStatus has the next status sent at the next tick.
-func (t *peerTable) expediteStatus() { t.isPeerStatusUrgent = true }
+// ExpediteStatus has the next status sent at the next tick.
+func (t *peerTable) ExpediteStatus() { t.isPeerStatusUrgent = true }
 
 // recordStatus takes in the status of another controller.
 func (t *peerTable) recordStatus(status *PeerStatus) {
 	t.peers[status.ControllerID] = peer{*status, t.now.Monotonic}
 }
 
-// hasHeardFrom tells whether an incarnation has sent its status within a time.
-func (t *peerTable) hasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
+// HasHeardFrom tells whether an incarnation has sent its status within a time.
+func (t *peerTable) HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
 	p, ok := t.peers[incarnation.Controller()]
 	return ok && p.status.Incarnation == incarnation && t.since(p.receivedAt) < within
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -53,9 +53,9 @@
 	return protocol.MaxTasks
 }
 
-// retainsIdleMachine tells whether an idle machine is kept for work that cannot wait until
+// RetainsIdleMachine tells whether an idle machine is kept for work that cannot wait until
 // another one is provisioned.
-func (s *scheduler) retainsIdleMachine(id protocol.MachineID) bool {
+func (s *scheduler) RetainsIdleMachine(id protocol.MachineID) bool {
 	return s.warmPool.shouldRetain(id)
 }
 
--- a/internal/coordination/placement_plan.go
+++ b/internal/coordination/placement_plan.go
@@ -20,25 +20,25 @@
 	reservedPrecedences        map[int]bool                      // orders in which a job waits for machines to empty
 }
 
-// expectsPlacement tells whether the plan has tasks for a machine that are not on record yet.
-func (plan *placementPlan) expectsPlacement(id protocol.MachineID) bool {
+// ExpectsPlacement tells whether the plan has tasks for a machine that are not on record yet.
+func (plan *placementPlan) ExpectsPlacement(id protocol.MachineID) bool {
 	return plan.pendingPlacements[id]
 }
 
-// retainsMachine tells whether the plan uses a machine.
-func (plan *placementPlan) retainsMachine(id protocol.MachineID) bool {
+// RetainsMachine tells whether the plan uses a machine.
+func (plan *placementPlan) RetainsMachine(id protocol.MachineID) bool {
 	return plan.retainedMachines[id]
 }
 
-// age is the time since the plan was computed.
-func (plan *placementPlan) age() time.Duration { return plan.since(plan.computedAt) }
+// Age is the time since the plan was computed.
+func (plan *placementPlan) Age() time.Duration { return plan.since(plan.computedAt) }
 
-// demands lists the demand that no machine can take. It belongs to the plan, which fills it
+// Demands lists the demand that no machine can take. It belongs to the plan, which fills it
 // anew; its order may be changed.
-func (plan *placementPlan) demands() []unmetDemand { return plan.unmetDemands }
+func (plan *placementPlan) Demands() []unmetDemand { return plan.unmetDemands }
 
-// clearDemands drops the demand once machines have been requested for it.
-func (plan *placementPlan) clearDemands() { plan.unmetDemands = plan.unmetDemands[:0] }
+// ClearDemands drops the demand once machines have been requested for it.
+func (plan *placementPlan) ClearDemands() { plan.unmetDemands = plan.unmetDemands[:0] }
 
 // nextPlanTime is the earliest time of the next plan.
 func (plan *placementPlan) nextPlanTime() protocol.Instant {
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -12,13 +12,20 @@
 	"tillerarch/internal/storage"
 )
 
+// DemandSource holds the demand that no machine can take, as of the last plan.
+type DemandSource interface {
+	Age() time.Duration
+	Demands() []unmetDemand
+	ClearDemands()
+}
+
 // machineProvisioner scales out: it requests machines for demand that no machine can take.
 type machineProvisioner struct {
 	*stepContext
 
 	catalog     *machineCatalog
 	lease       *incarnationLease
-	plan        *placementPlan
+	plan        DemandSource
 	replication *replicaSync
 	spot        *spotPricing
 	terminator  *machineTerminator
@@ -104,10 +111,10 @@
 // coming, can take.
 func (mp *machineProvisioner) scaleOut() {
 	mp.retryProvisioning()
-	if mp.replication.storeUnavailable() || mp.plan.age() > maxPlanAge {
+	if mp.replication.storeUnavailable() || mp.plan.Age() > maxPlanAge {
 		return
 	}
-	demands := mp.plan.demands()
+	demands := mp.plan.Demands()
 	slices.SortStableFunc(demands, func(a, z unmetDemand) int { return cmp.Compare(a.order, z.order) })
 	pendingPools := mp.pendingPools()
 	spotCount := mp.countSpotMachines()
@@ -116,7 +123,7 @@
 			mp.provisionForDemand(d, pendingPools, spotCount)
 		}
 	}
-	mp.plan.clearDemands()
+	mp.plan.ClearDemands()
 }
 
 // retryProvisioning sends requests again that had no answer.
--- a/internal/coordination/reconcile.go
+++ b/internal/coordination/reconcile.go
@@ -8,18 +8,23 @@
 	"tillerarch/internal/storage"
 )
 
+// TerminationChecker knows the machines whose termination the cloud has confirmed.
+type TerminationChecker interface {
+	IsTerminationConfirmed(id protocol.MachineID) bool
+}
+
 // reconciler brings the records of owned machines in line with what their agents report.
 type reconciler struct {
 	*stepContext
 
 	commits       *committer
 	agents        *agentTable
-	cancellations *canceller
+	cancellations CancellationChecker
 	jobs          *jobTable
 	lease         *incarnationLease
 	shards        *shardWriter
 	stopper       *taskStopper
-	terminator    *machineTerminator
+	terminator    TerminationChecker
 
 	nextShardIndex int // of own pages, the one to go on with
 }
@@ -61,8 +66,8 @@
 	record := &entry.Record
 	heartbeat := m.latestHeartbeat
 
-	if record.Terminating || r.terminator.isTerminationConfirmed(id) {
-		if r.terminator.isTerminationConfirmed(id) && b.hasCapacity(b.writesNeeded(id)) {
+	if record.Terminating || r.terminator.IsTerminationConfirmed(id) {
+		if r.terminator.IsTerminationConfirmed(id) && b.hasCapacity(b.writesNeeded(id)) {
 			b.removeMachine(id)
 			b.log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
 		}
@@ -131,7 +136,7 @@
 		if _, ok := m.inflightStarts[task]; ok {
 			return true
 		}
-		gone := job == nil || job.State.IsTerminal() || r.cancellations.cancelRequested(task.Job) || job.GracefulStopAttempt >= attempt && job.GracefulStopAttempt > 0 || r.stopper.hasStopRequest(m, task, attempt)
+		gone := job == nil || job.State.IsTerminal() || r.cancellations.CancelRequested(task.Job) || job.GracefulStopAttempt >= attempt && job.GracefulStopAttempt > 0 || r.stopper.hasStopRequest(m, task, attempt)
 		if job != nil && !job.State.IsTerminal() && job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt) {
 			gone = true
 		}
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -10,15 +10,29 @@
 	"tillerarch/internal/storage"
 )
 
+// MachineTracker drops what is remembered of machines that the records no longer have.
+type MachineTracker interface {
+	ForgetAssignments()
+	ForgetUnrecordedMachines(earlier *storage.Replica)
+	OnMachinesRemoved()
+}
+
+// StoreReports tells what the other controllers say of the store.
+type StoreReports interface {
+	// PeersReportStoreUnavailable tells whether other controllers were heard of within a
+	// time, and all of those do not reach the store.
+	PeersReportStoreUnavailable(within time.Duration) bool
+}
+
 // replicaSync keeps the replica of the store's records up to date: the initial load, the watch, and how
 // far both have come.
 type replicaSync struct {
 	*stepContext
 
-	agents *agentTable
+	agents MachineTracker
 	lease  *incarnationLease
 	limits *writeLimiter
-	peers  *peerTable
+	peers  StoreReports
 	store  *storeHealth
 
 	minRevision      protocol.Revision // the replica must be as new before the next one
@@ -83,11 +97,11 @@
 	previous := s.replica
 	s.replica = storage.NewReplica()
 	s.replica.OnMachineChange = previous.OnMachineChange
-	s.agents.forgetAssignments()
+	s.agents.ForgetAssignments()
 	for _, entry := range v.Entries {
 		s.putInReplica(entry.Key, entry.Value, entry.ModRevision)
 	}
-	s.agents.forgetUnrecordedMachines(previous)
+	s.agents.ForgetUnrecordedMachines(previous)
 	s.replica.Revision = v.StartRevision
 	s.completeRevision = v.EndRevision
 	s.upToDateAt = s.loadRequestedAt
@@ -129,7 +143,7 @@
 			s.replica.Delete(event.DeleteKey, event.ModRevision)
 		}
 	}
-	s.agents.onMachinesRemoved()
+	s.agents.OnMachinesRemoved()
 	s.shouldRecheckDeferred = true
 	s.replica.Revision = max(s.replica.Revision, v.Response.Revision)
 	s.upToDateAt = s.watchRequestedAt
@@ -142,7 +156,7 @@
 // storeUnavailableEverywhere tells whether the state service is down, and not for this controller alone
 // as far as the others say.
 func (s *replicaSync) storeUnavailableEverywhere() bool {
-	return s.storeUnavailable() && s.peers.peersReportStoreUnavailable(5*time.Second)
+	return s.storeUnavailable() && s.peers.PeersReportStoreUnavailable(5*time.Second)
 }
 
 func (s *replicaSync) requireRevision(revision protocol.Revision) {
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -8,6 +8,16 @@
 	"time"
 )
 
+// PlanUse knows the machines that the plan uses.
+type PlanUse interface {
+	RetainsMachine(id protocol.MachineID) bool
+}
+
+// IdlePolicy knows the idle machines that are kept in reserve.
+type IdlePolicy interface {
+	RetainsIdleMachine(id protocol.MachineID) bool
+}
+
 // machineTerminator scales in: it decides which owned machines are returned to the cloud, and returns them.
 type machineTerminator struct {
 	*stepContext
@@ -17,9 +27,9 @@
 	catalog       *machineCatalog
 	inventory     *instanceInventory
 	lease         *incarnationLease
-	plan          *placementPlan
+	plan          PlanUse
 	replication   *replicaSync
-	scheduler     *scheduler
+	scheduler     IdlePolicy
 
 	scaleInQueue  []protocol.MachineID // owned ones that are to go back
 	terminations  map[protocol.MachineID]*termination
@@ -35,17 +45,17 @@
 	}
 }
 
-// isTerminationConfirmed tells whether the cloud has answered a release of the machine.
-func (mt *machineTerminator) isTerminationConfirmed(id protocol.MachineID) bool {
+// IsTerminationConfirmed tells whether the cloud has answered a release of the machine.
+func (mt *machineTerminator) IsTerminationConfirmed(id protocol.MachineID) bool {
 	r := mt.terminations[id]
 	return r != nil && r.confirmed
 }
 
-// terminateUnrecorded sends a machine back with no mark on record: while the state service
+// TerminateUnrecorded sends a machine back with no mark on record: while the state service
 // is down for all, none can be written, and the task that is still there would break
 // its rule meanwhile. To others it is a machine that died, which they know to meet; the
 // mark keeps them from placing tasks there, which costs time only.
-func (mt *machineTerminator) terminateUnrecorded(id protocol.MachineID) {
+func (mt *machineTerminator) TerminateUnrecorded(id protocol.MachineID) {
 	if mt.terminations[id] != nil {
 		return
 	}
@@ -53,9 +63,9 @@
 	mt.log(slog.LevelWarn, "unrecorded machine termination", "machine", string(id), "reason", "withdrawn task would not go")
 }
 
-// recordRemoval remembers that a machine has left the records, so that a stale list of the
+// RecordRemoval remembers that a machine has left the records, so that a stale list of the
 // cloud does not bring it back.
-func (mt *machineTerminator) recordRemoval(id protocol.MachineID) {
+func (mt *machineTerminator) RecordRemoval(id protocol.MachineID) {
 	mt.terminatedAt[id] = mt.now.Monotonic
 }
 
@@ -117,8 +127,8 @@
 	b.log(slog.LevelInfo, "machine scale-in", "machine", string(id), "reason", reason)
 }
 
-// evaluateScaleIn decides whether an owned machine goes back, and why.
-func (mt *machineTerminator) evaluateScaleIn(e *storage.Machine, m *machineState, isolated bool) {
+// EvaluateScaleIn decides whether an owned machine goes back, and why.
+func (mt *machineTerminator) EvaluateScaleIn(e *storage.Machine, m *machineState, isolated bool) {
 	if e.Record.Terminating {
 		if mt.terminations[m.id] == nil && mt.lease.isRegistered() {
 			mt.terminations[m.id] = &termination{}
@@ -172,11 +182,11 @@
 	// A withdrawn task that will not go takes its machine with it.
 	if mt.cancellations.mustForceScaleIn(m, rec, isolated) {
 		if mt.replication.storeUnavailableEverywhere() {
-			mt.terminateUnrecorded(m.id)
+			mt.TerminateUnrecorded(m.id)
 		}
 		return "cancelled task does not stop"
 	}
-	if len(rec.Assignments) > 0 || mt.plan.retainsMachine(m.id) || m.latestHeartbeat != nil && mt.hasLiveTasks(m) {
+	if len(rec.Assignments) > 0 || mt.plan.RetainsMachine(m.id) || m.latestHeartbeat != nil && mt.hasLiveTasks(m) {
 		m.idleSince = 0
 		return ""
 	}
@@ -205,7 +215,7 @@
 		replacementSeconds += totalGB / float64(len(m.cachedImages)) / machineType.ImagePullGBPerSecond
 	}
 	factor := mt.cfg.IdleTimeoutFactor
-	if !mt.scheduler.retainsIdleMachine(m.id) {
+	if !mt.scheduler.RetainsIdleMachine(m.id) {
 		factor *= surplusIdleFactor
 	}
 	return time.Duration(replacementSeconds * factor * float64(time.Second))
@@ -234,8 +244,8 @@
 	}
 }
 
-// beginScaleInReview begins to ask anew which of the owned machines go back.
-func (mt *machineTerminator) beginScaleInReview(silent int) {
+// BeginScaleInReview begins to ask anew which of the owned machines go back.
+func (mt *machineTerminator) BeginScaleInReview(silent int) {
 	mt.inventory.silentOwnedMachines = silent
 	mt.scaleInQueue = mt.scaleInQueue[:0]
 }
--- a/internal/coordination/shard_writer.go
+++ b/internal/coordination/shard_writer.go
@@ -11,6 +11,11 @@
 	"time"
 )
 
+// TransferTracker knows the shards that are being transferred.
+type TransferTracker interface {
+	ShardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool
+}
+
 // shardWriter builds the transactions that change shards of machines, and keeps the shards of this
 // controller at a size that fits a value of the store.
 type shardWriter struct {
@@ -20,7 +25,7 @@
 	commits   *committer
 	lease     *incarnationLease
 	limits    *writeLimiter
-	transfers *transferManager
+	transfers TransferTracker
 
 	shardSequence    int
 	completeSince    map[protocol.JobID]protocol.Instant // since when all tasks of an unfinished job of another owner are done
@@ -127,7 +132,7 @@
 		return
 	}
 	w.nextShardMergeAt = w.now.Monotonic.Add(w.cfg.MinRebalanceInterval)
-	inTransfer := w.transfers.shardsInTransfer(storage.TransferPhase.IsOpen)
+	inTransfer := w.transfers.ShardsInTransfer(storage.TransferPhase.IsOpen)
 	shards := slices.DeleteFunc(w.ownedShards(), func(id storage.ShardID) bool { return inTransfer[id] })
 	projected := map[storage.ShardID]int{}
 	for _, id := range shards {
--- a/internal/coordination/task_stops.go
+++ b/internal/coordination/task_stops.go
@@ -12,7 +12,7 @@
 	*stepContext
 
 	calls         *agentCaller
-	cancellations *canceller
+	cancellations CancellationChecker
 	heartbeats    *heartbeatHandler
 	jobs          *jobTable
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		desc := jobEntry.Record.Spec
-		if ts.cancellations.cancelRequested(status.Task.Job) {
+		if ts.cancellations.CancelRequested(status.Task.Job) {
 			ts.requestStop(m, status.Task, status.Attempt, 0, "job cancelled")
 			urgent = true
 			continue
--- a/internal/coordination/transfers.go
+++ b/internal/coordination/transfers.go
@@ -240,7 +240,7 @@
 // transferProgress is how this controller sees a move.
 func (tm *transferManager) transferProgress(slot storage.TransferSlot, transfer *storage.TransferRecord, reserved map[protocol.MachineID]bool) sharding.TransferStatus {
 	progress := sharding.TransferStatus{Transfer: *transfer, Self: tm.lease.incarnation, SourceAlive: tm.replica.IsAlive(transfer.Source), TargetAlive: tm.replica.IsAlive(transfer.Target),
-		IsSuccessor: tm.ownership.isSuccessor(storage.TransferKey(slot))}
+		IsSuccessor: tm.ownership.IsSuccessor(storage.TransferKey(slot))}
 	activeSlot, _ := tm.replica.OpenTransferOf(transfer.Shard)
 	progress.Superseded = activeSlot != slot
 	shard := tm.replica.Shards[transfer.Shard]
@@ -269,7 +269,7 @@
 // owned machine any more.
 func (tm *transferManager) areCancellationsResolved(e *storage.Machine) bool {
 	for i := range e.Record.Assignments {
-		if job := e.Record.Assignments[i].Job; tm.cancellations.cancelRequested(job) && !tm.cancellations.isMachineQuiescent(e.ID, job) {
+		if job := e.Record.Assignments[i].Job; tm.cancellations.CancelRequested(job) && !tm.cancellations.isMachineQuiescent(e.ID, job) {
 			return false
 		}
 	}
@@ -351,8 +351,8 @@
 	b.putTransfer(slot, &record)
 }
 
-// shardsInTransfer lists the pages that have a move in one of the phases.
-func (tm *transferManager) shardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool {
+// ShardsInTransfer lists the pages that have a move in one of the phases.
+func (tm *transferManager) ShardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool {
 	shards := map[storage.ShardID]bool{}
 	for _, e := range tm.replica.Transfers {
 		if matches(e.Record.Phase) {
@@ -365,8 +365,8 @@
 // isPrepared tells whether nothing new may begin on a page with a move in this phase.
 func isPrepared(phase storage.TransferPhase) bool { return phase == storage.TransferPrepared }
 
-// isQuiesced tells whether nothing new may begin on a page. It is asked for each report.
-func (tm *transferManager) isQuiesced(shard storage.ShardID) bool {
+// IsQuiesced tells whether nothing new may begin on a page. It is asked for each report.
+func (tm *transferManager) IsQuiesced(shard storage.ShardID) bool {
 	for _, e := range tm.replica.Transfers {
 		if e.Record.Shard == shard && isPrepared(e.Record.Phase) {
 			return true
