--- a/internal/coordination/agent_table.go
+++ b/internal/coordination/agent_table.go
@@ -26,9 +26,9 @@
 	assignedAt         map[assignmentKey]protocol.Instant
 }
 
-func newAgentTable(step *stepContext) *agentTable {
+func newAgentTable(ctx *stepContext) *agentTable {
 	return &agentTable{
-		stepContext:        step,
+		stepContext:        ctx,
 		machineStates:      map[protocol.MachineID]*machineState{},
 		deferredHeartbeats: map[protocol.MachineID]bool{},
 		awaitingOwner:      map[protocol.MachineID]bool{},
--- a/internal/coordination/backfill.go
+++ b/internal/coordination/backfill.go
@@ -49,7 +49,7 @@
 // capacityBy tells how many tasks of a job a machine could begin by a time, besides those
 // that are to follow what runs there already.
 func (bp *backfillPlanner) capacityBy(machine *candidate, d *protocol.Job, deadline protocol.Instant) int {
-	simulated := candidate{cores: machine.cores - machine.backfillReservation.cores, accelerators: machine.accelerators - machine.backfillReservation.accels, memoryGB: machine.memoryGB - machine.backfillReservation.mem}
+	simulated := machine.resources.without(machine.backfillReservation)
 	for i := range machine.allocations {
 		if alloc := &machine.allocations[i]; bp.estimatedEnd(machine, alloc) <= deadline {
 			simulated.allocate(alloc.desc, -alloc.count)
@@ -88,9 +88,7 @@
 		}
 		if count := min(bp.capacityBy(machine, d, deadline), tasks-reserved); count > 0 {
 			reserved += count
-			machine.backfillReservation.cores += float64(count) * d.Cores
-			machine.backfillReservation.accels += float64(count) * d.Accelerators
-			machine.backfillReservation.mem += float64(count) * d.MemoryGB
+			machine.backfillReservation.allocate(d, -count)
 		}
 	}
 	return reserved
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -49,9 +49,9 @@
 	intentRotation, ackRotation rotation // which of them the next message begins with
 }
 
-func newCanceller(step *stepContext) *canceller {
+func newCanceller(ctx *stepContext) *canceller {
 	return &canceller{
-		stepContext:       step,
+		stepContext:       ctx,
 		requestedAt:       map[protocol.JobID]protocol.Instant{},
 		peerIntents:       map[protocol.JobID]peerIntent{},
 		peerAcks:          map[protocol.JobID]map[storage.Incarnation]protocol.Revision{},
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -95,7 +95,7 @@
 		{"a run that nobody knows", PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
 		{"one that has not registered", PeerStatus{Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		for key, data := range map[string]string{storage.ControllerKey("stall-1"): `{"r":"stall-1#1"}`, storage.ControllerKey("stall-2"): `{"r":"stall-2#9"}`} {
 			if _, err := core.replica.Put(key, []byte(data), 2); err != nil {
 				t.Fatal(err)
@@ -109,7 +109,7 @@
 		putCancellingJob(t, core, 6)
 		core.replica.Revision = 6
 		c.hint.ControllerID = c.hint.Incarnation.Controller()
-		step(0, PeerStatusInput{c.hint})
+		advance(0, PeerStatusInput{c.hint})
 		if got := core.cancellations.isCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -129,7 +129,7 @@
 		rev  protocol.Revision
 		want bool
 	}{{"newer than the replica", 50, true}, {"older: the replica would have it", 1, false}} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		if _, err := core.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
@@ -138,7 +138,7 @@
 		rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		m.recordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.now.Monotonic)
-		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", CancelIntents: []CancelIntent{{"j-1", c.rev}}}})
+		advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", CancelIntents: []CancelIntent{{"j-1", c.rev}}}})
 		starts, stops, acked := 0, 0, false
 		for _, o := range core.heartbeats.commandsFor(e, m, true) {
 			switch o.Type {
@@ -148,7 +148,7 @@
 				stops++
 			}
 		}
-		for _, e := range step(60*time.Millisecond, Tick{}) {
+		for _, e := range advance(60*time.Millisecond, Tick{}) {
 			if h, ok := e.(SendPeerStatus); ok && len(h.Status.CancelAcks) == 1 {
 				acked = true
 			}
@@ -156,8 +156,8 @@
 		if starts != btoi(!c.want) || stops != btoi(c.want) || acked != c.want {
 			t.Errorf("%s: %d starts, %d stops, acknowledged %v", c.name, starts, stops, acked)
 		}
-		step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
-		step(60*time.Millisecond, Tick{})
+		advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+		advance(60*time.Millisecond, Tick{})
 		if core.cancellations.CancelRequested("j-1") {
 			t.Errorf("%s: still bound though its replica has gone past it", c.name)
 		}
@@ -174,7 +174,7 @@
 // Who takes a page over answers no report before its replica has that write: it may lack
 // a withdrawal that the owner before knew of.
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
-	core, step := newReadyCore(t)
+	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
 	if core.replica.Revision = 0; core.agents.machineStates["m-1"].ownershipRevision == 0 {
@@ -188,15 +188,15 @@
 		}
 		return 0
 	}
-	if s := status(step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); s != 0 {
+	if s := status(advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); s != 0 {
 		t.Errorf("answered %d before the replica is as new", s)
 	}
-	if s := status(step(3100*time.Millisecond, Tick{})); s != 421 {
+	if s := status(advance(3100*time.Millisecond, Tick{})); s != 421 {
 		t.Errorf("answered %d at last, the worker should look elsewhere", s)
 	}
-	step(0, HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
+	advance(0, HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
 	core.replica.Revision = 9
-	if s := status(step(2600*time.Millisecond, Tick{})); s != 200 {
+	if s := status(advance(2600*time.Millisecond, Tick{})); s != 200 {
 		t.Errorf("answered %d with the replica as new", s)
 	}
 }
@@ -205,7 +205,7 @@
 // a second, not with every tick, whether this controller drives it or has only read of it.
 func TestPeerStatusRateIsBounded(t *testing.T) {
 	for _, isRequester := range []bool{true, false} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
 		if _, err := core.replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
@@ -217,7 +217,7 @@
 		}
 		messages, intents := 0, 0
 		for range 60 { // 3 s
-			for _, e := range step(50*time.Millisecond, Tick{}) {
+			for _, e := range advance(50*time.Millisecond, Tick{}) {
 				if h, ok := e.(SendPeerStatus); ok {
 					messages++
 					intents += len(h.Status.CancelIntents)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"math"
 	"time"
 
 	"tillerarch/internal/protocol"
@@ -27,6 +26,8 @@
 
 // candidate is a machine as the planner sees it.
 type candidate struct {
+	resources // that are free
+
 	id                  protocol.MachineID
 	state               *machineState // nil: nothing is remembered of it here
 	record              *storage.MachineRecord
@@ -34,12 +35,9 @@
 	isProvisioning      bool // rented, but not up yet: nothing is written to it
 	isUnschedulable     bool // takes no new task
 	isNearSpotPeriodEnd bool // because its period is about to end
-	cores               float64
-	accelerators        float64
-	memoryGB            float64
 	allocations         []allocation
 	// What tasks are to take that follow those which run there.
-	backfillReservation struct{ cores, accels, mem float64 }
+	backfillReservation resources
 }
 
 // allocation is what a job has on a machine.
@@ -51,24 +49,6 @@
 	precedence int
 }
 
-const epsilon = 1e-6
-
-func (c *candidate) capacityFor(j *protocol.Job) int {
-	n := protocol.MaxTasks
-	for _, resource := range [3][2]float64{{c.cores, j.Cores}, {c.accelerators, j.Accelerators}, {c.memoryGB, j.MemoryGB}} {
-		if resource[1] > 0 {
-			n = min(n, int(math.Floor(resource[0]/resource[1]+epsilon)))
-		}
-	}
-	return max(n, 0)
-}
-
-func (c *candidate) allocate(j *protocol.Job, n int) {
-	c.cores -= float64(n) * j.Cores
-	c.accelerators -= float64(n) * j.Accelerators
-	c.memoryGB -= float64(n) * j.MemoryGB
-}
-
 // isMachineAllowed tells whether the job's tasks may be on the machine at all.
 func (l *candidateLister) isMachineAllowed(j *protocol.Job, machine *candidate) bool {
 	return j.AllowsPlacement(machine.record.MachineType, machine.record.Zone) && (!machine.record.Spot || l.spot.canUseSpot(j, machine.machineType))
@@ -100,7 +80,7 @@
 		if machineType == nil {
 			continue
 		}
-		machine := &candidate{id: id, state: l.agents.machineStates[id], record: record, machineType: machineType, cores: machineType.Cores, accelerators: machineType.Accelerators, memoryGB: machineType.MemoryGB, isProvisioning: record.AgentEpoch == 0}
+		machine := &candidate{id: id, state: l.agents.machineStates[id], record: record, machineType: machineType, resources: capacityOf(machineType), isProvisioning: record.AgentEpoch == 0}
 		machine.isUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || l.terminator.terminations[id] != nil
 		for i := range record.Assignments {
 			assigned := &record.Assignments[i]
@@ -149,7 +129,7 @@
 			}
 		}
 		for range missing {
-			out = append(out, &candidate{id: protocol.MachineID("~" + name), isProvisioning: true, machineType: machineType, cores: machineType.Cores, accelerators: machineType.Accelerators, memoryGB: machineType.MemoryGB,
+			out = append(out, &candidate{id: protocol.MachineID("~" + name), isProvisioning: true, machineType: machineType, resources: capacityOf(machineType),
 				record: &storage.MachineRecord{MachineType: request.request.Type, Zone: request.request.Zone, Spot: request.request.Spot}})
 		}
 	}
--- a/internal/coordination/contention.go
+++ b/internal/coordination/contention.go
@@ -20,9 +20,9 @@
 	lastContendedAt map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of a type
 }
 
-func newContentionTracker(step *stepContext) *contentionTracker {
+func newContentionTracker(ctx *stepContext) *contentionTracker {
 	return &contentionTracker{
-		stepContext:     step,
+		stepContext:     ctx,
 		lastContendedAt: map[protocol.MachineTypeName]protocol.Instant{},
 	}
 }
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -18,20 +18,20 @@
 	cfg := Config{ControllerID: "stall-0", Quotas: map[string]Quota{"core": {}}, HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second,
 		CancelTimeout: 40 * time.Second, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}
 	c := New(cfg, now)
-	step := func(after time.Duration, in Input) []Effect {
+	advance := func(after time.Duration, in Input) []Effect {
 		now.Monotonic = now.Monotonic.Add(after)
 		now.Wall += protocol.Millis(after.Milliseconds())
 		return c.Step(now, in)
 	}
-	step(0, Tick{})
-	step(0, GrantLeaseResult{LeaseID: 7})
-	step(0, LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	step(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
-	step(0, WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
+	advance(0, Tick{})
+	advance(0, GrantLeaseResult{LeaseID: 7})
+	advance(0, LoadRecordsResult{StartRevision: 1, EndRevision: 1})
+	advance(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
+	advance(0, WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
 	if !c.lease.isRegistered() || !c.replication.isUpToDate() {
 		t.Fatal("the core does not begin")
 	}
-	return c, step
+	return c, advance
 }
 
 // New starts rest on a replica that is known to be up to date. Answered calls
@@ -46,16 +46,16 @@
 		{"the watch stands still", true, false, false},
 		{"nothing answers", false, false, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		for i := 0; i < 10; i++ {
-			step(time.Second, Tick{})
+			advance(time.Second, Tick{})
 			if c.calls {
-				step(0, RenewLeaseResult{LeaseID: 7})
+				advance(0, RenewLeaseResult{LeaseID: 7})
 			} else {
-				step(0, RenewLeaseResult{LeaseID: 7, Err: errNoUsableResponse})
+				advance(0, RenewLeaseResult{LeaseID: 7, Err: errNoUsableResponse})
 			}
 			if c.follow {
-				step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+				advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 			}
 		}
 		if got := core.replication.isUpToDate(); got != c.want {
@@ -67,10 +67,10 @@
 // A transaction without outcome is followed by a fence, and by nothing else
 // before the replica has all that was written until then.
 func TestWriteBarrierAfterUnknownOutcome(t *testing.T) {
-	c, step := newReadyCore(t)
-	step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+	c, advance := newReadyCore(t)
+	advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 	submit := func() []Effect {
-		return step(time.Second, UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
+		return advance(time.Second, UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
 "pieces":1,"cores":1,"accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,"loaners":false,"reckon_s":1,"bookmark_s":0,"stow_s":0}`)})
 	}
 	commits := func(out []Effect) (n int, keys []string) {
@@ -92,17 +92,17 @@
 	if !slices.Contains(c.commits.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.lease.registrationRevision}) {
 		t.Errorf("the transaction does not depend on the run's key: %v", c.commits.pendingUserTransaction.transaction.Conditions)
 	}
-	step(0, CommitResult{ID: c.commits.pendingUserTransaction.id, Outcome: storage.OutcomeUnknown, Err: errNoUsableResponse})
-	step(time.Second, RenewLeaseResult{LeaseID: 7})
+	advance(0, CommitResult{ID: c.commits.pendingUserTransaction.id, Outcome: storage.OutcomeUnknown, Err: errNoUsableResponse})
+	advance(time.Second, RenewLeaseResult{LeaseID: 7})
 	if c.commits.pendingTransaction == nil || !c.commits.pendingTransaction.isWriteBarrier || c.commits.pendingTransaction.transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commits.pendingTransaction.transaction.Operations[0].Lease != 7 {
 		t.Fatalf("no fence: %+v", c.commits.pendingTransaction)
 	}
-	out := step(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
+	out := advance(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
 	out = append(out, submit()...)
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
 	}
-	if n, _ := commits(step(0, WatchResult{AfterRevision: c.replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
+	if n, _ := commits(advance(0, WatchResult{AfterRevision: c.replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
 		t.Fatal("nothing is written behind the fence")
 	}
 }
@@ -183,13 +183,13 @@
 		{"an earlier one", 2, 3, false},
 		{"an earlier session", 1, 99, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
-		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
+		advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
 		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{"m-1", c.session, c.tally}}}})
+		advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{"m-1", c.session, c.tally}}}})
 		if got := m.handOffTarget == "stall-1#1"; got != c.want {
 			t.Errorf("%s: handed over %v", c.name, got)
 		}
@@ -211,17 +211,17 @@
 		{"it hears nobody at all", 2, nil, false, false},
 		{"it is the only node", 0, nil, false, true},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		core.cfg.PeerCount = c.peers
 		for i := 0; i < 8; i++ {
 			var err error
 			if !c.calls {
 				err = errNoUsableResponse
 			}
-			step(time.Second, RenewLeaseResult{LeaseID: 7, Err: err})
-			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}, Err: err})
+			advance(time.Second, RenewLeaseResult{LeaseID: 7, Err: err})
+			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}, Err: err})
 			for k, ok := range c.hints {
-				step(0, PeerStatusInput{PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
+				advance(0, PeerStatusInput{PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
 		}
 		if got := core.Healthy(); got != c.want {
@@ -247,13 +247,13 @@
 		{"behind it, before the newest rise was shown", storage.ShardEpoch(epoch).FencingToken(1), 16 * time.Second, true},
 		{"the worker has shown an earlier owner's only", storage.ShardEpoch(epoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
 		r := newHeartbeat(e, 1)
 		r.FencingToken = c.confirmed
-		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
-		step(3*time.Second, Tick{}) // answered by now
-		step(c.after-3*time.Second, RenewLeaseResult{LeaseID: 7})
+		advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
+		advance(3*time.Second, Tick{}) // answered by now
+		advance(c.after-3*time.Second, RenewLeaseResult{LeaseID: 7})
 		if got := core.agents.isAgentLeaseExpired(m, &e.Record); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -273,28 +273,28 @@
 		{"within its lease", 5 * time.Second, false, false},
 		{"past all leases", 48 * time.Second, false, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		step(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
+		advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
 		for i := 0; i < 40; i++ { // all is asked for before the pause
-			step(50*time.Millisecond, Tick{})
+			advance(50*time.Millisecond, Tick{})
 		}
-		step(c.pause, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
-		step(0, RenewLeaseResult{LeaseID: 7})
-		step(0, Tick{})
+		advance(c.pause, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+		advance(0, RenewLeaseResult{LeaseID: 7})
+		advance(0, Tick{})
 		if core.replication.isUpToDate() != c.fresh || core.agents.isSilent(m) != c.silent {
 			t.Errorf("%s: fresh %v, silent %v", c.name, core.replication.isUpToDate(), core.agents.isSilent(m))
 		}
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
-			step(600*time.Millisecond, Tick{})
-			step(0, RenewLeaseResult{LeaseID: 7})
-			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+			advance(600*time.Millisecond, Tick{})
+			advance(0, RenewLeaseResult{LeaseID: 7})
+			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 		}
 		if !core.replication.isUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
 		}
 		for i := 0; i < 10; i++ {
-			step(time.Second, Tick{})
+			advance(time.Second, Tick{})
 		}
 		if !core.agents.isSilent(m) {
 			t.Errorf("%s: silence behind the pause is not noticed", c.name)
@@ -313,8 +313,8 @@
 		whole bool
 		late  bool // the pages have changed hands since the machines were seen elsewhere
 	}{{"most of each page", 2, 40, true, false}, {"some of each page", 6, 28, false, false}, {"of an earlier ownership", 2, 28, false, true}} {
-		core, step := newReadyCore(t)
-		step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+		core, advance := newReadyCore(t)
+		advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
@@ -336,12 +336,12 @@
 				t.Fatal(err)
 			}
 		}
-		step(0, Tick{})
+		advance(0, Tick{})
 		for i := 0; i < 10; i++ { // all have fallen silent here
-			step(600*time.Millisecond, Tick{})
-			step(0, RenewLeaseResult{LeaseID: 7})
+			advance(600*time.Millisecond, Tick{})
+			advance(0, RenewLeaseResult{LeaseID: 7})
 		}
-		step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
+		advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
 		if c.late {
 			for id, p := range core.replica.Shards {
 				var lines []string
@@ -425,8 +425,8 @@
 		{"both have many", 30, 30, 3, 3, false},
 		{"the other is full", 5, 56, 3, 3, false},
 	} {
-		core, step := newReadyCore(t)
-		step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+		core, advance := newReadyCore(t)
+		advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 		n := 0
 		put := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
 			var lines []string
@@ -478,14 +478,14 @@
 		{"slow, not seen to begin", []int{25, 24, 26, 25, 25, 26}, true, false},
 		{"was slow, has mended", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 		j := core.jobs.jobState("j-1")
 		j.measuredTasks, j.measuredRuntime = 100, 1000*time.Second
 		sequence := protocol.Sequence(0)
 		heartbeat := func(after int, tasks ...protocol.TaskStatus) {
 			sequence++
-			step(time.Duration(after)*time.Second, HeartbeatInput{RequestID: RequestID(sequence), Body: protocol.Encode(newHeartbeat(e, sequence, tasks...))})
+			advance(time.Duration(after)*time.Second, HeartbeatInput{RequestID: RequestID(sequence), Body: protocol.Encode(newHeartbeat(e, sequence, tasks...))})
 		}
 		heartbeat(0)
 		for i, s := range c.seconds {
@@ -515,7 +515,7 @@
 		{"slow all the while", []time.Duration{400 * time.Millisecond}, true},
 		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
 	} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
@@ -523,10 +523,10 @@
 		transferred := false
 		for i := 0; i < 400; i++ {
 			gap := c.gaps[min(i, len(c.gaps)-1)]
-			step(0, RenewLeaseResult{LeaseID: 7})
-			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
-			step(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
-			for _, e := range step(gap, Tick{}) {
+			advance(0, RenewLeaseResult{LeaseID: 7})
+			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+			advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
+			for _, e := range advance(gap, Tick{}) {
 				v, ok := e.(Commit)
 				if !ok {
 					continue
@@ -534,7 +534,7 @@
 				for _, operation := range v.Transaction.Operations {
 					transferred = transferred || operation.PutKey == storage.ShardKey("p") && strings.Contains(string(operation.Value), "stall-1#1")
 				}
-				step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
+				advance(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
 			}
 		}
 		if transferred != c.want || core.overload.isOverloaded() != c.want {
--- a/internal/coordination/format_upgrade.go
+++ b/internal/coordination/format_upgrade.go
@@ -28,9 +28,9 @@
 	warnedIncarnation        storage.Incarnation            // a run that was reported as too old
 }
 
-func newFormatUpgrade(step *stepContext) *formatUpgrade {
+func newFormatUpgrade(ctx *stepContext) *formatUpgrade {
 	return &formatUpgrade{
-		stepContext:   step,
+		stepContext:   ctx,
 		packedReaders: map[protocol.ControllerID]bool{},
 	}
 }
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -124,7 +124,7 @@
 		owner storage.Incarnation
 		epoch storage.ShardEpoch
 	}{{"of a dead run", "stall-1#1", 4}, {"of this run", "", 3}} {
-		core, step := newReadyCore(t)
+		core, advance := newReadyCore(t)
 		core.cfg.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
 			c.owner = core.lease.incarnation
@@ -136,20 +136,20 @@
 		}
 		var sent *protocol.Transaction
 		for i := 0; i < 400 && sent == nil; i++ {
-			for _, e := range step(50*time.Millisecond, Tick{}) {
+			for _, e := range advance(50*time.Millisecond, Tick{}) {
 				if v, ok := e.(Commit); ok && len(v.Transaction.Operations) > 1 {
 					sent = &v.Transaction
 				} else if ok {
-					step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 1}})
+					advance(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 1}})
 				}
 			}
-			step(0, RenewLeaseResult{LeaseID: 7})
-			step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+			advance(0, RenewLeaseResult{LeaseID: 7})
+			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
 		}
 		if sent == nil || !announcedLimits.allows(sent) {
 			t.Fatalf("%s: %+v", c.name, sent)
 		}
-		step(0, CommitResult{ID: core.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
+		advance(0, CommitResult{ID: core.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
 		if len(core.replica.Machines) != machines {
 			t.Errorf("%s: %d machines of %d are left", c.name, len(core.replica.Machines), machines)
 		}
@@ -211,7 +211,7 @@
 // longer, up to a bound; one that has run for a while begins anew at once, and so does
 // one whose machine has begun a new session.
 func TestReplicaRestartBackoff(t *testing.T) {
-	c, step := newReadyCore(t)
+	c, advance := newReadyCore(t)
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
 	c.replication.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
 	rec := storage.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
@@ -228,7 +228,7 @@
 	before := time.Duration(0)
 	for attempt := range protocol.Attempt(12) {
 		put(attempt + 1)
-		step(time.Second, Tick{})
+		advance(time.Second, Tick{})
 		put(0)
 		if got := backoff(); got < before || got <= 0 || got > maxRestartBackoff || attempt == 11 && got != maxRestartBackoff {
 			t.Errorf("end %d: %v after %v", attempt, got, before)
@@ -240,7 +240,7 @@
 		end  func()
 	}{
 		{"it has run", func() {
-			step(earlyExitWindow+time.Second, Tick{})
+			advance(earlyExitWindow+time.Second, Tick{})
 			put(0)
 		}},
 		{"a new session", func() {
@@ -259,7 +259,7 @@
 // What this run is responsible for is rewritten unasked once the format is raised: a page
 // as one packed value instead of two halves, and a job whose done tasks have many gaps.
 func TestOwnedRecordsAreReencoded(t *testing.T) {
-	core, step := newReadyCore(t)
+	core, advance := newReadyCore(t)
 	core.cfg.AnnouncedLimits = &announcedLimits
 	var lines []string
 	for i := range 60 {
@@ -277,7 +277,7 @@
 	core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
-		for _, e := range step(50*time.Millisecond, Tick{}) {
+		for _, e := range advance(50*time.Millisecond, Tick{}) {
 			v, ok := e.(Commit)
 			if !ok {
 				continue
@@ -293,9 +293,9 @@
 					jobWrites++
 				}
 			}
-			step(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 60}})
+			advance(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 60}})
 		}
-		step(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision + 61}})
+		advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision + 61}})
 	}
 	if shardWrites != 1 || jobWrites == 0 || len(core.replica.Shards) != 1 || core.replica.CompletedTasks("j-1").String() != done.String() {
 		t.Errorf("the page is written %d times, the job %d times; %d pages", shardWrites, jobWrites, len(core.replica.Shards))
--- a/internal/coordination/gangs.go
+++ b/internal/coordination/gangs.go
@@ -246,7 +246,7 @@
 		if placements == nil {
 			g.plan.unmetDemands = append(g.plan.unmetDemands, unmetDemand{job: job.id, desc: d, tasks: tasks, zone: d.Zone, order: job.precedence, submittedAt: job.record.SubmittedAt, urgent: true})
 		} else if b.hasCapacity(b.writesNeeded("", job.id)) {
-			b.recordReservation(job.id, placements, "preemption planned for gang")
+			recordReservation(b, job.id, placements, "preemption planned for gang")
 		}
 	}
 	reserved := g.replica.Jobs[job.id].Record.ReservedMachines
@@ -314,7 +314,7 @@
 		if placements = distribute(machines); placements == nil || !g.preemption.fitsJobRecord(placements) {
 			return false
 		}
-		b.recordReservation(job.id, placements, "machines reserved for starved job")
+		recordReservation(b, job.id, placements, "machines reserved for starved job")
 	}
 	g.plan.reservedPrecedences[job.precedence] = true
 	for _, p := range placements {
@@ -326,7 +326,7 @@
 }
 
 // recordReservation puts a choice of machines on record; the caller has asked for room.
-func (b *batch) recordReservation(id protocol.JobID, placements []placement, message string) {
+func recordReservation(b *batch, id protocol.JobID, placements []placement, message string) {
 	record := b.mutableJob(id)
 	record.ReservedMachines = nil
 	for _, p := range placements {
--- a/internal/coordination/instance_inventory.go
+++ b/internal/coordination/instance_inventory.go
@@ -23,9 +23,9 @@
 	listedInstances     map[protocol.MachineID]*listedInstance
 }
 
-func newInstanceInventory(step *stepContext) *instanceInventory {
+func newInstanceInventory(ctx *stepContext) *instanceInventory {
 	return &instanceInventory{
-		stepContext:     step,
+		stepContext:     ctx,
 		listedInstances: map[protocol.MachineID]*listedInstance{},
 	}
 }
--- a/internal/coordination/job_acquisition.go
+++ b/internal/coordination/job_acquisition.go
@@ -8,6 +8,9 @@
 	"time"
 )
 
+// attemptBlockSize is how many attempt numbers an owner of a job sets aside at once.
+const attemptBlockSize = 1 << 10
+
 // jobAcquirer acquires jobs for this controller and tells which of their tasks are to be placed.
 type jobAcquirer struct {
 	*stepContext
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -15,9 +15,9 @@
 	jobStates map[protocol.JobID]*jobState
 }
 
-func newJobTable(step *stepContext) *jobTable {
+func newJobTable(ctx *stepContext) *jobTable {
 	return &jobTable{
-		stepContext: step,
+		stepContext: ctx,
 		jobStates:   map[protocol.JobID]*jobState{},
 	}
 }
--- a/internal/coordination/misdirected.go
+++ b/internal/coordination/misdirected.go
@@ -15,9 +15,9 @@
 	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat // reported here though another run owns them
 }
 
-func newMisdirectedHeartbeats(step *stepContext) *misdirectedHeartbeats {
+func newMisdirectedHeartbeats(ctx *stepContext) *misdirectedHeartbeats {
 	return &misdirectedHeartbeats{
-		stepContext:           step,
+		stepContext:           ctx,
 		misdirectedHeartbeats: map[protocol.MachineID]misdirectedHeartbeat{},
 	}
 }
--- a/internal/coordination/ownership.go
+++ b/internal/coordination/ownership.go
@@ -25,9 +25,9 @@
 	lastShedAt      protocol.Instant                         // when machines last left because this controller was no good for them
 }
 
-func newShardOwnership(step *stepContext) *shardOwnership {
+func newShardOwnership(ctx *stepContext) *shardOwnership {
 	return &shardOwnership{
-		stepContext:     step,
+		stepContext:     ctx,
 		expiredAt:       map[storage.Incarnation]protocol.Instant{},
 		pendingHandOffs: map[protocol.MachineID]bool{},
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -22,9 +22,9 @@
 	isPeerStatusUrgent bool // there is something that the others should hear at once
 }
 
-func newPeerTable(step *stepContext) *peerTable {
+func newPeerTable(ctx *stepContext) *peerTable {
 	return &peerTable{
-		stepContext: step,
+		stepContext: ctx,
 		peers:       map[protocol.ControllerID]peer{},
 	}
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -30,9 +30,9 @@
 	warmPool warmPool
 }
 
-func newScheduler(step *stepContext) *scheduler {
+func newScheduler(ctx *stepContext) *scheduler {
 	return &scheduler{
-		stepContext: step,
+		stepContext: ctx,
 		warmPool:    newWarmPool(),
 	}
 }
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -35,9 +35,9 @@
 	exhaustedAt map[poolKey]protocol.Instant // when a pool last had fewer machines than asked for
 }
 
-func newMachineProvisioner(step *stepContext) *machineProvisioner {
+func newMachineProvisioner(ctx *stepContext) *machineProvisioner {
 	return &machineProvisioner{
-		stepContext: step,
+		stepContext: ctx,
 		requests:    map[string]*pendingProvision{},
 		exhaustedAt: map[poolKey]protocol.Instant{},
 	}
@@ -231,11 +231,6 @@
 	return sharding.RendezvousWeight(string(mp.cfg.ControllerID), string(p.key.zone))
 }
 
-// machineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
-func machineTypeCapacity(f *protocol.MachineType, j *protocol.Job) int {
-	return (&candidate{cores: f.Cores, accelerators: f.Accelerators, memoryGB: f.MemoryGB}).capacityFor(j)
-}
-
 // onProvisionResult takes the answer to a rental request.
 func (mp *machineProvisioner) onProvisionResult(v ProvisionMachinesResult) {
 	r := mp.requests[v.Request.RequestID]
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -19,8 +19,8 @@
 
 func newCoreWithTwoMachineTypes(t *testing.T) *Core {
 	t.Helper()
-	c, step := newReadyCore(t)
-	step(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType}})
+	c, advance := newReadyCore(t)
+	advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType}})
 	return c
 }
 
@@ -38,7 +38,7 @@
 }
 
 func newCandidate(f *protocol.MachineType, id protocol.MachineID, spot bool) *candidate {
-	return &candidate{id: id, record: &storage.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, machineType: f, cores: f.Cores, memoryGB: f.MemoryGB}
+	return &candidate{id: id, record: &storage.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, machineType: f, resources: resources{cores: f.Cores, memoryGB: f.MemoryGB}}
 }
 
 // Work that can wait is rented the cheapest machines only: else steady machines at
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -52,9 +52,6 @@
 	maxRestartBackoff = 30 * time.Second
 	// unboundedRuntime stands for the end of what does not end.
 	unboundedRuntime = 24 * time.Hour
-	// evictionLeadTime is how long before its machine is taken a replica is stopped, so that
-	// it can begin elsewhere at once.
-	evictionLeadTime = 3 * time.Second
 )
 
 // placeReplicas places the replicas of a daemon that do not run.
@@ -226,7 +223,7 @@
 	if len(placements) <= reservedCount || !p.services.preemption.fitsJobRecord(placements) {
 		return nil
 	}
-	p.batch.recordReservation(p.job.id, placements, "preemption planned for service replicas")
+	recordReservation(p.batch, p.job.id, placements, "preemption planned for service replicas")
 	var machines []*candidate
 	for _, chosen := range placements {
 		machines = append(machines, chosen.machine)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -8,6 +8,10 @@
 	"time"
 )
 
+// surplusIdleFactor is the part of IdleTimeoutFactor for which an idle machine is kept that
+// urgent work does not need.
+const surplusIdleFactor = 0.25
+
 // PlanUse knows the machines that the plan uses.
 type PlanUse interface {
 	RetainsMachine(id protocol.MachineID) bool
@@ -37,9 +41,9 @@
 	terminatedAt  map[protocol.MachineID]protocol.Instant
 }
 
-func newMachineTerminator(step *stepContext) *machineTerminator {
+func newMachineTerminator(ctx *stepContext) *machineTerminator {
 	return &machineTerminator{
-		stepContext:  step,
+		stepContext:  ctx,
 		terminations: map[protocol.MachineID]*termination{},
 		terminatedAt: map[protocol.MachineID]protocol.Instant{},
 	}
--- a/internal/coordination/shard_writer.go
+++ b/internal/coordination/shard_writer.go
@@ -36,8 +36,8 @@
 // done, before another controller does.
 const ownerCompletionTimeout = 1500 * time.Millisecond
 
-func newShardWriter(step *stepContext) *shardWriter {
-	return &shardWriter{stepContext: step, completeSince: map[protocol.JobID]protocol.Instant{}}
+func newShardWriter(ctx *stepContext) *shardWriter {
+	return &shardWriter{stepContext: ctx, completeSince: map[protocol.JobID]protocol.Instant{}}
 }
 
 func (w *shardWriter) newBatch(maxOps int) *batch {
--- a/internal/coordination/spot.go
+++ b/internal/coordination/spot.go
@@ -14,9 +14,9 @@
 	spotThresholds map[priceKey]*SpotPriceThreshold
 }
 
-func newSpotPricing(step *stepContext) *spotPricing {
+func newSpotPricing(ctx *stepContext) *spotPricing {
 	return &spotPricing{
-		stepContext:    step,
+		stepContext:    ctx,
 		spotThresholds: map[priceKey]*SpotPriceThreshold{},
 	}
 }
--- a/internal/coordination/task_stops.go
+++ b/internal/coordination/task_stops.go
@@ -7,6 +7,10 @@
 	"time"
 )
 
+// evictionLeadTime is how long before its machine is taken a replica is stopped, so that
+// it can begin elsewhere at once.
+const evictionLeadTime = 3 * time.Second
+
 // taskStopper decides which tasks on owned machines must stop, and has them stopped.
 type taskStopper struct {
 	*stepContext
@@ -19,9 +23,9 @@
 	gracefulStops map[protocol.JobID]protocol.Attempt // attempts of gangs that are to stop in order
 }
 
-func newTaskStopper(step *stepContext) *taskStopper {
+func newTaskStopper(ctx *stepContext) *taskStopper {
 	return &taskStopper{
-		stepContext:   step,
+		stepContext:   ctx,
 		gracefulStops: map[protocol.JobID]protocol.Attempt{},
 	}
 }
--- a/internal/coordination/transfers.go
+++ b/internal/coordination/transfers.go
@@ -28,9 +28,9 @@
 	lastTransferNumber   int              // of the last move that was named
 }
 
-func newTransferManager(step *stepContext) *transferManager {
+func newTransferManager(ctx *stepContext) *transferManager {
 	return &transferManager{
-		stepContext:          step,
+		stepContext:          ctx,
 		transferObservations: map[storage.TransferSlot]transferObservation{},
 	}
 }
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -25,19 +25,17 @@
 	revisionRead     revisionRead
 }
 
-func newUserRequestHandler(step *stepContext) *userRequestHandler {
+func newUserRequestHandler(ctx *stepContext) *userRequestHandler {
 	return &userRequestHandler{
-		stepContext: step,
+		stepContext: ctx,
 		submissions: map[protocol.JobID]*submission{},
 	}
 }
 
 var errNoUsableResponse = errors.New("no usable answer")
 
-const (
-	attemptBlockSize    = 1 << 10 // attempts that a claim sets aside at once
-	maxDeferredRequests = 2000    // users that may wait at once; the rest are told to come back
-)
+// maxDeferredRequests bounds the users that may wait at once; the rest are told to come back.
+const maxDeferredRequests = 2000
 
 // submission is a job that is not written yet.
 type submission struct {
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -26,13 +26,8 @@
 	peakTasks    float64       // the most at once; it fades
 }
 
-const (
-	// peakDecayPeriod is how long a peak is remembered.
-	peakDecayPeriod = 5 * time.Minute
-	// surplusIdleFactor is the part of IdleTimeoutFactor for which an idle machine is kept that
-	// urgent work does not need.
-	surplusIdleFactor = 0.25
-)
+// peakDecayPeriod is how long a peak is remembered.
+const peakDecayPeriod = 5 * time.Minute
 
 func newWarmPool() warmPool { return warmPool{classes: map[string]*urgentClass{}} }
 
