--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -169,7 +169,7 @@
 		byPool[key].used += machine.machineType.Cores - machine.cores
 	}
 	for key, threshold := range l.spot.spotThresholds {
-		l.log(slog.LevelDebug, "spot price threshold", "machine_type", string(key.machineType), "zone", string(key.zone), "price", threshold.spotPrice, "threshold", threshold.value, "spot_allowed", threshold.AllowsSpot())
+		l.log(slog.LevelDebug, "spot price threshold", "machine_type", string(key.machineType), "zone", string(key.zone), "price", threshold.spotPrice, "threshold", threshold.Value(), "spot_allowed", threshold.AllowsSpot())
 	}
 	for key, total := range byPool {
 		l.log(slog.LevelDebug, "fleet utilization", "machine_type", string(key.machineType), "spot", key.spot, "running", total.up, "provisioning", total.coming, "cores_total", total.cores, "cores_allocated", total.used, "near_spot_period_end", total.margin, "unschedulable", total.closed)
