--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -25,7 +25,7 @@
 		return
 	}
 	slog.Info("admin service listening", "listen", listener.Addr().String())
-	err = admin.NewServer(adminBackend{d}).Serve(admin.LimitConnections(listener))
+	err = admin.NewServer(adminBackend{daemon: d}).Serve(admin.LimitConnections(listener))
 	slog.Error("admin service stopped", "error", err)
 }
 
@@ -33,7 +33,7 @@
 // waits for the answer.
 func (d *daemon) callCore(ctx context.Context, request func(coordination.RequestID) coordination.Input) (coordination.Effect, error) {
 	reply := make(chan coordination.Effect, 1)
-	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{request, reply}}) {
+	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{makeInput: request, reply: reply}}) {
 		return nil, &admin.RequestError{Reason: "the controller is overloaded", Retryable: true}
 	}
 	select {
--- a/cmd/tillerarch/sharding_commands.go
+++ b/cmd/tillerarch/sharding_commands.go
@@ -53,20 +53,20 @@
 // withClient calls f with a client of the daemon's admin service.
 func (t *adminTool) withClient(f func(context.Context, *admin.Client) error) error {
 	if _, _, err := net.SplitHostPort(t.address); err != nil {
-		return &commandError{exitUsage, fmt.Sprintf("--admin: %q is no address of the form IP:PORT", t.address)}
+		return &commandError{code: exitUsage, message: fmt.Sprintf("--admin: %q is no address of the form IP:PORT", t.address)}
 	}
 	client, err := admin.Dial(t.address)
 	if err != nil {
-		return &commandError{exitUsage, err.Error()}
+		return &commandError{code: exitUsage, message: err.Error()}
 	}
 	defer client.Close()
 	err = f(context.Background(), client)
 	var requestErr *admin.RequestError
 	switch {
 	case errors.As(err, &requestErr) && requestErr.Retryable:
-		return &commandError{exitUnavailable, requestErr.Reason}
+		return &commandError{code: exitUnavailable, message: requestErr.Reason}
 	case errors.As(err, &requestErr):
-		return &commandError{exitRejected, requestErr.Reason}
+		return &commandError{code: exitRejected, message: requestErr.Reason}
 	}
 	return err
 }
@@ -175,7 +175,7 @@
 	command := &cobra.Command{Use: "move --to CONTROLLER (--page PAGE | --from CONTROLLER)", Short: "Move a page of machines to another controller",
 		Args: cobra.NoArgs, RunE: func(command *cobra.Command, _ []string) error {
 			if request.Target == "" || (request.Shard == "") == (request.Source == "") {
-				return &commandError{exitUsage, "move: --to and one of --page and --from are needed"}
+				return &commandError{code: exitUsage, message: "move: --to and one of --page and --from are needed"}
 			}
 			if request.Name == "" {
 				request.Name = fmt.Sprintf("operator-%d", time.Now().UnixNano())
@@ -205,7 +205,7 @@
 		return err
 	}
 	if storage.TransferPhase(transfer.Phase) == storage.TransferAborted {
-		return &commandError{exitAborted, "the move was aborted: " + transfer.Reason}
+		return &commandError{code: exitAborted, message: "the move was aborted: " + transfer.Reason}
 	}
 	return nil
 }
--- a/internal/coordination/agent_calls.go
+++ b/internal/coordination/agent_calls.go
@@ -82,7 +82,7 @@
 	}
 	m.isCallInFlight, m.callStartedAt = true, ac.now.Monotonic
 	ac.agentCallsInFlight++
-	ac.emit(SendCommands{m.id, entry.Record.Address, protocol.Commands{FencingToken: entry.Record.FencingToken, AgentEpoch: agentEpoch, Commands: commands}})
+	ac.emit(SendCommands{Machine: m.id, Addr: entry.Record.Address, Commands: protocol.Commands{FencingToken: entry.Record.FencingToken, AgentEpoch: agentEpoch, Commands: commands}})
 }
 
 // unownedProbeInterval is the least time between probes of an agent whose machine another
@@ -105,7 +105,7 @@
 		return false
 	}
 	ac.agentCallsInFlight++
-	ac.emit(ProbeAgent{id, addr})
+	ac.emit(ProbeAgent{Machine: id, Addr: addr})
 	return true
 }
 
@@ -113,7 +113,7 @@
 func (ac *agentCaller) startProbe(m *machineState, addr string) {
 	m.isCallInFlight, m.callStartedAt = true, ac.now.Monotonic
 	ac.agentCallsInFlight++
-	ac.emit(ProbeAgent{m.id, addr})
+	ac.emit(ProbeAgent{Machine: m.id, Addr: addr})
 }
 
 // probeAgent asks the worker of a machine that this run does not own for its report.
--- a/internal/coordination/agent_table.go
+++ b/internal/coordination/agent_table.go
@@ -44,7 +44,7 @@
 			break
 		}
 	}
-	m.cachedImages = append(m.cachedImages, cachedImage{j.Image, j.ImageGB})
+	m.cachedImages = append(m.cachedImages, cachedImage{name: j.Image, sizeGB: j.ImageGB})
 	totalGB := 0.0
 	for i := len(m.cachedImages) - 1; i >= 0; i-- {
 		if totalGB += m.cachedImages[i].sizeGB; totalGB > machineType.LocalDiskGB {
@@ -170,7 +170,7 @@
 		for i := range before.Assignments {
 			a := &before.Assignments[i]
 			if after == nil || !hasAttempt(after, a) {
-				delete(at.assignedAt, assignmentKey{id, a.Job, a.Attempt})
+				delete(at.assignedAt, assignmentKey{machine: id, job: a.Job, attempt: a.Attempt})
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 	}
 	for i := range after.Assignments {
 		a := &after.Assignments[i]
-		key := assignmentKey{id, a.Job, a.Attempt}
+		key := assignmentKey{machine: id, job: a.Job, attempt: a.Attempt}
 		if _, ok := at.assignedAt[key]; ok {
 			continue
 		}
--- a/internal/coordination/backfill.go
+++ b/internal/coordination/backfill.go
@@ -37,7 +37,7 @@
 	if alloc.desc.IsService() {
 		return now.Add(unboundedRuntime)
 	}
-	startedAt, known := bp.agents.assignedAt[assignmentKey{machine.id, alloc.job, alloc.attempt}]
+	startedAt, known := bp.agents.assignedAt[assignmentKey{machine: machine.id, job: alloc.job, attempt: alloc.attempt}]
 	if !known {
 		startedAt = now
 	}
--- a/internal/coordination/batch.go
+++ b/internal/coordination/batch.go
@@ -342,7 +342,7 @@
 // log notes a decision; the operator reads it once the decision is on record.
 // A transaction that is refused is built again, with the same lines.
 func (b *batch) log(l slog.Level, msg string, args ...any) {
-	b.logsOnApply = append(b.logsOnApply, Log{l, msg, args})
+	b.logsOnApply = append(b.logsOnApply, Log{Level: l, Message: msg, Args: args})
 }
 
 func (b *batch) isEmpty() bool {
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -307,7 +307,7 @@
 	clear(c.intentSentAt)
 	for _, id := range c.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
 		c.intentSentAt[id] = c.now.Monotonic
-		status.CancelIntents = append(status.CancelIntents, CancelIntent{id, protocol.Revision(c.replica.CancellingJobs[id].ModRevision)})
+		status.CancelIntents = append(status.CancelIntents, CancelIntent{Job: id, Revision: protocol.Revision(c.replica.CancellingJobs[id].ModRevision)})
 	}
 	status.CancelAcks = c.ackRotation.nextChunk(sortedKeys(c.localAcks), maxAcksPerMessage)
 }
@@ -330,7 +330,7 @@
 func (c *canceller) onPeerCancellations(status *PeerStatus) {
 	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
 		if _, ok := c.peerIntents[intent.Job]; !ok && intent.Job.IsValid() && c.replica.Revision < intent.Revision && len(c.peerIntents) < maxPeerIntents {
-			c.peerIntents[intent.Job] = peerIntent{intent.Revision, c.now.Monotonic}
+			c.peerIntents[intent.Job] = peerIntent{revision: intent.Revision, receivedAt: c.now.Monotonic}
 			c.shouldRecheckDeferred = true
 		}
 	}
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -109,7 +109,7 @@
 		putCancellingJob(t, core, 6)
 		core.replica.Revision = 6
 		c.hint.ControllerID = c.hint.Incarnation.Controller()
-		advance(0, PeerStatusInput{c.hint})
+		advance(0, PeerStatusInput{Status: c.hint})
 		if got := core.cancellations.isCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -138,7 +138,7 @@
 		rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		m.recordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.now.Monotonic)
-		advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", CancelIntents: []CancelIntent{{"j-1", c.rev}}}})
+		advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", CancelIntents: []CancelIntent{{Job: "j-1", Revision: c.rev}}}})
 		starts, stops, acked := 0, 0, false
 		for _, o := range core.heartbeats.commandsFor(e, m, true) {
 			switch o.Type {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -96,12 +96,12 @@
 			}
 			n := assigned.Tasks.Len()
 			machine.allocate(j.Spec, n)
-			machine.allocations = append(machine.allocations, allocation{assigned.Job, assigned.Attempt, n, j.Spec, precedence})
+			machine.allocations = append(machine.allocations, allocation{job: assigned.Job, attempt: assigned.Attempt, count: n, desc: j.Spec, precedence: precedence})
 		}
 		if record.Spot && !machine.isUnschedulable {
 			age := millisToDuration(l.now.Wall - record.AddedAt)
 			machine.isNearSpotPeriodEnd = IsNearPeriodBoundary(id, age, l.cfg.SpotPeriod, l.cfg.SpotPeriodEndMargin)
-			if threshold := l.spot.spotThresholds[priceKey{record.MachineType, record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
+			if threshold := l.spot.spotThresholds[priceKey{machineType: record.MachineType, zone: record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
 				machine.isUnschedulable = true
 			}
 		}
@@ -150,7 +150,7 @@
 	}
 	byPool := map[poolKey]*totals{}
 	for _, machine := range candidates {
-		key := poolKey{machine.record.MachineType, "", machine.record.Spot}
+		key := poolKey{machineType: machine.record.MachineType, zone: "", spot: machine.record.Spot}
 		if byPool[key] == nil {
 			byPool[key] = &totals{}
 		}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -188,7 +188,7 @@
 	} else {
 		c.pendingTransaction = pending
 	}
-	c.emit(Commit{pending.id, pending.transaction})
+	c.emit(Commit{ID: pending.id, Transaction: pending.transaction})
 }
 
 // register makes this run known. The key of an earlier run of this member is
--- a/internal/coordination/contention.go
+++ b/internal/coordination/contention.go
@@ -73,9 +73,9 @@
 			continue
 		}
 		if ct.spot.canUseSpot(d, machineType) {
-			options = append(options, provisionOption{machineType, machineType.SpotPrice / tasks, ct.isTypeAvailable(machineType, d, true)})
+			options = append(options, provisionOption{machineType: machineType, costPerTask: machineType.SpotPrice / tasks, isAvailable: ct.isTypeAvailable(machineType, d, true)})
 		}
-		options = append(options, provisionOption{machineType, machineType.OnDemandPrice / tasks, ct.isTypeAvailable(machineType, d, false)})
+		options = append(options, provisionOption{machineType: machineType, costPerTask: machineType.OnDemandPrice / tasks, isAvailable: ct.isTypeAvailable(machineType, d, false)})
 	}
 	slices.SortStableFunc(options, func(a, z provisionOption) int { return cmp.Compare(a.costPerTask, z.costPerTask) })
 	return options
@@ -85,7 +85,7 @@
 // job allows.
 func (ct *contentionTracker) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
 	return slices.ContainsFunc(machineType.Zones, func(zone protocol.Zone) bool {
-		return d.AllowsPlacement(machineType.Name, zone) && !ct.provisioner.isPoolExhausted(poolKey{machineType.Name, zone, spot})
+		return d.AllowsPlacement(machineType.Name, zone) && !ct.provisioner.isPoolExhausted(poolKey{machineType: machineType.Name, zone: zone, spot: spot})
 	})
 }
 
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -189,7 +189,7 @@
 		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{"m-1", c.session, c.tally}}}})
+		advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{Machine: "m-1", AgentEpoch: c.session, Sequence: c.tally}}}})
 		if got := m.handOffTarget == "stall-1#1"; got != c.want {
 			t.Errorf("%s: handed over %v", c.name, got)
 		}
@@ -221,7 +221,7 @@
 			advance(time.Second, RenewLeaseResult{LeaseID: 7, Err: err})
 			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}, Err: err})
 			for k, ok := range c.hints {
-				advance(0, PeerStatusInput{PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
+				advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
 		}
 		if got := core.Healthy(); got != c.want {
@@ -329,7 +329,7 @@
 				}
 				lines = append(lines, r.EncodeLine(id))
 				if i < c.seen {
-					misdirected = append(misdirected, MisdirectedHeartbeat{id, 1, 9})
+					misdirected = append(misdirected, MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
 				}
 			}
 			if _, err := core.replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.lease.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
@@ -341,7 +341,7 @@
 			advance(600*time.Millisecond, Tick{})
 			advance(0, RenewLeaseResult{LeaseID: 7})
 		}
-		advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
+		advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
 		if c.late {
 			for id, p := range core.replica.Shards {
 				var lines []string
@@ -399,7 +399,7 @@
 			core.Step(now, Tick{})
 			core.Step(now, LoadRecordsResult{Err: errNoUsableResponse})
 			for k, ok := range c.hints {
-				core.Step(now, PeerStatusInput{PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
+				core.Step(now, PeerStatusInput{Status: PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
 			now.Monotonic = now.Monotonic.Add(500 * time.Millisecond)
 			core.Step(now, Tick{})
@@ -525,7 +525,7 @@
 			gap := c.gaps[min(i, len(c.gaps)-1)]
 			advance(0, RenewLeaseResult{LeaseID: 7})
 			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
-			advance(0, PeerStatusInput{PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
+			advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
 			for _, e := range advance(gap, Tick{}) {
 				v, ok := e.(Commit)
 				if !ok {
--- a/internal/coordination/format_upgrade.go
+++ b/internal/coordination/format_upgrade.go
@@ -103,7 +103,7 @@
 	}
 	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.incarnation}
 	u.commits.sendTransaction(&pendingTransaction{transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
-		logsOnApply: []Effect{Log{slog.LevelInfo, "storage format raised to packed", nil}}})
+		logsOnApply: []Effect{Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
 	return true
 }
 
--- a/internal/coordination/gangs.go
+++ b/internal/coordination/gangs.go
@@ -203,7 +203,7 @@
 			continue
 		}
 		tasksByZone[machine.record.Zone] += count
-		placements = append(placements, placement{machine, count})
+		placements = append(placements, placement{machine: machine, count: count})
 		tasks -= count
 	}
 	if tasks > 0 {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -42,11 +42,11 @@
 func (h *heartbeatHandler) onHeartbeat(input HeartbeatInput) {
 	heartbeat, err := protocol.ParseHeartbeat(input.Body)
 	if err != nil {
-		h.reply(input.RequestID, 400, errorBody{err.Error()})
+		h.reply(input.RequestID, 400, errorBody{Error: err.Error()})
 		return
 	}
 	if !h.replication.isLoaded {
-		h.reply(input.RequestID, 503, errorBody{"not ready"})
+		h.reply(input.RequestID, 503, errorBody{Error: "not ready"})
 		return
 	}
 	entry := h.replica.Machines[heartbeat.Machine]
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -32,12 +32,12 @@
 	now := l.now.Monotonic
 	if l.id == 0 && !l.isGranting && now >= l.grantedOrRetryAt {
 		l.isGranting, l.grantRequestedAt = true, now
-		l.emit(GrantLease{l.cfg.LeaseTTL})
+		l.emit(GrantLease{TTL: l.cfg.LeaseTTL})
 	}
 	if l.id != 0 && !l.isRenewing && now >= l.nextRenewalAt && l.since(l.grantedOrRetryAt) > l.cfg.LeaseTTL/4 {
 		l.isRenewing, l.renewalRequestedAt = true, now
 		l.nextRenewalAt = now.Add(l.jitter(l.cfg.LeaseTTL / 4))
-		l.emit(RenewLease{l.id})
+		l.emit(RenewLease{LeaseID: l.id})
 	}
 }
 
--- a/internal/coordination/machine_catalog.go
+++ b/internal/coordination/machine_catalog.go
@@ -29,7 +29,7 @@
 	mc.nextMachineTypesAt = mc.now.Monotonic.Add(mc.jitter(mc.cfg.PriceCheckInterval))
 	for _, f := range v.MachineTypes {
 		for _, z := range f.Zones {
-			k := priceKey{f.Name, z}
+			k := priceKey{machineType: f.Name, zone: z}
 			t := mc.spot.spotThresholds[k]
 			if t == nil {
 				mc.spot.spotThresholds[k] = NewSpotPriceThreshold(mc.cfg.SpotPriceWindow, mc.now.Monotonic, f.SpotPrice, f.OnDemandPrice)
--- a/internal/coordination/misdirected.go
+++ b/internal/coordination/misdirected.go
@@ -30,7 +30,7 @@
 	})
 	for _, id := range responded[:min(len(responded), maxMisdirectedPerStatus)] {
 		heartbeat := mh.misdirectedHeartbeats[id]
-		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, MisdirectedHeartbeat{id, heartbeat.agentEpoch, heartbeat.sequence})
+		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, MisdirectedHeartbeat{Machine: id, AgentEpoch: heartbeat.agentEpoch, Sequence: heartbeat.sequence})
 		heartbeat.isAnnounced = true
 		mh.misdirectedHeartbeats[id] = heartbeat
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -50,7 +50,7 @@
 
 // recordStatus takes in the status of another controller.
 func (t *peerTable) recordStatus(status *PeerStatus) {
-	t.peers[status.ControllerID] = peer{*status, t.now.Monotonic}
+	t.peers[status.ControllerID] = peer{status: *status, receivedAt: t.now.Monotonic}
 }
 
 // HasHeardFrom tells whether an incarnation has sent its status within a time.
@@ -77,5 +77,5 @@
 		}
 	}
 	t.misdirected.expire()
-	t.emit(SendPeerStatus{status})
+	t.emit(SendPeerStatus{Status: status})
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -220,7 +220,7 @@
 // recordAllocation notes n planned tasks of the job on the machine.
 func (j *pendingJob) recordAllocation(machine *candidate, count int, attempt protocol.Attempt) {
 	machine.allocate(j.record.Spec, count)
-	machine.allocations = append(machine.allocations, allocation{j.id, attempt, count, j.record.Spec, j.precedence})
+	machine.allocations = append(machine.allocations, allocation{job: j.id, attempt: attempt, count: count, desc: j.record.Spec, precedence: j.precedence})
 	j.tasksByZone[machine.record.Zone] += count
 	j.placedTasks += count
 }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -28,7 +28,7 @@
 
 // runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
 func (p *preemptor) runningSeconds(machine *candidate, alloc allocation) float64 {
-	if assignedAt, ok := p.agents.assignedAt[assignmentKey{machine.id, alloc.job, alloc.attempt}]; ok {
+	if assignedAt, ok := p.agents.assignedAt[assignmentKey{machine: machine.id, job: alloc.job, attempt: alloc.attempt}]; ok {
 		return p.since(assignedAt).Seconds()
 	}
 	return 0
--- a/internal/coordination/provisioning.go
+++ b/internal/coordination/provisioning.go
@@ -80,7 +80,7 @@
 }
 
 func (p *pendingProvision) pool() poolKey {
-	return poolKey{p.request.Type, p.request.Zone, p.request.Spot}
+	return poolKey{machineType: p.request.Type, zone: p.request.Zone, spot: p.request.Spot}
 }
 
 // unmetDemand is work that no machine, up or coming, can take.
@@ -132,7 +132,7 @@
 		r := mp.requests[name]
 		if r.grantedMachines == nil && !r.inFlight && mp.now.Monotonic >= r.retryAt {
 			r.inFlight = true
-			mp.emit(ProvisionMachines{r.request})
+			mp.emit(ProvisionMachines{Request: r.request})
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	mp.requests[name] = &pendingProvision{request: request, requestedAt: mp.now.Monotonic, inFlight: true}
 	mp.log(slog.LevelInfo, "provisioning machines", "request", name, "machine_type", string(pool.machineType), "zone", string(pool.zone),
 		"spot", pool.spot, "count", count, "job", string(job))
-	mp.emit(ProvisionMachines{request})
+	mp.emit(ProvisionMachines{Request: request})
 }
 
 // isPoolExhausted tells whether the cloud had too few machines of a pool just now.
@@ -214,9 +214,9 @@
 				continue
 			}
 			tasks := float64(min(tasksPerMachine, d.tasks))
-			out = append(out, pricedPool{poolKey{f.Name, z, false}, tasksPerMachine, f.OnDemandPrice / tasks})
-			if t := mp.spot.spotThresholds[priceKey{f.Name, z}]; !d.desc.IsService() && mp.spot.canUseSpot(d.desc, f) && t != nil && t.AllowsSpot() {
-				out = append(out, pricedPool{poolKey{f.Name, z, true}, tasksPerMachine, f.SpotPrice / tasks})
+			out = append(out, pricedPool{key: poolKey{machineType: f.Name, zone: z, spot: false}, tasksPerMachine: tasksPerMachine, costPerTask: f.OnDemandPrice / tasks})
+			if t := mp.spot.spotThresholds[priceKey{machineType: f.Name, zone: z}]; !d.desc.IsService() && mp.spot.canUseSpot(d.desc, f) && t != nil && t.AllowsSpot() {
+				out = append(out, pricedPool{key: poolKey{machineType: f.Name, zone: z, spot: true}, tasksPerMachine: tasksPerMachine, costPerTask: f.SpotPrice / tasks})
 			}
 		}
 	}
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -45,7 +45,7 @@
 // several times the price would be asked for while spot ones are on their way. Work
 // that is urgent asks for all at once.
 func TestProvisioningPools(t *testing.T) {
-	smallSpotPool := poolKey{"small", "a", true}
+	smallSpotPool := poolKey{machineType: "small", zone: "a", spot: true}
 	inOtherZone := func(p poolKey) poolKey { p.zone = "b"; return p }
 	for _, c := range []struct {
 		name    string
@@ -113,7 +113,7 @@
 			running := newArrayJob(4, c.runs)
 			r.allocate(running, 1)
 			r.allocations = []allocation{{job: "j-2", attempt: 1, count: 1, desc: running}}
-			core.agents.assignedAt[assignmentKey{id, "j-2", 1}] = core.now.Monotonic.Add(-c.ran)
+			core.agents.assignedAt[assignmentKey{machine: id, job: "j-2", attempt: 1}] = core.now.Monotonic.Add(-c.ran)
 			candidates = append(candidates, r)
 		}
 		if got := core.backfill.reserveBackfill(q, candidates, 10); got != c.want {
@@ -193,8 +193,8 @@
 		core.now.Monotonic = core.now.Monotonic.Add(c.ago)
 		if c.refused {
 			for _, z := range smallMachineType.Zones {
-				core.provisioner.exhaustedAt[poolKey{"small", z, true}] = core.now.Monotonic
-				core.provisioner.exhaustedAt[poolKey{"small", z, false}] = core.now.Monotonic
+				core.provisioner.exhaustedAt[poolKey{machineType: "small", zone: z, spot: true}] = core.now.Monotonic
+				core.provisioner.exhaustedAt[poolKey{machineType: "small", zone: z, spot: false}] = core.now.Monotonic
 			}
 		}
 		core.plan.contendedTypes = core.contention.contendedTypes()
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -216,7 +216,7 @@
 	remaining := p.remaining
 	for _, machine := range p.cheapestToPreempt(isEligible) {
 		for range min(p.services.preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), remaining) {
-			placements = append(placements, placement{machine, 1})
+			placements = append(placements, placement{machine: machine, count: 1})
 			remaining--
 		}
 	}
@@ -362,7 +362,7 @@
 				remaining = current.Tasks.Len()
 			}
 		}
-		if at, known := s.agents.assignedAt[assignmentKey{id, assigned.Job, assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
+		if at, known := s.agents.assignedAt[assignmentKey{machine: id, job: assigned.Job, attempt: assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
 			s.onReplicasExited(assigned.Job, s.since(at))
 		}
 	}
--- a/internal/coordination/replication.go
+++ b/internal/coordination/replication.go
@@ -61,7 +61,7 @@
 	}
 	s.isWatching, s.watchRequestedAt = true, now
 	s.nextWatchAt = now.Add(s.cfg.MinWatchInterval)
-	s.emit(Watch{s.replica.Revision})
+	s.emit(Watch{AfterRevision: s.replica.Revision})
 }
 
 // tickLoad asks for all records where there is no replica to go on from.
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -101,7 +101,7 @@
 			mt.terminations[id].inFlight = true
 		}
 		mt.isTerminating = true
-		mt.emit(TerminateMachines{ids})
+		mt.emit(TerminateMachines{Machines: ids})
 	}
 }
 
--- a/internal/coordination/step_context.go
+++ b/internal/coordination/step_context.go
@@ -24,7 +24,9 @@
 
 func (s *stepContext) emit(e Effect) { s.effects = append(s.effects, e) }
 
-func (s *stepContext) log(l slog.Level, msg string, args ...any) { s.emit(Log{l, msg, args}) }
+func (s *stepContext) log(l slog.Level, msg string, args ...any) {
+	s.emit(Log{Level: l, Message: msg, Args: args})
+}
 
 // limiterTime is the wall-free time as x/time/rate wants it.
 func (s *stepContext) limiterTime() time.Time { return time.Unix(0, int64(s.now.Monotonic)) }
--- a/internal/coordination/task_stops.go
+++ b/internal/coordination/task_stops.go
@@ -35,7 +35,7 @@
 	if s, ok := m.stopRequests[t]; ok && s.attempt == attempt && s.graceSeconds <= graceSeconds {
 		return
 	}
-	m.stopRequests[t] = stopRequest{attempt, graceSeconds}
+	m.stopRequests[t] = stopRequest{attempt: attempt, graceSeconds: graceSeconds}
 	ts.log(slog.LevelInfo, "task stop requested", "task", t.String(), "attempt", uint64(attempt), "machine", string(m.id), "reason", reason)
 }
 
--- a/internal/coordination/transfers.go
+++ b/internal/coordination/transfers.go
@@ -223,7 +223,7 @@
 		e := tm.replica.Transfers[slot]
 		observation := tm.transferObservations[slot]
 		if observation.modRevision != e.ModRevision {
-			observation = transferObservation{e.ModRevision, tm.now.Monotonic}
+			observation = transferObservation{modRevision: e.ModRevision, observedAt: tm.now.Monotonic}
 			tm.transferObservations[slot] = observation
 		}
 		if !e.Record.Phase.IsOpen() || b.transfers[slot] != nil {
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -69,7 +69,7 @@
 }
 
 func (h *userRequestHandler) rejectUnavailable(requestID RequestID) {
-	h.emit(Reply{RequestID: requestID, Status: 503, RetryAfterSeconds: 1, Body: protocol.Encode(errorBody{"cannot decide now"})})
+	h.emit(Reply{RequestID: requestID, Status: 503, RetryAfterSeconds: 1, Body: protocol.Encode(errorBody{Error: "cannot decide now"})})
 }
 
 // jobStatus is what the replica says of a job.
@@ -102,18 +102,18 @@
 		job, err := protocol.ParseJob(v.Body)
 		if err != nil {
 			h.log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(v.Body[:min(len(v.Body), 600)]))
-			h.reply(v.RequestID, 400, errorBody{err.Error()})
+			h.reply(v.RequestID, 400, errorBody{Error: err.Error()})
 			return
 		}
 		if !h.jobRecordFits(job) {
-			h.reply(v.RequestID, 400, errorBody{"description is too long"})
+			h.reply(v.RequestID, 400, errorBody{Error: "description is too long"})
 			return
 		}
 		h.onSubmit(v.RequestID, job)
 		return
 	}
 	if !v.Job.IsValid() {
-		h.reply(v.RequestID, 404, errorBody{"no such job"})
+		h.reply(v.RequestID, 404, errorBody{Error: "no such job"})
 		return
 	}
 	if h.replyIfFinal(v.RequestID, v.Type, v.Job) {
@@ -298,10 +298,10 @@
 			h.onSubmit(request.requestID, request.job)
 		} else {
 			h.log(slog.LevelInfo, "job rejected, requirements cannot be met", "job", string(request.jobID), "team", request.job.Team)
-			h.reply(request.requestID, 422, errorBody{"can never run"})
+			h.reply(request.requestID, 422, errorBody{Error: "can never run"})
 		}
 	case e == nil:
-		h.reply(request.requestID, 404, errorBody{"no such job"})
+		h.reply(request.requestID, 404, errorBody{Error: "no such job"})
 	case request.requestType == protocol.RequestCancel:
 		h.cancellations.requestCancellation(request.jobID)
 		request.awaitsCancellation = true
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -170,7 +170,7 @@
 // The leader of other tests depends on the order of a map if two are equal: the days
 // below name the controllers that fail.
 var digestDays = []digestDay{
-	{"crashes", newMixedWorld, func(t *testing.T, w *World) {
+	{name: "crashes", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate = 0.02
 		submitMixedJobs(w, 30)
 		w.sendUnusualRequests(seconds(10), seconds(100))
@@ -180,8 +180,8 @@
 		for i, n := range w.Controllers {
 			w.restartController(n, seconds(85), seconds(4+float64(i)))
 		}
-	}, seconds(110), seconds(60)},
-	{"refused-and-outage", newMixedWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "refused-and-outage", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 24)
 		w.submitLongJobs(8, "core", 60)
 		for i, at := range []float64{25, 68} {
@@ -189,8 +189,8 @@
 			w.After(seconds(at+0.2), func() { w.cancelRunningJobs(5) })
 			w.holds(&w.Store.Unavailable, at+1, 34)
 		}
-	}, seconds(110), seconds(60)},
-	{"late-and-lost-transactions", newMixedWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "late-and-lost-transactions", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.Config.ValueBytes = 1700
 		for _, n := range w.Controllers {
 			n.Start()
@@ -202,8 +202,8 @@
 			w.restartController(w.Controllers[i%3], seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
 			w.After(seconds(24+15*float64(i)), func() { w.cancelRunningJobs(2) })
 		}
-	}, seconds(105), seconds(70)},
-	{"deaf-mute-hanging-machines", newMixedWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(105), calm: seconds(70)},
+	{name: "deaf-mute-hanging-machines", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate = 0.01
 		submitMixedJobs(w, 24)
 		w.submitLongJobs(6, "core", 50)
@@ -224,8 +224,8 @@
 			})
 		}
 		w.restartController(w.Controllers[1], seconds(45), seconds(1))
-	}, seconds(110), seconds(60)},
-	{"zone-cut", newMixedWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "zone-cut", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 24)
 		w.submitLongJobs(10, "core", 50)
 		for i := range 2 {
@@ -239,8 +239,8 @@
 			w.After(seconds(at+20), func() { w.cancelRunningJobs(2) })
 		}
 		w.restartController(w.Controllers[0], seconds(30), seconds(0.4))
-	}, seconds(110), seconds(60)},
-	{"cancelled-in-outage", func(t *testing.T, seed uint64) *World {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "cancelled-in-outage", world: func(t *testing.T, seed uint64) *World {
 		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
 		w.CloudOutOfCapacity = true
 		w.Config.IdleTimeoutFactor = 100
@@ -251,7 +251,7 @@
 			w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
 		}
 		return w
-	}, func(t *testing.T, w *World) {
+	}, play: func(t *testing.T, w *World) {
 		w.CancelAtEndRate = 0.5
 		var ids []protocol.JobID
 		for i := range 9 {
@@ -283,8 +283,8 @@
 				w.SendUserRequestTo(n, protocol.RequestSubmit, id, protocol.Encode(w.Jobs[id]), func(int, protocol.JobState) {})
 			}
 		})
-	}, seconds(90), seconds(80)},
-	{"gangs-arrays-services-limits", func(t *testing.T, seed uint64) *World {
+	}, busy: seconds(90), calm: seconds(80)},
+	{name: "gangs-arrays-services-limits", world: func(t *testing.T, seed uint64) *World {
 		flavors := append(slices.Clone(testMachineTypes), testMachineTypes[0])
 		flavors[2].Name, flavors[2].Accelerators = "gpu", 2
 		w := NewWorld(seed, 3, flavors, testTeams())
@@ -295,7 +295,7 @@
 		w.Config.Objectives = map[string]coordination.Objectives{"l": {StartWithin: []time.Duration{seconds(5), seconds(20)}, FinishWithin: []time.Duration{seconds(60)}, DeadlineFactors: []float64{1, 2}}}
 		w.limitAllTeams(60)
 		return w
-	}, func(t *testing.T, w *World) {
+	}, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 30)
 		due := 40.0
 		for i := range 18 {
@@ -328,8 +328,8 @@
 		}
 		w.restartController(w.Controllers[2], seconds(50), seconds(2))
 		w.After(seconds(90), func() { w.cancelRunningJobs(6) })
-	}, seconds(110), seconds(60)},
-	{"moves-with-failures", newTransferWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "moves-with-failures", world: newTransferWorld, play: func(t *testing.T, w *World) {
 		w.Config.RebalanceDemandWeight = 0.5
 		for _, n := range w.Controllers {
 			n.Start()
@@ -373,8 +373,8 @@
 				w.controllerOf(r.Target).Pause(10 * time.Second)
 			}
 		})
-	}, seconds(90), seconds(80)},
-	{"moves-late-writes", newTransferWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(90), calm: seconds(80)},
+	{name: "moves-late-writes", world: newTransferWorld, play: func(t *testing.T, w *World) {
 		w.DelayedWriteRate, w.LostWriteReplyRate, w.DuplicateHeartbeatRate = 0.05, 0.1, 0.1
 		submitMixedJobs(w, 30)
 		w.requestRandomTransfers(1500*time.Millisecond, seconds(90))
@@ -382,8 +382,8 @@
 		w.holds(&w.Controllers[0].PeersUnreachable, 20, 15)
 		w.holds(&w.Controllers[1].StoreUnreachable, 40, 12)
 		w.holds(&w.Controllers[2].AgentsUnreachable, 60, 20)
-	}, seconds(90), seconds(80)},
-	{"drains", newTransferWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(90), calm: seconds(80)},
+	{name: "drains", world: newTransferWorld, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 24)
 		w.tellsShares(4)
 		drain := func(at float64, asked int, member protocol.ControllerID, on bool) {
@@ -404,8 +404,8 @@
 		drain(65, 2, "stall-0", false)
 		drain(80, 2, "stall-1", false)
 		w.restartController(w.Controllers[2], seconds(85), seconds(6))
-	}, seconds(100), seconds(60)},
-	{"upgrade-with-announced-limits", newUpgradeWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(100), calm: seconds(60)},
+	{name: "upgrade-with-announced-limits", world: newUpgradeWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate, w.DuplicateHeartbeatRate = 0.01, 0.1
 		submitMixedJobs(w, 30)
 		w.After(seconds(2), func() { w.Submit(newArray("j-700000", "l", "standard", 600, 1, 5)) })
@@ -426,8 +426,8 @@
 		w.holds(&w.Store.Unavailable, 60, 7)
 		w.restartController(w.Controllers[0], seconds(69), seconds(0.3))
 		w.After(seconds(75), func() { w.cancelRunningJobs(3) })
-	}, seconds(110), seconds(50)},
-	{"upgrade-and-moves", newTransferWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(110), calm: seconds(50)},
+	{name: "upgrade-and-moves", world: newTransferWorld, play: func(t *testing.T, w *World) {
 		w.Config.AnnouncedLimits = &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
 		for _, n := range w.Controllers {
 			n.RunsProductionVersion = true
@@ -440,8 +440,8 @@
 			n.Upgrade(seconds(20+10*float64(i)), seconds(2))
 		}
 		w.After(seconds(60), func() { w.Store.MaxValueBytes, w.Store.MaxOperations = 2048, 6 })
-	}, seconds(100), seconds(70)},
-	{"lost-machines-late-copies", newMixedWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(100), calm: seconds(70)},
+	{name: "lost-machines-late-copies", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate, w.DuplicateHeartbeatRate = 0.01, 0.4
 		submitMixedJobs(w, 30)
 		w.After(seconds(6), func() { w.Submit(newService("j-800000", 4)) })
@@ -462,10 +462,10 @@
 		for i := range 6 {
 			w.restartController(w.Controllers[i%3], seconds(24+13*float64(i)), seconds(0.1+0.7*float64(i)))
 		}
-	}, seconds(110), seconds(60)},
-	{"spot-prices", func(t *testing.T, seed uint64) *World {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "spot-prices", world: func(t *testing.T, seed uint64) *World {
 		return NewWorld(seed, 3, slices.Clone(testMachineTypes), testTeams())
-	}, func(t *testing.T, w *World) {
+	}, play: func(t *testing.T, w *World) {
 		for i := range 16 {
 			d := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 8, 4, 10)
 			d.AllowSpot, d.CheckpointIntervalSeconds, d.CheckpointSaveSeconds = true, 5, 1
@@ -489,8 +489,8 @@
 		})
 		w.holds(&w.CloudUnreachable, 70, 15)
 		w.restartController(w.Controllers[1], seconds(60), seconds(2))
-	}, seconds(120), seconds(60)},
-	{"alone-and-frozen", newMixedWorld, func(t *testing.T, w *World) {
+	}, busy: seconds(120), calm: seconds(60)},
+	{name: "alone-and-frozen", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.DuplicateHeartbeatRate = 0.1
 		submitMixedJobs(w, 24)
 		w.submitLongJobs(8, "tight", 30)
@@ -503,15 +503,15 @@
 			w.After(seconds(at+8), func() { o.Pause(seconds([]float64{4, 9, 22}[i])) })
 			w.After(seconds(at+2), func() { w.cancelRunningJobs(3) })
 		}
-	}, seconds(110), seconds(60)},
-	{"large-fleet", func(t *testing.T, seed uint64) *World {
+	}, busy: seconds(110), calm: seconds(60)},
+	{name: "large-fleet", world: func(t *testing.T, seed uint64) *World {
 		w := newBusyLargeWorld(1000)
 		w.Rand = rand.New(rand.NewPCG(seed, 11))
 		return w
-	}, func(t *testing.T, w *World) {
+	}, play: func(t *testing.T, w *World) {
 		w.After(seconds(20), func() { w.Controllers[0].AgentsUnreachable = true })
 		w.After(seconds(25), func() { w.cancelRunningJobs(4) })
-	}, seconds(40), seconds(10)},
+	}, busy: seconds(40), calm: seconds(10)},
 }
 
 // TestEffectDigest prints a line for each day and seed: a digest of everything that leaves
--- a/internal/simulation/fault_combinations_more_test.go
+++ b/internal/simulation/fault_combinations_more_test.go
@@ -129,7 +129,7 @@
 // The meetings that TestFaultCombinations does not have: those that the users' page listed later.
 func TestMoreFaultCombinations(t *testing.T) {
 	for _, m := range []faultCombination{
-		{2, "jobs are cancelled in the seconds in which one controller's work changes hands", func(w *World) {
+		{number: 2, name: "jobs are cancelled in the seconds in which one controller's work changes hands", inject: func(w *World) {
 			w.submitLongJobs(10, "core", 50)
 			for i := range 5 {
 				w.After(seconds(18+17*float64(i)), func() { w.restartBusiestController(seconds([]float64{0.3, 6}[i%2])) })
@@ -138,7 +138,7 @@
 				}
 			}
 		}},
-		{6, "every team is at its limit, jobs are cancelled whose machines are cut off or hang, and the leader changes", func(w *World) {
+		{number: 6, name: "every team is at its limit, jobs are cancelled whose machines are cut off or hang, and the leader changes", inject: func(w *World) {
 			w.limitAllTeams(30)
 			w.submitLongJobs(10, "core", 30)
 			for i := range 10 {
@@ -159,7 +159,7 @@
 				})
 			}
 		}},
-		{7, "a transaction is carried out at once and only its answer is lost, while others read what it wrote", func(w *World) {
+		{number: 7, name: "a transaction is carried out at once and only its answer is lost, while others read what it wrote", inject: func(w *World) {
 			w.LostWriteReplyRate = 0.35
 			w.Every(500*time.Millisecond, func() {
 				ids := slices.Sorted(maps.Keys(w.Jobs))
@@ -175,7 +175,7 @@
 				w.After(seconds(20+10*float64(i)), func() { w.cancelRunningJobs(2) })
 			}
 		}},
-		{9, "an old report reaches every controller just as a new leader begins", func(w *World) {
+		{number: 9, name: "an old report reaches every controller just as a new leader begins", inject: func(w *World) {
 			w.submitLongJobs(8, "core", 50)
 			for i := range 6 {
 				end := 18 + 14*float64(i)
@@ -199,7 +199,7 @@
 				w.After(seconds(end-0.5), func() { w.cancelRunningJobs(1) })
 			}
 		}},
-		{12, "new machines are up within two seconds and get work at once while writes lag, and the leader ends", func(w *World) {
+		{number: 12, name: "new machines are up within two seconds and get work at once while writes lag, and the leader ends", inject: func(w *World) {
 			for i := range 6 {
 				w.After(seconds(15+15*float64(i)), func() {
 					w.MaxStoreDelay = seconds(1.2)
@@ -213,7 +213,7 @@
 				})
 			}
 		}},
-		{15, "users ask at all controllers within milliseconds, right after acceptance, end and confirmed cancellation", func(w *World) {
+		{number: 15, name: "users ask at all controllers within milliseconds, right after acceptance, end and confirmed cancellation", inject: func(w *World) {
 			w.OnJobEnd = w.queryRepeatedly
 			for i := range 50 {
 				job := newArray(protocol.JobID(fmt.Sprintf("j-4%03d", i)), "close", "high", 1+i%3, 1, 1)
@@ -223,7 +223,7 @@
 				w.After(seconds(25+20*float64(i)), func() { w.restartBusiestController(seconds([]float64{0.3, 5}[i%2])) })
 			}
 		}},
-		{16, "one-task jobs come four a second for minutes, a quarter of them cancelled", func(w *World) {
+		{number: 16, name: "one-task jobs come four a second for minutes, a quarter of them cancelled", inject: func(w *World) {
 			for i := range 400 {
 				job := newArray(protocol.JobID(fmt.Sprintf("j-3%03d", i)), "one", "standard", 1, 1, 1)
 				w.After(seconds(4+0.25*float64(i)), func() { w.Submit(job) })
@@ -233,7 +233,7 @@
 			}
 			w.After(seconds(50), func() { w.restartBusiestController(seconds(0.3)) })
 		}},
-		{19, "a command of a leader that has ended or been deposed arrives after the new leader's", func(w *World) {
+		{number: 19, name: "a command of a leader that has ended or been deposed arrives after the new leader's", inject: func(w *World) {
 			w.DelayedCommandRate = 0.7
 			w.submitLongJobs(10, "core", 50)
 			for i := range 6 {
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -72,7 +72,7 @@
 		})
 	}
 	for _, m := range []faultCombination{
-		{1, "jobs are called off as the leader is refused, and a second later all are", func(w *World) {
+		{number: 1, name: "jobs are called off as the leader is refused, and a second later all are", inject: func(w *World) {
 			w.submitLongJobs(8, "core", 60)
 			for _, at := range []float64{25, 68} {
 				refuseByStore(w, at, 14)
@@ -80,7 +80,7 @@
 				outage(w, at+1, 34)
 			}
 		}},
-		{3, "a cancellation, a question or a repeated submission meets the end of the last task", func(w *World) {
+		{number: 3, name: "a cancellation, a question or a repeated submission meets the end of the last task", inject: func(w *World) {
 			w.CancelAtEndRate = 0.5
 			w.After(seconds(100), func() { w.CancelAtEndRate = 0 })
 			w.OnJobEnd = func(id protocol.JobID) {
@@ -90,7 +90,7 @@
 				}
 			}
 		}},
-		{4, "workers reach no controller, while direct commands reach them", func(w *World) {
+		{number: 4, name: "workers reach no controller, while direct commands reach them", inject: func(w *World) {
 			w.submitLongJobs(4, "core", 60)
 			for i := range 4 {
 				w.After(seconds(20+18*float64(i)), func() {
@@ -102,7 +102,7 @@
 				})
 			}
 		}},
-		{17, "old reports arrive after newer ones, of earlier sessions and attempts too", func(w *World) {
+		{number: 17, name: "old reports arrive after newer ones, of earlier sessions and attempts too", inject: func(w *World) {
 			w.DuplicateHeartbeatRate = 0.6
 			for i := range 12 {
 				w.After(seconds(16+6*float64(i)), func() {
@@ -113,7 +113,7 @@
 			}
 			w.restartController(w.Controllers[1], seconds(50), seconds(0.3))
 		}},
-		{10, "jobs bound to one zone, arrays too, lose machines", func(w *World) {
+		{number: 10, name: "jobs bound to one zone, arrays too, lose machines", inject: func(w *World) {
 			for i := range 8 {
 				job := newArray(protocol.JobID(fmt.Sprintf("j-7%03d", i)), "bound", "standard", 6, 2, 20)
 				job.SingleZone = true
@@ -139,7 +139,7 @@
 			}
 			w.restartController(w.Controllers[0], seconds(40), seconds(2))
 		}},
-		{13, "leaders change ten times in two minutes, also inside an outage", func(w *World) {
+		{number: 13, name: "leaders change ten times in two minutes, also inside an outage", inject: func(w *World) {
 			w.submitLongJobs(6, "core", 40)
 			for i := range 10 {
 				w.After(seconds(14+9*float64(i)), func() {
@@ -149,7 +149,7 @@
 			outage(w, 40, 16)
 			w.After(seconds(45), func() { w.cancelRunningJobs(3) })
 		}},
-		{23, "commands or their answers are held up for seconds, and the machines go on", func(w *World) {
+		{number: 23, name: "commands or their answers are held up for seconds, and the machines go on", inject: func(w *World) {
 			w.MessageLossRate = 0.08
 			w.submitLongJobs(6, "core", 40)
 			for i := range 16 {
@@ -162,7 +162,7 @@
 			}
 			w.restartController(w.Controllers[2], seconds(60), seconds(1))
 		}},
-		{8, "transactions without an answer are carried out late, after newer ones", func(w *World) {
+		{number: 8, name: "transactions without an answer are carried out late, after newer ones", inject: func(w *World) {
 			// Few machines on a page: what is planned anew does not touch the same records.
 			w.Config.ValueBytes, w.DelayedWriteRate = 1700, 0.35
 			for _, controller := range w.Controllers {
@@ -174,7 +174,7 @@
 				w.After(seconds(24+15*float64(i)), func() { w.cancelRunningJobs(2) })
 			}
 		}},
-		{25, "reports are held back until a new leader has acted, and arrive there", func(w *World) {
+		{number: 25, name: "reports are held back until a new leader has acted, and arrive there", inject: func(w *World) {
 			w.submitLongJobs(6, "core", 50)
 			for i := range 6 {
 				w.After(seconds(18+14*float64(i)), func() {
@@ -195,7 +195,7 @@
 				})
 			}
 		}},
-		{18, "the state service is slow, or refuses the leader and then everybody, while users cancel and ask", func(w *World) {
+		{number: 18, name: "the state service is slow, or refuses the leader and then everybody, while users cancel and ask", inject: func(w *World) {
 			w.submitLongJobs(8, "core", 60)
 			w.MaxStoreDelay = seconds(1.2)
 			w.After(seconds(40), func() { w.MaxStoreDelay = 0 })
@@ -205,7 +205,7 @@
 			refuseByStore(w, 45, 12)
 			outage(w, 48, 45)
 		}},
-		{5, "controllers hand over and back, all end, and one returns", func(w *World) {
+		{number: 5, name: "controllers hand over and back, all end, and one returns", inject: func(w *World) {
 			w.submitLongJobs(6, "core", 40)
 			for i, gap := range []float64{0.3, 0.9, 6} {
 				for k, controller := range w.Controllers {
@@ -219,13 +219,13 @@
 				w.After(seconds(20+30*float64(i)+gap+2), func() { w.cancelRunningJobs(2) })
 			}
 		}},
-		{14, "jobs of two or three tasks end far apart across a change of leader", func(w *World) {
+		{number: 14, name: "jobs of two or three tasks end far apart across a change of leader", inject: func(w *World) {
 			w.submitLongJobs(16, "core", 30)
 			for i := range 9 {
 				w.After(seconds(12+10*float64(i)), func() { w.restartBusiestController(seconds([]float64{0.3, 8}[i%2])) })
 			}
 		}},
-		{11, "more work than room, urgent and not, over slow links", func(w *World) {
+		{number: 11, name: "more work than room, urgent and not, over slow links", inject: func(w *World) {
 			w.MaxNetworkDelay, w.CloudOutOfCapacity = seconds(0.15), true
 			w.After(seconds(105), func() { w.MaxNetworkDelay, w.CloudOutOfCapacity = 0, false })
 			for i := range 40 {
@@ -236,7 +236,7 @@
 				w.After(seconds(20+16*float64(i)), func() { w.cancelRunningJobs(2) })
 			}
 		}},
-		{21, "a team is at its limit as the leader changes, some machines can't be asked, and jobs are called off", func(w *World) {
+		{number: 21, name: "a team is at its limit as the leader changes, some machines can't be asked, and jobs are called off", inject: func(w *World) {
 			w.submitLongJobs(14, "tight", 25)
 			for i := range 5 {
 				w.After(seconds(16+16*float64(i)), func() {
@@ -248,7 +248,7 @@
 				})
 			}
 		}},
-		{26, "all controllers are away for longer than lease_s", func(w *World) {
+		{number: 26, name: "all controllers are away for longer than lease_s", inject: func(w *World) {
 			w.submitLongJobs(6, "core", 40)
 			for _, at := range []float64{20, 70} {
 				w.After(seconds(at-0.2), func() { w.cancelRunningJobs(3) })
@@ -257,7 +257,7 @@
 				}
 			}
 		}},
-		{24, "a leader ends while machines with long tasks can't be reached or don't hear the new one", func(w *World) {
+		{number: 24, name: "a leader ends while machines with long tasks can't be reached or don't hear the new one", inject: func(w *World) {
 			w.submitLongJobs(10, "core", 60)
 			for i := range 5 {
 				w.After(seconds(16+17*float64(i)), func() {
@@ -277,7 +277,7 @@
 				})
 			}
 		}},
-		{20, "a leader loses state service and other controllers, and jobs are called off through the new one", func(w *World) {
+		{number: 20, name: "a leader loses state service and other controllers, and jobs are called off through the new one", inject: func(w *World) {
 			w.submitLongJobs(10, "core", 60)
 			for i := range 2 {
 				w.After(seconds(20+45*float64(i)), func() {
@@ -290,7 +290,7 @@
 				})
 			}
 		}},
-		{22, "a zone with workers and a controller is cut off for longer than lease_s", func(w *World) {
+		{number: 22, name: "a zone with workers and a controller is cut off for longer than lease_s", inject: func(w *World) {
 			w.submitLongJobs(10, "core", 50)
 			for i := range 2 {
 				controller := w.Controllers[2-i]
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -128,7 +128,7 @@
 			h.recordViolation(revision, "the token of machine %s falls from %d to %d", id, last.Epoch, current.Epoch)
 		}
 		h.lastOwners[id] = storage.ShardSummary{Owner: current.Owner, Epoch: current.Epoch}
-		epoch := machineEpoch{id, current.Epoch}
+		epoch := machineEpoch{machine: id, epoch: current.Epoch}
 		if other, known := h.ownersByEpoch[epoch]; known && other != current.Owner {
 			h.recordViolation(revision, "machine %s has two owners in epoch %d: %s, %s", id, current.Epoch, other, current.Owner)
 		}
@@ -139,7 +139,7 @@
 // CheckCommand checks that who commands a machine under a token has owned it in that epoch.
 func (h *HistoryChecker) CheckCommand(id protocol.MachineID, token protocol.FencingToken, controller protocol.ControllerID) {
 	epoch := storage.ShardEpochOf(token)
-	if owner := h.ownersByEpoch[machineEpoch{id, epoch}]; owner.Controller() != controller {
+	if owner := h.ownersByEpoch[machineEpoch{machine: id, epoch: epoch}]; owner.Controller() != controller {
 		h.OnViolation(fmt.Sprintf("machine %s takes commands of %s in epoch %d, which is %q's", id, controller, epoch, owner))
 	}
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -131,7 +131,7 @@
 func (m *Machine) recordLingeringTasks() {
 	for t, execution := range m.tasks {
 		if execution.state != protocol.TaskPullingImage && execution.state != protocol.TaskExited {
-			m.world.Rules.lingering[t] = location{m.ID, m.Zone}
+			m.world.Rules.lingering[t] = location{machine: m.ID, zone: m.Zone}
 		}
 	}
 }
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -74,7 +74,7 @@
 // RecordCommand notes whose answer a worker has taken under a token: nobody else's may come
 // under the same epoch.
 func (r *RuleChecker) RecordCommand(m protocol.MachineID, token protocol.FencingToken, controller string) {
-	epoch := machineEpoch{m, storage.ShardEpochOf(token)}
+	epoch := machineEpoch{machine: m, epoch: storage.ShardEpochOf(token)}
 	if other, ok := r.commanders[epoch]; ok && other != controller {
 		r.recordViolation("two_commanders", "%s takes commands of %s and of %s in epoch %d", m, other, controller, epoch.epoch)
 	}
@@ -141,7 +141,7 @@
 		r.recordViolation("ran_twice", "%s on %s while on %s", t, m, r.locations[t].machine)
 	}
 	r.runCounts[t]++
-	r.locations[t] = location{m, z}
+	r.locations[t] = location{machine: m, zone: z}
 	if observed.spec == nil {
 		r.recordViolation("wrong_place", "%s was never submitted", t)
 		return
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -139,7 +139,7 @@
 	for _, operation := range transaction.Operations {
 		change := protocol.Event{PutKey: operation.PutKey, DeleteKey: operation.DeleteKey, Value: operation.Value, ModRevision: protocol.ModRevision(s.revision)}
 		if operation.PutKey != "" {
-			s.entries[operation.PutKey] = storedEntry{operation.Value, protocol.ModRevision(s.revision), operation.Lease}
+			s.entries[operation.PutKey] = storedEntry{data: operation.Value, modRevision: protocol.ModRevision(s.revision), lease: operation.Lease}
 		} else {
 			delete(s.entries, operation.DeleteKey)
 		}
--- a/internal/simulation/transfers_random_test.go
+++ b/internal/simulation/transfers_random_test.go
@@ -153,7 +153,7 @@
 		failures []fault
 	}{
 		{"a page without machines is moved, and deleted in the same write", 0x219, []fault{
-			{agentsUnreachable, 0, 35280 * time.Millisecond, 9 * time.Second}, {delayedWrites, 1, 14736 * time.Millisecond, 150 * time.Millisecond}}},
+			{kind: agentsUnreachable, controller: 0, at: 35280 * time.Millisecond, duration: 9 * time.Second}, {kind: delayedWrites, controller: 1, at: 14736 * time.Millisecond, duration: 150 * time.Millisecond}}},
 	} {
 		if problems := runFaults(c.seed, c.failures); len(problems) > 0 {
 			t.Errorf("%s: %s", c.found, strings.Join(problems, "\n"))
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -143,7 +143,7 @@
 // After plans something.
 func (w *World) After(delay time.Duration, action func()) {
 	w.seq++
-	heap.Push(&w.queue, scheduledEvent{w.Now + delay, w.seq, action})
+	heap.Push(&w.queue, scheduledEvent{at: w.Now + delay, seq: w.seq, action: action})
 }
 
 // Every repeats something.
@@ -527,7 +527,7 @@
 		for _, t := range m.sortedTasks() {
 			execution := m.tasks[t]
 			if t.Job == id && execution.attempt == attempt && (execution.state != protocol.TaskExited || execution.reason == protocol.ReasonDone) && !m.Terminated {
-				out = append(out, gangMember{m, t, execution})
+				out = append(out, gangMember{machine: m, task: t, execution: execution})
 			}
 		}
 	}
@@ -570,7 +570,7 @@
 			if m.Partitioned || m.HeartbeatsLost || m.CommandsLost || controller.AgentsUnreachable || w.isPartitioned(controller, m) || w.Rand.Float64() < w.MessageLossRate {
 				return
 			}
-			response := heartbeatReply{status, b, controller.processName()}
+			response := heartbeatReply{status: status, body: b, sender: controller.processName()}
 			w.After(w.messageDelay(), func() { reply(response) })
 		})
 	})
