--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -6,10 +6,11 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/admin"
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -31,8 +32,8 @@
 
 // callCore hands the core a request of an operator, made for the number that it gets, and
 // waits for the answer.
-func (d *daemon) callCore(ctx context.Context, request func(coordination.RequestID) coordination.Input) (coordination.Effect, error) {
-	reply := make(chan coordination.Effect, 1)
+func (d *daemon) callCore(ctx context.Context, request func(step.RequestID) step.Input) (step.Effect, error) {
+	reply := make(chan step.Effect, 1)
 	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{makeInput: request, reply: reply}}) {
 		return nil, &admin.RequestError{Reason: "the controller is overloaded", Retryable: true}
 	}
@@ -45,7 +46,7 @@
 }
 
 // callCoreFor asks the core and wants an answer of a type.
-func callCoreFor[Reply coordination.Effect](ctx context.Context, d *daemon, request func(coordination.RequestID) coordination.Input) (reply Reply, err error) {
+func callCoreFor[Reply step.Effect](ctx context.Context, d *daemon, request func(step.RequestID) step.Input) (reply Reply, err error) {
 	effect, err := d.callCore(ctx, request)
 	if err != nil {
 		return reply, err
@@ -59,7 +60,7 @@
 
 // GetShardingStatus tells who owns which machines.
 func (b adminBackend) GetShardingStatus(ctx context.Context, _ *admin.ShardingStatusRequest) (*admin.ShardingStatus, error) {
-	reply, err := callCoreFor[coordination.ShardingStatusReply](ctx, b.daemon, func(id coordination.RequestID) coordination.Input { return coordination.ShardingStatusRequest{Req: id} })
+	reply, err := callCoreFor[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input { return requests.ShardingStatusRequest{Req: id} })
 	if err != nil {
 		return nil, err
 	}
@@ -68,13 +69,13 @@
 
 // StartTransfer has a move put on record.
 func (b adminBackend) StartTransfer(ctx context.Context, r *admin.TransferRequest) (*admin.Transfer, error) {
-	return b.requestTransfer(ctx, coordination.TransferRequest{Name: r.Name, Shard: storage.ShardID(r.Shard), Source: protocol.ControllerID(r.Source), Target: protocol.ControllerID(r.Target)})
+	return b.requestTransfer(ctx, requests.TransferRequest{Name: r.Name, Shard: storage.ShardID(r.Shard), Source: protocol.ControllerID(r.Source), Target: protocol.ControllerID(r.Target)})
 }
 
 // SetDraining has a controller's drain put on record, or its end.
 func (b adminBackend) SetDraining(ctx context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
-	reply, err := callCoreFor[coordination.DrainReply](ctx, b.daemon, func(id coordination.RequestID) coordination.Input {
-		return coordination.DrainRequest{Req: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
+	reply, err := callCoreFor[requests.DrainReply](ctx, b.daemon, func(id step.RequestID) step.Input {
+		return requests.DrainRequest{Req: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
 	})
 	if err != nil {
 		return nil, err
@@ -88,7 +89,7 @@
 
 // toRequestError is why the core refused a request, as tools are told.
 func toRequestError(err error) error {
-	var requestErr *coordination.RequestError
+	var requestErr *requests.RequestError
 	if errors.As(err, &requestErr) {
 		return &admin.RequestError{Reason: requestErr.Reason, Retryable: requestErr.Transient}
 	}
@@ -97,11 +98,11 @@
 
 // AbortTransfer has the end of a move put on record.
 func (b adminBackend) AbortTransfer(ctx context.Context, r *admin.AbortTransferRequest) (*admin.Transfer, error) {
-	return b.requestTransfer(ctx, coordination.TransferRequest{Name: r.Name, Abort: true})
+	return b.requestTransfer(ctx, requests.TransferRequest{Name: r.Name, Abort: true})
 }
 
-func (b adminBackend) requestTransfer(ctx context.Context, request coordination.TransferRequest) (*admin.Transfer, error) {
-	reply, err := callCoreFor[coordination.TransferReply](ctx, b.daemon, func(id coordination.RequestID) coordination.Input {
+func (b adminBackend) requestTransfer(ctx context.Context, request requests.TransferRequest) (*admin.Transfer, error) {
+	reply, err := callCoreFor[requests.TransferReply](ctx, b.daemon, func(id step.RequestID) step.Input {
 		request.Req = id
 		return request
 	})
@@ -115,7 +116,7 @@
 	return &transfer, nil
 }
 
-func shardingStatusMessage(r *coordination.ShardingStatusReply) *admin.ShardingStatus {
+func shardingStatusMessage(r *requests.ShardingStatusReply) *admin.ShardingStatus {
 	status := &admin.ShardingStatus{Revision: uint64(r.Revision), Stale: r.Stale}
 	for _, c := range r.Controllers {
 		status.Controllers = append(status.Controllers, controllerMessage(&c))
@@ -132,7 +133,7 @@
 	return status
 }
 
-func controllerMessage(c *coordination.ControllerStatus) admin.Controller {
+func controllerMessage(c *requests.ControllerStatus) admin.Controller {
 	return admin.Controller{ID: string(c.ID), Incarnation: string(c.Incarnation), Shards: c.Shards, Machines: c.Machines, SupportsTransfers: c.RecordsTransfers, Draining: c.Draining}
 }
 
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -9,6 +9,8 @@
 	"runtime/debug"
 	"sync"
 	"sync/atomic"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -31,7 +33,7 @@
 
 // queuedInput is an input with the request it came from, if any.
 type queuedInput struct {
-	input        coordination.Input
+	input        step.Input
 	exchange     *transport.Exchange
 	adminRequest *adminRequest
 }
@@ -39,8 +41,8 @@
 // adminRequest is a request of an operator's tool: the input is made once it has its
 // number, and the answer is sent to who waits for it.
 type adminRequest struct {
-	makeInput func(coordination.RequestID) coordination.Input
-	reply     chan<- coordination.Effect
+	makeInput func(step.RequestID) step.Input
+	reply     chan<- step.Effect
 }
 
 // daemon ties the core to the world: it feeds the core inputs one at a time
@@ -58,9 +60,9 @@
 		clients map[string]*transport.Client
 	}
 	startedAt            time.Time
-	pendingExchanges     map[coordination.RequestID]*transport.Exchange
-	pendingAdminRequests map[coordination.RequestID]chan<- coordination.Effect // operators' tools that wait
-	lastRequestID        coordination.RequestID
+	pendingExchanges     map[step.RequestID]*transport.Exchange
+	pendingAdminRequests map[step.RequestID]chan<- step.Effect // operators' tools that wait
+	lastRequestID        step.RequestID
 	healthy              atomic.Bool
 	lastStepNanos        atomic.Int64 // unix nanoseconds of the last step
 }
@@ -75,7 +77,7 @@
 	perController := func(rps float64) *rate.Limiter {
 		return rate.NewLimiter(rate.Limit(rps/controllers), max(int(rps/controllers), 2))
 	}
-	d := &daemon{settings: s, inputs: make(chan queuedInput, max(minQueueLength, s.maxSockets)), startedAt: time.Now(), pendingExchanges: map[coordination.RequestID]*transport.Exchange{}, pendingAdminRequests: map[coordination.RequestID]chan<- coordination.Effect{}}
+	d := &daemon{settings: s, inputs: make(chan queuedInput, max(minQueueLength, s.maxSockets)), startedAt: time.Now(), pendingExchanges: map[step.RequestID]*transport.Exchange{}, pendingAdminRequests: map[step.RequestID]chan<- step.Effect{}}
 	d.agents.clients = map[string]*transport.Client{}
 	storeLimiter := perController(s.storeRPS)
 	d.store = &storage.Client{
@@ -94,12 +96,12 @@
 	d.server = transport.NewServer(transport.ServerConfig{Addr: s.listen, PeerAddr: s.peerListen,
 		MaxConns: max(s.maxSockets-s.maxSockets/8-24, 8), IdleTimeout: 120 * time.Second, ReadTimeout: 10 * time.Second}, d.handleRequest)
 	d.server.PeerHandler = func(frame []byte) {
-		var status coordination.PeerStatusWire
+		var status step.PeerStatusWire
 		if err := transport.DecodeFrame(frame, &status); err != nil {
 			slog.Error("malformed peer status", "error", err)
 			return
 		}
-		d.tryEnqueue(queuedInput{input: coordination.PeerStatusInput{Status: status.Status()}})
+		d.tryEnqueue(queuedInput{input: step.PeerStatusInput{Status: status.Status()}})
 	}
 	failed := make(chan error, 1)
 	go func() { failed <- d.server.Run() }()
@@ -111,9 +113,9 @@
 	return fmt.Errorf("listen %s: %w", s.listen, <-failed)
 }
 
-func (d *daemon) now() coordination.Now {
+func (d *daemon) now() step.Now {
 	t := time.Now()
-	return coordination.Now{Monotonic: protocol.Instant(t.Sub(d.startedAt)) + 1, Wall: protocol.Millis(t.UnixMilli())}
+	return step.Now{Monotonic: protocol.Instant(t.Sub(d.startedAt)) + 1, Wall: protocol.Millis(t.UnixMilli())}
 }
 
 // tryEnqueue queues an input unless the queue is full.
@@ -127,7 +129,7 @@
 }
 
 // enqueue queues an input that must not be lost.
-func (d *daemon) enqueue(in coordination.Input) { d.inputs <- queuedInput{input: in} }
+func (d *daemon) enqueue(in step.Input) { d.inputs <- queuedInput{input: in} }
 
 // handleRequest routes one HTTP request. It runs in the server's loop.
 func (d *daemon) handleRequest(exchange *transport.Exchange) {
@@ -145,7 +147,7 @@
 	case protocol.PathHeartbeat:
 		if httpRequest.Method != "POST" {
 			d.replyError(exchange, 405, "method not allowed")
-		} else if !d.tryEnqueue(queuedInput{input: coordination.HeartbeatInput{Body: httpRequest.Body}, exchange: exchange}) {
+		} else if !d.tryEnqueue(queuedInput{input: step.HeartbeatInput{Body: httpRequest.Body}, exchange: exchange}) {
 			d.replyError(exchange, 503, "overloaded")
 		}
 		return
@@ -156,7 +158,7 @@
 		d.replyError(exchange, 404, "no such path")
 	case !methodAllowed:
 		d.replyError(exchange, 405, "method not allowed")
-	case !d.tryEnqueue(queuedInput{input: coordination.UserInput{Type: requestType, Job: jobID, Body: httpRequest.Body}, exchange: exchange}):
+	case !d.tryEnqueue(queuedInput{input: step.UserInput{Type: requestType, Job: jobID, Body: httpRequest.Body}, exchange: exchange}):
 		d.server.Reply(exchange, 503, 2, []byte(`{"error":"overloaded"}`))
 	}
 }
@@ -172,16 +174,16 @@
 		select {
 		case queued = <-d.inputs:
 		case <-ticker.C:
-			queued = queuedInput{input: coordination.Tick{}}
+			queued = queuedInput{input: step.Tick{}}
 		}
 		if queued.exchange != nil {
 			d.lastRequestID++
 			d.pendingExchanges[d.lastRequestID] = queued.exchange
 			switch v := queued.input.(type) {
-			case coordination.UserInput:
+			case step.UserInput:
 				v.RequestID = d.lastRequestID
 				queued.input = v
-			case coordination.HeartbeatInput:
+			case step.HeartbeatInput:
 				v.RequestID = d.lastRequestID
 				queued.input = v
 			}
@@ -199,22 +201,22 @@
 	}
 }
 
-func (d *daemon) executeEffect(effect coordination.Effect) {
+func (d *daemon) executeEffect(effect step.Effect) {
 	switch v := effect.(type) {
-	case coordination.Reply:
+	case step.Reply:
 		if exchange := d.pendingExchanges[v.RequestID]; exchange != nil {
 			delete(d.pendingExchanges, v.RequestID)
 			d.server.Reply(exchange, v.Status, v.RetryAfterSeconds, v.Body)
 		}
-	case coordination.TransferReply:
+	case requests.TransferReply:
 		d.replyToAdmin(v.Req, v)
-	case coordination.DrainReply:
+	case requests.DrainReply:
 		d.replyToAdmin(v.Req, v)
-	case coordination.ShardingStatusReply:
+	case requests.ShardingStatusReply:
 		d.replyToAdmin(v.Req, v)
-	case coordination.Log:
+	case step.Log:
 		slog.Log(context.Background(), v.Level, v.Message, v.Args...)
-	case coordination.SendPeerStatus:
+	case step.SendPeerStatus:
 		wire := v.Status.Wire()
 		for _, peer := range d.peers {
 			if err := peer.Send(wire); err != nil {
@@ -227,7 +229,7 @@
 }
 
 // replyToAdmin sends an answer to the tool that waits for it, which may have gone.
-func (d *daemon) replyToAdmin(id coordination.RequestID, effect coordination.Effect) {
+func (d *daemon) replyToAdmin(id step.RequestID, effect step.Effect) {
 	if reply := d.pendingAdminRequests[id]; reply != nil {
 		delete(d.pendingAdminRequests, id)
 		reply <- effect // it has room for the one answer
@@ -235,47 +237,47 @@
 }
 
 // executeCall carries out an effect that waits for an answer.
-func (d *daemon) executeCall(effect coordination.Effect) {
+func (d *daemon) executeCall(effect step.Effect) {
 	switch v := effect.(type) {
-	case coordination.Commit:
+	case step.Commit:
 		outcome, result, err := d.store.Commit(v.Transaction)
-		d.enqueue(coordination.CommitResult{ID: v.ID, Outcome: outcome, Result: result, Err: err})
-	case coordination.LoadRecords:
+		d.enqueue(step.CommitResult{ID: v.ID, Outcome: outcome, Result: result, Err: err})
+	case step.LoadRecords:
 		entries, from, until, err := d.store.LoadRecords()
-		d.enqueue(coordination.LoadRecordsResult{Entries: entries, StartRevision: from, EndRevision: until, Err: err})
-	case coordination.Watch:
+		d.enqueue(step.LoadRecordsResult{Entries: entries, StartRevision: from, EndRevision: until, Err: err})
+	case step.Watch:
 		f, err := d.store.Watch(v.AfterRevision, watchTimeout)
-		d.enqueue(coordination.WatchResult{AfterRevision: v.AfterRevision, Response: f, Err: err})
-	case coordination.ReadRevision:
+		d.enqueue(step.WatchResult{AfterRevision: v.AfterRevision, Response: f, Err: err})
+	case step.ReadRevision:
 		revision, err := d.store.Revision()
-		d.enqueue(coordination.ReadRevisionResult{Revision: revision, Err: err})
-	case coordination.GrantLease:
+		d.enqueue(step.ReadRevisionResult{Revision: revision, Err: err})
+	case step.GrantLease:
 		lease, err := d.store.GrantLease(v.TTL)
-		d.enqueue(coordination.GrantLeaseResult{LeaseID: lease, Err: err})
-	case coordination.RenewLease:
-		d.enqueue(coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: d.store.RenewLease(v.LeaseID)})
-	case coordination.ListMachineTypes:
+		d.enqueue(step.GrantLeaseResult{LeaseID: lease, Err: err})
+	case step.RenewLease:
+		d.enqueue(step.RenewLeaseResult{LeaseID: v.LeaseID, Err: d.store.RenewLease(v.LeaseID)})
+	case step.ListMachineTypes:
 		var f []protocol.MachineType
 		body, err := d.callCloud("GET", protocol.PathMachineTypes, nil)
 		if err == nil {
 			f, err = protocol.ParseMachineTypes(body)
 		}
-		d.enqueue(coordination.ListMachineTypesResult{MachineTypes: f, Err: err})
-	case coordination.ProvisionMachines:
+		d.enqueue(step.ListMachineTypesResult{MachineTypes: f, Err: err})
+	case step.ProvisionMachines:
 		d.enqueue(d.provisionMachines(v.Request))
-	case coordination.TerminateMachines:
+	case step.TerminateMachines:
 		_, err := d.callCloud("POST", protocol.PathTerminate, protocol.MachineList{Machines: v.Machines})
-		d.enqueue(coordination.TerminateMachinesResult{Machines: v.Machines, Err: err})
-	case coordination.ListInstances:
+		d.enqueue(step.TerminateMachinesResult{Machines: v.Machines, Err: err})
+	case step.ListInstances:
 		requestedAt := d.now().Monotonic
 		instances, err := d.listInstances()
-		d.enqueue(coordination.ListInstancesResult{RequestedAt: requestedAt, Instances: instances, Err: err})
-	case coordination.ProbeAgent:
+		d.enqueue(step.ListInstancesResult{RequestedAt: requestedAt, Instances: instances, Err: err})
+	case step.ProbeAgent:
 		heartbeat, err := d.callAgent("GET", protocol.PathAgentStatus, v.Addr, nil)
-		d.enqueue(coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err})
-	case coordination.SendCommands:
+		d.enqueue(step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err})
+	case step.SendCommands:
 		heartbeat, err := d.callAgent("POST", protocol.PathAgentCommands, v.Addr, v.Commands.Encode())
-		d.enqueue(coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err})
+		d.enqueue(step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err})
 	default:
 		slog.Error("unhandled effect", "type", fmt.Sprintf("%T", effect))
 	}
@@ -297,8 +299,8 @@
 	return response.Body, nil
 }
 
-func (d *daemon) provisionMachines(request protocol.ProvisionRequest) coordination.ProvisionMachinesResult {
-	result := coordination.ProvisionMachinesResult{Request: request}
+func (d *daemon) provisionMachines(request protocol.ProvisionRequest) step.ProvisionMachinesResult {
+	result := step.ProvisionMachinesResult{Request: request}
 	response, err := d.cloud.Call("POST", protocol.PathInstances, protocol.Encode(request), cloudTimeout)
 	if err != nil {
 		result.Err = err
--- a/cmd/tillerarch/settings.go
+++ b/cmd/tillerarch/settings.go
@@ -8,12 +8,12 @@
 	"os"
 	"sort"
 	"strconv"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"github.com/BurntSushi/toml"
 	"github.com/magiconair/properties"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 )
 
@@ -76,7 +76,7 @@
 type settings struct {
 	listen, peerListen, cloudAddr, storeAddr string
 	peerAddrs                                []string
-	core                                     coordination.Config
+	core                                     step.Config
 	storeRPS, cloudRPS                       float64
 	memoryMB                                 float64
 	maxSockets                               int
@@ -94,7 +94,7 @@
 	if err := validatePlatform(&p); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	operator := operatorSettings{Tuning: coordination.DefaultTuning()}
+	operator := operatorSettings{Tuning: step.DefaultTuning()}
 	if propertiesFile != "" {
 		if err := loadProperties(propertiesFile, &operator); err != nil {
 			return nil, fmt.Errorf("%s: %w", propertiesFile, err)
@@ -105,8 +105,8 @@
 	hash.Write([]byte(p.ControllerID))
 	agents := p.Params.Workers
 	controllers := float64(len(p.Peers) + 1)
-	s.core = coordination.Config{
-		ControllerID: protocol.ControllerID(p.ControllerID), Quotas: map[string]coordination.Quota{},
+	s.core = step.Config{
+		ControllerID: protocol.ControllerID(p.ControllerID), Quotas: map[string]step.Quota{},
 		HeartbeatInterval: protocol.Seconds(agents.ReportS), AgentLeaseTTL: protocol.Seconds(agents.LeaseS),
 		GangPeerTimeout: protocol.Seconds(agents.GangPeerS), CancelTimeout: protocol.Seconds(agents.CancelS),
 		PeerCount: len(p.Peers), WritesPerSecond: p.Params.State.WriteRPS, TransactionOps: p.Params.State.TxnOps, ValueBytes: int(p.Params.State.ValueKB * 1024),
@@ -118,7 +118,7 @@
 		s.core.PeerIDs = append(s.core.PeerIDs, protocol.ControllerID(m.Member))
 	}
 	s.core.AnnouncedLimits = p.announcedLimits()
-	s.core.Objectives = map[string]coordination.Objectives{}
+	s.core.Objectives = map[string]step.Objectives{}
 	for _, objective := range p.Params.Objectives {
 		// What is aimed at only puts jobs in order: a kind that is not known, or an
 		// odd number, is left out.
@@ -137,19 +137,19 @@
 		s.core.Objectives[objective.Class] = objectives
 	}
 	for _, team := range p.Params.Teams {
-		s.core.Quotas[team.Name] = coordination.Quota{GuaranteedCores: team.Cpus, MaxCores: team.CpusMax, GuaranteedAccelerators: team.Gpus, MaxAccelerators: team.GpusMax}
+		s.core.Quotas[team.Name] = step.Quota{GuaranteedCores: team.Cpus, MaxCores: team.CpusMax, GuaranteedAccelerators: team.Gpus, MaxAccelerators: team.GpusMax}
 	}
 	return s, nil
 }
 
-func (p *platformSettings) currentLimits() coordination.WriteLimits {
+func (p *platformSettings) currentLimits() step.WriteLimits {
 	store := p.Params.State
-	return coordination.WriteLimits{WritesPerSecond: store.WriteRPS, TransactionOps: store.TxnOps, ValueBytes: int(store.ValueKB * 1024)}
+	return step.WriteLimits{WritesPerSecond: store.WriteRPS, TransactionOps: store.TxnOps, ValueBytes: int(store.ValueKB * 1024)}
 }
 
 // announcedLimits are the announced limits of the state service; what they leave out stays as
 // it is. nil: none are announced.
-func (p *platformSettings) announcedLimits() *coordination.WriteLimits {
+func (p *platformSettings) announcedLimits() *step.WriteLimits {
 	store := p.Params.State
 	if store.Next == nil {
 		return nil
@@ -232,7 +232,7 @@
 
 // operatorSettings are those that an operator may set in the properties file.
 type operatorSettings struct {
-	coordination.Tuning
+	step.Tuning
 	adminListen string
 }
 
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -5,9 +5,8 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/step"
 	"time"
-
-	"tillerarch/internal/coordination"
 )
 
 const goodSettings = `
@@ -116,11 +115,11 @@
 func TestNextLimits(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		want *coordination.WriteLimits
+		want *step.WriteLimits
 	}{
 		{"", nil},
-		{"[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n", &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 8, ValueBytes: 2048}},
-		{"[params.state.next]\nvalue_kb = 2.0\n", &coordination.WriteLimits{WritesPerSecond: 40, TransactionOps: 24, ValueBytes: 2048}},
+		{"[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n", &step.WriteLimits{WritesPerSecond: 28, TransactionOps: 8, ValueBytes: 2048}},
+		{"[params.state.next]\nvalue_kb = 2.0\n", &step.WriteLimits{WritesPerSecond: 40, TransactionOps: 24, ValueBytes: 2048}},
 	} {
 		s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, "[params.cloud]", c.text+"[params.cloud]", 1)), "")
 		if err != nil {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -1,10 +1,12 @@
-package coordination
+package agents
 
 import (
-	"time"
-
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
+	"time"
 )
 
 // CancellationChecker knows the jobs whose cancellation has been requested.
@@ -22,80 +24,80 @@
 	IsQuiesced(id storage.ShardID) bool
 }
 
-// heartbeatHandler handles heartbeats: it decides when to answer one, and with which commands.
-type heartbeatHandler struct {
-	*stepContext
+// HeartbeatHandler handles heartbeats: it decides when to answer one, and with which commands.
+type HeartbeatHandler struct {
+	*step.Context
 
-	agents        *agentTable
-	calls         *agentCaller
-	cancellations CancellationChecker
-	catalog       *machineCatalog
-	jobs          *jobTable
-	lease         *incarnationLease
-	misdirected   *misdirectedHeartbeats
-	plan          PlacementForecast
-	replication   *replicaSync
-	transfers     QuiesceChecker
+	Agents        *Table
+	Calls         *Caller
+	Cancellations CancellationChecker
+	Catalog       *catalog.Catalog
+	Jobs          *JobTable
+	Lease         *commit.Lease
+	Misdirected   *MisdirectedHeartbeats
+	Plan          PlacementForecast
+	Replication   *commit.Replication
+	Transfers     QuiesceChecker
 }
 
-// onHeartbeat handles a worker's report.
-func (h *heartbeatHandler) onHeartbeat(input HeartbeatInput) {
+// OnHeartbeat handles a worker's report.
+func (h *HeartbeatHandler) OnHeartbeat(input step.HeartbeatInput) {
 	heartbeat, err := protocol.ParseHeartbeat(input.Body)
 	if err != nil {
-		h.reply(input.RequestID, 400, errorBody{Error: err.Error()})
+		h.Reply(input.RequestID, 400, step.ErrorBody{Error: err.Error()})
 		return
 	}
-	if !h.replication.isLoaded {
-		h.reply(input.RequestID, 503, errorBody{Error: "not ready"})
+	if !h.Replication.IsLoaded {
+		h.Reply(input.RequestID, 503, step.ErrorBody{Error: "not ready"})
 		return
 	}
-	entry := h.replica.Machines[heartbeat.Machine]
-	if entry == nil || !h.lease.ownsMachine(&entry.Record) {
+	entry := h.Replica.Machines[heartbeat.Machine]
+	if entry == nil || !h.Lease.OwnsMachine(&entry.Record) {
 		switch {
-		case entry != nil && h.replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.cfg.ControllerID:
-			h.misdirected.recordMisdirectedHeartbeat(heartbeat)
-			h.agents.replyRedirect(input.RequestID, entry.Record.Owner.Controller())
-		case h.replication.storeUnavailable() || !h.lease.isRegistered():
-			h.agents.replyRedirect(input.RequestID, "")
+		case entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID:
+			h.Misdirected.recordMisdirectedHeartbeat(heartbeat)
+			h.Agents.replyRedirect(input.RequestID, entry.Record.Owner.Controller())
+		case h.Replication.StoreUnavailable() || !h.Lease.IsRegistered():
+			h.Agents.replyRedirect(input.RequestID, "")
 		default:
-			m := h.agents.machineState(heartbeat.Machine)
-			if isStale(heartbeat, m.lastAgentEpoch, m.lastSequence) || entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-				h.agents.replyRedirect(input.RequestID, "") // a late copy
+			m := h.Agents.MachineState(heartbeat.Machine)
+			if isStale(heartbeat, m.LastAgentEpoch, m.LastSequence) || entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch {
+				h.Agents.replyRedirect(input.RequestID, "") // a late copy
 				return
 			}
-			h.agents.dropDeferredRequest(m)
-			m.recordHeartbeat(heartbeat, h.now.Monotonic)
-			m.lastAgentEpoch, m.lastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
-			h.agents.deferResponse(m, input.RequestID, true)
+			h.Agents.dropDeferredRequest(m)
+			m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
+			m.LastAgentEpoch, m.LastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
+			h.Agents.deferResponse(m, input.RequestID, true)
 			if entry == nil {
 				// It may be a copy that outlived its machine. Only a worker that
 				// answers shows that there still is one.
-				h.calls.probeAgent(m, heartbeat.Addr)
+				h.Calls.probeAgent(m, heartbeat.Addr)
 			}
 		}
 		return
 	}
 	if heartbeat.FencingToken > entry.Record.FencingToken {
 		// Someone else is entitled by now, whatever the replica says.
-		h.agents.replyRedirect(input.RequestID, "")
+		h.Agents.replyRedirect(input.RequestID, "")
 		return
 	}
-	m := h.agents.trackOwnedMachine(entry, heartbeat.Machine)
-	if isStale(heartbeat, m.lastAgentEpoch, m.lastSequence) || heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-		h.agents.replyRedirect(input.RequestID, "") // delivered late; its worker has long gone on
+	m := h.Agents.TrackOwnedMachine(entry, heartbeat.Machine)
+	if isStale(heartbeat, m.LastAgentEpoch, m.LastSequence) || heartbeat.AgentEpoch < entry.Record.AgentEpoch {
+		h.Agents.replyRedirect(input.RequestID, "") // delivered late; its worker has long gone on
 		return
 	}
-	h.agents.dropDeferredRequest(m)
-	m.lastAgentEpoch, m.lastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
+	h.Agents.dropDeferredRequest(m)
+	m.LastAgentEpoch, m.LastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
 	h.processDeliveryEvidence(entry, m, heartbeat)
 	// One report is in flight at a time: the last answer has been carried out
 	// or dropped by now.
-	clear(m.inflightStarts)
-	if m.latestHeartbeat == nil || !isStale(heartbeat, m.latestHeartbeat.AgentEpoch, m.latestHeartbeat.Sequence) {
-		m.recordHeartbeat(heartbeat, h.now.Monotonic)
+	clear(m.InflightStarts)
+	if m.LatestHeartbeat == nil || !isStale(heartbeat, m.LatestHeartbeat.AgentEpoch, m.LatestHeartbeat.Sequence) {
+		m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 	}
-	m.lastContactAt, m.lastHeartbeatAt = h.now.Monotonic, h.now.Monotonic
-	h.agents.deferResponse(m, input.RequestID, false)
+	m.LastContactAt, m.lastHeartbeatAt = h.Now.Monotonic, h.Now.Monotonic
+	h.Agents.deferResponse(m, input.RequestID, false)
 	if !h.shouldDeferResponse(entry, m) {
 		h.answerHeartbeat(entry, m)
 	}
@@ -104,46 +106,46 @@
 // processDeliveryEvidence notices a worker whose reports arrive while answers may not reach it: it
 // does not show the token, nor the starts, that the last answer had, or its
 // session has ended. Whether it hears is then asked directly.
-func (h *heartbeatHandler) processDeliveryEvidence(entry *storage.Machine, m *machineState, heartbeat *protocol.Heartbeat) {
+func (h *HeartbeatHandler) processDeliveryEvidence(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) {
 	switch {
 	case heartbeat.AgentEpoch > m.deliveryAgentEpoch && m.deliveryAgentEpoch != 0, m.awaitsDelivery && (heartbeat.FencingToken < m.answeredToken || !m.showsInflightStart(heartbeat)):
-		h.agents.markSuspect(m)
+		h.Agents.markSuspect(m)
 	case m.awaitsDelivery:
-		h.agents.markReachable(m)
+		h.Agents.markReachable(m)
 	}
 	m.awaitsDelivery, m.deliveryAgentEpoch = false, heartbeat.AgentEpoch
 }
 
 // showsInflightStart tells whether the report shows any start that was on its way.
-func (m *machineState) showsInflightStart(heartbeat *protocol.Heartbeat) bool {
-	if len(m.inflightStarts) == 0 {
+func (m *MachineState) showsInflightStart(heartbeat *protocol.Heartbeat) bool {
+	if len(m.InflightStarts) == 0 {
 		return true
 	}
 	for i := range heartbeat.Tasks {
-		if attempt, ok := m.inflightStarts[heartbeat.Tasks[i].Task]; ok && attempt == heartbeat.Tasks[i].Attempt {
+		if attempt, ok := m.InflightStarts[heartbeat.Tasks[i].Task]; ok && attempt == heartbeat.Tasks[i].Attempt {
 			return true
 		}
 	}
 	return false
 }
 
-// commandsLost tells whether what is sent to the worker is known not to arrive.
-func (m *machineState) commandsLost() bool { return m.commandsLostAt != 0 }
+// CommandsLost tells whether what is sent to the worker is known not to arrive.
+func (m *MachineState) CommandsLost() bool { return m.CommandsLostAt != 0 }
 
 // shouldDeferResponse tells whether the answer should wait a moment for a write, so that
 // it can carry the starts that take the place of what has ended.
-func (h *heartbeatHandler) shouldDeferResponse(entry *storage.Machine, m *machineState) bool {
-	if h.replica.Revision < m.ownershipRevision {
-		return h.since(m.deferredAt) < 3*time.Second
+func (h *HeartbeatHandler) shouldDeferResponse(entry *storage.Machine, m *MachineState) bool {
+	if h.Replica.Revision < m.OwnershipRevision {
+		return h.Since(m.deferredAt) < 3*time.Second
 	}
-	if h.replication.storeUnavailable() || !h.lease.isRegistered() {
+	if h.Replication.StoreUnavailable() || !h.Lease.IsRegistered() {
 		return false
 	}
-	heartbeat := m.latestHeartbeat
-	if m.commandsLost() || m.confirmedToken < entry.Record.FencingToken {
+	heartbeat := m.LatestHeartbeat
+	if m.CommandsLost() || m.ConfirmedToken < entry.Record.FencingToken {
 		return false
 	}
-	if h.since(m.deferredAt) >= h.maxResponseDelay() {
+	if h.Since(m.deferredAt) >= h.maxResponseDelay() {
 		return h.shouldDeferIdleResponse(entry, m)
 	}
 	if heartbeat.AgentEpoch != entry.Record.AgentEpoch {
@@ -168,13 +170,13 @@
 // answer waits for them within maxResponseDelay: without that a core that has become free
 // stays so for half a report interval on average, where tasks are short a tenth of
 // all cores.
-func (h *heartbeatHandler) expectsAssignments(entry *storage.Machine, m *machineState) bool {
+func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, m *MachineState) bool {
 	rec := &entry.Record
-	if !h.plan.ExpectsPlacement(m.id) || !h.replication.isUpToDate() || rec.Terminating || rec.Cordoned || m.latestHeartbeat.PreemptionNoticeSeconds != nil {
+	if !h.Plan.ExpectsPlacement(m.ID) || !h.Replication.IsUpToDate() || rec.Terminating || rec.Cordoned || m.LatestHeartbeat.PreemptionNoticeSeconds != nil {
 		return false
 	}
 	for i := range rec.Assignments {
-		if job := h.replica.Jobs[rec.Assignments[i].Job]; job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() || !h.showsAllTasks(m, &rec.Assignments[i]) {
+		if job := h.Replica.Jobs[rec.Assignments[i].Job]; job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() || !h.showsAllTasks(m, &rec.Assignments[i]) {
 			return false // there is something to start
 		}
 	}
@@ -184,33 +186,33 @@
 // maxResponseDelay is how long a report with news waits for the write. Where reports are
 // far apart it waits longer: the next one, which would take what this answer
 // lacks, is that much later.
-func (h *heartbeatHandler) maxResponseDelay() time.Duration {
-	return max(h.cfg.MaxResponseDelay, min(h.cfg.HeartbeatInterval*3/8, 3*time.Second))
+func (h *HeartbeatHandler) maxResponseDelay() time.Duration {
+	return max(h.Config.MaxResponseDelay, min(h.Config.HeartbeatInterval*3/8, 3*time.Second))
 }
 
 // shouldDeferIdleResponse tells whether the answer to a machine with room waits for something
 // to do: a start that is written meanwhile goes out at once instead of with the
 // next report. The worker waits longer than that for an answer. While tasks
 // run there it waits only where reports are so far apart that it pays.
-func (h *heartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, m *machineState) bool {
-	heartbeat, rec := m.latestHeartbeat, &entry.Record
-	if h.since(m.deferredAt) >= h.cfg.MaxIdleResponseDelay || !h.replication.isUpToDate() || storage.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
+func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, m *MachineState) bool {
+	heartbeat, rec := m.LatestHeartbeat, &entry.Record
+	if h.Since(m.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.Replication.IsUpToDate() || storage.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
 		rec.Terminating || rec.Cordoned {
 		return false
 	}
 	if len(heartbeat.Tasks) == 0 && len(rec.Assignments) == 0 {
 		return true
 	}
-	if h.cfg.HeartbeatInterval < 2*h.cfg.MaxIdleResponseDelay {
+	if h.Config.HeartbeatInterval < 2*h.Config.MaxIdleResponseDelay {
 		return false
 	}
-	machineType := h.catalog.machineType(rec.MachineType)
+	machineType := h.Catalog.MachineType(rec.MachineType)
 	if machineType == nil {
 		return false
 	}
 	freeCores := machineType.Cores
 	for i := range rec.Assignments {
-		job := h.replica.Jobs[rec.Assignments[i].Job]
+		job := h.Replica.Jobs[rec.Assignments[i].Job]
 		if job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() {
 			return false
 		}
@@ -228,7 +230,7 @@
 }
 
 // showsAllTasks tells whether the report shows all tasks of an assignment.
-func (h *heartbeatHandler) showsAllTasks(m *machineState, a *storage.Assignment) bool {
+func (h *HeartbeatHandler) showsAllTasks(m *MachineState, a *storage.Assignment) bool {
 	showsAll := true
 	a.Tasks.Each(func(n int) bool {
 		status := m.taskStatuses[protocol.Task{Job: a.Job, Index: n}]
@@ -238,36 +240,36 @@
 	return showsAll
 }
 
-func (h *heartbeatHandler) resolveDeferredHeartbeats() {
-	if !h.shouldRecheckDeferred {
+func (h *HeartbeatHandler) ResolveDeferredHeartbeats() {
+	if !h.ShouldRecheckDeferred {
 		return
 	}
-	h.shouldRecheckDeferred = false
-	for _, id := range sortedKeys(h.agents.deferredHeartbeats) {
-		m := h.agents.machineStates[id]
-		entry := h.replica.Machines[id]
+	h.ShouldRecheckDeferred = false
+	for _, id := range step.SortedKeys(h.Agents.deferredHeartbeats) {
+		m := h.Agents.MachineStates[id]
+		entry := h.Replica.Machines[id]
 		if m.awaitsOwnership {
 			switch {
-			case entry != nil && h.lease.ownsMachine(&entry.Record):
+			case entry != nil && h.Lease.OwnsMachine(&entry.Record):
 				m.awaitsOwnership = false
-				delete(h.agents.awaitingOwner, id)
-				h.agents.trackOwnedMachine(entry, id)
-				if m.latestHeartbeat.FencingToken > entry.Record.FencingToken || m.latestHeartbeat.AgentEpoch < entry.Record.AgentEpoch {
-					h.agents.dropDeferredRequest(m)
-				} else if h.replica.Revision >= m.ownershipRevision {
+				delete(h.Agents.AwaitingOwner, id)
+				h.Agents.TrackOwnedMachine(entry, id)
+				if m.LatestHeartbeat.FencingToken > entry.Record.FencingToken || m.LatestHeartbeat.AgentEpoch < entry.Record.AgentEpoch {
+					h.Agents.dropDeferredRequest(m)
+				} else if h.Replica.Revision >= m.OwnershipRevision {
 					h.answerHeartbeat(entry, m)
 				}
-			case entry != nil && h.replica.IsAlive(entry.Record.Owner):
-				h.agents.replyRedirect(h.agents.popDeferredRequest(m), entry.Record.Owner.Controller())
-			case h.replication.storeUnavailable() || h.since(m.deferredAt) > 2500*time.Millisecond:
-				h.agents.dropDeferredRequest(m)
+			case entry != nil && h.Replica.IsAlive(entry.Record.Owner):
+				h.Agents.replyRedirect(h.Agents.popDeferredRequest(m), entry.Record.Owner.Controller())
+			case h.Replication.StoreUnavailable() || h.Since(m.deferredAt) > 2500*time.Millisecond:
+				h.Agents.dropDeferredRequest(m)
 			}
 			continue
 		}
-		if entry != nil && !h.lease.ownsMachine(&entry.Record) && h.replica.IsAlive(entry.Record.Owner) {
-			h.agents.replyRedirect(h.agents.popDeferredRequest(m), entry.Record.Owner.Controller())
-		} else if entry == nil || !h.lease.ownsMachine(&entry.Record) || m.latestHeartbeat.FencingToken > entry.Record.FencingToken {
-			h.agents.dropDeferredRequest(m)
+		if entry != nil && !h.Lease.OwnsMachine(&entry.Record) && h.Replica.IsAlive(entry.Record.Owner) {
+			h.Agents.replyRedirect(h.Agents.popDeferredRequest(m), entry.Record.Owner.Controller())
+		} else if entry == nil || !h.Lease.OwnsMachine(&entry.Record) || m.LatestHeartbeat.FencingToken > entry.Record.FencingToken {
+			h.Agents.dropDeferredRequest(m)
 		} else if !h.shouldDeferResponse(entry, m) {
 			h.answerHeartbeat(entry, m)
 		}
@@ -275,34 +277,34 @@
 }
 
 // answerHeartbeat answers the report that is held: 200 with the orders.
-func (h *heartbeatHandler) answerHeartbeat(entry *storage.Machine, m *machineState) {
-	if h.replica.Revision < m.ownershipRevision {
+func (h *HeartbeatHandler) answerHeartbeat(entry *storage.Machine, m *MachineState) {
+	if h.Replica.Revision < m.OwnershipRevision {
 		// The replica may lack what was written before this run became the owner: a job
 		// may have been withdrawn that nobody told this run of.
-		h.agents.dropDeferredRequest(m)
+		h.Agents.dropDeferredRequest(m)
 		return
 	}
-	commands := h.commandsFor(entry, m, true)
+	commands := h.CommandsFor(entry, m, true)
 	for _, o := range commands {
 		if o.Type == protocol.CommandStart {
-			m.inflightStarts[o.Task] = o.Attempt
+			m.InflightStarts[o.Task] = o.Attempt
 		}
 	}
-	m.awaitsDelivery = len(m.inflightStarts) > 0 || m.latestHeartbeat.FencingToken < entry.Record.FencingToken
+	m.awaitsDelivery = len(m.InflightStarts) > 0 || m.LatestHeartbeat.FencingToken < entry.Record.FencingToken
 	o := protocol.Commands{FencingToken: entry.Record.FencingToken, Commands: commands}
-	h.emit(Reply{RequestID: h.agents.popDeferredRequest(m), Status: 200, Body: o.Encode()})
+	h.Emit(step.Reply{RequestID: h.Agents.popDeferredRequest(m), Status: 200, Body: o.Encode()})
 	if m.deferredAt > m.answeredHeartbeatAt {
 		m.answeredHeartbeatAt, m.answeredToken = m.deferredAt, entry.Record.FencingToken
 	}
 }
 
-// commandsFor lists what the worker is to do. Starts and reaps go into answers to
+// CommandsFor lists what the worker is to do. Starts and reaps go into answers to
 // reports only: those are never carried out late.
-func (h *heartbeatHandler) commandsFor(entry *storage.Machine, m *machineState, inResponse bool) []protocol.Command {
+func (h *HeartbeatHandler) CommandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
 	var commands []protocol.Command
-	heartbeat, rec := m.latestHeartbeat, &entry.Record
-	isCurrent := m.currentHeartbeat(rec) != nil
-	upToDate := h.replication.isUpToDate()
+	heartbeat, rec := m.LatestHeartbeat, &entry.Record
+	isCurrent := m.CurrentHeartbeat(rec) != nil
+	upToDate := h.Replication.IsUpToDate()
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
 		attempt, ok := rec.AttemptOf(status.Task)
@@ -314,12 +316,12 @@
 			continue
 		}
 		graceSeconds := -1.0
-		if stop, ok := m.stopRequests[status.Task]; ok && stop.attempt == status.Attempt {
+		if stop, ok := m.StopRequests[status.Task]; ok && stop.Attempt == status.Attempt {
 			if status.State != protocol.TaskSaving || stop.graceSeconds == 0 {
 				graceSeconds = stop.graceSeconds
 			}
 		}
-		if !assigned && upToDate || h.cancellations.CancelRequested(status.Task.Job) {
+		if !assigned && upToDate || h.Cancellations.CancelRequested(status.Task.Job) {
 			graceSeconds = 0
 		}
 		if graceSeconds >= 0 {
@@ -327,16 +329,16 @@
 			commands = append(commands, protocol.Command{Type: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GracePeriodSeconds: &seconds})
 		}
 	}
-	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.commandsLost() || h.transfers.IsQuiesced(rec.Shard) {
+	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.CommandsLost() || h.Transfers.IsQuiesced(rec.Shard) {
 		return commands
 	}
 	for i := range rec.Assignments {
 		a := &rec.Assignments[i]
-		job := h.replica.Jobs[a.Job]
-		if job == nil || job.Record.State.IsTerminal() || h.cancellations.CancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
+		job := h.Replica.Jobs[a.Job]
+		if job == nil || job.Record.State.IsTerminal() || h.Cancellations.CancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
 			continue
 		}
-		if job.Record.Spec.IsGang() && !h.jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt) {
+		if job.Record.Spec.IsGang() && !h.Jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt) {
 			continue
 		}
 		a.Tasks.Each(func(n int) bool {
@@ -344,12 +346,12 @@
 			if status := m.taskStatuses[task]; status != nil && (status.Attempt == a.Attempt || status.State != protocol.TaskExited || !isCurrent) {
 				return true // here already, or an old attempt that must go first
 			}
-			if attempt, ok := m.revokedAttempts[task]; ok && attempt >= a.Attempt {
+			if attempt, ok := m.RevokedAttempts[task]; ok && attempt >= a.Attempt {
 				return true
 			}
 			// A stop of an earlier attempt, which may have ended unseen with its
 			// session, does not hold back the next one.
-			if stop, ok := m.stopRequests[task]; ok && stop.attempt >= a.Attempt {
+			if stop, ok := m.StopRequests[task]; ok && stop.Attempt >= a.Attempt {
 				return true
 			}
 			commands = append(commands, protocol.Command{Type: protocol.CommandStart, Task: task, Attempt: a.Attempt})
--- a/internal/coordination/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -1,31 +1,31 @@
-package coordination
+package agents
 
 import (
-	"time"
-
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
+	"time"
 )
 
-// machineState is what this process remembers of a machine beyond its record.
-type machineState struct {
-	id protocol.MachineID
+// MachineState is what this process remembers of a machine beyond its record.
+type MachineState struct {
+	ID protocol.MachineID
 
-	latestHeartbeat     *protocol.Heartbeat // newest report
+	LatestHeartbeat     *protocol.Heartbeat // newest report
 	taskStatuses        map[protocol.Task]*protocol.TaskStatus
-	confirmedToken      protocol.FencingToken // highest token that the worker has shown
+	ConfirmedToken      protocol.FencingToken // highest token that the worker has shown
 	tokenConfirmedAt    protocol.Instant      // when it first did
-	lastAgentEpoch      protocol.AgentEpoch   // order of the reports
-	lastSequence        protocol.Sequence     //
+	LastAgentEpoch      protocol.AgentEpoch   // order of the reports
+	LastSequence        protocol.Sequence     //
 	answeredHeartbeatAt protocol.Instant      // receipt of the last report that was answered with 200
 	answeredToken       protocol.FencingToken // under which it was
-	lastContactAt       protocol.Instant      // any sign of life, or the begin of this ownership
+	LastContactAt       protocol.Instant      // any sign of life, or the begin of this ownership
 	lastHeartbeatAt     protocol.Instant      // last report that came by itself, or the begin of this ownership
 
-	deferredRequest  RequestID // a report that waits for its answer
+	DeferredRequest  step.RequestID // a report that waits for its answer
 	deferredAt       protocol.Instant
 	awaitsOwnership  bool // it waits until this node owns the machine
-	hasAnsweredProbe bool // the worker of a machine that is on no record has answered here
+	HasAnsweredProbe bool // the worker of a machine that is on no record has answered here
 
 	// Whether what is sent to the worker arrives. Its reports may come in all
 	// the while: they say nothing of the way back.
@@ -34,65 +34,65 @@
 	suspectedAt        protocol.Instant // since when it is not sure that it hears; 0: it does
 	firstCallFailureAt protocol.Instant // when the first of the direct commands failed that have failed in a row
 	callFailures       int              // and how many those are
-	commandsLostAt     protocol.Instant // since when it is sure that it does not
+	CommandsLostAt     protocol.Instant // since when it is sure that it does not
 
 	// Starts in the answer that the worker may not have carried out yet. A
 	// report that lacks them proves nothing while they are in flight.
-	inflightStarts map[protocol.Task]protocol.Attempt
+	InflightStarts map[protocol.Task]protocol.Attempt
 	// Attempts that are being taken back: never started from then on, since
 	// the transaction that takes them back may still be applied.
-	revokedAttempts map[protocol.Task]protocol.Attempt
-	stopRequests    map[protocol.Task]stopRequest
+	RevokedAttempts map[protocol.Task]protocol.Attempt
+	StopRequests    map[protocol.Task]StopRequest
 	callStartedAt   protocol.Instant
 	isCallInFlight  bool
 
 	firstSeenAt          map[protocol.Task]protocol.Instant
 	runningSince         map[protocol.Task]protocol.Instant // since when tasks are seen to run
 	awaitsFirstHeartbeat bool                               // no report has come under this ownership
-	slowdown             slowdown                           // of the machine against others
-	cachedImages         []cachedImage                      // most recently used last
+	Slowdown             slowdown                           // of the machine against others
+	CachedImages         []cachedImage                      // most recently used last
 	jobsWithErrors       map[protocol.JobID]bool
 	quarantinedUntil     protocol.Instant
 	preemptionAt         protocol.Instant // 0: none; else when the cloud takes it
-	idleSince            protocol.Instant
-	isFaulty             bool
-	scaleInReason        string              // why the machine is to go back
-	handOffTarget        storage.Incarnation // a run to which the worker reports instead
-	handOffRequestedAt   protocol.Instant
+	IdleSince            protocol.Instant
+	IsFaulty             bool
+	ScaleInReason        string              // why the machine is to go back
+	HandOffTarget        storage.Incarnation // a run to which the worker reports instead
+	HandOffRequestedAt   protocol.Instant
 	ownerIncarnation     storage.Incarnation
 	ownershipEpoch       storage.ShardEpoch
-	ownershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
+	OwnershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
 }
 
 type cachedImage struct {
 	name   string
-	sizeGB float64
+	SizeGB float64
 }
 
-type stopRequest struct {
-	attempt      protocol.Attempt
+type StopRequest struct {
+	Attempt      protocol.Attempt
 	graceSeconds float64
 }
 
 // jobState is what this process remembers of a job beyond its record.
 type jobState struct {
-	nextAttempt, attemptsEnd protocol.Attempt // attempts set aside for this claim
-	attemptsOwner            storage.Incarnation
-	failedMachines           map[protocol.MachineID]bool
-	placements               int // tasks placed so far, each time counted
-	measuredTasks            int // tasks that were seen from their begin to their end
-	measuredRuntime          time.Duration
-	notBefore                protocol.Instant
-	gangIncompleteAt         protocol.Instant
+	NextAttempt, AttemptsEnd protocol.Attempt // attempts set aside for this claim
+	AttemptsOwner            storage.Incarnation
+	FailedMachines           map[protocol.MachineID]bool
+	Placements               int // tasks placed so far, each time counted
+	MeasuredTasks            int // tasks that were seen from their begin to their end
+	MeasuredRuntime          time.Duration
+	NotBefore                protocol.Instant
+	GangIncompleteAt         protocol.Instant
 	seenAttempt              protocol.Attempt
-	earlyExits               int              // replicas that ended soon after their start, in a row
-	gangAttemptInProgress    protocol.Attempt // of a gang whose assignment takes several transactions
+	EarlyExits               int              // replicas that ended soon after their start, in a row
+	GangAttemptInProgress    protocol.Attempt // of a gang whose assignment takes several transactions
 }
 
-func (m *machineState) reset() {
-	m.inflightStarts = map[protocol.Task]protocol.Attempt{}
-	m.revokedAttempts = map[protocol.Task]protocol.Attempt{}
-	m.stopRequests = map[protocol.Task]stopRequest{}
+func (m *MachineState) Reset() {
+	m.InflightStarts = map[protocol.Task]protocol.Attempt{}
+	m.RevokedAttempts = map[protocol.Task]protocol.Attempt{}
+	m.StopRequests = map[protocol.Task]StopRequest{}
 	m.firstSeenAt = map[protocol.Task]protocol.Instant{}
 	m.runningSince = map[protocol.Task]protocol.Instant{}
 	m.awaitsFirstHeartbeat = true
@@ -103,12 +103,12 @@
 // jobs do, smoothed over the last few.
 type slowdown struct {
 	samples int
-	ratio   float64
+	Ratio   float64
 }
 
-// isSlow tells whether a machine is surely slower than its like: a tenth is usual,
+// IsSlow tells whether a machine is surely slower than its like: a tenth is usual,
 // and tasks differ by themselves.
-func (p slowdown) isSlow() bool { return p.samples >= minRuntimeSamples && p.ratio > slowMachineRatio }
+func (p slowdown) IsSlow() bool { return p.samples >= minRuntimeSamples && p.Ratio > slowMachineRatio }
 
 // startTimeUnknown stands for the begin of a task that another owner saw, or nobody.
 const startTimeUnknown protocol.Instant = -1
@@ -118,22 +118,22 @@
 	slowMachineRatio  = 1.8 // estimates of one job's tasks, seen through reports, differ by less
 )
 
-// currentHeartbeat is the newest report if it was sent under the current token and in
+// CurrentHeartbeat is the newest report if it was sent under the current token and in
 // the recorded session: only then does what it lacks prove anything.
-func (m *machineState) currentHeartbeat(record *storage.MachineRecord) *protocol.Heartbeat {
-	if m.latestHeartbeat == nil || storage.ShardEpochOf(m.latestHeartbeat.FencingToken) != record.ShardEpoch || m.latestHeartbeat.AgentEpoch != record.AgentEpoch {
+func (m *MachineState) CurrentHeartbeat(record *storage.MachineRecord) *protocol.Heartbeat {
+	if m.LatestHeartbeat == nil || storage.ShardEpochOf(m.LatestHeartbeat.FencingToken) != record.ShardEpoch || m.LatestHeartbeat.AgentEpoch != record.AgentEpoch {
 		return nil
 	}
-	return m.latestHeartbeat
+	return m.LatestHeartbeat
 }
 
-func (m *machineState) recordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
-	m.latestHeartbeat = heartbeat
-	m.lastContactAt = now
-	if storage.ShardEpochOf(heartbeat.FencingToken) > storage.ShardEpochOf(m.confirmedToken) {
+func (m *MachineState) RecordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
+	m.LatestHeartbeat = heartbeat
+	m.LastContactAt = now
+	if storage.ShardEpochOf(heartbeat.FencingToken) > storage.ShardEpochOf(m.ConfirmedToken) {
 		m.tokenConfirmedAt = now
 	}
-	m.confirmedToken = max(m.confirmedToken, heartbeat.FencingToken)
+	m.ConfirmedToken = max(m.ConfirmedToken, heartbeat.FencingToken)
 	m.taskStatuses = make(map[protocol.Task]*protocol.TaskStatus, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
@@ -158,9 +158,9 @@
 			delete(m.firstSeenAt, t)
 		}
 	}
-	for t, s := range m.stopRequests {
-		if status := m.taskStatuses[t]; status != nil && status.Attempt != s.attempt {
-			delete(m.stopRequests, t)
+	for t, s := range m.StopRequests {
+		if status := m.taskStatuses[t]; status != nil && status.Attempt != s.Attempt {
+			delete(m.StopRequests, t)
 		}
 	}
 	if heartbeat.PreemptionNoticeSeconds != nil {
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -3,6 +3,10 @@
 import (
 	"fmt"
 	"testing"
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/cancellation"
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/protocol"
@@ -12,7 +16,7 @@
 // putCancellingJob puts a job on record whose withdrawal has begun.
 func putCancellingJob(t *testing.T, c *Core, modRevision protocol.ModRevision) {
 	t.Helper()
-	if _, err := c.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
+	if _, err := c.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -27,38 +31,38 @@
 	}
 	for _, c := range []struct {
 		name string
-		do   func(core *Core, e *storage.Machine, m *machineState)
+		do   func(core *Core, e *storage.Machine, m *agents.MachineState)
 		want bool
 	}{
-		{"no report yet", func(*Core, *storage.Machine, *machineState) {}, false},
-		{"never started", func(core *Core, e *storage.Machine, m *machineState) {
-			m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
+		{"no report yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
+		{"never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
 		}, true},
-		{"runs", func(core *Core, e *storage.Machine, m *machineState) {
-			m.recordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.now.Monotonic)
+		{"runs", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.Now.Monotonic)
 		}, true},
-		{"fetches its image", func(core *Core, e *storage.Machine, m *machineState) {
-			m.recordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.now.Monotonic)
+		{"fetches its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.Now.Monotonic)
 		}, false},
-		{"its start is on its way", func(core *Core, e *storage.Machine, m *machineState) {
-			m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
-			m.inflightStarts[task] = 5
+		{"its start is on its way", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.InflightStarts[task] = 5
 		}, false},
-		{"the worker has shown an earlier token only", func(core *Core, e *storage.Machine, m *machineState) {
+		{"the worker has shown an earlier token only", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
-			m.recordHeartbeat(r, core.now.Monotonic)
+			m.RecordHeartbeat(r, core.Now.Monotonic)
 		}, false},
-		{"a newer session", func(core *Core, e *storage.Machine, m *machineState) {
+		{"a newer session", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1)
 			r.AgentEpoch++
-			m.recordHeartbeat(r, core.now.Monotonic)
+			m.RecordHeartbeat(r, core.Now.Monotonic)
 		}, true},
-		{"released, and that answered", func(core *Core, e *storage.Machine, m *machineState) {
-			core.terminator.terminations["m-1"] = &termination{confirmed: true}
+		{"released, and that answered", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+			core.terminator.Terminations["m-1"] = &provisioning.Termination{Confirmed: true}
 		}, true},
-		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *machineState) {
-			core.terminator.terminations["m-1"] = &termination{}
+		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+			core.terminator.Terminations["m-1"] = &provisioning.Termination{}
 		}, false},
 	} {
 		core, _ := newReadyCore(t)
@@ -67,13 +71,13 @@
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		c.do(core, e, m)
-		if pending := core.queue.listPendingJobs(core.shards.newBatch(8), nil); len(pending) != 0 {
+		if pending := core.queue.ListPendingJobs(core.shards.NewBatch(8), nil); len(pending) != 0 {
 			t.Errorf("%s: the job is still placed", c.name)
 		}
-		if got := core.cancellations.isMachineQuiescent("m-1", "j-1"); got != c.want {
+		if got := core.cancellations.IsMachineQuiescent("m-1", "j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
-		if got := core.cancellations.isCancelFullyAcknowledged("j-1"); got != c.want {
+		if got := core.cancellations.IsCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: all aware %v", c.name, got)
 		}
 	}
@@ -84,38 +88,38 @@
 func TestCancelAcknowledgements(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		hint PeerStatus
+		hint step.PeerStatus
 		want bool
 	}{
-		{"its owner", PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, true},
-		{"its owner, for another job", PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: []protocol.JobID{"j-2"}}, false},
-		{"its owner, from before it was", PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"another controller", PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"a run of it that has ended", PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"a run that nobody knows", PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"one that has not registered", PeerStatus{Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
+		{"its owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, true},
+		{"its owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: []protocol.JobID{"j-2"}}, false},
+		{"its owner, from before it was", step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: []protocol.JobID{"j-1"}}, false},
+		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
+		{"a run of it that has ended", step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
+		{"a run that nobody knows", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
+		{"one that has not registered", step.PeerStatus{Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
 	} {
 		core, advance := newReadyCore(t)
 		for key, data := range map[string]string{storage.ControllerKey("stall-1"): `{"r":"stall-1#1"}`, storage.ControllerKey("stall-2"): `{"r":"stall-2#9"}`} {
-			if _, err := core.replica.Put(key, []byte(data), 2); err != nil {
+			if _, err := core.Replica.Put(key, []byte(data), 2); err != nil {
 				t.Fatal(err)
 			}
 		}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
+		if _, err := core.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
 			t.Fatal(err)
 		}
 		putCancellingJob(t, core, 6)
-		core.replica.Revision = 6
+		core.Replica.Revision = 6
 		c.hint.ControllerID = c.hint.Incarnation.Controller()
-		advance(0, PeerStatusInput{Status: c.hint})
-		if got := core.cancellations.isCancelFullyAcknowledged("j-1"); got != c.want {
+		advance(0, step.PeerStatusInput{Status: c.hint})
+		if got := core.cancellations.IsCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 		// An answer counts only as long as its run lives.
-		core.replica.Delete(storage.ControllerKey("stall-1"), 7)
-		if core.cancellations.isCancelFullyAcknowledged("j-1") {
+		core.Replica.Delete(storage.ControllerKey("stall-1"), 7)
+		if core.cancellations.IsCancelFullyAcknowledged("j-1") {
 			t.Errorf("%s: the word of a run that has ended counts", c.name)
 		}
 	}
@@ -130,17 +134,17 @@
 		want bool
 	}{{"newer than the replica", 50, true}, {"older: the replica would have it", 1, false}} {
 		core, advance := newReadyCore(t)
-		if _, err := core.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
+		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
 		rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 		e, m := addOwnedMachine(t, core, rec)
-		m.recordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.now.Monotonic)
-		advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", CancelIntents: []CancelIntent{{Job: "j-1", Revision: c.rev}}}})
+		m.RecordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.Now.Monotonic)
+		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.rev}}}})
 		starts, stops, acked := 0, 0, false
-		for _, o := range core.heartbeats.commandsFor(e, m, true) {
+		for _, o := range core.heartbeats.CommandsFor(e, m, true) {
 			switch o.Type {
 			case protocol.CommandStart:
 				starts++
@@ -148,16 +152,16 @@
 				stops++
 			}
 		}
-		for _, e := range advance(60*time.Millisecond, Tick{}) {
-			if h, ok := e.(SendPeerStatus); ok && len(h.Status.CancelAcks) == 1 {
+		for _, e := range advance(60*time.Millisecond, step.Tick{}) {
+			if h, ok := e.(step.SendPeerStatus); ok && len(h.Status.CancelAcks) == 1 {
 				acked = true
 			}
 		}
 		if starts != btoi(!c.want) || stops != btoi(c.want) || acked != c.want {
 			t.Errorf("%s: %d starts, %d stops, acknowledged %v", c.name, starts, stops, acked)
 		}
-		advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
-		advance(60*time.Millisecond, Tick{})
+		advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+		advance(60*time.Millisecond, step.Tick{})
 		if core.cancellations.CancelRequested("j-1") {
 			t.Errorf("%s: still bound though its replica has gone past it", c.name)
 		}
@@ -177,26 +181,26 @@
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
-	if core.replica.Revision = 0; core.agents.machineStates["m-1"].ownershipRevision == 0 {
+	if core.Replica.Revision = 0; core.agents.MachineStates["m-1"].OwnershipRevision == 0 {
 		t.Fatal("the page has no revision")
 	}
-	status := func(out []Effect) int {
+	status := func(out []step.Effect) int {
 		for _, e := range out {
-			if r, ok := e.(Reply); ok {
+			if r, ok := e.(step.Reply); ok {
 				return r.Status
 			}
 		}
 		return 0
 	}
-	if s := status(advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); s != 0 {
+	if s := status(advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); s != 0 {
 		t.Errorf("answered %d before the replica is as new", s)
 	}
-	if s := status(advance(3100*time.Millisecond, Tick{})); s != 421 {
+	if s := status(advance(3100*time.Millisecond, step.Tick{})); s != 421 {
 		t.Errorf("answered %d at last, the worker should look elsewhere", s)
 	}
-	advance(0, HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
-	core.replica.Revision = 9
-	if s := status(advance(2600*time.Millisecond, Tick{})); s != 200 {
+	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
+	core.Replica.Revision = 9
+	if s := status(advance(2600*time.Millisecond, step.Tick{})); s != 200 {
 		t.Errorf("answered %d with the replica as new", s)
 	}
 }
@@ -208,17 +212,17 @@
 		core, advance := newReadyCore(t)
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
+		if _, err := core.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
 			t.Fatal(err)
 		}
 		putCancellingJob(t, core, 2)
 		if isRequester {
-			core.cancellations.requestCancellation("j-1")
+			core.cancellations.RequestCancellation("j-1")
 		}
 		messages, intents := 0, 0
 		for range 60 { // 3 s
-			for _, e := range advance(50*time.Millisecond, Tick{}) {
-				if h, ok := e.(SendPeerStatus); ok {
+			for _, e := range advance(50*time.Millisecond, step.Tick{}) {
+				if h, ok := e.(step.SendPeerStatus); ok {
 					messages++
 					intents += len(h.Status.CancelIntents)
 				}
@@ -237,10 +241,10 @@
 		ids[i] = protocol.JobID(fmt.Sprintf("j-%04d", i))
 	}
 	for _, c := range []struct{ length, most, takes int }{{10, 200, 1}, {200, 200, 1}, {201, 200, 2}, {1000, 150, 7}} {
-		var r rotation
+		var r cancellation.Rotation
 		seen := map[protocol.JobID]bool{}
 		for range c.takes {
-			part := r.nextChunk(ids[:c.length], c.most)
+			part := r.NextChunk(ids[:c.length], c.most)
 			if len(part) != min(c.length, c.most) {
 				t.Errorf("%+v: %d at once", c, len(part))
 			}
--- a/internal/coordination/spot.go
+++ b/internal/coordination/catalog/spot.go
@@ -1,29 +1,29 @@
-package coordination
+package catalog
 
 import (
-	"time"
-
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
+	"time"
 )
 
-// spotPricing decides from observed prices whether spot machines may be used.
-type spotPricing struct {
-	*stepContext
+// SpotPricing decides from observed prices whether spot machines may be used.
+type SpotPricing struct {
+	*step.Context
 
-	spotThresholds map[priceKey]*SpotPriceThreshold
+	SpotThresholds map[PriceKey]*SpotPriceThreshold
 }
 
-func newSpotPricing(ctx *stepContext) *spotPricing {
-	return &spotPricing{
-		stepContext:    ctx,
-		spotThresholds: map[priceKey]*SpotPriceThreshold{},
+func NewSpotPricing(ctx *step.Context) *SpotPricing {
+	return &SpotPricing{
+		Context:        ctx,
+		SpotThresholds: map[PriceKey]*SpotPriceThreshold{},
 	}
 }
 
-type priceKey struct {
-	machineType protocol.MachineTypeName
-	zone        protocol.Zone
+type PriceKey struct {
+	MachineType protocol.MachineTypeName
+	Zone        protocol.Zone
 }
 
 // SpotPriceThreshold is the THRESHOLD rule (paper, 3.3.1) for one machine type in one
@@ -37,18 +37,18 @@
 	priceSum      float64
 	priceCount    int
 	suspended     bool
-	spotPrice     float64
+	SpotPrice     float64
 	onDemandPrice float64
 }
 
 // NewSpotPriceThreshold begins with (current price + steady price) / 2.
 func NewSpotPriceThreshold(window time.Duration, now protocol.Instant, spotPrice, onDemandPrice float64) *SpotPriceThreshold {
-	return &SpotPriceThreshold{Window: window, value: (spotPrice + onDemandPrice) / 2, windowEnd: now.Add(window), spotPrice: spotPrice, onDemandPrice: onDemandPrice}
+	return &SpotPriceThreshold{Window: window, value: (spotPrice + onDemandPrice) / 2, windowEnd: now.Add(window), SpotPrice: spotPrice, onDemandPrice: onDemandPrice}
 }
 
 // Observe takes in the current prices. It tells whether a halt begins.
 func (t *SpotPriceThreshold) Observe(now protocol.Instant, spotPrice, onDemandPrice float64) (newlySuspended bool) {
-	t.spotPrice, t.onDemandPrice = spotPrice, onDemandPrice
+	t.SpotPrice, t.onDemandPrice = spotPrice, onDemandPrice
 	if now >= t.windowEnd {
 		// Recomputed each window from the window's average price.
 		average := spotPrice
@@ -72,7 +72,7 @@
 func (t *SpotPriceThreshold) Value() float64 { return t.value }
 
 // AllowsSpot tells whether spot machines may be rented and filled.
-func (t *SpotPriceThreshold) AllowsSpot() bool { return !t.suspended && t.spotPrice < t.onDemandPrice }
+func (t *SpotPriceThreshold) AllowsSpot() bool { return !t.suspended && t.SpotPrice < t.onDemandPrice }
 
 // IsNearPeriodBoundary tells whether a machine of this age is within the margin of its
 // next period boundary. Machines rented in one burst would reach it together,
@@ -85,13 +85,13 @@
 	return period-(age+offset)%period < margin
 }
 
-// canUseSpot tells whether the job may use spot machines of a type. The rule
+// CanUseSpot tells whether the job may use spot machines of a type. The rule
 // gives them to jobs that keep checkpoints. The exception: where a task is so
 // short that what a reclaim is expected to cost is less than what spot saves,
 // it may do without (docs/design.md).
-func (sp *spotPricing) canUseSpot(j *protocol.Job, machineType *protocol.MachineType) bool {
+func (sp *SpotPricing) CanUseSpot(j *protocol.Job, machineType *protocol.MachineType) bool {
 	if !j.AllowSpot {
 		return false
 	}
-	return j.CanCheckpoint() || machineType.OnDemandPrice > 0 && j.EstimatedRunSeconds/3600*sp.cfg.SpotPreemptionsPerHour < 1-machineType.SpotPrice/machineType.OnDemandPrice
+	return j.CanCheckpoint() || machineType.OnDemandPrice > 0 && j.EstimatedRunSeconds/3600*sp.Config.SpotPreemptionsPerHour < 1-machineType.SpotPrice/machineType.OnDemandPrice
 }
--- /dev/null
+++ b/internal/coordination/commit/batch.go
@@ -0,0 +1,430 @@
+package commit
+
+import (
+	"log/slog"
+	"slices"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// Batch collects changes for one transaction. Every change rests on the stamps
+// that the replica has; the service refuses it if one of them has moved on.
+type Batch struct {
+	shardWriter    *ShardWriter
+	OpsLeft        int // puts and deletes still allowed
+	estimatedBytes int // what the records in it are reckoned to take, written
+	Conditions     map[string]protocol.ModRevision
+	Jobs           map[protocol.JobID]*storage.JobRecord
+	Shards         map[storage.ShardID]*shardDraft
+	Machines       map[protocol.MachineID]*storage.MachineRecord
+	Teams          map[string]bool
+	Transfers      map[storage.TransferSlot]*storage.TransferRecord
+	Drains         map[protocol.ControllerID]*DrainChange
+	newlyDone      map[protocol.JobID]storage.TaskSet // tasks that are done by what is in the batch
+	FailedServices map[protocol.JobID]bool            // daemons of which a replica has ended
+	writesRegistry bool                               // a machine is put on record
+	OnSend         []func()                           // what to remember once it is sent
+	LogsOnApply    []step.Effect                      // lines for the operator once it is applied
+}
+
+// shardDraft is a page as the batch leaves it.
+type shardDraft struct {
+	Owner         storage.Incarnation
+	Epoch         storage.ShardEpoch
+	MachineIDs    []protocol.MachineID
+	doneTasks     map[protocol.JobID]storage.TaskSet
+	EstimatedSize int
+}
+
+// Room that is left on a page for what is reckoned too small.
+const shardSizeMargin = 700
+
+// transferRecordSize is what a move's record is reckoned to take.
+const transferRecordSize = 400
+
+// DependOn makes the transaction depend on a key as the replica has it.
+func (b *Batch) DependOn(key string) { b.Conditions[key] = b.shardWriter.Replica.ModRevision(key) }
+
+func (b *Batch) ReserveWrite(key string, size int) {
+	b.DependOn(key)
+	b.OpsLeft--
+	b.estimatedBytes += size
+}
+
+// HasCapacity tells whether n more records can be changed, however large they are.
+func (b *Batch) HasCapacity(n int) bool {
+	return n == 0 && b.estimatedBytes < protocol.MaxTransactionBytes || b.hasCapacityFor(n, n*b.shardWriter.Limits.WriteLimits().ValueBytes)
+}
+
+// hasCapacityFor tells whether n more records of this size together can be changed.
+func (b *Batch) hasCapacityFor(n, size int) bool {
+	return b.OpsLeft >= n && b.estimatedBytes+size <= protocol.MaxTransactionBytes && len(b.Conditions)+2*n < 4*b.shardWriter.Limits.WriteLimits().TransactionOps
+}
+
+// MutableJob gives a job's record to change; the caller has asked for room.
+func (b *Batch) MutableJob(id protocol.JobID) *storage.JobRecord {
+	if r := b.Jobs[id]; r != nil {
+		return r
+	}
+	e := b.shardWriter.Replica.Jobs[id]
+	r := e.Record
+	b.ReserveWrite(storage.JobKey(id), e.EncodedSize+200)
+	b.Jobs[id] = &r
+	return &r
+}
+
+// MutableShard gives a page to change; the caller has asked for room.
+func (b *Batch) MutableShard(id storage.ShardID) *shardDraft {
+	if draft := b.Shards[id]; draft != nil {
+		return draft
+	}
+	shard := b.shardWriter.Replica.Shards[id]
+	ops := b.shardWriter.ShardWriteOps(id)
+	draft := &shardDraft{Owner: shard.Owner, Epoch: shard.Epoch, MachineIDs: shard.Machines, EstimatedSize: shard.EncodedSize, doneTasks: map[protocol.JobID]storage.TaskSet{}}
+	if b.shardWriter.Limits.StorageFormat() >= storage.FormatPacked {
+		draft.EstimatedSize = b.shardWriter.Replica.PackedShardSize(id)
+	}
+	for j, r := range shard.CompletedTasks {
+		if e := b.shardWriter.Replica.Jobs[j]; e == nil || !e.Record.State.IsTerminal() {
+			draft.doneTasks[j] = r
+		}
+	}
+	b.ReserveWrite(storage.ShardKey(id), shard.EncodedSize+shardSizeMargin)
+	b.OpsLeft -= ops - 1
+	b.Shards[id] = draft
+	return draft
+}
+
+// NewShard begins a page that is not on record yet.
+func (b *Batch) NewShard(owner storage.Incarnation, epoch storage.ShardEpoch) storage.ShardID {
+	shardID := b.shardWriter.newShardID()
+	b.ReserveWrite(storage.ShardKey(shardID), shardSizeMargin)
+	b.Shards[shardID] = &shardDraft{Owner: owner, Epoch: epoch, doneTasks: map[protocol.JobID]storage.TaskSet{}}
+	return shardID
+}
+
+// MutableMachine gives a machine's record to change; the caller has asked for room.
+func (b *Batch) MutableMachine(id protocol.MachineID) *storage.MachineRecord {
+	if r := b.Machines[id]; r != nil {
+		return r
+	}
+	r := b.shardWriter.Replica.Machines[id].Record.Clone()
+	b.MutableShard(r.Shard)
+	b.Machines[id] = r
+	return r
+}
+
+// PutTransfer writes a move's record; the caller has asked for room.
+func (b *Batch) PutTransfer(slot storage.TransferSlot, record *storage.TransferRecord) {
+	if b.Transfers[slot] == nil {
+		b.ReserveWrite(storage.TransferKey(slot), transferRecordSize)
+	}
+	b.Transfers[slot] = record
+}
+
+// DrainChange is what becomes of a controller's drain: no record ends it.
+type DrainChange struct{ Record *storage.DrainRecord }
+
+func (d *DrainChange) operation(controllerID protocol.ControllerID) protocol.Operation {
+	if d.Record == nil {
+		return protocol.Operation{DeleteKey: storage.DrainKey(controllerID)}
+	}
+	return protocol.Operation{PutKey: storage.DrainKey(controllerID), Value: storage.MustMarshal(d.Record)}
+}
+
+// SetDrain writes or ends a controller's drain; the caller has asked for room.
+func (b *Batch) SetDrain(controllerID protocol.ControllerID, change *DrainChange) {
+	b.ReserveWrite(storage.DrainKey(controllerID), 50)
+	b.Drains[controllerID] = change
+}
+
+// CanAddMachine tells whether one more machine can be put on record.
+func (b *Batch) CanAddMachine() bool { return b.HasCapacity(2) }
+
+// AddMachine puts a machine that is not on record on a page of this run, with a token
+// above the one that its worker has seen. The caller has asked canAddMachine.
+func (b *Batch) AddMachine(id protocol.MachineID, record *storage.MachineRecord, seenToken protocol.FencingToken) {
+	if !b.writesRegistry {
+		b.ReserveWrite(storage.RegistryKey, 100)
+		b.writesRegistry = true
+	}
+	size := b.shardWriter.estimateMachineSize(record.MachineType)
+	shardID := storage.ShardID("")
+	shardFits := func(p storage.ShardID, d *shardDraft) bool {
+		return d.Owner == b.shardWriter.Lease.Incarnation && d.Epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.shardWriter.Limits.WriteLimits().ValueBytes
+	}
+	for _, p := range step.SortedKeys(b.Shards) {
+		if shardFits(p, b.Shards[p]) {
+			shardID = p
+			break
+		}
+	}
+	if shardID == "" {
+		for _, p := range b.shardWriter.OwnedShards() {
+			e := b.shardWriter.Replica.Shards[p]
+			if b.Shards[p] == nil && shardFits(p, &shardDraft{Owner: e.Owner, Epoch: e.Epoch, MachineIDs: e.Machines, EstimatedSize: e.EncodedSize}) {
+				shardID = p
+				break
+			}
+		}
+	}
+	if shardID == "" {
+		shardID = b.NewShard(b.shardWriter.Lease.Incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
+	}
+	b.putMachine(shardID, id, record)
+}
+
+func (b *Batch) putMachine(shardID storage.ShardID, id protocol.MachineID, record *storage.MachineRecord) {
+	draft := b.MutableShard(shardID)
+	draft.MachineIDs = append(draft.MachineIDs[:len(draft.MachineIDs):len(draft.MachineIDs)], id)
+	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(len(record.EncodeLine(id)) + 3)
+	b.estimatedBytes += len(record.EncodeLine(id)) + 3
+	record.Shard, record.Owner, record.ShardEpoch, record.FencingToken = shardID, draft.Owner, draft.Epoch, draft.Epoch.FencingToken(record.TokenCounter)
+	b.Machines[id] = record
+}
+
+// RemoveMachine takes a machine off its page.
+func (b *Batch) RemoveMachine(id protocol.MachineID) {
+	record := b.MachineRecord(id)
+	draft := b.MutableShard(record.Shard)
+	draft.MachineIDs = slices.DeleteFunc(slices.Clone(draft.MachineIDs), func(x protocol.MachineID) bool { return x == id })
+	delete(b.Machines, id)
+}
+
+// MoveMachine puts a machine on another page.
+func (b *Batch) MoveMachine(id protocol.MachineID, shardID storage.ShardID) {
+	record := b.MutableMachine(id)
+	b.RemoveMachine(id)
+	b.putMachine(shardID, id, record)
+}
+
+// RemovesMachine tells whether the batch takes the machine off the records.
+func (b *Batch) RemovesMachine(id protocol.MachineID) bool {
+	e := b.shardWriter.Replica.Machines[id]
+	if e == nil || b.Machines[id] != nil {
+		return false
+	}
+	d := b.Shards[e.Record.Shard]
+	return d != nil && !slices.Contains(d.MachineIDs, id)
+}
+
+// AssignTasks writes tasks of a job to a machine; the caller has asked for room.
+func (b *Batch) AssignTasks(id protocol.MachineID, job protocol.JobID, tasks []int, attempt protocol.Attempt) {
+	r := b.MutableMachine(id)
+	for _, index := range tasks {
+		r.Assign(protocol.Task{Job: job, Index: index}, attempt)
+	}
+	b.MutableShard(r.Shard).EstimatedSize += b.shardWriter.EstimateEncodedSize(24 + 3*len(tasks))
+	b.estimatedBytes += 24 + 3*len(tasks)
+}
+
+// BumpFencingToken raises the machine's own part of its token: its owner sends it to the
+// worker, and the worker reports at once, instead of some seconds later.
+func (b *Batch) BumpFencingToken(id protocol.MachineID) {
+	if r := b.MutableMachine(id); r.TokenCounter < storage.MaxTokenCounter {
+		r.TokenCounter++
+		r.FencingToken = r.ShardEpoch.FencingToken(r.TokenCounter)
+	}
+}
+
+// HasShardHeadroom tells whether the machine's page can take more assignments: a page
+// stays well within a value, so that whatever ends there can be written.
+func (b *Batch) HasShardHeadroom(r *storage.MachineRecord) bool {
+	size := 0
+	if d := b.Shards[r.Shard]; d != nil {
+		size = d.EstimatedSize
+	} else if p := b.shardWriter.Replica.Shards[r.Shard]; p != nil {
+		size = p.EncodedSize
+	}
+	return size < b.shardWriter.Limits.WriteLimits().ValueBytes*7/8
+}
+
+// RecordTaskDone notes on the machine's page that a task is done; the caller has
+// asked for room for the page.
+func (b *Batch) RecordTaskDone(id protocol.MachineID, task protocol.Task) {
+	draft := b.MutableShard(b.MachineRecord(id).Shard)
+	if r, ok := draft.doneTasks[task.Job]; ok {
+		draft.doneTasks[task.Job] = r.Add(task.Index)
+	} else {
+		draft.doneTasks[task.Job] = storage.TaskRange(task.Index, task.Index)
+		draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(16)
+	}
+	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(4)
+	b.estimatedBytes += 4
+	b.newlyDone[task.Job] = b.newlyDone[task.Job].Add(task.Index)
+}
+
+// DoneTasks is what is done of a job as the batch leaves it.
+func (b *Batch) DoneTasks(id protocol.JobID) storage.TaskSet {
+	r := b.shardWriter.Replica.CompletedTasks(id)
+	if added, ok := b.newlyDone[id]; ok {
+		r = r.Union(added)
+	}
+	return r
+}
+
+// CompleteJobIfDone calls a job done once all its tasks are.
+func (b *Batch) CompleteJobIfDone(id protocol.JobID) {
+	if r := b.JobRecord(id); r.State.IsTerminal() || b.DoneTasks(id).Len() < r.Spec.TaskCount || !b.HasCapacity(b.WritesNeeded("", id)) {
+		return
+	}
+	r := b.MutableJob(id)
+	b.Log(slog.LevelInfo, "job completed", "job", string(id), "class", r.Spec.Class, "duration_s", float64(b.shardWriter.Now.Wall-r.SubmittedAt)/1000)
+	*r = storage.JobRecord{State: protocol.JobDone, TaskCount: r.Spec.TaskCount, SubmittedAt: r.SubmittedAt}
+	for _, d := range b.Shards {
+		delete(d.doneTasks, id)
+	}
+}
+
+// WritesNeeded counts the records that a change would add to the batch.
+func (b *Batch) WritesNeeded(machineID protocol.MachineID, jobs ...protocol.JobID) int {
+	n := 0
+	if e := b.shardWriter.Replica.Machines[machineID]; machineID != "" && b.Machines[machineID] == nil && e == nil {
+		n++
+	} else if machineID != "" && b.Machines[machineID] == nil && b.Shards[e.Record.Shard] == nil {
+		n += b.shardWriter.ShardWriteOps(e.Record.Shard)
+	}
+	for _, j := range jobs {
+		if b.Jobs[j] == nil {
+			n++
+		}
+	}
+	return n
+}
+
+// CanWriteMachines tells whether the pages of these machines and one job can be written
+// besides what is in the batch; alone is how many changes they are where an empty
+// batch could take them.
+func (b *Batch) CanWriteMachines(machines []protocol.MachineID) (fits bool, opsWhenEmpty int) {
+	seen := map[storage.ShardID]bool{}
+	opsToAdd, sizeToAdd, totalOps, totalSize := 1, b.shardWriter.Limits.WriteLimits().ValueBytes, 1, b.shardWriter.Limits.WriteLimits().ValueBytes
+	for _, id := range machines {
+		shardID := b.shardWriter.Replica.Machines[id].Record.Shard
+		if seen[shardID] {
+			continue
+		}
+		seen[shardID] = true
+		shardSize, shardOps := b.shardWriter.Replica.Shards[shardID].EncodedSize+shardSizeMargin, b.shardWriter.ShardWriteOps(shardID)
+		totalOps, totalSize = totalOps+shardOps, totalSize+shardSize
+		if b.Shards[shardID] == nil {
+			opsToAdd, sizeToAdd = opsToAdd+shardOps, sizeToAdd+shardSize
+		}
+	}
+	if totalOps <= b.shardWriter.Limits.WriteLimits().TransactionOps*3/4 && totalSize <= protocol.MaxTransactionBytes {
+		opsWhenEmpty = totalOps
+	}
+	return b.hasCapacityFor(opsToAdd, sizeToAdd), opsWhenEmpty
+}
+
+// MachineRecord is the record as the batch leaves it.
+func (b *Batch) MachineRecord(id protocol.MachineID) *storage.MachineRecord {
+	if r := b.Machines[id]; r != nil {
+		return r
+	}
+	if e := b.shardWriter.Replica.Machines[id]; e != nil {
+		return &e.Record
+	}
+	return nil
+}
+
+// JobRecord is the record as the batch leaves it.
+func (b *Batch) JobRecord(id protocol.JobID) *storage.JobRecord {
+	if r := b.Jobs[id]; r != nil {
+		return r
+	}
+	if e := b.shardWriter.Replica.Jobs[id]; e != nil {
+		return &e.Record
+	}
+	return nil
+}
+
+// Log notes a decision; the operator reads it once the decision is on record.
+// A transaction that is refused is built again, with the same lines.
+func (b *Batch) Log(l slog.Level, msg string, args ...any) {
+	b.LogsOnApply = append(b.LogsOnApply, step.Log{Level: l, Message: msg, Args: args})
+}
+
+func (b *Batch) IsEmpty() bool {
+	return len(b.Jobs) == 0 && len(b.Shards) == 0 && len(b.Transfers)+len(b.Drains) == 0
+}
+
+func (b *Batch) Transaction() protocol.Transaction {
+	var transaction protocol.Transaction
+	for _, id := range step.SortedKeys(b.Jobs) {
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.JobKey(id), Value: storage.EncodeJob(b.shardWriter.Limits.StorageFormat(), b.Jobs[id])})
+	}
+	for _, id := range step.SortedKeys(b.Shards) {
+		draft := b.Shards[id]
+		if len(draft.MachineIDs) == 0 && len(draft.doneTasks) == 0 {
+			if b.Conditions[storage.ShardKey(id)] != 0 {
+				transaction.Operations = append(transaction.Operations, protocol.Operation{DeleteKey: storage.ShardKey(id)})
+			}
+			continue
+		}
+		transaction.Operations = append(transaction.Operations, b.encodeShard(id, draft)...)
+	}
+	for _, slot := range step.SortedKeys(b.Transfers) {
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.TransferKey(slot), Value: storage.MustMarshal(b.Transfers[slot])})
+	}
+	for _, controllerID := range step.SortedKeys(b.Drains) {
+		transaction.Operations = append(transaction.Operations, b.Drains[controllerID].operation(controllerID))
+	}
+	if b.writesRegistry {
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.shardWriter.Lease.Incarnation})})
+	}
+	for _, t := range step.SortedKeys(b.Teams) {
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.shardWriter.Lease.Incarnation, TransactionID: b.shardWriter.Commits.lastTransactionID})})
+	}
+	for _, k := range step.SortedKeys(b.Conditions) {
+		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: k, ModRevision: b.Conditions[k]})
+	}
+	return transaction
+}
+
+// encodeShard writes a page; one that has outgrown a value in several parts, all of them
+// with the same owner and epoch. The new parts come first: a machine is on some page at
+// every moment then.
+func (b *Batch) encodeShard(id storage.ShardID, draft *shardDraft) []protocol.Operation {
+	lines := make([]string, len(draft.MachineIDs))
+	for i, x := range draft.MachineIDs {
+		if r := b.Machines[x]; r != nil {
+			lines[i] = r.EncodeLine(x)
+		} else {
+			lines[i] = b.shardWriter.Replica.EncodedLine(x)
+		}
+	}
+	format := b.shardWriter.Limits.StorageFormat()
+	data := storage.EncodeShard(format, draft.Owner, draft.Epoch, lines, draft.doneTasks)
+	if len(data) <= b.shardWriter.Limits.WriteLimits().ValueBytes || len(draft.MachineIDs) < 2 || format < storage.FormatPacked {
+		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
+	}
+	half := len(draft.MachineIDs) / 2
+	newID := b.shardWriter.newShardID()
+	b.DependOn(storage.ShardKey(newID))
+	parts := b.encodeShard(newID, &shardDraft{Owner: draft.Owner, Epoch: draft.Epoch, MachineIDs: draft.MachineIDs[half:]})
+	return append(parts, b.encodeShard(id, &shardDraft{Owner: draft.Owner, Epoch: draft.Epoch, MachineIDs: draft.MachineIDs[:half], doneTasks: draft.doneTasks})...)
+}
+
+// packedSizeRatio is the part of its plain form that a page takes in the packed format; it
+// is far less where its machines are alike.
+const packedSizeRatio = 0.4
+
+func (b *Batch) estimateMachinesSize(ids []protocol.MachineID) int {
+	n := 0
+	for _, id := range ids {
+		if r := b.MachineRecord(id); r != nil {
+			n += b.shardWriter.estimateMachineSize(r.MachineType)
+		}
+	}
+	return n
+}
+
+// projectShardSize is what a page may come to take. What is packed hardly grows with the tasks of
+// its machines, so there it is what the page takes now, and a quarter more.
+func (b *Batch) projectShardSize(d *shardDraft) int {
+	if b.shardWriter.Limits.StorageFormat() < storage.FormatPacked {
+		return b.estimateMachinesSize(d.MachineIDs)
+	}
+	return d.EstimatedSize * 5 / 4
+}
--- a/internal/coordination/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -1,11 +1,11 @@
-package coordination
+package commit
 
 import (
 	"log/slog"
-	"time"
-
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
+	"time"
 )
 
 // SuccessorElection names the one controller to which a key falls.
@@ -13,24 +13,24 @@
 	IsSuccessor(key string) bool
 }
 
-// formatUpgrade raises the storage format once every controller can read the new one.
-type formatUpgrade struct {
-	*stepContext
+// FormatUpgrade raises the storage format once every controller can read the new one.
+type FormatUpgrade struct {
+	*step.Context
 
-	commits   *committer
-	lease     *incarnationLease
-	limits    *writeLimiter
-	ownership SuccessorElection
+	Commits   *Committer
+	Lease     *Lease
+	Limits    *WriteLimiter
+	Ownership SuccessorElection
 
 	packedReaders            map[protocol.ControllerID]bool // controllers last seen to read the packed format
-	areAnnouncedLimitsActive bool                           // the announced limits hold: a write within today's was refused as too large
+	AreAnnouncedLimitsActive bool                           // the announced limits hold: a write within today's was refused as too large
 	raisableSince            protocol.Instant               // since when the format could be raised
 	warnedIncarnation        storage.Incarnation            // a run that was reported as too old
 }
 
-func newFormatUpgrade(ctx *stepContext) *formatUpgrade {
-	return &formatUpgrade{
-		stepContext:   ctx,
+func NewFormatUpgrade(ctx *step.Context) *FormatUpgrade {
+	return &FormatUpgrade{
+		Context:       ctx,
 		packedReaders: map[protocol.ControllerID]bool{},
 	}
 }
@@ -46,71 +46,71 @@
 // format.
 const raiseFormatDelay = 2 * time.Second
 
-// recordFormatSupport notes which controllers read the packed format. A run of an older
+// RecordFormatSupport notes which controllers read the packed format. A run of an older
 // version takes back what was noted of its controller.
-func (u *formatUpgrade) recordFormatSupport() {
-	for controllerID, e := range u.replica.Controllers {
+func (u *FormatUpgrade) RecordFormatSupport() {
+	for controllerID, e := range u.Replica.Controllers {
 		readsPacked := e.Record.ReadableFormat >= storage.FormatPacked
-		if u.packedReaders[controllerID] = readsPacked; !readsPacked && u.limits.storageFormat() >= storage.FormatPacked && u.warnedIncarnation != e.Record.Incarnation {
+		if u.packedReaders[controllerID] = readsPacked; !readsPacked && u.Limits.StorageFormat() >= storage.FormatPacked && u.warnedIncarnation != e.Record.Incarnation {
 			u.warnedIncarnation = e.Record.Incarnation
-			u.log(slog.LevelError, "incompatible controller version running", "incarnation", string(e.Record.Incarnation))
+			u.Log(slog.LevelError, "incompatible controller version running", "incarnation", string(e.Record.Incarnation))
 		}
 	}
 }
 
-// canRaiseFormat tells whether the packed format may be written from now on: every
+// CanRaiseFormat tells whether the packed format may be written from now on: every
 // controller of the deployment has been seen to read it. That the announced limits hold
 // shows it too, as they come only when the upgrade is over; but not against a run of
 // an older version that lives.
-func (u *formatUpgrade) canRaiseFormat() bool {
-	if u.cfg.AnnouncedLimits == nil || u.limits.storageFormat() >= storage.FormatPacked {
+func (u *FormatUpgrade) CanRaiseFormat() bool {
+	if u.Config.AnnouncedLimits == nil || u.Limits.StorageFormat() >= storage.FormatPacked {
 		return false
 	}
-	for controllerID := range u.replica.Controllers {
+	for controllerID := range u.Replica.Controllers {
 		if !u.packedReaders[controllerID] {
 			return false
 		}
 	}
-	if u.areAnnouncedLimitsActive {
+	if u.AreAnnouncedLimitsActive {
 		return true
 	}
-	for _, controllerID := range u.cfg.PeerIDs {
+	for _, controllerID := range u.Config.PeerIDs {
 		if !u.packedReaders[controllerID] {
 			return false
 		}
 	}
-	return u.packedReaders[u.cfg.ControllerID]
+	return u.packedReaders[u.Config.ControllerID]
 }
 
-// tryRaiseFormat sends the change of the format, and tells whether it did. It rests on the
+// TryRaiseFormat sends the change of the format, and tells whether it did. It rests on the
 // keys of all controllers, those that are away too: one of them may end, and another
 // version begin, before the change is applied.
-func (u *formatUpgrade) tryRaiseFormat() bool {
-	if !u.canRaiseFormat() {
+func (u *FormatUpgrade) TryRaiseFormat() bool {
+	if !u.CanRaiseFormat() {
 		u.raisableSince = 0
 		return false
 	}
 	if u.raisableSince == 0 {
-		u.raisableSince = u.now.Monotonic
+		u.raisableSince = u.Now.Monotonic
 	}
-	if !u.ownership.IsSuccessor(storage.FormatKey) && u.since(u.raisableSince) < raiseFormatDelay || !u.limits.takeWriteTokens(1) {
+	if !u.Ownership.IsSuccessor(storage.FormatKey) && u.Since(u.raisableSince) < raiseFormatDelay || !u.Limits.TakeWriteTokens(1) {
 		return false
 	}
-	conditions := []protocol.Condition{{Key: storage.FormatKey, ModRevision: u.replica.ModRevision(storage.FormatKey)}}
-	for _, controllerID := range append([]protocol.ControllerID{u.cfg.ControllerID}, u.cfg.PeerIDs...) {
+	conditions := []protocol.Condition{{Key: storage.FormatKey, ModRevision: u.Replica.ModRevision(storage.FormatKey)}}
+	for _, controllerID := range append([]protocol.ControllerID{u.Config.ControllerID}, u.Config.PeerIDs...) {
 		key := storage.ControllerKey(controllerID)
-		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.replica.ModRevision(key)})
+		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.Replica.ModRevision(key)})
 	}
-	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.incarnation}
-	u.commits.sendTransaction(&pendingTransaction{transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
-		logsOnApply: []Effect{Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
+	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.Lease.Incarnation}
+	u.Commits.SendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
+		LogsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
 	return true
 }
 
-// onTransactionTooLarge takes in that the state service has called a transaction malformed.
-func (u *formatUpgrade) onTransactionTooLarge(transaction *protocol.Transaction) {
-	if u.cfg.AnnouncedLimits != nil && u.limits.storageFormat() < storage.FormatPacked && !u.limits.admissionLimits().allows(transaction) {
-		u.areAnnouncedLimitsActive = true
+// OnTransactionTooLarge takes in that the state service has called a transaction malformed.
+func (u *FormatUpgrade) OnTransactionTooLarge(transaction *protocol.Transaction) {
+	if u.Config.AnnouncedLimits != nil && u.Limits.StorageFormat() < storage.FormatPacked && !u.Limits.AdmissionLimits().Allows(transaction) {
+		u.AreAnnouncedLimitsActive = true
 	}
-	u.limits.shrinkTransactions()
+	u.Limits.shrinkTransactions()
 }
--- /dev/null
+++ b/internal/coordination/commit/lease.go
@@ -0,0 +1,87 @@
+package commit
+
+import (
+	"errors"
+	"log/slog"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+	"time"
+)
+
+// Lease keeps the store's lease of this process and the incarnation that is registered under it.
+// As long as the lease lives, the incarnation owns what the records say it owns.
+type Lease struct {
+	*step.Context
+
+	Store *StoreHealth
+
+	Incarnation          storage.Incarnation
+	RegistrationRevision protocol.ModRevision // stamp of this member's key while run is registered
+	ID                   protocol.LeaseID     // of the run, or the one to register with; 0: none
+	isGranting           bool
+	grantRequestedAt     protocol.Instant // when the one that is being granted was asked for
+	grantedOrRetryAt     protocol.Instant // when the next may be
+	isRenewing           bool
+	renewalRequestedAt   protocol.Instant
+	nextRenewalAt        protocol.Instant
+}
+
+// TickLease asks for a lease where there is none, and renews it in good time.
+func (l *Lease) TickLease() {
+	now := l.Now.Monotonic
+	if l.ID == 0 && !l.isGranting && now >= l.grantedOrRetryAt {
+		l.isGranting, l.grantRequestedAt = true, now
+		l.Emit(step.GrantLease{TTL: l.Config.LeaseTTL})
+	}
+	if l.ID != 0 && !l.isRenewing && now >= l.nextRenewalAt && l.Since(l.grantedOrRetryAt) > l.Config.LeaseTTL/4 {
+		l.isRenewing, l.renewalRequestedAt = true, now
+		l.nextRenewalAt = now.Add(l.Jitter(l.Config.LeaseTTL / 4))
+		l.Emit(step.RenewLease{LeaseID: l.ID})
+	}
+}
+
+func (l *Lease) OnGrantLeaseResult(v step.GrantLeaseResult) {
+	l.isGranting = false
+	if l.Store.RecordContact(l.grantRequestedAt, v.Err) {
+		l.ID = v.LeaseID
+		l.grantedOrRetryAt = l.Now.Monotonic
+	} else {
+		l.grantedOrRetryAt = l.Now.Monotonic.Add(l.Jitter(500 * time.Millisecond))
+	}
+}
+
+func (l *Lease) OnRenewLeaseResult(v step.RenewLeaseResult) {
+	l.isRenewing = false
+	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == l.ID {
+		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.Incarnation))
+		l.RegistrationRevision, l.ID = 0, 0
+	}
+	if !l.Store.RecordContact(l.renewalRequestedAt, v.Err) {
+		l.nextRenewalAt = l.Now.Monotonic.Add(l.Jitter(300 * time.Millisecond))
+	}
+}
+
+// checkRegistration compares this run with what the state service says of it.
+func (l *Lease) checkRegistration() {
+	if !l.IsRegistered() {
+		return
+	}
+	e := l.Replica.Controllers[l.Config.ControllerID]
+	if e != nil && e.Record.Incarnation == l.Incarnation {
+		l.RegistrationRevision = e.ModRevision
+		return
+	}
+	if e == nil && l.Replica.Revision < protocol.Revision(l.RegistrationRevision) {
+		return // the replica is older than the registration
+	}
+	l.Log(slog.LevelWarn, "controller registration lost, registering again", "incarnation", string(l.Incarnation))
+	l.RegistrationRevision, l.ID = 0, 0
+}
+
+func (l *Lease) IsRegistered() bool { return l.RegistrationRevision != 0 }
+
+// OwnsMachine tells whether this run owns the machine, as far as it knows.
+func (l *Lease) OwnsMachine(record *storage.MachineRecord) bool {
+	return l.Incarnation != "" && record.Owner == l.Incarnation
+}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -1,59 +1,64 @@
 package coordination
 
 import (
-	"cmp"
 	"fmt"
-	"maps"
 	"math/rand/v2"
-	"slices"
-	"time"
-
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/cancellation"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/scheduling"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
+	"time"
 )
 
 // Core is the state machine of one controller. It wires the parts, each of which owns its
 // state, and passes inputs and time to them.
 type Core struct {
-	*stepContext
+	*step.Context
 
-	store         *storeHealth
-	lease         *incarnationLease
-	replication   *replicaSync
-	limits        *writeLimiter
-	upgrade       *formatUpgrade
-	commits       *committer
-	shards        *shardWriter
-	peers         *peerTable
-	overload      *overloadDetector
-	agents        *agentTable
-	misdirected   *misdirectedHeartbeats
-	heartbeats    *heartbeatHandler
-	calls         *agentCaller
-	reconciler    *reconciler
-	stopper       *taskStopper
-	monitor       *agentMonitor
-	jobs          *jobTable
-	cancellations *canceller
-	ownership     *shardOwnership
-	transfers     *transferManager
-	operators     *operatorRequests
-	catalog       *machineCatalog
-	spot          *spotPricing
-	inventory     *instanceInventory
-	provisioner   *machineProvisioner
-	terminator    *machineTerminator
-	queue         *jobQueue
-	capacity      *candidateLister
-	contention    *contentionTracker
-	backfill      *backfillPlanner
-	plan          *placementPlan
-	acquirer      *jobAcquirer
-	scheduler     *scheduler
-	gangs         *gangScheduler
-	services      *serviceScheduler
-	preemption    *preemptor
-	users         *userRequestHandler
+	store         *commit.StoreHealth
+	lease         *commit.Lease
+	replication   *commit.Replication
+	limits        *commit.WriteLimiter
+	upgrade       *commit.FormatUpgrade
+	commits       *commit.Committer
+	shards        *commit.ShardWriter
+	peers         *ownership.Peers
+	overload      *ownership.OverloadDetector
+	agents        *agents.Table
+	misdirected   *agents.MisdirectedHeartbeats
+	heartbeats    *agents.HeartbeatHandler
+	calls         *agents.Caller
+	reconciler    *agents.Reconciler
+	stopper       *agents.TaskStopper
+	monitor       *agents.Monitor
+	jobs          *agents.JobTable
+	cancellations *cancellation.Canceller
+	ownership     *ownership.Manager
+	transfers     *ownership.Transfers
+	operators     *requests.OperatorRequests
+	catalog       *catalog.Catalog
+	spot          *catalog.SpotPricing
+	inventory     *provisioning.Inventory
+	provisioner   *provisioning.Provisioner
+	terminator    *provisioning.Terminator
+	queue         *scheduling.Queue
+	capacity      *scheduling.CandidateLister
+	contention    *scheduling.ContentionTracker
+	backfill      *scheduling.Backfill
+	plan          *scheduling.Plan
+	acquirer      *scheduling.JobAcquirer
+	scheduler     *scheduling.Scheduler
+	gangs         *scheduling.GangScheduler
+	services      *scheduling.ServiceScheduler
+	preemption    *scheduling.Preemptor
+	users         *requests.UserRequests
 
 	nextFullTickAt protocol.Instant
 	nextCleanupAt  protocol.Instant // when what is remembered of machines and jobs that are gone is dropped next
@@ -61,363 +66,321 @@
 
 // connect gives each part the other parts that it works with.
 func (c *Core) connect() {
-	c.lease.store = c.store
-	c.replication.agents = c.agents
-	c.replication.lease = c.lease
-	c.replication.limits = c.limits
-	c.replication.peers = c.peers
-	c.replication.store = c.store
-	c.upgrade.commits = c.commits
-	c.upgrade.lease = c.lease
-	c.upgrade.limits = c.limits
-	c.upgrade.ownership = c.ownership
-	c.commits.agents = c.agents
-	c.commits.lease = c.lease
-	c.commits.limits = c.limits
-	c.commits.replication = c.replication
-	c.commits.shards = c.shards
-	c.commits.store = c.store
-	c.commits.upgrade = c.upgrade
-	c.shards.catalog = c.catalog
-	c.shards.commits = c.commits
-	c.shards.lease = c.lease
-	c.shards.limits = c.limits
-	c.shards.transfers = c.transfers
-	c.peers.cancellations = c.cancellations
-	c.peers.lease = c.lease
-	c.peers.misdirected = c.misdirected
-	c.peers.ownership = c.ownership
-	c.peers.replication = c.replication
-	c.peers.store = c.store
-	c.agents.catalog = c.catalog
-	c.agents.terminator = c.terminator
-	c.misdirected.calls = c.calls
-	c.heartbeats.agents = c.agents
-	c.heartbeats.calls = c.calls
-	c.heartbeats.cancellations = c.cancellations
-	c.heartbeats.catalog = c.catalog
-	c.heartbeats.jobs = c.jobs
-	c.heartbeats.lease = c.lease
-	c.heartbeats.misdirected = c.misdirected
-	c.heartbeats.plan = c.plan
-	c.heartbeats.replication = c.replication
-	c.heartbeats.transfers = c.transfers
-	c.calls.agents = c.agents
-	c.calls.lease = c.lease
-	c.calls.misdirected = c.misdirected
-	c.reconciler.agents = c.agents
-	c.reconciler.commits = c.commits
-	c.reconciler.cancellations = c.cancellations
-	c.reconciler.jobs = c.jobs
-	c.reconciler.lease = c.lease
-	c.reconciler.shards = c.shards
-	c.reconciler.stopper = c.stopper
-	c.reconciler.terminator = c.terminator
-	c.stopper.calls = c.calls
-	c.stopper.cancellations = c.cancellations
-	c.stopper.heartbeats = c.heartbeats
-	c.stopper.jobs = c.jobs
-	c.monitor.agents = c.agents
-	c.monitor.calls = c.calls
-	c.monitor.jobs = c.jobs
-	c.monitor.shards = c.shards
-	c.monitor.stopper = c.stopper
-	c.monitor.terminator = c.terminator
-	c.cancellations.agents = c.agents
-	c.cancellations.calls = c.calls
-	c.cancellations.commits = c.commits
-	c.cancellations.lease = c.lease
-	c.cancellations.limits = c.limits
-	c.cancellations.ownership = c.ownership
-	c.cancellations.peers = c.peers
-	c.cancellations.replication = c.replication
-	c.cancellations.terminator = c.terminator
-	c.ownership.agents = c.agents
-	c.ownership.lease = c.lease
-	c.ownership.limits = c.limits
-	c.ownership.overload = c.overload
-	c.ownership.shards = c.shards
-	c.ownership.transfers = c.transfers
-	c.transfers.agents = c.agents
-	c.transfers.cancellations = c.cancellations
-	c.transfers.lease = c.lease
-	c.transfers.overload = c.overload
-	c.transfers.ownership = c.ownership
-	c.transfers.peers = c.peers
-	c.transfers.shards = c.shards
-	c.operators.lease = c.lease
-	c.operators.overload = c.overload
-	c.operators.replication = c.replication
-	c.operators.transfers = c.transfers
-	c.catalog.spot = c.spot
-	c.inventory.ownership = c.ownership
-	c.inventory.provisioner = c.provisioner
-	c.inventory.replication = c.replication
-	c.inventory.terminator = c.terminator
-	c.provisioner.catalog = c.catalog
-	c.provisioner.lease = c.lease
-	c.provisioner.plan = c.plan
-	c.provisioner.replication = c.replication
-	c.provisioner.spot = c.spot
-	c.provisioner.terminator = c.terminator
-	c.terminator.agents = c.agents
-	c.terminator.cancellations = c.cancellations
-	c.terminator.catalog = c.catalog
-	c.terminator.inventory = c.inventory
-	c.terminator.lease = c.lease
-	c.terminator.plan = c.plan
-	c.terminator.replication = c.replication
-	c.terminator.scheduler = c.scheduler
-	c.queue.catalog = c.catalog
-	c.capacity.agents = c.agents
-	c.capacity.catalog = c.catalog
-	c.capacity.lease = c.lease
-	c.capacity.provisioner = c.provisioner
-	c.capacity.queue = c.queue
-	c.capacity.spot = c.spot
-	c.capacity.terminator = c.terminator
-	c.capacity.transfers = c.transfers
-	c.contention.catalog = c.catalog
-	c.contention.plan = c.plan
-	c.contention.provisioner = c.provisioner
-	c.contention.spot = c.spot
-	c.backfill.agents = c.agents
-	c.backfill.capacity = c.capacity
-	c.backfill.catalog = c.catalog
-	c.backfill.jobs = c.jobs
-	c.acquirer.jobs = c.jobs
-	c.acquirer.lease = c.lease
-	c.acquirer.limits = c.limits
-	c.acquirer.ownership = c.ownership
-	c.scheduler.acquirer = c.acquirer
-	c.scheduler.backfill = c.backfill
-	c.scheduler.capacity = c.capacity
-	c.scheduler.catalog = c.catalog
-	c.scheduler.contention = c.contention
-	c.scheduler.gangs = c.gangs
-	c.scheduler.jobs = c.jobs
-	c.scheduler.lease = c.lease
-	c.scheduler.plan = c.plan
-	c.scheduler.queue = c.queue
-	c.scheduler.commits = c.commits
-	c.scheduler.services = c.services
-	c.gangs.acquirer = c.acquirer
-	c.gangs.capacity = c.capacity
-	c.gangs.catalog = c.catalog
-	c.gangs.jobs = c.jobs
-	c.gangs.limits = c.limits
-	c.gangs.plan = c.plan
-	c.gangs.preemption = c.preemption
-	c.gangs.queue = c.queue
-	c.gangs.scheduler = c.scheduler
-	c.services.acquirer = c.acquirer
-	c.services.capacity = c.capacity
-	c.services.agents = c.agents
-	c.services.catalog = c.catalog
-	c.services.jobs = c.jobs
-	c.services.lease = c.lease
-	c.services.plan = c.plan
-	c.services.preemption = c.preemption
-	c.services.queue = c.queue
-	c.services.scheduler = c.scheduler
-	c.preemption.agents = c.agents
-	c.preemption.gangs = c.gangs
-	c.preemption.lease = c.lease
-	c.preemption.limits = c.limits
-	c.preemption.stopper = c.stopper
-	c.users.cancellations = c.cancellations
-	c.users.catalog = c.catalog
-	c.users.lease = c.lease
-	c.users.limits = c.limits
-	c.users.replication = c.replication
-	c.users.store = c.store
-}
-
-// misdirectedHeartbeat is a report that came to a node that does not own its machine.
-type misdirectedHeartbeat struct {
-	receivedAt        protocol.Instant
-	agentEpoch        protocol.AgentEpoch
-	sequence          protocol.Sequence
-	hasAgentResponded bool // its worker has answered here since
-	isAnnounced       bool // its owner has been told, in this turn of the hints
+	c.lease.Store = c.store
+	c.replication.Agents = c.agents
+	c.replication.Lease = c.lease
+	c.replication.Limits = c.limits
+	c.replication.Peers = c.peers
+	c.replication.Store = c.store
+	c.upgrade.Commits = c.commits
+	c.upgrade.Lease = c.lease
+	c.upgrade.Limits = c.limits
+	c.upgrade.Ownership = c.ownership
+	c.commits.Agents = c.agents
+	c.commits.Lease = c.lease
+	c.commits.Limits = c.limits
+	c.commits.Replication = c.replication
+	c.commits.Shards = c.shards
+	c.commits.Store = c.store
+	c.commits.Upgrade = c.upgrade
+	c.shards.Catalog = c.catalog
+	c.shards.Commits = c.commits
+	c.shards.Lease = c.lease
+	c.shards.Limits = c.limits
+	c.shards.Transfers = c.transfers
+	c.peers.Cancellations = c.cancellations
+	c.peers.Lease = c.lease
+	c.peers.Misdirected = c.misdirected
+	c.peers.Ownership = c.ownership
+	c.peers.Replication = c.replication
+	c.peers.Store = c.store
+	c.agents.Catalog = c.catalog
+	c.agents.Terminator = c.terminator
+	c.misdirected.Calls = c.calls
+	c.heartbeats.Agents = c.agents
+	c.heartbeats.Calls = c.calls
+	c.heartbeats.Cancellations = c.cancellations
+	c.heartbeats.Catalog = c.catalog
+	c.heartbeats.Jobs = c.jobs
+	c.heartbeats.Lease = c.lease
+	c.heartbeats.Misdirected = c.misdirected
+	c.heartbeats.Plan = c.plan
+	c.heartbeats.Replication = c.replication
+	c.heartbeats.Transfers = c.transfers
+	c.calls.Agents = c.agents
+	c.calls.Lease = c.lease
+	c.calls.Misdirected = c.misdirected
+	c.reconciler.Agents = c.agents
+	c.reconciler.Commits = c.commits
+	c.reconciler.Cancellations = c.cancellations
+	c.reconciler.Jobs = c.jobs
+	c.reconciler.Lease = c.lease
+	c.reconciler.Shards = c.shards
+	c.reconciler.Stopper = c.stopper
+	c.reconciler.Terminator = c.terminator
+	c.stopper.Calls = c.calls
+	c.stopper.Cancellations = c.cancellations
+	c.stopper.Heartbeats = c.heartbeats
+	c.stopper.Jobs = c.jobs
+	c.monitor.Agents = c.agents
+	c.monitor.Calls = c.calls
+	c.monitor.Jobs = c.jobs
+	c.monitor.Shards = c.shards
+	c.monitor.Stopper = c.stopper
+	c.monitor.Terminator = c.terminator
+	c.cancellations.Agents = c.agents
+	c.cancellations.Calls = c.calls
+	c.cancellations.Commits = c.commits
+	c.cancellations.Lease = c.lease
+	c.cancellations.Limits = c.limits
+	c.cancellations.Ownership = c.ownership
+	c.cancellations.Peers = c.peers
+	c.cancellations.Replication = c.replication
+	c.cancellations.Terminator = c.terminator
+	c.ownership.Agents = c.agents
+	c.ownership.Lease = c.lease
+	c.ownership.Limits = c.limits
+	c.ownership.Overload = c.overload
+	c.ownership.Shards = c.shards
+	c.ownership.Transfers = c.transfers
+	c.transfers.Agents = c.agents
+	c.transfers.Cancellations = c.cancellations
+	c.transfers.Lease = c.lease
+	c.transfers.Overload = c.overload
+	c.transfers.Ownership = c.ownership
+	c.transfers.Peers = c.peers
+	c.transfers.Shards = c.shards
+	c.operators.Lease = c.lease
+	c.operators.Overload = c.overload
+	c.operators.Replication = c.replication
+	c.operators.Transfers = c.transfers
+	c.catalog.Spot = c.spot
+	c.inventory.Ownership = c.ownership
+	c.inventory.Provisioner = c.provisioner
+	c.inventory.Replication = c.replication
+	c.inventory.Terminator = c.terminator
+	c.provisioner.Catalog = c.catalog
+	c.provisioner.Lease = c.lease
+	c.provisioner.Plan = c.plan
+	c.provisioner.Replication = c.replication
+	c.provisioner.Spot = c.spot
+	c.provisioner.Terminator = c.terminator
+	c.terminator.Agents = c.agents
+	c.terminator.Cancellations = c.cancellations
+	c.terminator.Catalog = c.catalog
+	c.terminator.Inventory = c.inventory
+	c.terminator.Lease = c.lease
+	c.terminator.Plan = c.plan
+	c.terminator.Replication = c.replication
+	c.terminator.Scheduler = c.scheduler
+	c.queue.Catalog = c.catalog
+	c.capacity.Agents = c.agents
+	c.capacity.Catalog = c.catalog
+	c.capacity.Lease = c.lease
+	c.capacity.Provisioner = c.provisioner
+	c.capacity.Queue = c.queue
+	c.capacity.Spot = c.spot
+	c.capacity.Terminator = c.terminator
+	c.capacity.Transfers = c.transfers
+	c.contention.Catalog = c.catalog
+	c.contention.Plan = c.plan
+	c.contention.Provisioner = c.provisioner
+	c.contention.Spot = c.spot
+	c.backfill.Agents = c.agents
+	c.backfill.Capacity = c.capacity
+	c.backfill.Catalog = c.catalog
+	c.backfill.Jobs = c.jobs
+	c.acquirer.Jobs = c.jobs
+	c.acquirer.Lease = c.lease
+	c.acquirer.Limits = c.limits
+	c.acquirer.Ownership = c.ownership
+	c.scheduler.Acquirer = c.acquirer
+	c.scheduler.Backfill = c.backfill
+	c.scheduler.Capacity = c.capacity
+	c.scheduler.Catalog = c.catalog
+	c.scheduler.Contention = c.contention
+	c.scheduler.Gangs = c.gangs
+	c.scheduler.Jobs = c.jobs
+	c.scheduler.Lease = c.lease
+	c.scheduler.Plan = c.plan
+	c.scheduler.Queue = c.queue
+	c.scheduler.Commits = c.commits
+	c.scheduler.Services = c.services
+	c.gangs.Acquirer = c.acquirer
+	c.gangs.Capacity = c.capacity
+	c.gangs.Catalog = c.catalog
+	c.gangs.Jobs = c.jobs
+	c.gangs.Limits = c.limits
+	c.gangs.Plan = c.plan
+	c.gangs.Preemption = c.preemption
+	c.gangs.Queue = c.queue
+	c.gangs.Scheduler = c.scheduler
+	c.services.Acquirer = c.acquirer
+	c.services.Capacity = c.capacity
+	c.services.Agents = c.agents
+	c.services.Catalog = c.catalog
+	c.services.Jobs = c.jobs
+	c.services.Lease = c.lease
+	c.services.Plan = c.plan
+	c.services.Preemption = c.preemption
+	c.services.Queue = c.queue
+	c.services.Scheduler = c.scheduler
+	c.preemption.Agents = c.agents
+	c.preemption.Gangs = c.gangs
+	c.preemption.Lease = c.lease
+	c.preemption.Limits = c.limits
+	c.preemption.Stopper = c.stopper
+	c.users.Cancellations = c.cancellations
+	c.users.Catalog = c.catalog
+	c.users.Lease = c.lease
+	c.users.Limits = c.limits
+	c.users.Replication = c.replication
+	c.users.Store = c.store
 }
 
 // pauseThreshold is a pause between steps that is this process's own doing: its timer
 // alone brings one every 50 ms.
 const pauseThreshold = 2 * time.Second
 
-type peer struct {
-	status     PeerStatus
-	receivedAt protocol.Instant
-}
-
-type pendingTransaction struct {
-	id             uint64
-	sentAt         protocol.Instant
-	transaction    protocol.Transaction
-	isWriteBarrier bool
-	registers      bool // registers this run
-	isUserBatch    bool // holds what users asked for
-	logsOnApply    []Effect
-}
-
 // rngStream selects the random sequence of the core.
 const rngStream = 7
 
 // New makes the core of a controller that knows nothing yet.
-func New(cfg Config, now Now) *Core {
-	ctx := &stepContext{cfg: cfg, now: now, rng: rand.New(rand.NewPCG(cfg.Seed, rngStream)), replica: storage.NewReplica()}
+func New(cfg step.Config, now step.Now) *Core {
+	ctx := &step.Context{Config: cfg, Now: now, Rand: rand.New(rand.NewPCG(cfg.Seed, rngStream)), Replica: storage.NewReplica()}
 	c := &Core{
-		stepContext:   ctx,
-		store:         &storeHealth{stepContext: ctx},
-		lease:         &incarnationLease{stepContext: ctx},
-		replication:   &replicaSync{stepContext: ctx},
-		limits:        &writeLimiter{stepContext: ctx},
-		upgrade:       newFormatUpgrade(ctx),
-		commits:       &committer{stepContext: ctx},
-		shards:        newShardWriter(ctx),
-		peers:         newPeerTable(ctx),
-		overload:      &overloadDetector{stepContext: ctx},
-		agents:        newAgentTable(ctx),
-		misdirected:   newMisdirectedHeartbeats(ctx),
-		heartbeats:    &heartbeatHandler{stepContext: ctx},
-		calls:         &agentCaller{stepContext: ctx},
-		reconciler:    &reconciler{stepContext: ctx},
-		stopper:       newTaskStopper(ctx),
-		monitor:       &agentMonitor{stepContext: ctx},
-		jobs:          newJobTable(ctx),
-		cancellations: newCanceller(ctx),
-		ownership:     newShardOwnership(ctx),
-		transfers:     newTransferManager(ctx),
-		operators:     &operatorRequests{stepContext: ctx},
-		catalog:       &machineCatalog{stepContext: ctx},
-		spot:          newSpotPricing(ctx),
-		inventory:     newInstanceInventory(ctx),
-		provisioner:   newMachineProvisioner(ctx),
-		terminator:    newMachineTerminator(ctx),
-		queue:         &jobQueue{stepContext: ctx},
-		capacity:      &candidateLister{stepContext: ctx},
-		contention:    newContentionTracker(ctx),
-		backfill:      &backfillPlanner{stepContext: ctx},
-		plan:          &placementPlan{stepContext: ctx},
-		acquirer:      &jobAcquirer{stepContext: ctx},
-		scheduler:     newScheduler(ctx),
-		gangs:         &gangScheduler{stepContext: ctx},
-		services:      &serviceScheduler{stepContext: ctx},
-		preemption:    &preemptor{stepContext: ctx},
-		users:         newUserRequestHandler(ctx),
+		Context:       ctx,
+		store:         &commit.StoreHealth{Context: ctx},
+		lease:         &commit.Lease{Context: ctx},
+		replication:   &commit.Replication{Context: ctx},
+		limits:        &commit.WriteLimiter{Context: ctx},
+		upgrade:       commit.NewFormatUpgrade(ctx),
+		commits:       &commit.Committer{Context: ctx},
+		shards:        commit.NewShardWriter(ctx),
+		peers:         ownership.NewPeers(ctx),
+		overload:      &ownership.OverloadDetector{Context: ctx},
+		agents:        agents.NewTable(ctx),
+		misdirected:   agents.NewMisdirectedHeartbeats(ctx),
+		heartbeats:    &agents.HeartbeatHandler{Context: ctx},
+		calls:         &agents.Caller{Context: ctx},
+		reconciler:    &agents.Reconciler{Context: ctx},
+		stopper:       agents.NewTaskStopper(ctx),
+		monitor:       &agents.Monitor{Context: ctx},
+		jobs:          agents.NewJobTable(ctx),
+		cancellations: cancellation.NewCanceller(ctx),
+		ownership:     ownership.NewManager(ctx),
+		transfers:     ownership.NewTransfers(ctx),
+		operators:     &requests.OperatorRequests{Context: ctx},
+		catalog:       &catalog.Catalog{Context: ctx},
+		spot:          catalog.NewSpotPricing(ctx),
+		inventory:     provisioning.NewInventory(ctx),
+		provisioner:   provisioning.NewProvisioner(ctx),
+		terminator:    provisioning.NewTerminator(ctx),
+		queue:         &scheduling.Queue{Context: ctx},
+		capacity:      &scheduling.CandidateLister{Context: ctx},
+		contention:    scheduling.NewContentionTracker(ctx),
+		backfill:      &scheduling.Backfill{Context: ctx},
+		plan:          &scheduling.Plan{Context: ctx},
+		acquirer:      &scheduling.JobAcquirer{Context: ctx},
+		scheduler:     scheduling.NewScheduler(ctx),
+		gangs:         &scheduling.GangScheduler{Context: ctx},
+		services:      &scheduling.ServiceScheduler{Context: ctx},
+		preemption:    &scheduling.Preemptor{Context: ctx},
+		users:         requests.NewUserRequests(ctx),
 	}
 	c.connect()
-	c.replica.OnMachineChange = c.onMachineChanged
-	c.limits.updateWriteLimiter()
+	c.Replica.OnMachineChange = c.onMachineChanged
+	c.limits.UpdateWriteLimiter()
 	return c
 }
 
-// sortedKeys lists a map's keys in order: what a step does depends on its inputs
-// only, never on the order in which a map happens to be walked.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
-// selectKeys lists, in order, the keys whose values are to be looked at.
-func selectKeys[K cmp.Ordered, V any](m map[K]V, matches func(V) bool) []K {
-	var out []K
-	for k, v := range m {
-		if matches(v) {
-			out = append(out, k)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
-
-func millisToDuration(m protocol.Millis) time.Duration { return time.Duration(m) * time.Millisecond }
-
 // Step takes one input and gives the effects it has.
-func (c *Core) Step(now Now, in Input) []Effect {
-	if c.lastStepAt != 0 && now.Monotonic.Sub(c.lastStepAt) > pauseThreshold {
+func (c *Core) Step(now step.Now, in step.Input) []step.Effect {
+	if c.LastStepAt != 0 && now.Monotonic.Sub(c.LastStepAt) > pauseThreshold {
 		// What has come in meanwhile lies in queues, in no order that tells who was
 		// silent: silence counts from now on.
-		c.resumedAt = now.Monotonic
+		c.ResumedAt = now.Monotonic
 	}
-	c.now, c.lastStepAt = now, now.Monotonic
-	c.effects = nil
+	c.Now, c.LastStepAt = now, now.Monotonic
+	c.Effects = nil
 	switch v := in.(type) {
-	case UserInput:
-		c.users.onUserInput(v)
-	case HeartbeatInput:
-		c.heartbeats.onHeartbeat(v)
-	case CommitResult:
-		c.commits.onCommitResult(v)
-	case LoadRecordsResult:
-		c.replication.onLoadRecordsResult(v)
-	case WatchResult:
-		c.replication.onWatchResult(v)
-	case ReadRevisionResult:
-		c.users.onReadRevisionResult(v)
-	case GrantLeaseResult:
-		c.lease.onGrantLeaseResult(v)
-	case RenewLeaseResult:
-		c.lease.onRenewLeaseResult(v)
-	case ListMachineTypesResult:
-		c.catalog.onMachineTypes(v)
-	case ProvisionMachinesResult:
-		c.provisioner.onProvisionResult(v)
-	case TerminateMachinesResult:
-		c.terminator.onTerminateResult(v)
-	case ListInstancesResult:
-		c.inventory.onInstanceList(v)
-	case AgentResult:
-		c.shouldRecheckDeferred = true
-		c.calls.onAgentResult(v)
-	case TransferRequest:
-		c.operators.onTransferRequest(v)
-	case DrainRequest:
-		c.operators.onDrainRequest(v)
-	case ShardingStatusRequest:
-		c.operators.onShardingStatusRequest(v)
-	case PeerStatusInput:
+	case step.UserInput:
+		c.users.OnUserInput(v)
+	case step.HeartbeatInput:
+		c.heartbeats.OnHeartbeat(v)
+	case step.CommitResult:
+		c.commits.OnCommitResult(v)
+	case step.LoadRecordsResult:
+		c.replication.OnLoadRecordsResult(v)
+	case step.WatchResult:
+		c.replication.OnWatchResult(v)
+	case step.ReadRevisionResult:
+		c.users.OnReadRevisionResult(v)
+	case step.GrantLeaseResult:
+		c.lease.OnGrantLeaseResult(v)
+	case step.RenewLeaseResult:
+		c.lease.OnRenewLeaseResult(v)
+	case step.ListMachineTypesResult:
+		c.catalog.OnMachineTypes(v)
+	case step.ProvisionMachinesResult:
+		c.provisioner.OnProvisionResult(v)
+	case step.TerminateMachinesResult:
+		c.terminator.OnTerminateResult(v)
+	case step.ListInstancesResult:
+		c.inventory.OnInstanceList(v)
+	case step.AgentResult:
+		c.ShouldRecheckDeferred = true
+		c.calls.OnAgentResult(v)
+	case requests.TransferRequest:
+		c.operators.OnTransferRequest(v)
+	case requests.DrainRequest:
+		c.operators.OnDrainRequest(v)
+	case requests.ShardingStatusRequest:
+		c.operators.OnShardingStatusRequest(v)
+	case step.PeerStatusInput:
 		c.onPeerStatus(v.Status)
-	case Tick:
-		c.shouldRecheckDeferred = true
+	case step.Tick:
+		c.ShouldRecheckDeferred = true
 		c.tick()
 	default:
 		panic(fmt.Sprintf("coordination: unknown input %T", in))
 	}
-	c.users.replyPending()
-	c.heartbeats.resolveDeferredHeartbeats()
+	c.users.ReplyPending()
+	c.heartbeats.ResolveDeferredHeartbeats()
 	c.commitBatch()
-	c.replication.watchRecords(len(c.users.deferredRequests) > 0)
-	return c.effects
+	c.replication.WatchRecords(len(c.users.DeferredRequests) > 0)
+	return c.Effects
 }
 
 // onPeerStatus takes in what another controller says of itself. A machine that is
 // silent here but reports there is handed over: the way between its worker and
 // this node is broken, and waiting would only let its lease run out.
-func (c *Core) onPeerStatus(status PeerStatus) {
-	c.peers.recordStatus(&status)
-	c.cancellations.onPeerCancellations(&status)
-	c.ownership.recordHeartbeatsElsewhere(&status)
+func (c *Core) onPeerStatus(status step.PeerStatus) {
+	c.peers.RecordStatus(&status)
+	c.cancellations.OnPeerCancellations(&status)
+	c.ownership.RecordHeartbeatsElsewhere(&status)
 }
 
 // onMachineChanged takes in that a machine's record has changed.
 func (c *Core) onMachineChanged(id protocol.MachineID, before, after *storage.MachineRecord) {
-	c.shouldRecheckDeferred = true
+	c.ShouldRecheckDeferred = true
 	if before != nil && after != nil {
-		c.services.recordExitedReplicas(id, before, after)
+		c.services.RecordExitedReplicas(id, before, after)
 	}
-	c.agents.recordAssignments(id, before, after)
+	c.agents.RecordAssignments(id, before, after)
 }
 
 // Healthy tells whether the node can take requests. In an outage that all see
 // it stays healthy: it can answer, if only that the user must come back.
 func (c *Core) Healthy() bool {
-	if !c.replication.isLoaded || c.lease.incarnation == "" {
+	if !c.replication.IsLoaded || c.lease.Incarnation == "" {
 		// A process that begins in an outage has read nothing, and is no worse than
 		// the others: it says so at once, and serves as soon as it can, while a node
 		// that was called unhealthy would be passed over for a while behind the outage.
-		if c.store.consecutiveFailures == 0 || c.since(c.store.firstFailureAt) < 2*time.Second {
+		if c.store.ConsecutiveFailures == 0 || c.Since(c.store.FirstFailureAt) < 2*time.Second {
 			return false
 		}
-	} else if !c.replication.storeUnavailable() || c.since(c.store.lastResponseAt) < 3*time.Second {
+	} else if !c.replication.StoreUnavailable() || c.Since(c.store.LastResponseAt) < 3*time.Second {
 		return true
 	}
 	// If another one reaches the state service, it is this node alone that is cut off. A
@@ -427,28 +390,28 @@
 }
 
 func (c *Core) tick() {
-	now := c.now.Monotonic
-	c.overload.measureOverload()
-	c.replication.tickLoad()
-	c.lease.tickLease()
-	c.cancellations.tickCancellations()
-	c.peers.tickPeerStatus()
-	c.users.expireUserRequests()
-	c.cancellations.expireCancellations()
+	now := c.Now.Monotonic
+	c.overload.MeasureOverload()
+	c.replication.TickLoad()
+	c.lease.TickLease()
+	c.cancellations.TickCancellations()
+	c.peers.TickPeerStatus()
+	c.users.ExpireUserRequests()
+	c.cancellations.ExpireCancellations()
 	if now < c.nextFullTickAt {
 		return
 	}
 	c.nextFullTickAt = now.Add(200 * time.Millisecond)
-	if c.replication.isLoaded {
-		c.upgrade.recordFormatSupport()
-		c.ownership.trackExpiredIncarnations()
+	if c.replication.IsLoaded {
+		c.upgrade.RecordFormatSupport()
+		c.ownership.TrackExpiredIncarnations()
 	}
-	c.operators.expireOperatorRequests()
-	if c.replication.isLoaded {
-		c.monitor.tickMachines()
+	c.operators.ExpireOperatorRequests()
+	if c.replication.IsLoaded {
+		c.monitor.TickMachines()
 		c.forgetGone()
 	}
-	c.cancellations.forceScaleIn()
+	c.cancellations.ForceScaleIn()
 	c.pollCloud()
 }
 
@@ -458,33 +421,22 @@
 
 // forgetGone drops what is remembered of machines and jobs that are gone.
 func (c *Core) forgetGone() {
-	if c.now.Monotonic < c.nextCleanupAt {
+	if c.Now.Monotonic < c.nextCleanupAt {
 		return
 	}
-	c.nextCleanupAt = c.now.Monotonic.Add(forgetInterval)
-	c.agents.forgetMachines()
-	c.jobs.forgetJobs()
+	c.nextCleanupAt = c.Now.Monotonic.Add(forgetInterval)
+	c.agents.ForgetMachines()
+	c.jobs.ForgetJobs()
 }
 
 // pollCloud asks the cloud for what is due.
 func (c *Core) pollCloud() {
-	c.catalog.pollMachineTypes()
-	if !c.replication.isLoaded || !c.lease.isRegistered() {
+	c.catalog.PollMachineTypes()
+	if !c.replication.IsLoaded || !c.lease.IsRegistered() {
 		return
 	}
-	c.terminator.forgetTerminated()
-	c.provisioner.scaleOut()
-	c.terminator.sendTerminations()
-	c.inventory.pollInstances()
+	c.terminator.ForgetTerminated()
+	c.provisioner.ScaleOut()
+	c.terminator.SendTerminations()
+	c.inventory.PollInstances()
 }
-
-// maxMisdirectedPerStatus is how many machines of others one hint names: what fits into a frame beside
-// the withdrawals, for all versions.
-const maxMisdirectedPerStatus = 200
-
-// peerStatusBacklogInterval is the distance of hints while there is more to tell than fits into one.
-const peerStatusBacklogInterval = 200 * time.Millisecond
-
-// overloadTickInterval is a mean distance of ticks that shows a process short of time: five
-// times what it should be.
-const overloadTickInterval = 250 * time.Millisecond
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/protocol"
@@ -12,23 +15,23 @@
 )
 
 // newReadyCore brings a core to the point where it is registered and up to date.
-func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in Input) []Effect) {
+func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in step.Input) []step.Effect) {
 	t.Helper()
-	now := Now{Monotonic: 1, Wall: 1e12}
-	cfg := Config{ControllerID: "stall-0", Quotas: map[string]Quota{"core": {}}, HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second,
-		CancelTimeout: 40 * time.Second, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}
+	now := step.Now{Monotonic: 1, Wall: 1e12}
+	cfg := step.Config{ControllerID: "stall-0", Quotas: map[string]step.Quota{"core": {}}, HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second,
+		CancelTimeout: 40 * time.Second, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: step.DefaultTuning()}
 	c := New(cfg, now)
-	advance := func(after time.Duration, in Input) []Effect {
+	advance := func(after time.Duration, in step.Input) []step.Effect {
 		now.Monotonic = now.Monotonic.Add(after)
 		now.Wall += protocol.Millis(after.Milliseconds())
 		return c.Step(now, in)
 	}
-	advance(0, Tick{})
-	advance(0, GrantLeaseResult{LeaseID: 7})
-	advance(0, LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	advance(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
-	advance(0, WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
-	if !c.lease.isRegistered() || !c.replication.isUpToDate() {
+	advance(0, step.Tick{})
+	advance(0, step.GrantLeaseResult{LeaseID: 7})
+	advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
+	advance(0, step.CommitResult{ID: c.commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
+	advance(0, step.WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
+	if !c.lease.IsRegistered() || !c.replication.IsUpToDate() {
 		t.Fatal("the core does not begin")
 	}
 	return c, advance
@@ -48,17 +51,17 @@
 	} {
 		core, advance := newReadyCore(t)
 		for i := 0; i < 10; i++ {
-			advance(time.Second, Tick{})
+			advance(time.Second, step.Tick{})
 			if c.calls {
-				advance(0, RenewLeaseResult{LeaseID: 7})
+				advance(0, step.RenewLeaseResult{LeaseID: 7})
 			} else {
-				advance(0, RenewLeaseResult{LeaseID: 7, Err: errNoUsableResponse})
+				advance(0, step.RenewLeaseResult{LeaseID: 7, Err: commit.ErrNoUsableResponse})
 			}
 			if c.follow {
-				advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+				advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
 			}
 		}
-		if got := core.replication.isUpToDate(); got != c.want {
+		if got := core.replication.IsUpToDate(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -68,14 +71,14 @@
 // before the replica has all that was written until then.
 func TestWriteBarrierAfterUnknownOutcome(t *testing.T) {
 	c, advance := newReadyCore(t)
-	advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
-	submit := func() []Effect {
-		return advance(time.Second, UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
+	advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+	submit := func() []step.Effect {
+		return advance(time.Second, step.UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
 "pieces":1,"cores":1,"accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,"loaners":false,"reckon_s":1,"bookmark_s":0,"stow_s":0}`)})
 	}
-	commits := func(out []Effect) (n int, keys []string) {
+	commits := func(out []step.Effect) (n int, keys []string) {
 		for _, e := range out {
-			if v, ok := e.(Commit); ok {
+			if v, ok := e.(step.Commit); ok {
 				n++
 				for _, t := range v.Transaction.Operations {
 					keys = append(keys, t.PutKey)
@@ -89,33 +92,33 @@
 	}
 	// Whatever is sent rests on this run's own key: once that has gone, nothing
 	// that is still on its way is applied.
-	if !slices.Contains(c.commits.pendingUserTransaction.transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.lease.registrationRevision}) {
-		t.Errorf("the transaction does not depend on the run's key: %v", c.commits.pendingUserTransaction.transaction.Conditions)
+	if !slices.Contains(c.commits.PendingUserTransaction.Transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.lease.RegistrationRevision}) {
+		t.Errorf("the transaction does not depend on the run's key: %v", c.commits.PendingUserTransaction.Transaction.Conditions)
 	}
-	advance(0, CommitResult{ID: c.commits.pendingUserTransaction.id, Outcome: storage.OutcomeUnknown, Err: errNoUsableResponse})
-	advance(time.Second, RenewLeaseResult{LeaseID: 7})
-	if c.commits.pendingTransaction == nil || !c.commits.pendingTransaction.isWriteBarrier || c.commits.pendingTransaction.transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commits.pendingTransaction.transaction.Operations[0].Lease != 7 {
-		t.Fatalf("no fence: %+v", c.commits.pendingTransaction)
+	advance(0, step.CommitResult{ID: c.commits.PendingUserTransaction.ID, Outcome: storage.OutcomeUnknown, Err: commit.ErrNoUsableResponse})
+	advance(time.Second, step.RenewLeaseResult{LeaseID: 7})
+	if c.commits.PendingTransaction == nil || !c.commits.PendingTransaction.IsWriteBarrier || c.commits.PendingTransaction.Transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commits.PendingTransaction.Transaction.Operations[0].Lease != 7 {
+		t.Fatalf("no fence: %+v", c.commits.PendingTransaction)
 	}
-	out := advance(0, CommitResult{ID: c.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
+	out := advance(0, step.CommitResult{ID: c.commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
 	out = append(out, submit()...)
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
 	}
-	if n, _ := commits(advance(0, WatchResult{AfterRevision: c.replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
+	if n, _ := commits(advance(0, step.WatchResult{AfterRevision: c.Replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
 		t.Fatal("nothing is written behind the fence")
 	}
 }
 
 // addOwnedMachine gives the core a page with one machine, and the state of that machine.
-func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *machineState) {
+func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
-	if _, err := c.replica.Put(key, storage.EncodePlainShard(c.lease.incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.replica.ModRevision(key)+1); err != nil {
+	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.lease.Incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
-	machine := c.replica.Machines["m-1"]
-	return machine, c.agents.trackOwnedMachine(machine, "m-1")
+	machine := c.Replica.Machines["m-1"]
+	return machine, c.agents.TrackOwnedMachine(machine, "m-1")
 }
 
 func newHeartbeat(machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
@@ -139,25 +142,25 @@
 		{"answers do not reach the worker", 0, 0, true, false},
 	} {
 		core, _ := newReadyCore(t)
-		if _, err := core.replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
+		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		task := protocol.Task{Job: "j-1"}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
-		m.recordHeartbeat(newHeartbeat(e, 1), core.now.Monotonic)
+		m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
 		if c.stop > 0 {
-			m.stopRequests[task] = stopRequest{attempt: c.stop}
+			m.StopRequests[task] = agents.StopRequest{Attempt: c.stop}
 		}
 		if c.barred > 0 {
-			m.revokedAttempts[task] = c.barred
+			m.RevokedAttempts[task] = c.barred
 		}
 		if c.deaf {
-			m.commandsLostAt = core.now.Monotonic
+			m.CommandsLostAt = core.Now.Monotonic
 		}
 		starts := 0
-		for _, o := range core.heartbeats.commandsFor(e, m, true) {
+		for _, o := range core.heartbeats.CommandsFor(e, m, true) {
 			if o.Type == protocol.CommandStart && o.Attempt == 5 {
 				starts++
 			}
@@ -185,12 +188,12 @@
 	} {
 		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
-		advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
-		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
+		if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []MisdirectedHeartbeat{{Machine: "m-1", AgentEpoch: c.session, Sequence: c.tally}}}})
-		if got := m.handOffTarget == "stall-1#1"; got != c.want {
+		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []step.MisdirectedHeartbeat{{Machine: "m-1", AgentEpoch: c.session, Sequence: c.tally}}}})
+		if got := m.HandOffTarget == "stall-1#1"; got != c.want {
 			t.Errorf("%s: handed over %v", c.name, got)
 		}
 	}
@@ -212,16 +215,16 @@
 		{"it is the only node", 0, nil, false, true},
 	} {
 		core, advance := newReadyCore(t)
-		core.cfg.PeerCount = c.peers
+		core.Config.PeerCount = c.peers
 		for i := 0; i < 8; i++ {
 			var err error
 			if !c.calls {
-				err = errNoUsableResponse
+				err = commit.ErrNoUsableResponse
 			}
-			advance(time.Second, RenewLeaseResult{LeaseID: 7, Err: err})
-			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}, Err: err})
+			advance(time.Second, step.RenewLeaseResult{LeaseID: 7, Err: err})
+			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}, Err: err})
 			for k, ok := range c.hints {
-				advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
+				advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
 		}
 		if got := core.Healthy(); got != c.want {
@@ -251,10 +254,10 @@
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
 		r := newHeartbeat(e, 1)
 		r.FencingToken = c.confirmed
-		advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
-		advance(3*time.Second, Tick{}) // answered by now
-		advance(c.after-3*time.Second, RenewLeaseResult{LeaseID: 7})
-		if got := core.agents.isAgentLeaseExpired(m, &e.Record); got != c.want {
+		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
+		advance(3*time.Second, step.Tick{}) // answered by now
+		advance(c.after-3*time.Second, step.RenewLeaseResult{LeaseID: 7})
+		if got := core.agents.IsAgentLeaseExpired(m, &e.Record); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -275,28 +278,28 @@
 	} {
 		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		advance(0, HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
+		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
 		for i := 0; i < 40; i++ { // all is asked for before the pause
-			advance(50*time.Millisecond, Tick{})
+			advance(50*time.Millisecond, step.Tick{})
 		}
-		advance(c.pause, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
-		advance(0, RenewLeaseResult{LeaseID: 7})
-		advance(0, Tick{})
-		if core.replication.isUpToDate() != c.fresh || core.agents.isSilent(m) != c.silent {
-			t.Errorf("%s: fresh %v, silent %v", c.name, core.replication.isUpToDate(), core.agents.isSilent(m))
+		advance(c.pause, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+		advance(0, step.RenewLeaseResult{LeaseID: 7})
+		advance(0, step.Tick{})
+		if core.replication.IsUpToDate() != c.fresh || core.agents.IsSilent(m) != c.silent {
+			t.Errorf("%s: fresh %v, silent %v", c.name, core.replication.IsUpToDate(), core.agents.IsSilent(m))
 		}
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
-			advance(600*time.Millisecond, Tick{})
-			advance(0, RenewLeaseResult{LeaseID: 7})
-			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+			advance(600*time.Millisecond, step.Tick{})
+			advance(0, step.RenewLeaseResult{LeaseID: 7})
+			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
 		}
-		if !core.replication.isUpToDate() {
+		if !core.replication.IsUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
 		}
 		for i := 0; i < 10; i++ {
-			advance(time.Second, Tick{})
+			advance(time.Second, step.Tick{})
 		}
-		if !core.agents.isSilent(m) {
+		if !core.agents.IsSilent(m) {
 			t.Errorf("%s: silence behind the pause is not noticed", c.name)
 		}
 	}
@@ -314,11 +317,11 @@
 		late  bool // the pages have changed hands since the machines were seen elsewhere
 	}{{"most of each page", 2, 40, true, false}, {"some of each page", 6, 28, false, false}, {"of an earlier ownership", 2, 28, false, true}} {
 		core, advance := newReadyCore(t)
-		advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
-		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+		if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
-		var misdirected []MisdirectedHeartbeat
+		var misdirected []step.MisdirectedHeartbeat
 		for p := 0; p < c.pages; p++ {
 			var lines []string
 			for i := 0; i < 60; i++ {
@@ -329,47 +332,47 @@
 				}
 				lines = append(lines, r.EncodeLine(id))
 				if i < c.seen {
-					misdirected = append(misdirected, MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
+					misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
 				}
 			}
-			if _, err := core.replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.lease.incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
+			if _, err := core.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.lease.Incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		advance(0, Tick{})
+		advance(0, step.Tick{})
 		for i := 0; i < 10; i++ { // all have fallen silent here
-			advance(600*time.Millisecond, Tick{})
-			advance(0, RenewLeaseResult{LeaseID: 7})
+			advance(600*time.Millisecond, step.Tick{})
+			advance(0, step.RenewLeaseResult{LeaseID: 7})
 		}
-		advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
+		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
 		if c.late {
-			for id, p := range core.replica.Shards {
+			for id, p := range core.Replica.Shards {
 				var lines []string
 				for _, m := range p.Machines {
-					lines = append(lines, core.replica.EncodedLine(m))
+					lines = append(lines, core.Replica.EncodedLine(m))
 				}
-				core.replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.lease.incarnation, 5, lines, nil), 99)
+				core.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.lease.Incarnation, 5, lines, nil), 99)
 			}
 		}
-		b := core.shards.newBatch(24)
-		core.cfg.TransactionOps = 24
-		core.ownership.handOffMachines(b)
+		b := core.shards.NewBatch(24)
+		core.Config.TransactionOps = 24
+		core.ownership.HandOffMachines(b)
 		transferredShards, movedMachines := 0, 0
-		for id, d := range b.shards {
-			if d.owner == core.lease.incarnation {
+		for id, d := range b.Shards {
+			if d.Owner == core.lease.Incarnation {
 				continue
 			}
-			if d.owner == "" {
+			if d.Owner == "" {
 				t.Errorf("%s: a page is given to nobody", c.name)
 			}
-			if core.replica.Shards[id] != nil {
+			if core.Replica.Shards[id] != nil {
 				transferredShards++
 			} else {
-				movedMachines += len(d.machineIDs)
+				movedMachines += len(d.MachineIDs)
 			}
 		}
-		for _, operation := range b.transaction().Operations {
-			if len(operation.Value) > core.cfg.ValueBytes {
+		for _, operation := range b.Transaction().Operations {
+			if len(operation.Value) > core.Config.ValueBytes {
 				t.Errorf("%s: a value of %d bytes", c.name, len(operation.Value))
 			}
 		}
@@ -393,16 +396,16 @@
 		{"it alone is cut off", 4 * time.Second, []bool{false, true}, false},
 		{"it hears nobody", 4 * time.Second, nil, false},
 	} {
-		now := Now{Monotonic: 1, Wall: 1e12}
-		core := New(Config{ControllerID: "stall-0", PeerCount: 2, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: DefaultTuning()}, now)
-		for core.since(1) < c.after {
-			core.Step(now, Tick{})
-			core.Step(now, LoadRecordsResult{Err: errNoUsableResponse})
+		now := step.Now{Monotonic: 1, Wall: 1e12}
+		core := New(step.Config{ControllerID: "stall-0", PeerCount: 2, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: step.DefaultTuning()}, now)
+		for core.Since(1) < c.after {
+			core.Step(now, step.Tick{})
+			core.Step(now, step.LoadRecordsResult{Err: commit.ErrNoUsableResponse})
 			for k, ok := range c.hints {
-				core.Step(now, PeerStatusInput{Status: PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
+				core.Step(now, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
 			now.Monotonic = now.Monotonic.Add(500 * time.Millisecond)
-			core.Step(now, Tick{})
+			core.Step(now, step.Tick{})
 		}
 		if got := core.Healthy(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
@@ -426,7 +429,7 @@
 		{"the other is full", 5, 56, 3, 3, false},
 	} {
 		core, advance := newReadyCore(t)
-		advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
+		advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
 		n := 0
 		put := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
 			var lines []string
@@ -435,16 +438,16 @@
 				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
-			data := storage.EncodePlainShard(core.lease.incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
-			if _, err := core.replica.Put(storage.ShardKey(id), data, 4); err != nil {
+			data := storage.EncodePlainShard(core.lease.Incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
+			if _, err := core.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
 		put("a", c.eSmall, c.small, storage.TaskRange(0, 3))
 		put("b", c.eLarge, c.large, storage.TaskRange(4, 5))
-		b := core.shards.newBatch(8)
-		core.shards.mergeShards(b)
-		transaction := b.transaction()
+		b := core.shards.NewBatch(8)
+		core.shards.MergeShards(b)
+		transaction := b.Transaction()
 		if merged := len(transaction.Operations) == 2; merged != c.want {
 			t.Errorf("%s: joined %v", c.name, merged)
 		}
@@ -453,13 +456,13 @@
 		}
 		for _, operation := range transaction.Operations {
 			if operation.PutKey != "" {
-				core.replica.Put(operation.PutKey, operation.Value, 9)
+				core.Replica.Put(operation.PutKey, operation.Value, 9)
 			} else {
-				core.replica.Delete(operation.DeleteKey, 9)
+				core.Replica.Delete(operation.DeleteKey, 9)
 			}
 		}
-		if len(core.replica.Shards) != 1 || len(core.replica.Machines) != n || len(core.replica.PopRemovedMachines()) != 0 || core.replica.CompletedTasks("j-1").String() != "0-5" {
-			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.replica.Shards), len(core.replica.Machines), n, core.replica.CompletedTasks("j-1"))
+		if len(core.Replica.Shards) != 1 || len(core.Replica.Machines) != n || len(core.Replica.PopRemovedMachines()) != 0 || core.Replica.CompletedTasks("j-1").String() != "0-5" {
+			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.Replica.Shards), len(core.Replica.Machines), n, core.Replica.CompletedTasks("j-1"))
 		}
 	}
 }
@@ -480,25 +483,25 @@
 	} {
 		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		j := core.jobs.jobState("j-1")
-		j.measuredTasks, j.measuredRuntime = 100, 1000*time.Second
+		j := core.jobs.JobState("j-1")
+		j.MeasuredTasks, j.MeasuredRuntime = 100, 1000*time.Second
 		sequence := protocol.Sequence(0)
 		heartbeat := func(after int, tasks ...protocol.TaskStatus) {
 			sequence++
-			advance(time.Duration(after)*time.Second, HeartbeatInput{RequestID: RequestID(sequence), Body: protocol.Encode(newHeartbeat(e, sequence, tasks...))})
+			advance(time.Duration(after)*time.Second, step.HeartbeatInput{RequestID: step.RequestID(sequence), Body: protocol.Encode(newHeartbeat(e, sequence, tasks...))})
 		}
 		heartbeat(0)
 		for i, s := range c.seconds {
 			if c.before {
-				m.reset()
+				m.Reset()
 			}
 			task := protocol.Task{Job: "j-1", Index: i}
 			heartbeat(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 			heartbeat(s, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
-			core.jobs.recordTaskRuntime(m, task)
+			core.jobs.RecordTaskRuntime(m, task)
 		}
-		if got := m.slowdown.isSlow(); got != c.want {
-			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.slowdown.ratio)
+		if got := m.Slowdown.IsSlow(); got != c.want {
+			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.Slowdown.Ratio)
 		}
 	}
 }
@@ -516,29 +519,29 @@
 		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
 	} {
 		core, advance := newReadyCore(t)
-		if _, err := core.replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
 		addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 		transferred := false
 		for i := 0; i < 400; i++ {
 			gap := c.gaps[min(i, len(c.gaps)-1)]
-			advance(0, RenewLeaseResult{LeaseID: 7})
-			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
-			advance(0, PeerStatusInput{Status: PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
-			for _, e := range advance(gap, Tick{}) {
-				v, ok := e.(Commit)
+			advance(0, step.RenewLeaseResult{LeaseID: 7})
+			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+			advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
+			for _, e := range advance(gap, step.Tick{}) {
+				v, ok := e.(step.Commit)
 				if !ok {
 					continue
 				}
 				for _, operation := range v.Transaction.Operations {
 					transferred = transferred || operation.PutKey == storage.ShardKey("p") && strings.Contains(string(operation.Value), "stall-1#1")
 				}
-				advance(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 10}})
+				advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 10}})
 			}
 		}
-		if transferred != c.want || core.overload.isOverloaded() != c.want {
-			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.overload.isOverloaded())
+		if transferred != c.want || core.overload.IsOverloaded() != c.want {
+			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.overload.IsOverloaded())
 		}
 	}
 }
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -4,24 +4,27 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/scheduling"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-var announcedLimits = WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
+var announcedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
 
 // putController makes a run of a controller live.
 func putController(t *testing.T, c *Core, controllerID protocol.ControllerID, readFormat storage.Format) {
 	t.Helper()
 	key := storage.ControllerKey(controllerID)
-	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.replica.ModRevision(key)+1))
+	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.Replica.ModRevision(key)+1))
 	data := storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
-	if _, err := c.replica.Put(key, data, c.replica.ModRevision(key)+100); err != nil {
+	if _, err := c.Replica.Put(key, data, c.Replica.ModRevision(key)+100); err != nil {
 		t.Fatal(err)
 	}
-	c.upgrade.recordFormatSupport()
+	c.upgrade.RecordFormatSupport()
 }
 
 // The format is raised only once every controller has been seen to read the packed one,
@@ -46,23 +49,23 @@
 		{"the new limits seem to hold, one is old", []storage.Format{absent, absent}, []storage.Format{packed, plain}, false, true, false},
 	} {
 		core, _ := newReadyCore(t)
-		core.cfg.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
+		core.Config.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
 		if !c.none {
-			core.cfg.AnnouncedLimits = &announcedLimits
+			core.Config.AnnouncedLimits = &announcedLimits
 		}
-		core.upgrade.areAnnouncedLimitsActive = c.refused
+		core.upgrade.AreAnnouncedLimitsActive = c.refused
 		putController(t, core, "stall-0", packed)
 		for _, formats := range [][]storage.Format{c.seen, c.now} {
 			for i, f := range formats {
-				controllerID := core.cfg.PeerIDs[i]
+				controllerID := core.Config.PeerIDs[i]
 				if f == absent {
-					core.replica.Delete(storage.ControllerKey(controllerID), core.replica.ModRevision(storage.ControllerKey(controllerID))+1)
+					core.Replica.Delete(storage.ControllerKey(controllerID), core.Replica.ModRevision(storage.ControllerKey(controllerID))+1)
 				} else {
 					putController(t, core, controllerID, f)
 				}
 			}
 		}
-		if got := core.upgrade.canRaiseFormat(); got != c.want {
+		if got := core.upgrade.CanRaiseFormat(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -72,13 +75,13 @@
 // of both from then on.
 func TestWriteLimitsFollowFormat(t *testing.T) {
 	core, _ := newReadyCore(t)
-	core.cfg.AnnouncedLimits = &WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
-	if got, want := core.limits.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
+	core.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
+	if got, want := core.limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
 		t.Errorf("before: %+v", got)
 	}
-	core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
-	if got, want := core.limits.writeLimits(), (WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.limits.maxTransactionOps != 4 {
-		t.Errorf("after: %+v, %d changes in a transaction", got, core.limits.maxTransactionOps)
+	core.replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+	if got, want := core.limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.limits.MaxTransactionOps != 4 {
+		t.Errorf("after: %+v, %d changes in a transaction", got, core.limits.MaxTransactionOps)
 	}
 	value := func(n int) protocol.Operation { return protocol.Operation{PutKey: "k", Value: make([]byte, n)} }
 	for _, c := range []struct {
@@ -91,7 +94,7 @@
 		{[]protocol.Operation{value(1), value(1), value(1), value(1), value(1)}, 1, false},
 		{[]protocol.Operation{value(1)}, 17, false},
 	} {
-		if got := core.limits.writeLimits().allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
+		if got := core.limits.WriteLimits().Allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
 			t.Errorf("%d changes, %d conditions: %v", len(c.then), c.when, got)
 		}
 	}
@@ -111,7 +114,7 @@
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
 		size += len(lines[machines]) + 3
 	}
-	c.replication.putInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
+	c.replication.PutInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
 	return machines
 }
 
@@ -125,40 +128,40 @@
 		epoch storage.ShardEpoch
 	}{{"of a dead run", "stall-1#1", 4}, {"of this run", "", 3}} {
 		core, advance := newReadyCore(t)
-		core.cfg.AnnouncedLimits = &announcedLimits
+		core.Config.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
-			c.owner = core.lease.incarnation
+			c.owner = core.lease.Incarnation
 		}
-		core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+		core.replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 		machines := putOversizedShard(t, core, c.owner)
-		if ops := core.shards.shardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
-			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.replica.Shards["crowded"].EncodedSize)
+		if ops := core.shards.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
+			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.Replica.Shards["crowded"].EncodedSize)
 		}
 		var sent *protocol.Transaction
 		for i := 0; i < 400 && sent == nil; i++ {
-			for _, e := range advance(50*time.Millisecond, Tick{}) {
-				if v, ok := e.(Commit); ok && len(v.Transaction.Operations) > 1 {
+			for _, e := range advance(50*time.Millisecond, step.Tick{}) {
+				if v, ok := e.(step.Commit); ok && len(v.Transaction.Operations) > 1 {
 					sent = &v.Transaction
 				} else if ok {
-					advance(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 1}})
+					advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 1}})
 				}
 			}
-			advance(0, RenewLeaseResult{LeaseID: 7})
-			advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision}})
+			advance(0, step.RenewLeaseResult{LeaseID: 7})
+			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
 		}
-		if sent == nil || !announcedLimits.allows(sent) {
+		if sent == nil || !announcedLimits.Allows(sent) {
 			t.Fatalf("%s: %+v", c.name, sent)
 		}
-		advance(0, CommitResult{ID: core.commits.pendingTransaction.id, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
-		if len(core.replica.Machines) != machines {
-			t.Errorf("%s: %d machines of %d are left", c.name, len(core.replica.Machines), machines)
+		advance(0, step.CommitResult{ID: core.commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
+		if len(core.Replica.Machines) != machines {
+			t.Errorf("%s: %d machines of %d are left", c.name, len(core.Replica.Machines), machines)
 		}
-		for id, m := range core.replica.Machines {
-			if m.Record.Owner != core.lease.incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
+		for id, m := range core.Replica.Machines {
+			if m.Record.Owner != core.lease.Incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
 				t.Errorf("%s: %s of %s at epoch %d", c.name, id, m.Record.Owner, m.Record.ShardEpoch)
 			}
 		}
-		if got := core.replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
+		if got := core.Replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
 			t.Errorf("%s: done tasks are %v", c.name, got)
 		}
 	}
@@ -168,15 +171,15 @@
 // shows that the announced limits hold if it kept to today's.
 func TestTooLargeTransaction(t *testing.T) {
 	core, _ := newReadyCore(t)
-	core.cfg.AnnouncedLimits = &announcedLimits
+	core.Config.AnnouncedLimits = &announcedLimits
 	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
 	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
-	before := core.limits.maxTransactionOps
-	if core.upgrade.onTransactionTooLarge(small); core.upgrade.areAnnouncedLimitsActive {
+	before := core.limits.MaxTransactionOps
+	if core.upgrade.OnTransactionTooLarge(small); core.upgrade.AreAnnouncedLimitsActive {
 		t.Error("a small transaction that is refused says nothing of the limits")
 	}
-	if core.upgrade.onTransactionTooLarge(large); !core.upgrade.areAnnouncedLimitsActive || core.limits.maxTransactionOps >= before || core.limits.maxTransactionOps < minTransactionOps {
-		t.Errorf("refused %v, %d changes in the next one", core.upgrade.areAnnouncedLimitsActive, core.limits.maxTransactionOps)
+	if core.upgrade.OnTransactionTooLarge(large); !core.upgrade.AreAnnouncedLimitsActive || core.limits.MaxTransactionOps >= before || core.limits.MaxTransactionOps < commit.MinTransactionOps {
+		t.Errorf("refused %v, %d changes in the next one", core.upgrade.AreAnnouncedLimitsActive, core.limits.MaxTransactionOps)
 	}
 }
 
@@ -192,16 +195,16 @@
 	}
 	for _, c := range []struct {
 		types int
-		next  *WriteLimits
+		next  *step.WriteLimits
 		want  bool
 	}{{1, &announcedLimits, true}, {50, &announcedLimits, false}, {30, nil, true}} {
 		core, _ := newReadyCore(t)
-		core.cfg.AnnouncedLimits = c.next
+		core.Config.AnnouncedLimits = c.next
 		j := &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1, Image: "b"}
 		for range c.types {
 			j.MachineTypes = append(j.MachineTypes, protocol.MachineTypeName(random(100)))
 		}
-		if got := core.users.jobRecordFits(j); got != c.want {
+		if got := core.users.JobRecordFits(j); got != c.want {
 			t.Errorf("%d types: %v", c.types, got)
 		}
 	}
@@ -213,7 +216,7 @@
 func TestReplicaRestartBackoff(t *testing.T) {
 	c, advance := newReadyCore(t)
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
-	c.replication.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
+	c.replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
 	rec := storage.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
 	modRevision := protocol.ModRevision(50)
 	put := func(attempt protocol.Attempt) {
@@ -222,15 +225,15 @@
 			r.Assign(protocol.Task{Job: "j-1"}, attempt)
 		}
 		modRevision++
-		c.replication.putInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
+		c.replication.PutInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
 	}
-	backoff := func() time.Duration { return c.jobs.jobState("j-1").notBefore.Sub(c.now.Monotonic) }
+	backoff := func() time.Duration { return c.jobs.JobState("j-1").NotBefore.Sub(c.Now.Monotonic) }
 	before := time.Duration(0)
 	for attempt := range protocol.Attempt(12) {
 		put(attempt + 1)
-		advance(time.Second, Tick{})
+		advance(time.Second, step.Tick{})
 		put(0)
-		if got := backoff(); got < before || got <= 0 || got > maxRestartBackoff || attempt == 11 && got != maxRestartBackoff {
+		if got := backoff(); got < before || got <= 0 || got > scheduling.MaxRestartBackoff || attempt == 11 && got != scheduling.MaxRestartBackoff {
 			t.Errorf("end %d: %v after %v", attempt, got, before)
 		}
 		before = backoff()
@@ -240,7 +243,7 @@
 		end  func()
 	}{
 		{"it has run", func() {
-			advance(earlyExitWindow+time.Second, Tick{})
+			advance(scheduling.EarlyExitWindow+time.Second, step.Tick{})
 			put(0)
 		}},
 		{"a new session", func() {
@@ -260,29 +263,29 @@
 // as one packed value instead of two halves, and a job whose done tasks have many gaps.
 func TestOwnedRecordsAreReencoded(t *testing.T) {
 	core, advance := newReadyCore(t)
-	core.cfg.AnnouncedLimits = &announcedLimits
+	core.Config.AnnouncedLimits = &announcedLimits
 	var lines []string
 	for i := range 60 {
 		m := storage.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
-	core.replication.putInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.lease.incarnation, 3, lines, nil), 40)
+	core.replication.PutInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.lease.Incarnation, 3, lines, nil), 40)
 	var done storage.TaskSet
 	for n := 0; n < 1800; n += 2 {
 		done = done.Add(n)
 	}
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
-		Owner: core.lease.incarnation, NextAttempt: 1024, CompletedTasks: done}
-	core.replication.putInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
-	core.replication.putInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+		Owner: core.lease.Incarnation, NextAttempt: 1024, CompletedTasks: done}
+	core.replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
+	core.replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
-		for _, e := range advance(50*time.Millisecond, Tick{}) {
-			v, ok := e.(Commit)
+		for _, e := range advance(50*time.Millisecond, step.Tick{}) {
+			v, ok := e.(step.Commit)
 			if !ok {
 				continue
 			}
-			if !announcedLimits.allows(&v.Transaction) {
+			if !announcedLimits.Allows(&v.Transaction) {
 				t.Errorf("too large: %d changes", len(v.Transaction.Operations))
 			}
 			for _, operation := range v.Transaction.Operations {
@@ -293,11 +296,11 @@
 					jobWrites++
 				}
 			}
-			advance(0, CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.replica.Revision + 60}})
+			advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 60}})
 		}
-		advance(0, WatchResult{AfterRevision: core.replica.Revision, Response: &protocol.WatchResponse{Revision: core.replica.Revision + 61}})
+		advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision + 61}})
 	}
-	if shardWrites != 1 || jobWrites == 0 || len(core.replica.Shards) != 1 || core.replica.CompletedTasks("j-1").String() != done.String() {
-		t.Errorf("the page is written %d times, the job %d times; %d pages", shardWrites, jobWrites, len(core.replica.Shards))
+	if shardWrites != 1 || jobWrites == 0 || len(core.Replica.Shards) != 1 || core.Replica.CompletedTasks("j-1").String() != done.String() {
+		t.Errorf("the page is written %d times, the job %d times; %d pages", shardWrites, jobWrites, len(core.Replica.Shards))
 	}
 }
--- a/internal/coordination/cloud.go
+++ b/internal/coordination/provisioning/cloud.go
@@ -1,16 +1,15 @@
-package coordination
+package provisioning
 
 import (
-	"time"
-
 	"tillerarch/internal/protocol"
+	"time"
 )
 
-// termination is a machine on its way back to the cloud.
-type termination struct {
+// Termination is a machine on its way back to the cloud.
+type Termination struct {
 	retryAt    protocol.Instant
 	inFlight   bool
-	confirmed  bool // answered 200: the machine and all on it are gone
+	Confirmed  bool // answered 200: the machine and all on it are gone
 	unrecorded bool // nothing on record says so
 }
 
--- a/internal/coordination/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -1,20 +1,23 @@
-package coordination
+package provisioning
 
 import (
 	"log/slog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"time"
 )
 
-// instanceInventory holds the cloud's list of instances and adopts those that no record knows.
-type instanceInventory struct {
-	*stepContext
+// Inventory holds the cloud's list of instances and adopts those that no record knows.
+type Inventory struct {
+	*step.Context
 
-	ownership   *shardOwnership
-	provisioner *machineProvisioner
-	replication *replicaSync
-	terminator  *machineTerminator
+	Ownership   *ownership.Manager
+	Provisioner *Provisioner
+	Replication *commit.Replication
+	Terminator  *Terminator
 
 	isListingInstances  bool
 	nextInstanceListAt  protocol.Instant // next read of the list
@@ -23,34 +26,34 @@
 	listedInstances     map[protocol.MachineID]*listedInstance
 }
 
-func newInstanceInventory(ctx *stepContext) *instanceInventory {
-	return &instanceInventory{
-		stepContext:     ctx,
+func NewInventory(ctx *step.Context) *Inventory {
+	return &Inventory{
+		Context:         ctx,
 		listedInstances: map[protocol.MachineID]*listedInstance{},
 	}
 }
 
-// pollInstances reads the cloud's list of machines when that is due.
-func (ii *instanceInventory) pollInstances() {
-	now := ii.now.Monotonic
+// PollInstances reads the cloud's list of machines when that is due.
+func (ii *Inventory) PollInstances() {
+	now := ii.Now.Monotonic
 	if ii.silentOwnedMachines > 0 {
-		ii.nextInstanceListAt = min(ii.nextInstanceListAt, ii.lastInstanceListAt.Add(ii.cfg.SilentInstanceListInterval))
+		ii.nextInstanceListAt = min(ii.nextInstanceListAt, ii.lastInstanceListAt.Add(ii.Config.SilentInstanceListInterval))
 	}
 	if !ii.isListingInstances && now >= ii.nextInstanceListAt {
 		ii.lastInstanceListAt = now
 		ii.isListingInstances = true
-		ii.nextInstanceListAt = now.Add(ii.jitter(ii.cfg.InstanceListInterval))
-		ii.emit(ListInstances{})
+		ii.nextInstanceListAt = now.Add(ii.Jitter(ii.Config.InstanceListInterval))
+		ii.Emit(step.ListInstances{})
 	}
 }
 
-func (ii *instanceInventory) onInstanceList(v ListInstancesResult) {
+func (ii *Inventory) OnInstanceList(v step.ListInstancesResult) {
 	ii.isListingInstances = false
 	if v.Err != nil {
-		ii.log(slog.LevelDebug, "listing instances failed", "error", v.Err.Error())
+		ii.Log(slog.LevelDebug, "listing instances failed", "error", v.Err.Error())
 		return
 	}
-	if !ii.replication.isLoaded {
+	if !ii.Replication.IsLoaded {
 		return
 	}
 	listed := map[protocol.MachineID]bool{}
@@ -72,28 +75,28 @@
 	}
 	// A machine that reported but was never listed counts as missing too, once
 	// it must have been.
-	for id, e := range ii.replica.Machines {
-		if !listed[id] && ii.listedInstances[id] == nil && millisToDuration(ii.now.Wall-e.Record.AddedAt) > 3*ii.cfg.InstanceListLag+5*time.Second {
+	for id, e := range ii.Replica.Machines {
+		if !listed[id] && ii.listedInstances[id] == nil && step.MillisToDuration(ii.Now.Wall-e.Record.AddedAt) > 3*ii.Config.InstanceListLag+5*time.Second {
 			ii.listedInstances[id] = &listedInstance{instance: protocol.Instance{ID: id}, listedAt: v.RequestedAt}
 		}
 	}
 }
 
-// adoptOrphanedInstances are listed machines that no record tells of: late rentals, or ones
+// AdoptOrphanedInstances are listed machines that no record tells of: late rentals, or ones
 // whose renter died before it wrote them down. They are adopted, to be used or
 // returned.
-func (ii *instanceInventory) adoptOrphanedInstances(b *batch) {
-	orphaned := selectKeys(ii.listedInstances, func(l *listedInstance) bool { return ii.replica.Machines[l.instance.ID] == nil })
+func (ii *Inventory) AdoptOrphanedInstances(b *commit.Batch) {
+	orphaned := step.SelectKeys(ii.listedInstances, func(l *listedInstance) bool { return ii.Replica.Machines[l.instance.ID] == nil })
 	for _, id := range orphaned {
 		l := ii.listedInstances[id]
-		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.canAddMachine() || b.machines[id] != nil {
+		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.CanAddMachine() || b.Machines[id] != nil {
 			continue
 		}
-		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.IsSuccessor(string(id)) || ii.provisioner.isGranted(id) {
+		if _, ok := ii.Terminator.terminatedAt[id]; ok || !ii.Ownership.IsSuccessor(string(id)) || ii.Provisioner.isGranted(id) {
 			continue
 		}
-		b.addMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
-			Spot: l.instance.Spot, AddedAt: ii.now.Wall - protocol.Millis(l.instance.AgeSeconds*1000)}, 0)
-		b.log(slog.LevelInfo, "orphaned instance adopted", "machine", string(id))
+		b.AddMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
+			Spot: l.instance.Spot, AddedAt: ii.Now.Wall - protocol.Millis(l.instance.AgeSeconds*1000)}, 0)
+		b.Log(slog.LevelInfo, "orphaned instance adopted", "machine", string(id))
 	}
 }
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -5,6 +5,11 @@
 	"slices"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/coordination/scheduling"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/protocol"
@@ -20,7 +25,7 @@
 func newCoreWithTwoMachineTypes(t *testing.T) *Core {
 	t.Helper()
 	c, advance := newReadyCore(t)
-	advance(0, ListMachineTypesResult{MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType}})
+	advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType}})
 	return c
 }
 
@@ -30,45 +35,45 @@
 }
 
 // newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
-func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *pendingJob {
-	latestStart := c.now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &pendingJob{id: d.ID, record: &storage.JobRecord{Spec: d, Owner: c.lease.incarnation, SubmittedAt: c.now.Wall}, latestStart: latestStart, initialLatestStart: latestStart}
-	q.isUrgent = c.queue.needsWarmCapacity(q)
+func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *scheduling.PendingJob {
+	latestStart := c.Now.Wall + protocol.Millis(slack.Milliseconds())
+	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.lease.Incarnation, SubmittedAt: c.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
+	q.IsUrgent = c.queue.NeedsWarmCapacity(q)
 	return q
 }
 
-func newCandidate(f *protocol.MachineType, id protocol.MachineID, spot bool) *candidate {
-	return &candidate{id: id, record: &storage.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, machineType: f, resources: resources{cores: f.Cores, memoryGB: f.MemoryGB}}
+func newCandidate(f *protocol.MachineType, id protocol.MachineID, spot bool) *scheduling.Candidate {
+	return &scheduling.Candidate{ID: id, Record: &storage.MachineRecord{MachineType: f.Name, Zone: "a", Spot: spot}, MachineType: f, Resources: catalog.Resources{Cores: f.Cores, MemoryGB: f.MemoryGB}}
 }
 
 // Work that can wait is rented the cheapest machines only: else steady machines at
 // several times the price would be asked for while spot ones are on their way. Work
 // that is urgent asks for all at once.
 func TestProvisioningPools(t *testing.T) {
-	smallSpotPool := poolKey{machineType: "small", zone: "a", spot: true}
-	inOtherZone := func(p poolKey) poolKey { p.zone = "b"; return p }
+	smallSpotPool := provisioning.PoolKey{MachineType: "small", Zone: "a", Spot: true}
+	inOtherZone := func(p provisioning.PoolKey) provisioning.PoolKey { p.Zone = "b"; return p }
 	for _, c := range []struct {
 		name    string
 		cores   float64
 		urgent  bool
-		refused []poolKey
+		refused []provisioning.PoolKey
 		want    []string // type and kind of the requests
 	}{
 		{"what can wait takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
-		{"and the next only once that has no more", 4, false, []poolKey{smallSpotPool, inOtherZone(smallSpotPool)}, []string{"large spot", "large spot"}},
-		{"one zone is left", 4, false, []poolKey{smallSpotPool}, []string{"small spot"}},
+		{"and the next only once that has no more", 4, false, []provisioning.PoolKey{smallSpotPool, inOtherZone(smallSpotPool)}, []string{"large spot", "large spot"}},
+		{"one zone is left", 4, false, []provisioning.PoolKey{smallSpotPool}, []string{"small spot"}},
 		{"what is urgent takes all", 4, true, nil, []string{"small spot", "small spot", "large spot", "large spot", "small steady", "small steady", "large steady", "large steady"}},
 		{"large tasks fit one type", 16, false, nil, []string{"large spot", "large spot"}},
 	} {
 		core := newCoreWithTwoMachineTypes(t)
-		core.effects = nil
+		core.Effects = nil
 		for _, p := range c.refused {
-			core.provisioner.exhaustedAt[p] = core.now.Monotonic
+			core.provisioner.ExhaustedAt[p] = core.Now.Monotonic
 		}
-		core.provisioner.provisionForDemand(unmetDemand{job: "j-1", desc: newArrayJob(c.cores, 20), tasks: 5000, urgent: c.urgent}, map[poolKey]bool{}, 0)
+		core.provisioner.ProvisionForDemand(provisioning.UnmetDemand{Job: "j-1", Desc: newArrayJob(c.cores, 20), Tasks: 5000, Urgent: c.urgent}, map[provisioning.PoolKey]bool{}, 0)
 		var got []string
-		for _, e := range core.effects {
-			if v, ok := e.(ProvisionMachines); ok {
+		for _, e := range core.Effects {
+			if v, ok := e.(step.ProvisionMachines); ok {
 				kind := " steady"
 				if v.Request.Spot {
 					kind = " spot"
@@ -105,21 +110,21 @@
 	} {
 		core := newCoreWithTwoMachineTypes(t)
 		q := core.newPendingJob(newArrayJob(4, 20), c.slack)
-		q.isStarved = c.aged
-		var candidates []*candidate
+		q.IsStarved = c.aged
+		var candidates []*scheduling.Candidate
 		for _, id := range []protocol.MachineID{"m-1", "m-2"} {
 			r := newCandidate(&smallMachineType, id, false)
-			r.isUnschedulable = c.closed
+			r.IsUnschedulable = c.closed
 			running := newArrayJob(4, c.runs)
-			r.allocate(running, 1)
-			r.allocations = []allocation{{job: "j-2", attempt: 1, count: 1, desc: running}}
-			core.agents.assignedAt[assignmentKey{machine: id, job: "j-2", attempt: 1}] = core.now.Monotonic.Add(-c.ran)
+			r.Allocate(running, 1)
+			r.Allocations = []scheduling.Allocation{{Job: "j-2", Attempt: 1, Count: 1, Desc: running}}
+			core.agents.AssignedAt[agents.AssignmentKey{Machine: id, Job: "j-2", Attempt: 1}] = core.Now.Monotonic.Add(-c.ran)
 			candidates = append(candidates, r)
 		}
-		if got := core.backfill.reserveBackfill(q, candidates, 10); got != c.want {
+		if got := core.backfill.ReserveBackfill(q, candidates, 10); got != c.want {
 			t.Errorf("%s: %d follow; wanted %d", c.name, got, c.want)
 		}
-		if got := core.backfill.reserveBackfill(q, candidates, 10); got != 0 {
+		if got := core.backfill.ReserveBackfill(q, candidates, 10); got != 0 {
 			t.Errorf("%s: %d more follow on the same machines", c.name, got)
 		}
 	}
@@ -143,22 +148,22 @@
 		{"all where most is urgent", 2, 0, 8, 1, []protocol.MachineID{"m-1", "m-2", "m-3", "m-4"}},
 	} {
 		core := newCoreWithTwoMachineTypes(t)
-		newWork := func(n int, class string, slack time.Duration) *pendingJob {
+		newWork := func(n int, class string, slack time.Duration) *scheduling.PendingJob {
 			d := newArrayJob(4, 20)
 			d.TaskCount, d.Class = n, class
 			return core.newPendingJob(d, slack)
 		}
-		candidates := []*candidate{newCandidate(&smallMachineType, "m-1", false), newCandidate(&smallMachineType, "m-2", false),
+		candidates := []*scheduling.Candidate{newCandidate(&smallMachineType, "m-1", false), newCandidate(&smallMachineType, "m-2", false),
 			newCandidate(&smallMachineType, "m-3", true), newCandidate(&smallMachineType, "m-4", true)}
 		slack := time.Duration(c.slack) * time.Second
 		other := newWork(c.other, "other", 10*time.Minute)
-		core.scheduler.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.urgent, "urgent", slack), other})
-		core.scheduler.warmPool.observe(core.now.Monotonic, []*pendingJob{newWork(c.now, "urgent", slack), other})
-		core.scheduler.warmPool.selectRetained(candidates, core.capacity.isMachineAllowed)
+		core.scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.urgent, "urgent", slack), other})
+		core.scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.now, "urgent", slack), other})
+		core.scheduler.WarmPool.SelectRetained(candidates, core.capacity.IsMachineAllowed)
 		var got []protocol.MachineID
 		for _, r := range candidates {
-			if core.scheduler.warmPool.shouldRetain(r.id) {
-				got = append(got, r.id)
+			if core.scheduler.WarmPool.ShouldRetain(r.ID) {
+				got = append(got, r.ID)
 			}
 		}
 		if !slices.Equal(got, c.want) {
@@ -188,17 +193,17 @@
 	} {
 		core := newCoreWithTwoMachineTypes(t)
 		if c.waiting > 0 {
-			core.contention.recordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
+			core.contention.RecordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
 		}
-		core.now.Monotonic = core.now.Monotonic.Add(c.ago)
+		core.Now.Monotonic = core.Now.Monotonic.Add(c.ago)
 		if c.refused {
 			for _, z := range smallMachineType.Zones {
-				core.provisioner.exhaustedAt[poolKey{machineType: "small", zone: z, spot: true}] = core.now.Monotonic
-				core.provisioner.exhaustedAt[poolKey{machineType: "small", zone: z, spot: false}] = core.now.Monotonic
+				core.provisioner.ExhaustedAt[provisioning.PoolKey{MachineType: "small", Zone: z, Spot: true}] = core.Now.Monotonic
+				core.provisioner.ExhaustedAt[provisioning.PoolKey{MachineType: "small", Zone: z, Spot: false}] = core.Now.Monotonic
 			}
 		}
-		core.plan.contendedTypes = core.contention.contendedTypes()
-		got := slices.Sorted(maps.Keys(core.contention.typesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
+		core.plan.ContendedTypes = core.contention.ContendedTypes()
+		got := slices.Sorted(maps.Keys(core.contention.TypesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: leaves %v; wanted %v", c.name, got, c.want)
 		}
@@ -209,24 +214,24 @@
 // the machine's worker report at once; nothing else does.
 func TestExpediteUrgentTasks(t *testing.T) {
 	core := newCoreWithTwoMachineTypes(t)
-	core.cfg.HeartbeatInterval = 6 * time.Second
+	core.Config.HeartbeatInterval = 6 * time.Second
 	for _, c := range []struct {
 		slack time.Duration
 		late  bool
 		want  bool
 	}{{8 * time.Second, false, true}, {60 * time.Second, false, false}, {time.Second, true, false}} {
 		q := core.newPendingJob(newArrayJob(4, 20), c.slack)
-		q.isLate = c.late
-		if got := core.queue.shouldExpedite(q); got != c.want {
+		q.IsLate = c.late
+		if got := core.queue.ShouldExpedite(q); got != c.want {
 			t.Errorf("slack %v, late %v: %v", c.slack, c.late, got)
 		}
 	}
 	r := newCandidate(&smallMachineType, "m-1", false)
-	r.record.Owner = core.lease.incarnation
-	m := core.agents.machineState("m-1")
-	for deferred, want := range map[RequestID]bool{0: true, 5: false} {
-		m.deferredRequest = deferred
-		if got := core.capacity.awaitsHeartbeat(r); got != want {
+	r.Record.Owner = core.lease.Incarnation
+	m := core.agents.MachineState("m-1")
+	for deferred, want := range map[step.RequestID]bool{0: true, 5: false} {
+		m.DeferredRequest = deferred
+		if got := core.capacity.AwaitsHeartbeat(r); got != want {
 			t.Errorf("report held as %d: %v", deferred, got)
 		}
 	}
