--- a/internal/coordination/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -1,24 +1,26 @@
-package coordination
+package requests
 
 import (
 	"fmt"
 	"log/slog"
 	"slices"
-	"time"
-
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
 	"tillerarch/internal/storage"
+	"time"
 )
 
-// operatorRequests holds operators' requests until what they ask for is on record.
-type operatorRequests struct {
-	*stepContext
+// OperatorRequests holds operators' requests until what they ask for is on record.
+type OperatorRequests struct {
+	*step.Context
 
-	lease       *incarnationLease
-	overload    *overloadDetector
-	replication *replicaSync
-	transfers   *transferManager
+	Lease       *commit.Lease
+	Overload    *ownership.OverloadDetector
+	Replication *commit.Replication
+	Transfers   *ownership.Transfers
 
 	pendingOperatorRequests []*operatorRequest // that are not on record yet
 }
@@ -54,29 +56,29 @@
 type operatorRequest struct {
 	receivedAt protocol.Instant
 	// tryWrite puts the change into a transaction, or gives the answer once it is on record.
-	tryWrite  func(b *batch) (answer Effect, err *RequestError)
-	rejection func(err *RequestError) Effect // the answer to a request that is refused
+	tryWrite  func(b *commit.Batch) (answer step.Effect, err *RequestError)
+	rejection func(err *RequestError) step.Effect // the answer to a request that is refused
 }
 
 // enqueueOperatorRequest takes a request in, unless it is refused.
-func (o *operatorRequests) enqueueOperatorRequest(request *operatorRequest, err *RequestError) {
+func (o *OperatorRequests) enqueueOperatorRequest(request *operatorRequest, err *RequestError) {
 	switch {
-	case o.replication.storeUnavailable() || !o.lease.isRegistered():
+	case o.Replication.StoreUnavailable() || !o.Lease.IsRegistered():
 		err = newTransientError("this controller does not reach the state service")
 	case err == nil && len(o.pendingOperatorRequests) >= maxOperatorRequests:
 		err = newTransientError("too many requests wait to be written")
 	}
 	if err != nil {
-		o.emit(request.rejection(err))
+		o.Emit(request.rejection(err))
 		return
 	}
-	request.receivedAt = o.now.Monotonic
+	request.receivedAt = o.Now.Monotonic
 	o.pendingOperatorRequests = append(o.pendingOperatorRequests, request)
-	o.shouldRecheckDeferred = true
+	o.ShouldRecheckDeferred = true
 }
 
-// writeOperatorRequests offers a transaction to all requests, and answers those that are on record.
-func (o *operatorRequests) writeOperatorRequests(b *batch) {
+// WriteOperatorRequests offers a transaction to all requests, and answers those that are on record.
+func (o *OperatorRequests) WriteOperatorRequests(b *commit.Batch) {
 	o.pendingOperatorRequests = slices.DeleteFunc(o.pendingOperatorRequests, func(request *operatorRequest) bool {
 		answer, err := request.tryWrite(b)
 		if err != nil {
@@ -85,41 +87,41 @@
 		if answer == nil {
 			return false
 		}
-		o.emit(answer)
+		o.Emit(answer)
 		return true
 	})
 }
 
-// expireOperatorRequests gives up on requests that could not be written in time.
-func (o *operatorRequests) expireOperatorRequests() {
+// ExpireOperatorRequests gives up on requests that could not be written in time.
+func (o *OperatorRequests) ExpireOperatorRequests() {
 	o.pendingOperatorRequests = slices.DeleteFunc(o.pendingOperatorRequests, func(request *operatorRequest) bool {
-		expired := o.since(request.receivedAt) > operatorRequestTimeout
+		expired := o.Since(request.receivedAt) > operatorRequestTimeout
 		if expired {
-			o.emit(request.rejection(newTransientError("it could not be written in time; ask again under the same name")))
+			o.Emit(request.rejection(newTransientError("it could not be written in time; ask again under the same name")))
 		}
 		return expired
 	})
 }
 
-// onDrainRequest takes a request in.
-func (o *operatorRequests) onDrainRequest(v DrainRequest) {
+// OnDrainRequest takes a request in.
+func (o *OperatorRequests) OnDrainRequest(v DrainRequest) {
 	o.enqueueOperatorRequest(&operatorRequest{
-		rejection: func(err *RequestError) Effect { return DrainReply{Req: v.Req, Err: err} },
-		tryWrite:  func(b *batch) (Effect, *RequestError) { return o.writeDrain(b, &v) },
+		rejection: func(err *RequestError) step.Effect { return DrainReply{Req: v.Req, Err: err} },
+		tryWrite:  func(b *commit.Batch) (step.Effect, *RequestError) { return o.writeDrain(b, &v) },
 	}, o.checkDrain(&v))
 }
 
 // checkDrain refuses to drain a controller that nobody knows, and the last one that could
 // take machines.
-func (o *operatorRequests) checkDrain(v *DrainRequest) *RequestError {
-	if !v.Drain || o.replica.IsDraining(v.Controller) {
+func (o *OperatorRequests) checkDrain(v *DrainRequest) *RequestError {
+	if !v.Drain || o.Replica.IsDraining(v.Controller) {
 		return nil
 	}
-	if o.replica.Controllers[v.Controller] == nil {
+	if o.Replica.Controllers[v.Controller] == nil {
 		return newPermanentError("no controller %q is up", v.Controller)
 	}
-	for controller := range o.replica.Controllers {
-		if controller != v.Controller && !o.replica.IsDraining(controller) {
+	for controller := range o.Replica.Controllers {
+		if controller != v.Controller && !o.Replica.IsDraining(controller) {
 			return nil
 		}
 	}
@@ -128,35 +130,35 @@
 
 // writeDrain writes one request. It rests on the keys of all other drains, so that two
 // requests of the same instant do not drain the last controllers.
-func (o *operatorRequests) writeDrain(b *batch, v *DrainRequest) (Effect, *RequestError) {
-	if v.Drain == o.replica.IsDraining(v.Controller) {
+func (o *OperatorRequests) writeDrain(b *commit.Batch, v *DrainRequest) (step.Effect, *RequestError) {
+	if v.Drain == o.Replica.IsDraining(v.Controller) {
 		return DrainReply{Req: v.Req, Status: o.controllerStatus(v.Controller)}, nil
 	}
 	if err := o.checkDrain(v); err != nil {
 		return nil, err
 	}
-	if !b.hasCapacity(1) || b.drains[v.Controller] != nil {
+	if !b.HasCapacity(1) || b.Drains[v.Controller] != nil {
 		return nil, nil
 	}
-	change := &drainChange{}
+	change := &commit.DrainChange{}
 	if v.Drain {
-		change.record = &storage.DrainRecord{Since: o.now.Wall}
+		change.Record = &storage.DrainRecord{Since: o.Now.Wall}
 	}
-	b.setDrain(v.Controller, change)
-	for controller := range o.replica.Controllers {
-		b.dependOn(storage.DrainKey(controller))
+	b.SetDrain(v.Controller, change)
+	for controller := range o.Replica.Controllers {
+		b.DependOn(storage.DrainKey(controller))
 	}
-	b.log(slog.LevelInfo, "controller drain changed", "controller", string(v.Controller), "draining", v.Drain)
+	b.Log(slog.LevelInfo, "controller drain changed", "controller", string(v.Controller), "draining", v.Drain)
 	return nil, nil
 }
 
 // controllerStatus is what a controller owns.
-func (o *operatorRequests) controllerStatus(controller protocol.ControllerID) ControllerStatus {
-	status := ControllerStatus{ID: controller, Draining: o.replica.IsDraining(controller)}
-	if e := o.replica.Controllers[controller]; e != nil {
+func (o *OperatorRequests) controllerStatus(controller protocol.ControllerID) ControllerStatus {
+	status := ControllerStatus{ID: controller, Draining: o.Replica.IsDraining(controller)}
+	if e := o.Replica.Controllers[controller]; e != nil {
 		status.Incarnation, status.RecordsTransfers = e.Record.Incarnation, e.Record.SupportsTransfers
 	}
-	for _, shard := range o.replica.Shards {
+	for _, shard := range o.Replica.Shards {
 		if status.Incarnation != "" && shard.Owner == status.Incarnation {
 			status.Shards++
 			status.Machines += len(shard.Machines)
@@ -165,11 +167,11 @@
 	return status
 }
 
-// onTransferRequest takes a request in.
-func (o *operatorRequests) onTransferRequest(v TransferRequest) {
+// OnTransferRequest takes a request in.
+func (o *OperatorRequests) OnTransferRequest(v TransferRequest) {
 	o.enqueueOperatorRequest(&operatorRequest{
-		rejection: func(err *RequestError) Effect { return TransferReply{Req: v.Req, Err: err} },
-		tryWrite: func(b *batch) (Effect, *RequestError) {
+		rejection: func(err *RequestError) step.Effect { return TransferReply{Req: v.Req, Err: err} },
+		tryWrite: func(b *commit.Batch) (step.Effect, *RequestError) {
 			transfer, recorded, err := o.writeTransferRequest(b, &v)
 			if !recorded || err != nil {
 				return nil, err
@@ -180,24 +182,24 @@
 }
 
 // checkTransferRequest refuses what can be refused from the records at once.
-func (o *operatorRequests) checkTransferRequest(v *TransferRequest) *RequestError {
+func (o *OperatorRequests) checkTransferRequest(v *TransferRequest) *RequestError {
 	if v.Name == "" || len(v.Name) > maxTransferNameBytes {
 		return newPermanentError("a move needs a name of 1 to %d bytes", maxTransferNameBytes)
 	}
 	if v.Abort || o.findTransfer(v.Name) != nil {
 		return nil
 	}
-	if !o.cfg.RecordTransfers {
+	if !o.Config.RecordTransfers {
 		return newPermanentError("moves are not on record here: moves.recorded is off")
 	}
-	if v.Source != "" && o.replica.Controllers[v.Source] == nil {
+	if v.Source != "" && o.Replica.Controllers[v.Source] == nil {
 		return newPermanentError("no controller %q is up", v.Source)
 	}
-	target := o.replica.Controllers[v.Target]
+	target := o.Replica.Controllers[v.Target]
 	switch {
 	case target == nil:
 		return newPermanentError("no controller %q is up", v.Target)
-	case v.Shard != "" && o.replica.Shards[v.Shard] == nil:
+	case v.Shard != "" && o.Replica.Shards[v.Shard] == nil:
 		return newPermanentError("no page %q", v.Shard)
 	case v.Shard == "" && v.Source == "":
 		return newPermanentError("neither a page nor a controller to take one from is named")
@@ -206,9 +208,9 @@
 }
 
 // findTransfer gives the newest move of a name.
-func (o *operatorRequests) findTransfer(name string) *storage.Versioned[storage.TransferRecord] {
+func (o *OperatorRequests) findTransfer(name string) *storage.Versioned[storage.TransferRecord] {
 	var newest *storage.Versioned[storage.TransferRecord]
-	for _, e := range o.replica.Transfers {
+	for _, e := range o.Replica.Transfers {
 		if e.Record.Name == name && (newest == nil || e.ModRevision > newest.ModRevision) {
 			newest = e
 		}
@@ -217,7 +219,7 @@
 }
 
 // writeTransferRequest writes one request. done: it is on record.
-func (o *operatorRequests) writeTransferRequest(b *batch, r *TransferRequest) (transfer storage.TransferRecord, recorded bool, err *RequestError) {
+func (o *OperatorRequests) writeTransferRequest(b *commit.Batch, r *TransferRequest) (transfer storage.TransferRecord, recorded bool, err *RequestError) {
 	if e := o.findTransfer(r.Name); e != nil {
 		if !r.Abort || e.Record.Phase == storage.TransferAborted {
 			return e.Record, true, nil
@@ -235,63 +237,63 @@
 	if err != nil {
 		return transfer, false, err
 	}
-	target := o.replica.Controllers[r.Target]
+	target := o.Replica.Controllers[r.Target]
 	if target == nil {
 		return transfer, false, newPermanentError("controller %q has ended", r.Target)
 	}
-	source := o.replica.Shards[shard].Owner
+	source := o.Replica.Shards[shard].Owner
 	for _, controller := range []protocol.ControllerID{source.Controller(), r.Target} {
-		if !o.replica.Controllers[controller].Record.SupportsTransfers {
+		if !o.Replica.Controllers[controller].Record.SupportsTransfers {
 			return transfer, false, transfersUnsupported(controller)
 		}
 	}
-	if b.hasCapacity(1) {
-		o.transfers.openTransfer(b, sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}, storage.TransferProposed, "asked for by the operator", r.Name)
+	if b.HasCapacity(1) {
+		o.Transfers.OpenTransfer(b, sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}, storage.TransferProposed, "asked for by the operator", r.Name)
 	}
 	return transfer, false, nil
 }
 
 // abortTransfer writes the end of a pending move.
-func (o *operatorRequests) abortTransfer(b *batch, name string) {
-	for _, slot := range sortedKeys(o.replica.Transfers) {
-		e := o.replica.Transfers[slot]
-		if e.Record.Name == name && e.Record.Phase.IsPending() && b.transfers[slot] == nil {
-			o.transfers.writeTransferStep(b, slot, sharding.TransferStep{Phase: storage.TransferAborted, Reason: sharding.ReasonOperatorAbort})
+func (o *OperatorRequests) abortTransfer(b *commit.Batch, name string) {
+	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
+		e := o.Replica.Transfers[slot]
+		if e.Record.Name == name && e.Record.Phase.IsPending() && b.Transfers[slot] == nil {
+			o.Transfers.WriteTransferStep(b, slot, sharding.TransferStep{Phase: storage.TransferAborted, Reason: sharding.ReasonOperatorAbort})
 		}
 	}
 }
 
 // requestedShard is the page that a request means: the one it names, or one of the
 // controller that it names with the fewest machines.
-func (o *operatorRequests) requestedShard(r *TransferRequest) (storage.ShardID, *RequestError) {
+func (o *OperatorRequests) requestedShard(r *TransferRequest) (storage.ShardID, *RequestError) {
 	if r.Shard == "" {
 		return o.smallestTransferableShard(r)
 	}
-	shard := o.replica.Shards[r.Shard]
+	shard := o.Replica.Shards[r.Shard]
 	switch {
 	case shard == nil:
 		return "", newPermanentError("no page %q", r.Shard)
-	case !o.replica.IsAlive(shard.Owner):
+	case !o.Replica.IsAlive(shard.Owner):
 		return "", newTransientError("the page's owner has ended; another controller takes it over")
 	case shard.Owner.Controller() == r.Target:
 		return "", newPermanentError("the page is %q's already", r.Target)
 	}
-	if _, transfer := o.replica.OpenTransferOf(r.Shard); transfer != nil {
+	if _, transfer := o.Replica.OpenTransferOf(r.Shard); transfer != nil {
 		return "", newTransientError(fmt.Sprintf("the page is on its way with move %q", transfer.Record.Name))
 	}
 	return r.Shard, nil
 }
 
-func (o *operatorRequests) smallestTransferableShard(r *TransferRequest) (smallest storage.ShardID, err *RequestError) {
+func (o *OperatorRequests) smallestTransferableShard(r *TransferRequest) (smallest storage.ShardID, err *RequestError) {
 	if r.Source == r.Target {
 		return "", newPermanentError("giver and taker are the same")
 	}
-	for _, id := range sortedKeys(o.replica.Shards) {
-		shard := o.replica.Shards[id]
-		if _, transfer := o.replica.OpenTransferOf(id); transfer != nil || shard.Owner.Controller() != r.Source || !o.replica.IsAlive(shard.Owner) {
+	for _, id := range step.SortedKeys(o.Replica.Shards) {
+		shard := o.Replica.Shards[id]
+		if _, transfer := o.Replica.OpenTransferOf(id); transfer != nil || shard.Owner.Controller() != r.Source || !o.Replica.IsAlive(shard.Owner) {
 			continue
 		}
-		if smallest == "" || len(shard.Machines) < len(o.replica.Shards[smallest].Machines) {
+		if smallest == "" || len(shard.Machines) < len(o.Replica.Shards[smallest].Machines) {
 			smallest = id
 		}
 	}
@@ -301,14 +303,14 @@
 	return smallest, nil
 }
 
-// onShardingStatusRequest tells who owns what, as of the replica's revision.
-func (o *operatorRequests) onShardingStatusRequest(v ShardingStatusRequest) {
-	reply := ShardingStatusReply{Req: v.Req, Revision: o.replica.Revision, Stale: !o.replication.isUpToDate()}
-	for _, id := range sortedKeys(o.replica.Shards) {
-		shard := o.replica.Shards[id]
+// OnShardingStatusRequest tells who owns what, as of the replica's revision.
+func (o *OperatorRequests) OnShardingStatusRequest(v ShardingStatusRequest) {
+	reply := ShardingStatusReply{Req: v.Req, Revision: o.Replica.Revision, Stale: !o.Replication.IsUpToDate()}
+	for _, id := range step.SortedKeys(o.Replica.Shards) {
+		shard := o.Replica.Shards[id]
 		status := ShardStatus{ID: id, Owner: shard.Owner, Epoch: shard.Epoch, Machines: len(shard.Machines)}
 		for _, machineID := range shard.Machines {
-			if e := o.replica.Machines[machineID]; e != nil {
+			if e := o.Replica.Machines[machineID]; e != nil {
 				for i := range e.Record.Assignments {
 					status.Tasks += e.Record.Assignments[i].Tasks.Len()
 				}
@@ -316,15 +318,15 @@
 		}
 		reply.Shards = append(reply.Shards, status)
 	}
-	for _, controller := range sortedKeys(o.replica.Controllers) {
+	for _, controller := range step.SortedKeys(o.Replica.Controllers) {
 		reply.Controllers = append(reply.Controllers, o.controllerStatus(controller))
 	}
-	for _, slot := range sortedKeys(o.replica.Transfers) {
-		reply.Transfers = append(reply.Transfers, o.replica.Transfers[slot].Record)
+	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
+		reply.Transfers = append(reply.Transfers, o.Replica.Transfers[slot].Record)
 	}
-	if o.lease.isRegistered() {
-		policy := sharding.RebalancePolicy{MaxTransfers: 2 * maxIncomingTransfers, MaxIncomingTransfers: maxIncomingTransfers, DemandWeight: o.cfg.RebalanceDemandWeight}
-		reply.PlannedTransfers = sharding.PlanRebalance(o.transfers.shardingSnapshot(o.overload.isOverloaded()), policy)
+	if o.Lease.IsRegistered() {
+		policy := sharding.RebalancePolicy{MaxTransfers: 2 * ownership.MaxIncomingTransfers, MaxIncomingTransfers: ownership.MaxIncomingTransfers, DemandWeight: o.Config.RebalanceDemandWeight}
+		reply.PlannedTransfers = sharding.PlanRebalance(o.Transfers.ShardingSnapshot(o.Overload.IsOverloaded()), policy)
 	}
-	o.emit(reply)
+	o.Emit(reply)
 }
--- a/internal/coordination/transfer_requests.go
+++ b/internal/coordination/requests/transfer_requests.go
@@ -1,6 +1,7 @@
-package coordination
+package requests
 
 import (
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
 	"tillerarch/internal/storage"
@@ -10,7 +11,7 @@
 // once it is on record, with the move as it is there; asked again under the same name it
 // does nothing more.
 type TransferRequest struct {
-	Req    RequestID
+	Req    step.RequestID
 	Name   string                // of the move
 	Abort  bool                  // end the move of that name instead
 	Shard  storage.ShardID       // which page; or
@@ -23,17 +24,17 @@
 
 // TransferReply answers a TransferRequest.
 type TransferReply struct {
-	Req      RequestID
+	Req      step.RequestID
 	Transfer storage.TransferRecord
 	Err      error
 }
 
 // ShardingStatusRequest asks who owns which machines, and which moves there are.
-type ShardingStatusRequest struct{ Req RequestID }
+type ShardingStatusRequest struct{ Req step.RequestID }
 
 // ShardingStatusReply answers a ShardingStatusRequest from one revision of the records.
 type ShardingStatusReply struct {
-	Req              RequestID
+	Req              step.RequestID
 	Revision         protocol.Revision
 	Stale            bool // the state service may have gone on without this controller
 	Controllers      []ControllerStatus
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -1,39 +1,39 @@
-package coordination
+package requests
 
 import (
-	"errors"
 	"log/slog"
 	"slices"
-
+	"tillerarch/internal/coordination/cancellation"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-// userRequestHandler answers users' requests; those that need a newer replica are deferred.
-type userRequestHandler struct {
-	*stepContext
+// UserRequests answers users' requests; those that need a newer replica are deferred.
+type UserRequests struct {
+	*step.Context
 
-	cancellations *canceller
-	catalog       *machineCatalog
-	lease         *incarnationLease
-	limits        *writeLimiter
-	replication   *replicaSync
-	store         *storeHealth
+	Cancellations *cancellation.Canceller
+	Catalog       *catalog.Catalog
+	Lease         *commit.Lease
+	Limits        *commit.WriteLimiter
+	Replication   *commit.Replication
+	Store         *commit.StoreHealth
 
-	submissions      map[protocol.JobID]*submission
-	deferredRequests []*deferredRequest
+	Submissions      map[protocol.JobID]*submission
+	DeferredRequests []*deferredRequest
 	revisionRead     revisionRead
 }
 
-func newUserRequestHandler(ctx *stepContext) *userRequestHandler {
-	return &userRequestHandler{
-		stepContext: ctx,
-		submissions: map[protocol.JobID]*submission{},
+func NewUserRequests(ctx *step.Context) *UserRequests {
+	return &UserRequests{
+		Context:     ctx,
+		Submissions: map[protocol.JobID]*submission{},
 	}
 }
 
-var errNoUsableResponse = errors.New("no usable answer")
-
 // maxDeferredRequests bounds the users that may wait at once; the rest are told to come back.
 const maxDeferredRequests = 2000
 
@@ -42,13 +42,13 @@
 	job         *protocol.Job
 	receivedAt  protocol.Instant
 	submittedAt protocol.Millis
-	requestIDs  []RequestID
+	requestIDs  []step.RequestID
 }
 
 // deferredRequest is a request whose answer needs the replica at least as new as a
 // revision read after the request arrived.
 type deferredRequest struct {
-	requestID           RequestID
+	requestID           step.RequestID
 	requestType         protocol.RequestType
 	jobID               protocol.JobID
 	job                 *protocol.Job // of a submission
@@ -64,21 +64,17 @@
 	requestedAt protocol.Instant
 }
 
-type errorBody struct {
-	Error string `json:"error"`
-}
-
-func (h *userRequestHandler) rejectUnavailable(requestID RequestID) {
-	h.emit(Reply{RequestID: requestID, Status: 503, RetryAfterSeconds: 1, Body: protocol.Encode(errorBody{Error: "cannot decide now"})})
+func (h *UserRequests) rejectUnavailable(requestID step.RequestID) {
+	h.Emit(step.Reply{RequestID: requestID, Status: 503, RetryAfterSeconds: 1, Body: protocol.Encode(step.ErrorBody{Error: "cannot decide now"})})
 }
 
 // jobStatus is what the replica says of a job.
-func (h *userRequestHandler) jobStatus(id protocol.JobID, record *storage.JobRecord, withCounts bool) protocol.JobStatus {
+func (h *UserRequests) jobStatus(id protocol.JobID, record *storage.JobRecord, withCounts bool) protocol.JobStatus {
 	status := protocol.JobStatus{ID: id, State: record.State}
 	running := 0
 	if !record.State.IsTerminal() {
-		for machineID := range h.replica.MachinesWithJob(id) {
-			for assigned := range h.replica.Machines[machineID].Record.AssignmentsOf(id) {
+		for machineID := range h.Replica.MachinesWithJob(id) {
+			for assigned := range h.Replica.Machines[machineID].Record.AssignmentsOf(id) {
 				running += assigned.Tasks.Len()
 			}
 		}
@@ -88,7 +84,7 @@
 		}
 	}
 	if withCounts {
-		done := h.replica.CompletedTasks(id).Len()
+		done := h.Replica.CompletedTasks(id).Len()
 		if record.State == protocol.JobDone {
 			done = record.TaskCount
 		}
@@ -97,59 +93,59 @@
 	return status
 }
 
-func (h *userRequestHandler) onUserInput(v UserInput) {
+func (h *UserRequests) OnUserInput(v step.UserInput) {
 	if v.Type == protocol.RequestSubmit {
 		job, err := protocol.ParseJob(v.Body)
 		if err != nil {
-			h.log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(v.Body[:min(len(v.Body), 600)]))
-			h.reply(v.RequestID, 400, errorBody{Error: err.Error()})
+			h.Log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(v.Body[:min(len(v.Body), 600)]))
+			h.Reply(v.RequestID, 400, step.ErrorBody{Error: err.Error()})
 			return
 		}
-		if !h.jobRecordFits(job) {
-			h.reply(v.RequestID, 400, errorBody{Error: "description is too long"})
+		if !h.JobRecordFits(job) {
+			h.Reply(v.RequestID, 400, step.ErrorBody{Error: "description is too long"})
 			return
 		}
 		h.onSubmit(v.RequestID, job)
 		return
 	}
 	if !v.Job.IsValid() {
-		h.reply(v.RequestID, 404, errorBody{Error: "no such job"})
+		h.Reply(v.RequestID, 404, step.ErrorBody{Error: "no such job"})
 		return
 	}
 	if h.replyIfFinal(v.RequestID, v.Type, v.Job) {
 		return
 	}
-	if v.Type == protocol.RequestCancel && h.replica.Jobs[v.Job] != nil && !h.replication.storeUnavailable() {
-		h.cancellations.requestCancellation(v.Job)
+	if v.Type == protocol.RequestCancel && h.Replica.Jobs[v.Job] != nil && !h.Replication.StoreUnavailable() {
+		h.Cancellations.RequestCancellation(v.Job)
 	}
-	h.deferRequest(&deferredRequest{requestID: v.RequestID, requestType: v.Type, jobID: v.Job, receivedAt: h.now.Monotonic})
+	h.deferRequest(&deferredRequest{requestID: v.RequestID, requestType: v.Type, jobID: v.Job, receivedAt: h.Now.Monotonic})
 }
 
 // replyIfFinal answers from the replica alone: a final state never changes.
-func (h *userRequestHandler) replyIfFinal(requestID RequestID, requestType protocol.RequestType, id protocol.JobID) bool {
-	e := h.replica.Jobs[id]
+func (h *UserRequests) replyIfFinal(requestID step.RequestID, requestType protocol.RequestType, id protocol.JobID) bool {
+	e := h.Replica.Jobs[id]
 	if e == nil || !e.Record.State.IsTerminal() {
 		return false
 	}
-	h.reply(requestID, 200, h.jobStatus(id, &e.Record, requestType == protocol.RequestQuery))
+	h.Reply(requestID, 200, h.jobStatus(id, &e.Record, requestType == protocol.RequestQuery))
 	return true
 }
 
-func (h *userRequestHandler) deferRequest(request *deferredRequest) {
-	if h.replication.storeUnavailable() || len(h.deferredRequests) >= maxDeferredRequests {
+func (h *UserRequests) deferRequest(request *deferredRequest) {
+	if h.Replication.StoreUnavailable() || len(h.DeferredRequests) >= maxDeferredRequests {
 		h.rejectUnavailable(request.requestID)
 		return
 	}
-	h.deferredRequests = append(h.deferredRequests, request)
+	h.DeferredRequests = append(h.DeferredRequests, request)
 	h.requestRevision()
 }
 
 // requestRevision reads the revision once for all that wait.
-func (h *userRequestHandler) requestRevision() {
+func (h *UserRequests) requestRevision() {
 	if h.revisionRead.isInFlight {
 		return
 	}
-	for _, request := range h.deferredRequests {
+	for _, request := range h.DeferredRequests {
 		if !request.isRevisionRequested {
 			h.revisionRead.isInFlight = true
 		}
@@ -157,17 +153,17 @@
 	if !h.revisionRead.isInFlight {
 		return
 	}
-	for _, request := range h.deferredRequests {
+	for _, request := range h.DeferredRequests {
 		request.isRevisionRequested = true
 	}
-	h.revisionRead.requestedAt = h.now.Monotonic
-	h.emit(ReadRevision{})
+	h.revisionRead.requestedAt = h.Now.Monotonic
+	h.Emit(step.ReadRevision{})
 }
 
-func (h *userRequestHandler) onReadRevisionResult(v ReadRevisionResult) {
+func (h *UserRequests) OnReadRevisionResult(v step.ReadRevisionResult) {
 	h.revisionRead.isInFlight = false
-	answered := h.store.recordContact(h.revisionRead.requestedAt, v.Err)
-	h.deferredRequests = slices.DeleteFunc(h.deferredRequests, func(request *deferredRequest) bool {
+	answered := h.Store.RecordContact(h.revisionRead.requestedAt, v.Err)
+	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, func(request *deferredRequest) bool {
 		if !request.isRevisionRequested || request.minRevision != 0 {
 			return false
 		}
@@ -179,48 +175,48 @@
 	})
 }
 
-func (h *userRequestHandler) onSubmit(requestID RequestID, job *protocol.Job) {
+func (h *UserRequests) onSubmit(requestID step.RequestID, job *protocol.Job) {
 	if h.replyIfFinal(requestID, protocol.RequestSubmit, job.ID) {
 		return
 	}
-	if h.replica.Jobs[job.ID] != nil {
-		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.now.Monotonic})
+	if h.Replica.Jobs[job.ID] != nil {
+		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.Now.Monotonic})
 		return
 	}
-	if h.replication.storeUnavailable() || len(h.catalog.machineTypes) == 0 || len(h.submissions) >= maxDeferredRequests {
+	if h.Replication.StoreUnavailable() || len(h.Catalog.MachineTypes) == 0 || len(h.Submissions) >= maxDeferredRequests {
 		h.rejectUnavailable(requestID)
 		return
 	}
 	if !h.canEverRun(job) {
 		// Only sure once it is certain that no other node has accepted it.
-		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.now.Monotonic})
+		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.Now.Monotonic})
 		return
 	}
-	pending := h.submissions[job.ID]
+	pending := h.Submissions[job.ID]
 	if pending == nil {
-		pending = &submission{job: job, receivedAt: h.now.Monotonic, submittedAt: h.now.Wall}
-		h.submissions[job.ID] = pending
+		pending = &submission{job: job, receivedAt: h.Now.Monotonic, submittedAt: h.Now.Wall}
+		h.Submissions[job.ID] = pending
 	}
 	pending.requestIDs = append(pending.requestIDs, requestID)
 }
 
-// jobRecordFits tells whether a job's record stays within a value of the state service,
+// JobRecordFits tells whether a job's record stays within a value of the state service,
 // whatever is to be noted of it, also under the limits that are announced.
-func (h *userRequestHandler) jobRecordFits(job *protocol.Job) bool {
+func (h *UserRequests) JobRecordFits(job *protocol.Job) bool {
 	format := storage.FormatPlain
-	if h.cfg.AnnouncedLimits != nil {
+	if h.Config.AnnouncedLimits != nil {
 		format = storage.FormatPacked
 	}
-	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: h.lease.incarnation, NextAttempt: attemptBlockSize, SubmittedAt: h.now.Wall}))
-	return size <= h.limits.admissionLimits().ValueBytes*maxJobRecordPercent/100
+	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: h.Lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: h.Now.Wall}))
+	return size <= h.Limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
 // maxJobRecordPercent is the part of a value, in hundredths, that a new job's record may take.
 const maxJobRecordPercent = 85
 
 // canEverRun tells whether the job could ever run here.
-func (h *userRequestHandler) canEverRun(job *protocol.Job) bool {
-	quota, ok := h.cfg.Quotas[job.Team]
+func (h *UserRequests) canEverRun(job *protocol.Job) bool {
+	quota, ok := h.Config.Quotas[job.Team]
 	if !ok {
 		return false
 	}
@@ -231,8 +227,8 @@
 	if quota.MaxCores > 0 && concurrentTasks*job.Cores > quota.MaxCores+1e-9 || quota.MaxAccelerators > 0 && concurrentTasks*job.Accelerators > quota.MaxAccelerators+1e-9 {
 		return false
 	}
-	for i := range h.catalog.machineTypes {
-		machineType := &h.catalog.machineTypes[i]
+	for i := range h.Catalog.MachineTypes {
+		machineType := &h.Catalog.MachineTypes[i]
 		for _, zone := range machineType.Zones {
 			if job.AllowsPlacement(machineType.Name, zone) && machineType.CanFitTask(job) {
 				return true
@@ -242,90 +238,90 @@
 	return false
 }
 
-// writeUserRequests puts new and withdrawn jobs into the transaction.
-func (h *userRequestHandler) writeUserRequests(b *batch) {
-	h.cancellations.writeCancellations(b)
-	for _, id := range sortedKeys(h.submissions) {
-		pending := h.submissions[id]
-		if h.replica.Jobs[id] != nil || !b.hasCapacity(1) {
+// WriteUserRequests puts new and withdrawn jobs into the transaction.
+func (h *UserRequests) WriteUserRequests(b *commit.Batch) {
+	h.Cancellations.WriteCancellations(b)
+	for _, id := range step.SortedKeys(h.Submissions) {
+		pending := h.Submissions[id]
+		if h.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
 			continue
 		}
-		b.reserveWrite(storage.JobKey(id), 700)
-		b.jobs[id] = &storage.JobRecord{Spec: pending.job, Owner: h.lease.incarnation, NextAttempt: attemptBlockSize, SubmittedAt: pending.submittedAt}
+		b.ReserveWrite(storage.JobKey(id), 700)
+		b.Jobs[id] = &storage.JobRecord{Spec: pending.job, Owner: h.Lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: pending.submittedAt}
 	}
 }
 
-// replyPending answers whoever can be answered now.
-func (h *userRequestHandler) replyPending() {
-	for _, id := range sortedKeys(h.submissions) {
-		pending := h.submissions[id]
-		e := h.replica.Jobs[id]
+// ReplyPending answers whoever can be answered now.
+func (h *UserRequests) ReplyPending() {
+	for _, id := range step.SortedKeys(h.Submissions) {
+		pending := h.Submissions[id]
+		e := h.Replica.Jobs[id]
 		if e == nil {
 			continue
 		}
-		delete(h.submissions, id)
+		delete(h.Submissions, id)
 		for _, requestID := range pending.requestIDs {
 			if e.Record.State.IsTerminal() {
-				h.reply(requestID, 200, h.jobStatus(id, &e.Record, false))
+				h.Reply(requestID, 200, h.jobStatus(id, &e.Record, false))
 				continue
 			}
 			// Written just now or by another node; at least queued.
-			if e.Record.Owner == h.lease.incarnation {
-				h.log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
-				h.reply(requestID, 201, h.jobStatus(id, &e.Record, false))
+			if e.Record.Owner == h.Lease.Incarnation {
+				h.Log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
+				h.Reply(requestID, 201, h.jobStatus(id, &e.Record, false))
 			} else {
 				h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: id, job: pending.job, receivedAt: pending.receivedAt})
 			}
 		}
 	}
-	h.deferredRequests = slices.DeleteFunc(h.deferredRequests, h.tryReply)
+	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, h.tryReply)
 	h.requestRevision()
 }
 
-func (h *userRequestHandler) tryReply(request *deferredRequest) bool {
+func (h *UserRequests) tryReply(request *deferredRequest) bool {
 	if h.replyIfFinal(request.requestID, request.requestType, request.jobID) {
 		return true
 	}
-	if request.awaitsCancellation || request.minRevision == 0 || h.replica.Revision < request.minRevision || !h.replication.isLoaded {
+	if request.awaitsCancellation || request.minRevision == 0 || h.Replica.Revision < request.minRevision || !h.Replication.IsLoaded {
 		return false
 	}
-	e := h.replica.Jobs[request.jobID]
+	e := h.Replica.Jobs[request.jobID]
 	switch {
 	case e == nil && request.requestType == protocol.RequestSubmit:
-		if len(h.catalog.machineTypes) == 0 {
+		if len(h.Catalog.MachineTypes) == 0 {
 			h.rejectUnavailable(request.requestID)
 		} else if h.canEverRun(request.job) {
 			h.onSubmit(request.requestID, request.job)
 		} else {
-			h.log(slog.LevelInfo, "job rejected, requirements cannot be met", "job", string(request.jobID), "team", request.job.Team)
-			h.reply(request.requestID, 422, errorBody{Error: "can never run"})
+			h.Log(slog.LevelInfo, "job rejected, requirements cannot be met", "job", string(request.jobID), "team", request.job.Team)
+			h.Reply(request.requestID, 422, step.ErrorBody{Error: "can never run"})
 		}
 	case e == nil:
-		h.reply(request.requestID, 404, errorBody{Error: "no such job"})
+		h.Reply(request.requestID, 404, step.ErrorBody{Error: "no such job"})
 	case request.requestType == protocol.RequestCancel:
-		h.cancellations.requestCancellation(request.jobID)
+		h.Cancellations.RequestCancellation(request.jobID)
 		request.awaitsCancellation = true
 		return false
 	default:
-		h.reply(request.requestID, 200, h.jobStatus(request.jobID, &e.Record, request.requestType == protocol.RequestQuery))
+		h.Reply(request.requestID, 200, h.jobStatus(request.jobID, &e.Record, request.requestType == protocol.RequestQuery))
 	}
 	return true
 }
 
-// expireUserRequests gives up on requests whose user would not wait any longer.
-func (h *userRequestHandler) expireUserRequests() {
-	unavailable := h.replication.storeUnavailable()
-	for _, id := range sortedKeys(h.submissions) {
-		pending := h.submissions[id]
-		if unavailable || h.since(pending.receivedAt) > h.cfg.UserRequestTimeout {
-			delete(h.submissions, id)
+// ExpireUserRequests gives up on requests whose user would not wait any longer.
+func (h *UserRequests) ExpireUserRequests() {
+	unavailable := h.Replication.StoreUnavailable()
+	for _, id := range step.SortedKeys(h.Submissions) {
+		pending := h.Submissions[id]
+		if unavailable || h.Since(pending.receivedAt) > h.Config.UserRequestTimeout {
+			delete(h.Submissions, id)
 			for _, requestID := range pending.requestIDs {
 				h.rejectUnavailable(requestID)
 			}
 		}
 	}
-	h.deferredRequests = slices.DeleteFunc(h.deferredRequests, func(request *deferredRequest) bool {
-		expired := unavailable || h.since(request.receivedAt) > h.cfg.UserRequestTimeout
+	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, func(request *deferredRequest) bool {
+		expired := unavailable || h.Since(request.receivedAt) > h.Config.UserRequestTimeout
 		if expired {
 			h.rejectUnavailable(request.requestID)
 		}
--- a/internal/coordination/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -1,19 +1,21 @@
-package coordination
+package scheduling
 
 import (
-	"time"
-
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
+	"time"
 )
 
-// backfillPlanner predicts which busy machines will be free soon enough for waiting tasks.
-type backfillPlanner struct {
-	*stepContext
+// Backfill predicts which busy machines will be free soon enough for waiting tasks.
+type Backfill struct {
+	*step.Context
 
-	agents   *agentTable
-	capacity *candidateLister
-	catalog  *machineCatalog
-	jobs     *jobTable
+	Agents   *agents.Table
+	Capacity *CandidateLister
+	Catalog  *catalog.Catalog
+	Jobs     *agents.JobTable
 }
 
 // Tasks that can wait need no machine of their own where one that is in use will be
@@ -32,63 +34,63 @@
 )
 
 // estimatedEnd estimates when what a job has on a machine will have ended.
-func (bp *backfillPlanner) estimatedEnd(machine *candidate, alloc *allocation) protocol.Instant {
-	now := bp.now.Monotonic
-	if alloc.desc.IsService() {
+func (bp *Backfill) estimatedEnd(machine *Candidate, alloc *Allocation) protocol.Instant {
+	now := bp.Now.Monotonic
+	if alloc.Desc.IsService() {
 		return now.Add(unboundedRuntime)
 	}
-	startedAt, known := bp.agents.assignedAt[assignmentKey{machine: machine.id, job: alloc.job, attempt: alloc.attempt}]
+	startedAt, known := bp.Agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]
 	if !known {
 		startedAt = now
 	}
-	runtime := bp.jobs.estimatedRuntime(alloc.job, alloc.desc)
-	endAt := startedAt.Add(runtime + bp.cfg.HeartbeatInterval/4)
+	runtime := bp.Jobs.EstimatedRuntime(alloc.Job, alloc.Desc)
+	endAt := startedAt.Add(runtime + bp.Config.HeartbeatInterval/4)
 	return max(endAt, now.Add(time.Duration(overrunFraction*float64(runtime))))
 }
 
 // capacityBy tells how many tasks of a job a machine could begin by a time, besides those
 // that are to follow what runs there already.
-func (bp *backfillPlanner) capacityBy(machine *candidate, d *protocol.Job, deadline protocol.Instant) int {
-	simulated := machine.resources.without(machine.backfillReservation)
-	for i := range machine.allocations {
-		if alloc := &machine.allocations[i]; bp.estimatedEnd(machine, alloc) <= deadline {
-			simulated.allocate(alloc.desc, -alloc.count)
+func (bp *Backfill) capacityBy(machine *Candidate, d *protocol.Job, deadline protocol.Instant) int {
+	simulated := machine.Resources.Without(machine.backfillReservation)
+	for i := range machine.Allocations {
+		if alloc := &machine.Allocations[i]; bp.estimatedEnd(machine, alloc) <= deadline {
+			simulated.Allocate(alloc.Desc, -alloc.Count)
 		}
 	}
-	return simulated.capacityFor(d)
+	return simulated.CapacityFor(d)
 }
 
 // maxCapacityWait is how long a job's tasks may wait for machines that are in use.
-func (bp *backfillPlanner) maxCapacityWait(job *pendingJob) time.Duration {
-	boot := bp.catalog.shortestTime(job.record.Spec, func(machineType *protocol.MachineType) time.Duration {
+func (bp *Backfill) maxCapacityWait(job *PendingJob) time.Duration {
+	boot := bp.Catalog.ShortestTime(job.Record.Spec, func(machineType *protocol.MachineType) time.Duration {
 		return protocol.Seconds(machineType.BootSeconds)
 	})
 	slack := time.Duration(0)
-	if !job.isLate && !job.isStarved {
-		slack = millisToDuration(job.latestStart - bp.now.Wall)
+	if !job.IsLate && !job.IsStarved {
+		slack = step.MillisToDuration(job.LatestStart - bp.Now.Wall)
 	}
 	return max(time.Duration(backfillSlackFraction*float64(slack)), time.Duration(bootWaitFraction*float64(boot)))
 }
 
-// reserveBackfill sets aside what will be free soon enough for up to n tasks of a job, and
+// ReserveBackfill sets aside what will be free soon enough for up to n tasks of a job, and
 // tells for how many that is.
-func (bp *backfillPlanner) reserveBackfill(job *pendingJob, candidates []*candidate, tasks int) int {
-	d := job.record.Spec
+func (bp *Backfill) ReserveBackfill(job *PendingJob, candidates []*Candidate, tasks int) int {
+	d := job.Record.Spec
 	if d.Zone != "" || d.SingleZone || d.SpreadZones {
 		return 0 // where they may be depends on more than room
 	}
-	deadline := bp.now.Monotonic.Add(bp.maxCapacityWait(job))
+	deadline := bp.Now.Monotonic.Add(bp.maxCapacityWait(job))
 	reserved := 0
 	for _, machine := range candidates {
 		if reserved >= tasks {
 			break
 		}
-		if machine.isProvisioning || machine.isUnschedulable || job.avoidedTypes[machine.record.MachineType] || machineTypeCapacity(machine.machineType, d) == 0 || !bp.capacity.isMachineAllowed(d, machine) {
+		if machine.isProvisioning || machine.IsUnschedulable || job.avoidedTypes[machine.Record.MachineType] || catalog.MachineTypeCapacity(machine.MachineType, d) == 0 || !bp.Capacity.IsMachineAllowed(d, machine) {
 			continue
 		}
 		if count := min(bp.capacityBy(machine, d, deadline), tasks-reserved); count > 0 {
 			reserved += count
-			machine.backfillReservation.allocate(d, -count)
+			machine.backfillReservation.Allocate(d, -count)
 		}
 	}
 	return reserved
--- a/internal/coordination/contention.go
+++ b/internal/coordination/scheduling/contention.go
@@ -1,28 +1,30 @@
-package coordination
+package scheduling
 
 import (
 	"cmp"
 	"slices"
-	"time"
-
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
+	"time"
 )
 
-// contentionTracker keeps machine types that are in short supply for the jobs that need them.
-type contentionTracker struct {
-	*stepContext
+// ContentionTracker keeps machine types that are in short supply for the jobs that need them.
+type ContentionTracker struct {
+	*step.Context
 
-	catalog     *machineCatalog
-	plan        *placementPlan
-	provisioner *machineProvisioner
-	spot        *spotPricing
+	Catalog     *catalog.Catalog
+	Plan        *Plan
+	Provisioner *provisioning.Provisioner
+	Spot        *catalog.SpotPricing
 
 	lastContendedAt map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of a type
 }
 
-func newContentionTracker(ctx *stepContext) *contentionTracker {
-	return &contentionTracker{
-		stepContext:     ctx,
+func NewContentionTracker(ctx *step.Context) *ContentionTracker {
+	return &ContentionTracker{
+		Context:         ctx,
 		lastContendedAt: map[protocol.MachineTypeName]protocol.Instant{},
 	}
 }
@@ -49,30 +51,30 @@
 // preferredTypes lists the types that a job's tasks are to be rented on: the one that costs
 // least and has machines, and those that would cost less but have none. inTime tells
 // whether new machines of that one are up before the tasks have to begin.
-func (ct *contentionTracker) preferredTypes(job *pendingJob) (types []protocol.MachineTypeName, bootsInTime bool) {
-	for _, option := range ct.provisionOptions(job.record.Spec) {
+func (ct *ContentionTracker) preferredTypes(job *PendingJob) (types []protocol.MachineTypeName, bootsInTime bool) {
+	for _, option := range ct.provisionOptions(job.Record.Spec) {
 		types = append(types, option.machineType.Name)
 		if !option.isAvailable {
 			continue
 		}
 		extraBootTime := protocol.Seconds(option.machineType.BootSeconds * (bootTimeFactor - 1))
-		startDelay := extraBootTime + machineStartupTime(option.machineType, job.record.Spec)
-		bootsInTime = !job.isLate && !job.isStarved && startDelay <= millisToDuration(job.latestStart-ct.now.Wall)
+		startDelay := extraBootTime + catalog.MachineStartupTime(option.machineType, job.Record.Spec)
+		bootsInTime = !job.IsLate && !job.IsStarved && startDelay <= step.MillisToDuration(job.LatestStart-ct.Now.Wall)
 		return types, bootsInTime
 	}
 	return types, false
 }
 
 // provisionOptions lists how a job could be served, cheapest first.
-func (ct *contentionTracker) provisionOptions(d *protocol.Job) []provisionOption {
+func (ct *ContentionTracker) provisionOptions(d *protocol.Job) []provisionOption {
 	var options []provisionOption
-	for i := range ct.catalog.machineTypes {
-		machineType := &ct.catalog.machineTypes[i]
-		tasks := float64(machineTypeCapacity(machineType, d))
+	for i := range ct.Catalog.MachineTypes {
+		machineType := &ct.Catalog.MachineTypes[i]
+		tasks := float64(catalog.MachineTypeCapacity(machineType, d))
 		if tasks == 0 {
 			continue
 		}
-		if ct.spot.canUseSpot(d, machineType) {
+		if ct.Spot.CanUseSpot(d, machineType) {
 			options = append(options, provisionOption{machineType: machineType, costPerTask: machineType.SpotPrice / tasks, isAvailable: ct.isTypeAvailable(machineType, d, true)})
 		}
 		options = append(options, provisionOption{machineType: machineType, costPerTask: machineType.OnDemandPrice / tasks, isAvailable: ct.isTypeAvailable(machineType, d, false)})
@@ -83,23 +85,23 @@
 
 // isTypeAvailable tells whether the cloud may have a machine of a type in a zone that the
 // job allows.
-func (ct *contentionTracker) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
+func (ct *ContentionTracker) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
 	return slices.ContainsFunc(machineType.Zones, func(zone protocol.Zone) bool {
-		return d.AllowsPlacement(machineType.Name, zone) && !ct.provisioner.isPoolExhausted(poolKey{machineType: machineType.Name, zone: zone, spot: spot})
+		return d.AllowsPlacement(machineType.Name, zone) && !ct.Provisioner.IsPoolExhausted(provisioning.PoolKey{MachineType: machineType.Name, Zone: zone, Spot: spot})
 	})
 }
 
-// typesToAvoid lists the types that a job leaves to others which wait for them.
-func (ct *contentionTracker) typesToAvoid(job *pendingJob) map[protocol.MachineTypeName]bool {
+// TypesToAvoid lists the types that a job leaves to others which wait for them.
+func (ct *ContentionTracker) TypesToAvoid(job *PendingJob) map[protocol.MachineTypeName]bool {
 	avoided := map[protocol.MachineTypeName]bool{}
-	if len(ct.plan.contendedTypes) == 0 {
+	if len(ct.Plan.ContendedTypes) == 0 {
 		return avoided
 	}
 	preferred, bootsInTime := ct.preferredTypes(job)
 	if !bootsInTime {
 		return avoided
 	}
-	for name := range ct.plan.contendedTypes {
+	for name := range ct.Plan.ContendedTypes {
 		if !slices.Contains(preferred, name) {
 			avoided[name] = true
 		}
@@ -107,19 +109,19 @@
 	return avoided
 }
 
-// recordContention notes that tasks of a job have found no machine.
-func (ct *contentionTracker) recordContention(job *pendingJob) {
+// RecordContention notes that tasks of a job have found no machine.
+func (ct *ContentionTracker) RecordContention(job *PendingJob) {
 	types, _ := ct.preferredTypes(job)
 	for _, name := range types {
-		ct.lastContendedAt[name] = ct.now.Monotonic
+		ct.lastContendedAt[name] = ct.Now.Monotonic
 	}
 }
 
-// contendedTypes lists the types that tasks have waited for of late.
-func (ct *contentionTracker) contendedTypes() map[protocol.MachineTypeName]bool {
+// ContendedTypes lists the types that tasks have waited for of late.
+func (ct *ContentionTracker) ContendedTypes() map[protocol.MachineTypeName]bool {
 	out := map[protocol.MachineTypeName]bool{}
 	for name, at := range ct.lastContendedAt {
-		if ct.since(at) < contentionWindow {
+		if ct.Since(at) < contentionWindow {
 			out[name] = true
 		}
 	}
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -1,11 +1,12 @@
-package coordination
+package scheduling
 
 import (
 	"cmp"
 	"slices"
-	"time"
-
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
+	"time"
 )
 
 // warmPool says which idle machines are kept for work that could not wait until a
@@ -31,8 +32,8 @@
 
 func newWarmPool() warmPool { return warmPool{classes: map[string]*urgentClass{}} }
 
-// observe takes in the unfinished jobs.
-func (w *warmPool) observe(now protocol.Instant, queue []*pendingJob) {
+// Observe takes in the unfinished jobs.
+func (w *warmPool) Observe(now protocol.Instant, queue []*PendingJob) {
 	decay := 1 - min(float64(now.Sub(w.observedAt))/float64(peakDecayPeriod), 1)
 	w.observedAt = now
 	for _, class := range w.classes {
@@ -40,21 +41,21 @@
 	}
 	totalCores, urgentCores := 0.0, 0.0
 	for _, q := range queue {
-		tasks := float64(q.record.Spec.TaskCount - q.doneTasks)
-		if q.record.Spec.IsService() {
+		tasks := float64(q.Record.Spec.TaskCount - q.doneTasks)
+		if q.Record.Spec.IsService() {
 			tasks -= float64(q.placedTasks) // what runs will not ask for a machine again
 		}
-		totalCores += tasks * q.record.Spec.Cores
-		if !q.isUrgent {
+		totalCores += tasks * q.Record.Spec.Cores
+		if !q.IsUrgent {
 			continue
 		}
-		urgentCores += tasks * q.record.Spec.Cores
-		class := w.classes[q.record.Spec.Class]
+		urgentCores += tasks * q.Record.Spec.Cores
+		class := w.classes[q.Record.Spec.Class]
 		if class == nil {
 			class = &urgentClass{}
-			w.classes[q.record.Spec.Class] = class
+			w.classes[q.Record.Spec.Class] = class
 		}
-		class.latestJob = q.record.Spec
+		class.latestJob = q.Record.Spec
 		class.currentTasks += tasks
 	}
 	for _, class := range w.classes {
@@ -64,54 +65,41 @@
 	w.urgentPeakCores = max(w.urgentPeakCores*decay, urgentCores)
 }
 
-// selectRetained picks the idle machines that are kept, those that cost least first.
-func (w *warmPool) selectRetained(candidates []*candidate, mayUse func(*protocol.Job, *candidate) bool) {
+// SelectRetained picks the idle machines that are kept, those that cost least first.
+func (w *warmPool) SelectRetained(candidates []*Candidate, mayUse func(*protocol.Job, *Candidate) bool) {
 	w.retained = map[protocol.MachineID]bool{}
-	idle := slices.DeleteFunc(slices.Clone(candidates), func(r *candidate) bool {
-		return r.isProvisioning || r.record.Terminating || len(r.record.Assignments) > 0
+	idle := slices.DeleteFunc(slices.Clone(candidates), func(r *Candidate) bool {
+		return r.isProvisioning || r.Record.Terminating || len(r.Record.Assignments) > 0
 	})
-	slices.SortFunc(idle, func(a, z *candidate) int {
-		return cmp.Or(cmp.Compare(a.pricePerCore(), z.pricePerCore()), cmp.Compare(a.id, z.id))
+	slices.SortFunc(idle, func(a, z *Candidate) int {
+		return cmp.Or(cmp.Compare(a.pricePerCore(), z.pricePerCore()), cmp.Compare(a.ID, z.ID))
 	})
-	for _, className := range sortedKeys(w.classes) {
+	for _, className := range step.SortedKeys(w.classes) {
 		class := w.classes[className]
 		need := class.peakTasks - class.currentTasks
 		for _, r := range idle {
 			if need <= 0 {
 				break
 			}
-			if n := machineTypeCapacity(r.machineType, class.latestJob); n > 0 && !w.retained[r.id] && mayUse(class.latestJob, r) {
-				w.retained[r.id] = true
+			if n := catalog.MachineTypeCapacity(r.MachineType, class.latestJob); n > 0 && !w.retained[r.ID] && mayUse(class.latestJob, r) {
+				w.retained[r.ID] = true
 				need -= float64(n)
 			}
 		}
 	}
 }
 
-// shouldRetain tells whether an idle machine is kept for urgent work. Where that is most of
+// ShouldRetain tells whether an idle machine is kept for urgent work. Where that is most of
 // all work, every machine is.
-func (w *warmPool) shouldRetain(id protocol.MachineID) bool {
+func (w *warmPool) ShouldRetain(id protocol.MachineID) bool {
 	return w.retained[id] || 2*w.urgentPeakCores >= w.totalPeakCores
 }
 
 // pricePerCore is what a core of the machine costs.
-func (c *candidate) pricePerCore() float64 {
-	price := c.machineType.OnDemandPrice
-	if c.record.Spot {
-		price = c.machineType.SpotPrice
-	}
-	return price / max(c.machineType.Cores, epsilon)
-}
-
-// machineStartupTime is how long a new machine of a type takes until it can run a task.
-func machineStartupTime(f *protocol.MachineType, d *protocol.Job) time.Duration {
-	return protocol.Seconds(f.BootSeconds + imageFetchSeconds(f, d))
-}
-
-// imageFetchSeconds is how long a machine of a type takes to fetch the job's image.
-func imageFetchSeconds(f *protocol.MachineType, d *protocol.Job) float64 {
-	if f.ImagePullGBPerSecond <= 0 {
-		return 0
+func (c *Candidate) pricePerCore() float64 {
+	price := c.MachineType.OnDemandPrice
+	if c.Record.Spot {
+		price = c.MachineType.SpotPrice
 	}
-	return d.ImageGB / f.ImagePullGBPerSecond
+	return price / max(c.MachineType.Cores, catalog.Epsilon)
 }
--- a/internal/coordination/spot_test.go
+++ b/internal/coordination/spot_test.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"testing"
+	"tillerarch/internal/coordination/catalog"
 	"time"
 
 	"tillerarch/internal/protocol"
@@ -40,7 +41,7 @@
 		}},
 		{"dearer than steady is never open", 0.2, []observation{{10, 1.2, true, 1.1, false}, {60, 1.2, true, 1.1, false}}},
 	} {
-		threshold := NewSpotPriceThreshold(window, at(0), c.first, 1)
+		threshold := catalog.NewSpotPriceThreshold(window, at(0), c.first, 1)
 		for _, s := range c.see {
 			if h := threshold.Observe(at(s.at), s.price, 1); h != s.halts || math.Abs(threshold.Value()-s.threshold) > 1e-9 || threshold.AllowsSpot() != s.open {
 				t.Errorf("%s: at %v halts %v, threshold %v, open %v", c.name, s.at, h, threshold.Value(), threshold.AllowsSpot())
@@ -58,7 +59,7 @@
 		id := protocol.MachineID("m-0000" + string(rune('a'+m)))
 		near := 0
 		for s := 0; s < 300; s++ {
-			if IsNearPeriodBoundary(id, time.Duration(s)*time.Second, period, margin) {
+			if catalog.IsNearPeriodBoundary(id, time.Duration(s)*time.Second, period, margin) {
 				near++
 				nearAtSecond[s]++
 			}
@@ -72,7 +73,7 @@
 			t.Errorf("%d of 20 machines reach their margin together at %d s", n, s)
 		}
 	}
-	if IsNearPeriodBoundary("m-1", time.Minute, period, 0) || IsNearPeriodBoundary("m-1", -time.Second, period, margin) {
+	if catalog.IsNearPeriodBoundary("m-1", time.Minute, period, 0) || catalog.IsNearPeriodBoundary("m-1", -time.Second, period, margin) {
 		t.Error("no margin and no age are near no boundary")
 	}
 }
--- a/internal/coordination/io.go
+++ b/internal/coordination/step/io.go
@@ -1,14 +1,10 @@
-// Package coordination decides. Core is a state machine: Step takes an input
-// and the time, and returns what to send, write and answer. It does no I/O,
-// reads no clock and starts no goroutine.
-package coordination
+package step
 
 import (
 	"log/slog"
-	"time"
-
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
+	"time"
 )
 
 // Now is the time as one step sees it.
@@ -192,7 +188,7 @@
 	GuaranteedCores, MaxCores, GuaranteedAccelerators, MaxAccelerators float64
 }
 
-func (t Quota) hasLimit() bool { return t.MaxCores > 0 || t.MaxAccelerators > 0 }
+func (t Quota) HasLimit() bool { return t.MaxCores > 0 || t.MaxAccelerators > 0 }
 
 // Objectives of a class of jobs, as the platform states them: how soon its tasks
 // begin, how soon its jobs are done, and by which multiple of their deadlines.
--- a/internal/coordination/peer_wire.go
+++ b/internal/coordination/step/peer_wire.go
@@ -1,4 +1,4 @@
-package coordination
+package step
 
 import (
 	"tillerarch/internal/protocol"
--- /dev/null
+++ b/internal/coordination/step/user_requests.go
@@ -0,0 +1,5 @@
+package step
+
+type ErrorBody struct {
+	Error string `json:"error"`
+}
--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -12,10 +12,10 @@
 	"path/filepath"
 	"strings"
 	"syscall"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/admin"
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/simulation"
 )
@@ -27,7 +27,7 @@
 	BinaryPath   string // the program that was built
 	WorkDir      string // for settings and logs
 	MachineTypes []protocol.MachineType
-	Teams        map[string]coordination.Quota
+	Teams        map[string]step.Quota
 	Properties   string // the controllers' own settings, besides the admin service's address
 }
 
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -13,10 +13,10 @@
 	"strings"
 	"sync"
 	"testing"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/admin"
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/simulation"
 	"tillerarch/internal/storage"
@@ -36,7 +36,7 @@
 func startCluster(t *testing.T, binaryPath string, seed uint64) *Cluster {
 	t.Helper()
 	cluster, err := StartCluster(Options{Seed: seed, Controllers: 3, BinaryPath: binaryPath, WorkDir: t.TempDir(), MachineTypes: simulation.SmallAndLargeTypes,
-		Teams: map[string]coordination.Quota{"core": {}, "tight": {MaxCores: 10}}, Properties: "moves.recorded = true\nage.after = 60s\nidle.factor = 100"})
+		Teams: map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}}, Properties: "moves.recorded = true\nage.after = 60s\nidle.factor = 100"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -10,9 +10,10 @@
 	"slices"
 	"sync"
 	"testing"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
@@ -62,7 +63,7 @@
 
 // errorText is the text of an operator's error, and whether the request may be repeated.
 func errorText(err error) string {
-	var refused *coordination.RequestError
+	var refused *requests.RequestError
 	switch {
 	case err == nil:
 		return ""
@@ -75,8 +76,8 @@
 // canonical is an effect in a form in which no identifier of the Go sources occurs: a code
 // of one letter and the wire form, or else the values in a fixed order. This is the one
 // place that follows a renaming of the types of effects.
-func canonical(e coordination.Effect) (code byte, form string, err error) {
-	share := func(s *coordination.ControllerStatus) string {
+func canonical(e step.Effect) (code byte, form string, err error) {
+	share := func(s *requests.ControllerStatus) string {
 		return fmt.Sprintf("%q %q %d %d %t %t;", string(s.ID), string(s.Incarnation), s.Shards, s.Machines, s.RecordsTransfers, s.Draining)
 	}
 	move := func(m *storage.TransferRecord) string {
@@ -84,41 +85,41 @@
 			int64(m.ProposedAt), int64(m.PreparedAt), int64(m.CommittedAt), int64(m.EndedAt))
 	}
 	switch v := e.(type) {
-	case coordination.Reply:
+	case step.Reply:
 		return 'R', fmt.Sprintf("%d %d %d %s", v.RequestID, v.Status, v.RetryAfterSeconds, v.Body), nil
-	case coordination.Commit:
+	case step.Commit:
 		return 'C', fmt.Sprintf("%d %s", v.ID, protocol.Encode(v.Transaction)), nil
-	case coordination.LoadRecords:
+	case step.LoadRecords:
 		return 'L', "", nil
-	case coordination.Watch:
+	case step.Watch:
 		return 'F', fmt.Sprint(uint64(v.AfterRevision)), nil
-	case coordination.ReadRevision:
+	case step.ReadRevision:
 		return 'V', "", nil
-	case coordination.GrantLease:
+	case step.GrantLease:
 		return 'G', fmt.Sprint(int64(v.TTL)), nil
-	case coordination.RenewLease:
+	case step.RenewLease:
 		return 'E', fmt.Sprintf("%s", protocol.Encode(v.LeaseID)), nil
-	case coordination.ListMachineTypes:
+	case step.ListMachineTypes:
 		return 'A', "", nil
-	case coordination.ProvisionMachines:
+	case step.ProvisionMachines:
 		return 'H', string(protocol.Encode(v.Request)), nil
-	case coordination.TerminateMachines:
+	case step.TerminateMachines:
 		return 'X', string(protocol.Encode(protocol.MachineList{Machines: v.Machines})), nil
-	case coordination.ListInstances:
+	case step.ListInstances:
 		return 'I', "", nil
-	case coordination.SendCommands:
+	case step.SendCommands:
 		orders := v.Commands
 		return 'D', fmt.Sprintf("%q %q %s", v.Addr, string(v.Machine), orders.Encode()), nil
-	case coordination.ProbeAgent:
+	case step.ProbeAgent:
 		return 'W', fmt.Sprintf("%q %q", v.Addr, string(v.Machine)), nil
-	case coordination.SendPeerStatus:
+	case step.SendPeerStatus:
 		form, err := asProductionReads(v.Status.Wire())
 		return 'P', string(form), err
-	case coordination.TransferReply:
+	case requests.TransferReply:
 		return 'M', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), move(&v.Transfer)), nil
-	case coordination.DrainReply:
+	case requests.DrainReply:
 		return 'N', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), share(&v.Status)), nil
-	case coordination.ShardingStatusReply:
+	case requests.ShardingStatusReply:
 		form := fmt.Sprintf("%d %d %t\n", v.Req, uint64(v.Revision), v.Stale)
 		for i := range v.Controllers {
 			form += share(&v.Controllers[i])
@@ -162,8 +163,8 @@
 	k := 0
 	w.Every(seconds(every), func() {
 		k++
-		w.Controllers[k%len(w.Controllers)].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input { return coordination.ShardingStatusRequest{Req: id} },
-			func(coordination.Effect) {})
+		w.Controllers[k%len(w.Controllers)].DeliverOperatorRequest(func(id step.RequestID) step.Input { return requests.ShardingStatusRequest{Req: id} },
+			func(step.Effect) {})
 	})
 }
 
@@ -291,8 +292,8 @@
 		for i := range 8 {
 			w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
 		}
-		w.Config.Quotas["promised"] = coordination.Quota{GuaranteedCores: 12, MaxCores: 40}
-		w.Config.Objectives = map[string]coordination.Objectives{"l": {StartWithin: []time.Duration{seconds(5), seconds(20)}, FinishWithin: []time.Duration{seconds(60)}, DeadlineFactors: []float64{1, 2}}}
+		w.Config.Quotas["promised"] = step.Quota{GuaranteedCores: 12, MaxCores: 40}
+		w.Config.Objectives = map[string]step.Objectives{"l": {StartWithin: []time.Duration{seconds(5), seconds(20)}, FinishWithin: []time.Duration{seconds(60)}, DeadlineFactors: []float64{1, 2}}}
 		w.limitAllTeams(60)
 		return w
 	}, play: func(t *testing.T, w *World) {
@@ -340,9 +341,9 @@
 		moves := 0
 		w.onTransferPhase(storage.TransferProposed, func(r storage.TransferRecord) {
 			if moves++; moves%5 == 0 {
-				w.Controllers[moves%3].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input {
-					return coordination.TransferRequest{Req: id, Name: r.Name, Abort: true}
-				}, func(coordination.Effect) {})
+				w.Controllers[moves%3].DeliverOperatorRequest(func(id step.RequestID) step.Input {
+					return requests.TransferRequest{Req: id, Name: r.Name, Abort: true}
+				}, func(step.Effect) {})
 			}
 			if moves%9 == 0 {
 				w.restartIfAlive(r.Source, 3*time.Second)
@@ -388,9 +389,9 @@
 		w.tellsShares(4)
 		drain := func(at float64, asked int, member protocol.ControllerID, on bool) {
 			w.After(seconds(at), func() {
-				w.Controllers[asked].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input {
-					return coordination.DrainRequest{Req: id, Controller: member, Drain: on}
-				}, func(coordination.Effect) {})
+				w.Controllers[asked].DeliverOperatorRequest(func(id step.RequestID) step.Input {
+					return requests.DrainRequest{Req: id, Controller: member, Drain: on}
+				}, func(step.Effect) {})
 			})
 		}
 		drain(12, 1, "stall-0", true)
@@ -428,7 +429,7 @@
 		w.After(seconds(75), func() { w.cancelRunningJobs(3) })
 	}, busy: seconds(110), calm: seconds(50)},
 	{name: "upgrade-and-moves", world: newTransferWorld, play: func(t *testing.T, w *World) {
-		w.Config.AnnouncedLimits = &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
+		w.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
 		for _, n := range w.Controllers {
 			n.RunsProductionVersion = true
 			n.Start()
@@ -550,8 +551,8 @@
 				t.Parallel()
 				sum, effects, seen := sha256.New(), 0, map[byte]int{}
 				w := day.world(t, seed)
-				w.Observe = func(at time.Duration, member protocol.ControllerID, e coordination.Effect) {
-					if _, log := e.(coordination.Log); log {
+				w.Observe = func(at time.Duration, member protocol.ControllerID, e step.Effect) {
+					if _, log := e.(step.Log); log {
 						return
 					}
 					code, form, err := canonical(e)
--- a/internal/simulation/fault_combinations_more_test.go
+++ b/internal/simulation/fault_combinations_more_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 )
 
@@ -73,7 +73,7 @@
 
 // limitAllTeams gives every team a limit.
 func (w *World) limitAllTeams(cores float64) {
-	teams := map[string]coordination.Quota{}
+	teams := map[string]step.Quota{}
 	for name, team := range w.Config.Quotas {
 		if team.MaxCores == 0 {
 			team.MaxCores = cores
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 	"strings"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 )
 
@@ -31,18 +31,18 @@
 
 // delayCommand carries a direct command out seconds late, whatever its sender has
 // become meanwhile; nobody answers it.
-func (c *Controller) delayCommand(command coordination.SendCommands) {
+func (c *Controller) delayCommand(command step.SendCommands) {
 	w := c.world
 	c.executeWithoutReply(time.Duration(2000+w.Rand.IntN(14000))*time.Millisecond, 2*time.Second, func() {
 		if m := w.Machines[command.Machine]; m != nil && !m.Terminated {
 			m.ExecuteCommands(command.Commands)
 		}
-	}, coordination.AgentResult{Machine: command.Machine, Err: errNoReply})
+	}, step.AgentResult{Machine: command.Machine, Err: errNoReply})
 }
 
 // executeWithoutReply carries something out after a while; whoever asked for it hears nothing
 // until its time is up.
-func (c *Controller) executeWithoutReply(delay, timeout time.Duration, execute func(), timeoutInput coordination.Input) {
+func (c *Controller) executeWithoutReply(delay, timeout time.Duration, execute func(), timeoutInput step.Input) {
 	generation := c.generation
 	c.world.After(delay, execute)
 	c.world.After(timeout, func() {
@@ -54,13 +54,13 @@
 
 // callStore sends something to the state service, which may be cut off, refuse this
 // controller alone, be slow, or carry a transaction out late.
-func (c *Controller) callStore(timeout time.Duration, execute func() coordination.Input, timeoutInput, refusedInput coordination.Input) {
+func (c *Controller) callStore(timeout time.Duration, execute func() step.Input, timeoutInput, refusedInput step.Input) {
 	w := c.world
 	if c.RefusedByStore {
-		c.callService(false, timeout, func() coordination.Input { return refusedInput }, timeoutInput)
+		c.callService(false, timeout, func() step.Input { return refusedInput }, timeoutInput)
 		return
 	}
-	_, isCommit := timeoutInput.(coordination.CommitResult)
+	_, isCommit := timeoutInput.(step.CommitResult)
 	if isCommit && w.Rand.Float64() < w.DelayedWriteRate {
 		c.executeWithoutReply(time.Duration(2000+w.Rand.IntN(10000))*time.Millisecond, timeout, func() { execute() }, timeoutInput)
 		return
@@ -206,7 +206,7 @@
 // StepCosts are kept by the kind of input.
 type StepCosts map[string]*StepCost
 
-func (c StepCosts) add(input coordination.Input, d time.Duration) {
+func (c StepCosts) add(input step.Input, d time.Duration) {
 	kind := strings.TrimPrefix(fmt.Sprintf("%T", input), "coordination.")
 	if c[kind] == nil {
 		c[kind] = &StepCost{}
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -6,8 +6,8 @@
 	"os"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/step"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
@@ -93,7 +93,7 @@
 	if err != nil || len(rest) > 0 {
 		t.Fatalf("%v, %d bytes left", err, len(rest))
 	}
-	var wire coordination.PeerStatusWire
+	var wire step.PeerStatusWire
 	if err := transport.DecodeFrame(frame, &wire); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/golden_write_test.go
+++ b/internal/simulation/golden_write_test.go
@@ -8,9 +8,9 @@
 	"os"
 	"path/filepath"
 	"testing"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
@@ -41,9 +41,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hint := coordination.PeerStatus{ControllerID: "stall-1", StoreReachable: true, Incarnation: "stall-1#7", AcceptsShards: true, Revision: 41,
-		MisdirectedHeartbeats: []coordination.MisdirectedHeartbeat{{Machine: "m-000231", AgentEpoch: 2, Sequence: 9}},
-		CancelIntents:         []coordination.CancelIntent{{Job: "j-000412", Revision: 40}}, CancelAcks: []protocol.JobID{"j-000413"}}
+	hint := step.PeerStatus{ControllerID: "stall-1", StoreReachable: true, Incarnation: "stall-1#7", AcceptsShards: true, Revision: 41,
+		MisdirectedHeartbeats: []step.MisdirectedHeartbeat{{Machine: "m-000231", AgentEpoch: 2, Sequence: 9}},
+		CancelIntents:         []step.CancelIntent{{Job: "j-000412", Revision: 40}}, CancelAcks: []protocol.JobID{"j-000413"}}
 	frame, err := transport.AppendFrame(nil, hint.Wire())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/remote_controller.go
+++ b/internal/simulation/remote_controller.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
+	"tillerarch/internal/coordination/step"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 )
 
@@ -15,7 +15,7 @@
 }
 
 // NewRemoteWorld is a deployment whose controllers are processes of their own.
-func NewRemoteWorld(seed uint64, remotes []RemoteController, machineTypes []protocol.MachineType, teams map[string]coordination.Quota) *World {
+func NewRemoteWorld(seed uint64, remotes []RemoteController, machineTypes []protocol.MachineType, teams map[string]step.Quota) *World {
 	w := NewWorld(seed, 0, machineTypes, teams)
 	for i, remote := range remotes {
 		w.Controllers = append(w.Controllers, &Controller{world: w, ID: protocol.ControllerID(fmt.Sprintf("stall-%d", i)), Remote: remote, Alive: true})
@@ -29,8 +29,8 @@
 		c.Remote.DeliverUserRequest(requestType, id, body, reply)
 		return
 	}
-	c.deliverRequest(reply, func(r coordination.RequestID) coordination.Input {
-		return coordination.UserInput{RequestID: r, Type: requestType, Job: id, Body: body}
+	c.deliverRequest(reply, func(r step.RequestID) step.Input {
+		return step.UserInput{RequestID: r, Type: requestType, Job: id, Body: body}
 	})
 }
 
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -4,9 +4,9 @@
 	"maps"
 	"slices"
 	"testing"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 )
 
@@ -205,7 +205,7 @@
 // run; one that fits keeps the limit with others of its team.
 func TestServicesWithinQuota(t *testing.T) {
 	w := newMixedWorld(t, 2)
-	w.Config.Quotas = map[string]coordination.Quota{"tight": {MaxCores: 10}}
+	w.Config.Quotas = map[string]step.Quota{"tight": {MaxCores: 10}}
 	big := newService("j-1", 11)
 	big.Team = "tight"
 	w.After(seconds(3), func() { w.SubmitInvalid(big.ID, protocol.Encode(big)) })
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -5,18 +5,19 @@
 	"fmt"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
 // sendOperatorRequest is what an operator hears of a request; it waits for the answer.
-func sendOperatorRequest(t *testing.T, w *World, controller *Controller, request func(coordination.RequestID) coordination.Input) coordination.Effect {
+func sendOperatorRequest(t *testing.T, w *World, controller *Controller, request func(step.RequestID) step.Input) step.Effect {
 	t.Helper()
-	var reply coordination.Effect
-	controller.DeliverOperatorRequest(request, func(e coordination.Effect) { reply = e })
+	var reply step.Effect
+	controller.DeliverOperatorRequest(request, func(e step.Effect) { reply = e })
 	for end := w.Now + 8*time.Second; reply == nil && w.Now < end; {
 		w.Advance(50 * time.Millisecond)
 	}
@@ -27,12 +28,12 @@
 }
 
 // requestTransfer is what an operator hears who asks for a move.
-func (w *World) requestTransfer(t *testing.T, controller *Controller, request coordination.TransferRequest) coordination.TransferReply {
+func (w *World) requestTransfer(t *testing.T, controller *Controller, request requests.TransferRequest) requests.TransferReply {
 	t.Helper()
-	return sendOperatorRequest(t, w, controller, func(id coordination.RequestID) coordination.Input {
+	return sendOperatorRequest(t, w, controller, func(id step.RequestID) step.Input {
 		request.Req = id
 		return request
-	}).(coordination.TransferReply)
+	}).(requests.TransferReply)
 }
 
 // shardsOf lists the pages of a controller.
@@ -56,79 +57,79 @@
 	for _, c := range []struct {
 		name      string
 		prepare   func(w world)
-		request   func(w world) coordination.TransferRequest
+		request   func(w world) requests.TransferRequest
 		refused   string // part of the reason; empty: accepted
 		transient bool
 		phase     storage.TransferPhase // it is answered with
 	}{
-		{"a page by name", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		{"a page by name", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
 		}, "", false, storage.TransferProposed},
-		{"any page of a controller", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Source: w.a.ID, Target: w.b.ID}
+		{"any page of a controller", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: w.a.ID, Target: w.b.ID}
 		}, "", false, storage.TransferProposed},
-		{"no name", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Shard: w.page, Target: w.b.ID}
+		{"no name", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Shard: w.page, Target: w.b.ID}
 		}, "needs a name", false, ""},
-		{"neither page nor controller", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Target: w.b.ID}
+		{"neither page nor controller", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Target: w.b.ID}
 		}, "neither", false, ""},
-		{"an unknown page", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: "nowhere", Target: w.b.ID}
+		{"an unknown page", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: "nowhere", Target: w.b.ID}
 		}, `no page "nowhere"`, false, ""},
-		{"an unknown taker", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: "stall-9"}
+		{"an unknown taker", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: "stall-9"}
 		}, `no controller "stall-9"`, false, ""},
-		{"an unknown giver", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Source: "stall-9", Target: w.b.ID}
+		{"an unknown giver", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: "stall-9", Target: w.b.ID}
 		}, `no controller "stall-9"`, false, ""},
-		{"to its owner", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.a.ID}
+		{"to its owner", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.a.ID}
 		}, "already", false, ""},
-		{"from a controller to itself", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Source: w.a.ID, Target: w.a.ID}
+		{"from a controller to itself", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: w.a.ID, Target: w.a.ID}
 		}, "the same", false, ""},
 		{"a page that is on its way", func(w world) {
-			w.requestTransfer(t, w.b, coordination.TransferRequest{Name: "first", Shard: w.page, Target: w.b.ID})
-		}, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "first", Shard: w.page, Target: w.b.ID})
+		}, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
 		}, `move "first"`, true, ""},
 		{"to a controller of the version in production", func(w world) {
 			w.b.Kill()
 			w.b.RunsProductionVersion = true
 			w.b.Start()
 			w.Advance(15 * time.Second)
-		}, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Source: w.a.ID, Target: w.b.ID}
+		}, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: w.a.ID, Target: w.b.ID}
 		}, "take no part", false, ""},
 		{"the state service is away", func(w world) {
 			w.Store.Unavailable = true
 			w.Advance(10 * time.Second)
-		}, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		}, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
 		}, "state service", true, ""},
-		{"the state service goes as it is asked", func(w world) { w.Store.Unavailable = true }, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		{"the state service goes as it is asked", func(w world) { w.Store.Unavailable = true }, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
 		}, "again under the same name", true, ""},
 		{"the same name again", func(w world) {
-			w.requestTransfer(t, w.b, coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
+			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
 			w.Advance(20 * time.Second)
-		}, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		}, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
 		}, "", false, storage.TransferClosed},
-		{"abort of an unknown move", nil, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Abort: true}
+		{"abort of an unknown move", nil, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Abort: true}
 		}, `no move "m"`, false, ""},
 		{"abort in time", func(w world) {
-			w.requestTransfer(t, w.b, coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
-		}, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Abort: true}
+			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
+		}, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Abort: true}
 		}, "", false, storage.TransferAborted},
 		{"abort too late", func(w world) {
-			w.requestTransfer(t, w.b, coordination.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
+			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
 			w.Advance(20 * time.Second)
-		}, func(w world) coordination.TransferRequest {
-			return coordination.TransferRequest{Name: "m", Abort: true}
+		}, func(w world) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Abort: true}
 		}, "closed already", false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -155,7 +156,7 @@
 			}
 			writes := w.History.TransferWrites
 			reply := w.requestTransfer(t, receiver, c.request(cluster))
-			var refused *coordination.RequestError
+			var refused *requests.RequestError
 			switch {
 			case c.refused == "" && (reply.Err != nil || reply.Transfer.Phase != c.phase && !reply.Transfer.Phase.CanFollow(c.phase)):
 				t.Errorf("%v, %+v", reply.Err, reply.Transfer)
@@ -178,10 +179,10 @@
 func TestDrainController(t *testing.T) {
 	w := newTransferWorld(t, 12)
 	ids := submitMixedJobs(w, 20)
-	drain := func(at, target *Controller, on bool) coordination.DrainReply {
-		return sendOperatorRequest(t, w, at, func(id coordination.RequestID) coordination.Input {
-			return coordination.DrainRequest{Req: id, Controller: target.ID, Drain: on}
-		}).(coordination.DrainReply)
+	drain := func(at, target *Controller, on bool) requests.DrainReply {
+		return sendOperatorRequest(t, w, at, func(id step.RequestID) step.Input {
+			return requests.DrainRequest{Req: id, Controller: target.ID, Drain: on}
+		}).(requests.DrainReply)
 	}
 	w.Advance(12 * time.Second)
 	a, b, c := w.Controllers[0], w.Controllers[1], w.Controllers[2]
@@ -303,7 +304,7 @@
 	w.onTransferPhase(storage.TransferCommitted, func(storage.TransferRecord) { passed = w.Now })
 	for i, controller := range w.Controllers {
 		for _, shard := range w.shardsOf(controller) {
-			w.requestTransfer(t, controller, coordination.TransferRequest{Name: string(shard), Shard: shard, Target: w.Controllers[(i+1)%3].ID})
+			w.requestTransfer(t, controller, requests.TransferRequest{Name: string(shard), Shard: shard, Target: w.Controllers[(i+1)%3].ID})
 		}
 	}
 	w.Advance(20 * time.Second)
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -6,9 +6,10 @@
 	"os"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -80,9 +81,9 @@
 		source, receiver := w.Rand.IntN(len(w.Controllers)), w.Rand.IntN(len(w.Controllers))
 		target := (source + 1 + w.Rand.IntN(len(w.Controllers)-1)) % len(w.Controllers)
 		name := fmt.Sprintf("drill-%d", number)
-		w.Controllers[receiver].DeliverOperatorRequest(func(id coordination.RequestID) coordination.Input {
-			return coordination.TransferRequest{Req: id, Name: name, Source: w.Controllers[source].ID, Target: w.Controllers[target].ID}
-		}, func(coordination.Effect) {})
+		w.Controllers[receiver].DeliverOperatorRequest(func(id step.RequestID) step.Input {
+			return requests.TransferRequest{Req: id, Name: name, Source: w.Controllers[source].ID, Target: w.Controllers[target].ID}
+		}, func(step.Effect) {})
 		w.After(time.Duration(float64(every)*(0.5+w.Rand.Float64())), requestNext)
 	}
 	w.After(5*time.Second, requestNext)
@@ -196,7 +197,7 @@
 			w.onTransferPhase(storage.TransferCommitted, each(5, func(storage.TransferRecord) { w.cancelRunningJobs(3) }))
 		}},
 		{"records are packed and the limits tighten on the way", 10, func(w *World) {
-			w.Config.AnnouncedLimits = &coordination.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
+			w.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
 			for _, n := range w.Controllers {
 				n.Start()
 			}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/step"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -19,7 +19,7 @@
 }
 
 // tightenedLimits are limits that the state service has from some moment after the upgrade.
-var tightenedLimits = coordination.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
+var tightenedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
 
 // newUpgradeWorld is a deployment in which the version in production runs, with records
 // larger than the announced limits allow.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,6 +9,8 @@
 	"math/rand/v2"
 	"slices"
 	"sort"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/coordination"
@@ -49,15 +51,15 @@
 	UsersUnreachable      bool // cut from the users
 	RunsProductionVersion bool // runs the version in production before the upgrade
 	paused                bool // it stands still while its clocks run on
-	pendingInputs         []coordination.Input
+	pendingInputs         []step.Input
 	generation            int
 	Remote                RemoteController // a process of its own that plays the controller; nil: Core does
 	startedAt             time.Duration
 	clockDrift            float64
-	pendingReplies        map[coordination.RequestID]func(int, []byte)
-	nextRequestID         coordination.RequestID
+	pendingReplies        map[step.RequestID]func(int, []byte)
+	nextRequestID         step.RequestID
 
-	pendingOperatorReplies map[coordination.RequestID]func(coordination.Effect) // that wait for an answer
+	pendingOperatorReplies map[step.RequestID]func(step.Effect) // that wait for an answer
 }
 
 // World is a whole deployment in simulated time.
@@ -71,7 +73,7 @@
 	Machines               map[protocol.MachineID]*Machine
 	Jobs                   map[protocol.JobID]*protocol.Job
 	MachineTypes           []protocol.MachineType
-	Config                 coordination.Config
+	Config                 step.Config
 	HeartbeatInterval      time.Duration
 	AgentLeaseTTL          time.Duration
 	GangStartTimeout       time.Duration
@@ -94,7 +96,7 @@
 	StepCosts              StepCosts      // what steps take, if it is not nil
 
 	// Observe hears of each effect of a controller as it is carried out, if it is not nil.
-	Observe func(at time.Duration, member protocol.ControllerID, e coordination.Effect)
+	Observe func(at time.Duration, member protocol.ControllerID, e step.Effect)
 
 	queue              eventQueue
 	seq                int
@@ -113,7 +115,7 @@
 }
 
 // NewWorld makes a deployment with controllers in the given zones.
-func NewWorld(seed uint64, controllers int, machineTypes []protocol.MachineType, teams map[string]coordination.Quota) *World {
+func NewWorld(seed uint64, controllers int, machineTypes []protocol.MachineType, teams map[string]step.Quota) *World {
 	w := &World{Rand: rand.New(rand.NewPCG(seed, 11)), Store: NewStore(500), Rules: NewRuleChecker(30 * time.Second),
 		Machines: map[protocol.MachineID]*Machine{}, Jobs: map[protocol.JobID]*protocol.Job{}, MachineTypes: machineTypes,
 		HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second, ImagePullTime: time.Second, GangStartTimeout: 20 * time.Second, provisioned: map[string][]protocol.MachineID{},
@@ -123,9 +125,9 @@
 	for name, t := range teams {
 		w.Rules.QuotaLimits[name] = t.MaxCores
 	}
-	w.Config = coordination.Config{Quotas: teams, HeartbeatInterval: w.HeartbeatInterval, AgentLeaseTTL: w.AgentLeaseTTL, GangPeerTimeout: 4 * time.Second,
+	w.Config = step.Config{Quotas: teams, HeartbeatInterval: w.HeartbeatInterval, AgentLeaseTTL: w.AgentLeaseTTL, GangPeerTimeout: 4 * time.Second,
 		CancelTimeout: w.Rules.CancelTimeout, PeerCount: controllers - 1, WritesPerSecond: 60, TransactionOps: 8, ValueBytes: 8192, InstanceListLag: 4 * time.Second, MinWatchInterval: 40 * time.Millisecond,
-		Tuning: coordination.DefaultTuning()}
+		Tuning: step.DefaultTuning()}
 	for i := 0; i < controllers; i++ {
 		w.Controllers = append(w.Controllers, &Controller{world: w, ID: protocol.ControllerID(fmt.Sprintf("stall-%d", i)), clockDrift: 1 + float64(i)*0.0002})
 	}
@@ -188,8 +190,8 @@
 	c.Alive, c.paused, c.pendingInputs = true, false, nil
 	c.generation++
 	c.startedAt = c.world.Now
-	c.pendingReplies = map[coordination.RequestID]func(int, []byte){}
-	c.pendingOperatorReplies = map[coordination.RequestID]func(coordination.Effect){}
+	c.pendingReplies = map[step.RequestID]func(int, []byte){}
+	c.pendingOperatorReplies = map[step.RequestID]func(step.Effect){}
 	config := c.world.Config
 	config.ControllerID = c.ID
 	for _, other := range c.world.Controllers {
@@ -209,7 +211,7 @@
 func (c *Controller) scheduleTick(generation int) {
 	c.world.After(50*time.Millisecond, func() {
 		if c.Alive && c.generation == generation {
-			c.step(coordination.Tick{})
+			c.step(step.Tick{})
 			c.scheduleTick(generation)
 		}
 	})
@@ -218,13 +220,13 @@
 // Kill ends the controller with all it holds in memory.
 func (c *Controller) Kill() { c.Alive = false }
 
-func (c *Controller) now() coordination.Now {
-	return coordination.Now{Monotonic: protocol.Instant(float64(c.world.Now-c.startedAt)*c.clockDrift) + 1, Wall: protocol.Millis(1e12 + c.world.Now.Milliseconds())}
+func (c *Controller) now() step.Now {
+	return step.Now{Monotonic: protocol.Instant(float64(c.world.Now-c.startedAt)*c.clockDrift) + 1, Wall: protocol.Millis(1e12 + c.world.Now.Milliseconds())}
 }
 
-func (c *Controller) step(input coordination.Input) {
+func (c *Controller) step(input step.Input) {
 	if c.paused {
-		if _, tick := input.(coordination.Tick); !tick {
+		if _, tick := input.(step.Tick); !tick {
 			c.pendingInputs = append(c.pendingInputs, input)
 		}
 		return
@@ -242,10 +244,10 @@
 // callService sends something to an outside system and brings the answer back. Either
 // way may be lost, or the request may be carried out late; the controller then
 // hears nothing until its time is up.
-func (c *Controller) callService(unreachable bool, timeout time.Duration, execute func() coordination.Input, timeoutInput coordination.Input) {
+func (c *Controller) callService(unreachable bool, timeout time.Duration, execute func() step.Input, timeoutInput step.Input) {
 	w, generation := c.world, c.generation
 	answered := false
-	deliver := func(input coordination.Input) {
+	deliver := func(input step.Input) {
 		if !answered && c.Alive && c.generation == generation {
 			answered = true
 			c.step(input)
@@ -267,97 +269,97 @@
 	})
 }
 
-func (c *Controller) perform(e coordination.Effect) {
+func (c *Controller) perform(e step.Effect) {
 	w := c.world
 	if w.Observe != nil {
 		w.Observe(w.Now, c.ID, e)
 	}
 	const timeout = 1500 * time.Millisecond
 	switch v := e.(type) {
-	case coordination.Reply:
+	case step.Reply:
 		reply := c.pendingReplies[v.RequestID]
 		delete(c.pendingReplies, v.RequestID)
 		if reply != nil {
 			reply(v.Status, v.Body)
 		}
-	case coordination.TransferReply:
+	case requests.TransferReply:
 		c.replyToOperator(v.Req, v)
-	case coordination.DrainReply:
+	case requests.DrainReply:
 		c.replyToOperator(v.Req, v)
-	case coordination.ShardingStatusReply:
+	case requests.ShardingStatusReply:
 		c.replyToOperator(v.Req, v)
-	case coordination.Log:
+	case step.Log:
 		if w.Trace != nil {
 			w.Trace(fmt.Sprintf("%8.3f %s %s %v", w.Now.Seconds(), c.ID, v.Message, v.Args))
 		}
-	case coordination.SendPeerStatus:
+	case step.SendPeerStatus:
 		for _, o := range w.Controllers {
 			if o != c && !c.PeersUnreachable && !o.PeersUnreachable {
 				generation := o.generation
 				w.After(w.messageDelay(), func() {
 					if o.Alive && o.generation == generation {
-						o.step(coordination.PeerStatusInput(v))
+						o.step(step.PeerStatusInput(v))
 					}
 				})
 			}
 		}
-	case coordination.Commit:
-		c.callStore(timeout, func() coordination.Input {
+	case step.Commit:
+		c.callStore(timeout, func() step.Input {
 			status, result := w.Store.Commit(c.transactionForVersion(v.Transaction))
 			o := map[int]storage.Outcome{200: storage.OutcomeApplied, 409: storage.OutcomeConflict, 429: storage.OutcomeThrottled, 503: storage.OutcomeUnavailable, 400: storage.OutcomeLeaseExpired}[status]
 			if result.Error == "too large" {
 				o = storage.OutcomeInvalid
 			}
-			return coordination.CommitResult{ID: v.ID, Outcome: o, Result: result}
-		}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errNoReply}, coordination.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
-	case coordination.LoadRecords:
-		c.callStore(timeout, func() coordination.Input {
+			return step.CommitResult{ID: v.ID, Outcome: o, Result: result}
+		}, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errNoReply}, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
+	case step.LoadRecords:
+		c.callStore(timeout, func() step.Input {
 			if w.Store.Unavailable {
-				return coordination.LoadRecordsResult{Err: errNoReply}
+				return step.LoadRecordsResult{Err: errNoReply}
 			}
-			return coordination.LoadRecordsResult{Entries: c.readableEntries(w.Store.List(storage.KeyPrefix)), StartRevision: w.Store.revision, EndRevision: w.Store.revision}
-		}, coordination.LoadRecordsResult{Err: errNoReply}, coordination.LoadRecordsResult{Err: errNoReply})
-	case coordination.Watch:
+			return step.LoadRecordsResult{Entries: c.readableEntries(w.Store.List(storage.KeyPrefix)), StartRevision: w.Store.revision, EndRevision: w.Store.revision}
+		}, step.LoadRecordsResult{Err: errNoReply}, step.LoadRecordsResult{Err: errNoReply})
+	case step.Watch:
 		w.watchStore(c, c.generation, v.AfterRevision, w.Now+3*time.Second)
-	case coordination.ReadRevision:
-		c.callStore(timeout, func() coordination.Input {
+	case step.ReadRevision:
+		c.callStore(timeout, func() step.Input {
 			if w.Store.Unavailable {
-				return coordination.ReadRevisionResult{Err: errNoReply}
+				return step.ReadRevisionResult{Err: errNoReply}
 			}
-			return coordination.ReadRevisionResult{Revision: w.Store.revision}
-		}, coordination.ReadRevisionResult{Err: errNoReply}, coordination.ReadRevisionResult{Err: errNoReply})
-	case coordination.GrantLease:
-		c.callStore(timeout, func() coordination.Input {
+			return step.ReadRevisionResult{Revision: w.Store.revision}
+		}, step.ReadRevisionResult{Err: errNoReply}, step.ReadRevisionResult{Err: errNoReply})
+	case step.GrantLease:
+		c.callStore(timeout, func() step.Input {
 			if w.Store.Unavailable {
-				return coordination.GrantLeaseResult{Err: errNoReply}
+				return step.GrantLeaseResult{Err: errNoReply}
 			}
-			return coordination.GrantLeaseResult{LeaseID: w.Store.GrantLease(w.Now, v.TTL)}
-		}, coordination.GrantLeaseResult{Err: errNoReply}, coordination.GrantLeaseResult{Err: errNoReply})
-	case coordination.RenewLease:
-		c.callStore(timeout, func() coordination.Input {
+			return step.GrantLeaseResult{LeaseID: w.Store.GrantLease(w.Now, v.TTL)}
+		}, step.GrantLeaseResult{Err: errNoReply}, step.GrantLeaseResult{Err: errNoReply})
+	case step.RenewLease:
+		c.callStore(timeout, func() step.Input {
 			if w.Store.Unavailable {
-				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply}
+				return step.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply}
 			}
 			if !w.Store.RenewLease(w.Now, v.LeaseID) {
-				return coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: storage.ErrLeaseExpired}
+				return step.RenewLeaseResult{LeaseID: v.LeaseID, Err: storage.ErrLeaseExpired}
 			}
-			return coordination.RenewLeaseResult{LeaseID: v.LeaseID}
-		}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply}, coordination.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply})
-	case coordination.ProbeAgent:
-		c.callService(c.AgentsUnreachable, 2*time.Second, func() coordination.Input {
+			return step.RenewLeaseResult{LeaseID: v.LeaseID}
+		}, step.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply}, step.RenewLeaseResult{LeaseID: v.LeaseID, Err: errNoReply})
+	case step.ProbeAgent:
+		c.callService(c.AgentsUnreachable, 2*time.Second, func() step.Input {
 			m := w.Machines[v.Machine]
 			if m == nil || w.isPartitioned(c, m) || m.Terminated || m.Partitioned || m.CommandsLost || m.hung {
 				return nil
 			}
 			heartbeat, err := protocol.ParseHeartbeat(m.nextHeartbeat())
-			return coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
-		}, coordination.AgentResult{Machine: v.Machine, Err: errNoReply})
-	case coordination.SendCommands:
+			return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
+		}, step.AgentResult{Machine: v.Machine, Err: errNoReply})
+	case step.SendCommands:
 		if w.DelayedCommandRate > 0 && w.Rand.Float64() < w.DelayedCommandRate {
 			c.delayCommand(v)
 			return
 		}
-		c.callService(c.AgentsUnreachable, 2*time.Second, func() coordination.Input {
+		c.callService(c.AgentsUnreachable, 2*time.Second, func() step.Input {
 			m := w.Machines[v.Machine]
 			if m == nil || w.isPartitioned(c, m) || m.Terminated || m.CommandsLost {
 				return nil
@@ -371,8 +373,8 @@
 				return nil
 			}
 			heartbeat, err := protocol.ParseHeartbeat(body)
-			return coordination.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
-		}, coordination.AgentResult{Machine: v.Machine, Err: errNoReply})
+			return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
+		}, step.AgentResult{Machine: v.Machine, Err: errNoReply})
 	default:
 		w.callCloud(c, e)
 	}
@@ -385,7 +387,7 @@
 		}
 		if controller.StoreUnreachable || controller.RefusedByStore || w.Store.Unavailable { // open watches wait
 			if w.Now > until+2*time.Second {
-				controller.step(coordination.WatchResult{AfterRevision: from, Err: errNoReply})
+				controller.step(step.WatchResult{AfterRevision: from, Err: errNoReply})
 				return
 			}
 			w.watchStore(controller, generation, from, until)
@@ -394,41 +396,41 @@
 		response, compacted := w.Store.Watch(storage.KeyPrefix, from)
 		switch {
 		case compacted:
-			controller.step(coordination.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
+			controller.step(step.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
 		case len(response.Events) > 0 || w.Now > until:
 			response.Events = controller.readableEvents(response.Events)
-			controller.step(coordination.WatchResult{AfterRevision: from, Response: &response})
+			controller.step(step.WatchResult{AfterRevision: from, Response: &response})
 		default:
 			w.watchStore(controller, generation, from, until)
 		}
 	})
 }
 
-func (w *World) callCloud(controller *Controller, e coordination.Effect) {
+func (w *World) callCloud(controller *Controller, e step.Effect) {
 	const timeout = 10 * time.Second
 	switch v := e.(type) {
-	case coordination.ListMachineTypes:
-		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input { return coordination.ListMachineTypesResult{MachineTypes: w.MachineTypes} },
-			coordination.ListMachineTypesResult{Err: errNoReply})
-	case coordination.ProvisionMachines:
-		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input {
+	case step.ListMachineTypes:
+		controller.callService(w.CloudUnreachable, timeout, func() step.Input { return step.ListMachineTypesResult{MachineTypes: w.MachineTypes} },
+			step.ListMachineTypesResult{Err: errNoReply})
+	case step.ProvisionMachines:
+		controller.callService(w.CloudUnreachable, timeout, func() step.Input {
 			if w.CloudOutOfCapacity {
-				return coordination.ProvisionMachinesResult{Request: v.Request, NoCapacity: true}
+				return step.ProvisionMachinesResult{Request: v.Request, NoCapacity: true}
 			}
-			return coordination.ProvisionMachinesResult{Request: v.Request, Machines: w.Provision(v.Request)}
-		}, coordination.ProvisionMachinesResult{Request: v.Request, Err: errNoReply})
-	case coordination.TerminateMachines:
-		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input {
+			return step.ProvisionMachinesResult{Request: v.Request, Machines: w.Provision(v.Request)}
+		}, step.ProvisionMachinesResult{Request: v.Request, Err: errNoReply})
+	case step.TerminateMachines:
+		controller.callService(w.CloudUnreachable, timeout, func() step.Input {
 			for _, id := range v.Machines {
 				w.TerminateMachine(id)
 			}
-			return coordination.TerminateMachinesResult{Machines: v.Machines}
-		}, coordination.TerminateMachinesResult{Machines: v.Machines, Err: errNoReply})
-	case coordination.ListInstances:
+			return step.TerminateMachinesResult{Machines: v.Machines}
+		}, step.TerminateMachinesResult{Machines: v.Machines, Err: errNoReply})
+	case step.ListInstances:
 		requestedAt := controller.now().Monotonic
-		controller.callService(w.CloudUnreachable, timeout, func() coordination.Input {
-			return coordination.ListInstancesResult{RequestedAt: requestedAt, Instances: w.Instances()}
-		}, coordination.ListInstancesResult{Err: errNoReply})
+		controller.callService(w.CloudUnreachable, timeout, func() step.Input {
+			return step.ListInstancesResult{RequestedAt: requestedAt, Instances: w.Instances()}
+		}, step.ListInstancesResult{Err: errNoReply})
 	default:
 		panic(fmt.Sprintf("simulation: effect %T", e))
 	}
@@ -582,19 +584,19 @@
 		c.Remote.DeliverHeartbeat(body, reply)
 		return
 	}
-	c.deliverRequest(reply, func(id coordination.RequestID) coordination.Input {
-		return coordination.HeartbeatInput{RequestID: id, Body: body}
+	c.deliverRequest(reply, func(id step.RequestID) step.Input {
+		return step.HeartbeatInput{RequestID: id, Body: body}
 	})
 }
 
-func (c *Controller) deliverRequest(reply func(int, []byte), input func(coordination.RequestID) coordination.Input) {
+func (c *Controller) deliverRequest(reply func(int, []byte), input func(step.RequestID) step.Input) {
 	c.nextRequestID++
 	c.pendingReplies[c.nextRequestID] = reply
 	c.step(input(c.nextRequestID))
 }
 
 // DeliverOperatorRequest asks a controller something, as an operator's tool does.
-func (c *Controller) DeliverOperatorRequest(request func(coordination.RequestID) coordination.Input, reply func(coordination.Effect)) {
+func (c *Controller) DeliverOperatorRequest(request func(step.RequestID) step.Input, reply func(step.Effect)) {
 	if !c.Alive {
 		return
 	}
@@ -604,7 +606,7 @@
 }
 
 // replyToAdmin hands an answer to the operator who waits for it.
-func (c *Controller) replyToOperator(id coordination.RequestID, e coordination.Effect) {
+func (c *Controller) replyToOperator(id step.RequestID, e step.Effect) {
 	if reply := c.pendingOperatorReplies[id]; reply != nil {
 		delete(c.pendingOperatorReplies, id)
 		reply(e)
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -8,16 +8,16 @@
 	"strconv"
 	"strings"
 	"testing"
+	"tillerarch/internal/coordination/step"
 	"time"
 
-	"tillerarch/internal/coordination"
 	"tillerarch/internal/protocol"
 )
 
 var testMachineTypes = SmallAndLargeTypes
 
-func testTeams() map[string]coordination.Quota {
-	return map[string]coordination.Quota{"core": {}, "tight": {MaxCores: 10}}
+func testTeams() map[string]step.Quota {
+	return map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}}
 }
 
 // submitMixedJobs sends jobs of every kind over the first minute.
@@ -443,7 +443,7 @@
 // state service, also when tasks end in any order, and a team with a guarantee
 // gets its place from one that borrows it.
 func TestLargeArrayAndGuarantee(t *testing.T) {
-	teams := map[string]coordination.Quota{"big": {}, "sure": {GuaranteedCores: 8}}
+	teams := map[string]step.Quota{"big": {}, "sure": {GuaranteedCores: 8}}
 	w := NewWorld(12, 1, testMachineTypes[1:], teams)
 	w.CloudOutOfCapacity = true
 	w.AddMachine("large", "a", false, 0)
