--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -13,9 +13,9 @@
 type Caller struct {
 	*step.Context
 
-	Agents      *Table
-	Lease       *commit.Lease
-	Misdirected *MisdirectedHeartbeats
+	agents      *Table
+	lease       *commit.Lease
+	misdirected *MisdirectedHeartbeats
 
 	agentCallsInFlight int // direct commands under way
 }
@@ -25,9 +25,9 @@
 	ac.agentCallsInFlight--
 	ok := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
 	if ok {
-		ac.Misdirected.confirm(result.Machine)
+		ac.misdirected.confirm(result.Machine)
 	}
-	m := ac.Agents.MachineStates[result.Machine]
+	m := ac.agents.MachineStates[result.Machine]
 	if m == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 		}
 		return
 	}
-	if entry == nil || !ac.Lease.OwnsMachine(&entry.Record) {
+	if entry == nil || !ac.lease.OwnsMachine(&entry.Record) {
 		// Asked as a last resort: what its worker shows is no less true.
 		if entry != nil && ok && (m.LatestHeartbeat == nil || !isStale(result.Heartbeat, m.LatestHeartbeat.AgentEpoch, m.LatestHeartbeat.Sequence)) {
 			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
@@ -52,7 +52,7 @@
 			m.firstCallFailureAt = m.callStartedAt
 		}
 		m.callFailures++
-		ac.Agents.markSuspect(m)
+		ac.agents.markSuspect(m)
 		// It talks all the while: it is no dead machine, and no cut one.
 		if m.callFailures >= 2 && m.LastContactAt > m.firstCallFailureAt && m.CommandsLostAt == 0 {
 			m.CommandsLostAt = ac.Now.Monotonic
@@ -62,7 +62,7 @@
 	}
 	if m.LatestHeartbeat == nil || !isStale(result.Heartbeat, m.LatestHeartbeat.AgentEpoch, m.LatestHeartbeat.Sequence) {
 		m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
-		ac.Agents.markReachable(m)
+		ac.agents.markReachable(m)
 	}
 }
 
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -19,8 +19,8 @@
 type Table struct {
 	*step.Context
 
-	Catalog    *catalog.Catalog
-	Terminator RemovalRecorder
+	catalog    *catalog.Catalog
+	terminator RemovalRecorder
 
 	MachineStates      map[protocol.MachineID]*MachineState
 	deferredHeartbeats map[protocol.MachineID]bool // whose reports wait for their answers
@@ -157,7 +157,7 @@
 // OnMachinesRemoved forgets machines that have left the records.
 func (at *Table) OnMachinesRemoved() {
 	for _, id := range at.Replica.PopRemovedMachines() {
-		at.Terminator.RecordRemoval(id)
+		at.terminator.RecordRemoval(id)
 		if m := at.MachineStates[id]; m != nil {
 			at.dropDeferredRequest(m)
 			delete(at.MachineStates, id)
@@ -186,7 +186,7 @@
 			continue
 		}
 		at.AssignedAt[key] = at.Now.Monotonic
-		if job, machineType := at.Replica.Jobs[a.Job], at.Catalog.MachineType(after.MachineType); job != nil && job.Record.Spec != nil && machineType != nil {
+		if job, machineType := at.Replica.Jobs[a.Job], at.catalog.MachineType(after.MachineType); job != nil && job.Record.Spec != nil && machineType != nil {
 			at.recordImage(id, machineType, job.Record.Spec)
 		}
 	}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -28,16 +28,16 @@
 type HeartbeatHandler struct {
 	*step.Context
 
-	Agents        *Table
-	Calls         *Caller
-	Cancellations CancellationChecker
-	Catalog       *catalog.Catalog
-	Jobs          *JobTable
-	Lease         *commit.Lease
-	Misdirected   *MisdirectedHeartbeats
-	Plan          PlacementForecast
-	Replication   *commit.Replication
-	Transfers     QuiesceChecker
+	agents        *Table
+	calls         *Caller
+	cancellations CancellationChecker
+	catalog       *catalog.Catalog
+	jobs          *JobTable
+	lease         *commit.Lease
+	misdirected   *MisdirectedHeartbeats
+	plan          PlacementForecast
+	replication   *commit.Replication
+	transfers     QuiesceChecker
 }
 
 // OnHeartbeat handles a worker's report.
@@ -47,47 +47,47 @@
 		h.Reply(input.RequestID, 400, step.ErrorBody{Error: err.Error()})
 		return
 	}
-	if !h.Replication.IsLoaded {
+	if !h.replication.IsLoaded {
 		h.Reply(input.RequestID, 503, step.ErrorBody{Error: "not ready"})
 		return
 	}
 	entry := h.Replica.Machines[heartbeat.Machine]
-	if entry == nil || !h.Lease.OwnsMachine(&entry.Record) {
+	if entry == nil || !h.lease.OwnsMachine(&entry.Record) {
 		switch {
 		case entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID:
-			h.Misdirected.recordMisdirectedHeartbeat(heartbeat)
-			h.Agents.replyRedirect(input.RequestID, entry.Record.Owner.Controller())
-		case h.Replication.StoreUnavailable() || !h.Lease.IsRegistered():
-			h.Agents.replyRedirect(input.RequestID, "")
+			h.misdirected.recordMisdirectedHeartbeat(heartbeat)
+			h.agents.replyRedirect(input.RequestID, entry.Record.Owner.Controller())
+		case h.replication.StoreUnavailable() || !h.lease.IsRegistered():
+			h.agents.replyRedirect(input.RequestID, "")
 		default:
-			m := h.Agents.MachineState(heartbeat.Machine)
+			m := h.agents.MachineState(heartbeat.Machine)
 			if isStale(heartbeat, m.LastAgentEpoch, m.LastSequence) || entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-				h.Agents.replyRedirect(input.RequestID, "") // a late copy
+				h.agents.replyRedirect(input.RequestID, "") // a late copy
 				return
 			}
-			h.Agents.dropDeferredRequest(m)
+			h.agents.dropDeferredRequest(m)
 			m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 			m.LastAgentEpoch, m.LastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
-			h.Agents.deferResponse(m, input.RequestID, true)
+			h.agents.deferResponse(m, input.RequestID, true)
 			if entry == nil {
 				// It may be a copy that outlived its machine. Only a worker that
 				// answers shows that there still is one.
-				h.Calls.probeAgent(m, heartbeat.Addr)
+				h.calls.probeAgent(m, heartbeat.Addr)
 			}
 		}
 		return
 	}
 	if heartbeat.FencingToken > entry.Record.FencingToken {
 		// Someone else is entitled by now, whatever the replica says.
-		h.Agents.replyRedirect(input.RequestID, "")
+		h.agents.replyRedirect(input.RequestID, "")
 		return
 	}
-	m := h.Agents.TrackOwnedMachine(entry, heartbeat.Machine)
+	m := h.agents.TrackOwnedMachine(entry, heartbeat.Machine)
 	if isStale(heartbeat, m.LastAgentEpoch, m.LastSequence) || heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-		h.Agents.replyRedirect(input.RequestID, "") // delivered late; its worker has long gone on
+		h.agents.replyRedirect(input.RequestID, "") // delivered late; its worker has long gone on
 		return
 	}
-	h.Agents.dropDeferredRequest(m)
+	h.agents.dropDeferredRequest(m)
 	m.LastAgentEpoch, m.LastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
 	h.processDeliveryEvidence(entry, m, heartbeat)
 	// One report is in flight at a time: the last answer has been carried out
@@ -97,7 +97,7 @@
 		m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 	}
 	m.LastContactAt, m.lastHeartbeatAt = h.Now.Monotonic, h.Now.Monotonic
-	h.Agents.deferResponse(m, input.RequestID, false)
+	h.agents.deferResponse(m, input.RequestID, false)
 	if !h.shouldDeferResponse(entry, m) {
 		h.answerHeartbeat(entry, m)
 	}
@@ -109,9 +109,9 @@
 func (h *HeartbeatHandler) processDeliveryEvidence(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) {
 	switch {
 	case heartbeat.AgentEpoch > m.deliveryAgentEpoch && m.deliveryAgentEpoch != 0, m.awaitsDelivery && (heartbeat.FencingToken < m.answeredToken || !m.showsInflightStart(heartbeat)):
-		h.Agents.markSuspect(m)
+		h.agents.markSuspect(m)
 	case m.awaitsDelivery:
-		h.Agents.markReachable(m)
+		h.agents.markReachable(m)
 	}
 	m.awaitsDelivery, m.deliveryAgentEpoch = false, heartbeat.AgentEpoch
 }
@@ -138,7 +138,7 @@
 	if h.Replica.Revision < m.OwnershipRevision {
 		return h.Since(m.deferredAt) < 3*time.Second
 	}
-	if h.Replication.StoreUnavailable() || !h.Lease.IsRegistered() {
+	if h.replication.StoreUnavailable() || !h.lease.IsRegistered() {
 		return false
 	}
 	heartbeat := m.LatestHeartbeat
@@ -172,7 +172,7 @@
 // all cores.
 func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, m *MachineState) bool {
 	rec := &entry.Record
-	if !h.Plan.ExpectsPlacement(m.ID) || !h.Replication.IsUpToDate() || rec.Terminating || rec.Cordoned || m.LatestHeartbeat.PreemptionNoticeSeconds != nil {
+	if !h.plan.ExpectsPlacement(m.ID) || !h.replication.IsUpToDate() || rec.Terminating || rec.Cordoned || m.LatestHeartbeat.PreemptionNoticeSeconds != nil {
 		return false
 	}
 	for i := range rec.Assignments {
@@ -196,7 +196,7 @@
 // run there it waits only where reports are so far apart that it pays.
 func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, m *MachineState) bool {
 	heartbeat, rec := m.LatestHeartbeat, &entry.Record
-	if h.Since(m.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.Replication.IsUpToDate() || storage.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
+	if h.Since(m.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() || storage.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
 		rec.Terminating || rec.Cordoned {
 		return false
 	}
@@ -206,7 +206,7 @@
 	if h.Config.HeartbeatInterval < 2*h.Config.MaxIdleResponseDelay {
 		return false
 	}
-	machineType := h.Catalog.MachineType(rec.MachineType)
+	machineType := h.catalog.MachineType(rec.MachineType)
 	if machineType == nil {
 		return false
 	}
@@ -245,31 +245,31 @@
 		return
 	}
 	h.ShouldRecheckDeferred = false
-	for _, id := range step.SortedKeys(h.Agents.deferredHeartbeats) {
-		m := h.Agents.MachineStates[id]
+	for _, id := range step.SortedKeys(h.agents.deferredHeartbeats) {
+		m := h.agents.MachineStates[id]
 		entry := h.Replica.Machines[id]
 		if m.awaitsOwnership {
 			switch {
-			case entry != nil && h.Lease.OwnsMachine(&entry.Record):
+			case entry != nil && h.lease.OwnsMachine(&entry.Record):
 				m.awaitsOwnership = false
-				delete(h.Agents.AwaitingOwner, id)
-				h.Agents.TrackOwnedMachine(entry, id)
+				delete(h.agents.AwaitingOwner, id)
+				h.agents.TrackOwnedMachine(entry, id)
 				if m.LatestHeartbeat.FencingToken > entry.Record.FencingToken || m.LatestHeartbeat.AgentEpoch < entry.Record.AgentEpoch {
-					h.Agents.dropDeferredRequest(m)
+					h.agents.dropDeferredRequest(m)
 				} else if h.Replica.Revision >= m.OwnershipRevision {
 					h.answerHeartbeat(entry, m)
 				}
 			case entry != nil && h.Replica.IsAlive(entry.Record.Owner):
-				h.Agents.replyRedirect(h.Agents.popDeferredRequest(m), entry.Record.Owner.Controller())
-			case h.Replication.StoreUnavailable() || h.Since(m.deferredAt) > 2500*time.Millisecond:
-				h.Agents.dropDeferredRequest(m)
+				h.agents.replyRedirect(h.agents.popDeferredRequest(m), entry.Record.Owner.Controller())
+			case h.replication.StoreUnavailable() || h.Since(m.deferredAt) > 2500*time.Millisecond:
+				h.agents.dropDeferredRequest(m)
 			}
 			continue
 		}
-		if entry != nil && !h.Lease.OwnsMachine(&entry.Record) && h.Replica.IsAlive(entry.Record.Owner) {
-			h.Agents.replyRedirect(h.Agents.popDeferredRequest(m), entry.Record.Owner.Controller())
-		} else if entry == nil || !h.Lease.OwnsMachine(&entry.Record) || m.LatestHeartbeat.FencingToken > entry.Record.FencingToken {
-			h.Agents.dropDeferredRequest(m)
+		if entry != nil && !h.lease.OwnsMachine(&entry.Record) && h.Replica.IsAlive(entry.Record.Owner) {
+			h.agents.replyRedirect(h.agents.popDeferredRequest(m), entry.Record.Owner.Controller())
+		} else if entry == nil || !h.lease.OwnsMachine(&entry.Record) || m.LatestHeartbeat.FencingToken > entry.Record.FencingToken {
+			h.agents.dropDeferredRequest(m)
 		} else if !h.shouldDeferResponse(entry, m) {
 			h.answerHeartbeat(entry, m)
 		}
@@ -281,7 +281,7 @@
 	if h.Replica.Revision < m.OwnershipRevision {
 		// The replica may lack what was written before this run became the owner: a job
 		// may have been withdrawn that nobody told this run of.
-		h.Agents.dropDeferredRequest(m)
+		h.agents.dropDeferredRequest(m)
 		return
 	}
 	commands := h.CommandsFor(entry, m, true)
@@ -292,7 +292,7 @@
 	}
 	m.awaitsDelivery = len(m.InflightStarts) > 0 || m.LatestHeartbeat.FencingToken < entry.Record.FencingToken
 	o := protocol.Commands{FencingToken: entry.Record.FencingToken, Commands: commands}
-	h.Emit(step.Reply{RequestID: h.Agents.popDeferredRequest(m), Status: 200, Body: o.Encode()})
+	h.Emit(step.Reply{RequestID: h.agents.popDeferredRequest(m), Status: 200, Body: o.Encode()})
 	if m.deferredAt > m.answeredHeartbeatAt {
 		m.answeredHeartbeatAt, m.answeredToken = m.deferredAt, entry.Record.FencingToken
 	}
@@ -304,7 +304,7 @@
 	var commands []protocol.Command
 	heartbeat, rec := m.LatestHeartbeat, &entry.Record
 	isCurrent := m.CurrentHeartbeat(rec) != nil
-	upToDate := h.Replication.IsUpToDate()
+	upToDate := h.replication.IsUpToDate()
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
 		attempt, ok := rec.AttemptOf(status.Task)
@@ -321,7 +321,7 @@
 				graceSeconds = stop.graceSeconds
 			}
 		}
-		if !assigned && upToDate || h.Cancellations.CancelRequested(status.Task.Job) {
+		if !assigned && upToDate || h.cancellations.CancelRequested(status.Task.Job) {
 			graceSeconds = 0
 		}
 		if graceSeconds >= 0 {
@@ -329,16 +329,16 @@
 			commands = append(commands, protocol.Command{Type: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GracePeriodSeconds: &seconds})
 		}
 	}
-	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.CommandsLost() || h.Transfers.IsQuiesced(rec.Shard) {
+	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.CommandsLost() || h.transfers.IsQuiesced(rec.Shard) {
 		return commands
 	}
 	for i := range rec.Assignments {
 		a := &rec.Assignments[i]
 		job := h.Replica.Jobs[a.Job]
-		if job == nil || job.Record.State.IsTerminal() || h.Cancellations.CancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
+		if job == nil || job.Record.State.IsTerminal() || h.cancellations.CancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
 			continue
 		}
-		if job.Record.Spec.IsGang() && !h.Jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt) {
+		if job.Record.Spec.IsGang() && !h.jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt) {
 			continue
 		}
 		a.Tasks.Each(func(n int) bool {
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -20,7 +20,7 @@
 type MisdirectedHeartbeats struct {
 	*step.Context
 
-	Calls *Caller
+	calls *Caller
 
 	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat // reported here though another run owns them
 }
@@ -80,7 +80,7 @@
 	if ok && (heartbeat.AgentEpoch < known.agentEpoch || heartbeat.AgentEpoch == known.agentEpoch && heartbeat.Sequence <= known.sequence) || heartbeat.Addr == "" || len(mh.misdirectedHeartbeats) >= mh.maxMisdirectedHeartbeats() {
 		return
 	}
-	if mh.Calls.tryProbe(heartbeat.Machine, heartbeat.Addr) {
+	if mh.calls.tryProbe(heartbeat.Machine, heartbeat.Addr) {
 		mh.misdirectedHeartbeats[heartbeat.Machine] = misdirectedHeartbeat{receivedAt: mh.Now.Monotonic, agentEpoch: heartbeat.AgentEpoch, sequence: heartbeat.Sequence}
 	}
 }
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -18,14 +18,14 @@
 type Reconciler struct {
 	*step.Context
 
-	Commits       *commit.Committer
-	Agents        *Table
-	Cancellations CancellationChecker
-	Jobs          *JobTable
-	Lease         *commit.Lease
-	Shards        *commit.ShardWriter
-	Stopper       *TaskStopper
-	Terminator    TerminationChecker
+	commits       *commit.Committer
+	agents        *Table
+	cancellations CancellationChecker
+	jobs          *JobTable
+	lease         *commit.Lease
+	shards        *commit.ShardWriter
+	stopper       *TaskStopper
+	terminator    TerminationChecker
 
 	nextShardIndex int // of own pages, the one to go on with
 }
@@ -34,7 +34,7 @@
 // workers report, page by page. Where a transaction cannot take all, the next
 // one goes on with the page that was left.
 func (r *Reconciler) WriteMachines(b *commit.Batch) {
-	shards := r.Shards.OwnedShards()
+	shards := r.shards.OwnedShards()
 	for i := range shards {
 		k := (r.nextShardIndex + i) % len(shards)
 		for _, id := range r.Replica.Shards[shards[k]].Machines {
@@ -44,12 +44,12 @@
 		}
 		if !b.HasCapacity(1) {
 			r.nextShardIndex = k
-			r.Commits.IsPartial = true
+			r.commits.IsPartial = true
 			return
 		}
 	}
 	r.nextShardIndex = 0
-	r.Commits.IsPartial = false
+	r.commits.IsPartial = false
 }
 
 // requeue takes a task back from a machine where it provably is no more.
@@ -60,15 +60,15 @@
 }
 
 func (r *Reconciler) reconcileMachine(b *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
-	if b.Machines[id] != nil || b.RemovesMachine(id) || b.Shards[entry.Record.Shard] != nil && b.Shards[entry.Record.Shard].Owner != r.Lease.Incarnation {
+	if b.Machines[id] != nil || b.RemovesMachine(id) || b.Shards[entry.Record.Shard] != nil && b.Shards[entry.Record.Shard].Owner != r.lease.Incarnation {
 		return // being handed over in this transaction
 	}
-	m := r.Agents.TrackOwnedMachine(entry, id)
+	m := r.agents.TrackOwnedMachine(entry, id)
 	record := &entry.Record
 	heartbeat := m.LatestHeartbeat
 
-	if record.Terminating || r.Terminator.IsTerminationConfirmed(id) {
-		if r.Terminator.IsTerminationConfirmed(id) && b.HasCapacity(b.WritesNeeded(id)) {
+	if record.Terminating || r.terminator.IsTerminationConfirmed(id) {
+		if r.terminator.IsTerminationConfirmed(id) && b.HasCapacity(b.WritesNeeded(id)) {
 			b.RemoveMachine(id)
 			b.Log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
 		}
@@ -89,7 +89,7 @@
 		}
 		return
 	}
-	if len(record.Assignments) > 0 && r.Agents.IsAgentLeaseExpired(m, record) {
+	if len(record.Assignments) > 0 && r.agents.IsAgentLeaseExpired(m, record) {
 		if b.HasCapacity(b.WritesNeeded(id)) {
 			r.requeueAll(b, m, b.MutableMachine(id), "agent lease expired")
 			b.MutableMachine(id).Cordoned = true
@@ -137,14 +137,14 @@
 		if _, ok := m.InflightStarts[task]; ok {
 			return true
 		}
-		gone := job == nil || job.State.IsTerminal() || r.Cancellations.CancelRequested(task.Job) || job.GracefulStopAttempt >= attempt && job.GracefulStopAttempt > 0 || r.Stopper.hasStopRequest(m, task, attempt)
-		if job != nil && !job.State.IsTerminal() && job.Spec.IsGang() && r.Jobs.isGangBroken(task.Job, attempt) {
+		gone := job == nil || job.State.IsTerminal() || r.cancellations.CancelRequested(task.Job) || job.GracefulStopAttempt >= attempt && job.GracefulStopAttempt > 0 || r.stopper.hasStopRequest(m, task, attempt)
+		if job != nil && !job.State.IsTerminal() && job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt) {
 			gone = true
 		}
 		if m.RevokedAttempts[task] == attempt {
 			gone = true // taken back already; that write was refused, or a later one assigned it anew
 		}
-		if record.Cordoned && m.firstSeenAt[task] == 0 && (m.preemptionAt != 0 || m.IsFaulty || m.CommandsLost() || r.Agents.heartbeatsLost(m)) {
+		if record.Cordoned && m.firstSeenAt[task] == 0 && (m.preemptionAt != 0 || m.IsFaulty || m.CommandsLost() || r.agents.heartbeatsLost(m)) {
 			gone = true
 		}
 		if gone {
@@ -161,7 +161,7 @@
 			return false
 		}
 		b.RecordTaskDone(m.ID, task)
-		b.OnSend = append(b.OnSend, func() { r.Jobs.RecordTaskRuntime(m, task) })
+		b.OnSend = append(b.OnSend, func() { r.jobs.RecordTaskRuntime(m, task) })
 		r.requeue(b, m, task, attempt)
 		b.CompleteJobIfDone(task.Job)
 		clear(m.jobsWithErrors)
@@ -187,7 +187,7 @@
 
 // onTaskError tells a faulty machine from a job that fails everywhere.
 func (r *Reconciler) onTaskError(m *MachineState, id protocol.JobID) {
-	state := r.Jobs.JobState(id)
+	state := r.jobs.JobState(id)
 	state.FailedMachines[m.ID] = true
 	if e := r.Replica.Jobs[id]; len(state.FailedMachines) >= 2 && (e == nil || r.Replica.CompletedTasks(id).IsZero()) {
 		r.Log(slog.LevelWarn, "job fails on multiple machines", "job", string(id), "count", len(state.FailedMachines))
@@ -202,5 +202,5 @@
 }
 
 func (r *Reconciler) shouldDrain(m *MachineState, record *storage.MachineRecord) bool {
-	return m.preemptionAt != 0 || m.IsFaulty || m.CommandsLost() || r.Agents.isSuspect(m) || r.Now.Monotonic < m.quarantinedUntil || record.AgentEpoch > 0 && (r.Agents.IsSilent(m) || r.Agents.heartbeatsLost(m))
+	return m.preemptionAt != 0 || m.IsFaulty || m.CommandsLost() || r.agents.isSuspect(m) || r.Now.Monotonic < m.quarantinedUntil || record.AgentEpoch > 0 && (r.agents.IsSilent(m) || r.agents.heartbeatsLost(m))
 }
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -17,10 +17,10 @@
 type TaskStopper struct {
 	*step.Context
 
-	Calls         *Caller
-	Cancellations CancellationChecker
-	Heartbeats    *HeartbeatHandler
-	Jobs          *JobTable
+	calls         *Caller
+	cancellations CancellationChecker
+	heartbeats    *HeartbeatHandler
+	jobs          *JobTable
 
 	GracefulStops map[protocol.JobID]protocol.Attempt // attempts of gangs that are to stop in order
 }
@@ -62,12 +62,12 @@
 			continue
 		}
 		desc := jobEntry.Record.Spec
-		if ts.Cancellations.CancelRequested(status.Task.Job) {
+		if ts.cancellations.CancelRequested(status.Task.Job) {
 			ts.RequestStop(m, status.Task, status.Attempt, 0, "job cancelled")
 			urgent = true
 			continue
 		}
-		if desc.IsGang() && ts.Jobs.isGangBroken(status.Task.Job, status.Attempt) {
+		if desc.IsGang() && ts.jobs.isGangBroken(status.Task.Job, status.Attempt) {
 			ts.RequestStop(m, status.Task, status.Attempt, 0, "gang incomplete")
 			urgent = true
 		}
@@ -95,8 +95,8 @@
 	if !urgent {
 		return
 	}
-	if commands := ts.Heartbeats.CommandsFor(entry, m, false); len(commands) > 0 {
-		ts.Calls.sendCommands(entry, m, commands, time.Second)
+	if commands := ts.heartbeats.CommandsFor(entry, m, false); len(commands) > 0 {
+		ts.calls.sendCommands(entry, m, commands, time.Second)
 	}
 }
 
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -59,10 +59,10 @@
 			m.RecordHeartbeat(r, core.Now.Monotonic)
 		}, true},
 		{"released, and that answered", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			core.terminator.Terminations["m-1"] = &provisioning.Termination{Confirmed: true}
+			core.provisioning.Terminator.Terminations["m-1"] = &provisioning.Termination{Confirmed: true}
 		}, true},
 		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			core.terminator.Terminations["m-1"] = &provisioning.Termination{}
+			core.provisioning.Terminator.Terminations["m-1"] = &provisioning.Termination{}
 		}, false},
 	} {
 		core, _ := newReadyCore(t)
@@ -71,13 +71,13 @@
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
 		c.do(core, e, m)
-		if pending := core.queue.ListPendingJobs(core.shards.NewBatch(8), nil); len(pending) != 0 {
+		if pending := core.scheduling.Queue.ListPendingJobs(core.commit.Shards.NewBatch(8), nil); len(pending) != 0 {
 			t.Errorf("%s: the job is still placed", c.name)
 		}
-		if got := core.cancellations.IsMachineQuiescent("m-1", "j-1"); got != c.want {
+		if got := core.cancellation.Canceller.IsMachineQuiescent("m-1", "j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
-		if got := core.cancellations.IsCancelFullyAcknowledged("j-1"); got != c.want {
+		if got := core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: all aware %v", c.name, got)
 		}
 	}
@@ -114,12 +114,12 @@
 		core.Replica.Revision = 6
 		c.hint.ControllerID = c.hint.Incarnation.Controller()
 		advance(0, step.PeerStatusInput{Status: c.hint})
-		if got := core.cancellations.IsCancelFullyAcknowledged("j-1"); got != c.want {
+		if got := core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 		// An answer counts only as long as its run lives.
 		core.Replica.Delete(storage.ControllerKey("stall-1"), 7)
-		if core.cancellations.IsCancelFullyAcknowledged("j-1") {
+		if core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1") {
 			t.Errorf("%s: the word of a run that has ended counts", c.name)
 		}
 	}
@@ -144,7 +144,7 @@
 		m.RecordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.Now.Monotonic)
 		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.rev}}}})
 		starts, stops, acked := 0, 0, false
-		for _, o := range core.heartbeats.CommandsFor(e, m, true) {
+		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
 			switch o.Type {
 			case protocol.CommandStart:
 				starts++
@@ -162,7 +162,7 @@
 		}
 		advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
 		advance(60*time.Millisecond, step.Tick{})
-		if core.cancellations.CancelRequested("j-1") {
+		if core.cancellation.Canceller.CancelRequested("j-1") {
 			t.Errorf("%s: still bound though its replica has gone past it", c.name)
 		}
 	}
@@ -181,7 +181,7 @@
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
-	if core.Replica.Revision = 0; core.agents.MachineStates["m-1"].OwnershipRevision == 0 {
+	if core.Replica.Revision = 0; core.agents.Table.MachineStates["m-1"].OwnershipRevision == 0 {
 		t.Fatal("the page has no revision")
 	}
 	status := func(out []step.Effect) int {
@@ -217,7 +217,7 @@
 		}
 		putCancellingJob(t, core, 2)
 		if isRequester {
-			core.cancellations.RequestCancellation("j-1")
+			core.cancellation.Canceller.RequestCancellation("j-1")
 		}
 		messages, intents := 0, 0
 		for range 60 { // 3 s
--- a/internal/coordination/cancellation/cancel.go
+++ b/internal/coordination/cancellation/cancel.go
@@ -31,15 +31,15 @@
 type Canceller struct {
 	*step.Context
 
-	Agents      *agents.Table
-	Calls       *agents.Caller
-	Commits     *commit.Committer
-	Lease       *commit.Lease
-	Limits      *commit.WriteLimiter
-	Ownership   OwnerElection
-	Peers       PeerNotifier
-	Replication *commit.Replication
-	Terminator  ForcedTerminator
+	agents      *agents.Table
+	calls       *agents.Caller
+	commits     *commit.Committer
+	lease       *commit.Lease
+	limits      *commit.WriteLimiter
+	ownership   OwnerElection
+	peers       PeerNotifier
+	replication *commit.Replication
+	terminator  ForcedTerminator
 
 	RequestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
 	peerIntents       map[protocol.JobID]peerIntent                                // intents that the replica does not have yet
@@ -103,14 +103,14 @@
 // begin any more, and no earlier owner can keep one: the worker has shown this
 // ownership's token, and what its newest report shows is past its image or gone.
 func (c *Canceller) IsMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
-	entry, m := c.Replica.Machines[id], c.Agents.MachineStates[id]
-	if c.Terminator.IsTerminationConfirmed(id) {
+	entry, m := c.Replica.Machines[id], c.agents.MachineStates[id]
+	if c.terminator.IsTerminationConfirmed(id) {
 		return true
 	}
 	if m == nil || m.LatestHeartbeat == nil || storage.ShardEpochOf(m.ConfirmedToken) < entry.Record.ShardEpoch {
 		return false
 	}
-	if m.LatestHeartbeat.AgentEpoch > entry.Record.AgentEpoch || c.Agents.IsAgentLeaseExpired(m, &entry.Record) {
+	if m.LatestHeartbeat.AgentEpoch > entry.Record.AgentEpoch || c.agents.IsAgentLeaseExpired(m, &entry.Record) {
 		return true // killed
 	}
 	if m.CurrentHeartbeat(&entry.Record) == nil {
@@ -127,7 +127,7 @@
 // areOwnedMachinesQuiescent tells whether all owned machines are settled for a job.
 func (c *Canceller) areOwnedMachinesQuiescent(id protocol.JobID) bool {
 	for machineID := range c.Replica.MachinesWithJob(id) {
-		if entry := c.Replica.Machines[machineID]; c.Lease.OwnsMachine(&entry.Record) && !c.IsMachineQuiescent(machineID, id) {
+		if entry := c.Replica.Machines[machineID]; c.lease.OwnsMachine(&entry.Record) && !c.IsMachineQuiescent(machineID, id) {
 			return false
 		}
 	}
@@ -142,13 +142,13 @@
 	}
 	for machineID := range c.Replica.MachinesWithJob(id) {
 		record := &c.Replica.Machines[machineID].Record
-		if c.Lease.OwnsMachine(record) {
+		if c.lease.OwnsMachine(record) {
 			if !c.IsMachineQuiescent(machineID, id) {
 				return false
 			}
 			continue
 		}
-		if c.Terminator.IsTerminationConfirmed(machineID) {
+		if c.terminator.IsTerminationConfirmed(machineID) {
 			continue
 		}
 		// An acknowledgement covers what its sender knew that it owns.
@@ -166,12 +166,12 @@
 // one that is being given away goes first or not at all.
 func (c *Canceller) prepareDirectCancel(b *commit.Batch, id protocol.JobID) bool {
 	entry := c.Replica.Jobs[id]
-	if entry.Record.Owner != c.Lease.Incarnation || c.Replica.Revision < protocol.Revision(entry.ModRevision) || c.Commits.HasPendingConditionOn(storage.JobKey(id)) ||
-		len(b.Conditions)+len(c.Replica.MachinesWithJob(id)) > 3*c.Limits.WriteLimits().TransactionOps {
+	if entry.Record.Owner != c.lease.Incarnation || c.Replica.Revision < protocol.Revision(entry.ModRevision) || c.commits.HasPendingConditionOn(storage.JobKey(id)) ||
+		len(b.Conditions)+len(c.Replica.MachinesWithJob(id)) > 3*c.limits.WriteLimits().TransactionOps {
 		return false
 	}
 	for machineID := range c.Replica.MachinesWithJob(id) {
-		if record := &c.Replica.Machines[machineID].Record; !c.Lease.OwnsMachine(record) || !c.IsMachineQuiescent(machineID, id) {
+		if record := &c.Replica.Machines[machineID].Record; !c.lease.OwnsMachine(record) || !c.IsMachineQuiescent(machineID, id) {
 			return false
 		}
 	}
@@ -213,7 +213,7 @@
 
 // TickCancellations finds out which withdrawals can be told, and what others are told.
 func (c *Canceller) TickCancellations() {
-	if !c.Replication.IsLoaded {
+	if !c.replication.IsLoaded {
 		return
 	}
 	for id, intent := range c.peerIntents {
@@ -237,7 +237,7 @@
 		if c.areOwnedMachinesQuiescent(id) {
 			c.localAcks[id] = true
 			if !previousAcks[id] {
-				c.Peers.ExpediteStatus()
+				c.peers.ExpediteStatus()
 			}
 		}
 	}
@@ -246,7 +246,7 @@
 	}
 	for id := range c.Replica.CancellingJobs {
 		ack(id)
-		if _, isRequested := c.RequestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.Ownership.IsSuccessor(storage.JobKey(id)) {
+		if _, isRequested := c.RequestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.ownership.IsSuccessor(storage.JobKey(id)) {
 			c.RequestCancellation(id) // whoever began it may be gone
 		}
 		if !c.fullyAcknowledged[id] {
@@ -255,7 +255,7 @@
 			_, isSent := c.intentSentAt[id]
 			_, isRequester := c.RequestedAt[id]
 			if isRequester && !isSent && !c.fullyAcknowledged[id] {
-				c.Peers.ExpediteStatus()
+				c.peers.ExpediteStatus()
 			}
 		}
 	}
@@ -342,7 +342,7 @@
 // that is not reached.
 func (c *Canceller) MustForceScaleIn(m *agents.MachineState, record *storage.MachineRecord, cutOff bool) bool {
 	pendingFor, isPending := c.longestPendingCancel(m, record)
-	return isPending && pendingFor > c.Config.CancelTimeout*2/5 && (c.Agents.IsSilent(m) && !cutOff || pendingFor > c.Config.CancelTimeout*3/5)
+	return isPending && pendingFor > c.Config.CancelTimeout*2/5 && (c.agents.IsSilent(m) && !cutOff || pendingFor > c.Config.CancelTimeout*3/5)
 }
 
 // ownerContactTimeout is how long an owner counts as alive after its last status while the
@@ -353,25 +353,25 @@
 // down for all, so that nobody can take them over. If a task of a job that is called off
 // may be there, the worker is asked; one that does not answer goes back.
 func (c *Canceller) ForceScaleIn() {
-	if !c.Replication.IsLoaded || !c.Replication.StoreUnavailableEverywhere() {
+	if !c.replication.IsLoaded || !c.replication.StoreUnavailableEverywhere() {
 		return
 	}
 	ids := step.SelectKeys(c.Replica.Machines, func(entry *storage.Machine) bool {
-		return !c.Lease.OwnsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
+		return !c.lease.OwnsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
 	})
 	for _, id := range ids {
 		entry := c.Replica.Machines[id]
-		if c.Peers.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
+		if c.peers.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
 			continue // its owner lives, and sees to it
 		}
-		m := c.Agents.MachineState(id)
+		m := c.agents.MachineState(id)
 		pendingFor, isPending := c.longestPendingCancel(m, &entry.Record)
 		switch {
 		case !isPending || pendingFor < c.Config.CancelTimeout*2/5:
 		case pendingFor > c.Config.CancelTimeout*3/5:
-			c.Terminator.TerminateUnrecorded(id)
+			c.terminator.TerminateUnrecorded(id)
 		default:
-			c.Calls.ProbeUnownedAgent(m, entry.Record.Address)
+			c.calls.ProbeUnownedAgent(m, entry.Record.Address)
 		}
 	}
 }
--- a/internal/coordination/catalog/machine_catalog.go
+++ b/internal/coordination/catalog/machine_catalog.go
@@ -12,7 +12,7 @@
 type Catalog struct {
 	*step.Context
 
-	Spot *SpotPricing
+	spot *SpotPricing
 
 	MachineTypes          []protocol.MachineType
 	isListingMachineTypes bool
@@ -31,9 +31,9 @@
 	for _, f := range v.MachineTypes {
 		for _, z := range f.Zones {
 			k := PriceKey{MachineType: f.Name, Zone: z}
-			t := mc.Spot.SpotThresholds[k]
+			t := mc.spot.SpotThresholds[k]
 			if t == nil {
-				mc.Spot.SpotThresholds[k] = NewSpotPriceThreshold(mc.Config.SpotPriceWindow, mc.Now.Monotonic, f.SpotPrice, f.OnDemandPrice)
+				mc.spot.SpotThresholds[k] = NewSpotPriceThreshold(mc.Config.SpotPriceWindow, mc.Now.Monotonic, f.SpotPrice, f.OnDemandPrice)
 				continue
 			}
 			if t.Observe(mc.Now.Monotonic, f.SpotPrice, f.OnDemandPrice) {
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -54,12 +54,12 @@
 
 // HasCapacity tells whether n more records can be changed, however large they are.
 func (b *Batch) HasCapacity(n int) bool {
-	return n == 0 && b.estimatedBytes < protocol.MaxTransactionBytes || b.hasCapacityFor(n, n*b.shardWriter.Limits.WriteLimits().ValueBytes)
+	return n == 0 && b.estimatedBytes < protocol.MaxTransactionBytes || b.hasCapacityFor(n, n*b.shardWriter.limits.WriteLimits().ValueBytes)
 }
 
 // hasCapacityFor tells whether n more records of this size together can be changed.
 func (b *Batch) hasCapacityFor(n, size int) bool {
-	return b.OpsLeft >= n && b.estimatedBytes+size <= protocol.MaxTransactionBytes && len(b.Conditions)+2*n < 4*b.shardWriter.Limits.WriteLimits().TransactionOps
+	return b.OpsLeft >= n && b.estimatedBytes+size <= protocol.MaxTransactionBytes && len(b.Conditions)+2*n < 4*b.shardWriter.limits.WriteLimits().TransactionOps
 }
 
 // MutableJob gives a job's record to change; the caller has asked for room.
@@ -82,7 +82,7 @@
 	shard := b.shardWriter.Replica.Shards[id]
 	ops := b.shardWriter.ShardWriteOps(id)
 	draft := &shardDraft{Owner: shard.Owner, Epoch: shard.Epoch, MachineIDs: shard.Machines, EstimatedSize: shard.EncodedSize, doneTasks: map[protocol.JobID]storage.TaskSet{}}
-	if b.shardWriter.Limits.StorageFormat() >= storage.FormatPacked {
+	if b.shardWriter.limits.StorageFormat() >= storage.FormatPacked {
 		draft.EstimatedSize = b.shardWriter.Replica.PackedShardSize(id)
 	}
 	for j, r := range shard.CompletedTasks {
@@ -152,7 +152,7 @@
 	size := b.shardWriter.estimateMachineSize(record.MachineType)
 	shardID := storage.ShardID("")
 	shardFits := func(p storage.ShardID, d *shardDraft) bool {
-		return d.Owner == b.shardWriter.Lease.Incarnation && d.Epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.shardWriter.Limits.WriteLimits().ValueBytes
+		return d.Owner == b.shardWriter.lease.Incarnation && d.Epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.shardWriter.limits.WriteLimits().ValueBytes
 	}
 	for _, p := range step.SortedKeys(b.Shards) {
 		if shardFits(p, b.Shards[p]) {
@@ -170,7 +170,7 @@
 		}
 	}
 	if shardID == "" {
-		shardID = b.NewShard(b.shardWriter.Lease.Incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
+		shardID = b.NewShard(b.shardWriter.lease.Incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
 	}
 	b.putMachine(shardID, id, record)
 }
@@ -237,7 +237,7 @@
 	} else if p := b.shardWriter.Replica.Shards[r.Shard]; p != nil {
 		size = p.EncodedSize
 	}
-	return size < b.shardWriter.Limits.WriteLimits().ValueBytes*7/8
+	return size < b.shardWriter.limits.WriteLimits().ValueBytes*7/8
 }
 
 // RecordTaskDone notes on the machine's page that a task is done; the caller has
@@ -298,7 +298,7 @@
 // batch could take them.
 func (b *Batch) CanWriteMachines(machines []protocol.MachineID) (fits bool, opsWhenEmpty int) {
 	seen := map[storage.ShardID]bool{}
-	opsToAdd, sizeToAdd, totalOps, totalSize := 1, b.shardWriter.Limits.WriteLimits().ValueBytes, 1, b.shardWriter.Limits.WriteLimits().ValueBytes
+	opsToAdd, sizeToAdd, totalOps, totalSize := 1, b.shardWriter.limits.WriteLimits().ValueBytes, 1, b.shardWriter.limits.WriteLimits().ValueBytes
 	for _, id := range machines {
 		shardID := b.shardWriter.Replica.Machines[id].Record.Shard
 		if seen[shardID] {
@@ -311,7 +311,7 @@
 			opsToAdd, sizeToAdd = opsToAdd+shardOps, sizeToAdd+shardSize
 		}
 	}
-	if totalOps <= b.shardWriter.Limits.WriteLimits().TransactionOps*3/4 && totalSize <= protocol.MaxTransactionBytes {
+	if totalOps <= b.shardWriter.limits.WriteLimits().TransactionOps*3/4 && totalSize <= protocol.MaxTransactionBytes {
 		opsWhenEmpty = totalOps
 	}
 	return b.hasCapacityFor(opsToAdd, sizeToAdd), opsWhenEmpty
@@ -352,7 +352,7 @@
 func (b *Batch) Transaction() protocol.Transaction {
 	var transaction protocol.Transaction
 	for _, id := range step.SortedKeys(b.Jobs) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.JobKey(id), Value: storage.EncodeJob(b.shardWriter.Limits.StorageFormat(), b.Jobs[id])})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.JobKey(id), Value: storage.EncodeJob(b.shardWriter.limits.StorageFormat(), b.Jobs[id])})
 	}
 	for _, id := range step.SortedKeys(b.Shards) {
 		draft := b.Shards[id]
@@ -371,10 +371,10 @@
 		transaction.Operations = append(transaction.Operations, b.Drains[controllerID].operation(controllerID))
 	}
 	if b.writesRegistry {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.shardWriter.Lease.Incarnation})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.shardWriter.lease.Incarnation})})
 	}
 	for _, t := range step.SortedKeys(b.Teams) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.shardWriter.Lease.Incarnation, TransactionID: b.shardWriter.Commits.lastTransactionID})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.shardWriter.lease.Incarnation, TransactionID: b.shardWriter.commits.lastTransactionID})})
 	}
 	for _, k := range step.SortedKeys(b.Conditions) {
 		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: k, ModRevision: b.Conditions[k]})
@@ -394,9 +394,9 @@
 			lines[i] = b.shardWriter.Replica.EncodedLine(x)
 		}
 	}
-	format := b.shardWriter.Limits.StorageFormat()
+	format := b.shardWriter.limits.StorageFormat()
 	data := storage.EncodeShard(format, draft.Owner, draft.Epoch, lines, draft.doneTasks)
-	if len(data) <= b.shardWriter.Limits.WriteLimits().ValueBytes || len(draft.MachineIDs) < 2 || format < storage.FormatPacked {
+	if len(data) <= b.shardWriter.limits.WriteLimits().ValueBytes || len(draft.MachineIDs) < 2 || format < storage.FormatPacked {
 		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
 	}
 	half := len(draft.MachineIDs) / 2
@@ -423,7 +423,7 @@
 // projectShardSize is what a page may come to take. What is packed hardly grows with the tasks of
 // its machines, so there it is what the page takes now, and a quarter more.
 func (b *Batch) projectShardSize(d *shardDraft) int {
-	if b.shardWriter.Limits.StorageFormat() < storage.FormatPacked {
+	if b.shardWriter.limits.StorageFormat() < storage.FormatPacked {
 		return b.estimateMachinesSize(d.MachineIDs)
 	}
 	return d.EstimatedSize * 5 / 4
--- a/internal/coordination/commit/commit.go
+++ b/internal/coordination/commit/commit.go
@@ -14,13 +14,13 @@
 type Committer struct {
 	*step.Context
 
-	Agents      MachineTracker
-	Lease       *Lease
-	Limits      *WriteLimiter
-	Replication *Replication
-	Shards      *ShardWriter
-	Store       *StoreHealth
-	Upgrade     *FormatUpgrade
+	agents      MachineTracker
+	lease       *Lease
+	limits      *WriteLimiter
+	replication *Replication
+	shards      *ShardWriter
+	store       *StoreHealth
+	upgrade     *FormatUpgrade
 
 	lastTransactionID      uint64
 	PendingTransaction     *PendingTransaction
@@ -35,7 +35,7 @@
 // RegistrationCondition ties a transaction to this run: once the run's key has gone or was
 // fenced, nothing that it sent before can be applied any more.
 func (c *Committer) RegistrationCondition() protocol.Condition {
-	return protocol.Condition{Key: storage.ControllerKey(c.Config.ControllerID), ModRevision: c.Lease.RegistrationRevision}
+	return protocol.Condition{Key: storage.ControllerKey(c.Config.ControllerID), ModRevision: c.lease.RegistrationRevision}
 }
 
 // MinRevisionTimeout is how long the replica is waited for before a run registers or sends a
@@ -46,13 +46,13 @@
 // or never will be.
 func (c *Committer) SendWriteBarrier() {
 	e := c.Replica.Controllers[c.Config.ControllerID]
-	if e == nil || !c.Limits.TakeWriteTokens(1) {
+	if e == nil || !c.limits.TakeWriteTokens(1) {
 		return
 	}
 	rec := e.Record
 	rec.WriteBarrier++
 	c.SendTransaction(&PendingTransaction{IsWriteBarrier: true, Transaction: protocol.Transaction{Conditions: []protocol.Condition{c.RegistrationCondition()},
-		Operations: []protocol.Operation{{PutKey: storage.ControllerKey(c.Config.ControllerID), Value: storage.MustMarshal(rec), Lease: c.Lease.ID}}}})
+		Operations: []protocol.Operation{{PutKey: storage.ControllerKey(c.Config.ControllerID), Value: storage.MustMarshal(rec), Lease: c.lease.ID}}}})
 }
 
 // SendBatch sends a transaction unless there is nothing in it.
@@ -62,14 +62,14 @@
 	}
 	transaction := b.Transaction()
 	transaction.Conditions = append(transaction.Conditions, c.RegistrationCondition())
-	if !c.EnforceWriteLimits(&transaction) || !c.Limits.TakeWriteTokens(len(transaction.Operations)) {
+	if !c.EnforceWriteLimits(&transaction) || !c.limits.TakeWriteTokens(len(transaction.Operations)) {
 		return
 	}
 	for _, onSend := range b.OnSend {
 		onSend()
 	}
-	c.Log(slog.LevelDebug, "transaction sent", "jobs", len(b.Jobs), "shards", len(b.Shards), "owned_shards", len(c.Shards.OwnedShards()), "bytes", b.estimatedBytes,
-		"write_tokens", tokens, "write_rate", c.Limits.writeRate, "complete", !c.IsPartial)
+	c.Log(slog.LevelDebug, "transaction sent", "jobs", len(b.Jobs), "shards", len(b.Shards), "owned_shards", len(c.shards.OwnedShards()), "bytes", b.estimatedBytes,
+		"write_tokens", tokens, "write_rate", c.limits.writeRate, "complete", !c.IsPartial)
 	c.SendTransaction(&PendingTransaction{Transaction: transaction, LogsOnApply: b.LogsOnApply})
 }
 
@@ -79,11 +79,11 @@
 // EnforceWriteLimits tells whether a transaction can be sent. One that can't is built anew,
 // with less in it.
 func (c *Committer) EnforceWriteLimits(transaction *protocol.Transaction) bool {
-	if c.Limits.WriteLimits().Allows(transaction) {
+	if c.limits.WriteLimits().Allows(transaction) {
 		return true
 	}
 	c.Log(slog.LevelError, "transaction exceeds write limits, not sent", "count", len(transaction.Operations))
-	c.Limits.shrinkTransactions()
+	c.limits.shrinkTransactions()
 	c.NextCommitAt = c.Now.Monotonic.Add(rebuildDelay)
 	c.NextUserCommitAt = c.NextCommitAt
 	return false
@@ -103,14 +103,14 @@
 // Register makes this run known. The key of an earlier run of this member is
 // replaced: it was this machine's process, so it has ended or lost its lease.
 func (c *Committer) Register() {
-	if !c.Limits.TakeWriteTokens(1) {
+	if !c.limits.TakeWriteTokens(1) {
 		return
 	}
 	key := storage.ControllerKey(c.Config.ControllerID)
-	incarnation := storage.NewIncarnation(c.Config.ControllerID, c.Lease.ID)
+	incarnation := storage.NewIncarnation(c.Config.ControllerID, c.lease.ID)
 	c.SendTransaction(&PendingTransaction{registers: true, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: key, ModRevision: c.Replica.ModRevision(key)}},
-		Operations: []protocol.Operation{{PutKey: key, Value: storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: storage.FormatPacked, SupportsTransfers: c.Config.RecordTransfers}), Lease: c.Lease.ID}}}})
+		Operations: []protocol.Operation{{PutKey: key, Value: storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: storage.FormatPacked, SupportsTransfers: c.Config.RecordTransfers}), Lease: c.lease.ID}}}})
 }
 
 // OnCommitResult takes in the outcome of a transaction.
@@ -142,13 +142,13 @@
 	default:
 		err = nil
 	}
-	c.Store.RecordContact(pending.sentAt, err)
+	c.store.RecordContact(pending.sentAt, err)
 	if v.Outcome != storage.OutcomeThrottled {
 		c.consecutiveBusy = 0
 	}
 	switch v.Outcome {
 	case storage.OutcomeApplied, storage.OutcomeConflict, storage.OutcomeThrottled:
-		c.Limits.adaptWriteRate(v.Outcome == storage.OutcomeThrottled)
+		c.limits.adaptWriteRate(v.Outcome == storage.OutcomeThrottled)
 	}
 }
 
@@ -160,20 +160,20 @@
 		c.applyTransaction(pending, v.Result.Revision)
 	case storage.OutcomeConflict:
 		c.Log(slog.LevelDebug, "transaction conflict", "keys", v.Result.FailedKeys)
-		c.Replication.requireRevision(v.Result.Revision)
+		c.replication.requireRevision(v.Result.Revision)
 		delay = c.Jitter(20 * time.Millisecond)
-		c.Lease.checkRegistration()
+		c.lease.checkRegistration()
 	case storage.OutcomeThrottled:
 		c.consecutiveBusy++
 		delay = c.Jitter(min(50*time.Millisecond<<min(c.consecutiveBusy, 4), time.Second))
 	case storage.OutcomeLeaseExpired:
-		c.Lease.RegistrationRevision, c.Lease.ID = 0, 0
+		c.lease.RegistrationRevision, c.lease.ID = 0, 0
 	case storage.OutcomeUnavailable:
 		delay = c.Jitter(300 * time.Millisecond)
 	case storage.OutcomeInvalid:
 		c.Log(slog.LevelError, "transaction rejected as invalid", "error", errorText(v.Err))
 		// Whatever made it too large, a smaller one gets on.
-		c.Upgrade.OnTransactionTooLarge(&pending.Transaction)
+		c.upgrade.OnTransactionTooLarge(&pending.Transaction)
 		delay = 200 * time.Millisecond
 	case storage.OutcomeUnknown:
 		// It may be applied now, later or never. Only a fence settles it.
@@ -181,7 +181,7 @@
 		if !pending.registers {
 			c.OutcomeUnknown = true
 		} else {
-			c.Lease.ID = 0 // register with a new lease; the old run's name is not used
+			c.lease.ID = 0 // register with a new lease; the old run's name is not used
 		}
 		delay = c.Jitter(200 * time.Millisecond)
 	}
@@ -194,25 +194,25 @@
 	modRevision := protocol.ModRevision(revision)
 	for _, operation := range pending.Transaction.Operations {
 		if operation.PutKey != "" {
-			c.Replication.PutInReplica(operation.PutKey, operation.Value, modRevision)
+			c.replication.PutInReplica(operation.PutKey, operation.Value, modRevision)
 		} else {
 			c.Replica.Delete(operation.DeleteKey, modRevision)
 		}
 	}
-	c.Agents.OnMachinesRemoved()
-	c.Limits.MaxTransactionOps = c.Limits.WriteLimits().TransactionOps
+	c.agents.OnMachinesRemoved()
+	c.limits.MaxTransactionOps = c.limits.WriteLimits().TransactionOps
 	switch {
 	case pending.registers:
-		c.Lease.Incarnation = storage.NewIncarnation(c.Config.ControllerID, c.Lease.ID)
-		c.Lease.RegistrationRevision = modRevision
-		c.Replication.requireRevision(revision)
-		c.Log(slog.LevelInfo, "controller registered", "incarnation", string(c.Lease.Incarnation))
+		c.lease.Incarnation = storage.NewIncarnation(c.Config.ControllerID, c.lease.ID)
+		c.lease.RegistrationRevision = modRevision
+		c.replication.requireRevision(revision)
+		c.Log(slog.LevelInfo, "controller registered", "incarnation", string(c.lease.Incarnation))
 	case pending.IsWriteBarrier:
 		// Transactions sent before are now either applied, and seen once
 		// the replica is as new, or never will be.
 		c.OutcomeUnknown = false
-		c.Lease.RegistrationRevision = modRevision
-		c.Replication.requireRevision(revision)
+		c.lease.RegistrationRevision = modRevision
+		c.replication.requireRevision(revision)
 	}
 }
 
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -17,10 +17,10 @@
 type FormatUpgrade struct {
 	*step.Context
 
-	Commits   *Committer
-	Lease     *Lease
-	Limits    *WriteLimiter
-	Ownership SuccessorElection
+	commits   *Committer
+	lease     *Lease
+	limits    *WriteLimiter
+	ownership SuccessorElection
 
 	packedReaders            map[protocol.ControllerID]bool // controllers last seen to read the packed format
 	AreAnnouncedLimitsActive bool                           // the announced limits hold: a write within today's was refused as too large
@@ -51,7 +51,7 @@
 func (u *FormatUpgrade) RecordFormatSupport() {
 	for controllerID, e := range u.Replica.Controllers {
 		readsPacked := e.Record.ReadableFormat >= storage.FormatPacked
-		if u.packedReaders[controllerID] = readsPacked; !readsPacked && u.Limits.StorageFormat() >= storage.FormatPacked && u.warnedIncarnation != e.Record.Incarnation {
+		if u.packedReaders[controllerID] = readsPacked; !readsPacked && u.limits.StorageFormat() >= storage.FormatPacked && u.warnedIncarnation != e.Record.Incarnation {
 			u.warnedIncarnation = e.Record.Incarnation
 			u.Log(slog.LevelError, "incompatible controller version running", "incarnation", string(e.Record.Incarnation))
 		}
@@ -63,7 +63,7 @@
 // shows it too, as they come only when the upgrade is over; but not against a run of
 // an older version that lives.
 func (u *FormatUpgrade) CanRaiseFormat() bool {
-	if u.Config.AnnouncedLimits == nil || u.Limits.StorageFormat() >= storage.FormatPacked {
+	if u.Config.AnnouncedLimits == nil || u.limits.StorageFormat() >= storage.FormatPacked {
 		return false
 	}
 	for controllerID := range u.Replica.Controllers {
@@ -93,7 +93,7 @@
 	if u.raisableSince == 0 {
 		u.raisableSince = u.Now.Monotonic
 	}
-	if !u.Ownership.IsSuccessor(storage.FormatKey) && u.Since(u.raisableSince) < raiseFormatDelay || !u.Limits.TakeWriteTokens(1) {
+	if !u.ownership.IsSuccessor(storage.FormatKey) && u.Since(u.raisableSince) < raiseFormatDelay || !u.limits.TakeWriteTokens(1) {
 		return false
 	}
 	conditions := []protocol.Condition{{Key: storage.FormatKey, ModRevision: u.Replica.ModRevision(storage.FormatKey)}}
@@ -101,16 +101,16 @@
 		key := storage.ControllerKey(controllerID)
 		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.Replica.ModRevision(key)})
 	}
-	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.Lease.Incarnation}
-	u.Commits.SendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
+	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.Incarnation}
+	u.commits.SendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
 		LogsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
 	return true
 }
 
 // OnTransactionTooLarge takes in that the state service has called a transaction malformed.
 func (u *FormatUpgrade) OnTransactionTooLarge(transaction *protocol.Transaction) {
-	if u.Config.AnnouncedLimits != nil && u.Limits.StorageFormat() < storage.FormatPacked && !u.Limits.AdmissionLimits().Allows(transaction) {
+	if u.Config.AnnouncedLimits != nil && u.limits.StorageFormat() < storage.FormatPacked && !u.limits.AdmissionLimits().Allows(transaction) {
 		u.AreAnnouncedLimitsActive = true
 	}
-	u.Limits.shrinkTransactions()
+	u.limits.shrinkTransactions()
 }
--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -14,7 +14,7 @@
 type Lease struct {
 	*step.Context
 
-	Store *StoreHealth
+	store *StoreHealth
 
 	Incarnation          storage.Incarnation
 	RegistrationRevision protocol.ModRevision // stamp of this member's key while run is registered
@@ -43,7 +43,7 @@
 
 func (l *Lease) OnGrantLeaseResult(v step.GrantLeaseResult) {
 	l.isGranting = false
-	if l.Store.RecordContact(l.grantRequestedAt, v.Err) {
+	if l.store.RecordContact(l.grantRequestedAt, v.Err) {
 		l.ID = v.LeaseID
 		l.grantedOrRetryAt = l.Now.Monotonic
 	} else {
@@ -57,7 +57,7 @@
 		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.Incarnation))
 		l.RegistrationRevision, l.ID = 0, 0
 	}
-	if !l.Store.RecordContact(l.renewalRequestedAt, v.Err) {
+	if !l.store.RecordContact(l.renewalRequestedAt, v.Err) {
 		l.nextRenewalAt = l.Now.Monotonic.Add(l.Jitter(300 * time.Millisecond))
 	}
 }
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -29,11 +29,11 @@
 type Replication struct {
 	*step.Context
 
-	Agents MachineTracker
-	Lease  *Lease
-	Limits *WriteLimiter
-	Peers  StoreReports
-	Store  *StoreHealth
+	agents MachineTracker
+	lease  *Lease
+	limits *WriteLimiter
+	peers  StoreReports
+	store  *StoreHealth
 
 	MinRevision      protocol.Revision // the replica must be as new before the next one
 	MinRevisionSince protocol.Instant
@@ -75,7 +75,7 @@
 
 // StoreUnavailable tells whether a request to the state service would likely fail.
 func (s *Replication) StoreUnavailable() bool {
-	return !s.IsLoaded || s.Store.ConsecutiveFailures > 1 && s.Since(s.Store.LastResponseAt) > time.Second || s.Since(s.Store.LastResponseAt) > s.Config.LeaseTTL
+	return !s.IsLoaded || s.store.ConsecutiveFailures > 1 && s.Since(s.store.LastResponseAt) > time.Second || s.Since(s.store.LastResponseAt) > s.Config.LeaseTTL
 }
 
 // IsUpToDate tells whether new starts may rest on the replica.
@@ -84,12 +84,12 @@
 	// counts too, or a task of a job withdrawn long ago could be started. Both count
 	// from when the request was sent: an answer may have lain in a socket while this
 	// process stood still, and its run may have ended meanwhile.
-	return s.IsLoaded && s.Lease.IsRegistered() && s.Since(s.Store.lastAnsweredRequestAt) < s.Config.LeaseTTL/2 && s.Since(s.upToDateAt) < s.Config.LeaseTTL
+	return s.IsLoaded && s.lease.IsRegistered() && s.Since(s.store.lastAnsweredRequestAt) < s.Config.LeaseTTL/2 && s.Since(s.upToDateAt) < s.Config.LeaseTTL
 }
 
 func (s *Replication) OnLoadRecordsResult(v step.LoadRecordsResult) {
 	s.isLoading = false
-	if !s.Store.RecordContact(s.loadRequestedAt, v.Err) {
+	if !s.store.RecordContact(s.loadRequestedAt, v.Err) {
 		s.retryAt = s.Now.Monotonic.Add(s.Jitter(500 * time.Millisecond))
 		return
 	}
@@ -97,27 +97,27 @@
 	previous := s.Replica
 	s.Replica = storage.NewReplica()
 	s.Replica.OnMachineChange = previous.OnMachineChange
-	s.Agents.ForgetAssignments()
+	s.agents.ForgetAssignments()
 	for _, entry := range v.Entries {
 		s.PutInReplica(entry.Key, entry.Value, entry.ModRevision)
 	}
-	s.Agents.ForgetUnrecordedMachines(previous)
+	s.agents.ForgetUnrecordedMachines(previous)
 	s.Replica.Revision = v.StartRevision
 	s.completeRevision = v.EndRevision
 	s.upToDateAt = s.loadRequestedAt
 	s.hasSnapshot = true
 	s.IsLoaded = s.Replica.Revision >= s.completeRevision
-	s.Limits.UpdateWriteLimiter()
+	s.limits.UpdateWriteLimiter()
 	s.Log(slog.LevelInfo, "records loaded", "jobs", len(s.Replica.Jobs), "machines", len(s.Replica.Machines), "revision", uint64(v.StartRevision))
 }
 
 func (s *Replication) PutInReplica(key string, data json.RawMessage, modRevision protocol.ModRevision) {
-	formatBefore := s.Limits.StorageFormat()
+	formatBefore := s.limits.StorageFormat()
 	if _, err := s.Replica.Put(key, data, modRevision); err != nil {
 		s.Log(slog.LevelError, "unreadable record ignored", "key", key, "error", err.Error())
 	}
-	if s.Limits.StorageFormat() != formatBefore {
-		s.Limits.UpdateWriteLimiter()
+	if s.limits.StorageFormat() != formatBefore {
+		s.limits.UpdateWriteLimiter()
 	}
 }
 
@@ -129,7 +129,7 @@
 		s.retryAt = s.Now.Monotonic
 		return
 	}
-	if !s.Store.RecordContact(s.watchRequestedAt, v.Err) {
+	if !s.store.RecordContact(s.watchRequestedAt, v.Err) {
 		s.retryAt = s.Now.Monotonic.Add(s.Jitter(200 * time.Millisecond))
 		return
 	}
@@ -143,20 +143,20 @@
 			s.Replica.Delete(event.DeleteKey, event.ModRevision)
 		}
 	}
-	s.Agents.OnMachinesRemoved()
+	s.agents.OnMachinesRemoved()
 	s.ShouldRecheckDeferred = true
 	s.Replica.Revision = max(s.Replica.Revision, v.Response.Revision)
 	s.upToDateAt = s.watchRequestedAt
 	if !s.IsLoaded && s.Replica.Revision >= s.completeRevision {
 		s.IsLoaded = true
 	}
-	s.Lease.checkRegistration()
+	s.lease.checkRegistration()
 }
 
 // StoreUnavailableEverywhere tells whether the state service is down, and not for this controller alone
 // as far as the others say.
 func (s *Replication) StoreUnavailableEverywhere() bool {
-	return s.StoreUnavailable() && s.Peers.PeersReportStoreUnavailable(5*time.Second)
+	return s.StoreUnavailable() && s.peers.PeersReportStoreUnavailable(5*time.Second)
 }
 
 func (s *Replication) requireRevision(revision protocol.Revision) {
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -23,11 +23,11 @@
 type ShardWriter struct {
 	*step.Context
 
-	Catalog   *catalog.Catalog
-	Commits   *Committer
-	Lease     *Lease
-	Limits    *WriteLimiter
-	Transfers TransferTracker
+	catalog   *catalog.Catalog
+	commits   *Committer
+	lease     *Lease
+	limits    *WriteLimiter
+	transfers TransferTracker
 
 	shardSequence    int
 	completeSince    map[protocol.JobID]protocol.Instant // since when all tasks of an unfinished job of another owner are done
@@ -49,7 +49,7 @@
 
 func (w *ShardWriter) newShardID() storage.ShardID {
 	w.shardSequence++
-	return storage.ShardID(fmt.Sprintf("%s-%d", w.Lease.Incarnation, w.shardSequence))
+	return storage.ShardID(fmt.Sprintf("%s-%d", w.lease.Incarnation, w.shardSequence))
 }
 
 // ConsolidateDoneTasks moves what is done from own pages to the jobs' records: where a
@@ -58,7 +58,7 @@
 	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool { return w.Replica.UnfinishedJobs[id] == nil })
 	for _, id := range step.SortedKeys(w.Replica.UnfinishedJobs) {
 		entry := w.Replica.UnfinishedJobs[id]
-		isOwner := entry.Record.Owner == w.Lease.Incarnation
+		isOwner := entry.Record.Owner == w.lease.Incarnation
 		completeSince, isKnown := w.completeSince[id]
 		if w.Replica.CompletedTasks(id).Len() < entry.Record.Spec.TaskCount {
 			delete(w.completeSince, id)
@@ -90,8 +90,8 @@
 // change each, so not before the room is needed. A packed page that is full of machines
 // is cut in two instead.
 func (w *ShardWriter) needsConsolidation(p *storage.Shard) bool {
-	limit := w.Limits.WriteLimits().ValueBytes
-	if w.Limits.StorageFormat() < storage.FormatPacked {
+	limit := w.limits.WriteLimits().ValueBytes
+	if w.limits.StorageFormat() < storage.FormatPacked {
 		return p.EncodedSize >= limit*3/4
 	}
 	const perJob, perSpan = 8, 2 // bytes, as packed
@@ -104,7 +104,7 @@
 
 // EstimateEncodedSize estimates what plain text takes of a page.
 func (w *ShardWriter) EstimateEncodedSize(plain int) int {
-	if w.Limits.StorageFormat() < storage.FormatPacked {
+	if w.limits.StorageFormat() < storage.FormatPacked {
 		return plain
 	}
 	return int(float64(plain)*packedSizeRatio) + 1
@@ -114,7 +114,7 @@
 // cores have more assignments.
 func (w *ShardWriter) estimateMachineSize(machineType protocol.MachineTypeName) int {
 	cores := 4.0
-	if f := w.Catalog.MachineType(machineType); f != nil {
+	if f := w.catalog.MachineType(machineType); f != nil {
 		cores = f.Cores
 	}
 	return w.EstimateEncodedSize(64 + 18*int(min(max(cores, 2), 20)))
@@ -122,7 +122,7 @@
 
 // OwnedShards lists the pages of this run.
 func (w *ShardWriter) OwnedShards() []storage.ShardID {
-	return step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return w.Lease.Incarnation != "" && p.Owner == w.Lease.Incarnation })
+	return step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return w.lease.Incarnation != "" && p.Owner == w.lease.Incarnation })
 }
 
 // MergeShards puts what is left on a page that has lost most of its machines onto
@@ -134,7 +134,7 @@
 		return
 	}
 	w.nextShardMergeAt = w.Now.Monotonic.Add(w.Config.MinRebalanceInterval)
-	inTransfer := w.Transfers.ShardsInTransfer(storage.TransferPhase.IsOpen)
+	inTransfer := w.transfers.ShardsInTransfer(storage.TransferPhase.IsOpen)
 	shards := slices.DeleteFunc(w.OwnedShards(), func(id storage.ShardID) bool { return inTransfer[id] })
 	projected := map[storage.ShardID]int{}
 	for _, id := range shards {
@@ -144,13 +144,13 @@
 	slices.SortStableFunc(shards, func(a, z storage.ShardID) int { return cmp.Compare(projected[a], projected[z]) })
 	for _, id := range shards {
 		p := w.Replica.Shards[id]
-		if projected[id] > w.Limits.WriteLimits().ValueBytes/3 || len(p.Machines) == 0 || b.Shards[id] != nil {
+		if projected[id] > w.limits.WriteLimits().ValueBytes/3 || len(p.Machines) == 0 || b.Shards[id] != nil {
 			continue
 		}
 		for _, targetID := range shards {
 			target := w.Replica.Shards[targetID]
 			if targetID == id || b.Shards[targetID] != nil || target.Epoch < p.Epoch || len(target.Machines) == 0 ||
-				projected[targetID]+projected[id] > w.Limits.WriteLimits().ValueBytes*7/8 || target.EncodedSize+p.EncodedSize > w.Limits.WriteLimits().ValueBytes*3/4 {
+				projected[targetID]+projected[id] > w.limits.WriteLimits().ValueBytes*7/8 || target.EncodedSize+p.EncodedSize > w.limits.WriteLimits().ValueBytes*3/4 {
 				continue
 			}
 			sourceDraft := b.MutableShard(id)
@@ -172,10 +172,10 @@
 // shardSplitThreshold is the size from which a page is cut in two. What is packed changes its
 // size less evenly, and is cut before it takes no more tasks.
 func (w *ShardWriter) shardSplitThreshold() int {
-	if w.Limits.StorageFormat() < storage.FormatPacked {
-		return w.Limits.WriteLimits().ValueBytes * 15 / 16
+	if w.limits.StorageFormat() < storage.FormatPacked {
+		return w.limits.WriteLimits().ValueBytes * 15 / 16
 	}
-	return w.Limits.WriteLimits().ValueBytes * 7 / 8
+	return w.limits.WriteLimits().ValueBytes * 7 / 8
 }
 
 // SplitShards cuts own pages in two that come near the size of a value.
@@ -198,19 +198,19 @@
 // is, so a few transactions do; whatever else needs such a record before rewrites it the
 // same way.
 func (w *ShardWriter) ReencodeOversized(b *Batch) {
-	if w.Limits.StorageFormat() < storage.FormatPacked {
+	if w.limits.StorageFormat() < storage.FormatPacked {
 		return
 	}
-	maxValueBytes := w.Limits.WriteLimits().ValueBytes
+	maxValueBytes := w.limits.WriteLimits().ValueBytes
 	// Once that is done there are none, at each transaction: only what is found is sorted.
-	shards := step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return p.Owner == w.Lease.Incarnation && p.EncodedSize > maxValueBytes })
+	shards := step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return p.Owner == w.lease.Incarnation && p.EncodedSize > maxValueBytes })
 	for _, id := range shards {
 		if b.Shards[id] == nil && b.HasCapacity(w.ShardWriteOps(id)) {
 			b.MutableShard(id)
 		}
 	}
 	jobs := step.SelectKeys(w.Replica.UnfinishedJobs, func(e *storage.Versioned[storage.JobRecord]) bool {
-		return e.Record.Owner == w.Lease.Incarnation && e.EncodedSize > maxValueBytes
+		return e.Record.Owner == w.lease.Incarnation && e.EncodedSize > maxValueBytes
 	})
 	for _, id := range jobs {
 		if b.HasCapacity(b.WritesNeeded("", id)) {
@@ -222,9 +222,9 @@
 // ShardWriteOps is how many changes it takes to write a page: one that was written in the
 // plain format may take several parts.
 func (w *ShardWriter) ShardWriteOps(id storage.ShardID) int {
-	maxValueBytes := w.Limits.WriteLimits().ValueBytes
+	maxValueBytes := w.limits.WriteLimits().ValueBytes
 	shard := w.Replica.Shards[id]
-	if shard == nil || w.Limits.StorageFormat() < storage.FormatPacked || shard.EncodedSize <= maxValueBytes {
+	if shard == nil || w.limits.StorageFormat() < storage.FormatPacked || shard.EncodedSize <= maxValueBytes {
 		return 1
 	}
 	const margin = 5 // a quarter more than the packed page takes, as parts are uneven
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -29,9 +29,9 @@
 	advance(0, step.Tick{})
 	advance(0, step.GrantLeaseResult{LeaseID: 7})
 	advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	advance(0, step.CommitResult{ID: c.commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
+	advance(0, step.CommitResult{ID: c.commit.Commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
 	advance(0, step.WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
-	if !c.lease.IsRegistered() || !c.replication.IsUpToDate() {
+	if !c.commit.Lease.IsRegistered() || !c.commit.Replication.IsUpToDate() {
 		t.Fatal("the core does not begin")
 	}
 	return c, advance
@@ -61,7 +61,7 @@
 				advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
 			}
 		}
-		if got := core.replication.IsUpToDate(); got != c.want {
+		if got := core.commit.Replication.IsUpToDate(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -92,15 +92,15 @@
 	}
 	// Whatever is sent rests on this run's own key: once that has gone, nothing
 	// that is still on its way is applied.
-	if !slices.Contains(c.commits.PendingUserTransaction.Transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.lease.RegistrationRevision}) {
-		t.Errorf("the transaction does not depend on the run's key: %v", c.commits.PendingUserTransaction.Transaction.Conditions)
+	if !slices.Contains(c.commit.Commits.PendingUserTransaction.Transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.commit.Lease.RegistrationRevision}) {
+		t.Errorf("the transaction does not depend on the run's key: %v", c.commit.Commits.PendingUserTransaction.Transaction.Conditions)
 	}
-	advance(0, step.CommitResult{ID: c.commits.PendingUserTransaction.ID, Outcome: storage.OutcomeUnknown, Err: commit.ErrNoUsableResponse})
+	advance(0, step.CommitResult{ID: c.commit.Commits.PendingUserTransaction.ID, Outcome: storage.OutcomeUnknown, Err: commit.ErrNoUsableResponse})
 	advance(time.Second, step.RenewLeaseResult{LeaseID: 7})
-	if c.commits.PendingTransaction == nil || !c.commits.PendingTransaction.IsWriteBarrier || c.commits.PendingTransaction.Transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commits.PendingTransaction.Transaction.Operations[0].Lease != 7 {
-		t.Fatalf("no fence: %+v", c.commits.PendingTransaction)
+	if c.commit.Commits.PendingTransaction == nil || !c.commit.Commits.PendingTransaction.IsWriteBarrier || c.commit.Commits.PendingTransaction.Transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commit.Commits.PendingTransaction.Transaction.Operations[0].Lease != 7 {
+		t.Fatalf("no fence: %+v", c.commit.Commits.PendingTransaction)
 	}
-	out := advance(0, step.CommitResult{ID: c.commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
+	out := advance(0, step.CommitResult{ID: c.commit.Commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
 	out = append(out, submit()...)
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
@@ -114,11 +114,11 @@
 func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
-	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.lease.Incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
+	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
 	machine := c.Replica.Machines["m-1"]
-	return machine, c.agents.TrackOwnedMachine(machine, "m-1")
+	return machine, c.agents.Table.TrackOwnedMachine(machine, "m-1")
 }
 
 func newHeartbeat(machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
@@ -160,7 +160,7 @@
 			m.CommandsLostAt = core.Now.Monotonic
 		}
 		starts := 0
-		for _, o := range core.heartbeats.CommandsFor(e, m, true) {
+		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
 			if o.Type == protocol.CommandStart && o.Attempt == 5 {
 				starts++
 			}
@@ -257,7 +257,7 @@
 		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
 		advance(3*time.Second, step.Tick{}) // answered by now
 		advance(c.after-3*time.Second, step.RenewLeaseResult{LeaseID: 7})
-		if got := core.agents.IsAgentLeaseExpired(m, &e.Record); got != c.want {
+		if got := core.agents.Table.IsAgentLeaseExpired(m, &e.Record); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -285,21 +285,21 @@
 		advance(c.pause, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
 		advance(0, step.RenewLeaseResult{LeaseID: 7})
 		advance(0, step.Tick{})
-		if core.replication.IsUpToDate() != c.fresh || core.agents.IsSilent(m) != c.silent {
-			t.Errorf("%s: fresh %v, silent %v", c.name, core.replication.IsUpToDate(), core.agents.IsSilent(m))
+		if core.commit.Replication.IsUpToDate() != c.fresh || core.agents.Table.IsSilent(m) != c.silent {
+			t.Errorf("%s: fresh %v, silent %v", c.name, core.commit.Replication.IsUpToDate(), core.agents.Table.IsSilent(m))
 		}
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
 			advance(600*time.Millisecond, step.Tick{})
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
 			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
 		}
-		if !core.replication.IsUpToDate() {
+		if !core.commit.Replication.IsUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
 		}
 		for i := 0; i < 10; i++ {
 			advance(time.Second, step.Tick{})
 		}
-		if !core.agents.IsSilent(m) {
+		if !core.agents.Table.IsSilent(m) {
 			t.Errorf("%s: silence behind the pause is not noticed", c.name)
 		}
 	}
@@ -335,7 +335,7 @@
 					misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
 				}
 			}
-			if _, err := core.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.lease.Incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
+			if _, err := core.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.commit.Lease.Incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -351,15 +351,15 @@
 				for _, m := range p.Machines {
 					lines = append(lines, core.Replica.EncodedLine(m))
 				}
-				core.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.lease.Incarnation, 5, lines, nil), 99)
+				core.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.commit.Lease.Incarnation, 5, lines, nil), 99)
 			}
 		}
-		b := core.shards.NewBatch(24)
+		b := core.commit.Shards.NewBatch(24)
 		core.Config.TransactionOps = 24
-		core.ownership.HandOffMachines(b)
+		core.ownership.Manager.HandOffMachines(b)
 		transferredShards, movedMachines := 0, 0
 		for id, d := range b.Shards {
-			if d.Owner == core.lease.Incarnation {
+			if d.Owner == core.commit.Lease.Incarnation {
 				continue
 			}
 			if d.Owner == "" {
@@ -438,15 +438,15 @@
 				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
-			data := storage.EncodePlainShard(core.lease.Incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
+			data := storage.EncodePlainShard(core.commit.Lease.Incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
 			if _, err := core.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
 		put("a", c.eSmall, c.small, storage.TaskRange(0, 3))
 		put("b", c.eLarge, c.large, storage.TaskRange(4, 5))
-		b := core.shards.NewBatch(8)
-		core.shards.MergeShards(b)
+		b := core.commit.Shards.NewBatch(8)
+		core.commit.Shards.MergeShards(b)
 		transaction := b.Transaction()
 		if merged := len(transaction.Operations) == 2; merged != c.want {
 			t.Errorf("%s: joined %v", c.name, merged)
@@ -483,7 +483,7 @@
 	} {
 		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		j := core.jobs.JobState("j-1")
+		j := core.agents.Jobs.JobState("j-1")
 		j.MeasuredTasks, j.MeasuredRuntime = 100, 1000*time.Second
 		sequence := protocol.Sequence(0)
 		heartbeat := func(after int, tasks ...protocol.TaskStatus) {
@@ -498,7 +498,7 @@
 			task := protocol.Task{Job: "j-1", Index: i}
 			heartbeat(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 			heartbeat(s, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
-			core.jobs.RecordTaskRuntime(m, task)
+			core.agents.Jobs.RecordTaskRuntime(m, task)
 		}
 		if got := m.Slowdown.IsSlow(); got != c.want {
 			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.Slowdown.Ratio)
@@ -540,8 +540,8 @@
 				advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 10}})
 			}
 		}
-		if transferred != c.want || core.overload.IsOverloaded() != c.want {
-			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.overload.IsOverloaded())
+		if transferred != c.want || core.ownership.Overload.IsOverloaded() != c.want {
+			t.Errorf("%s: page given %v, strained %v", c.name, transferred, core.ownership.Overload.IsOverloaded())
 		}
 	}
 }
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -24,7 +24,7 @@
 	if _, err := c.Replica.Put(key, data, c.Replica.ModRevision(key)+100); err != nil {
 		t.Fatal(err)
 	}
-	c.upgrade.RecordFormatSupport()
+	c.commit.Upgrade.RecordFormatSupport()
 }
 
 // The format is raised only once every controller has been seen to read the packed one,
@@ -53,7 +53,7 @@
 		if !c.none {
 			core.Config.AnnouncedLimits = &announcedLimits
 		}
-		core.upgrade.AreAnnouncedLimitsActive = c.refused
+		core.commit.Upgrade.AreAnnouncedLimitsActive = c.refused
 		putController(t, core, "stall-0", packed)
 		for _, formats := range [][]storage.Format{c.seen, c.now} {
 			for i, f := range formats {
@@ -65,7 +65,7 @@
 				}
 			}
 		}
-		if got := core.upgrade.CanRaiseFormat(); got != c.want {
+		if got := core.commit.Upgrade.CanRaiseFormat(); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -76,12 +76,12 @@
 func TestWriteLimitsFollowFormat(t *testing.T) {
 	core, _ := newReadyCore(t)
 	core.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
-	if got, want := core.limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
+	if got, want := core.commit.Limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
 		t.Errorf("before: %+v", got)
 	}
-	core.replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
-	if got, want := core.limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.limits.MaxTransactionOps != 4 {
-		t.Errorf("after: %+v, %d changes in a transaction", got, core.limits.MaxTransactionOps)
+	core.commit.Replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+	if got, want := core.commit.Limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}); got != want || core.commit.Limits.MaxTransactionOps != 4 {
+		t.Errorf("after: %+v, %d changes in a transaction", got, core.commit.Limits.MaxTransactionOps)
 	}
 	value := func(n int) protocol.Operation { return protocol.Operation{PutKey: "k", Value: make([]byte, n)} }
 	for _, c := range []struct {
@@ -94,7 +94,7 @@
 		{[]protocol.Operation{value(1), value(1), value(1), value(1), value(1)}, 1, false},
 		{[]protocol.Operation{value(1)}, 17, false},
 	} {
-		if got := core.limits.WriteLimits().Allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
+		if got := core.commit.Limits.WriteLimits().Allows(&protocol.Transaction{Conditions: make([]protocol.Condition, c.when), Operations: c.then}); got != c.want {
 			t.Errorf("%d changes, %d conditions: %v", len(c.then), c.when, got)
 		}
 	}
@@ -114,7 +114,7 @@
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
 		size += len(lines[machines]) + 3
 	}
-	c.replication.PutInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
+	c.commit.Replication.PutInReplica(storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}), 60)
 	return machines
 }
 
@@ -130,11 +130,11 @@
 		core, advance := newReadyCore(t)
 		core.Config.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
-			c.owner = core.lease.Incarnation
+			c.owner = core.commit.Lease.Incarnation
 		}
-		core.replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+		core.commit.Replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 		machines := putOversizedShard(t, core, c.owner)
-		if ops := core.shards.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
+		if ops := core.commit.Shards.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
 			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.Replica.Shards["crowded"].EncodedSize)
 		}
 		var sent *protocol.Transaction
@@ -152,12 +152,12 @@
 		if sent == nil || !announcedLimits.Allows(sent) {
 			t.Fatalf("%s: %+v", c.name, sent)
 		}
-		advance(0, step.CommitResult{ID: core.commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
+		advance(0, step.CommitResult{ID: core.commit.Commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
 		if len(core.Replica.Machines) != machines {
 			t.Errorf("%s: %d machines of %d are left", c.name, len(core.Replica.Machines), machines)
 		}
 		for id, m := range core.Replica.Machines {
-			if m.Record.Owner != core.lease.Incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
+			if m.Record.Owner != core.commit.Lease.Incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
 				t.Errorf("%s: %s of %s at epoch %d", c.name, id, m.Record.Owner, m.Record.ShardEpoch)
 			}
 		}
@@ -174,12 +174,12 @@
 	core.Config.AnnouncedLimits = &announcedLimits
 	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
 	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
-	before := core.limits.MaxTransactionOps
-	if core.upgrade.OnTransactionTooLarge(small); core.upgrade.AreAnnouncedLimitsActive {
+	before := core.commit.Limits.MaxTransactionOps
+	if core.commit.Upgrade.OnTransactionTooLarge(small); core.commit.Upgrade.AreAnnouncedLimitsActive {
 		t.Error("a small transaction that is refused says nothing of the limits")
 	}
-	if core.upgrade.OnTransactionTooLarge(large); !core.upgrade.AreAnnouncedLimitsActive || core.limits.MaxTransactionOps >= before || core.limits.MaxTransactionOps < commit.MinTransactionOps {
-		t.Errorf("refused %v, %d changes in the next one", core.upgrade.AreAnnouncedLimitsActive, core.limits.MaxTransactionOps)
+	if core.commit.Upgrade.OnTransactionTooLarge(large); !core.commit.Upgrade.AreAnnouncedLimitsActive || core.commit.Limits.MaxTransactionOps >= before || core.commit.Limits.MaxTransactionOps < commit.MinTransactionOps {
+		t.Errorf("refused %v, %d changes in the next one", core.commit.Upgrade.AreAnnouncedLimitsActive, core.commit.Limits.MaxTransactionOps)
 	}
 }
 
@@ -204,7 +204,7 @@
 		for range c.types {
 			j.MachineTypes = append(j.MachineTypes, protocol.MachineTypeName(random(100)))
 		}
-		if got := core.users.JobRecordFits(j); got != c.want {
+		if got := core.requests.Users.JobRecordFits(j); got != c.want {
 			t.Errorf("%d types: %v", c.types, got)
 		}
 	}
@@ -216,7 +216,7 @@
 func TestReplicaRestartBackoff(t *testing.T) {
 	c, advance := newReadyCore(t)
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Kind: protocol.KindService, TaskCount: 1}}
-	c.replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
+	c.commit.Replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 40)
 	rec := storage.MachineRecord{AgentEpoch: 1, MachineType: "small", Zone: "a"}
 	modRevision := protocol.ModRevision(50)
 	put := func(attempt protocol.Attempt) {
@@ -225,9 +225,9 @@
 			r.Assign(protocol.Task{Job: "j-1"}, attempt)
 		}
 		modRevision++
-		c.replication.PutInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
+		c.commit.Replication.PutInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
 	}
-	backoff := func() time.Duration { return c.jobs.JobState("j-1").NotBefore.Sub(c.Now.Monotonic) }
+	backoff := func() time.Duration { return c.agents.Jobs.JobState("j-1").NotBefore.Sub(c.Now.Monotonic) }
 	before := time.Duration(0)
 	for attempt := range protocol.Attempt(12) {
 		put(attempt + 1)
@@ -269,15 +269,15 @@
 		m := storage.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
-	core.replication.PutInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.lease.Incarnation, 3, lines, nil), 40)
+	core.commit.Replication.PutInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.commit.Lease.Incarnation, 3, lines, nil), 40)
 	var done storage.TaskSet
 	for n := 0; n < 1800; n += 2 {
 		done = done.Add(n)
 	}
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
-		Owner: core.lease.Incarnation, NextAttempt: 1024, CompletedTasks: done}
-	core.replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
-	core.replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+		Owner: core.commit.Lease.Incarnation, NextAttempt: 1024, CompletedTasks: done}
+	core.commit.Replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
+	core.commit.Replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
 		for _, e := range advance(50*time.Millisecond, step.Tick{}) {
--- a/internal/coordination/ownership/ownership.go
+++ b/internal/coordination/ownership/ownership.go
@@ -15,12 +15,12 @@
 type Manager struct {
 	*step.Context
 
-	Agents    *agents.Table
-	Lease     *commit.Lease
-	Limits    *commit.WriteLimiter
-	Overload  *OverloadDetector
-	Shards    *commit.ShardWriter
-	Transfers *Transfers
+	agents    *agents.Table
+	lease     *commit.Lease
+	limits    *commit.WriteLimiter
+	overload  *OverloadDetector
+	shards    *commit.ShardWriter
+	transfers *Transfers
 
 	ExpiredAt       map[storage.Incarnation]protocol.Instant // since when a run is known to be dead
 	pendingHandOffs map[protocol.MachineID]bool              // owned ones whose workers report to another controller
@@ -40,7 +40,7 @@
 
 // canAcceptMachines tells whether this controller may be given machines.
 func (o *Manager) canAcceptMachines() bool {
-	return o.Overload.overloadedSince == 0 && (o.lastShedAt == 0 || o.Since(o.lastShedAt) > sheddingCooldown)
+	return o.overload.overloadedSince == 0 && (o.lastShedAt == 0 || o.Since(o.lastShedAt) > sheddingCooldown)
 }
 
 // TrackExpiredIncarnations notes since when runs are dead, so that takeovers spread out.
@@ -95,7 +95,7 @@
 // way falls to the controller to which it goes.
 func (o *Manager) isShardSuccessor(id storage.ShardID) bool {
 	if _, transfer := o.Replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() && o.Replica.IsAlive(transfer.Record.Target) {
-		return transfer.Record.Target == o.Lease.Incarnation
+		return transfer.Record.Target == o.lease.Incarnation
 	}
 	return o.isSuccessorAmong(storage.ShardKey(id), func(controller protocol.ControllerID) bool { return !o.Replica.IsDraining(controller) })
 }
@@ -103,8 +103,8 @@
 // WriteAdoptions puts machines that report here and are on no record on a page, and takes
 // over the pages of those whose owner is dead.
 func (o *Manager) WriteAdoptions(b *commit.Batch) {
-	for _, id := range step.SortedKeys(o.Agents.AwaitingOwner) {
-		m := o.Agents.MachineStates[id]
+	for _, id := range step.SortedKeys(o.agents.AwaitingOwner) {
+		m := o.agents.MachineStates[id]
 		if !b.CanAddMachine() {
 			break
 		}
@@ -139,7 +139,7 @@
 
 // failoverOps is how many changes it takes to take over a page, and to end its move.
 func (o *Manager) failoverOps(id storage.ShardID) int {
-	ops := o.Shards.ShardWriteOps(id)
+	ops := o.shards.ShardWriteOps(id)
 	if _, transfer := o.Replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() {
 		ops++
 	}
@@ -150,13 +150,13 @@
 // dead owner had begun ends with it.
 func (o *Manager) failOverShard(b *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	d := b.MutableShard(id)
-	if d.Owner == o.Lease.Incarnation {
+	if d.Owner == o.lease.Incarnation {
 		return
 	}
 	b.Log(slog.LevelInfo, "shard failover", "shard", string(id), "count", len(d.MachineIDs), "source", string(d.Owner), "epoch", uint64(d.Epoch+1))
-	d.Owner = o.Lease.Incarnation
+	d.Owner = o.lease.Incarnation
 	d.Epoch = max(d.Epoch, storage.ShardEpochOf(observedToken)) + 1
-	o.Transfers.endTransferOnFailover(b, id)
+	o.transfers.endTransferOnFailover(b, id)
 }
 
 // transferShard makes another run the owner of a page, with all machines on it. It rests on
@@ -183,7 +183,7 @@
 			}
 		}
 		shard := o.Replica.Shards[id]
-		if sharding.ShouldHandOffShard(len(shard.Machines), total, o.countResponsive(shard)) && b.HasCapacity(o.Shards.ShardWriteOps(id)) && b.Shards[id] == nil {
+		if sharding.ShouldHandOffShard(len(shard.Machines), total, o.countResponsive(shard)) && b.HasCapacity(o.shards.ShardWriteOps(id)) && b.Shards[id] == nil {
 			o.lastShedAt = o.Now.Monotonic
 			o.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
 		}
@@ -197,17 +197,17 @@
 	targetCounts = map[storage.ShardID]map[storage.Incarnation]int{}
 	for _, id := range step.SortedKeys(o.pendingHandOffs) {
 		e := o.Replica.Machines[id]
-		if e == nil || !o.Lease.OwnsMachine(&e.Record) {
+		if e == nil || !o.lease.OwnsMachine(&e.Record) {
 			delete(o.pendingHandOffs, id)
 			continue
 		}
 		// What an earlier ownership was told is forgotten first.
-		m := o.Agents.TrackOwnedMachine(e, id)
+		m := o.agents.TrackOwnedMachine(e, id)
 		if m.HandOffTarget == "" || o.Since(m.HandOffRequestedAt) > o.Config.HeartbeatInterval+4*time.Second {
 			delete(o.pendingHandOffs, id)
 			continue
 		}
-		if !o.Agents.HasMissedHeartbeat(m) || !o.Replica.IsAlive(m.HandOffTarget) || e.Record.Terminating {
+		if !o.agents.HasMissedHeartbeat(m) || !o.Replica.IsAlive(m.HandOffTarget) || e.Record.Terminating {
 			continue
 		}
 		if targetCounts[e.Record.Shard] == nil {
@@ -223,12 +223,12 @@
 func (o *Manager) handOffIndividually(b *commit.Batch, ids []protocol.MachineID) {
 	newShards := map[storage.Incarnation]storage.ShardID{}
 	for _, id := range ids {
-		m, e := o.Agents.MachineStates[id], o.Replica.Machines[id]
-		if d := b.Shards[e.Record.Shard]; d != nil && d.Owner != o.Lease.Incarnation || !b.HasCapacity(2) {
+		m, e := o.agents.MachineStates[id], o.Replica.Machines[id]
+		if d := b.Shards[e.Record.Shard]; d != nil && d.Owner != o.lease.Incarnation || !b.HasCapacity(2) {
 			continue
 		}
 		// A page takes what fits into a value, whatever still begins there.
-		if shard := newShards[m.HandOffTarget]; shard == "" || b.Shards[shard].EstimatedSize+o.Shards.EstimateEncodedSize(len(o.Replica.EncodedLine(id))) > o.Limits.WriteLimits().ValueBytes*3/4 {
+		if shard := newShards[m.HandOffTarget]; shard == "" || b.Shards[shard].EstimatedSize+o.shards.EstimateEncodedSize(len(o.Replica.EncodedLine(id))) > o.limits.WriteLimits().ValueBytes*3/4 {
 			newShards[m.HandOffTarget] = b.NewShard(m.HandOffTarget, e.Record.ShardEpoch+1)
 			b.DependOn(storage.ControllerKey(m.HandOffTarget.Controller()))
 		}
@@ -244,7 +244,7 @@
 // countResponsive counts the machines of an own page whose workers have been heard of lately.
 func (o *Manager) countResponsive(shard *storage.Shard) (n int) {
 	for _, id := range shard.Machines {
-		if e := o.Replica.Machines[id]; e != nil && e.Record.AgentEpoch > 0 && !o.Agents.HasMissedHeartbeat(o.Agents.TrackOwnedMachine(e, id)) {
+		if e := o.Replica.Machines[id]; e != nil && e.Record.AgentEpoch > 0 && !o.agents.HasMissedHeartbeat(o.agents.TrackOwnedMachine(e, id)) {
 			n++
 		}
 	}
@@ -255,8 +255,8 @@
 // hint, to be handed over.
 func (o *Manager) RecordHeartbeatsElsewhere(h *step.PeerStatus) {
 	for _, misdirected := range h.MisdirectedHeartbeats[:min(len(h.MisdirectedHeartbeats), step.MaxMisdirectedPerStatus)] {
-		if e := o.Replica.Machines[misdirected.Machine]; e != nil && o.Lease.OwnsMachine(&e.Record) && o.Replica.IsAlive(h.Incarnation) {
-			m := o.Agents.TrackOwnedMachine(e, misdirected.Machine)
+		if e := o.Replica.Machines[misdirected.Machine]; e != nil && o.lease.OwnsMachine(&e.Record) && o.Replica.IsAlive(h.Incarnation) {
+			m := o.agents.TrackOwnedMachine(e, misdirected.Machine)
 			if misdirected.AgentEpoch < m.LastAgentEpoch || misdirected.AgentEpoch == m.LastAgentEpoch && misdirected.Sequence <= m.LastSequence {
 				continue // a late copy of a report that has been here
 			}
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -22,12 +22,12 @@
 type Peers struct {
 	*step.Context
 
-	Cancellations *cancellation.Canceller
-	Lease         *commit.Lease
-	Misdirected   *agents.MisdirectedHeartbeats
-	Ownership     *Manager
-	Replication   *commit.Replication
-	Store         *commit.StoreHealth
+	cancellations *cancellation.Canceller
+	lease         *commit.Lease
+	misdirected   *agents.MisdirectedHeartbeats
+	ownership     *Manager
+	replication   *commit.Replication
+	store         *commit.StoreHealth
 
 	peers              map[protocol.ControllerID]peer
 	nextPeerStatusAt   protocol.Instant
@@ -79,15 +79,15 @@
 	}
 	t.isPeerStatusUrgent = false
 	t.nextPeerStatusAt = now.Add(t.Jitter(time.Second))
-	status := step.PeerStatus{ControllerID: t.Config.ControllerID, StoreReachable: t.Replication.IsLoaded && t.Store.IsAnswering(2*time.Second)}
-	if t.Lease.IsRegistered() {
-		status.Incarnation = t.Lease.Incarnation
-		t.Cancellations.AddCancellationStatus(&status)
-		status.AcceptsShards = t.Ownership.canAcceptMachines()
-		if t.Misdirected.AddMisdirectedHeartbeats(&status) {
+	status := step.PeerStatus{ControllerID: t.Config.ControllerID, StoreReachable: t.replication.IsLoaded && t.store.IsAnswering(2*time.Second)}
+	if t.lease.IsRegistered() {
+		status.Incarnation = t.lease.Incarnation
+		t.cancellations.AddCancellationStatus(&status)
+		status.AcceptsShards = t.ownership.canAcceptMachines()
+		if t.misdirected.AddMisdirectedHeartbeats(&status) {
 			t.nextPeerStatusAt = now.Add(t.Jitter(peerStatusBacklogInterval))
 		}
 	}
-	t.Misdirected.Expire()
+	t.misdirected.Expire()
 	t.Emit(step.SendPeerStatus{Status: status})
 }
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -18,13 +18,13 @@
 type Transfers struct {
 	*step.Context
 
-	Agents        *agents.Table
-	Cancellations *cancellation.Canceller
-	Lease         *commit.Lease
-	Overload      *OverloadDetector
-	Ownership     *Manager
-	Peers         *Peers
-	Shards        *commit.ShardWriter
+	agents        *agents.Table
+	cancellations *cancellation.Canceller
+	lease         *commit.Lease
+	overload      *OverloadDetector
+	ownership     *Manager
+	peers         *Peers
+	shards        *commit.ShardWriter
 
 	transferObservations map[storage.TransferSlot]transferObservation
 	lastRebalanceAt      protocol.Instant // when moves were last planned
@@ -59,7 +59,7 @@
 
 // transferLimits are how long a move may stay in each phase.
 func (tm *Transfers) transferLimits() sharding.TransferTimeouts {
-	quiesceTimeout := tm.Agents.SilenceTimeout() + tm.Config.MaxResponseDelay + tm.Config.MaxIdleResponseDelay
+	quiesceTimeout := tm.agents.SilenceTimeout() + tm.Config.MaxResponseDelay + tm.Config.MaxIdleResponseDelay
 	return sharding.TransferTimeouts{GangPlacement: gangWaitTimeout, Proposal: gangWaitTimeout + quiesceTimeout, Quiesce: quiesceTimeout, TokenObservation: tm.Config.AgentLeaseTTL}
 }
 
@@ -67,7 +67,7 @@
 // and ends is the owner's work, and each may write only so much.
 func (tm *Transfers) Rebalance(b *commit.Batch) {
 	interval, reason := tm.Config.MinRebalanceInterval, sharding.ReasonLoadImbalance
-	overloaded := tm.Overload.IsOverloaded()
+	overloaded := tm.overload.IsOverloaded()
 	if overloaded {
 		interval, reason = interval/3, sharding.ReasonSourceOverloaded
 	} else if tm.Replica.IsDraining(tm.Config.ControllerID) {
@@ -78,15 +78,15 @@
 	}
 	policy := sharding.RebalancePolicy{MaxTransfers: maxTransfersPerPlan, MaxIncomingTransfers: MaxIncomingTransfers, DemandWeight: tm.Config.RebalanceDemandWeight}
 	for _, transfer := range sharding.PlanRebalance(tm.ShardingSnapshot(overloaded), policy) {
-		if b.Shards[transfer.Shard] != nil || !b.HasCapacity(tm.Shards.ShardWriteOps(transfer.Shard)) {
+		if b.Shards[transfer.Shard] != nil || !b.HasCapacity(tm.shards.ShardWriteOps(transfer.Shard)) {
 			continue
 		}
 		tm.lastRebalanceAt = tm.Now.Monotonic
 		if overloaded {
-			tm.Ownership.lastShedAt = tm.Now.Monotonic // and nobody gives it any for a while
+			tm.ownership.lastShedAt = tm.Now.Monotonic // and nobody gives it any for a while
 		}
 		if overloaded || !tm.recordsTransfers(transfer.Target) {
-			tm.Ownership.transferShard(b, transfer.Shard, transfer.Target, reason)
+			tm.ownership.transferShard(b, transfer.Shard, transfer.Target, reason)
 		} else {
 			tm.OpenTransfer(b, transfer, storage.TransferPrepared, reason, "")
 		}
@@ -102,11 +102,11 @@
 
 // ShardingSnapshot is what moves are planned from.
 func (tm *Transfers) ShardingSnapshot(overloaded bool) sharding.Snapshot {
-	snapshot := sharding.Snapshot{Self: tm.Lease.Incarnation, IncomingTransfers: map[storage.Incarnation]int{}}
+	snapshot := sharding.Snapshot{Self: tm.lease.Incarnation, IncomingTransfers: map[storage.Incarnation]int{}}
 	demand := tm.demandByOwner()
-	snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: tm.Lease.Incarnation, Overloaded: overloaded, DemandCores: demand[tm.Lease.Incarnation],
+	snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: tm.lease.Incarnation, Overloaded: overloaded, DemandCores: demand[tm.lease.Incarnation],
 		Draining: tm.Replica.IsDraining(tm.Config.ControllerID)})
-	for controller, p := range tm.Peers.peers {
+	for controller, p := range tm.peers.peers {
 		if tm.Since(p.receivedAt) <= 3*time.Second && p.status.StoreReachable && p.status.AcceptsShards && tm.Replica.IsAlive(p.status.Incarnation) {
 			snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: p.status.Incarnation, Eligible: true, DemandCores: demand[p.status.Incarnation],
 				Draining: tm.Replica.IsDraining(controller)})
@@ -124,7 +124,7 @@
 		shard := sharding.Shard{ID: id, Owner: p.Owner, Load: 1, Pinned: len(p.Machines) == 0}
 		if target, inTransfer := transferTargets[id]; inTransfer {
 			shard.Owner, shard.Pinned = target, true
-		} else if p.Owner == tm.Lease.Incarnation && !shard.Pinned {
+		} else if p.Owner == tm.lease.Incarnation && !shard.Pinned {
 			shard.TransferCost, shard.Pinned = tm.transferCost(p, reserved)
 		}
 		snapshot.Shards = append(snapshot.Shards, shard)
@@ -142,7 +142,7 @@
 		if reserved[id] {
 			return 0, true
 		}
-		if e, m := tm.Replica.Machines[id], tm.Agents.MachineStates[id]; e != nil && m != nil {
+		if e, m := tm.Replica.Machines[id], tm.agents.MachineStates[id]; e != nil && m != nil {
 			cost += float64(len(m.InflightStarts))
 		}
 	}
@@ -186,7 +186,7 @@
 	}
 	if name == "" {
 		tm.lastTransferNumber++
-		name = fmt.Sprintf("%s-%d", tm.Lease.Incarnation, tm.lastTransferNumber)
+		name = fmt.Sprintf("%s-%d", tm.lease.Incarnation, tm.lastTransferNumber)
 	}
 	record := storage.TransferRecord{Name: name, Shard: transfer.Shard, Source: transfer.Source, Target: transfer.Target, Phase: phase, Reason: reason,
 		MachineCount: len(tm.Replica.Shards[transfer.Shard].Machines), ProposedAt: tm.Now.Wall}
@@ -242,8 +242,8 @@
 
 // transferProgress is how this controller sees a move.
 func (tm *Transfers) transferProgress(slot storage.TransferSlot, transfer *storage.TransferRecord, reserved map[protocol.MachineID]bool) sharding.TransferStatus {
-	progress := sharding.TransferStatus{Transfer: *transfer, Self: tm.Lease.Incarnation, SourceAlive: tm.Replica.IsAlive(transfer.Source), TargetAlive: tm.Replica.IsAlive(transfer.Target),
-		IsSuccessor: tm.Ownership.IsSuccessor(storage.TransferKey(slot))}
+	progress := sharding.TransferStatus{Transfer: *transfer, Self: tm.lease.Incarnation, SourceAlive: tm.Replica.IsAlive(transfer.Source), TargetAlive: tm.Replica.IsAlive(transfer.Target),
+		IsSuccessor: tm.ownership.IsSuccessor(storage.TransferKey(slot))}
 	activeSlot, _ := tm.Replica.OpenTransferOf(transfer.Shard)
 	progress.Superseded = activeSlot != slot
 	shard := tm.Replica.Shards[transfer.Shard]
@@ -252,7 +252,7 @@
 	}
 	progress.Owner = shard.Owner
 	progress.ReservedForGang = slices.ContainsFunc(shard.Machines, func(id protocol.MachineID) bool { return reserved[id] })
-	if shard.Owner == tm.Lease.Incarnation {
+	if shard.Owner == tm.lease.Incarnation {
 		progress.Quiesced = transfer.Phase == storage.TransferPrepared && tm.isShardQuiescent(shard)
 		progress.TargetTokenObserved = transfer.Phase == storage.TransferCommitted && tm.isShardTokenConfirmed(shard)
 	}
@@ -272,7 +272,7 @@
 // owned machine any more.
 func (tm *Transfers) areCancellationsResolved(e *storage.Machine) bool {
 	for i := range e.Record.Assignments {
-		if job := e.Record.Assignments[i].Job; tm.Cancellations.CancelRequested(job) && !tm.Cancellations.IsMachineQuiescent(e.ID, job) {
+		if job := e.Record.Assignments[i].Job; tm.cancellations.CancelRequested(job) && !tm.cancellations.IsMachineQuiescent(e.ID, job) {
 			return false
 		}
 	}
@@ -291,10 +291,10 @@
 func (tm *Transfers) allResponsive(shard *storage.Shard, predicate func(*storage.Machine, *agents.MachineState) bool) bool {
 	for _, id := range shard.Machines {
 		e := tm.Replica.Machines[id]
-		if e == nil || !tm.Lease.OwnsMachine(&e.Record) || e.Record.AgentEpoch == 0 || e.Record.Terminating {
+		if e == nil || !tm.lease.OwnsMachine(&e.Record) || e.Record.AgentEpoch == 0 || e.Record.Terminating {
 			continue
 		}
-		if m := tm.Agents.TrackOwnedMachine(e, id); !tm.Agents.IsSilent(m) && !predicate(e, m) {
+		if m := tm.agents.TrackOwnedMachine(e, id); !tm.agents.IsSilent(m) && !predicate(e, m) {
 			return false
 		}
 	}
@@ -306,7 +306,7 @@
 	previous := tm.Replica.Transfers[slot].Record
 	ops := 1
 	if step.Phase == storage.TransferCommitted {
-		ops += tm.Shards.ShardWriteOps(previous.Shard)
+		ops += tm.shards.ShardWriteOps(previous.Shard)
 		if b.Shards[previous.Shard] != nil {
 			return // it changes in this transaction already; the next one does it
 		}
@@ -323,7 +323,7 @@
 	case storage.TransferCommitted:
 		record.CommittedAt = tm.Now.Wall
 		record.MachineCount = len(tm.Replica.Shards[record.Shard].Machines)
-		tm.Ownership.transferShard(b, record.Shard, record.Target, record.Reason)
+		tm.ownership.transferShard(b, record.Shard, record.Target, record.Reason)
 	case storage.TransferAborted:
 		record.Reason, record.EndedAt = step.Reason, tm.Now.Wall
 	case storage.TransferClosed:
@@ -346,7 +346,7 @@
 		return
 	}
 	record := e.Record
-	if record.Target == tm.Lease.Incarnation {
+	if record.Target == tm.lease.Incarnation {
 		record.Phase, record.CommittedAt = storage.TransferCommitted, tm.Now.Wall
 	} else {
 		record.Phase, record.EndedAt, record.Reason = storage.TransferAborted, tm.Now.Wall, sharding.ReasonFailover
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -14,10 +14,10 @@
 type Inventory struct {
 	*step.Context
 
-	Ownership   *ownership.Manager
-	Provisioner *Provisioner
-	Replication *commit.Replication
-	Terminator  *Terminator
+	ownership   *ownership.Manager
+	provisioner *Provisioner
+	replication *commit.Replication
+	terminator  *Terminator
 
 	isListingInstances  bool
 	nextInstanceListAt  protocol.Instant // next read of the list
@@ -53,7 +53,7 @@
 		ii.Log(slog.LevelDebug, "listing instances failed", "error", v.Err.Error())
 		return
 	}
-	if !ii.Replication.IsLoaded {
+	if !ii.replication.IsLoaded {
 		return
 	}
 	listed := map[protocol.MachineID]bool{}
@@ -92,7 +92,7 @@
 		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.CanAddMachine() || b.Machines[id] != nil {
 			continue
 		}
-		if _, ok := ii.Terminator.terminatedAt[id]; ok || !ii.Ownership.IsSuccessor(string(id)) || ii.Provisioner.isGranted(id) {
+		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.IsSuccessor(string(id)) || ii.provisioner.isGranted(id) {
 			continue
 		}
 		b.AddMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
--- a/internal/coordination/provisioning/provisioning.go
+++ b/internal/coordination/provisioning/provisioning.go
@@ -25,12 +25,12 @@
 type Provisioner struct {
 	*step.Context
 
-	Catalog     *catalog.Catalog
-	Lease       *commit.Lease
-	Plan        DemandSource
-	Replication *commit.Replication
-	Spot        *catalog.SpotPricing
-	Terminator  *Terminator
+	catalog     *catalog.Catalog
+	lease       *commit.Lease
+	plan        DemandSource
+	replication *commit.Replication
+	spot        *catalog.SpotPricing
+	terminator  *Terminator
 
 	Requests    map[string]*pendingProvision
 	sequence    int
@@ -113,10 +113,10 @@
 // coming, can take.
 func (mp *Provisioner) ScaleOut() {
 	mp.retryProvisioning()
-	if mp.Replication.StoreUnavailable() || mp.Plan.Age() > maxPlanAge {
+	if mp.replication.StoreUnavailable() || mp.plan.Age() > maxPlanAge {
 		return
 	}
-	demands := mp.Plan.Demands()
+	demands := mp.plan.Demands()
 	slices.SortStableFunc(demands, func(a, z UnmetDemand) int { return cmp.Compare(a.Order, z.Order) })
 	pendingPools := mp.pendingPools()
 	spotCount := mp.countSpotMachines()
@@ -125,7 +125,7 @@
 			mp.ProvisionForDemand(d, pendingPools, spotCount)
 		}
 	}
-	mp.Plan.ClearDemands()
+	mp.plan.ClearDemands()
 }
 
 // retryProvisioning sends requests again that had no answer.
@@ -181,7 +181,7 @@
 
 func (mp *Provisioner) sendProvisionRequest(pool PoolKey, count int, job protocol.JobID) {
 	mp.sequence++
-	name := fmt.Sprintf("%s-%d", mp.Lease.Incarnation, mp.sequence)
+	name := fmt.Sprintf("%s-%d", mp.lease.Incarnation, mp.sequence)
 	request := protocol.ProvisionRequest{RequestID: name, Type: pool.MachineType, Zone: pool.Zone, Spot: pool.Spot, Count: count}
 	mp.Requests[name] = &pendingProvision{Request: request, requestedAt: mp.Now.Monotonic, inFlight: true}
 	mp.Log(slog.LevelInfo, "provisioning machines", "request", name, "machine_type", string(pool.MachineType), "zone", string(pool.Zone),
@@ -205,8 +205,8 @@
 // poolsByCost lists what could be rented for a job, cheapest per task first.
 func (mp *Provisioner) poolsByCost(d UnmetDemand) []pricedPool {
 	var out []pricedPool
-	for i := range mp.Catalog.MachineTypes {
-		f := &mp.Catalog.MachineTypes[i]
+	for i := range mp.catalog.MachineTypes {
+		f := &mp.catalog.MachineTypes[i]
 		tasksPerMachine := catalog.MachineTypeCapacity(f, d.Desc)
 		if tasksPerMachine == 0 {
 			continue
@@ -217,7 +217,7 @@
 			}
 			tasks := float64(min(tasksPerMachine, d.Tasks))
 			out = append(out, pricedPool{key: PoolKey{MachineType: f.Name, Zone: z, Spot: false}, tasksPerMachine: tasksPerMachine, costPerTask: f.OnDemandPrice / tasks})
-			if t := mp.Spot.SpotThresholds[catalog.PriceKey{MachineType: f.Name, Zone: z}]; !d.Desc.IsService() && mp.Spot.CanUseSpot(d.Desc, f) && t != nil && t.AllowsSpot() {
+			if t := mp.spot.SpotThresholds[catalog.PriceKey{MachineType: f.Name, Zone: z}]; !d.Desc.IsService() && mp.spot.CanUseSpot(d.Desc, f) && t != nil && t.AllowsSpot() {
 				out = append(out, pricedPool{key: PoolKey{MachineType: f.Name, Zone: z, Spot: true}, tasksPerMachine: tasksPerMachine, costPerTask: f.SpotPrice / tasks})
 			}
 		}
@@ -275,7 +275,7 @@
 		}
 		missing := 0
 		for _, id := range r.GrantedMachines {
-			if _, released := mp.Terminator.terminatedAt[id]; released || mp.Replica.Machines[id] != nil {
+			if _, released := mp.terminator.terminatedAt[id]; released || mp.Replica.Machines[id] != nil {
 				continue
 			}
 			missing++
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -31,14 +31,14 @@
 type Terminator struct {
 	*step.Context
 
-	Agents        *agents.Table
-	Cancellations *cancellation.Canceller
-	Catalog       *catalog.Catalog
-	Inventory     *Inventory
-	Lease         *commit.Lease
-	Plan          PlanUse
-	Replication   *commit.Replication
-	Scheduler     IdlePolicy
+	agents        *agents.Table
+	cancellations *cancellation.Canceller
+	catalog       *catalog.Catalog
+	inventory     *Inventory
+	lease         *commit.Lease
+	plan          PlanUse
+	replication   *commit.Replication
+	scheduler     IdlePolicy
 
 	scaleInQueue  []protocol.MachineID // owned ones that are to go back
 	Terminations  map[protocol.MachineID]*Termination
@@ -92,7 +92,7 @@
 	now := mt.Now.Monotonic
 	var ids []protocol.MachineID
 	for id, r := range mt.Terminations {
-		if e := mt.Replica.Machines[id]; e == nil || !r.unrecorded && (!mt.Lease.OwnsMachine(&e.Record) || !e.Record.Terminating) {
+		if e := mt.Replica.Machines[id]; e == nil || !r.unrecorded && (!mt.lease.OwnsMachine(&e.Record) || !e.Record.Terminating) {
 			delete(mt.Terminations, id)
 			continue
 		}
@@ -139,7 +139,7 @@
 // EvaluateScaleIn decides whether an owned machine goes back, and why.
 func (mt *Terminator) EvaluateScaleIn(e *storage.Machine, m *agents.MachineState, isolated bool) {
 	if e.Record.Terminating {
-		if mt.Terminations[m.ID] == nil && mt.Lease.IsRegistered() {
+		if mt.Terminations[m.ID] == nil && mt.lease.IsRegistered() {
 			mt.Terminations[m.ID] = &Termination{}
 		}
 		return
@@ -151,7 +151,7 @@
 
 func (mt *Terminator) scaleInReasonFor(e *storage.Machine, m *agents.MachineState, isolated bool) string {
 	rec := &e.Record
-	machineType := mt.Catalog.MachineType(rec.MachineType)
+	machineType := mt.catalog.MachineType(rec.MachineType)
 	age := step.MillisToDuration(mt.Now.Wall - rec.AddedAt)
 	if rec.AgentEpoch == 0 {
 		if machineType == nil {
@@ -163,15 +163,15 @@
 		if age > bootTimeout && mt.Since(m.LastContactAt) > protocol.Seconds(machineType.BootSeconds) {
 			return "never came up"
 		}
-		if l := mt.Inventory.listedInstances[m.ID]; l != nil && l.instance.State == protocol.InstanceFailed {
+		if l := mt.inventory.listedInstances[m.ID]; l != nil && l.instance.State == protocol.InstanceFailed {
 			return "failed while it booted"
 		}
 		return ""
 	}
-	sinceContact := mt.Agents.TimeSinceContact(m)
+	sinceContact := mt.agents.TimeSinceContact(m)
 	// The list does not come by way of the workers' network: what it no longer has is gone,
 	// also where most machines of this node are silent.
-	if l := mt.Inventory.listedInstances[m.ID]; l != nil && mt.Agents.IsSilent(m) {
+	if l := mt.inventory.listedInstances[m.ID]; l != nil && mt.agents.IsSilent(m) {
 		if l.instance.State == protocol.InstanceFailed {
 			return "failed"
 		}
@@ -189,13 +189,13 @@
 		return "faulty"
 	}
 	// A withdrawn task that will not go takes its machine with it.
-	if mt.Cancellations.MustForceScaleIn(m, rec, isolated) {
-		if mt.Replication.StoreUnavailableEverywhere() {
+	if mt.cancellations.MustForceScaleIn(m, rec, isolated) {
+		if mt.replication.StoreUnavailableEverywhere() {
 			mt.TerminateUnrecorded(m.ID)
 		}
 		return "cancelled task does not stop"
 	}
-	if len(rec.Assignments) > 0 || mt.Plan.RetainsMachine(m.ID) || m.LatestHeartbeat != nil && mt.hasLiveTasks(m) {
+	if len(rec.Assignments) > 0 || mt.plan.RetainsMachine(m.ID) || m.LatestHeartbeat != nil && mt.hasLiveTasks(m) {
 		m.IdleSince = 0
 		return ""
 	}
@@ -224,7 +224,7 @@
 		replacementSeconds += totalGB / float64(len(m.CachedImages)) / machineType.ImagePullGBPerSecond
 	}
 	factor := mt.Config.IdleTimeoutFactor
-	if !mt.Scheduler.RetainsIdleMachine(m.ID) {
+	if !mt.scheduler.RetainsIdleMachine(m.ID) {
 		factor *= surplusIdleFactor
 	}
 	return time.Duration(replacementSeconds * factor * float64(time.Second))
@@ -243,7 +243,7 @@
 func (mt *Terminator) WriteTerminations(b *commit.Batch) {
 	for _, id := range mt.scaleInQueue {
 		e := mt.Replica.Machines[id]
-		if m := mt.Agents.MachineStates[id]; m != nil && m.ScaleInReason != "" && e != nil && mt.Lease.OwnsMachine(&e.Record) && !e.Record.Terminating && b.HasCapacity(b.WritesNeeded(id)) && !b.RemovesMachine(id) {
+		if m := mt.agents.MachineStates[id]; m != nil && m.ScaleInReason != "" && e != nil && mt.lease.OwnsMachine(&e.Record) && !e.Record.Terminating && b.HasCapacity(b.WritesNeeded(id)) && !b.RemovesMachine(id) {
 			if m.ScaleInReason == "idle" && (b.Machines[id] != nil || len(e.Record.Assignments) > 0) {
 				continue
 			}
@@ -255,6 +255,6 @@
 
 // BeginScaleInReview begins to ask anew which of the owned machines go back.
 func (mt *Terminator) BeginScaleInReview(silent int) {
-	mt.Inventory.silentOwnedMachines = silent
+	mt.inventory.silentOwnedMachines = silent
 	mt.scaleInQueue = mt.scaleInQueue[:0]
 }
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -37,8 +37,8 @@
 // newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
 func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *scheduling.PendingJob {
 	latestStart := c.Now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.lease.Incarnation, SubmittedAt: c.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
-	q.IsUrgent = c.queue.NeedsWarmCapacity(q)
+	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.commit.Lease.Incarnation, SubmittedAt: c.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
+	q.IsUrgent = c.scheduling.Queue.NeedsWarmCapacity(q)
 	return q
 }
 
@@ -68,9 +68,9 @@
 		core := newCoreWithTwoMachineTypes(t)
 		core.Effects = nil
 		for _, p := range c.refused {
-			core.provisioner.ExhaustedAt[p] = core.Now.Monotonic
+			core.provisioning.Provisioner.ExhaustedAt[p] = core.Now.Monotonic
 		}
-		core.provisioner.ProvisionForDemand(provisioning.UnmetDemand{Job: "j-1", Desc: newArrayJob(c.cores, 20), Tasks: 5000, Urgent: c.urgent}, map[provisioning.PoolKey]bool{}, 0)
+		core.provisioning.Provisioner.ProvisionForDemand(provisioning.UnmetDemand{Job: "j-1", Desc: newArrayJob(c.cores, 20), Tasks: 5000, Urgent: c.urgent}, map[provisioning.PoolKey]bool{}, 0)
 		var got []string
 		for _, e := range core.Effects {
 			if v, ok := e.(step.ProvisionMachines); ok {
@@ -118,13 +118,13 @@
 			running := newArrayJob(4, c.runs)
 			r.Allocate(running, 1)
 			r.Allocations = []scheduling.Allocation{{Job: "j-2", Attempt: 1, Count: 1, Desc: running}}
-			core.agents.AssignedAt[agents.AssignmentKey{Machine: id, Job: "j-2", Attempt: 1}] = core.Now.Monotonic.Add(-c.ran)
+			core.agents.Table.AssignedAt[agents.AssignmentKey{Machine: id, Job: "j-2", Attempt: 1}] = core.Now.Monotonic.Add(-c.ran)
 			candidates = append(candidates, r)
 		}
-		if got := core.backfill.ReserveBackfill(q, candidates, 10); got != c.want {
+		if got := core.scheduling.Backfill.ReserveBackfill(q, candidates, 10); got != c.want {
 			t.Errorf("%s: %d follow; wanted %d", c.name, got, c.want)
 		}
-		if got := core.backfill.ReserveBackfill(q, candidates, 10); got != 0 {
+		if got := core.scheduling.Backfill.ReserveBackfill(q, candidates, 10); got != 0 {
 			t.Errorf("%s: %d more follow on the same machines", c.name, got)
 		}
 	}
@@ -157,12 +157,12 @@
 			newCandidate(&smallMachineType, "m-3", true), newCandidate(&smallMachineType, "m-4", true)}
 		slack := time.Duration(c.slack) * time.Second
 		other := newWork(c.other, "other", 10*time.Minute)
-		core.scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.urgent, "urgent", slack), other})
-		core.scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.now, "urgent", slack), other})
-		core.scheduler.WarmPool.SelectRetained(candidates, core.capacity.IsMachineAllowed)
+		core.scheduling.Scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.urgent, "urgent", slack), other})
+		core.scheduling.Scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.now, "urgent", slack), other})
+		core.scheduling.Scheduler.WarmPool.SelectRetained(candidates, core.scheduling.Capacity.IsMachineAllowed)
 		var got []protocol.MachineID
 		for _, r := range candidates {
-			if core.scheduler.WarmPool.ShouldRetain(r.ID) {
+			if core.scheduling.Scheduler.WarmPool.ShouldRetain(r.ID) {
 				got = append(got, r.ID)
 			}
 		}
@@ -193,17 +193,17 @@
 	} {
 		core := newCoreWithTwoMachineTypes(t)
 		if c.waiting > 0 {
-			core.contention.RecordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
+			core.scheduling.Contention.RecordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
 		}
 		core.Now.Monotonic = core.Now.Monotonic.Add(c.ago)
 		if c.refused {
 			for _, z := range smallMachineType.Zones {
-				core.provisioner.ExhaustedAt[provisioning.PoolKey{MachineType: "small", Zone: z, Spot: true}] = core.Now.Monotonic
-				core.provisioner.ExhaustedAt[provisioning.PoolKey{MachineType: "small", Zone: z, Spot: false}] = core.Now.Monotonic
+				core.provisioning.Provisioner.ExhaustedAt[provisioning.PoolKey{MachineType: "small", Zone: z, Spot: true}] = core.Now.Monotonic
+				core.provisioning.Provisioner.ExhaustedAt[provisioning.PoolKey{MachineType: "small", Zone: z, Spot: false}] = core.Now.Monotonic
 			}
 		}
-		core.plan.ContendedTypes = core.contention.ContendedTypes()
-		got := slices.Sorted(maps.Keys(core.contention.TypesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
+		core.scheduling.Plan.ContendedTypes = core.scheduling.Contention.ContendedTypes()
+		got := slices.Sorted(maps.Keys(core.scheduling.Contention.TypesToAvoid(core.newPendingJob(newArrayJob(4, 20), c.slack))))
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: leaves %v; wanted %v", c.name, got, c.want)
 		}
@@ -222,16 +222,16 @@
 	}{{8 * time.Second, false, true}, {60 * time.Second, false, false}, {time.Second, true, false}} {
 		q := core.newPendingJob(newArrayJob(4, 20), c.slack)
 		q.IsLate = c.late
-		if got := core.queue.ShouldExpedite(q); got != c.want {
+		if got := core.scheduling.Queue.ShouldExpedite(q); got != c.want {
 			t.Errorf("slack %v, late %v: %v", c.slack, c.late, got)
 		}
 	}
 	r := newCandidate(&smallMachineType, "m-1", false)
-	r.Record.Owner = core.lease.Incarnation
-	m := core.agents.MachineState("m-1")
+	r.Record.Owner = core.commit.Lease.Incarnation
+	m := core.agents.Table.MachineState("m-1")
 	for deferred, want := range map[step.RequestID]bool{0: true, 5: false} {
 		m.DeferredRequest = deferred
-		if got := core.capacity.AwaitsHeartbeat(r); got != want {
+		if got := core.scheduling.Capacity.AwaitsHeartbeat(r); got != want {
 			t.Errorf("report held as %d: %v", deferred, got)
 		}
 	}
--- a/internal/coordination/requests/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -17,10 +17,10 @@
 type OperatorRequests struct {
 	*step.Context
 
-	Lease       *commit.Lease
-	Overload    *ownership.OverloadDetector
-	Replication *commit.Replication
-	Transfers   *ownership.Transfers
+	lease       *commit.Lease
+	overload    *ownership.OverloadDetector
+	replication *commit.Replication
+	transfers   *ownership.Transfers
 
 	pendingOperatorRequests []*operatorRequest // that are not on record yet
 }
@@ -63,7 +63,7 @@
 // enqueueOperatorRequest takes a request in, unless it is refused.
 func (o *OperatorRequests) enqueueOperatorRequest(request *operatorRequest, err *RequestError) {
 	switch {
-	case o.Replication.StoreUnavailable() || !o.Lease.IsRegistered():
+	case o.replication.StoreUnavailable() || !o.lease.IsRegistered():
 		err = newTransientError("this controller does not reach the state service")
 	case err == nil && len(o.pendingOperatorRequests) >= maxOperatorRequests:
 		err = newTransientError("too many requests wait to be written")
@@ -248,7 +248,7 @@
 		}
 	}
 	if b.HasCapacity(1) {
-		o.Transfers.OpenTransfer(b, sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}, storage.TransferProposed, "asked for by the operator", r.Name)
+		o.transfers.OpenTransfer(b, sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}, storage.TransferProposed, "asked for by the operator", r.Name)
 	}
 	return transfer, false, nil
 }
@@ -258,7 +258,7 @@
 	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
 		e := o.Replica.Transfers[slot]
 		if e.Record.Name == name && e.Record.Phase.IsPending() && b.Transfers[slot] == nil {
-			o.Transfers.WriteTransferStep(b, slot, sharding.TransferStep{Phase: storage.TransferAborted, Reason: sharding.ReasonOperatorAbort})
+			o.transfers.WriteTransferStep(b, slot, sharding.TransferStep{Phase: storage.TransferAborted, Reason: sharding.ReasonOperatorAbort})
 		}
 	}
 }
@@ -305,7 +305,7 @@
 
 // OnShardingStatusRequest tells who owns what, as of the replica's revision.
 func (o *OperatorRequests) OnShardingStatusRequest(v ShardingStatusRequest) {
-	reply := ShardingStatusReply{Req: v.Req, Revision: o.Replica.Revision, Stale: !o.Replication.IsUpToDate()}
+	reply := ShardingStatusReply{Req: v.Req, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
 	for _, id := range step.SortedKeys(o.Replica.Shards) {
 		shard := o.Replica.Shards[id]
 		status := ShardStatus{ID: id, Owner: shard.Owner, Epoch: shard.Epoch, Machines: len(shard.Machines)}
@@ -324,9 +324,9 @@
 	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
 		reply.Transfers = append(reply.Transfers, o.Replica.Transfers[slot].Record)
 	}
-	if o.Lease.IsRegistered() {
+	if o.lease.IsRegistered() {
 		policy := sharding.RebalancePolicy{MaxTransfers: 2 * ownership.MaxIncomingTransfers, MaxIncomingTransfers: ownership.MaxIncomingTransfers, DemandWeight: o.Config.RebalanceDemandWeight}
-		reply.PlannedTransfers = sharding.PlanRebalance(o.Transfers.ShardingSnapshot(o.Overload.IsOverloaded()), policy)
+		reply.PlannedTransfers = sharding.PlanRebalance(o.transfers.ShardingSnapshot(o.overload.IsOverloaded()), policy)
 	}
 	o.Emit(reply)
 }
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -15,12 +15,12 @@
 type UserRequests struct {
 	*step.Context
 
-	Cancellations *cancellation.Canceller
-	Catalog       *catalog.Catalog
-	Lease         *commit.Lease
-	Limits        *commit.WriteLimiter
-	Replication   *commit.Replication
-	Store         *commit.StoreHealth
+	cancellations *cancellation.Canceller
+	catalog       *catalog.Catalog
+	lease         *commit.Lease
+	limits        *commit.WriteLimiter
+	replication   *commit.Replication
+	store         *commit.StoreHealth
 
 	Submissions      map[protocol.JobID]*submission
 	DeferredRequests []*deferredRequest
@@ -115,8 +115,8 @@
 	if h.replyIfFinal(v.RequestID, v.Type, v.Job) {
 		return
 	}
-	if v.Type == protocol.RequestCancel && h.Replica.Jobs[v.Job] != nil && !h.Replication.StoreUnavailable() {
-		h.Cancellations.RequestCancellation(v.Job)
+	if v.Type == protocol.RequestCancel && h.Replica.Jobs[v.Job] != nil && !h.replication.StoreUnavailable() {
+		h.cancellations.RequestCancellation(v.Job)
 	}
 	h.deferRequest(&deferredRequest{requestID: v.RequestID, requestType: v.Type, jobID: v.Job, receivedAt: h.Now.Monotonic})
 }
@@ -132,7 +132,7 @@
 }
 
 func (h *UserRequests) deferRequest(request *deferredRequest) {
-	if h.Replication.StoreUnavailable() || len(h.DeferredRequests) >= maxDeferredRequests {
+	if h.replication.StoreUnavailable() || len(h.DeferredRequests) >= maxDeferredRequests {
 		h.rejectUnavailable(request.requestID)
 		return
 	}
@@ -162,7 +162,7 @@
 
 func (h *UserRequests) OnReadRevisionResult(v step.ReadRevisionResult) {
 	h.revisionRead.isInFlight = false
-	answered := h.Store.RecordContact(h.revisionRead.requestedAt, v.Err)
+	answered := h.store.RecordContact(h.revisionRead.requestedAt, v.Err)
 	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, func(request *deferredRequest) bool {
 		if !request.isRevisionRequested || request.minRevision != 0 {
 			return false
@@ -183,7 +183,7 @@
 		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.Now.Monotonic})
 		return
 	}
-	if h.Replication.StoreUnavailable() || len(h.Catalog.MachineTypes) == 0 || len(h.Submissions) >= maxDeferredRequests {
+	if h.replication.StoreUnavailable() || len(h.catalog.MachineTypes) == 0 || len(h.Submissions) >= maxDeferredRequests {
 		h.rejectUnavailable(requestID)
 		return
 	}
@@ -207,8 +207,8 @@
 	if h.Config.AnnouncedLimits != nil {
 		format = storage.FormatPacked
 	}
-	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: h.Lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: h.Now.Wall}))
-	return size <= h.Limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
+	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: h.lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: h.Now.Wall}))
+	return size <= h.limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
 // maxJobRecordPercent is the part of a value, in hundredths, that a new job's record may take.
@@ -227,8 +227,8 @@
 	if quota.MaxCores > 0 && concurrentTasks*job.Cores > quota.MaxCores+1e-9 || quota.MaxAccelerators > 0 && concurrentTasks*job.Accelerators > quota.MaxAccelerators+1e-9 {
 		return false
 	}
-	for i := range h.Catalog.MachineTypes {
-		machineType := &h.Catalog.MachineTypes[i]
+	for i := range h.catalog.MachineTypes {
+		machineType := &h.catalog.MachineTypes[i]
 		for _, zone := range machineType.Zones {
 			if job.AllowsPlacement(machineType.Name, zone) && machineType.CanFitTask(job) {
 				return true
@@ -240,14 +240,14 @@
 
 // WriteUserRequests puts new and withdrawn jobs into the transaction.
 func (h *UserRequests) WriteUserRequests(b *commit.Batch) {
-	h.Cancellations.WriteCancellations(b)
+	h.cancellations.WriteCancellations(b)
 	for _, id := range step.SortedKeys(h.Submissions) {
 		pending := h.Submissions[id]
 		if h.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
 			continue
 		}
 		b.ReserveWrite(storage.JobKey(id), 700)
-		b.Jobs[id] = &storage.JobRecord{Spec: pending.job, Owner: h.Lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: pending.submittedAt}
+		b.Jobs[id] = &storage.JobRecord{Spec: pending.job, Owner: h.lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: pending.submittedAt}
 	}
 }
 
@@ -266,7 +266,7 @@
 				continue
 			}
 			// Written just now or by another node; at least queued.
-			if e.Record.Owner == h.Lease.Incarnation {
+			if e.Record.Owner == h.lease.Incarnation {
 				h.Log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
 				h.Reply(requestID, 201, h.jobStatus(id, &e.Record, false))
 			} else {
@@ -282,13 +282,13 @@
 	if h.replyIfFinal(request.requestID, request.requestType, request.jobID) {
 		return true
 	}
-	if request.awaitsCancellation || request.minRevision == 0 || h.Replica.Revision < request.minRevision || !h.Replication.IsLoaded {
+	if request.awaitsCancellation || request.minRevision == 0 || h.Replica.Revision < request.minRevision || !h.replication.IsLoaded {
 		return false
 	}
 	e := h.Replica.Jobs[request.jobID]
 	switch {
 	case e == nil && request.requestType == protocol.RequestSubmit:
-		if len(h.Catalog.MachineTypes) == 0 {
+		if len(h.catalog.MachineTypes) == 0 {
 			h.rejectUnavailable(request.requestID)
 		} else if h.canEverRun(request.job) {
 			h.onSubmit(request.requestID, request.job)
@@ -299,7 +299,7 @@
 	case e == nil:
 		h.Reply(request.requestID, 404, step.ErrorBody{Error: "no such job"})
 	case request.requestType == protocol.RequestCancel:
-		h.Cancellations.RequestCancellation(request.jobID)
+		h.cancellations.RequestCancellation(request.jobID)
 		request.awaitsCancellation = true
 		return false
 	default:
@@ -310,7 +310,7 @@
 
 // ExpireUserRequests gives up on requests whose user would not wait any longer.
 func (h *UserRequests) ExpireUserRequests() {
-	unavailable := h.Replication.StoreUnavailable()
+	unavailable := h.replication.StoreUnavailable()
 	for _, id := range step.SortedKeys(h.Submissions) {
 		pending := h.Submissions[id]
 		if unavailable || h.Since(pending.receivedAt) > h.Config.UserRequestTimeout {
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -12,10 +12,10 @@
 type Backfill struct {
 	*step.Context
 
-	Agents   *agents.Table
-	Capacity *CandidateLister
-	Catalog  *catalog.Catalog
-	Jobs     *agents.JobTable
+	agents   *agents.Table
+	capacity *CandidateLister
+	catalog  *catalog.Catalog
+	jobs     *agents.JobTable
 }
 
 // Tasks that can wait need no machine of their own where one that is in use will be
@@ -39,11 +39,11 @@
 	if alloc.Desc.IsService() {
 		return now.Add(unboundedRuntime)
 	}
-	startedAt, known := bp.Agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]
+	startedAt, known := bp.agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]
 	if !known {
 		startedAt = now
 	}
-	runtime := bp.Jobs.EstimatedRuntime(alloc.Job, alloc.Desc)
+	runtime := bp.jobs.EstimatedRuntime(alloc.Job, alloc.Desc)
 	endAt := startedAt.Add(runtime + bp.Config.HeartbeatInterval/4)
 	return max(endAt, now.Add(time.Duration(overrunFraction*float64(runtime))))
 }
@@ -62,7 +62,7 @@
 
 // maxCapacityWait is how long a job's tasks may wait for machines that are in use.
 func (bp *Backfill) maxCapacityWait(job *PendingJob) time.Duration {
-	boot := bp.Catalog.ShortestTime(job.Record.Spec, func(machineType *protocol.MachineType) time.Duration {
+	boot := bp.catalog.ShortestTime(job.Record.Spec, func(machineType *protocol.MachineType) time.Duration {
 		return protocol.Seconds(machineType.BootSeconds)
 	})
 	slack := time.Duration(0)
@@ -85,7 +85,7 @@
 		if reserved >= tasks {
 			break
 		}
-		if machine.isProvisioning || machine.IsUnschedulable || job.avoidedTypes[machine.Record.MachineType] || catalog.MachineTypeCapacity(machine.MachineType, d) == 0 || !bp.Capacity.IsMachineAllowed(d, machine) {
+		if machine.isProvisioning || machine.IsUnschedulable || job.avoidedTypes[machine.Record.MachineType] || catalog.MachineTypeCapacity(machine.MachineType, d) == 0 || !bp.capacity.IsMachineAllowed(d, machine) {
 			continue
 		}
 		if count := min(bp.capacityBy(machine, d, deadline), tasks-reserved); count > 0 {
--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -17,14 +17,14 @@
 type CandidateLister struct {
 	*step.Context
 
-	Agents      *agents.Table
-	Catalog     *catalog.Catalog
-	Lease       *commit.Lease
-	Provisioner *provisioning.Provisioner
-	Queue       *Queue
-	Spot        *catalog.SpotPricing
-	Terminator  *provisioning.Terminator
-	Transfers   *ownership.Transfers
+	agents      *agents.Table
+	catalog     *catalog.Catalog
+	lease       *commit.Lease
+	provisioner *provisioning.Provisioner
+	queue       *Queue
+	spot        *catalog.SpotPricing
+	terminator  *provisioning.Terminator
+	transfers   *ownership.Transfers
 
 	nextFleetLogAt protocol.Instant
 }
@@ -56,22 +56,22 @@
 
 // IsMachineAllowed tells whether the job's tasks may be on the machine at all.
 func (l *CandidateLister) IsMachineAllowed(j *protocol.Job, machine *Candidate) bool {
-	return j.AllowsPlacement(machine.Record.MachineType, machine.Record.Zone) && (!machine.Record.Spot || l.Spot.CanUseSpot(j, machine.MachineType))
+	return j.AllowsPlacement(machine.Record.MachineType, machine.Record.Zone) && (!machine.Record.Spot || l.spot.CanUseSpot(j, machine.MachineType))
 }
 
 // listCandidates lists the machines, with what is left on them.
 func (l *CandidateLister) listCandidates(b *commit.Batch) []*Candidate {
 	list := l.Replica.SortedMachines()
 	out := make([]*Candidate, 0, len(list)+16)
-	live := map[storage.Incarnation]bool{l.Lease.Incarnation: true}
+	live := map[storage.Incarnation]bool{l.lease.Incarnation: true}
 	for _, entry := range l.Replica.Controllers {
 		live[entry.Record.Incarnation] = true
 	}
 	machineTypes := map[protocol.MachineTypeName]*protocol.MachineType{}
-	for i := range l.Catalog.MachineTypes {
-		machineTypes[l.Catalog.MachineTypes[i].Name] = &l.Catalog.MachineTypes[i]
+	for i := range l.catalog.MachineTypes {
+		machineTypes[l.catalog.MachineTypes[i].Name] = &l.catalog.MachineTypes[i]
 	}
-	quiescedShards := l.Transfers.ShardsInTransfer(ownership.IsPrepared)
+	quiescedShards := l.transfers.ShardsInTransfer(ownership.IsPrepared)
 	precedences := map[*protocol.Job]int{}
 	for _, entry := range list {
 		id, record := entry.ID, &entry.Record
@@ -85,8 +85,8 @@
 		if machineType == nil {
 			continue
 		}
-		machine := &Candidate{ID: id, state: l.Agents.MachineStates[id], Record: record, MachineType: machineType, Resources: catalog.CapacityOf(machineType), isProvisioning: record.AgentEpoch == 0}
-		machine.IsUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || l.Terminator.Terminations[id] != nil
+		machine := &Candidate{ID: id, state: l.agents.MachineStates[id], Record: record, MachineType: machineType, Resources: catalog.CapacityOf(machineType), isProvisioning: record.AgentEpoch == 0}
+		machine.IsUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || l.terminator.Terminations[id] != nil
 		for i := range record.Assignments {
 			assigned := &record.Assignments[i]
 			j := b.JobRecord(assigned.Job)
@@ -96,7 +96,7 @@
 			}
 			precedence, ok := precedences[j.Spec]
 			if !ok {
-				precedence = l.Queue.precedenceOf(j.Spec)
+				precedence = l.queue.precedenceOf(j.Spec)
 				precedences[j.Spec] = precedence
 			}
 			n := assigned.Tasks.Len()
@@ -106,7 +106,7 @@
 		if record.Spot && !machine.IsUnschedulable {
 			age := step.MillisToDuration(l.Now.Wall - record.AddedAt)
 			machine.isNearSpotPeriodEnd = catalog.IsNearPeriodBoundary(id, age, l.Config.SpotPeriod, l.Config.SpotPeriodEndMargin)
-			if threshold := l.Spot.SpotThresholds[catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
+			if threshold := l.spot.SpotThresholds[catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
 				machine.IsUnschedulable = true
 			}
 		}
@@ -118,9 +118,9 @@
 // provisioningCandidates lists the machines of rental requests that are on no record yet.
 func (l *CandidateLister) provisioningCandidates() []*Candidate {
 	var out []*Candidate
-	for _, name := range step.SortedKeys(l.Provisioner.Requests) {
-		request := l.Provisioner.Requests[name]
-		machineType := l.Catalog.MachineType(request.Request.Type)
+	for _, name := range step.SortedKeys(l.provisioner.Requests) {
+		request := l.provisioner.Requests[name]
+		machineType := l.catalog.MachineType(request.Request.Type)
 		if machineType == nil {
 			continue
 		}
@@ -173,7 +173,7 @@
 		byPool[key].cores += machine.MachineType.Cores
 		byPool[key].used += machine.MachineType.Cores - machine.Cores
 	}
-	for key, threshold := range l.Spot.SpotThresholds {
+	for key, threshold := range l.spot.SpotThresholds {
 		l.Log(slog.LevelDebug, "spot price threshold", "machine_type", string(key.MachineType), "zone", string(key.Zone), "price", threshold.SpotPrice, "threshold", threshold.Value(), "spot_allowed", threshold.AllowsSpot())
 	}
 	for key, total := range byPool {
@@ -184,6 +184,6 @@
 // AwaitsHeartbeat tells whether what is written to a machine goes out with its next
 // report only: none of it waits for an answer here.
 func (l *CandidateLister) AwaitsHeartbeat(machine *Candidate) bool {
-	state := l.Agents.MachineStates[machine.ID]
-	return machine.Record.Owner == l.Lease.Incarnation && state != nil && state.DeferredRequest == 0
+	state := l.agents.MachineStates[machine.ID]
+	return machine.Record.Owner == l.lease.Incarnation && state != nil && state.DeferredRequest == 0
 }
--- a/internal/coordination/scheduling/contention.go
+++ b/internal/coordination/scheduling/contention.go
@@ -14,10 +14,10 @@
 type ContentionTracker struct {
 	*step.Context
 
-	Catalog     *catalog.Catalog
-	Plan        *Plan
-	Provisioner *provisioning.Provisioner
-	Spot        *catalog.SpotPricing
+	catalog     *catalog.Catalog
+	plan        *Plan
+	provisioner *provisioning.Provisioner
+	spot        *catalog.SpotPricing
 
 	lastContendedAt map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of a type
 }
@@ -68,13 +68,13 @@
 // provisionOptions lists how a job could be served, cheapest first.
 func (ct *ContentionTracker) provisionOptions(d *protocol.Job) []provisionOption {
 	var options []provisionOption
-	for i := range ct.Catalog.MachineTypes {
-		machineType := &ct.Catalog.MachineTypes[i]
+	for i := range ct.catalog.MachineTypes {
+		machineType := &ct.catalog.MachineTypes[i]
 		tasks := float64(catalog.MachineTypeCapacity(machineType, d))
 		if tasks == 0 {
 			continue
 		}
-		if ct.Spot.CanUseSpot(d, machineType) {
+		if ct.spot.CanUseSpot(d, machineType) {
 			options = append(options, provisionOption{machineType: machineType, costPerTask: machineType.SpotPrice / tasks, isAvailable: ct.isTypeAvailable(machineType, d, true)})
 		}
 		options = append(options, provisionOption{machineType: machineType, costPerTask: machineType.OnDemandPrice / tasks, isAvailable: ct.isTypeAvailable(machineType, d, false)})
@@ -87,21 +87,21 @@
 // job allows.
 func (ct *ContentionTracker) isTypeAvailable(machineType *protocol.MachineType, d *protocol.Job, spot bool) bool {
 	return slices.ContainsFunc(machineType.Zones, func(zone protocol.Zone) bool {
-		return d.AllowsPlacement(machineType.Name, zone) && !ct.Provisioner.IsPoolExhausted(provisioning.PoolKey{MachineType: machineType.Name, Zone: zone, Spot: spot})
+		return d.AllowsPlacement(machineType.Name, zone) && !ct.provisioner.IsPoolExhausted(provisioning.PoolKey{MachineType: machineType.Name, Zone: zone, Spot: spot})
 	})
 }
 
 // TypesToAvoid lists the types that a job leaves to others which wait for them.
 func (ct *ContentionTracker) TypesToAvoid(job *PendingJob) map[protocol.MachineTypeName]bool {
 	avoided := map[protocol.MachineTypeName]bool{}
-	if len(ct.Plan.ContendedTypes) == 0 {
+	if len(ct.plan.ContendedTypes) == 0 {
 		return avoided
 	}
 	preferred, bootsInTime := ct.preferredTypes(job)
 	if !bootsInTime {
 		return avoided
 	}
-	for name := range ct.Plan.ContendedTypes {
+	for name := range ct.plan.ContendedTypes {
 		if !slices.Contains(preferred, name) {
 			avoided[name] = true
 		}
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -17,15 +17,15 @@
 type GangScheduler struct {
 	*step.Context
 
-	Acquirer   *JobAcquirer
-	Capacity   *CandidateLister
-	Catalog    *catalog.Catalog
-	Jobs       *agents.JobTable
-	Limits     *commit.WriteLimiter
-	Plan       *Plan
-	Preemption *Preemptor
-	Queue      *Queue
-	Scheduler  *Scheduler
+	acquirer   *JobAcquirer
+	capacity   *CandidateLister
+	catalog    *catalog.Catalog
+	jobs       *agents.JobTable
+	limits     *commit.WriteLimiter
+	plan       *Plan
+	preemption *Preemptor
+	queue      *Queue
+	scheduler  *Scheduler
 }
 
 // placeGang places all tasks of a gang that are not done, or none.
@@ -37,12 +37,12 @@
 		g.completeGangPlacement(b, job, candidates)
 		return
 	}
-	if remaining <= 0 || g.Queue.quotaHeadroom(candidates, d) < remaining {
+	if remaining <= 0 || g.queue.quotaHeadroom(candidates, d) < remaining {
 		return
 	}
 	zones := []protocol.Zone{""}
 	if d.SingleZone {
-		zones = g.Catalog.Zones()
+		zones = g.catalog.Zones()
 	}
 	best := g.chooseGangPlacement(b, job, candidates, zones, remaining)
 	switch {
@@ -53,8 +53,8 @@
 	default:
 		for _, p := range best {
 			job.recordAllocation(p.machine, p.count, 0)
-			g.Plan.retainedMachines[p.machine.ID] = true
-			g.Plan.pendingPlacements[p.machine.ID] = true
+			g.plan.retainedMachines[p.machine.ID] = true
+			g.plan.pendingPlacements[p.machine.ID] = true
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	for _, machine := range candidates {
 		for _, alloc := range machine.Allocations {
 			if alloc.Job == job.ID {
-				g.Plan.retainedMachines[machine.ID] = true
+				g.plan.retainedMachines[machine.ID] = true
 			}
 		}
 	}
@@ -82,14 +82,14 @@
 		}
 	}
 	d := job.Record.Spec
-	if reservation := g.Preemption.currentReservation(job, candidates, tasks); reservation != nil {
+	if reservation := g.preemption.currentReservation(job, candidates, tasks); reservation != nil {
 		if slices.ContainsFunc(reservation, func(p placement) bool { return p.machine.CapacityFor(d) < p.count }) {
 			return nil // once it is empty
 		}
 		return reservation
 	}
-	if best != nil && g.Preemption.fitsJobRecord(best) && (g.wouldDelayGang(best, d, true) && g.Preemption.cheapestPreemption(job, candidates, zones, tasks, true) != nil ||
-		g.wouldDelayGang(best, d, false) && g.Preemption.cheapestPreemption(job, candidates, zones, tasks, false) != nil) {
+	if best != nil && g.preemption.fitsJobRecord(best) && (g.wouldDelayGang(best, d, true) && g.preemption.cheapestPreemption(job, candidates, zones, tasks, true) != nil ||
+		g.wouldDelayGang(best, d, false) && g.preemption.cheapestPreemption(job, candidates, zones, tasks, false) != nil) {
 		return nil
 	}
 	return best
@@ -98,7 +98,7 @@
 // canWriteGang tells whether this run writes the choice now. A gang too large for one
 // transaction is written in several; nobody starts a task of it before the last one.
 func (g *GangScheduler) canWriteGang(b *commit.Batch, job *PendingJob, placements []placement) bool {
-	canWrite := g.Acquirer.canWritePlacements(b, job) && g.Now.Monotonic >= g.Jobs.JobState(job.ID).NotBefore
+	canWrite := g.acquirer.canWritePlacements(b, job) && g.Now.Monotonic >= g.jobs.JobState(job.ID).NotBefore
 	var ids []protocol.MachineID
 	for _, p := range placements {
 		if p.machine.isProvisioning {
@@ -114,53 +114,53 @@
 	if requiredOps == 0 || fits {
 		return true
 	}
-	if g.Plan.PendingGangOps == 0 {
-		g.Plan.PendingGangOps = requiredOps + g.Limits.ReservedUserTokens()
+	if g.plan.PendingGangOps == 0 {
+		g.plan.PendingGangOps = requiredOps + g.limits.ReservedUserTokens()
 	}
 	return false
 }
 
 // writeGangPlacement writes as much of the choice as the transaction takes.
 func (g *GangScheduler) writeGangPlacement(b *commit.Batch, job *PendingJob, placements []placement, tasks int) {
-	pending := g.Acquirer.pendingTasks(b, job, tasks)
-	attempt := g.Jobs.JobState(job.ID).NextAttempt
-	b.OnSend = append(b.OnSend, func() { g.Jobs.JobState(job.ID).GangAttemptInProgress = attempt })
+	pending := g.acquirer.pendingTasks(b, job, tasks)
+	attempt := g.jobs.JobState(job.ID).NextAttempt
+	b.OnSend = append(b.OnSend, func() { g.jobs.JobState(job.ID).GangAttemptInProgress = attempt })
 	for _, p := range placements {
-		if g.Scheduler.fitsTransaction(b, p.machine, job.Record.Spec) {
+		if g.scheduler.fitsTransaction(b, p.machine, job.Record.Spec) {
 			b.AssignTasks(p.machine.ID, job.ID, pending[:p.count], attempt)
-			g.Scheduler.expedite(b, p.machine.ID)
-			g.Scheduler.recordPlacement(b, job, p.machine, p.count, attempt)
+			g.scheduler.expedite(b, p.machine.ID)
+			g.scheduler.recordPlacement(b, job, p.machine, p.count, attempt)
 		}
 		pending = pending[p.count:]
 		job.recordAllocation(p.machine, p.count, attempt)
-		g.Plan.retainedMachines[p.machine.ID] = true
+		g.plan.retainedMachines[p.machine.ID] = true
 	}
 }
 
 // completeGangPlacement writes what is missing of a gang that did not fit one transaction.
 func (g *GangScheduler) completeGangPlacement(b *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	remaining := job.Record.Spec.TaskCount - job.doneTasks - job.placedTasks
-	state := g.Jobs.JobState(job.ID)
+	state := g.jobs.JobState(job.ID)
 	if remaining <= 0 {
 		state.GangAttemptInProgress = 0
 	}
-	if remaining <= 0 || !g.Acquirer.canWritePlacements(b, job) {
+	if remaining <= 0 || !g.acquirer.canWritePlacements(b, job) {
 		return
 	}
-	attempt := g.Jobs.HighestAttempt(job.ID, b)
+	attempt := g.jobs.HighestAttempt(job.ID, b)
 	// Only an attempt that is still being written. One that has lost a task is
 	// not mended: its other tasks end, and the gang starts anew as a whole.
 	if attempt == 0 || attempt != state.GangAttemptInProgress || job.Record.GracefulStopAttempt >= attempt || state.GangIncompleteAt != 0 && g.Since(state.GangIncompleteAt) > 2*time.Second {
 		return
 	}
 	for _, p := range g.distributeGang(b, job, candidates, job.pinnedZone(), remaining, nil) {
-		if p.machine.isProvisioning || !g.Scheduler.fitsTransaction(b, p.machine, job.Record.Spec) {
+		if p.machine.isProvisioning || !g.scheduler.fitsTransaction(b, p.machine, job.Record.Spec) {
 			return
 		}
-		pending := g.Acquirer.pendingTasks(b, job, p.count)
+		pending := g.acquirer.pendingTasks(b, job, p.count)
 		b.AssignTasks(p.machine.ID, job.ID, pending, attempt)
-		g.Scheduler.expedite(b, p.machine.ID)
-		g.Scheduler.recordPlacement(b, job, p.machine, len(pending), attempt)
+		g.scheduler.expedite(b, p.machine.ID)
+		g.scheduler.recordPlacement(b, job, p.machine, len(pending), attempt)
 		job.recordAllocation(p.machine, len(pending), attempt)
 	}
 }
@@ -189,13 +189,13 @@
 	d := job.Record.Spec
 	machines := candidates
 	if capacity == nil {
-		machines = g.Scheduler.rankedCandidates(b, job, false)
+		machines = g.scheduler.rankedCandidates(b, job, false)
 	}
 	for _, machine := range machines {
 		if tasks == 0 {
 			break
 		}
-		if zone != "" && machine.Record.Zone != zone || machine.IsUnschedulable || !g.Capacity.IsMachineAllowed(d, machine) {
+		if zone != "" && machine.Record.Zone != zone || machine.IsUnschedulable || !g.capacity.IsMachineAllowed(d, machine) {
 			continue
 		}
 		count := machine.CapacityFor(d)
@@ -230,25 +230,25 @@
 // down: if every owner chose for itself, two could make room for one gang.
 func (g *GangScheduler) preemptForGang(b *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int) {
 	d := job.Record.Spec
-	canWrite := g.Acquirer.canWritePlacements(b, job)
-	placements := g.Preemption.currentReservation(job, candidates, tasks)
+	canWrite := g.acquirer.canWritePlacements(b, job)
+	placements := g.preemption.currentReservation(job, candidates, tasks)
 	if placements == nil && job.IsStarved {
 		if g.reserveMachines(b, job, candidates, zones, tasks) && canWrite {
-			g.Plan.unmetDemands = append(g.Plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: tasks, Zone: d.Zone, Order: job.precedence, SubmittedAt: job.Record.SubmittedAt, Urgent: true})
+			g.plan.unmetDemands = append(g.plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: tasks, Zone: d.Zone, Order: job.precedence, SubmittedAt: job.Record.SubmittedAt, Urgent: true})
 		}
-		if g.Plan.reservedPrecedences[job.precedence] {
+		if g.plan.reservedPrecedences[job.precedence] {
 			return
 		}
 	}
 	if placements == nil && canWrite {
-		if placements = g.Preemption.cheapestPreemption(job, candidates, zones, tasks, true); placements == nil {
-			placements = g.Preemption.cheapestPreemption(job, candidates, zones, tasks, false)
+		if placements = g.preemption.cheapestPreemption(job, candidates, zones, tasks, true); placements == nil {
+			placements = g.preemption.cheapestPreemption(job, candidates, zones, tasks, false)
 		}
-		if !g.Preemption.fitsJobRecord(placements) {
+		if !g.preemption.fitsJobRecord(placements) {
 			placements = nil
 		}
 		if placements == nil {
-			g.Plan.unmetDemands = append(g.Plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: tasks, Zone: d.Zone, Order: job.precedence, SubmittedAt: job.Record.SubmittedAt, Urgent: true})
+			g.plan.unmetDemands = append(g.plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: tasks, Zone: d.Zone, Order: job.precedence, SubmittedAt: job.Record.SubmittedAt, Urgent: true})
 		} else if b.HasCapacity(b.WritesNeeded("", job.ID)) {
 			recordReservation(b, job.ID, placements, "preemption planned for gang")
 		}
@@ -256,17 +256,17 @@
 	reserved := g.Replica.Jobs[job.ID].Record.ReservedMachines
 	for _, p := range placements {
 		simulated := *p.machine
-		for _, alloc := range g.Preemption.victims(p.machine, job) {
+		for _, alloc := range g.preemption.victims(p.machine, job) {
 			if simulated.CapacityFor(d) >= p.count {
 				break
 			}
 			simulated.Allocate(alloc.Desc, -alloc.Count)
 			if alloc.Attempt > 0 && slices.Contains(reserved, p.machine.ID) {
-				g.Preemption.preemptTasks(p.machine, alloc, job, alloc.Count)
+				g.preemption.preemptTasks(p.machine, alloc, job, alloc.Count)
 			}
 		}
 		job.recordAllocation(p.machine, p.count, 0)
-		g.Plan.retainedMachines[p.machine.ID] = true
+		g.plan.retainedMachines[p.machine.ID] = true
 	}
 }
 
@@ -276,7 +276,7 @@
 // of a rank at a time, so that few machines run empty. It tells whether the job
 // is the one. The choice is on record, so that all controllers keep to it.
 func (g *GangScheduler) reserveMachines(b *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int) bool {
-	if g.Plan.reservedPrecedences[job.precedence] {
+	if g.plan.reservedPrecedences[job.precedence] {
 		return false
 	}
 	d := job.Record.Spec
@@ -303,7 +303,7 @@
 	}
 	placements := distribute(job.reservedCandidates(candidates))
 	if placements == nil {
-		if !g.Acquirer.canWritePlacements(b, job) || !b.HasCapacity(b.WritesNeeded("", job.ID)) {
+		if !g.acquirer.canWritePlacements(b, job) || !b.HasCapacity(b.WritesNeeded("", job.ID)) {
 			return false
 		}
 		// Those that are emptiest, and where what runs has run longest.
@@ -311,20 +311,20 @@
 		cost := map[*Candidate]float64{}
 		for _, machine := range machines {
 			for _, alloc := range machine.Allocations {
-				cost[machine] += float64(alloc.Count) * alloc.Desc.Cores / machine.MachineType.Cores * g.Preemption.expectedRemainingSeconds(machine, alloc)
+				cost[machine] += float64(alloc.Count) * alloc.Desc.Cores / machine.MachineType.Cores * g.preemption.expectedRemainingSeconds(machine, alloc)
 			}
 		}
 		slices.SortStableFunc(machines, func(a, z *Candidate) int { return cmp.Compare(cost[a], cost[z]) })
-		if placements = distribute(machines); placements == nil || !g.Preemption.fitsJobRecord(placements) {
+		if placements = distribute(machines); placements == nil || !g.preemption.fitsJobRecord(placements) {
 			return false
 		}
 		recordReservation(b, job.ID, placements, "machines reserved for starved job")
 	}
-	g.Plan.reservedPrecedences[job.precedence] = true
+	g.plan.reservedPrecedences[job.precedence] = true
 	for _, p := range placements {
 		p.machine.IsUnschedulable = true
 		p.machine.Cores = 0
-		g.Plan.retainedMachines[p.machine.ID] = true
+		g.plan.retainedMachines[p.machine.ID] = true
 	}
 	return true
 }
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -16,34 +16,34 @@
 type JobAcquirer struct {
 	*step.Context
 
-	Jobs      *agents.JobTable
-	Lease     *commit.Lease
-	Limits    *commit.WriteLimiter
-	Ownership *ownership.Manager
+	jobs      *agents.JobTable
+	lease     *commit.Lease
+	limits    *commit.WriteLimiter
+	ownership *ownership.Manager
 }
 
 // acquireJob takes over jobs whose claimant is dead, and sets attempts aside.
 func (ja *JobAcquirer) acquireJob(b *commit.Batch, job *PendingJob) {
-	state := ja.Jobs.JobState(job.ID)
-	if job.Record.Owner == ja.Lease.Incarnation {
-		if state.AttemptsOwner != ja.Lease.Incarnation || job.Record.NextAttempt > state.AttemptsEnd {
-			state.AttemptsOwner, state.NextAttempt, state.AttemptsEnd = ja.Lease.Incarnation, job.Record.NextAttempt-step.AttemptBlockSize+1, job.Record.NextAttempt
+	state := ja.jobs.JobState(job.ID)
+	if job.Record.Owner == ja.lease.Incarnation {
+		if state.AttemptsOwner != ja.lease.Incarnation || job.Record.NextAttempt > state.AttemptsEnd {
+			state.AttemptsOwner, state.NextAttempt, state.AttemptsEnd = ja.lease.Incarnation, job.Record.NextAttempt-step.AttemptBlockSize+1, job.Record.NextAttempt
 		}
 		if state.AttemptsEnd-state.NextAttempt > 8 {
 			return
 		}
-	} else if expiredAt, isExpired := ja.Ownership.ExpiredAt[job.Record.Owner]; !isExpired || ja.Since(expiredAt) < 500*time.Millisecond ||
-		!ja.Ownership.IsSuccessor(storage.JobKey(job.ID)) && ja.Since(expiredAt) < 10*time.Second {
+	} else if expiredAt, isExpired := ja.ownership.ExpiredAt[job.Record.Owner]; !isExpired || ja.Since(expiredAt) < 500*time.Millisecond ||
+		!ja.ownership.IsSuccessor(storage.JobKey(job.ID)) && ja.Since(expiredAt) < 10*time.Second {
 		return
 	}
 	if !b.HasCapacity(b.WritesNeeded("", job.ID)) {
 		return
 	}
 	record := b.MutableJob(job.ID)
-	if record.Owner != ja.Lease.Incarnation {
+	if record.Owner != ja.lease.Incarnation {
 		b.Log(slog.LevelInfo, "job acquired", "job", string(job.ID), "source", string(record.Owner))
 	}
-	record.Owner = ja.Lease.Incarnation
+	record.Owner = ja.lease.Incarnation
 	record.NextAttempt += step.AttemptBlockSize
 	job.Record = record
 }
@@ -52,9 +52,9 @@
 // must have all that was written before the claim.
 func (ja *JobAcquirer) canWritePlacements(b *commit.Batch, job *PendingJob) bool {
 	entry := ja.Replica.Jobs[job.ID]
-	state := ja.Jobs.JobState(job.ID)
-	return entry != nil && entry.Record.Owner == ja.Lease.Incarnation && state.AttemptsOwner == ja.Lease.Incarnation && state.NextAttempt < state.AttemptsEnd &&
-		ja.Replica.Revision >= protocol.Revision(entry.ModRevision) && b.JobRecord(job.ID).Owner == ja.Lease.Incarnation
+	state := ja.jobs.JobState(job.ID)
+	return entry != nil && entry.Record.Owner == ja.lease.Incarnation && state.AttemptsOwner == ja.lease.Incarnation && state.NextAttempt < state.AttemptsEnd &&
+		ja.Replica.Revision >= protocol.Revision(entry.ModRevision) && b.JobRecord(job.ID).Owner == ja.lease.Incarnation
 }
 
 // pendingTasks lists up to max tasks that are neither done nor assigned, in order.
@@ -82,8 +82,8 @@
 // it can be written, in whatever order they end.
 func (ja *JobAcquirer) maxTasksInProgress(tasks int) int {
 	intervalSize := 2*len(strconv.Itoa(tasks)) + 2 // "lo-hi,"
-	budget := ja.Limits.JobRecordBudget()
-	if ja.Limits.StorageFormat() >= storage.FormatPacked {
+	budget := ja.limits.JobRecordBudget()
+	if ja.limits.StorageFormat() >= storage.FormatPacked {
 		if tasks/6 <= budget { // a bit each, as base64
 			return tasks
 		}
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -18,18 +18,18 @@
 type Scheduler struct {
 	*step.Context
 
-	Acquirer   *JobAcquirer
-	Backfill   *Backfill
-	Capacity   *CandidateLister
-	Catalog    *catalog.Catalog
-	Contention *ContentionTracker
-	Gangs      *GangScheduler
-	Jobs       *agents.JobTable
-	Lease      *commit.Lease
-	Plan       *Plan
-	Queue      *Queue
-	Commits    *commit.Committer
-	Services   *ServiceScheduler
+	acquirer   *JobAcquirer
+	backfill   *Backfill
+	capacity   *CandidateLister
+	catalog    *catalog.Catalog
+	contention *ContentionTracker
+	gangs      *GangScheduler
+	jobs       *agents.JobTable
+	lease      *commit.Lease
+	plan       *Plan
+	queue      *Queue
+	commits    *commit.Committer
+	services   *ServiceScheduler
 
 	WarmPool warmPool
 }
@@ -67,22 +67,22 @@
 // that belongs to jobs claimed by this run. Jobs that others have claimed are
 // planned just the same, so that all nodes keep the same room for them.
 func (s *Scheduler) PlacePendingJobs(b *commit.Batch) {
-	s.Plan.computedAt = s.Now.Monotonic
-	s.Plan.retainedMachines = map[protocol.MachineID]bool{}
-	s.Plan.HasPendingRemotePlacements = false
-	s.Plan.pendingPlacements = map[protocol.MachineID]bool{}
-	s.Plan.unmetDemands = s.Plan.unmetDemands[:0]
-	if len(s.Catalog.MachineTypes) == 0 {
+	s.plan.computedAt = s.Now.Monotonic
+	s.plan.retainedMachines = map[protocol.MachineID]bool{}
+	s.plan.HasPendingRemotePlacements = false
+	s.plan.pendingPlacements = map[protocol.MachineID]bool{}
+	s.plan.unmetDemands = s.plan.unmetDemands[:0]
+	if len(s.catalog.MachineTypes) == 0 {
 		return
 	}
-	candidates := s.Capacity.listCandidates(b)
-	s.Capacity.logFleet(candidates)
-	s.Plan.reservedPrecedences = map[int]bool{}
-	s.Plan.availableCandidates = slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool { return machine.IsUnschedulable })
-	jobs := s.Queue.ListPendingJobs(b, candidates)
+	candidates := s.capacity.listCandidates(b)
+	s.capacity.logFleet(candidates)
+	s.plan.reservedPrecedences = map[int]bool{}
+	s.plan.availableCandidates = slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool { return machine.IsUnschedulable })
+	jobs := s.queue.ListPendingJobs(b, candidates)
 	s.WarmPool.Observe(s.Now.Monotonic, jobs)
-	s.WarmPool.SelectRetained(candidates, s.Capacity.IsMachineAllowed)
-	s.Plan.ContendedTypes = s.Contention.ContendedTypes()
+	s.WarmPool.SelectRetained(candidates, s.capacity.IsMachineAllowed)
+	s.plan.ContendedTypes = s.contention.ContendedTypes()
 	s.placeLongRunningArrays(b, jobs, candidates)
 	for len(jobs) > 0 {
 		n := 1
@@ -101,12 +101,12 @@
 // for it. Elsewhere the order of dues alone serves better.
 func (s *Scheduler) placeSamePrecedence(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	for _, job := range jobs {
-		s.Acquirer.acquireJob(b, job)
+		s.acquirer.acquireJob(b, job)
 		if job.Record.Spec.IsGang() {
-			s.Gangs.placeGang(b, job, candidates)
+			s.gangs.placeGang(b, job, candidates)
 		} else if job.Record.Spec.IsService() {
-			s.Services.placeReplicas(b, job, candidates)
-		} else if len(jobs) > 1 && s.Commits.IsPartial {
+			s.services.placeReplicas(b, job, candidates)
+		} else if len(jobs) > 1 && s.commits.IsPartial {
 			s.placeArray(b, job, candidates, protocol.MaxTasks, true)
 		}
 	}
@@ -141,7 +141,7 @@
 		coresPerTask := max(job.Record.Spec.Cores, 0.01)
 		remainingCores -= float64(job.placedTasks) * coresPerTask
 		if n := int(remainingCores / coresPerTask); n > 0 {
-			s.Acquirer.acquireJob(b, job)
+			s.acquirer.acquireJob(b, job)
 			before := job.placedTasks
 			s.placeArray(b, job, candidates, n, false)
 			remainingCores -= float64(job.placedTasks-before) * coresPerTask
@@ -161,7 +161,7 @@
 	}
 	m := machine.state
 	if j.IsService() {
-		score += s.Services.imageFetchTime(machine, j).Seconds()
+		score += s.services.imageFetchTime(machine, j).Seconds()
 	} else if !m.HasImage(j.Image) {
 		score += min(catalog.ImageFetchSeconds(machine.MachineType, j), 60)
 	}
@@ -200,17 +200,17 @@
 		s float64
 	}
 	var ranked []scored
-	available := s.Plan.availableCandidates[:0]
-	for _, r := range s.Plan.availableCandidates {
+	available := s.plan.availableCandidates[:0]
+	for _, r := range s.plan.availableCandidates {
 		if r.Cores <= catalog.Epsilon || r.MemoryGB <= catalog.Epsilon {
 			continue // full by now, for all that come later
 		}
 		available = append(available, r)
-		if !job.avoidedTypes[r.Record.MachineType] && (!ownerShardsOnly || r.Record.Owner == job.Record.Owner) && r.CapacityFor(job.Record.Spec) > 0 && s.Capacity.IsMachineAllowed(job.Record.Spec, r) {
+		if !job.avoidedTypes[r.Record.MachineType] && (!ownerShardsOnly || r.Record.Owner == job.Record.Owner) && r.CapacityFor(job.Record.Spec) > 0 && s.capacity.IsMachineAllowed(job.Record.Spec, r) {
 			ranked = append(ranked, scored{r, s.score(b, job, r)})
 		}
 	}
-	s.Plan.availableCandidates = available
+	s.plan.availableCandidates = available
 	slices.SortFunc(ranked, func(a, z scored) int {
 		return cmp.Or(cmp.Compare(a.s, z.s), cmp.Compare(a.r.Record.Shard, z.r.Record.Shard), cmp.Compare(a.r.ID, z.r.ID))
 	})
@@ -239,19 +239,19 @@
 	}
 	// The written form of what is done must stay within a value: gaps in it
 	// are bounded by the tasks under way.
-	limit := min(remaining, maxTasks, s.Queue.quotaHeadroom(candidates, d), max(s.Acquirer.maxTasksInProgress(d.TaskCount)-job.placedTasks, 0))
-	canWrite := s.Acquirer.canWritePlacements(b, job)
-	state := s.Jobs.JobState(job.ID)
+	limit := min(remaining, maxTasks, s.queue.quotaHeadroom(candidates, d), max(s.acquirer.maxTasksInProgress(d.TaskCount)-job.placedTasks, 0))
+	canWrite := s.acquirer.canWritePlacements(b, job)
+	state := s.jobs.JobState(job.ID)
 	if canWrite && s.Now.Monotonic < state.NotBefore {
 		canWrite = false
 	}
 	var pending []int
 	if canWrite {
-		pending = s.Acquirer.pendingTasks(b, job, limit)
+		pending = s.acquirer.pendingTasks(b, job, limit)
 		limit = min(limit, len(pending))
 	}
 	if job.avoidedTypes == nil {
-		job.avoidedTypes = s.Contention.TypesToAvoid(job)
+		job.avoidedTypes = s.contention.TypesToAvoid(job)
 	}
 	for _, machine := range s.rankedCandidates(b, job, ownerShardsOnly) {
 		if limit <= 0 {
@@ -278,7 +278,7 @@
 	}
 	if job.IsStarved && job.placedTasks == 0 && limit > 0 {
 		// Its tasks fit into no gap that others leave: some machines are emptied.
-		s.Gangs.reserveMachines(b, job, candidates, []protocol.Zone{""}, min(limit, 4))
+		s.gangs.reserveMachines(b, job, candidates, []protocol.Zone{""}, min(limit, 4))
 	}
 	if n := min(remaining, limit); n > 0 && maxTasks == protocol.MaxTasks {
 		s.recordUnplaced(job, candidates, n)
@@ -289,31 +289,31 @@
 // are those, where this run writes the job's placements at all.
 func (s *Scheduler) planTasks(b *commit.Batch, job *PendingJob, machine *Candidate, n int, writeNow bool, tasks []int) {
 	if writeNow {
-		attempt := s.Jobs.JobState(job.ID).NextAttempt
+		attempt := s.jobs.JobState(job.ID).NextAttempt
 		b.AssignTasks(machine.ID, job.ID, tasks, attempt)
 		s.recordPlacement(b, job, machine, n, attempt)
 		// Whether a report waits at another owner is not known here: a replica can't wait
 		// for the next one.
-		if s.Queue.ShouldExpedite(job) && (s.Capacity.AwaitsHeartbeat(machine) || job.Record.Spec.IsService() && machine.Record.Owner != s.Lease.Incarnation) {
+		if s.queue.ShouldExpedite(job) && (s.capacity.AwaitsHeartbeat(machine) || job.Record.Spec.IsService() && machine.Record.Owner != s.lease.Incarnation) {
 			s.expedite(b, machine.ID)
 		}
 	} else {
-		s.Plan.HasPendingRemotePlacements = s.Plan.HasPendingRemotePlacements || tasks != nil && machine.Record.Owner != s.Lease.Incarnation && !machine.isProvisioning
-		s.Plan.pendingPlacements[machine.ID] = true
+		s.plan.HasPendingRemotePlacements = s.plan.HasPendingRemotePlacements || tasks != nil && machine.Record.Owner != s.lease.Incarnation && !machine.isProvisioning
+		s.plan.pendingPlacements[machine.ID] = true
 	}
 	job.recordAllocation(machine, n, 0)
-	s.Plan.retainedMachines[machine.ID] = true
+	s.plan.retainedMachines[machine.ID] = true
 }
 
 // recordUnplaced takes in that n tasks of an array have found no machine. What can wait for
 // machines in use does so; the rest is demand.
 func (s *Scheduler) recordUnplaced(job *PendingJob, candidates []*Candidate, n int) {
-	s.Contention.RecordContention(job)
+	s.contention.RecordContention(job)
 	if !job.IsUrgent {
-		n -= s.Backfill.ReserveBackfill(job, candidates, n)
+		n -= s.backfill.ReserveBackfill(job, candidates, n)
 	}
-	if n > 0 && job.Record.Owner == s.Lease.Incarnation {
-		s.Plan.unmetDemands = append(s.Plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: job.Record.Spec, Tasks: n, Zone: job.pinnedZone(), Order: job.precedence,
+	if n > 0 && job.Record.Owner == s.lease.Incarnation {
+		s.plan.unmetDemands = append(s.plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: job.Record.Spec, Tasks: n, Zone: job.pinnedZone(), Order: job.precedence,
 			SubmittedAt: job.Record.SubmittedAt, Urgent: job.IsUrgent})
 	}
 }
@@ -351,7 +351,7 @@
 		b.ReserveWrite(storage.QuotaKey(d.Team), 100)
 		b.Teams[d.Team] = true
 	}
-	state := s.Jobs.JobState(job.ID)
+	state := s.jobs.JobState(job.ID)
 	b.OnSend = append(b.OnSend, func() {
 		state.NextAttempt = max(state.NextAttempt, attempt+1)
 		// A job whose tasks come back again and again is tried ever less often:
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -15,11 +15,11 @@
 type Preemptor struct {
 	*step.Context
 
-	Agents  *agents.Table
-	Gangs   *GangScheduler
-	Lease   *commit.Lease
-	Limits  *commit.WriteLimiter
-	Stopper *agents.TaskStopper
+	agents  *agents.Table
+	gangs   *GangScheduler
+	lease   *commit.Lease
+	limits  *commit.WriteLimiter
+	stopper *agents.TaskStopper
 }
 
 // expectedRemainingSeconds is for how many seconds more tasks are expected to run.
@@ -32,7 +32,7 @@
 
 // runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
 func (p *Preemptor) runningSeconds(machine *Candidate, alloc Allocation) float64 {
-	if assignedAt, ok := p.Agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]; ok {
+	if assignedAt, ok := p.agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]; ok {
 		return p.Since(assignedAt).Seconds()
 	}
 	return 0
@@ -41,7 +41,7 @@
 // fitsJobRecord tells whether a choice of machines fits the job's record. One that
 // does not would be refused with all else that is in its transaction.
 func (p *Preemptor) fitsJobRecord(placements []placement) bool {
-	return len(placements) <= p.Limits.JobRecordBudget()/14
+	return len(placements) <= p.limits.JobRecordBudget()/14
 }
 
 // capacityAfterPreemption tells how many tasks of the gang fit once what ranks lower is gone.
@@ -61,7 +61,7 @@
 	if len(job.Record.ReservedMachines) == 0 {
 		return nil
 	}
-	return p.Gangs.distributeGang(nil, job, job.reservedCandidates(candidates), "", tasks, func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) })
+	return p.gangs.distributeGang(nil, job, job.reservedCandidates(candidates), "", tasks, func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) })
 }
 
 // cheapestPreemption chooses the machines on which the least work is lost.
@@ -79,7 +79,7 @@
 	}
 	sort.SliceStable(machines, func(i, k int) bool { return cost[machines[i]] < cost[machines[k]] })
 	for _, zone := range zones {
-		if placements := p.Gangs.distributeGang(nil, job, machines, zone, tasks, func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }); placements != nil {
+		if placements := p.gangs.distributeGang(nil, job, machines, zone, tasks, func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }); placements != nil {
 			return placements
 		}
 	}
@@ -136,15 +136,15 @@
 // preemptTasks stops up to most of a job's tasks on an owned machine for one of higher rank,
 // those that are being stopped already among them.
 func (p *Preemptor) preemptTasks(machine *Candidate, alloc Allocation, preemptor *PendingJob, maxTasks int) {
-	if !p.Lease.OwnsMachine(machine.Record) || p.Now.Wall-preemptor.Record.SubmittedAt < 500 {
+	if !p.lease.OwnsMachine(machine.Record) || p.Now.Wall-preemptor.Record.SubmittedAt < 500 {
 		return
 	}
-	state := p.Agents.MachineStates[machine.ID]
+	state := p.agents.MachineStates[machine.ID]
 	if state == nil {
 		return
 	}
 	if alloc.Desc.IsGang() && alloc.Desc.TaskCount > 1 && alloc.Desc.CanCheckpoint() {
-		p.Stopper.GracefulStops[alloc.Job] = alloc.Attempt // all its tasks must hear of it, not only those here
+		p.stopper.GracefulStops[alloc.Job] = alloc.Attempt // all its tasks must hear of it, not only those here
 		return
 	}
 	grace := 0.0
@@ -165,7 +165,7 @@
 		assigned.Tasks.Each(func(index int) bool {
 			task := protocol.Task{Job: assigned.Job, Index: index}
 			if s, ok := state.StopRequests[task]; maxTasks > 0 && (!ok || s.Attempt != assigned.Attempt) {
-				p.Stopper.RequestStop(state, task, assigned.Attempt, grace, "preempted for "+string(preemptor.ID))
+				p.stopper.RequestStop(state, task, assigned.Attempt, grace, "preempted for "+string(preemptor.ID))
 				maxTasks--
 			}
 			return maxTasks > 0
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -15,7 +15,7 @@
 type Queue struct {
 	*step.Context
 
-	Catalog *catalog.Catalog
+	catalog *catalog.Catalog
 }
 
 // task of a job in the planner's order.
@@ -203,5 +203,5 @@
 // on to be rented for them.
 func (jq *Queue) NeedsWarmCapacity(q *PendingJob) bool {
 	slack := step.MillisToDuration(q.InitialLatestStart - q.Record.SubmittedAt)
-	return slack < time.Duration(jq.Config.IdleTimeoutFactor*float64(jq.Catalog.ProvisioningTime(q.Record.Spec)))
+	return slack < time.Duration(jq.Config.IdleTimeoutFactor*float64(jq.catalog.ProvisioningTime(q.Record.Spec)))
 }
--- a/internal/coordination/scheduling/replicas.go
+++ b/internal/coordination/scheduling/replicas.go
@@ -18,16 +18,16 @@
 type ServiceScheduler struct {
 	*step.Context
 
-	Capacity   *CandidateLister
-	Acquirer   *JobAcquirer
-	Agents     *agents.Table
-	Catalog    *catalog.Catalog
-	Jobs       *agents.JobTable
-	Lease      *commit.Lease
-	Plan       *Plan
-	Preemption *Preemptor
-	Queue      *Queue
-	Scheduler  *Scheduler
+	capacity   *CandidateLister
+	acquirer   *JobAcquirer
+	agents     *agents.Table
+	catalog    *catalog.Catalog
+	jobs       *agents.JobTable
+	lease      *commit.Lease
+	plan       *Plan
+	preemption *Preemptor
+	queue      *Queue
+	scheduler  *Scheduler
 }
 
 // A job of shape daemon is a standing service: its tasks are replicas that run until
@@ -61,14 +61,14 @@
 // placeReplicas places the replicas of a daemon that do not run.
 func (s *ServiceScheduler) placeReplicas(b *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	d := job.Record.Spec
-	p := replicaPlacer{services: s, batch: b, job: job, candidates: candidates, remaining: min(d.TaskCount-job.placedTasks, s.Queue.quotaHeadroom(candidates, d)),
+	p := replicaPlacer{services: s, batch: b, job: job, candidates: candidates, remaining: min(d.TaskCount-job.placedTasks, s.queue.quotaHeadroom(candidates, d)),
 		replicasByMachine: map[protocol.MachineID]int{}, reservationUsed: map[protocol.MachineID]int{}}
 	if p.remaining <= 0 {
 		return
 	}
-	p.canWrite = s.Acquirer.canWritePlacements(b, job) && s.Now.Monotonic >= s.Jobs.JobState(job.ID).NotBefore && !b.FailedServices[job.ID]
+	p.canWrite = s.acquirer.canWritePlacements(b, job) && s.Now.Monotonic >= s.jobs.JobState(job.ID).NotBefore && !b.FailedServices[job.ID]
 	if p.canWrite {
-		p.pending = s.Acquirer.pendingTasks(b, job, p.remaining)
+		p.pending = s.acquirer.pendingTasks(b, job, p.remaining)
 		p.remaining = min(p.remaining, len(p.pending))
 	}
 	for id := range s.Replica.MachinesWithJob(job.ID) {
@@ -95,8 +95,8 @@
 	p.placeOnFree(anyMachine)
 	job.avoidedTypes = nil
 	p.placeOnFree(anyMachine)
-	if p.remaining > 0 && job.Record.Owner == s.Lease.Incarnation {
-		s.Plan.unmetDemands = append(s.Plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: p.remaining, Zone: job.pinnedZone(), Order: job.precedence,
+	if p.remaining > 0 && job.Record.Owner == s.lease.Incarnation {
+		s.plan.unmetDemands = append(s.plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: p.remaining, Zone: job.pinnedZone(), Order: job.precedence,
 			SubmittedAt: job.Record.SubmittedAt, Urgent: true})
 	}
 }
@@ -134,7 +134,7 @@
 	if p.remaining <= 0 {
 		return
 	}
-	for _, machine := range p.services.Scheduler.rankedCandidates(p.batch, p.job, false) {
+	for _, machine := range p.services.scheduler.rankedCandidates(p.batch, p.job, false) {
 		if n := min(machine.CapacityFor(p.job.Record.Spec), p.maxReplicasOn(machine)); n > 0 && isEligible(machine) {
 			p.placeOn(machine, n)
 		}
@@ -144,8 +144,8 @@
 // placeOn places n replicas on a machine that has room for them.
 func (p *replicaPlacer) placeOn(machine *Candidate, count int) {
 	services := p.services
-	writeNow := p.canWrite && !machine.isProvisioning && services.Scheduler.fitsTransaction(p.batch, machine, p.job.Record.Spec)
-	services.Scheduler.planTasks(p.batch, p.job, machine, count, writeNow, p.nextPending(count))
+	writeNow := p.canWrite && !machine.isProvisioning && services.scheduler.fitsTransaction(p.batch, machine, p.job.Record.Spec)
+	services.scheduler.planTasks(p.batch, p.job, machine, count, writeNow, p.nextPending(count))
 	p.replicasByMachine[machine.ID] += count
 	p.remaining -= count
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	for _, machine := range p.cheapestToPreempt(func(machine *Candidate) bool {
-		return p.services.Lease.OwnsMachine(machine.Record) && isEligible(machine)
+		return p.services.lease.OwnsMachine(machine.Record) && isEligible(machine)
 	}) {
 		p.preemptOn(machine, p.remaining, true)
 	}
@@ -186,7 +186,7 @@
 	})
 	capacity := 0
 	for _, machine := range chosen {
-		capacity += min(c.Preemption.capacityAfterPreemption(machine, job), p.maxReplicasOn(machine), p.remainingReservation(job.Record.ReservedMachines, machine))
+		capacity += min(c.preemption.capacityAfterPreemption(machine, job), p.maxReplicasOn(machine), p.remainingReservation(job.Record.ReservedMachines, machine))
 	}
 	if p.canWrite && capacity < p.remaining && p.batch.HasCapacity(p.batch.WritesNeeded("", job.ID)) {
 		if better := p.reserveMachines(isEligible, capacity); better != nil {
@@ -219,12 +219,12 @@
 	var placements []placement
 	remaining := p.remaining
 	for _, machine := range p.cheapestToPreempt(isEligible) {
-		for range min(p.services.Preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), remaining) {
+		for range min(p.services.preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), remaining) {
 			placements = append(placements, placement{machine: machine, count: 1})
 			remaining--
 		}
 	}
-	if len(placements) <= reservedCount || !p.services.Preemption.fitsJobRecord(placements) {
+	if len(placements) <= reservedCount || !p.services.preemption.fitsJobRecord(placements) {
 		return nil
 	}
 	recordReservation(p.batch, p.job.ID, placements, "preemption planned for service replicas")
@@ -242,7 +242,7 @@
 	cost := map[*Candidate]float64{}
 	var machines []*Candidate
 	for _, machine := range p.candidates {
-		if !machine.isProvisioning && !machine.IsUnschedulable && !p.job.avoidedTypes[machine.Record.MachineType] && services.Capacity.IsMachineAllowed(p.job.Record.Spec, machine) && isEligible(machine) && services.Preemption.capacityAfterPreemption(machine, p.job) > 0 {
+		if !machine.isProvisioning && !machine.IsUnschedulable && !p.job.avoidedTypes[machine.Record.MachineType] && services.capacity.IsMachineAllowed(p.job.Record.Spec, machine) && isEligible(machine) && services.preemption.capacityAfterPreemption(machine, p.job) > 0 {
 			cost[machine] = services.replicaStartCost(machine, p.job)
 			machines = append(machines, machine)
 		}
@@ -255,16 +255,16 @@
 // tasks there if that is decided and the machine is this run's.
 func (p *replicaPlacer) preemptOn(machine *Candidate, limit int, mayPreempt bool) {
 	services := p.services
-	n := min(services.Preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), limit)
+	n := min(services.preemption.capacityAfterPreemption(machine, p.job), p.maxReplicasOn(machine), limit)
 	if n <= 0 {
 		return
 	}
-	if mayPreempt && services.Lease.OwnsMachine(machine.Record) && machine.state != nil {
+	if mayPreempt && services.lease.OwnsMachine(machine.Record) && machine.state != nil {
 		services.preemptForReplicas(machine, p.job, n)
 	}
 	p.job.recordAllocation(machine, n, 0)
-	services.Plan.retainedMachines[machine.ID] = true
-	services.Plan.pendingPlacements[machine.ID] = true
+	services.plan.retainedMachines[machine.ID] = true
+	services.plan.pendingPlacements[machine.ID] = true
 	p.replicasByMachine[machine.ID] += n
 	p.nextPending(n)
 	p.remaining -= n
@@ -273,14 +273,14 @@
 // preemptForReplicas stops as few lower ranked tasks on an own machine as n replicas need.
 func (s *ServiceScheduler) preemptForReplicas(machine *Candidate, job *PendingJob, replicas int) {
 	simulated := *machine
-	for _, alloc := range s.Preemption.rankedVictims(machine, job) {
+	for _, alloc := range s.preemption.rankedVictims(machine, job) {
 		stopped := 0
 		for stopped < alloc.Count && simulated.CapacityFor(job.Record.Spec) < replicas {
 			simulated.Allocate(alloc.Desc, -1)
 			stopped++
 		}
 		if stopped > 0 {
-			s.Preemption.preemptTasks(machine, alloc, job, stopped)
+			s.preemption.preemptTasks(machine, alloc, job, stopped)
 		}
 	}
 }
@@ -290,12 +290,12 @@
 func (s *ServiceScheduler) replicaStartCost(machine *Candidate, job *PendingJob) float64 {
 	const costPerSecond = 10 // core-seconds that a second of a replica is worth
 	simulated, cost, waitSeconds := *machine, 0.0, 0.0
-	for _, alloc := range s.Preemption.rankedVictims(machine, job) {
-		stopping := s.Preemption.countStopping(machine, alloc)
+	for _, alloc := range s.preemption.rankedVictims(machine, job) {
+		stopping := s.preemption.countStopping(machine, alloc)
 		for k := 0; k < alloc.Count && simulated.CapacityFor(job.Record.Spec) == 0; k++ {
 			simulated.Allocate(alloc.Desc, -1)
 			if k >= stopping {
-				cost += s.Preemption.lostWork(machine, alloc) / float64(alloc.Count)
+				cost += s.preemption.lostWork(machine, alloc) / float64(alloc.Count)
 			}
 			if alloc.Desc.CanCheckpoint() {
 				waitSeconds = max(waitSeconds, alloc.Desc.CheckpointSaveSeconds)
@@ -320,15 +320,15 @@
 // largeMachineTypes lists the machine types that replicas leave to others as long as they can.
 func (s *ServiceScheduler) largeMachineTypes(d *protocol.Job) map[protocol.MachineTypeName]bool {
 	smallest := 0.0
-	for i := range s.Catalog.MachineTypes {
-		if machineType := &s.Catalog.MachineTypes[i]; catalog.MachineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
+	for i := range s.catalog.MachineTypes {
+		if machineType := &s.catalog.MachineTypes[i]; catalog.MachineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
 			smallest = machineType.Cores
 		}
 	}
 	large := map[protocol.MachineTypeName]bool{}
-	for i := range s.Catalog.MachineTypes {
-		if s.Catalog.MachineTypes[i].Cores > largeTypeFactor*smallest {
-			large[s.Catalog.MachineTypes[i].Name] = true
+	for i := range s.catalog.MachineTypes {
+		if s.catalog.MachineTypes[i].Cores > largeTypeFactor*smallest {
+			large[s.catalog.MachineTypes[i].Name] = true
 		}
 	}
 	return large
@@ -353,7 +353,7 @@
 				remaining = current.Tasks.Len()
 			}
 		}
-		if at, known := s.Agents.AssignedAt[agents.AssignmentKey{Machine: id, Job: assigned.Job, Attempt: assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
+		if at, known := s.agents.AssignedAt[agents.AssignmentKey{Machine: id, Job: assigned.Job, Attempt: assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
 			s.onReplicasExited(assigned.Job, s.Since(at))
 		}
 	}
@@ -363,7 +363,7 @@
 // that do so soon are tried ever less often, so that they neither use up the writes nor
 // hide others.
 func (s *ServiceScheduler) onReplicasExited(id protocol.JobID, after time.Duration) {
-	state := s.Jobs.JobState(id)
+	state := s.jobs.JobState(id)
 	if after > EarlyExitWindow {
 		state.EarlyExits, state.NotBefore = 0, 0
 		clear(state.FailedMachines)
