--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -27,7 +27,7 @@
 	if ok {
 		ac.misdirected.confirm(result.Machine)
 	}
-	m := ac.agents.MachineStates[result.Machine]
+	m := ac.agents.machineStates[result.Machine]
 	if m == nil {
 		return
 	}
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -22,19 +22,19 @@
 	catalog    *catalog.Catalog
 	terminator RemovalRecorder
 
-	MachineStates      map[protocol.MachineID]*MachineState
+	machineStates      map[protocol.MachineID]*MachineState
 	deferredHeartbeats map[protocol.MachineID]bool // whose reports wait for their answers
-	AwaitingOwner      map[protocol.MachineID]bool // those of them that wait for an owner
-	AssignedAt         map[AssignmentKey]protocol.Instant
+	awaitingOwner      map[protocol.MachineID]bool // those of them that wait for an owner
+	assignedAt         map[AssignmentKey]protocol.Instant
 }
 
 func NewTable(ctx *step.Context) *Table {
 	return &Table{
 		Context:            ctx,
-		MachineStates:      map[protocol.MachineID]*MachineState{},
+		machineStates:      map[protocol.MachineID]*MachineState{},
 		deferredHeartbeats: map[protocol.MachineID]bool{},
-		AwaitingOwner:      map[protocol.MachineID]bool{},
-		AssignedAt:         map[AssignmentKey]protocol.Instant{},
+		awaitingOwner:      map[protocol.MachineID]bool{},
+		assignedAt:         map[AssignmentKey]protocol.Instant{},
 	}
 }
 
@@ -65,7 +65,7 @@
 	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = req, at.Now.Monotonic, awaitsOwnership
 	at.deferredHeartbeats[m.ID] = true
 	if awaitsOwnership {
-		at.AwaitingOwner[m.ID] = true
+		at.awaitingOwner[m.ID] = true
 	}
 }
 
@@ -74,7 +74,7 @@
 	req := m.DeferredRequest
 	m.DeferredRequest = 0
 	delete(at.deferredHeartbeats, m.ID)
-	delete(at.AwaitingOwner, m.ID)
+	delete(at.awaitingOwner, m.ID)
 	return req
 }
 
@@ -104,11 +104,11 @@
 }
 
 func (at *Table) MachineState(id protocol.MachineID) *MachineState {
-	m := at.MachineStates[id]
+	m := at.machineStates[id]
 	if m == nil {
 		m = &MachineState{ID: id, LastContactAt: at.Now.Monotonic}
 		m.Reset()
-		at.MachineStates[id] = m
+		at.machineStates[id] = m
 	}
 	return m
 }
@@ -132,35 +132,49 @@
 
 // ForgetMachines drops what is remembered of machines that are on no record.
 func (at *Table) ForgetMachines() {
-	for id, m := range at.MachineStates {
+	for id, m := range at.machineStates {
 		if at.Replica.Machines[id] == nil && m.DeferredRequest == 0 {
-			delete(at.MachineStates, id)
+			delete(at.machineStates, id)
 		}
 	}
 }
 
 // ForgetAssignments drops since when tasks have been on machines.
-func (at *Table) ForgetAssignments() { clear(at.AssignedAt) }
+func (at *Table) ForgetAssignments() { clear(at.assignedAt) }
 
 // ForgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
 func (at *Table) ForgetUnrecordedMachines(earlier *storage.Replica) {
 	for _, e := range earlier.SortedMachines() {
 		if id := e.ID; at.Replica.Machines[id] == nil {
-			if m := at.MachineStates[id]; m != nil {
+			if m := at.machineStates[id]; m != nil {
 				at.dropDeferredRequest(m)
-				delete(at.MachineStates, id)
+				delete(at.machineStates, id)
 			}
 		}
 	}
 }
 
+// Lookup gives what is remembered of a machine, nil for nothing.
+func (at *Table) Lookup(id protocol.MachineID) *MachineState { return at.machineStates[id] }
+
+// AssignedSince tells since when tasks of one attempt have been assigned to a machine, as far
+// as this process has seen.
+func (at *Table) AssignedSince(key AssignmentKey) (since protocol.Instant, known bool) {
+	since, known = at.assignedAt[key]
+	return since, known
+}
+
+// AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
+// It is not to be changed.
+func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
+
 // OnMachinesRemoved forgets machines that have left the records.
 func (at *Table) OnMachinesRemoved() {
 	for _, id := range at.Replica.PopRemovedMachines() {
 		at.terminator.RecordRemoval(id)
-		if m := at.MachineStates[id]; m != nil {
+		if m := at.machineStates[id]; m != nil {
 			at.dropDeferredRequest(m)
-			delete(at.MachineStates, id)
+			delete(at.machineStates, id)
 		}
 	}
 }
@@ -172,7 +186,7 @@
 		for i := range before.Assignments {
 			a := &before.Assignments[i]
 			if after == nil || !hasAttempt(after, a) {
-				delete(at.AssignedAt, AssignmentKey{Machine: id, Job: a.Job, Attempt: a.Attempt})
+				delete(at.assignedAt, AssignmentKey{Machine: id, Job: a.Job, Attempt: a.Attempt})
 			}
 		}
 	}
@@ -182,10 +196,10 @@
 	for i := range after.Assignments {
 		a := &after.Assignments[i]
 		key := AssignmentKey{Machine: id, Job: a.Job, Attempt: a.Attempt}
-		if _, ok := at.AssignedAt[key]; ok {
+		if _, ok := at.assignedAt[key]; ok {
 			continue
 		}
-		at.AssignedAt[key] = at.Now.Monotonic
+		at.assignedAt[key] = at.Now.Monotonic
 		if job, machineType := at.Replica.Jobs[a.Job], at.catalog.MachineType(after.MachineType); job != nil && job.Record.Spec != nil && machineType != nil {
 			at.recordImage(id, machineType, job.Record.Spec)
 		}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -246,13 +246,13 @@
 	}
 	h.ShouldRecheckDeferred = false
 	for _, id := range step.SortedKeys(h.agents.deferredHeartbeats) {
-		m := h.agents.MachineStates[id]
+		m := h.agents.machineStates[id]
 		entry := h.Replica.Machines[id]
 		if m.awaitsOwnership {
 			switch {
 			case entry != nil && h.lease.OwnsMachine(&entry.Record):
 				m.awaitsOwnership = false
-				delete(h.agents.AwaitingOwner, id)
+				delete(h.agents.awaitingOwner, id)
 				h.agents.TrackOwnedMachine(entry, id)
 				if m.LatestHeartbeat.FencingToken > entry.Record.FencingToken || m.LatestHeartbeat.AgentEpoch < entry.Record.AgentEpoch {
 					h.agents.dropDeferredRequest(m)
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -44,23 +44,23 @@
 		}
 		if !b.HasCapacity(1) {
 			r.nextShardIndex = k
-			r.commits.IsPartial = true
+			r.commits.SetPartial(true)
 			return
 		}
 	}
 	r.nextShardIndex = 0
-	r.commits.IsPartial = false
+	r.commits.SetPartial(false)
 }
 
 // requeue takes a task back from a machine where it provably is no more.
 func (r *Reconciler) requeue(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
 	b.MutableMachine(m.ID).Unassign(task)
 	m.RevokedAttempts[task] = attempt
-	b.OnSend = append(b.OnSend, func() { delete(m.StopRequests, task) })
+	b.OnSend(func() { delete(m.StopRequests, task) })
 }
 
 func (r *Reconciler) reconcileMachine(b *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
-	if b.Machines[id] != nil || b.RemovesMachine(id) || b.Shards[entry.Record.Shard] != nil && b.Shards[entry.Record.Shard].Owner != r.lease.Incarnation {
+	if b.ChangesMachine(id) || b.RemovesMachine(id) || b.GivesAwayShard(entry.Record.Shard) {
 		return // being handed over in this transaction
 	}
 	m := r.agents.TrackOwnedMachine(entry, id)
@@ -116,7 +116,7 @@
 		a.Tasks.Each(func(n int) bool {
 			task := protocol.Task{Job: a.Job, Index: n}
 			m.RevokedAttempts[task] = a.Attempt
-			b.OnSend = append(b.OnSend, func() { delete(m.StopRequests, task) })
+			b.OnSend(func() { delete(m.StopRequests, task) })
 			return true
 		})
 		b.Log(slog.LevelInfo, "tasks requeued", "machine", string(m.ID), "job", string(a.Job), "tasks", a.Tasks.String(), "reason", reason)
@@ -161,7 +161,7 @@
 			return false
 		}
 		b.RecordTaskDone(m.ID, task)
-		b.OnSend = append(b.OnSend, func() { r.jobs.RecordTaskRuntime(m, task) })
+		b.OnSend(func() { r.jobs.RecordTaskRuntime(m, task) })
 		r.requeue(b, m, task, attempt)
 		b.CompleteJobIfDone(task.Job)
 		clear(m.jobsWithErrors)
@@ -172,7 +172,7 @@
 	}
 	r.requeue(b, m, task, attempt)
 	if isService {
-		b.FailedServices[task.Job] = true // how soon it is tried again shows once this is written
+		b.MarkFailedReplica(task.Job) // how soon it is tried again shows once this is written
 	}
 	if status.Reason == protocol.ReasonDone && !isService {
 		return true
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -100,6 +100,9 @@
 	}
 }
 
+// HasGracefulStops tells whether gangs are to be stopped gracefully.
+func (ts *TaskStopper) HasGracefulStops() bool { return len(ts.GracefulStops) > 0 }
+
 // WriteGracefulStops puts the orderly stop of gangs on record. Every owner of a machine
 // with one of the tasks reads it there at once and sends the stop directly, so
 // that all tasks hear of it within gang_peer_s.
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
-	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/step"
 	"time"
 
@@ -59,10 +58,11 @@
 			m.RecordHeartbeat(r, core.Now.Monotonic)
 		}, true},
 		{"released, and that answered", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			core.provisioning.Terminator.Terminations["m-1"] = &provisioning.Termination{Confirmed: true}
+			core.provisioning.Terminator.TerminateUnrecorded("m-1")
+			core.provisioning.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
 		}, true},
 		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			core.provisioning.Terminator.Terminations["m-1"] = &provisioning.Termination{}
+			core.provisioning.Terminator.TerminateUnrecorded("m-1")
 		}, false},
 	} {
 		core, _ := newReadyCore(t)
@@ -181,7 +181,7 @@
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
-	if core.Replica.Revision = 0; core.agents.Table.MachineStates["m-1"].OwnershipRevision == 0 {
+	if core.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
 		t.Fatal("the page has no revision")
 	}
 	status := func(out []step.Effect) int {
--- a/internal/coordination/cancellation/cancel.go
+++ b/internal/coordination/cancellation/cancel.go
@@ -41,7 +41,7 @@
 	replication *commit.Replication
 	terminator  ForcedTerminator
 
-	RequestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
+	requestedAt       map[protocol.JobID]protocol.Instant                          // since when this run withdraws them
 	peerIntents       map[protocol.JobID]peerIntent                                // intents that the replica does not have yet
 	peerAcks          map[protocol.JobID]map[storage.Incarnation]protocol.Revision // runs that answer for one, and their replicas' revisions
 	localAcks         map[protocol.JobID]bool                                      // intents that this run answers for
@@ -54,7 +54,7 @@
 func NewCanceller(ctx *step.Context) *Canceller {
 	return &Canceller{
 		Context:           ctx,
-		RequestedAt:       map[protocol.JobID]protocol.Instant{},
+		requestedAt:       map[protocol.JobID]protocol.Instant{},
 		peerIntents:       map[protocol.JobID]peerIntent{},
 		peerAcks:          map[protocol.JobID]map[storage.Incarnation]protocol.Revision{},
 		fullyAcknowledged: map[protocol.JobID]bool{},
@@ -103,7 +103,7 @@
 // begin any more, and no earlier owner can keep one: the worker has shown this
 // ownership's token, and what its newest report shows is past its image or gone.
 func (c *Canceller) IsMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
-	entry, m := c.Replica.Machines[id], c.agents.MachineStates[id]
+	entry, m := c.Replica.Machines[id], c.agents.Lookup(id)
 	if c.terminator.IsTerminationConfirmed(id) {
 		return true
 	}
@@ -167,7 +167,7 @@
 func (c *Canceller) prepareDirectCancel(b *commit.Batch, id protocol.JobID) bool {
 	entry := c.Replica.Jobs[id]
 	if entry.Record.Owner != c.lease.Incarnation || c.Replica.Revision < protocol.Revision(entry.ModRevision) || c.commits.HasPendingConditionOn(storage.JobKey(id)) ||
-		len(b.Conditions)+len(c.Replica.MachinesWithJob(id)) > 3*c.limits.WriteLimits().TransactionOps {
+		b.ConditionCount()+len(c.Replica.MachinesWithJob(id)) > 3*c.limits.WriteLimits().TransactionOps {
 		return false
 	}
 	for machineID := range c.Replica.MachinesWithJob(id) {
@@ -183,22 +183,25 @@
 
 // ExpireCancellations gives up on withdrawals that could not be put on record for long.
 func (c *Canceller) ExpireCancellations() {
-	for id, requestedAt := range c.RequestedAt {
+	for id, requestedAt := range c.requestedAt {
 		// The user is told to come back; withdrawing goes on all the same
 		// for a while, as it was asked for.
 		if c.Replica.CancellingJobs[id] == nil && c.Since(requestedAt) > 30*time.Second {
-			delete(c.RequestedAt, id)
+			delete(c.requestedAt, id)
 		}
 	}
 }
 
+// HasRequests tells whether this controller has cancellations to write.
+func (c *Canceller) HasRequests() bool { return len(c.requestedAt) > 0 }
+
 // WriteCancellations puts the next step of each withdrawal into the transaction.
 func (c *Canceller) WriteCancellations(b *commit.Batch) {
-	for _, id := range step.SortedKeys(c.RequestedAt) {
+	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
 		switch {
 		case entry == nil || entry.Record.State.IsTerminal():
-			delete(c.RequestedAt, id)
+			delete(c.requestedAt, id)
 		case !b.HasCapacity(1) || entry.Record.CancelRequested && (!c.fullyAcknowledged[id] || c.Replica.CompletedTasks(id).Len() >= entry.Record.Spec.TaskCount):
 			// Not yet; or all its tasks turned out done first: its claimant says so.
 		case entry.Record.CancelRequested || c.prepareDirectCancel(b, id):
@@ -246,14 +249,14 @@
 	}
 	for id := range c.Replica.CancellingJobs {
 		ack(id)
-		if _, isRequested := c.RequestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.ownership.IsSuccessor(storage.JobKey(id)) {
+		if _, isRequested := c.requestedAt[id]; !isRequested && c.timeSinceCancelRequest(id) > 4*time.Second && c.ownership.IsSuccessor(storage.JobKey(id)) {
 			c.RequestCancellation(id) // whoever began it may be gone
 		}
 		if !c.fullyAcknowledged[id] {
 			c.fullyAcknowledged[id] = c.IsCancelFullyAcknowledged(id)
 			// Only who drives it tells of it: the others have nothing to send at once.
 			_, isSent := c.intentSentAt[id]
-			_, isRequester := c.RequestedAt[id]
+			_, isRequester := c.requestedAt[id]
 			if isRequester && !isSent && !c.fullyAcknowledged[id] {
 				c.peers.ExpediteStatus()
 			}
@@ -267,7 +270,7 @@
 func (c *Canceller) AddCancellationStatus(status *step.PeerStatus) {
 	status.Revision = c.Replica.Revision
 	var unacknowledged []protocol.JobID
-	for _, id := range step.SortedKeys(c.RequestedAt) {
+	for _, id := range step.SortedKeys(c.requestedAt) {
 		if e := c.Replica.CancellingJobs[id]; e != nil && !c.fullyAcknowledged[id] {
 			unacknowledged = append(unacknowledged, id)
 		}
@@ -377,7 +380,7 @@
 }
 
 func (c *Canceller) RequestCancellation(id protocol.JobID) {
-	if _, ok := c.RequestedAt[id]; !ok {
-		c.RequestedAt[id] = c.Now.Monotonic
+	if _, ok := c.requestedAt[id]; !ok {
+		c.requestedAt[id] = c.Now.Monotonic
 	}
 }
--- a/internal/coordination/catalog/machine_catalog.go
+++ b/internal/coordination/catalog/machine_catalog.go
@@ -31,9 +31,9 @@
 	for _, f := range v.MachineTypes {
 		for _, z := range f.Zones {
 			k := PriceKey{MachineType: f.Name, Zone: z}
-			t := mc.spot.SpotThresholds[k]
+			t := mc.spot.thresholds[k]
 			if t == nil {
-				mc.spot.SpotThresholds[k] = NewSpotPriceThreshold(mc.Config.SpotPriceWindow, mc.Now.Monotonic, f.SpotPrice, f.OnDemandPrice)
+				mc.spot.thresholds[k] = NewSpotPriceThreshold(mc.Config.SpotPriceWindow, mc.Now.Monotonic, f.SpotPrice, f.OnDemandPrice)
 				continue
 			}
 			if t.Observe(mc.Now.Monotonic, f.SpotPrice, f.OnDemandPrice) {
--- a/internal/coordination/catalog/spot.go
+++ b/internal/coordination/catalog/spot.go
@@ -11,13 +11,13 @@
 type SpotPricing struct {
 	*step.Context
 
-	SpotThresholds map[PriceKey]*SpotPriceThreshold
+	thresholds map[PriceKey]*SpotPriceThreshold
 }
 
 func NewSpotPricing(ctx *step.Context) *SpotPricing {
 	return &SpotPricing{
-		Context:        ctx,
-		SpotThresholds: map[PriceKey]*SpotPriceThreshold{},
+		Context:    ctx,
+		thresholds: map[PriceKey]*SpotPriceThreshold{},
 	}
 }
 
@@ -85,6 +85,12 @@
 	return period-(age+offset)%period < margin
 }
 
+// Threshold is the price threshold of a machine type in a zone, nil while no price is known.
+func (sp *SpotPricing) Threshold(key PriceKey) *SpotPriceThreshold { return sp.thresholds[key] }
+
+// Thresholds lists all price thresholds. It is not to be changed.
+func (sp *SpotPricing) Thresholds() map[PriceKey]*SpotPriceThreshold { return sp.thresholds }
+
 // CanUseSpot tells whether the job may use spot machines of a type. The rule
 // gives them to jobs that keep checkpoints. The exception: where a task is so
 // short that what a reclaim is expected to cost is less than what spot saves,
--- a/internal/coordination/commit/core.go
+++ b/internal/coordination/commit/core.go
@@ -11,6 +11,6 @@
 	Transaction    protocol.Transaction
 	IsWriteBarrier bool
 	registers      bool // registers this run
-	IsUserBatch    bool // holds what users asked for
-	LogsOnApply    []step.Effect
+	isUserBatch    bool // holds what users asked for
+	logsOnApply    []step.Effect
 }
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -82,10 +82,10 @@
 	return u.packedReaders[u.Config.ControllerID]
 }
 
-// TryRaiseFormat sends the change of the format, and tells whether it did. It rests on the
+// tryRaiseFormat sends the change of the format, and tells whether it did. It rests on the
 // keys of all controllers, those that are away too: one of them may end, and another
 // version begin, before the change is applied.
-func (u *FormatUpgrade) TryRaiseFormat() bool {
+func (u *FormatUpgrade) tryRaiseFormat() bool {
 	if !u.CanRaiseFormat() {
 		u.raisableSince = 0
 		return false
@@ -102,8 +102,8 @@
 		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.Replica.ModRevision(key)})
 	}
 	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.Incarnation}
-	u.commits.SendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
-		LogsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
+	u.commits.sendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
+		logsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
 	return true
 }
 
--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -18,7 +18,7 @@
 
 	Incarnation          storage.Incarnation
 	RegistrationRevision protocol.ModRevision // stamp of this member's key while run is registered
-	ID                   protocol.LeaseID     // of the run, or the one to register with; 0: none
+	id                   protocol.LeaseID     // of the run, or the one to register with; 0: none
 	isGranting           bool
 	grantRequestedAt     protocol.Instant // when the one that is being granted was asked for
 	grantedOrRetryAt     protocol.Instant // when the next may be
@@ -30,21 +30,21 @@
 // TickLease asks for a lease where there is none, and renews it in good time.
 func (l *Lease) TickLease() {
 	now := l.Now.Monotonic
-	if l.ID == 0 && !l.isGranting && now >= l.grantedOrRetryAt {
+	if l.id == 0 && !l.isGranting && now >= l.grantedOrRetryAt {
 		l.isGranting, l.grantRequestedAt = true, now
 		l.Emit(step.GrantLease{TTL: l.Config.LeaseTTL})
 	}
-	if l.ID != 0 && !l.isRenewing && now >= l.nextRenewalAt && l.Since(l.grantedOrRetryAt) > l.Config.LeaseTTL/4 {
+	if l.id != 0 && !l.isRenewing && now >= l.nextRenewalAt && l.Since(l.grantedOrRetryAt) > l.Config.LeaseTTL/4 {
 		l.isRenewing, l.renewalRequestedAt = true, now
 		l.nextRenewalAt = now.Add(l.Jitter(l.Config.LeaseTTL / 4))
-		l.Emit(step.RenewLease{LeaseID: l.ID})
+		l.Emit(step.RenewLease{LeaseID: l.id})
 	}
 }
 
 func (l *Lease) OnGrantLeaseResult(v step.GrantLeaseResult) {
 	l.isGranting = false
 	if l.store.RecordContact(l.grantRequestedAt, v.Err) {
-		l.ID = v.LeaseID
+		l.id = v.LeaseID
 		l.grantedOrRetryAt = l.Now.Monotonic
 	} else {
 		l.grantedOrRetryAt = l.Now.Monotonic.Add(l.Jitter(500 * time.Millisecond))
@@ -53,9 +53,9 @@
 
 func (l *Lease) OnRenewLeaseResult(v step.RenewLeaseResult) {
 	l.isRenewing = false
-	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == l.ID {
+	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == l.id {
 		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.Incarnation))
-		l.RegistrationRevision, l.ID = 0, 0
+		l.RegistrationRevision, l.id = 0, 0
 	}
 	if !l.store.RecordContact(l.renewalRequestedAt, v.Err) {
 		l.nextRenewalAt = l.Now.Monotonic.Add(l.Jitter(300 * time.Millisecond))
@@ -76,11 +76,14 @@
 		return // the replica is older than the registration
 	}
 	l.Log(slog.LevelWarn, "controller registration lost, registering again", "incarnation", string(l.Incarnation))
-	l.RegistrationRevision, l.ID = 0, 0
+	l.RegistrationRevision, l.id = 0, 0
 }
 
 func (l *Lease) IsRegistered() bool { return l.RegistrationRevision != 0 }
 
+// IsGranted tells whether this process holds a lease.
+func (l *Lease) IsGranted() bool { return l.id != 0 }
+
 // OwnsMachine tells whether this run owns the machine, as far as it knows.
 func (l *Lease) OwnsMachine(record *storage.MachineRecord) bool {
 	return l.Incarnation != "" && record.Owner == l.Incarnation
--- a/internal/coordination/commit/limits.go
+++ b/internal/coordination/commit/limits.go
@@ -7,11 +7,11 @@
 	"golang.org/x/time/rate"
 )
 
-// WriteLimiter bounds what this controller writes: the rate, and the size of transactions.
+// limiter bounds what this controller writes: the rate, and the size of transactions.
 type WriteLimiter struct {
 	*step.Context
 
-	WriteLimiter      *rate.Limiter
+	limiter           *rate.Limiter
 	writeRate         float64 // writes a second that this node allows itself
 	MaxTransactionOps int     // changes that a transaction may have now
 }
@@ -40,17 +40,29 @@
 	maxRate := limits.WritesPerSecond * w.Config.WriteBudgetShare
 	w.writeRate, w.MaxTransactionOps = maxRate, limits.TransactionOps
 	burst := max(int(maxRate), limits.TransactionOps+w.ReservedUserTokens(), 4)
-	if w.WriteLimiter == nil {
-		w.WriteLimiter = rate.NewLimiter(rate.Limit(w.writeRate), burst)
+	if w.limiter == nil {
+		w.limiter = rate.NewLimiter(rate.Limit(w.writeRate), burst)
 		return
 	}
-	w.WriteLimiter.SetLimitAt(w.LimiterTime(), rate.Limit(w.writeRate))
-	w.WriteLimiter.SetBurstAt(w.LimiterTime(), burst)
+	w.limiter.SetLimitAt(w.LimiterTime(), rate.Limit(w.writeRate))
+	w.limiter.SetBurstAt(w.LimiterTime(), burst)
 }
 
 // ReservedUserTokens is the part of the write tokens that is left for what users ask for.
 func (w *WriteLimiter) ReservedUserTokens() int { return max(w.WriteLimits().TransactionOps/8, 1) }
 
+// Budget is how many writes are allowed now, and how many of them one transaction may hold.
+func (w *WriteLimiter) Budget() (tokens, maxOps int) {
+	tokens = int(w.limiter.TokensAt(w.LimiterTime()))
+	return tokens, min(tokens, w.MaxTransactionOps)
+}
+
+// MinBatchOps is the size from which a batch is worth sending before its time.
+func (w *WriteLimiter) MinBatchOps() int {
+	limits := w.WriteLimits()
+	return min(limits.TransactionOps, int(limits.WritesPerSecond*w.Config.WriteBudgetShare/2))
+}
+
 // adaptWriteRate sets how much this node writes: all share one budget, and what one may
 // take of it shows in refusals only.
 func (w *WriteLimiter) adaptWriteRate(wasBusy bool) {
@@ -61,7 +73,7 @@
 	} else {
 		w.writeRate = min(w.writeRate+maxRate/100, maxRate)
 	}
-	w.WriteLimiter.SetLimitAt(w.LimiterTime(), rate.Limit(w.writeRate))
+	w.limiter.SetLimitAt(w.LimiterTime(), rate.Limit(w.writeRate))
 }
 
 // MinTransactionOps is the fewest changes that a transaction is cut down to: with fewer, what
@@ -73,7 +85,7 @@
 	w.MaxTransactionOps = max(w.MaxTransactionOps/2, MinTransactionOps)
 }
 
-func (w *WriteLimiter) TakeWriteTokens(n int) bool { return w.WriteLimiter.AllowN(w.LimiterTime(), n) }
+func (w *WriteLimiter) TakeWriteTokens(n int) bool { return w.limiter.AllowN(w.LimiterTime(), n) }
 
 // StorageFormat is the newest format that may be written.
 func (w *WriteLimiter) StorageFormat() storage.Format { return w.Replica.Format.Record.WriteFormat }
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -35,8 +35,8 @@
 	peers  StoreReports
 	store  *StoreHealth
 
-	MinRevision      protocol.Revision // the replica must be as new before the next one
-	MinRevisionSince protocol.Instant
+	minRevision      protocol.Revision // the replica must be as new before the next one
+	minRevisionSince protocol.Instant
 	IsLoaded         bool              // the replica is whole
 	completeRevision protocol.Revision // it is whole once it has reached this
 	hasSnapshot      bool              // there is a replica to go on from; an empty store has revision 0
@@ -56,7 +56,7 @@
 	if !s.hasSnapshot || s.isWatching || s.isLoading || now < s.retryAt {
 		return
 	}
-	if now < s.nextWatchAt && s.Replica.Revision >= s.MinRevision && !waiting {
+	if now < s.nextWatchAt && s.Replica.Revision >= s.minRevision && !waiting {
 		return
 	}
 	s.isWatching, s.watchRequestedAt = true, now
@@ -73,6 +73,9 @@
 	s.Emit(step.LoadRecords{})
 }
 
+// isBehind tells whether the replica lacks what the next transaction must have seen.
+func (s *Replication) isBehind() bool { return s.Replica.Revision < s.minRevision }
+
 // StoreUnavailable tells whether a request to the state service would likely fail.
 func (s *Replication) StoreUnavailable() bool {
 	return !s.IsLoaded || s.store.ConsecutiveFailures > 1 && s.Since(s.store.LastResponseAt) > time.Second || s.Since(s.store.LastResponseAt) > s.Config.LeaseTTL
@@ -160,5 +163,5 @@
 }
 
 func (s *Replication) requireRevision(revision protocol.Revision) {
-	s.MinRevision, s.MinRevisionSince = max(s.MinRevision, revision), s.Now.Monotonic
+	s.minRevision, s.minRevisionSince = max(s.minRevision, revision), s.Now.Monotonic
 }
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -43,8 +43,8 @@
 }
 
 func (w *ShardWriter) NewBatch(maxOps int) *Batch {
-	return &Batch{shardWriter: w, OpsLeft: maxOps, Conditions: map[string]protocol.ModRevision{}, Jobs: map[protocol.JobID]*storage.JobRecord{},
-		Shards: map[storage.ShardID]*shardDraft{}, Machines: map[protocol.MachineID]*storage.MachineRecord{}, Teams: map[string]bool{}, Transfers: map[storage.TransferSlot]*storage.TransferRecord{}, Drains: map[protocol.ControllerID]*DrainChange{}, newlyDone: map[protocol.JobID]storage.TaskSet{}, FailedServices: map[protocol.JobID]bool{}}
+	return &Batch{shardWriter: w, opsLeft: maxOps, conditions: map[string]protocol.ModRevision{}, jobs: map[protocol.JobID]*storage.JobRecord{},
+		shards: map[storage.ShardID]*ShardDraft{}, machines: map[protocol.MachineID]*storage.MachineRecord{}, teams: map[string]bool{}, transfers: map[storage.TransferSlot]*storage.TransferRecord{}, drains: map[protocol.ControllerID]*DrainChange{}, newlyDone: map[protocol.JobID]storage.TaskSet{}, failedServices: map[protocol.JobID]bool{}}
 }
 
 func (w *ShardWriter) newShardID() storage.ShardID {
@@ -70,7 +70,7 @@
 	}
 	for _, id := range w.OwnedShards() {
 		p := w.Replica.Shards[id]
-		if len(p.CompletedTasks) == 0 || !w.needsConsolidation(p) && len(p.Machines) > 0 || b.Shards[id] == nil && !b.HasCapacity(2) {
+		if len(p.CompletedTasks) == 0 || !w.needsConsolidation(p) && len(p.Machines) > 0 || b.shards[id] == nil && !b.HasCapacity(2) {
 			continue
 		}
 		d := b.MutableShard(id)
@@ -139,17 +139,17 @@
 	projected := map[storage.ShardID]int{}
 	for _, id := range shards {
 		p := w.Replica.Shards[id]
-		projected[id] = b.projectShardSize(&shardDraft{MachineIDs: p.Machines, EstimatedSize: p.EncodedSize})
+		projected[id] = b.projectShardSize(&ShardDraft{MachineIDs: p.Machines, EstimatedSize: p.EncodedSize})
 	}
 	slices.SortStableFunc(shards, func(a, z storage.ShardID) int { return cmp.Compare(projected[a], projected[z]) })
 	for _, id := range shards {
 		p := w.Replica.Shards[id]
-		if projected[id] > w.limits.WriteLimits().ValueBytes/3 || len(p.Machines) == 0 || b.Shards[id] != nil {
+		if projected[id] > w.limits.WriteLimits().ValueBytes/3 || len(p.Machines) == 0 || b.shards[id] != nil {
 			continue
 		}
 		for _, targetID := range shards {
 			target := w.Replica.Shards[targetID]
-			if targetID == id || b.Shards[targetID] != nil || target.Epoch < p.Epoch || len(target.Machines) == 0 ||
+			if targetID == id || b.shards[targetID] != nil || target.Epoch < p.Epoch || len(target.Machines) == 0 ||
 				projected[targetID]+projected[id] > w.limits.WriteLimits().ValueBytes*7/8 || target.EncodedSize+p.EncodedSize > w.limits.WriteLimits().ValueBytes*3/4 {
 				continue
 			}
@@ -182,7 +182,7 @@
 func (w *ShardWriter) SplitShards(b *Batch) {
 	for _, id := range w.OwnedShards() {
 		p := w.Replica.Shards[id]
-		if p.EncodedSize < w.shardSplitThreshold() || len(p.Machines) < 2 || b.Shards[id] != nil || !b.HasCapacity(2) {
+		if p.EncodedSize < w.shardSplitThreshold() || len(p.Machines) < 2 || b.shards[id] != nil || !b.HasCapacity(2) {
 			continue
 		}
 		b.MutableShard(id)
@@ -205,7 +205,7 @@
 	// Once that is done there are none, at each transaction: only what is found is sorted.
 	shards := step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return p.Owner == w.lease.Incarnation && p.EncodedSize > maxValueBytes })
 	for _, id := range shards {
-		if b.Shards[id] == nil && b.HasCapacity(w.ShardWriteOps(id)) {
+		if b.shards[id] == nil && b.HasCapacity(w.ShardWriteOps(id)) {
 			b.MutableShard(id)
 		}
 	}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -196,8 +196,8 @@
 	}
 	c.requests.Users.ReplyPending()
 	c.agents.Heartbeats.ResolveDeferredHeartbeats()
-	c.commitBatch()
-	c.commit.Replication.WatchRecords(len(c.requests.Users.DeferredRequests) > 0)
+	c.commitBatches()
+	c.commit.Replication.WatchRecords(c.requests.Users.HasDeferred())
 	return c.Effects
 }
 
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -171,6 +171,21 @@
 	}
 }
 
+// writtenShards reads the shards that a batch writes, as a replica would.
+func writtenShards(t *testing.T, b *commit.Batch) map[storage.ShardID]*storage.Shard {
+	t.Helper()
+	written := storage.NewReplica()
+	for _, operation := range b.Transaction().Operations {
+		if operation.PutKey == "" {
+			continue
+		}
+		if _, err := written.Put(operation.PutKey, operation.Value, 1); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return written.Shards
+}
+
 // A machine is handed over for a report that its owner has not had, not for a
 // copy of one that it has.
 func TestHandOffOnMisdirectedHeartbeat(t *testing.T) {
@@ -358,7 +373,7 @@
 		core.Config.TransactionOps = 24
 		core.ownership.Manager.HandOffMachines(b)
 		transferredShards, movedMachines := 0, 0
-		for id, d := range b.Shards {
+		for id, d := range writtenShards(t, b) {
 			if d.Owner == core.commit.Lease.Incarnation {
 				continue
 			}
@@ -368,7 +383,7 @@
 			if core.Replica.Shards[id] != nil {
 				transferredShards++
 			} else {
-				movedMachines += len(d.MachineIDs)
+				movedMachines += len(d.Machines)
 			}
 		}
 		for _, operation := range b.Transaction().Operations {
--- a/internal/coordination/ownership/ownership.go
+++ b/internal/coordination/ownership/ownership.go
@@ -22,7 +22,7 @@
 	shards    *commit.ShardWriter
 	transfers *Transfers
 
-	ExpiredAt       map[storage.Incarnation]protocol.Instant // since when a run is known to be dead
+	expiredAt       map[storage.Incarnation]protocol.Instant // since when a run is known to be dead
 	pendingHandOffs map[protocol.MachineID]bool              // owned ones whose workers report to another controller
 	lastShedAt      protocol.Instant                         // when machines last left because this controller was no good for them
 }
@@ -30,7 +30,7 @@
 func NewManager(ctx *step.Context) *Manager {
 	return &Manager{
 		Context:         ctx,
-		ExpiredAt:       map[storage.Incarnation]protocol.Instant{},
+		expiredAt:       map[storage.Incarnation]protocol.Instant{},
 		pendingHandOffs: map[protocol.MachineID]bool{},
 	}
 }
@@ -43,6 +43,15 @@
 	return o.overload.overloadedSince == 0 && (o.lastShedAt == 0 || o.Since(o.lastShedAt) > sheddingCooldown)
 }
 
+// ExpiredSince tells since when this controller has known that an incarnation has ended.
+func (o *Manager) ExpiredSince(incarnation storage.Incarnation) (since protocol.Instant, expired bool) {
+	since, expired = o.expiredAt[incarnation]
+	return since, expired
+}
+
+// HasExpiredOwners tells whether shards or jobs belong to incarnations that have ended.
+func (o *Manager) HasExpiredOwners() bool { return len(o.expiredAt) > 0 }
+
 // TrackExpiredIncarnations notes since when runs are dead, so that takeovers spread out.
 func (o *Manager) TrackExpiredIncarnations() {
 	expired := map[storage.Incarnation]bool{}
@@ -51,8 +60,8 @@
 			return // nobody's things are a dead run's too
 		}
 		expired[incarnation] = true
-		if _, ok := o.ExpiredAt[incarnation]; !ok {
-			o.ExpiredAt[incarnation] = o.Now.Monotonic
+		if _, ok := o.expiredAt[incarnation]; !ok {
+			o.expiredAt[incarnation] = o.Now.Monotonic
 		}
 	}
 	for _, p := range o.Replica.Shards {
@@ -61,9 +70,9 @@
 	for _, j := range o.Replica.UnfinishedJobs {
 		recordIfExpired(j.Record.Owner)
 	}
-	for incarnation := range o.ExpiredAt {
+	for incarnation := range o.expiredAt {
 		if !expired[incarnation] {
-			delete(o.ExpiredAt, incarnation)
+			delete(o.expiredAt, incarnation)
 		}
 	}
 }
@@ -103,8 +112,8 @@
 // WriteAdoptions puts machines that report here and are on no record on a page, and takes
 // over the pages of those whose owner is dead.
 func (o *Manager) WriteAdoptions(b *commit.Batch) {
-	for _, id := range step.SortedKeys(o.agents.AwaitingOwner) {
-		m := o.agents.MachineStates[id]
+	for _, id := range step.SortedKeys(o.agents.AwaitingOwner()) {
+		m := o.agents.Lookup(id)
 		if !b.CanAddMachine() {
 			break
 		}
@@ -116,7 +125,7 @@
 			b.AddMachine(id, &storage.MachineRecord{AgentEpoch: m.LatestHeartbeat.AgentEpoch, Address: m.LatestHeartbeat.Addr, MachineType: m.LatestHeartbeat.Type, Zone: m.LatestHeartbeat.Zone,
 				Spot: m.LatestHeartbeat.Spot, AddedAt: o.Now.Wall}, m.LatestHeartbeat.FencingToken)
 			b.Log(slog.LevelInfo, "machine adopted", "machine", string(id), "machine_type", string(m.LatestHeartbeat.Type), "zone", string(m.LatestHeartbeat.Zone))
-		} else if expiredAt, expired := o.ExpiredAt[e.Record.Owner]; expired && b.HasCapacity(o.failoverOps(e.Record.Shard)) &&
+		} else if expiredAt, expired := o.expiredAt[e.Record.Owner]; expired && b.HasCapacity(o.failoverOps(e.Record.Shard)) &&
 			sharding.IsFailoverDue(o.Since(expiredAt), o.isShardSuccessor(e.Record.Shard), true) {
 			// Not whoever hears of it first: when all come back, the first one
 			// would have the whole fleet.
@@ -129,8 +138,8 @@
 func (o *Manager) WriteFailovers(b *commit.Batch) {
 	for _, id := range step.SortedKeys(o.Replica.Shards) {
 		shard := o.Replica.Shards[id]
-		expiredAt, expired := o.ExpiredAt[shard.Owner]
-		if !expired || b.Shards[id] != nil || !b.HasCapacity(o.failoverOps(id)) || !sharding.IsFailoverDue(o.Since(expiredAt), o.isShardSuccessor(id), false) {
+		expiredAt, expired := o.expiredAt[shard.Owner]
+		if !expired || b.ChangesShard(id) || !b.HasCapacity(o.failoverOps(id)) || !sharding.IsFailoverDue(o.Since(expiredAt), o.isShardSuccessor(id), false) {
 			continue
 		}
 		o.failOverShard(b, id, 0)
@@ -183,7 +192,7 @@
 			}
 		}
 		shard := o.Replica.Shards[id]
-		if sharding.ShouldHandOffShard(len(shard.Machines), total, o.countResponsive(shard)) && b.HasCapacity(o.shards.ShardWriteOps(id)) && b.Shards[id] == nil {
+		if sharding.ShouldHandOffShard(len(shard.Machines), total, o.countResponsive(shard)) && b.HasCapacity(o.shards.ShardWriteOps(id)) && !b.ChangesShard(id) {
 			o.lastShedAt = o.Now.Monotonic
 			o.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
 		}
@@ -223,18 +232,18 @@
 func (o *Manager) handOffIndividually(b *commit.Batch, ids []protocol.MachineID) {
 	newShards := map[storage.Incarnation]storage.ShardID{}
 	for _, id := range ids {
-		m, e := o.agents.MachineStates[id], o.Replica.Machines[id]
-		if d := b.Shards[e.Record.Shard]; d != nil && d.Owner != o.lease.Incarnation || !b.HasCapacity(2) {
+		m, e := o.agents.Lookup(id), o.Replica.Machines[id]
+		if b.GivesAwayShard(e.Record.Shard) || !b.HasCapacity(2) {
 			continue
 		}
 		// A page takes what fits into a value, whatever still begins there.
-		if shard := newShards[m.HandOffTarget]; shard == "" || b.Shards[shard].EstimatedSize+o.shards.EstimateEncodedSize(len(o.Replica.EncodedLine(id))) > o.limits.WriteLimits().ValueBytes*3/4 {
+		if shard := newShards[m.HandOffTarget]; shard == "" || b.Draft(shard).EstimatedSize+o.shards.EstimateEncodedSize(len(o.Replica.EncodedLine(id))) > o.limits.WriteLimits().ValueBytes*3/4 {
 			newShards[m.HandOffTarget] = b.NewShard(m.HandOffTarget, e.Record.ShardEpoch+1)
 			b.DependOn(storage.ControllerKey(m.HandOffTarget.Controller()))
 		}
-		if shard := newShards[m.HandOffTarget]; b.Shards[shard].Epoch > e.Record.ShardEpoch {
+		if shard := newShards[m.HandOffTarget]; b.Draft(shard).Epoch > e.Record.ShardEpoch {
 			b.MoveMachine(id, shard)
-			b.Machines[id].Cordoned = false
+			b.MutableMachine(id).Cordoned = false
 			o.lastShedAt = o.Now.Monotonic
 			b.Log(slog.LevelInfo, "machine handed off", "machine", string(id), "target", string(m.HandOffTarget))
 		}
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -78,7 +78,7 @@
 	}
 	policy := sharding.RebalancePolicy{MaxTransfers: maxTransfersPerPlan, MaxIncomingTransfers: MaxIncomingTransfers, DemandWeight: tm.Config.RebalanceDemandWeight}
 	for _, transfer := range sharding.PlanRebalance(tm.ShardingSnapshot(overloaded), policy) {
-		if b.Shards[transfer.Shard] != nil || !b.HasCapacity(tm.shards.ShardWriteOps(transfer.Shard)) {
+		if b.ChangesShard(transfer.Shard) || !b.HasCapacity(tm.shards.ShardWriteOps(transfer.Shard)) {
 			continue
 		}
 		tm.lastRebalanceAt = tm.Now.Monotonic
@@ -142,7 +142,7 @@
 		if reserved[id] {
 			return 0, true
 		}
-		if e, m := tm.Replica.Machines[id], tm.agents.MachineStates[id]; e != nil && m != nil {
+		if e, m := tm.Replica.Machines[id], tm.agents.Lookup(id); e != nil && m != nil {
 			cost += float64(len(m.InflightStarts))
 		}
 	}
@@ -206,7 +206,7 @@
 	var oldest protocol.ModRevision
 	for n := range storage.TransferSlotsPerController {
 		slot := storage.NewTransferSlot(target, n)
-		if e := tm.Replica.Transfers[slot]; b.Transfers[slot] != nil || e != nil && e.Record.Phase.IsOpen() {
+		if e := tm.Replica.Transfers[slot]; b.ChangesTransfer(slot) || e != nil && e.Record.Phase.IsOpen() {
 			continue
 		}
 		if modRevision := tm.Replica.ModRevision(storage.TransferKey(slot)); !ok || modRevision < oldest {
@@ -229,7 +229,7 @@
 			observation = transferObservation{modRevision: e.ModRevision, observedAt: tm.Now.Monotonic}
 			tm.transferObservations[slot] = observation
 		}
-		if !e.Record.Phase.IsOpen() || b.Transfers[slot] != nil {
+		if !e.Record.Phase.IsOpen() || b.ChangesTransfer(slot) {
 			continue
 		}
 		progress := tm.transferProgress(slot, &e.Record, reserved)
@@ -307,7 +307,7 @@
 	ops := 1
 	if step.Phase == storage.TransferCommitted {
 		ops += tm.shards.ShardWriteOps(previous.Shard)
-		if b.Shards[previous.Shard] != nil {
+		if b.ChangesShard(previous.Shard) {
 			return // it changes in this transaction already; the next one does it
 		}
 	}
@@ -342,7 +342,7 @@
 // where it was to go, or it is over.
 func (tm *Transfers) endTransferOnFailover(b *commit.Batch, id storage.ShardID) {
 	slot, e := tm.Replica.OpenTransferOf(id)
-	if e == nil || !e.Record.Phase.IsPending() || b.Transfers[slot] != nil {
+	if e == nil || !e.Record.Phase.IsPending() || b.ChangesTransfer(slot) {
 		return
 	}
 	record := e.Record
--- a/internal/coordination/provisioning/cloud.go
+++ b/internal/coordination/provisioning/cloud.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Termination is a machine on its way back to the cloud.
-type Termination struct {
+// termination is a machine on its way back to the cloud.
+type termination struct {
 	retryAt    protocol.Instant
 	inFlight   bool
-	Confirmed  bool // answered 200: the machine and all on it are gone
+	confirmed  bool // answered 200: the machine and all on it are gone
 	unrecorded bool // nothing on record says so
 }
 
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -89,7 +89,7 @@
 	orphaned := step.SelectKeys(ii.listedInstances, func(l *listedInstance) bool { return ii.Replica.Machines[l.instance.ID] == nil })
 	for _, id := range orphaned {
 		l := ii.listedInstances[id]
-		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.CanAddMachine() || b.Machines[id] != nil {
+		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.CanAddMachine() || b.ChangesMachine(id) {
 			continue
 		}
 		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.IsSuccessor(string(id)) || ii.provisioner.isGranted(id) {
--- a/internal/coordination/provisioning/provisioning.go
+++ b/internal/coordination/provisioning/provisioning.go
@@ -217,7 +217,7 @@
 			}
 			tasks := float64(min(tasksPerMachine, d.Tasks))
 			out = append(out, pricedPool{key: PoolKey{MachineType: f.Name, Zone: z, Spot: false}, tasksPerMachine: tasksPerMachine, costPerTask: f.OnDemandPrice / tasks})
-			if t := mp.spot.SpotThresholds[catalog.PriceKey{MachineType: f.Name, Zone: z}]; !d.Desc.IsService() && mp.spot.CanUseSpot(d.Desc, f) && t != nil && t.AllowsSpot() {
+			if t := mp.spot.Threshold(catalog.PriceKey{MachineType: f.Name, Zone: z}); !d.Desc.IsService() && mp.spot.CanUseSpot(d.Desc, f) && t != nil && t.AllowsSpot() {
 				out = append(out, pricedPool{key: PoolKey{MachineType: f.Name, Zone: z, Spot: true}, tasksPerMachine: tasksPerMachine, costPerTask: f.SpotPrice / tasks})
 			}
 		}
@@ -279,7 +279,7 @@
 				continue
 			}
 			missing++
-			if b.Machines[id] == nil && b.CanAddMachine() {
+			if !b.ChangesMachine(id) && b.CanAddMachine() {
 				b.AddMachine(id, &storage.MachineRecord{MachineType: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot,
 					AddedAt: mp.Now.Wall - protocol.Millis(mp.Since(r.requestedAt).Milliseconds())}, 0)
 			}
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -41,7 +41,7 @@
 	scheduler     IdlePolicy
 
 	scaleInQueue  []protocol.MachineID // owned ones that are to go back
-	Terminations  map[protocol.MachineID]*Termination
+	terminations  map[protocol.MachineID]*termination
 	isTerminating bool
 	terminatedAt  map[protocol.MachineID]protocol.Instant
 }
@@ -49,15 +49,18 @@
 func NewTerminator(ctx *step.Context) *Terminator {
 	return &Terminator{
 		Context:      ctx,
-		Terminations: map[protocol.MachineID]*Termination{},
+		terminations: map[protocol.MachineID]*termination{},
 		terminatedAt: map[protocol.MachineID]protocol.Instant{},
 	}
 }
 
+// IsTerminating tells whether a machine is being returned to the cloud.
+func (mt *Terminator) IsTerminating(id protocol.MachineID) bool { return mt.terminations[id] != nil }
+
 // IsTerminationConfirmed tells whether the cloud has answered a release of the machine.
 func (mt *Terminator) IsTerminationConfirmed(id protocol.MachineID) bool {
-	r := mt.Terminations[id]
-	return r != nil && r.Confirmed
+	r := mt.terminations[id]
+	return r != nil && r.confirmed
 }
 
 // TerminateUnrecorded sends a machine back with no mark on record: while the state service
@@ -65,10 +68,10 @@
 // its rule meanwhile. To others it is a machine that died, which they know to meet; the
 // mark keeps them from placing tasks there, which costs time only.
 func (mt *Terminator) TerminateUnrecorded(id protocol.MachineID) {
-	if mt.Terminations[id] != nil {
+	if mt.terminations[id] != nil {
 		return
 	}
-	mt.Terminations[id] = &Termination{unrecorded: true}
+	mt.terminations[id] = &termination{unrecorded: true}
 	mt.Log(slog.LevelWarn, "unrecorded machine termination", "machine", string(id), "reason", "withdrawn task would not go")
 }
 
@@ -91,19 +94,19 @@
 func (mt *Terminator) SendTerminations() {
 	now := mt.Now.Monotonic
 	var ids []protocol.MachineID
-	for id, r := range mt.Terminations {
+	for id, r := range mt.terminations {
 		if e := mt.Replica.Machines[id]; e == nil || !r.unrecorded && (!mt.lease.OwnsMachine(&e.Record) || !e.Record.Terminating) {
-			delete(mt.Terminations, id)
+			delete(mt.terminations, id)
 			continue
 		}
-		if !r.Confirmed && !r.inFlight && now >= r.retryAt && len(ids) < protocol.MaxTerminateCount {
+		if !r.confirmed && !r.inFlight && now >= r.retryAt && len(ids) < protocol.MaxTerminateCount {
 			ids = append(ids, id)
 		}
 	}
 	if len(ids) > 0 && !mt.isTerminating {
 		sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
 		for _, id := range ids {
-			mt.Terminations[id].inFlight = true
+			mt.terminations[id].inFlight = true
 		}
 		mt.isTerminating = true
 		mt.Emit(step.TerminateMachines{Machines: ids})
@@ -113,7 +116,7 @@
 func (mt *Terminator) OnTerminateResult(v step.TerminateMachinesResult) {
 	mt.isTerminating = false
 	for _, id := range v.Machines {
-		r := mt.Terminations[id]
+		r := mt.terminations[id]
 		if r == nil {
 			continue
 		}
@@ -122,7 +125,7 @@
 			r.retryAt = mt.Now.Monotonic.Add(mt.Jitter(time.Second))
 			continue
 		}
-		r.Confirmed = true
+		r.confirmed = true
 	}
 	if v.Err != nil {
 		mt.Log(slog.LevelWarn, "machine termination failed", "count", len(v.Machines), "error", v.Err.Error())
@@ -139,8 +142,8 @@
 // EvaluateScaleIn decides whether an owned machine goes back, and why.
 func (mt *Terminator) EvaluateScaleIn(e *storage.Machine, m *agents.MachineState, isolated bool) {
 	if e.Record.Terminating {
-		if mt.Terminations[m.ID] == nil && mt.lease.IsRegistered() {
-			mt.Terminations[m.ID] = &Termination{}
+		if mt.terminations[m.ID] == nil && mt.lease.IsRegistered() {
+			mt.terminations[m.ID] = &termination{}
 		}
 		return
 	}
@@ -243,8 +246,8 @@
 func (mt *Terminator) WriteTerminations(b *commit.Batch) {
 	for _, id := range mt.scaleInQueue {
 		e := mt.Replica.Machines[id]
-		if m := mt.agents.MachineStates[id]; m != nil && m.ScaleInReason != "" && e != nil && mt.lease.OwnsMachine(&e.Record) && !e.Record.Terminating && b.HasCapacity(b.WritesNeeded(id)) && !b.RemovesMachine(id) {
-			if m.ScaleInReason == "idle" && (b.Machines[id] != nil || len(e.Record.Assignments) > 0) {
+		if m := mt.agents.Lookup(id); m != nil && m.ScaleInReason != "" && e != nil && mt.lease.OwnsMachine(&e.Record) && !e.Record.Terminating && b.HasCapacity(b.WritesNeeded(id)) && !b.RemovesMachine(id) {
+			if m.ScaleInReason == "idle" && (b.ChangesMachine(id) || len(e.Record.Assignments) > 0) {
 				continue
 			}
 			mt.markTerminating(b, id, m.ScaleInReason)
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -5,7 +5,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/scheduling"
@@ -118,7 +117,10 @@
 			running := newArrayJob(4, c.runs)
 			r.Allocate(running, 1)
 			r.Allocations = []scheduling.Allocation{{Job: "j-2", Attempt: 1, Count: 1, Desc: running}}
-			core.agents.Table.AssignedAt[agents.AssignmentKey{Machine: id, Job: "j-2", Attempt: 1}] = core.Now.Monotonic.Add(-c.ran)
+			now := core.Now.Monotonic
+			core.Now.Monotonic = now.Add(-c.ran)
+			core.agents.Table.RecordAssignments(id, nil, &storage.MachineRecord{Assignments: []storage.Assignment{{Job: "j-2", Attempt: 1}}})
+			core.Now.Monotonic = now
 			candidates = append(candidates, r)
 		}
 		if got := core.scheduling.Backfill.ReserveBackfill(q, candidates, 10); got != c.want {
--- a/internal/coordination/requests/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -137,7 +137,7 @@
 	if err := o.checkDrain(v); err != nil {
 		return nil, err
 	}
-	if !b.HasCapacity(1) || b.Drains[v.Controller] != nil {
+	if !b.HasCapacity(1) || b.ChangesDrain(v.Controller) {
 		return nil, nil
 	}
 	change := &commit.DrainChange{}
@@ -257,7 +257,7 @@
 func (o *OperatorRequests) abortTransfer(b *commit.Batch, name string) {
 	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
 		e := o.Replica.Transfers[slot]
-		if e.Record.Name == name && e.Record.Phase.IsPending() && b.Transfers[slot] == nil {
+		if e.Record.Name == name && e.Record.Phase.IsPending() && !b.ChangesTransfer(slot) {
 			o.transfers.WriteTransferStep(b, slot, sharding.TransferStep{Phase: storage.TransferAborted, Reason: sharding.ReasonOperatorAbort})
 		}
 	}
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -22,15 +22,15 @@
 	replication   *commit.Replication
 	store         *commit.StoreHealth
 
-	Submissions      map[protocol.JobID]*submission
-	DeferredRequests []*deferredRequest
+	submissions      map[protocol.JobID]*submission
+	deferredRequests []*deferredRequest
 	revisionRead     revisionRead
 }
 
 func NewUserRequests(ctx *step.Context) *UserRequests {
 	return &UserRequests{
 		Context:     ctx,
-		Submissions: map[protocol.JobID]*submission{},
+		submissions: map[protocol.JobID]*submission{},
 	}
 }
 
@@ -132,11 +132,11 @@
 }
 
 func (h *UserRequests) deferRequest(request *deferredRequest) {
-	if h.replication.StoreUnavailable() || len(h.DeferredRequests) >= maxDeferredRequests {
+	if h.replication.StoreUnavailable() || len(h.deferredRequests) >= maxDeferredRequests {
 		h.rejectUnavailable(request.requestID)
 		return
 	}
-	h.DeferredRequests = append(h.DeferredRequests, request)
+	h.deferredRequests = append(h.deferredRequests, request)
 	h.requestRevision()
 }
 
@@ -145,7 +145,7 @@
 	if h.revisionRead.isInFlight {
 		return
 	}
-	for _, request := range h.DeferredRequests {
+	for _, request := range h.deferredRequests {
 		if !request.isRevisionRequested {
 			h.revisionRead.isInFlight = true
 		}
@@ -153,7 +153,7 @@
 	if !h.revisionRead.isInFlight {
 		return
 	}
-	for _, request := range h.DeferredRequests {
+	for _, request := range h.deferredRequests {
 		request.isRevisionRequested = true
 	}
 	h.revisionRead.requestedAt = h.Now.Monotonic
@@ -163,7 +163,7 @@
 func (h *UserRequests) OnReadRevisionResult(v step.ReadRevisionResult) {
 	h.revisionRead.isInFlight = false
 	answered := h.store.RecordContact(h.revisionRead.requestedAt, v.Err)
-	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, func(request *deferredRequest) bool {
+	h.deferredRequests = slices.DeleteFunc(h.deferredRequests, func(request *deferredRequest) bool {
 		if !request.isRevisionRequested || request.minRevision != 0 {
 			return false
 		}
@@ -183,7 +183,7 @@
 		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.Now.Monotonic})
 		return
 	}
-	if h.replication.StoreUnavailable() || len(h.catalog.MachineTypes) == 0 || len(h.Submissions) >= maxDeferredRequests {
+	if h.replication.StoreUnavailable() || len(h.catalog.MachineTypes) == 0 || len(h.submissions) >= maxDeferredRequests {
 		h.rejectUnavailable(requestID)
 		return
 	}
@@ -192,10 +192,10 @@
 		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.Now.Monotonic})
 		return
 	}
-	pending := h.Submissions[job.ID]
+	pending := h.submissions[job.ID]
 	if pending == nil {
 		pending = &submission{job: job, receivedAt: h.Now.Monotonic, submittedAt: h.Now.Wall}
-		h.Submissions[job.ID] = pending
+		h.submissions[job.ID] = pending
 	}
 	pending.requestIDs = append(pending.requestIDs, requestID)
 }
@@ -238,28 +238,38 @@
 	return false
 }
 
+// HasSubmissions tells whether jobs wait to be put on record.
+func (h *UserRequests) HasSubmissions() bool { return len(h.submissions) > 0 }
+
+// HasDeferred tells whether users wait for a newer replica.
+func (h *UserRequests) HasDeferred() bool { return len(h.deferredRequests) > 0 }
+
 // WriteUserRequests puts new and withdrawn jobs into the transaction.
 func (h *UserRequests) WriteUserRequests(b *commit.Batch) {
 	h.cancellations.WriteCancellations(b)
-	for _, id := range step.SortedKeys(h.Submissions) {
-		pending := h.Submissions[id]
+	for _, id := range step.SortedKeys(h.submissions) {
+		pending := h.submissions[id]
 		if h.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
 			continue
 		}
-		b.ReserveWrite(storage.JobKey(id), 700)
-		b.Jobs[id] = &storage.JobRecord{Spec: pending.job, Owner: h.lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: pending.submittedAt}
+		b.AddJob(id, &storage.JobRecord{
+			Spec:        pending.job,
+			Owner:       h.lease.Incarnation,
+			NextAttempt: step.AttemptBlockSize,
+			SubmittedAt: pending.submittedAt,
+		})
 	}
 }
 
 // ReplyPending answers whoever can be answered now.
 func (h *UserRequests) ReplyPending() {
-	for _, id := range step.SortedKeys(h.Submissions) {
-		pending := h.Submissions[id]
+	for _, id := range step.SortedKeys(h.submissions) {
+		pending := h.submissions[id]
 		e := h.Replica.Jobs[id]
 		if e == nil {
 			continue
 		}
-		delete(h.Submissions, id)
+		delete(h.submissions, id)
 		for _, requestID := range pending.requestIDs {
 			if e.Record.State.IsTerminal() {
 				h.Reply(requestID, 200, h.jobStatus(id, &e.Record, false))
@@ -274,7 +284,7 @@
 			}
 		}
 	}
-	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, h.tryReply)
+	h.deferredRequests = slices.DeleteFunc(h.deferredRequests, h.tryReply)
 	h.requestRevision()
 }
 
@@ -311,16 +321,16 @@
 // ExpireUserRequests gives up on requests whose user would not wait any longer.
 func (h *UserRequests) ExpireUserRequests() {
 	unavailable := h.replication.StoreUnavailable()
-	for _, id := range step.SortedKeys(h.Submissions) {
-		pending := h.Submissions[id]
+	for _, id := range step.SortedKeys(h.submissions) {
+		pending := h.submissions[id]
 		if unavailable || h.Since(pending.receivedAt) > h.Config.UserRequestTimeout {
-			delete(h.Submissions, id)
+			delete(h.submissions, id)
 			for _, requestID := range pending.requestIDs {
 				h.rejectUnavailable(requestID)
 			}
 		}
 	}
-	h.DeferredRequests = slices.DeleteFunc(h.DeferredRequests, func(request *deferredRequest) bool {
+	h.deferredRequests = slices.DeleteFunc(h.deferredRequests, func(request *deferredRequest) bool {
 		expired := unavailable || h.Since(request.receivedAt) > h.Config.UserRequestTimeout
 		if expired {
 			h.rejectUnavailable(request.requestID)
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -39,7 +39,7 @@
 	if alloc.Desc.IsService() {
 		return now.Add(unboundedRuntime)
 	}
-	startedAt, known := bp.agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]
+	startedAt, known := bp.agents.AssignedSince(agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt})
 	if !known {
 		startedAt = now
 	}
--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -75,7 +75,7 @@
 	precedences := map[*protocol.Job]int{}
 	for _, entry := range list {
 		id, record := entry.ID, &entry.Record
-		if b.Shards[record.Shard] != nil {
+		if b.ChangesShard(record.Shard) {
 			if b.RemovesMachine(id) {
 				continue
 			}
@@ -85,8 +85,8 @@
 		if machineType == nil {
 			continue
 		}
-		machine := &Candidate{ID: id, state: l.agents.MachineStates[id], Record: record, MachineType: machineType, Resources: catalog.CapacityOf(machineType), isProvisioning: record.AgentEpoch == 0}
-		machine.IsUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || l.terminator.Terminations[id] != nil
+		machine := &Candidate{ID: id, state: l.agents.Lookup(id), Record: record, MachineType: machineType, Resources: catalog.CapacityOf(machineType), isProvisioning: record.AgentEpoch == 0}
+		machine.IsUnschedulable = record.Terminating || record.Cordoned || !live[record.Owner] || quiescedShards[record.Shard] || l.terminator.IsTerminating(id)
 		for i := range record.Assignments {
 			assigned := &record.Assignments[i]
 			j := b.JobRecord(assigned.Job)
@@ -106,7 +106,7 @@
 		if record.Spot && !machine.IsUnschedulable {
 			age := step.MillisToDuration(l.Now.Wall - record.AddedAt)
 			machine.isNearSpotPeriodEnd = catalog.IsNearPeriodBoundary(id, age, l.Config.SpotPeriod, l.Config.SpotPeriodEndMargin)
-			if threshold := l.spot.SpotThresholds[catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone}]; threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
+			if threshold := l.spot.Threshold(catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone}); threshold != nil && !threshold.AllowsSpot() || machine.isNearSpotPeriodEnd {
 				machine.IsUnschedulable = true
 			}
 		}
@@ -173,7 +173,7 @@
 		byPool[key].cores += machine.MachineType.Cores
 		byPool[key].used += machine.MachineType.Cores - machine.Cores
 	}
-	for key, threshold := range l.spot.SpotThresholds {
+	for key, threshold := range l.spot.Thresholds() {
 		l.Log(slog.LevelDebug, "spot price threshold", "machine_type", string(key.MachineType), "zone", string(key.Zone), "price", threshold.SpotPrice, "threshold", threshold.Value(), "spot_allowed", threshold.AllowsSpot())
 	}
 	for key, total := range byPool {
@@ -184,6 +184,6 @@
 // AwaitsHeartbeat tells whether what is written to a machine goes out with its next
 // report only: none of it waits for an answer here.
 func (l *CandidateLister) AwaitsHeartbeat(machine *Candidate) bool {
-	state := l.agents.MachineStates[machine.ID]
+	state := l.agents.Lookup(machine.ID)
 	return machine.Record.Owner == l.lease.Incarnation && state != nil && state.DeferredRequest == 0
 }
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -114,8 +114,8 @@
 	if requiredOps == 0 || fits {
 		return true
 	}
-	if g.plan.PendingGangOps == 0 {
-		g.plan.PendingGangOps = requiredOps + g.limits.ReservedUserTokens()
+	if g.plan.pendingGangOps == 0 {
+		g.plan.pendingGangOps = requiredOps + g.limits.ReservedUserTokens()
 	}
 	return false
 }
@@ -124,7 +124,7 @@
 func (g *GangScheduler) writeGangPlacement(b *commit.Batch, job *PendingJob, placements []placement, tasks int) {
 	pending := g.acquirer.pendingTasks(b, job, tasks)
 	attempt := g.jobs.JobState(job.ID).NextAttempt
-	b.OnSend = append(b.OnSend, func() { g.jobs.JobState(job.ID).GangAttemptInProgress = attempt })
+	b.OnSend(func() { g.jobs.JobState(job.ID).GangAttemptInProgress = attempt })
 	for _, p := range placements {
 		if g.scheduler.fitsTransaction(b, p.machine, job.Record.Spec) {
 			b.AssignTasks(p.machine.ID, job.ID, pending[:p.count], attempt)
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -32,7 +32,7 @@
 		if state.AttemptsEnd-state.NextAttempt > 8 {
 			return
 		}
-	} else if expiredAt, isExpired := ja.ownership.ExpiredAt[job.Record.Owner]; !isExpired || ja.Since(expiredAt) < 500*time.Millisecond ||
+	} else if expiredAt, isExpired := ja.ownership.ExpiredSince(job.Record.Owner); !isExpired || ja.Since(expiredAt) < 500*time.Millisecond ||
 		!ja.ownership.IsSuccessor(storage.JobKey(job.ID)) && ja.Since(expiredAt) < 10*time.Second {
 		return
 	}
@@ -70,9 +70,9 @@
 			add(b.MachineRecord(id))
 		}
 	}
-	for id := range b.Machines {
+	for id, record := range b.ChangedMachines() {
 		if !ja.Replica.MachinesWithJob(job.ID)[id] {
-			add(b.Machines[id])
+			add(record)
 		}
 	}
 	return covered.FirstMissing(job.Record.Spec.TaskCount, limit)
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -69,7 +69,7 @@
 func (s *Scheduler) PlacePendingJobs(b *commit.Batch) {
 	s.plan.computedAt = s.Now.Monotonic
 	s.plan.retainedMachines = map[protocol.MachineID]bool{}
-	s.plan.HasPendingRemotePlacements = false
+	s.plan.hasPendingRemotePlacements = false
 	s.plan.pendingPlacements = map[protocol.MachineID]bool{}
 	s.plan.unmetDemands = s.plan.unmetDemands[:0]
 	if len(s.catalog.MachineTypes) == 0 {
@@ -106,7 +106,7 @@
 			s.gangs.placeGang(b, job, candidates)
 		} else if job.Record.Spec.IsService() {
 			s.services.placeReplicas(b, job, candidates)
-		} else if len(jobs) > 1 && s.commits.IsPartial {
+		} else if len(jobs) > 1 && s.commits.IsPartial() {
 			s.placeArray(b, job, candidates, protocol.MaxTasks, true)
 		}
 	}
@@ -179,7 +179,7 @@
 	} else if m == nil || m.DeferredRequest == 0 {
 		score += s.Config.HeartbeatInterval.Seconds() / 2
 	}
-	if b.Shards[machine.Record.Shard] == nil {
+	if !b.ChangesShard(machine.Record.Shard) {
 		score += 1
 	}
 	return score
@@ -298,7 +298,7 @@
 			s.expedite(b, machine.ID)
 		}
 	} else {
-		s.plan.HasPendingRemotePlacements = s.plan.HasPendingRemotePlacements || tasks != nil && machine.Record.Owner != s.lease.Incarnation && !machine.isProvisioning
+		s.plan.hasPendingRemotePlacements = s.plan.hasPendingRemotePlacements || tasks != nil && machine.Record.Owner != s.lease.Incarnation && !machine.isProvisioning
 		s.plan.pendingPlacements[machine.ID] = true
 	}
 	job.recordAllocation(machine, n, 0)
@@ -333,7 +333,7 @@
 // fitsTransaction tells whether a placement on the machine fits the transaction.
 func (s *Scheduler) fitsTransaction(b *commit.Batch, machine *Candidate, d *protocol.Job) bool {
 	n := b.WritesNeeded(machine.ID)
-	if s.Config.Quotas[d.Team].HasLimit() && !b.Teams[d.Team] {
+	if s.Config.Quotas[d.Team].HasLimit() && !b.LocksQuota(d.Team) {
 		n++
 		if s.Replica.Revision < protocol.Revision(s.Replica.QuotaRevisions[d.Team]) {
 			return false
@@ -347,12 +347,11 @@
 func (s *Scheduler) recordPlacement(b *commit.Batch, job *PendingJob, machine *Candidate, n int, attempt protocol.Attempt) {
 	d := job.Record.Spec
 	b.DependOn(storage.JobKey(job.ID))
-	if s.Config.Quotas[d.Team].HasLimit() && !b.Teams[d.Team] {
-		b.ReserveWrite(storage.QuotaKey(d.Team), 100)
-		b.Teams[d.Team] = true
+	if s.Config.Quotas[d.Team].HasLimit() && !b.LocksQuota(d.Team) {
+		b.LockQuota(d.Team)
 	}
 	state := s.jobs.JobState(job.ID)
-	b.OnSend = append(b.OnSend, func() {
+	b.OnSend(func() {
 		state.NextAttempt = max(state.NextAttempt, attempt+1)
 		// A job whose tasks come back again and again is tried ever less often:
 		// it may fail everywhere until its user cancels it.
--- a/internal/coordination/scheduling/placement_plan.go
+++ b/internal/coordination/scheduling/placement_plan.go
@@ -11,11 +11,11 @@
 type Plan struct {
 	*step.Context
 
-	PendingGangOps             int // changes that a gang needs which found no room in the last one
+	pendingGangOps             int // changes that a gang needs which found no room in the last one
 	unmetDemands               []provisioning.UnmetDemand
 	computedAt                 protocol.Instant
 	retainedMachines           map[protocol.MachineID]bool       // machines that the plan wants to keep
-	HasPendingRemotePlacements bool                              // tasks of own jobs wait to be written to others' pages
+	hasPendingRemotePlacements bool                              // tasks of own jobs wait to be written to others' pages
 	pendingPlacements          map[protocol.MachineID]bool       // those on which it has tasks that are not written yet
 	availableCandidates        []*Candidate                      // machines that may still take something
 	ContendedTypes             map[protocol.MachineTypeName]bool // machine types that tasks have waited for of late
@@ -42,6 +42,20 @@
 // ClearDemands drops the demand once machines have been requested for it.
 func (plan *Plan) ClearDemands() { plan.unmetDemands = plan.unmetDemands[:0] }
 
+// PendingGangOps is how many operations a gang needs that found no room in the last batch.
+func (plan *Plan) PendingGangOps() int { return plan.pendingGangOps }
+
+// TakePendingGangOps gives PendingGangOps and resets it.
+func (plan *Plan) TakePendingGangOps() int {
+	ops := plan.pendingGangOps
+	plan.pendingGangOps = 0
+	return ops
+}
+
+// HasPendingRemotePlacements tells whether tasks of own jobs wait to be recorded on shards of
+// other controllers.
+func (plan *Plan) HasPendingRemotePlacements() bool { return plan.hasPendingRemotePlacements }
+
 // NextPlanTime is the earliest time of the next plan.
 func (plan *Plan) NextPlanTime() protocol.Instant {
 	return plan.computedAt.Add(plan.Config.MinCommitInterval)
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -32,7 +32,7 @@
 
 // runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
 func (p *Preemptor) runningSeconds(machine *Candidate, alloc Allocation) float64 {
-	if assignedAt, ok := p.agents.AssignedAt[agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}]; ok {
+	if assignedAt, ok := p.agents.AssignedSince(agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}); ok {
 		return p.Since(assignedAt).Seconds()
 	}
 	return 0
@@ -139,7 +139,7 @@
 	if !p.lease.OwnsMachine(machine.Record) || p.Now.Wall-preemptor.Record.SubmittedAt < 500 {
 		return
 	}
-	state := p.agents.MachineStates[machine.ID]
+	state := p.agents.Lookup(machine.ID)
 	if state == nil {
 		return
 	}
--- a/internal/coordination/scheduling/replicas.go
+++ b/internal/coordination/scheduling/replicas.go
@@ -66,7 +66,7 @@
 	if p.remaining <= 0 {
 		return
 	}
-	p.canWrite = s.acquirer.canWritePlacements(b, job) && s.Now.Monotonic >= s.jobs.JobState(job.ID).NotBefore && !b.FailedServices[job.ID]
+	p.canWrite = s.acquirer.canWritePlacements(b, job) && s.Now.Monotonic >= s.jobs.JobState(job.ID).NotBefore && !b.HasFailedReplica(job.ID)
 	if p.canWrite {
 		p.pending = s.acquirer.pendingTasks(b, job, p.remaining)
 		p.remaining = min(p.remaining, len(p.pending))
@@ -353,7 +353,7 @@
 				remaining = current.Tasks.Len()
 			}
 		}
-		if at, known := s.agents.AssignedAt[agents.AssignmentKey{Machine: id, Job: assigned.Job, Attempt: assigned.Attempt}]; known && remaining < assigned.Tasks.Len() {
+		if at, known := s.agents.AssignedSince(agents.AssignmentKey{Machine: id, Job: assigned.Job, Attempt: assigned.Attempt}); known && remaining < assigned.Tasks.Len() {
 			s.onReplicasExited(assigned.Job, s.Since(at))
 		}
 	}
