--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"tillerarch/internal/coordination/requests"
-	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/admin"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -9,13 +9,13 @@
 	"runtime/debug"
 	"sync"
 	"sync/atomic"
-	"tillerarch/internal/coordination/requests"
-	"tillerarch/internal/coordination/step"
 	"time"
 
 	"golang.org/x/time/rate"
 
 	"tillerarch/internal/coordination"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
--- a/cmd/tillerarch/settings.go
+++ b/cmd/tillerarch/settings.go
@@ -8,12 +8,12 @@
 	"os"
 	"sort"
 	"strconv"
-	"tillerarch/internal/coordination/step"
 	"time"
 
 	"github.com/BurntSushi/toml"
 	"github.com/magiconair/properties"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -5,8 +5,9 @@
 	"path/filepath"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/step"
 	"time"
+
+	"tillerarch/internal/coordination/step"
 )
 
 const goodSettings = `
--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -2,11 +2,12 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Caller sends commands and probes directly to agents and bounds how many are in flight.
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -2,11 +2,12 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // RemovalRecorder remembers machines that have left the records.
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -1,12 +1,13 @@
 package agents
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // CancellationChecker knows the jobs whose cancellation has been requested.
@@ -47,7 +48,7 @@
 		h.Reply(input.RequestID, 400, step.ErrorBody{Error: err.Error()})
 		return
 	}
-	if !h.replication.IsLoaded {
+	if !h.replication.IsLoaded() {
 		h.Reply(input.RequestID, 503, step.ErrorBody{Error: "not ready"})
 		return
 	}
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -2,11 +2,12 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // JobTable holds what this process remembers of jobs beyond their records: attempts, run times,
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -1,10 +1,11 @@
 package agents
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // MachineState is what this process remembers of a machine beyond its record.
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -2,9 +2,10 @@
 
 import (
 	"maps"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // misdirectedHeartbeat is a report that came to a node that does not own its machine.
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -1,10 +1,11 @@
 package agents
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // ScaleInEvaluator decides which owned machines are returned to the cloud.
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -2,11 +2,12 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // TerminationChecker knows the machines whose termination the cloud has confirmed.
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -2,11 +2,12 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // evictionLeadTime is how long before its machine is taken a replica is stopped, so that
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 	"testing"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/step"
-	"time"
-
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
--- a/internal/coordination/cancellation/cancel.go
+++ b/internal/coordination/cancellation/cancel.go
@@ -1,12 +1,13 @@
 package cancellation
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // OwnerElection names the one controller to which a key falls.
@@ -166,7 +167,7 @@
 // one that is being given away goes first or not at all.
 func (c *Canceller) prepareDirectCancel(b *commit.Batch, id protocol.JobID) bool {
 	entry := c.Replica.Jobs[id]
-	if entry.Record.Owner != c.lease.Incarnation || c.Replica.Revision < protocol.Revision(entry.ModRevision) || c.commits.HasPendingConditionOn(storage.JobKey(id)) ||
+	if entry.Record.Owner != c.lease.Incarnation() || c.Replica.Revision < protocol.Revision(entry.ModRevision) || c.commits.HasPendingConditionOn(storage.JobKey(id)) ||
 		b.ConditionCount()+len(c.Replica.MachinesWithJob(id)) > 3*c.limits.WriteLimits().TransactionOps {
 		return false
 	}
@@ -216,7 +217,7 @@
 
 // TickCancellations finds out which withdrawals can be told, and what others are told.
 func (c *Canceller) TickCancellations() {
-	if !c.replication.IsLoaded {
+	if !c.replication.IsLoaded() {
 		return
 	}
 	for id, intent := range c.peerIntents {
@@ -356,7 +357,7 @@
 // down for all, so that nobody can take them over. If a task of a job that is called off
 // may be there, the worker is asked; one that does not answer goes back.
 func (c *Canceller) ForceScaleIn() {
-	if !c.replication.IsLoaded || !c.replication.StoreUnavailableEverywhere() {
+	if !c.replication.IsLoaded() || !c.replication.StoreUnavailableEverywhere() {
 		return
 	}
 	ids := step.SelectKeys(c.Replica.Machines, func(entry *storage.Machine) bool {
--- a/internal/coordination/catalog/machine_catalog.go
+++ b/internal/coordination/catalog/machine_catalog.go
@@ -3,9 +3,10 @@
 import (
 	"log/slog"
 	"sort"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // Catalog holds the machine types that the cloud offers.
@@ -14,11 +15,15 @@
 
 	spot *SpotPricing
 
-	MachineTypes          []protocol.MachineType
+	machineTypes          []protocol.MachineType
 	isListingMachineTypes bool
 	nextMachineTypesAt    protocol.Instant
 }
 
+// MachineTypes lists what the cloud offers, empty before its first answer. It is not to be
+// changed.
+func (mc *Catalog) MachineTypes() []protocol.MachineType { return mc.machineTypes }
+
 func (mc *Catalog) OnMachineTypes(v step.ListMachineTypesResult) {
 	mc.isListingMachineTypes = false
 	if v.Err != nil {
@@ -26,7 +31,7 @@
 		mc.Log(slog.LevelWarn, "listing machine types failed", "error", v.Err.Error())
 		return
 	}
-	mc.MachineTypes = v.MachineTypes
+	mc.machineTypes = v.MachineTypes
 	mc.nextMachineTypesAt = mc.Now.Monotonic.Add(mc.Jitter(mc.Config.PriceCheckInterval))
 	for _, f := range v.MachineTypes {
 		for _, z := range f.Zones {
@@ -55,8 +60,8 @@
 func (mc *Catalog) Zones() []protocol.Zone {
 	seen := map[protocol.Zone]bool{}
 	var out []protocol.Zone
-	for i := range mc.MachineTypes {
-		for _, z := range mc.MachineTypes[i].Zones {
+	for i := range mc.machineTypes {
+		for _, z := range mc.machineTypes[i].Zones {
 			if !seen[z] {
 				seen[z] = true
 				out = append(out, z)
@@ -68,9 +73,9 @@
 }
 
 func (mc *Catalog) MachineType(name protocol.MachineTypeName) *protocol.MachineType {
-	for i := range mc.MachineTypes {
-		if mc.MachineTypes[i].Name == name {
-			return &mc.MachineTypes[i]
+	for i := range mc.machineTypes {
+		if mc.machineTypes[i].Name == name {
+			return &mc.machineTypes[i]
 		}
 	}
 	return nil
@@ -84,8 +89,8 @@
 // ShortestTime is the least time that a machine type which fits the job needs.
 func (mc *Catalog) ShortestTime(d *protocol.Job, timeFor func(*protocol.MachineType) time.Duration) time.Duration {
 	shortest := time.Duration(0)
-	for i := range mc.MachineTypes {
-		f := &mc.MachineTypes[i]
+	for i := range mc.machineTypes {
+		f := &mc.machineTypes[i]
 		if MachineTypeCapacity(f, d) == 0 {
 			continue
 		}
--- a/internal/coordination/catalog/resources.go
+++ b/internal/coordination/catalog/resources.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"tillerarch/internal/protocol"
 )
 
--- a/internal/coordination/catalog/spot.go
+++ b/internal/coordination/catalog/spot.go
@@ -1,10 +1,11 @@
 package catalog
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
-	"time"
 )
 
 // SpotPricing decides from observed prices whether spot machines may be used.
--- a/internal/coordination/catalog/warm_pool.go
+++ b/internal/coordination/catalog/warm_pool.go
@@ -1,8 +1,9 @@
 package catalog
 
 import (
-	"tillerarch/internal/protocol"
 	"time"
+
+	"tillerarch/internal/protocol"
 )
 
 // MachineStartupTime is how long a new machine of a type takes until it can run a task.
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"maps"
 	"slices"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
@@ -60,7 +61,7 @@
 // GivesAwayShard tells whether the batch makes another incarnation the owner of a shard.
 func (b *Batch) GivesAwayShard(id storage.ShardID) bool {
 	draft := b.shards[id]
-	return draft != nil && draft.Owner != b.shardWriter.lease.Incarnation
+	return draft != nil && draft.Owner != b.shardWriter.lease.incarnation
 }
 
 // Draft is a shard as the batch leaves it, nil if the batch does not change it.
@@ -226,7 +227,7 @@
 	size := b.shardWriter.estimateMachineSize(record.MachineType)
 	shardID := storage.ShardID("")
 	shardFits := func(p storage.ShardID, d *ShardDraft) bool {
-		return d.Owner == b.shardWriter.lease.Incarnation && d.Epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.shardWriter.limits.WriteLimits().ValueBytes
+		return d.Owner == b.shardWriter.lease.incarnation && d.Epoch > storage.ShardEpochOf(seenToken) && b.projectShardSize(d)+size <= b.shardWriter.limits.WriteLimits().ValueBytes
 	}
 	for _, p := range step.SortedKeys(b.shards) {
 		if shardFits(p, b.shards[p]) {
@@ -244,7 +245,7 @@
 		}
 	}
 	if shardID == "" {
-		shardID = b.NewShard(b.shardWriter.lease.Incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
+		shardID = b.NewShard(b.shardWriter.lease.incarnation, max(storage.ShardEpochOf(seenToken)+1, 1))
 	}
 	b.putMachine(shardID, id, record)
 }
@@ -445,10 +446,10 @@
 		transaction.Operations = append(transaction.Operations, b.drains[controllerID].operation(controllerID))
 	}
 	if b.writesRegistry {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.shardWriter.lease.Incarnation})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.RegistryKey, Value: storage.MustMarshal(storage.RegistryRecord{UpdatedBy: b.shardWriter.lease.incarnation})})
 	}
 	for _, t := range step.SortedKeys(b.teams) {
-		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.shardWriter.lease.Incarnation, TransactionID: b.shardWriter.commits.lastTransactionID})})
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: storage.QuotaKey(t), Value: storage.MustMarshal(storage.QuotaRecord{UpdatedBy: b.shardWriter.lease.incarnation, TransactionID: b.shardWriter.commits.lastTransactionID})})
 	}
 	for _, k := range step.SortedKeys(b.conditions) {
 		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: k, ModRevision: b.conditions[k]})
--- a/internal/coordination/commit/commit.go
+++ b/internal/coordination/commit/commit.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Committer sends transactions and handles their outcomes: one at a time, and one beside it for
@@ -57,14 +58,14 @@
 
 // ReadyForUserBatch tells whether a batch of users' requests may be sent now.
 func (c *Committer) ReadyForUserBatch() bool {
-	return c.PendingUserTransaction == nil && c.replication.IsLoaded && c.Now.Monotonic >= c.nextUserCommitAt &&
+	return c.PendingUserTransaction == nil && c.replication.isLoaded && c.Now.Monotonic >= c.nextUserCommitAt &&
 		c.lease.IsRegistered() && !c.outcomeUnknown && !c.replication.isBehind()
 }
 
 // ReadyForRecordBatch sends what goes before any batch of records (the registration, a write
 // barrier, the change of the storage format). It tells whether such a batch may be sent now.
 func (c *Committer) ReadyForRecordBatch() bool {
-	if c.PendingTransaction != nil || !c.replication.IsLoaded || c.Now.Monotonic < c.nextCommitAt || !c.lease.IsGranted() {
+	if c.PendingTransaction != nil || !c.replication.isLoaded || c.Now.Monotonic < c.nextCommitAt || !c.lease.IsGranted() {
 		return false
 	}
 	isBehind := c.replication.isBehind()
@@ -255,10 +256,10 @@
 	c.limits.MaxTransactionOps = c.limits.WriteLimits().TransactionOps
 	switch {
 	case pending.registers:
-		c.lease.Incarnation = storage.NewIncarnation(c.Config.ControllerID, c.lease.id)
+		c.lease.incarnation = storage.NewIncarnation(c.Config.ControllerID, c.lease.id)
 		c.lease.RegistrationRevision = modRevision
 		c.replication.requireRevision(revision)
-		c.Log(slog.LevelInfo, "controller registered", "incarnation", string(c.lease.Incarnation))
+		c.Log(slog.LevelInfo, "controller registered", "incarnation", string(c.lease.incarnation))
 	case pending.IsWriteBarrier:
 		// Transactions sent before are now either applied, and seen once
 		// the replica is as new, or never will be.
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -2,10 +2,11 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // SuccessorElection names the one controller to which a key falls.
@@ -101,7 +102,7 @@
 		key := storage.ControllerKey(controllerID)
 		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.Replica.ModRevision(key)})
 	}
-	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.Incarnation}
+	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.incarnation}
 	u.commits.sendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
 		logsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
 	return true
--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Lease keeps the store's lease of this process and the incarnation that is registered under it.
@@ -16,7 +17,7 @@
 
 	store *StoreHealth
 
-	Incarnation          storage.Incarnation
+	incarnation          storage.Incarnation
 	RegistrationRevision protocol.ModRevision // stamp of this member's key while run is registered
 	id                   protocol.LeaseID     // of the run, or the one to register with; 0: none
 	isGranting           bool
@@ -54,7 +55,7 @@
 func (l *Lease) OnRenewLeaseResult(v step.RenewLeaseResult) {
 	l.isRenewing = false
 	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == l.id {
-		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.Incarnation))
+		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.incarnation))
 		l.RegistrationRevision, l.id = 0, 0
 	}
 	if !l.store.RecordContact(l.renewalRequestedAt, v.Err) {
@@ -68,23 +69,26 @@
 		return
 	}
 	e := l.Replica.Controllers[l.Config.ControllerID]
-	if e != nil && e.Record.Incarnation == l.Incarnation {
+	if e != nil && e.Record.Incarnation == l.incarnation {
 		l.RegistrationRevision = e.ModRevision
 		return
 	}
 	if e == nil && l.Replica.Revision < protocol.Revision(l.RegistrationRevision) {
 		return // the replica is older than the registration
 	}
-	l.Log(slog.LevelWarn, "controller registration lost, registering again", "incarnation", string(l.Incarnation))
+	l.Log(slog.LevelWarn, "controller registration lost, registering again", "incarnation", string(l.incarnation))
 	l.RegistrationRevision, l.id = 0, 0
 }
 
 func (l *Lease) IsRegistered() bool { return l.RegistrationRevision != 0 }
 
+// Incarnation names this process run as it is registered, empty before the first registration.
+func (l *Lease) Incarnation() storage.Incarnation { return l.incarnation }
+
 // IsGranted tells whether this process holds a lease.
 func (l *Lease) IsGranted() bool { return l.id != 0 }
 
 // OwnsMachine tells whether this run owns the machine, as far as it knows.
 func (l *Lease) OwnsMachine(record *storage.MachineRecord) bool {
-	return l.Incarnation != "" && record.Owner == l.Incarnation
+	return l.incarnation != "" && record.Owner == l.incarnation
 }
--- a/internal/coordination/commit/limits.go
+++ b/internal/coordination/commit/limits.go
@@ -1,10 +1,10 @@
 package commit
 
 import (
+	"golang.org/x/time/rate"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/storage"
-
-	"golang.org/x/time/rate"
 )
 
 // limiter bounds what this controller writes: the rate, and the size of transactions.
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -4,10 +4,11 @@
 	"encoding/json"
 	"errors"
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // MachineTracker drops what is remembered of machines that the records no longer have.
@@ -37,7 +38,7 @@
 
 	minRevision      protocol.Revision // the replica must be as new before the next one
 	minRevisionSince protocol.Instant
-	IsLoaded         bool              // the replica is whole
+	isLoaded         bool              // the replica is whole
 	completeRevision protocol.Revision // it is whole once it has reached this
 	hasSnapshot      bool              // there is a replica to go on from; an empty store has revision 0
 	isLoading        bool
@@ -66,19 +67,22 @@
 
 // TickLoad asks for all records where there is no replica to go on from.
 func (s *Replication) TickLoad() {
-	if s.IsLoaded || s.isLoading || s.isWatching || s.Now.Monotonic < s.retryAt {
+	if s.isLoaded || s.isLoading || s.isWatching || s.Now.Monotonic < s.retryAt {
 		return
 	}
 	s.isLoading, s.loadRequestedAt = true, s.Now.Monotonic
 	s.Emit(step.LoadRecords{})
 }
 
+// IsLoaded tells whether the replica holds all records.
+func (s *Replication) IsLoaded() bool { return s.isLoaded }
+
 // isBehind tells whether the replica lacks what the next transaction must have seen.
 func (s *Replication) isBehind() bool { return s.Replica.Revision < s.minRevision }
 
 // StoreUnavailable tells whether a request to the state service would likely fail.
 func (s *Replication) StoreUnavailable() bool {
-	return !s.IsLoaded || s.store.ConsecutiveFailures > 1 && s.Since(s.store.LastResponseAt) > time.Second || s.Since(s.store.LastResponseAt) > s.Config.LeaseTTL
+	return !s.isLoaded || s.store.ConsecutiveFailures > 1 && s.Since(s.store.LastResponseAt) > time.Second || s.Since(s.store.LastResponseAt) > s.Config.LeaseTTL
 }
 
 // IsUpToDate tells whether new starts may rest on the replica.
@@ -87,7 +91,7 @@
 	// counts too, or a task of a job withdrawn long ago could be started. Both count
 	// from when the request was sent: an answer may have lain in a socket while this
 	// process stood still, and its run may have ended meanwhile.
-	return s.IsLoaded && s.lease.IsRegistered() && s.Since(s.store.lastAnsweredRequestAt) < s.Config.LeaseTTL/2 && s.Since(s.upToDateAt) < s.Config.LeaseTTL
+	return s.isLoaded && s.lease.IsRegistered() && s.Since(s.store.lastAnsweredRequestAt) < s.Config.LeaseTTL/2 && s.Since(s.upToDateAt) < s.Config.LeaseTTL
 }
 
 func (s *Replication) OnLoadRecordsResult(v step.LoadRecordsResult) {
@@ -109,7 +113,7 @@
 	s.completeRevision = v.EndRevision
 	s.upToDateAt = s.loadRequestedAt
 	s.hasSnapshot = true
-	s.IsLoaded = s.Replica.Revision >= s.completeRevision
+	s.isLoaded = s.Replica.Revision >= s.completeRevision
 	s.limits.UpdateWriteLimiter()
 	s.Log(slog.LevelInfo, "records loaded", "jobs", len(s.Replica.Jobs), "machines", len(s.Replica.Machines), "revision", uint64(v.StartRevision))
 }
@@ -128,7 +132,7 @@
 	s.isWatching = false
 	if errors.Is(v.Err, storage.ErrRevisionTooOld) {
 		s.Log(slog.LevelWarn, "watch revision compacted, reloading records", "revision", uint64(v.AfterRevision))
-		s.IsLoaded, s.hasSnapshot = false, false
+		s.isLoaded, s.hasSnapshot = false, false
 		s.retryAt = s.Now.Monotonic
 		return
 	}
@@ -150,8 +154,8 @@
 	s.ShouldRecheckDeferred = true
 	s.Replica.Revision = max(s.Replica.Revision, v.Response.Revision)
 	s.upToDateAt = s.watchRequestedAt
-	if !s.IsLoaded && s.Replica.Revision >= s.completeRevision {
-		s.IsLoaded = true
+	if !s.isLoaded && s.Replica.Revision >= s.completeRevision {
+		s.isLoaded = true
 	}
 	s.lease.checkRegistration()
 }
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -6,11 +6,12 @@
 	"log/slog"
 	"maps"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // TransferTracker knows the shards that are being transferred.
@@ -49,7 +50,7 @@
 
 func (w *ShardWriter) newShardID() storage.ShardID {
 	w.shardSequence++
-	return storage.ShardID(fmt.Sprintf("%s-%d", w.lease.Incarnation, w.shardSequence))
+	return storage.ShardID(fmt.Sprintf("%s-%d", w.lease.incarnation, w.shardSequence))
 }
 
 // ConsolidateDoneTasks moves what is done from own pages to the jobs' records: where a
@@ -58,7 +59,7 @@
 	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool { return w.Replica.UnfinishedJobs[id] == nil })
 	for _, id := range step.SortedKeys(w.Replica.UnfinishedJobs) {
 		entry := w.Replica.UnfinishedJobs[id]
-		isOwner := entry.Record.Owner == w.lease.Incarnation
+		isOwner := entry.Record.Owner == w.lease.incarnation
 		completeSince, isKnown := w.completeSince[id]
 		if w.Replica.CompletedTasks(id).Len() < entry.Record.Spec.TaskCount {
 			delete(w.completeSince, id)
@@ -122,7 +123,7 @@
 
 // OwnedShards lists the pages of this run.
 func (w *ShardWriter) OwnedShards() []storage.ShardID {
-	return step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return w.lease.Incarnation != "" && p.Owner == w.lease.Incarnation })
+	return step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return w.lease.incarnation != "" && p.Owner == w.lease.incarnation })
 }
 
 // MergeShards puts what is left on a page that has lost most of its machines onto
@@ -203,14 +204,14 @@
 	}
 	maxValueBytes := w.limits.WriteLimits().ValueBytes
 	// Once that is done there are none, at each transaction: only what is found is sorted.
-	shards := step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return p.Owner == w.lease.Incarnation && p.EncodedSize > maxValueBytes })
+	shards := step.SelectKeys(w.Replica.Shards, func(p *storage.Shard) bool { return p.Owner == w.lease.incarnation && p.EncodedSize > maxValueBytes })
 	for _, id := range shards {
 		if b.shards[id] == nil && b.HasCapacity(w.ShardWriteOps(id)) {
 			b.MutableShard(id)
 		}
 	}
 	jobs := step.SelectKeys(w.Replica.UnfinishedJobs, func(e *storage.Versioned[storage.JobRecord]) bool {
-		return e.Record.Owner == w.lease.Incarnation && e.EncodedSize > maxValueBytes
+		return e.Record.Owner == w.lease.incarnation && e.EncodedSize > maxValueBytes
 	})
 	for _, id := range jobs {
 		if b.HasCapacity(b.WritesNeeded("", id)) {
--- a/internal/coordination/commit/store_health.go
+++ b/internal/coordination/commit/store_health.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // StoreHealth records whether the key-value store answers this process.
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/catalog"
@@ -14,7 +16,6 @@
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Core is the state machine of one controller. It wires the parts, each of which owns its
@@ -222,7 +223,7 @@
 // Healthy tells whether the node can take requests. In an outage that all see
 // it stays healthy: it can answer, if only that the user must come back.
 func (c *Core) Healthy() bool {
-	if !c.commit.Replication.IsLoaded || c.commit.Lease.Incarnation == "" {
+	if !c.commit.Replication.IsLoaded() || c.commit.Lease.Incarnation() == "" {
 		// A process that begins in an outage has read nothing, and is no worse than
 		// the others: it says so at once, and serves as soon as it can, while a node
 		// that was called unhealthy would be passed over for a while behind the outage.
@@ -251,12 +252,12 @@
 		return
 	}
 	c.nextFullTickAt = now.Add(200 * time.Millisecond)
-	if c.commit.Replication.IsLoaded {
+	if c.commit.Replication.IsLoaded() {
 		c.commit.Upgrade.RecordFormatSupport()
 		c.ownership.Manager.TrackExpiredIncarnations()
 	}
 	c.requests.Operators.ExpireOperatorRequests()
-	if c.commit.Replication.IsLoaded {
+	if c.commit.Replication.IsLoaded() {
 		c.agents.Monitor.TickMachines()
 		c.forgetGone()
 	}
@@ -281,7 +282,7 @@
 // pollCloud asks the cloud for what is due.
 func (c *Core) pollCloud() {
 	c.catalog.Catalog.PollMachineTypes()
-	if !c.commit.Replication.IsLoaded || !c.commit.Lease.IsRegistered() {
+	if !c.commit.Replication.IsLoaded() || !c.commit.Lease.IsRegistered() {
 		return
 	}
 	c.provisioning.Terminator.ForgetTerminated()
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -5,11 +5,11 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
-	"time"
-
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -114,7 +114,7 @@
 func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
-	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation, 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
+	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
 	machine := c.Replica.Machines["m-1"]
@@ -350,7 +350,7 @@
 					misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
 				}
 			}
-			if _, err := core.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.commit.Lease.Incarnation, 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
+			if _, err := core.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -366,7 +366,7 @@
 				for _, m := range p.Machines {
 					lines = append(lines, core.Replica.EncodedLine(m))
 				}
-				core.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.commit.Lease.Incarnation, 5, lines, nil), 99)
+				core.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 5, lines, nil), 99)
 			}
 		}
 		b := core.commit.Shards.NewBatch(24)
@@ -374,7 +374,7 @@
 		core.ownership.Manager.HandOffMachines(b)
 		transferredShards, movedMachines := 0, 0
 		for id, d := range writtenShards(t, b) {
-			if d.Owner == core.commit.Lease.Incarnation {
+			if d.Owner == core.commit.Lease.Incarnation() {
 				continue
 			}
 			if d.Owner == "" {
@@ -453,7 +453,7 @@
 				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
-			data := storage.EncodePlainShard(core.commit.Lease.Incarnation, epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
+			data := storage.EncodePlainShard(core.commit.Lease.Incarnation(), epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
 			if _, err := core.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"math/rand/v2"
 	"testing"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/scheduling"
 	"tillerarch/internal/coordination/step"
-	"time"
-
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -130,7 +130,7 @@
 		core, advance := newReadyCore(t)
 		core.Config.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
-			c.owner = core.commit.Lease.Incarnation
+			c.owner = core.commit.Lease.Incarnation()
 		}
 		core.commit.Replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 		machines := putOversizedShard(t, core, c.owner)
@@ -157,7 +157,7 @@
 			t.Errorf("%s: %d machines of %d are left", c.name, len(core.Replica.Machines), machines)
 		}
 		for id, m := range core.Replica.Machines {
-			if m.Record.Owner != core.commit.Lease.Incarnation || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
+			if m.Record.Owner != core.commit.Lease.Incarnation() || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
 				t.Errorf("%s: %s of %s at epoch %d", c.name, id, m.Record.Owner, m.Record.ShardEpoch)
 			}
 		}
@@ -269,13 +269,13 @@
 		m := storage.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
-	core.commit.Replication.PutInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.commit.Lease.Incarnation, 3, lines, nil), 40)
+	core.commit.Replication.PutInReplica(storage.ShardKey("idle"), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil), 40)
 	var done storage.TaskSet
 	for n := 0; n < 1800; n += 2 {
 		done = done.Add(n)
 	}
 	job := storage.JobRecord{Spec: &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1800, Cores: 1},
-		Owner: core.commit.Lease.Incarnation, NextAttempt: 1024, CompletedTasks: done}
+		Owner: core.commit.Lease.Incarnation(), NextAttempt: 1024, CompletedTasks: done}
 	core.commit.Replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 41)
 	core.commit.Replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 	shardWrites, jobWrites := 0, 0
--- a/internal/coordination/ownership/overload.go
+++ b/internal/coordination/ownership/overload.go
@@ -1,9 +1,10 @@
 package ownership
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // overloadTickInterval is a mean distance of ticks that shows a process short of time: five
--- a/internal/coordination/ownership/ownership.go
+++ b/internal/coordination/ownership/ownership.go
@@ -2,13 +2,14 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Manager decides when this controller takes over or hands off shards, and writes the change.
@@ -104,7 +105,7 @@
 // way falls to the controller to which it goes.
 func (o *Manager) isShardSuccessor(id storage.ShardID) bool {
 	if _, transfer := o.Replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() && o.Replica.IsAlive(transfer.Record.Target) {
-		return transfer.Record.Target == o.lease.Incarnation
+		return transfer.Record.Target == o.lease.Incarnation()
 	}
 	return o.isSuccessorAmong(storage.ShardKey(id), func(controller protocol.ControllerID) bool { return !o.Replica.IsDraining(controller) })
 }
@@ -159,11 +160,11 @@
 // dead owner had begun ends with it.
 func (o *Manager) failOverShard(b *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	d := b.MutableShard(id)
-	if d.Owner == o.lease.Incarnation {
+	if d.Owner == o.lease.Incarnation() {
 		return
 	}
 	b.Log(slog.LevelInfo, "shard failover", "shard", string(id), "count", len(d.MachineIDs), "source", string(d.Owner), "epoch", uint64(d.Epoch+1))
-	d.Owner = o.lease.Incarnation
+	d.Owner = o.lease.Incarnation()
 	d.Epoch = max(d.Epoch, storage.ShardEpochOf(observedToken)) + 1
 	o.transfers.endTransferOnFailover(b, id)
 }
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -1,13 +1,14 @@
 package ownership
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 type peer struct {
@@ -79,9 +80,9 @@
 	}
 	t.isPeerStatusUrgent = false
 	t.nextPeerStatusAt = now.Add(t.Jitter(time.Second))
-	status := step.PeerStatus{ControllerID: t.Config.ControllerID, StoreReachable: t.replication.IsLoaded && t.store.IsAnswering(2*time.Second)}
+	status := step.PeerStatus{ControllerID: t.Config.ControllerID, StoreReachable: t.replication.IsLoaded() && t.store.IsAnswering(2*time.Second)}
 	if t.lease.IsRegistered() {
-		status.Incarnation = t.lease.Incarnation
+		status.Incarnation = t.lease.Incarnation()
 		t.cancellations.AddCancellationStatus(&status)
 		status.AcceptsShards = t.ownership.canAcceptMachines()
 		if t.misdirected.AddMisdirectedHeartbeats(&status) {
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"log/slog"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/commit"
@@ -11,7 +13,6 @@
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Transfers rebalances shards between controllers and advances recorded transfers.
@@ -102,9 +103,9 @@
 
 // ShardingSnapshot is what moves are planned from.
 func (tm *Transfers) ShardingSnapshot(overloaded bool) sharding.Snapshot {
-	snapshot := sharding.Snapshot{Self: tm.lease.Incarnation, IncomingTransfers: map[storage.Incarnation]int{}}
+	snapshot := sharding.Snapshot{Self: tm.lease.Incarnation(), IncomingTransfers: map[storage.Incarnation]int{}}
 	demand := tm.demandByOwner()
-	snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: tm.lease.Incarnation, Overloaded: overloaded, DemandCores: demand[tm.lease.Incarnation],
+	snapshot.Controllers = append(snapshot.Controllers, sharding.Controller{Incarnation: tm.lease.Incarnation(), Overloaded: overloaded, DemandCores: demand[tm.lease.Incarnation()],
 		Draining: tm.Replica.IsDraining(tm.Config.ControllerID)})
 	for controller, p := range tm.peers.peers {
 		if tm.Since(p.receivedAt) <= 3*time.Second && p.status.StoreReachable && p.status.AcceptsShards && tm.Replica.IsAlive(p.status.Incarnation) {
@@ -124,7 +125,7 @@
 		shard := sharding.Shard{ID: id, Owner: p.Owner, Load: 1, Pinned: len(p.Machines) == 0}
 		if target, inTransfer := transferTargets[id]; inTransfer {
 			shard.Owner, shard.Pinned = target, true
-		} else if p.Owner == tm.lease.Incarnation && !shard.Pinned {
+		} else if p.Owner == tm.lease.Incarnation() && !shard.Pinned {
 			shard.TransferCost, shard.Pinned = tm.transferCost(p, reserved)
 		}
 		snapshot.Shards = append(snapshot.Shards, shard)
@@ -186,7 +187,7 @@
 	}
 	if name == "" {
 		tm.lastTransferNumber++
-		name = fmt.Sprintf("%s-%d", tm.lease.Incarnation, tm.lastTransferNumber)
+		name = fmt.Sprintf("%s-%d", tm.lease.Incarnation(), tm.lastTransferNumber)
 	}
 	record := storage.TransferRecord{Name: name, Shard: transfer.Shard, Source: transfer.Source, Target: transfer.Target, Phase: phase, Reason: reason,
 		MachineCount: len(tm.Replica.Shards[transfer.Shard].Machines), ProposedAt: tm.Now.Wall}
@@ -242,7 +243,7 @@
 
 // transferProgress is how this controller sees a move.
 func (tm *Transfers) transferProgress(slot storage.TransferSlot, transfer *storage.TransferRecord, reserved map[protocol.MachineID]bool) sharding.TransferStatus {
-	progress := sharding.TransferStatus{Transfer: *transfer, Self: tm.lease.Incarnation, SourceAlive: tm.Replica.IsAlive(transfer.Source), TargetAlive: tm.Replica.IsAlive(transfer.Target),
+	progress := sharding.TransferStatus{Transfer: *transfer, Self: tm.lease.Incarnation(), SourceAlive: tm.Replica.IsAlive(transfer.Source), TargetAlive: tm.Replica.IsAlive(transfer.Target),
 		IsSuccessor: tm.ownership.IsSuccessor(storage.TransferKey(slot))}
 	activeSlot, _ := tm.Replica.OpenTransferOf(transfer.Shard)
 	progress.Superseded = activeSlot != slot
@@ -252,7 +253,7 @@
 	}
 	progress.Owner = shard.Owner
 	progress.ReservedForGang = slices.ContainsFunc(shard.Machines, func(id protocol.MachineID) bool { return reserved[id] })
-	if shard.Owner == tm.lease.Incarnation {
+	if shard.Owner == tm.lease.Incarnation() {
 		progress.Quiesced = transfer.Phase == storage.TransferPrepared && tm.isShardQuiescent(shard)
 		progress.TargetTokenObserved = transfer.Phase == storage.TransferCommitted && tm.isShardTokenConfirmed(shard)
 	}
@@ -346,7 +347,7 @@
 		return
 	}
 	record := e.Record
-	if record.Target == tm.lease.Incarnation {
+	if record.Target == tm.lease.Incarnation() {
 		record.Phase, record.CommittedAt = storage.TransferCommitted, tm.Now.Wall
 	} else {
 		record.Phase, record.EndedAt, record.Reason = storage.TransferAborted, tm.Now.Wall, sharding.ReasonFailover
--- a/internal/coordination/provisioning/cloud.go
+++ b/internal/coordination/provisioning/cloud.go
@@ -1,8 +1,9 @@
 package provisioning
 
 import (
-	"tillerarch/internal/protocol"
 	"time"
+
+	"tillerarch/internal/protocol"
 )
 
 // termination is a machine on its way back to the cloud.
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -2,12 +2,13 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Inventory holds the cloud's list of instances and adopts those that no record knows.
@@ -53,7 +54,7 @@
 		ii.Log(slog.LevelDebug, "listing instances failed", "error", v.Err.Error())
 		return
 	}
-	if !ii.replication.IsLoaded {
+	if !ii.replication.IsLoaded() {
 		return
 	}
 	listed := map[protocol.MachineID]bool{}
--- a/internal/coordination/provisioning/provisioning.go
+++ b/internal/coordination/provisioning/provisioning.go
@@ -5,13 +5,14 @@
 	"fmt"
 	"log/slog"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // DemandSource holds the demand that no machine can take, as of the last plan.
@@ -181,7 +182,7 @@
 
 func (mp *Provisioner) sendProvisionRequest(pool PoolKey, count int, job protocol.JobID) {
 	mp.sequence++
-	name := fmt.Sprintf("%s-%d", mp.lease.Incarnation, mp.sequence)
+	name := fmt.Sprintf("%s-%d", mp.lease.Incarnation(), mp.sequence)
 	request := protocol.ProvisionRequest{RequestID: name, Type: pool.MachineType, Zone: pool.Zone, Spot: pool.Spot, Count: count}
 	mp.Requests[name] = &pendingProvision{Request: request, requestedAt: mp.Now.Monotonic, inFlight: true}
 	mp.Log(slog.LevelInfo, "provisioning machines", "request", name, "machine_type", string(pool.MachineType), "zone", string(pool.Zone),
@@ -205,8 +206,8 @@
 // poolsByCost lists what could be rented for a job, cheapest per task first.
 func (mp *Provisioner) poolsByCost(d UnmetDemand) []pricedPool {
 	var out []pricedPool
-	for i := range mp.catalog.MachineTypes {
-		f := &mp.catalog.MachineTypes[i]
+	for i := range mp.catalog.MachineTypes() {
+		f := &mp.catalog.MachineTypes()[i]
 		tasksPerMachine := catalog.MachineTypeCapacity(f, d.Desc)
 		if tasksPerMachine == 0 {
 			continue
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -3,6 +3,8 @@
 import (
 	"log/slog"
 	"sort"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/catalog"
@@ -10,7 +12,6 @@
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // surplusIdleFactor is the part of IdleTimeoutFactor for which an idle machine is kept that
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -5,12 +5,12 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/scheduling"
 	"tillerarch/internal/coordination/step"
-	"time"
-
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -36,7 +36,7 @@
 // newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
 func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *scheduling.PendingJob {
 	latestStart := c.Now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.commit.Lease.Incarnation, SubmittedAt: c.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
+	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.commit.Lease.Incarnation(), SubmittedAt: c.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
 	q.IsUrgent = c.scheduling.Queue.NeedsWarmCapacity(q)
 	return q
 }
@@ -229,7 +229,7 @@
 		}
 	}
 	r := newCandidate(&smallMachineType, "m-1", false)
-	r.Record.Owner = core.commit.Lease.Incarnation
+	r.Record.Owner = core.commit.Lease.Incarnation()
 	m := core.agents.Table.MachineState("m-1")
 	for deferred, want := range map[step.RequestID]bool{0: true, 5: false} {
 		m.DeferredRequest = deferred
--- a/internal/coordination/requests/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -4,13 +4,14 @@
 	"fmt"
 	"log/slog"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/sharding"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // OperatorRequests holds operators' requests until what they ask for is on record.
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -3,6 +3,7 @@
 import (
 	"log/slog"
 	"slices"
+
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
@@ -183,7 +184,7 @@
 		h.deferRequest(&deferredRequest{requestID: requestID, requestType: protocol.RequestSubmit, jobID: job.ID, job: job, receivedAt: h.Now.Monotonic})
 		return
 	}
-	if h.replication.StoreUnavailable() || len(h.catalog.MachineTypes) == 0 || len(h.submissions) >= maxDeferredRequests {
+	if h.replication.StoreUnavailable() || len(h.catalog.MachineTypes()) == 0 || len(h.submissions) >= maxDeferredRequests {
 		h.rejectUnavailable(requestID)
 		return
 	}
@@ -207,7 +208,7 @@
 	if h.Config.AnnouncedLimits != nil {
 		format = storage.FormatPacked
 	}
-	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: h.lease.Incarnation, NextAttempt: step.AttemptBlockSize, SubmittedAt: h.Now.Wall}))
+	size := len(storage.EncodeJob(format, &storage.JobRecord{Spec: job, Owner: h.lease.Incarnation(), NextAttempt: step.AttemptBlockSize, SubmittedAt: h.Now.Wall}))
 	return size <= h.limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
@@ -227,8 +228,8 @@
 	if quota.MaxCores > 0 && concurrentTasks*job.Cores > quota.MaxCores+1e-9 || quota.MaxAccelerators > 0 && concurrentTasks*job.Accelerators > quota.MaxAccelerators+1e-9 {
 		return false
 	}
-	for i := range h.catalog.MachineTypes {
-		machineType := &h.catalog.MachineTypes[i]
+	for i := range h.catalog.MachineTypes() {
+		machineType := &h.catalog.MachineTypes()[i]
 		for _, zone := range machineType.Zones {
 			if job.AllowsPlacement(machineType.Name, zone) && machineType.CanFitTask(job) {
 				return true
@@ -254,7 +255,7 @@
 		}
 		b.AddJob(id, &storage.JobRecord{
 			Spec:        pending.job,
-			Owner:       h.lease.Incarnation,
+			Owner:       h.lease.Incarnation(),
 			NextAttempt: step.AttemptBlockSize,
 			SubmittedAt: pending.submittedAt,
 		})
@@ -276,7 +277,7 @@
 				continue
 			}
 			// Written just now or by another node; at least queued.
-			if e.Record.Owner == h.lease.Incarnation {
+			if e.Record.Owner == h.lease.Incarnation() {
 				h.Log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
 				h.Reply(requestID, 201, h.jobStatus(id, &e.Record, false))
 			} else {
@@ -292,13 +293,13 @@
 	if h.replyIfFinal(request.requestID, request.requestType, request.jobID) {
 		return true
 	}
-	if request.awaitsCancellation || request.minRevision == 0 || h.Replica.Revision < request.minRevision || !h.replication.IsLoaded {
+	if request.awaitsCancellation || request.minRevision == 0 || h.Replica.Revision < request.minRevision || !h.replication.IsLoaded() {
 		return false
 	}
 	e := h.Replica.Jobs[request.jobID]
 	switch {
 	case e == nil && request.requestType == protocol.RequestSubmit:
-		if len(h.catalog.MachineTypes) == 0 {
+		if len(h.catalog.MachineTypes()) == 0 {
 			h.rejectUnavailable(request.requestID)
 		} else if h.canEverRun(request.job) {
 			h.onSubmit(request.requestID, request.job)
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -1,11 +1,12 @@
 package scheduling
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // Backfill predicts which busy machines will be free soon enough for waiting tasks.
--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -2,6 +2,8 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
@@ -10,7 +12,6 @@
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // CandidateLister lists machines with their free capacity as candidates for placement.
@@ -63,13 +64,13 @@
 func (l *CandidateLister) listCandidates(b *commit.Batch) []*Candidate {
 	list := l.Replica.SortedMachines()
 	out := make([]*Candidate, 0, len(list)+16)
-	live := map[storage.Incarnation]bool{l.lease.Incarnation: true}
+	live := map[storage.Incarnation]bool{l.lease.Incarnation(): true}
 	for _, entry := range l.Replica.Controllers {
 		live[entry.Record.Incarnation] = true
 	}
 	machineTypes := map[protocol.MachineTypeName]*protocol.MachineType{}
-	for i := range l.catalog.MachineTypes {
-		machineTypes[l.catalog.MachineTypes[i].Name] = &l.catalog.MachineTypes[i]
+	for i := range l.catalog.MachineTypes() {
+		machineTypes[l.catalog.MachineTypes()[i].Name] = &l.catalog.MachineTypes()[i]
 	}
 	quiescedShards := l.transfers.ShardsInTransfer(ownership.IsPrepared)
 	precedences := map[*protocol.Job]int{}
@@ -185,5 +186,5 @@
 // report only: none of it waits for an answer here.
 func (l *CandidateLister) AwaitsHeartbeat(machine *Candidate) bool {
 	state := l.agents.Lookup(machine.ID)
-	return machine.Record.Owner == l.lease.Incarnation && state != nil && state.DeferredRequest == 0
+	return machine.Record.Owner == l.lease.Incarnation() && state != nil && state.DeferredRequest == 0
 }
--- a/internal/coordination/scheduling/contention.go
+++ b/internal/coordination/scheduling/contention.go
@@ -3,11 +3,12 @@
 import (
 	"cmp"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // ContentionTracker keeps machine types that are in short supply for the jobs that need them.
@@ -68,8 +69,8 @@
 // provisionOptions lists how a job could be served, cheapest first.
 func (ct *ContentionTracker) provisionOptions(d *protocol.Job) []provisionOption {
 	var options []provisionOption
-	for i := range ct.catalog.MachineTypes {
-		machineType := &ct.catalog.MachineTypes[i]
+	for i := range ct.catalog.MachineTypes() {
+		machineType := &ct.catalog.MachineTypes()[i]
 		tasks := float64(catalog.MachineTypeCapacity(machineType, d))
 		if tasks == 0 {
 			continue
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -4,13 +4,14 @@
 	"cmp"
 	"log/slog"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // GangScheduler places gangs: all tasks of a job or none.
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -3,13 +3,14 @@
 import (
 	"log/slog"
 	"strconv"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // JobAcquirer acquires jobs for this controller and tells which of their tasks are to be placed.
@@ -25,9 +26,9 @@
 // acquireJob takes over jobs whose claimant is dead, and sets attempts aside.
 func (ja *JobAcquirer) acquireJob(b *commit.Batch, job *PendingJob) {
 	state := ja.jobs.JobState(job.ID)
-	if job.Record.Owner == ja.lease.Incarnation {
-		if state.AttemptsOwner != ja.lease.Incarnation || job.Record.NextAttempt > state.AttemptsEnd {
-			state.AttemptsOwner, state.NextAttempt, state.AttemptsEnd = ja.lease.Incarnation, job.Record.NextAttempt-step.AttemptBlockSize+1, job.Record.NextAttempt
+	if job.Record.Owner == ja.lease.Incarnation() {
+		if state.AttemptsOwner != ja.lease.Incarnation() || job.Record.NextAttempt > state.AttemptsEnd {
+			state.AttemptsOwner, state.NextAttempt, state.AttemptsEnd = ja.lease.Incarnation(), job.Record.NextAttempt-step.AttemptBlockSize+1, job.Record.NextAttempt
 		}
 		if state.AttemptsEnd-state.NextAttempt > 8 {
 			return
@@ -40,10 +41,10 @@
 		return
 	}
 	record := b.MutableJob(job.ID)
-	if record.Owner != ja.lease.Incarnation {
+	if record.Owner != ja.lease.Incarnation() {
 		b.Log(slog.LevelInfo, "job acquired", "job", string(job.ID), "source", string(record.Owner))
 	}
-	record.Owner = ja.lease.Incarnation
+	record.Owner = ja.lease.Incarnation()
 	record.NextAttempt += step.AttemptBlockSize
 	job.Record = record
 }
@@ -53,8 +54,8 @@
 func (ja *JobAcquirer) canWritePlacements(b *commit.Batch, job *PendingJob) bool {
 	entry := ja.Replica.Jobs[job.ID]
 	state := ja.jobs.JobState(job.ID)
-	return entry != nil && entry.Record.Owner == ja.lease.Incarnation && state.AttemptsOwner == ja.lease.Incarnation && state.NextAttempt < state.AttemptsEnd &&
-		ja.Replica.Revision >= protocol.Revision(entry.ModRevision) && b.JobRecord(job.ID).Owner == ja.lease.Incarnation
+	return entry != nil && entry.Record.Owner == ja.lease.Incarnation() && state.AttemptsOwner == ja.lease.Incarnation() && state.NextAttempt < state.AttemptsEnd &&
+		ja.Replica.Revision >= protocol.Revision(entry.ModRevision) && b.JobRecord(job.ID).Owner == ja.lease.Incarnation()
 }
 
 // pendingTasks lists up to max tasks that are neither done nor assigned, in order.
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"log/slog"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
@@ -11,7 +13,6 @@
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Scheduler plans where pending tasks go, and writes the placements of jobs that this controller owns.
@@ -72,7 +73,7 @@
 	s.plan.hasPendingRemotePlacements = false
 	s.plan.pendingPlacements = map[protocol.MachineID]bool{}
 	s.plan.unmetDemands = s.plan.unmetDemands[:0]
-	if len(s.catalog.MachineTypes) == 0 {
+	if len(s.catalog.MachineTypes()) == 0 {
 		return
 	}
 	candidates := s.capacity.listCandidates(b)
@@ -294,11 +295,11 @@
 		s.recordPlacement(b, job, machine, n, attempt)
 		// Whether a report waits at another owner is not known here: a replica can't wait
 		// for the next one.
-		if s.queue.ShouldExpedite(job) && (s.capacity.AwaitsHeartbeat(machine) || job.Record.Spec.IsService() && machine.Record.Owner != s.lease.Incarnation) {
+		if s.queue.ShouldExpedite(job) && (s.capacity.AwaitsHeartbeat(machine) || job.Record.Spec.IsService() && machine.Record.Owner != s.lease.Incarnation()) {
 			s.expedite(b, machine.ID)
 		}
 	} else {
-		s.plan.hasPendingRemotePlacements = s.plan.hasPendingRemotePlacements || tasks != nil && machine.Record.Owner != s.lease.Incarnation && !machine.isProvisioning
+		s.plan.hasPendingRemotePlacements = s.plan.hasPendingRemotePlacements || tasks != nil && machine.Record.Owner != s.lease.Incarnation() && !machine.isProvisioning
 		s.plan.pendingPlacements[machine.ID] = true
 	}
 	job.recordAllocation(machine, n, 0)
@@ -312,7 +313,7 @@
 	if !job.IsUrgent {
 		n -= s.backfill.ReserveBackfill(job, candidates, n)
 	}
-	if n > 0 && job.Record.Owner == s.lease.Incarnation {
+	if n > 0 && job.Record.Owner == s.lease.Incarnation() {
 		s.plan.unmetDemands = append(s.plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: job.Record.Spec, Tasks: n, Zone: job.pinnedZone(), Order: job.precedence,
 			SubmittedAt: job.Record.SubmittedAt, Urgent: job.IsUrgent})
 	}
--- a/internal/coordination/scheduling/placement_plan.go
+++ b/internal/coordination/scheduling/placement_plan.go
@@ -1,10 +1,11 @@
 package scheduling
 
 import (
+	"time"
+
 	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // Plan is what the last pass of the scheduler found.
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 	"sort"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -3,12 +3,13 @@
 import (
 	"math"
 	"sort"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Queue orders unfinished jobs by the precedence in which they are served.
--- a/internal/coordination/scheduling/replicas.go
+++ b/internal/coordination/scheduling/replicas.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"log/slog"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
@@ -11,7 +13,6 @@
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // ServiceScheduler places the replicas of services.
@@ -95,7 +96,7 @@
 	p.placeOnFree(anyMachine)
 	job.avoidedTypes = nil
 	p.placeOnFree(anyMachine)
-	if p.remaining > 0 && job.Record.Owner == s.lease.Incarnation {
+	if p.remaining > 0 && job.Record.Owner == s.lease.Incarnation() {
 		s.plan.unmetDemands = append(s.plan.unmetDemands, provisioning.UnmetDemand{Job: job.ID, Desc: d, Tasks: p.remaining, Zone: job.pinnedZone(), Order: job.precedence,
 			SubmittedAt: job.Record.SubmittedAt, Urgent: true})
 	}
@@ -320,15 +321,15 @@
 // largeMachineTypes lists the machine types that replicas leave to others as long as they can.
 func (s *ServiceScheduler) largeMachineTypes(d *protocol.Job) map[protocol.MachineTypeName]bool {
 	smallest := 0.0
-	for i := range s.catalog.MachineTypes {
-		if machineType := &s.catalog.MachineTypes[i]; catalog.MachineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
+	for i := range s.catalog.MachineTypes() {
+		if machineType := &s.catalog.MachineTypes()[i]; catalog.MachineTypeCapacity(machineType, d) > 0 && (smallest == 0 || machineType.Cores < smallest) {
 			smallest = machineType.Cores
 		}
 	}
 	large := map[protocol.MachineTypeName]bool{}
-	for i := range s.catalog.MachineTypes {
-		if s.catalog.MachineTypes[i].Cores > largeTypeFactor*smallest {
-			large[s.catalog.MachineTypes[i].Name] = true
+	for i := range s.catalog.MachineTypes() {
+		if s.catalog.MachineTypes()[i].Cores > largeTypeFactor*smallest {
+			large[s.catalog.MachineTypes()[i].Name] = true
 		}
 	}
 	return large
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -3,10 +3,11 @@
 import (
 	"cmp"
 	"slices"
+	"time"
+
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"time"
 )
 
 // warmPool says which idle machines are kept for work that could not wait until a
--- a/internal/coordination/spot_test.go
+++ b/internal/coordination/spot_test.go
@@ -3,9 +3,9 @@
 import (
 	"math"
 	"testing"
-	"tillerarch/internal/coordination/catalog"
 	"time"
 
+	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/protocol"
 )
 
--- a/internal/coordination/step/core.go
+++ b/internal/coordination/step/core.go
@@ -4,8 +4,9 @@
 	"cmp"
 	"maps"
 	"slices"
-	"tillerarch/internal/protocol"
 	"time"
+
+	"tillerarch/internal/protocol"
 )
 
 // SortedKeys lists a map's keys in order: what a step does depends on its inputs
--- a/internal/coordination/step/io.go
+++ b/internal/coordination/step/io.go
@@ -2,9 +2,10 @@
 
 import (
 	"log/slog"
+	"time"
+
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Now is the time as one step sees it.
--- a/internal/coordination/step/step_context.go
+++ b/internal/coordination/step/step_context.go
@@ -3,9 +3,10 @@
 import (
 	"log/slog"
 	"math/rand/v2"
+	"time"
+
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
-	"time"
 )
 
 // Context is what every part of the core works with during a step: the configuration,
--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -12,10 +12,10 @@
 	"path/filepath"
 	"strings"
 	"syscall"
-	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/admin"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/simulation"
 )
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -13,10 +13,10 @@
 	"strings"
 	"sync"
 	"testing"
-	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/admin"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/simulation"
 	"tillerarch/internal/storage"
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -10,10 +10,10 @@
 	"slices"
 	"sync"
 	"testing"
-	"tillerarch/internal/coordination/requests"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
@@ -98,7 +98,7 @@
 	case step.GrantLease:
 		return 'G', fmt.Sprint(int64(v.TTL)), nil
 	case step.RenewLease:
-		return 'E', fmt.Sprintf("%s", protocol.Encode(v.LeaseID)), nil
+		return 'E', string(protocol.Encode(v.LeaseID)), nil
 	case step.ListMachineTypes:
 		return 'A', "", nil
 	case step.ProvisionMachines:
--- a/internal/simulation/fault_combinations_more_test.go
+++ b/internal/simulation/fault_combinations_more_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 	"strings"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -6,8 +6,8 @@
 	"os"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/step"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
--- a/internal/simulation/golden_write_test.go
+++ b/internal/simulation/golden_write_test.go
@@ -8,9 +8,9 @@
 	"os"
 	"path/filepath"
 	"testing"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 	"tillerarch/internal/transport"
--- a/internal/simulation/remote_controller.go
+++ b/internal/simulation/remote_controller.go
@@ -2,8 +2,8 @@
 
 import (
 	"fmt"
-	"tillerarch/internal/coordination/step"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -4,9 +4,9 @@
 	"maps"
 	"slices"
 	"testing"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/requests"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -6,10 +6,10 @@
 	"os"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/requests"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/step"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,11 +9,11 @@
 	"math/rand/v2"
 	"slices"
 	"sort"
-	"tillerarch/internal/coordination/requests"
-	"tillerarch/internal/coordination/step"
 	"time"
 
 	"tillerarch/internal/coordination"
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 	"testing"
-	"tillerarch/internal/coordination/step"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
