--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -1,11 +1,6 @@
 package protocol
 
-import (
-	"encoding/json"
-	"fmt"
-)
-
-// Paths of a worker's own address.
+// Paths of an agent's own address.
 const (
 	PathAgentCommands = "/do"
 	PathAgentStatus   = "/show"
@@ -14,28 +9,28 @@
 // TaskState is the state of a task on its machine.
 type TaskState string
 
-// States of tasks.
+// States of a task on its machine.
 const (
 	TaskPullingImage TaskState = "fetching"
-	TaskAwaitingGang TaskState = "gathering"
+	TaskAwaitingGang TaskState = "gathering" // waits for the other tasks of its attempt
 	TaskRunning      TaskState = "running"
-	TaskSaving       TaskState = "flushing"
-	TaskExited       TaskState = "ended"
+	TaskSaving       TaskState = "flushing" // was told to stop and writes a checkpoint
+	TaskExited       TaskState = "ended"    // listed until it is forgotten by command
 )
 
-// Reason of a task's end.
+// Reason says why a task has ended.
 type Reason string
 
-// Causes of a task's end.
+// Reasons that controllers act on; agents send others as well.
 const (
 	ReasonDone                  Reason = "done"
 	ReasonError                 Reason = "error"
-	ReasonInsufficientResources Reason = "no_room"
-	ReasonAttemptConflict       Reason = "busy"
-	ReasonNotFound              Reason = "no_such"
+	ReasonInsufficientResources Reason = "no_room" // start refused
+	ReasonAttemptConflict       Reason = "busy"    // start refused: the machine has another attempt of the task
+	ReasonNotFound              Reason = "no_such" // start refused: the agent cannot find the job
 )
 
-// TaskStatus is one task of a worker's report.
+// TaskStatus is one task of a heartbeat.
 type TaskStatus struct {
 	Task          Task      `json:"piece"`
 	Attempt       Attempt   `json:"try"`
@@ -44,79 +39,81 @@
 	ProgressSaved bool      `json:"saved,omitempty"`
 }
 
-// Heartbeat is what a worker says of its machine.
+// Heartbeat is an agent's report on its machine.
 type Heartbeat struct {
-	Machine                 MachineID       `json:"stall"`
-	Addr                    string          `json:"addr"`
-	Type                    MachineTypeName `json:"build"`
-	Zone                    Zone            `json:"yard"`
-	Spot                    bool            `json:"loaners"`
-	AgentEpoch              AgentEpoch      `json:"shift"`
-	Sequence                Sequence        `json:"tally"`
-	FencingToken            FencingToken    `json:"baton"`
-	PreemptionNoticeSeconds *float64        `json:"recall_s"`
-	Tasks                   []TaskStatus    `json:"pieces"`
+	Machine      MachineID       `json:"stall"`
+	Addr         string          `json:"addr"`
+	Type         MachineTypeName `json:"build"`
+	Zone         Zone            `json:"yard"`
+	Spot         bool            `json:"loaners"`
+	AgentEpoch   AgentEpoch      `json:"shift"`
+	Sequence     Sequence        `json:"tally"`
+	FencingToken FencingToken    `json:"baton"` // the highest that the agent has seen
+	// PreemptionNoticeSeconds is the time until the cloud takes the machine away; nil
+	// without a notice.
+	PreemptionNoticeSeconds *float64 `json:"recall_s"`
+	// Tasks are all tasks on the machine, exited ones until they are forgotten.
+	Tasks []TaskStatus `json:"pieces"`
 }
 
-// ParseHeartbeat reads and checks a worker's report.
+// maxPreemptionNoticeSeconds bounds a notice, so that it fits a time.Duration.
+const maxPreemptionNoticeSeconds = 1e6
+
+// ParseHeartbeat reads and checks a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := DecodeObject(body, &heartbeat); err != nil {
 		return nil, err
 	}
 	if !heartbeat.Machine.IsValid() || heartbeat.AgentEpoch == 0 || heartbeat.Type == "" || heartbeat.Zone == "" {
-		return nil, malformed("report")
+		return nil, malformed("report") // the agent is sent this text
 	}
-	if heartbeat.PreemptionNoticeSeconds != nil && (*heartbeat.PreemptionNoticeSeconds < 0 || *heartbeat.PreemptionNoticeSeconds > 1e6) {
+	notice := heartbeat.PreemptionNoticeSeconds
+	if notice != nil && (*notice < 0 || *notice > maxPreemptionNoticeSeconds) {
 		return nil, malformed("recall_s")
 	}
 	return &heartbeat, nil
 }
 
-// CommandType is what a worker is told to do with a task.
+// CommandType is what an agent is told to do with a task.
 type CommandType string
 
-// Commands to workers.
+// Commands to agents. All may be repeated, with one exception: a start that is repeated
+// after CommandForget starts the attempt again.
 const (
 	CommandStart  CommandType = "start"
 	CommandStop   CommandType = "stop"
-	CommandForget CommandType = "reap"
+	CommandForget CommandType = "reap" // drops an exited task from the heartbeats
 )
 
-// Command is a command to a worker.
+// Command is one command to an agent.
 type Command struct {
-	Type               CommandType `json:"verb"`
-	Task               Task        `json:"piece"`
-	Attempt            Attempt     `json:"try"`
-	GracePeriodSeconds *float64    `json:"wind_down_s,omitempty"`
+	Type    CommandType `json:"verb"`
+	Task    Task        `json:"piece"`
+	Attempt Attempt     `json:"try"`
+	// GracePeriodSeconds is, for CommandStop, the time in which the task may save.
+	GracePeriodSeconds *float64 `json:"wind_down_s,omitempty"`
 }
 
-// Commands is the answer to a report and, with Session, a direct command.
+// Commands is the response to a heartbeat and, with AgentEpoch, a message to the agent's
+// own address. An agent executes the commands in order, or none of them if the fencing
+// token is lower than the highest that it has seen.
 type Commands struct {
 	FencingToken FencingToken `json:"baton"`
 	AgentEpoch   AgentEpoch   `json:"shift,omitempty"`
 	Commands     []Command    `json:"orders"`
 }
 
-// Encode gives the message's wire form.
+// Encode returns the wire form, in which a missing list of commands is an empty one.
 func (c *Commands) Encode() []byte {
-	if c.Commands == nil {
-		c.Commands = []Command{}
+	message := *c
+	if message.Commands == nil {
+		message.Commands = []Command{}
 	}
-	return Encode(c)
+	return Encode(&message)
 }
 
-// Redirect sends a worker to another node; with no name it tries the next.
+// Redirect sends an agent to another controller; without a name it tries the next one.
 type Redirect struct {
 	Controller ControllerID `json:"foreman,omitempty"`
 }
-
-// Encode gives a message's wire form. Its callers pass only types of this
-// package, which always can be written.
-func Encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(fmt.Sprintf("protocol: %v", err))
-	}
-	return b
-}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -4,29 +4,34 @@
 	"fmt"
 	"math"
 	"net/url"
+	"slices"
 )
 
-// Paths of the cloud, and its limits.
+// Paths of the cloud.
 const (
-	PathMachineTypes  = "/flavors"
-	PathInstances     = "/hosts"
-	PathTerminate     = "/hosts/release"
-	MaxProvisionCount = 50
-	MaxTerminateCount = 100
-	InstancePageSize  = 500
+	PathMachineTypes = "/flavors"
+	PathInstances    = "/hosts"
+	PathTerminate    = "/hosts/release"
 )
 
-// MachineType is a machine type.
+// Limits that the cloud sets for one request.
+const (
+	MaxProvisionCount = 50  // machines of a provision request
+	MaxTerminateCount = 100 // names of a termination request
+	InstancePageSize  = 500 // machines of one page of the list
+)
+
+// MachineType is what the cloud says of a machine type.
 type MachineType struct {
 	Name                 MachineTypeName `json:"sku"`
 	Cores                float64         `json:"cores"`
 	Accelerators         float64         `json:"accelerators"`
 	MemoryGB             float64         `json:"mem_gb"`
 	LocalDiskGB          float64         `json:"local_gb"`
-	ImagePullGBPerSecond float64         `json:"fetch_gb_per_s"`
-	OnDemandPrice        float64         `json:"rate"`
-	SpotPrice            float64         `json:"low_price"`
-	BootSeconds          float64         `json:"ready_s"`
+	ImagePullGBPerSecond float64         `json:"fetch_gb_per_s"` // nominal; machines differ by a third
+	OnDemandPrice        float64         `json:"rate"`           // per hour
+	SpotPrice            float64         `json:"low_price"`      // per hour, the current one
+	BootSeconds          float64         `json:"ready_s"`        // nominal
 	Zones                []Zone          `json:"yards"`
 }
 
@@ -35,33 +40,36 @@
 	return job.Cores <= m.Cores && job.Accelerators <= m.Accelerators && job.MemoryGB <= m.MemoryGB
 }
 
-// IsOfferedIn tells whether the type is rented in the zone.
-func (m *MachineType) IsOfferedIn(zone Zone) bool {
-	for _, offered := range m.Zones {
-		if offered == zone {
-			return true
-		}
-	}
-	return false
-}
+// IsOfferedIn tells whether the cloud offers the type in the zone.
+func (m *MachineType) IsOfferedIn(zone Zone) bool { return slices.Contains(m.Zones, zone) }
 
-// AllowsPlacement tells whether the job may use the type in the zone.
-func (j *Job) AllowsPlacement(machineType MachineTypeName, zone Zone) bool {
-	if j.Zone != "" && j.Zone != zone {
-		return false
-	}
-	if len(j.MachineTypes) == 0 {
-		return true
-	}
-	for _, allowed := range j.MachineTypes {
-		if allowed == machineType {
-			return true
+// maxMachineTypeAmount bounds every number of a machine type.
+const maxMachineTypeAmount = 1e9
+
+// validate refuses values that cannot be, on which placement must not rely.
+func (m *MachineType) validate() error {
+	for _, amount := range []float64{
+		m.Cores,
+		m.Accelerators,
+		m.MemoryGB,
+		m.LocalDiskGB,
+		m.ImagePullGBPerSecond,
+		m.OnDemandPrice,
+		m.SpotPrice,
+		m.BootSeconds,
+	} {
+		if amount < 0 || math.IsNaN(amount) || amount > maxMachineTypeAmount {
+			return fmt.Errorf("machine type %q has an impossible value", m.Name)
 		}
 	}
-	return false
+	if m.Name == "" || len(m.Zones) == 0 {
+		return fmt.Errorf("machine type %q has no name or zone", m.Name)
+	}
+	return nil
 }
 
-// ParseMachineTypes reads the machine types and refuses values that cannot be.
+// ParseMachineTypes reads the cloud's machine types. One that cannot be refuses them all:
+// the caller keeps the list that it has.
 func ParseMachineTypes(body []byte) ([]MachineType, error) {
 	var list struct {
 		Types []MachineType `json:"builds"`
@@ -70,39 +78,38 @@
 		return nil, err
 	}
 	if len(list.Types) == 0 {
-		return nil, fmt.Errorf("no machine types")
+		return nil, malformed("no machine types")
 	}
-	for _, machineType := range list.Types {
-		for _, v := range []float64{machineType.Cores, machineType.Accelerators, machineType.MemoryGB, machineType.LocalDiskGB, machineType.ImagePullGBPerSecond, machineType.OnDemandPrice, machineType.SpotPrice, machineType.BootSeconds} {
-			if v < 0 || math.IsNaN(v) || v > 1e9 {
-				return nil, fmt.Errorf("machine type %q has an impossible value", machineType.Name)
-			}
-		}
-		if machineType.Name == "" || len(machineType.Zones) == 0 {
-			return nil, fmt.Errorf("a machine type has no name or zone")
+	for i := range list.Types {
+		if err := list.Types[i].validate(); err != nil {
+			return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
 	}
 	return list.Types, nil
 }
 
-// ProvisionRequest is a rental request.
+// ProvisionRequest asks the cloud for machines. The cloud answers a repeated request as
+// it answered the first, so a RequestID that was granted must never be used again, not
+// even by another controller.
 type ProvisionRequest struct {
 	RequestID string          `json:"hire"`
 	Type      MachineTypeName `json:"build"`
 	Zone      Zone            `json:"yard"`
 	Spot      bool            `json:"loaners"`
-	Count     int             `json:"count"`
+	Count     int             `json:"count"` // at most MaxProvisionCount
 }
 
-// MachineList is a list of machine names: the answer to a hire, the body of a release.
+// MachineList is the response to a provision request and the body of a termination
+// request.
 type MachineList struct {
 	Machines []MachineID `json:"stalls"`
 }
 
-// InstanceState is the cloud's view of a machine.
+// InstanceState is the cloud's view of a machine. It lags behind the machine.
 type InstanceState string
 
-// InstanceFailed machines have stopped on their own.
+// InstanceFailed is the state of machines that have stopped on their own. They cost
+// nothing and stay listed until they are terminated.
 const InstanceFailed InstanceState = "failed"
 
 // Instance is a machine of the cloud's list.
@@ -113,16 +120,17 @@
 	Zone       Zone            `json:"yard"`
 	Spot       bool            `json:"loaners"`
 	State      InstanceState   `json:"stage"`
-	AgeSeconds float64         `json:"age_s"`
+	AgeSeconds float64         `json:"age_s"` // since the provision request, as of the list's time
 }
 
-// InstancePage is one page of the cloud's list.
+// InstancePage is one page of the cloud's list, in the order of the machines' names.
 type InstancePage struct {
 	Instances []Instance `json:"stalls"`
 	HasMore   bool       `json:"more"`
 }
 
-// ListInstancesPath asks for the page behind a name.
+// ListInstancesPath returns the target of the page that begins after a machine; empty:
+// the first page.
 func ListInstancesPath(after MachineID) string {
 	path := fmt.Sprintf("%s?page=%d", PathInstances, InstancePageSize)
 	if after != "" {
--- a/internal/protocol/keyvalue.go
+++ b/internal/protocol/keyvalue.go
@@ -6,41 +6,51 @@
 	"net/url"
 )
 
-// Paths of the state service, and its limits.
+// Paths of the store.
 const (
-	PathKeys            = "/keys"
-	PathTransaction     = "/multi"
-	PathLeases          = "/holds"
-	PathWatch           = "/follow"
-	renewSuffix         = "/extend"
-	KeyPageSize         = 1000
-	MaxTransactionBytes = 60 << 10 // of 64 KiB; the rest is left for the frame
+	PathKeys        = "/keys"
+	PathTransaction = "/multi"
+	PathLeases      = "/holds"
+	PathWatch       = "/follow"
+	renewSuffix     = "/extend"
 )
 
-// Condition is a condition of a transaction.
+// Limits of the store.
+const (
+	// KeyPageSize is the number of keys of one page of a listing.
+	KeyPageSize = 1000
+	// MaxTransactionBytes bounds what callers put into a transaction. The store takes
+	// 64 KiB; the rest is left for the JSON around keys and values.
+	MaxTransactionBytes = 60 << 10
+)
+
+// Condition is a comparison of a transaction: the key must have this ModRevision, 0 for
+// a key that must not exist.
 type Condition struct {
 	Key         string      `json:"key"`
 	ModRevision ModRevision `json:"stamp"`
 }
 
-// Operation is a change of a transaction.
+// Operation is a put or a delete of a transaction.
 type Operation struct {
-	PutKey    string          `json:"put,omitempty"`
-	Value     json.RawMessage `json:"data,omitempty"`
-	Lease     LeaseID         `json:"tenancy,omitempty"`
-	DeleteKey string          `json:"delete,omitempty"`
+	PutKey string          `json:"put,omitempty"`
+	Value  json.RawMessage `json:"data,omitempty"`
+	// Lease is the lease that the key of a put hangs on; 0 detaches it from any.
+	Lease     LeaseID `json:"tenancy,omitempty"`
+	DeleteKey string  `json:"delete,omitempty"`
 }
 
-// Transaction is a transaction.
+// Transaction is applied as a whole if all its conditions hold, and not at all otherwise.
+// Without operations it only compares.
 type Transaction struct {
 	Conditions []Condition `json:"when"`
 	Operations []Operation `json:"then,omitempty"`
 }
 
-// TransactionResult is the answer to a transaction and to a read of a missing key.
+// TransactionResult is the response to a transaction and to the read of a missing key.
 type TransactionResult struct {
 	Revision   Revision `json:"ledger_rev"`
-	FailedKeys []string `json:"failed"`
+	FailedKeys []string `json:"failed"` // keys whose conditions do not hold
 	Error      string   `json:"error"`
 }
 
@@ -51,14 +61,14 @@
 	ModRevision ModRevision     `json:"stamp"`
 }
 
-// EntryPage is one page of keys.
+// EntryPage is one page of a listing, in the order of the keys.
 type EntryPage struct {
 	Entries  []Entry  `json:"items"`
 	HasMore  bool     `json:"more"`
 	Revision Revision `json:"ledger_rev"`
 }
 
-// Event is a change seen by /follow.
+// Event is one change that a watch saw: a put or a delete.
 type Event struct {
 	PutKey      string          `json:"put"`
 	DeleteKey   string          `json:"delete"`
@@ -66,19 +76,20 @@
 	ModRevision ModRevision     `json:"stamp"`
 }
 
-// WatchResponse is the answer of /follow.
+// WatchResponse holds all changes up to its revision.
 type WatchResponse struct {
 	Revision Revision `json:"ledger_rev"`
 	Events   []Event  `json:"news"`
 }
 
-// Lease is a lease: asked for with TTL, answered with Tenancy.
+// Lease is the request for a lease, with TTLMillis, and the response to it, with ID.
 type Lease struct {
 	TTLMillis int64   `json:"ttl_ms,omitempty"`
 	ID        LeaseID `json:"tenancy,omitempty"`
 }
 
-// ListKeysPath asks for the page of keys behind one.
+// ListKeysPath returns the target of the page that begins after a key; empty: the first
+// page.
 func ListKeysPath(prefix, after string) string {
 	path := fmt.Sprintf("%s?starts=%s&page=%d", PathKeys, url.QueryEscape(prefix), KeyPageSize)
 	if after != "" {
@@ -87,13 +98,16 @@
 	return path
 }
 
-// GetKeyPath asks for one key.
+// GetKeyPath returns the target of one key. The store wants slashes in it as they are.
 func GetKeyPath(key string) string { return PathKeys + "/" + key }
 
-// WatchKeysPath asks for the changes behind a revision.
+// WatchKeysPath returns the target of a watch for changes after a revision. The store
+// answers at the first change, or after waitMillis without one.
 func WatchKeysPath(prefix string, after Revision, waitMillis int) string {
 	return fmt.Sprintf("%s?starts=%s&from=%d&wait_ms=%d", PathWatch, url.QueryEscape(prefix), after, waitMillis)
 }
 
-// RenewLeasePath renews a lease.
-func RenewLeasePath(id LeaseID) string { return fmt.Sprintf("%s/%d%s", PathLeases, id, renewSuffix) }
+// RenewLeasePath returns the target that renews a lease.
+func RenewLeasePath(id LeaseID) string {
+	return fmt.Sprintf("%s/%d%s", PathLeases, id, renewSuffix)
+}
