--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -11,16 +12,27 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrNotSent says that a call never left this process.
+// ErrNotSent is wrapped by the errors of calls of which no byte has left this process.
 var ErrNotSent = errors.New("not sent")
 
-// Client calls one address over kept connections, at most Limit calls at once.
+const (
+	// idleConnTimeout is the age from which a call opens a new connection rather than
+	// risk one that the other side has given up.
+	idleConnTimeout = 20 * time.Second
+	// readBufferBytes is also the longest header line of a response.
+	readBufferBytes = 8 << 10
+	// requestHeadBytes is room for a request's head; a longer one costs a second
+	// allocation.
+	requestHeadBytes = 256
+)
+
+// Client sends HTTP requests to one address over connections that it keeps open.
 type Client struct {
 	addr        string
 	rateLimiter *rate.Limiter // nil: no limit
-	slots       chan struct{}
+	slots       chan struct{} // one element for each call under way
 	mu          sync.Mutex
-	idleConns   []*pooledConn
+	idleConns   []*pooledConn // the last one used at the end
 }
 
 type pooledConn struct {
@@ -29,59 +41,95 @@
 	lastUsed time.Time
 }
 
-const idleConnTimeout = 20 * time.Second
-
-// NewClient makes a client. tokens bounds its call rate and may be nil.
+// NewClient makes a client with at most maxConcurrent calls at once. rateLimiter bounds
+// the rate of its calls; it may be shared, and nil.
 func NewClient(addr string, maxConcurrent int, rateLimiter *rate.Limiter) *Client {
 	return &Client{addr: addr, rateLimiter: rateLimiter, slots: make(chan struct{}, maxConcurrent)}
 }
 
-// Call sends one request. An error that is not ErrNotSent leaves open whether
-// the other side has carried the request out, or still will.
+// Call sends one request and waits for its response, both within timeout, which includes
+// the wait for a slot and for the rate limiter. After an error that does not wrap
+// ErrNotSent the other side may have carried the request out, or may still do so.
 func (c *Client) Call(method, target string, body []byte, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
+	if err := c.admit(ctx); err != nil {
+		return nil, c.notSent(method, target, err)
+	}
+	defer c.releaseSlot()
+	pooled, err := c.connect(ctx)
+	if err != nil {
+		return nil, c.notSent(method, target, err)
+	}
+	head := make([]byte, 0, requestHeadBytes+len(body))
+	response, err := pooled.roundTrip(AppendRequest(head, method, c.addr, target, body), deadline)
+	if err != nil {
+		pooled.conn.Close()
+		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
+	}
+	if response.Close {
+		pooled.conn.Close()
+	} else {
+		c.pushIdleConn(pooled)
+	}
+	return response, nil
+}
+
+func (c *Client) notSent(method, target string, cause error) error {
+	return fmt.Errorf("%w: %s %s%s: %w", ErrNotSent, method, c.addr, target, cause)
+}
+
+// admit waits for a slot, which the caller then holds, and for the rate limiter.
+func (c *Client) admit(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
-		defer func() { <-c.slots }()
 	case <-ctx.Done():
-		return nil, ErrNotSent
+		return fmt.Errorf("wait for one of %d slots: %w", cap(c.slots), ctx.Err())
 	}
-	if c.rateLimiter != nil && c.rateLimiter.Wait(ctx) != nil {
-		return nil, ErrNotSent
+	if c.rateLimiter == nil {
+		return nil
 	}
-	pooled := c.popIdleConn()
-	if pooled == nil {
-		netConn, err := (&net.Dialer{Deadline: deadline}).Dial("tcp4", c.addr)
-		if err != nil {
-			return nil, errors.Join(ErrNotSent, err)
-		}
-		pooled = &pooledConn{conn: netConn, reader: bufio.NewReaderSize(netConn, 8<<10)}
+	if err := c.rateLimiter.Wait(ctx); err != nil {
+		c.releaseSlot()
+		return fmt.Errorf("wait for the rate limiter: %w", err)
 	}
-	pooled.conn.SetDeadline(deadline)
-	if _, err := pooled.conn.Write(AppendRequest(make([]byte, 0, 256+len(body)), method, c.addr, target, body)); err != nil {
-		pooled.conn.Close()
+	return nil
+}
+
+func (c *Client) releaseSlot() { <-c.slots }
+
+// connect returns an idle connection or opens one.
+func (c *Client) connect(ctx context.Context) (*pooledConn, error) {
+	if pooled := c.popIdleConn(); pooled != nil {
+		return pooled, nil
+	}
+	conn, err := new(net.Dialer).DialContext(ctx, "tcp4", c.addr)
+	if err != nil {
 		return nil, err
 	}
-	response, err := ReadResponse(pooled.reader)
-	if err != nil || response.Close {
-		pooled.conn.Close()
-		return response, err
+	return &pooledConn{conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
+}
+
+func (p *pooledConn) roundTrip(request []byte, deadline time.Time) (*Response, error) {
+	if err := p.conn.SetDeadline(deadline); err != nil {
+		return nil, err
 	}
-	pooled.lastUsed = time.Now()
-	c.mu.Lock()
-	c.idleConns = append(c.idleConns, pooled)
-	c.mu.Unlock()
-	return response, nil
+	if _, err := p.conn.Write(request); err != nil {
+		return nil, err
+	}
+	return ReadResponse(p.reader)
 }
 
+// popIdleConn takes the connection that was used last; nil if none is usable.
 func (c *Client) popIdleConn() *pooledConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.idleConns) > 0 {
-		pooled := c.idleConns[len(c.idleConns)-1]
-		c.idleConns = c.idleConns[:len(c.idleConns)-1]
+		last := len(c.idleConns) - 1
+		pooled := c.idleConns[last]
+		c.idleConns = c.idleConns[:last]
+		// Bytes that nobody asked for would be taken for the next response.
 		if time.Since(pooled.lastUsed) < idleConnTimeout && pooled.reader.Buffered() == 0 {
 			return pooled
 		}
@@ -90,7 +138,14 @@
 	return nil
 }
 
-// CloseIdleConns drops kept connections, so that the next call opens a new one.
+func (c *Client) pushIdleConn(pooled *pooledConn) {
+	pooled.lastUsed = time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idleConns = append(c.idleConns, pooled)
+}
+
+// CloseIdleConns closes the connections that no call uses; the next call opens a new one.
 func (c *Client) CloseIdleConns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -8,18 +8,20 @@
 )
 
 func TestParseRequest(t *testing.T) {
-	const ok = 0
-	const more = -1
+	const (
+		whole   = 0
+		partial = -1
+	)
 	for _, c := range []struct {
-		name, in string
-		want     int // status, ok or more
+		name, input string
+		want        int // the status of an error, whole or partial
 	}{
-		{"get", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", ok},
-		{"post", "POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", ok},
-		{"lower case header", "POST /work HTTP/1.1\r\ncontent-length: 2\r\n\r\n{}", ok},
-		{"split head", "GET /healthz HTTP/1.1\r\nHost", more},
-		{"split body", "POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}", more},
-		{"same length twice", "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{}", ok},
+		{"get", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", whole},
+		{"post", "POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", whole},
+		{"lower case header", "POST /work HTTP/1.1\r\ncontent-length: 2\r\n\r\n{}", whole},
+		{"split head", "GET /healthz HTTP/1.1\r\nHost", partial},
+		{"split body", "POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}", partial},
+		{"same length twice", "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{}", whole},
 		{"conflicting lengths", "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}", 400},
 		{"length and chunked", "POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", 400},
 		{"chunked", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411},
@@ -39,27 +41,30 @@
 		{"long head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeaderBytes) + "\r\n\r\n", 431},
 		{"long head, no end", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeaderBytes), 431},
 		{"many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: x\r\n", MaxHeaderCount+1) + "\r\n", 431},
-		{"nothing", "", more},
+		{"no bytes", "", partial},
 	} {
-		r, n, err := ParseRequest([]byte(c.in))
-		got := ok
-		if err != nil {
-			got = err.Status
-		} else if r == nil {
-			got = more
-		} else if n != len(c.in) {
-			t.Errorf("%s: took %d of %d bytes", c.name, n, len(c.in))
-		}
-		if got != c.want {
-			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			request, consumed, err := ParseRequest([]byte(c.input))
+			got := whole
+			switch {
+			case err != nil:
+				got = err.Status
+			case request == nil:
+				got = partial
+			case consumed != len(c.input):
+				t.Errorf("took %d of %d bytes", consumed, len(c.input))
+			}
+			if got != c.want {
+				t.Errorf("got %d, want %d", got, c.want)
+			}
+		})
 	}
 }
 
 func TestReadResponse(t *testing.T) {
 	for _, c := range []struct {
-		name, in, body string
-		status         int // 0: refused
+		name, input, body string
+		status            int // 0: refused
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "{}", 200},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1;x=y\r\n}\r\n0\r\n\r\n", "{}", 200},
@@ -73,55 +78,59 @@
 		{"huge", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "", 0},
 		{"both", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", "", 0},
 	} {
-		a, err := ReadResponse(bufio.NewReader(strings.NewReader(c.in)))
-		if c.status == 0 {
-			if err == nil {
-				t.Errorf("%s: taken as %d %q", c.name, a.Status, a.Body)
+		t.Run(c.name, func(t *testing.T) {
+			response, err := ReadResponse(bufio.NewReader(strings.NewReader(c.input)))
+			if c.status == 0 {
+				if err == nil {
+					t.Errorf("taken as %d %q", response.Status, response.Body)
+				}
+				return
 			}
-			continue
-		}
-		if err != nil || a.Status != c.status || string(a.Body) != c.body {
-			t.Errorf("%s: %+v, %v", c.name, a, err)
-		}
+			if err != nil || response.Status != c.status || string(response.Body) != c.body {
+				t.Errorf("got %+v, %v, want %d %q", response, err, c.status, c.body)
+			}
+		})
 	}
 }
 
-// What the writer writes, the parser must read back, however it is cut; and no
-// bytes may crash it or be taken in more than they are.
+// What AppendRequest writes, ParseRequest must read back, however it is cut; and no input
+// may crash it or be taken for more bytes than it has.
 func FuzzParseRequest(f *testing.F) {
 	f.Add(AppendRequest(nil, "POST", "h", "/work", []byte("{}")))
 	f.Add([]byte("GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\nGET"))
 	f.Add([]byte("GET / HTTP/1.1\n\n"))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		r, n, err := ParseRequest(in)
-		if err != nil && (err.Status < 400 || err.Status > 431) || n > len(in) || r != nil && n == 0 {
-			t.Fatalf("%v %d %v", r, n, err)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		request, consumed, err := ParseRequest(input)
+		isOddError := err != nil && (err.Status < 400 || err.Status > 431)
+		if isOddError || consumed > len(input) || request != nil && consumed == 0 {
+			t.Fatalf("%v, %d of %d bytes, %v", request, consumed, len(input), err)
 		}
-		if r == nil {
+		if request == nil {
 			return
 		}
-		for cut := 0; cut < n; cut += 1 + n/8 {
-			if r, _, err := ParseRequest(in[:cut]); r != nil && err == nil {
-				t.Fatalf("whole with %d of %d bytes", cut, n)
+		for cut := 0; cut < consumed; cut += 1 + consumed/8 {
+			if part, _, err := ParseRequest(input[:cut]); part != nil && err == nil {
+				t.Fatalf("whole with %d of %d bytes", cut, consumed)
 			}
 		}
-		again, _, err := ParseRequest(AppendRequest(nil, r.Method, "h", r.Path, r.Body))
-		if err != nil && err.Status != 411 {
+		again, _, err := ParseRequest(AppendRequest(nil, request.Method, "h", request.Path, request.Body))
+		if err != nil && err.Status != 411 { // a POST with an empty body is written without a length
 			t.Fatal(err)
 		}
-		if again != nil && !bytes.Equal(again.Body, r.Body) {
-			t.Fatalf("%q became %q", r.Body, again.Body)
+		if again != nil && !bytes.Equal(again.Body, request.Body) {
+			t.Fatalf("%q became %q", request.Body, again.Body)
 		}
 	})
 }
 
+// No input may crash ReadResponse or become a body longer than it.
 func FuzzReadResponse(f *testing.F) {
 	f.Add(AppendResponse(nil, 200, 3, []byte("{}"), true))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		a, err := ReadResponse(bufio.NewReader(bytes.NewReader(in)))
-		if err == nil && (a.Status < 200 || len(a.Body) > len(in)) {
-			t.Fatalf("%+v", a)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		response, err := ReadResponse(bufio.NewReader(bytes.NewReader(input)))
+		if err == nil && (response.Status < 200 || len(response.Body) > len(input)) {
+			t.Fatalf("%+v", response)
 		}
 	})
 }
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -1,63 +1,34 @@
 package transport
 
 import (
-	"bytes"
-	"encoding/binary"
-	"encoding/gob"
-	"errors"
 	"net"
 	"time"
 )
 
-const maxFrameBytes = 16 << 10
-
-// AppendFrame writes a value as one gob frame with its length in front. Each
-// frame stands for itself, so a lost one harms no other.
-func AppendFrame(b []byte, v any) ([]byte, error) {
-	var buf bytes.Buffer
-	if err := gob.NewEncoder(&buf).Encode(v); err != nil {
-		return b, err
-	}
-	if buf.Len() > maxFrameBytes {
-		return b, errors.New("frame too long")
-	}
-	b = binary.BigEndian.AppendUint32(b, uint32(buf.Len()))
-	return append(b, buf.Bytes()...), nil
-}
-
-// SplitFrame takes one frame from the front of a stream; nil while it is not whole.
-func SplitFrame(b []byte) (frame, rest []byte, err error) {
-	if len(b) < 4 {
-		return nil, b, nil
-	}
-	n := binary.BigEndian.Uint32(b)
-	if n == 0 || n > maxFrameBytes {
-		return nil, nil, errors.New("malformed frame")
-	}
-	if len(b) < 4+int(n) {
-		return nil, b, nil
-	}
-	return b[4 : 4+n], b[4+n:], nil
-}
-
-// DecodeFrame reads the value of a frame.
-func DecodeFrame(frame []byte, v any) error { return gob.NewDecoder(bytes.NewReader(frame)).Decode(v) }
+// Time-outs of the link to another controller. What it carries is outdated soon, so
+// there is no use in waiting longer.
+const (
+	peerDialTimeout  = time.Second
+	peerWriteTimeout = time.Second
+)
 
-// PeerClient sends values to one other controller. Only the newest value waits;
-// whatever cannot be sent is dropped.
+// PeerClient sends values to one other controller. Delivery is best effort: only the
+// newest value waits, and whatever cannot be sent is dropped. Its goroutine lives as
+// long as the process.
 type PeerClient struct {
 	addr         string
-	pendingFrame chan []byte
+	pendingFrame chan []byte // holds the newest frame that is not under way
 }
 
-// NewPeerClient begins to send to an address.
+// NewPeerClient starts to send to an address.
 func NewPeerClient(addr string) *PeerClient {
 	p := &PeerClient{addr: addr, pendingFrame: make(chan []byte, 1)}
 	go p.sendLoop()
 	return p
 }
 
-// Send hands over a value.
+// Send replaces the value that waits. It never blocks; its error says only that the
+// value cannot be encoded.
 func (p *PeerClient) Send(v any) error {
 	frame, err := AppendFrame(nil, v)
 	if err != nil {
@@ -74,20 +45,28 @@
 	return nil
 }
 
+// sendLoop writes frames over one connection, which it opens anew after a failure.
 func (p *PeerClient) sendLoop() {
-	var netConn net.Conn
+	var conn net.Conn
 	for frame := range p.pendingFrame {
-		var err error
-		if netConn == nil {
-			if netConn, err = net.DialTimeout("tcp4", p.addr, time.Second); err != nil {
-				netConn = nil
+		if conn == nil {
+			opened, err := net.DialTimeout("tcp4", p.addr, peerDialTimeout)
+			if err != nil {
 				continue
 			}
+			conn = opened
 		}
-		netConn.SetWriteDeadline(time.Now().Add(time.Second))
-		if _, err = netConn.Write(frame); err != nil {
-			netConn.Close()
-			netConn = nil
+		if err := writeFrame(conn, frame); err != nil {
+			conn.Close()
+			conn = nil
 		}
 	}
 }
+
+func writeFrame(conn net.Conn, frame []byte) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(peerWriteTimeout)); err != nil {
+		return err
+	}
+	_, err := conn.Write(frame)
+	return err
+}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -4,33 +4,63 @@
 	"bufio"
 	"io"
 	"net"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-// startServer serves with answers that come from another goroutine.
+// testConfig listens on loopback, with time-outs that no test reaches.
+func testConfig(t *testing.T, maxConns int) ServerConfig {
+	t.Helper()
+	return ServerConfig{
+		Addr:        freeAddr(t),
+		MaxConns:    maxConns,
+		IdleTimeout: time.Minute,
+		ReadTimeout: time.Minute,
+	}
+}
+
+// receive waits for a value that must come soon.
+func receive[T any](t *testing.T, values <-chan T) (value T) {
+	t.Helper()
+	select {
+	case value = <-values:
+	case <-time.After(5 * time.Second):
+		t.Error("nothing received within 5 s")
+	}
+	return value
+}
+
+// startServer serves until the test ends. Another goroutine than the server's loop
+// answers each request with its path.
 func startServer(t *testing.T, cfg ServerConfig) *Server {
 	t.Helper()
-	var s *Server
-	s = NewServer(cfg, func(x *Exchange) {
-		go s.Reply(x, 200, 0, append([]byte(nil), x.Request.Path...))
+	var server *Server
+	server = NewServer(cfg, func(x *Exchange) {
+		go server.Reply(x, 200, 0, []byte(x.Request.Path))
 	})
+	runServer(t, server)
+	return server
+}
+
+// runServer runs a server until the test ends and returns once it listens.
+func runServer(t *testing.T, server *Server) {
+	t.Helper()
 	done := make(chan error, 1)
-	go func() { done <- s.Run() }()
+	go func() { done <- server.Run() }()
 	t.Cleanup(func() {
-		s.Stop()
+		server.Stop()
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
@@ -38,10 +68,10 @@
 		}
 	})
 	for i := 0; ; i++ {
-		c, err := net.Dial("tcp4", cfg.Addr)
+		conn, err := net.Dial("tcp4", server.config.Addr)
 		if err == nil {
-			c.Close()
-			return s
+			conn.Close()
+			return
 		}
 		if i > 100 {
 			t.Fatal(err)
@@ -50,137 +80,140 @@
 	}
 }
 
-func exchange(t *testing.T, addr, send string) (string, bool) {
+// exchange sends bytes on a connection of their own. It returns the body of the response
+// and whether the connection ends with it; an empty body if there is no response.
+func exchange(t *testing.T, addr, request string) (body string, closes bool) {
 	t.Helper()
-	c, err := net.Dial("tcp4", addr)
+	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(8 * time.Second))
-	io.WriteString(c, send)
-	a, err := ReadResponse(bufio.NewReader(c))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(8 * time.Second))
+	io.WriteString(conn, request)
+	response, err := ReadResponse(bufio.NewReader(conn))
 	if err != nil {
 		return "", false
 	}
-	return string(a.Body), a.Close
+	return string(response.Body), response.Close
 }
 
 func TestServerResponds(t *testing.T) {
-	cfg := ServerConfig{Addr: freeAddr(t), MaxConns: 20, IdleTimeout: time.Minute, ReadTimeout: time.Second}
+	cfg := testConfig(t, 20)
+	cfg.ReadTimeout = time.Second
 	startServer(t, cfg)
 	for _, c := range []struct {
-		name, send, body string
-		closes           bool
+		name, request, body string
+		closes              bool
 	}{
-		{"kept", "GET /a HTTP/1.1\r\n\r\n", "/a", false},
-		{"closed on demand", "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "/a", true},
-		{"pipelined requests get one answer", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n", "/a", true},
-		{"malformed", "BAD\r\n\r\n", `{"error":"malformed request line"}`, true},
-		{"half a request is closed in time", "GET /a HTTP", "", false},
+		{"connection is kept", "GET /a HTTP/1.1\r\n\r\n", "/a", false},
+		{"connection is closed on demand", "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "/a", true},
+		{"pipelined requests get one response", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n", "/a", true},
+		{"malformed request", "BAD\r\n\r\n", `{"error":"malformed request line"}`, true},
+		{"partial request times out", "GET /a HTTP", "", false},
 	} {
-		body, closes := exchange(t, cfg.Addr, c.send)
-		if body != c.body || closes != c.closes {
-			t.Errorf("%s: %q, closes %v", c.name, body, closes)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			body, closes := exchange(t, cfg.Addr, c.request)
+			if body != c.body || closes != c.closes {
+				t.Errorf("got %q, closes %v, want %q, closes %v", body, closes, c.body, c.closes)
+			}
+		})
 	}
 }
 
-// A peer that closes its half after the request, or in the middle of one, costs
-// nothing but its own connection.
+// A client that closes its half after the request, or in the middle of one, loses its own
+// connection and takes up none of MaxConns.
 func TestServerHalfClosed(t *testing.T) {
-	cfg := ServerConfig{Addr: freeAddr(t), MaxConns: 4, IdleTimeout: time.Minute, ReadTimeout: time.Minute}
+	cfg := testConfig(t, 4)
 	startServer(t, cfg)
-	for i := 0; i < 12; i++ { // more than there may be at once: each must be given up
-		c, err := net.Dial("tcp4", cfg.Addr)
+	requests := []string{"GET /a HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Le"}
+	for i := range 3 * cfg.MaxConns { // one that is not given up takes a place for good
+		conn, err := net.Dial("tcp4", cfg.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, []string{"GET /a HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Le"}[i%2])
-		c.(*net.TCPConn).CloseWrite()
-		c.SetDeadline(time.Now().Add(5 * time.Second))
-		if _, err := io.ReadAll(c); err != nil {
+		io.WriteString(conn, requests[i%len(requests)])
+		conn.(*net.TCPConn).CloseWrite()
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		if _, err := io.ReadAll(conn); err != nil {
 			t.Fatalf("not closed: %v", err)
 		}
-		c.Close()
+		conn.Close()
 	}
 	if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "/a" {
 		t.Fatalf("not served any more: %q", body)
 	}
 }
 
-// Past its limit of connections the server closes new ones and goes on.
+// Beyond MaxConns the server closes new connections and goes on.
 func TestServerBoundsConnections(t *testing.T) {
-	cfg := ServerConfig{Addr: freeAddr(t), MaxConns: 3, IdleTimeout: time.Minute, ReadTimeout: time.Minute}
+	cfg := testConfig(t, 3)
 	startServer(t, cfg)
 	time.Sleep(300 * time.Millisecond)
 	var conns []net.Conn
-	for i := 0; i < 3; i++ {
-		c, err := net.Dial("tcp4", cfg.Addr)
+	for range cfg.MaxConns {
+		conn, err := net.Dial("tcp4", cfg.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		conns = append(conns, c)
-		io.WriteString(c, "GET /x HTTP/1.1\r\n\r\n")
-		if _, err := ReadResponse(bufio.NewReader(c)); err != nil {
+		defer conn.Close()
+		conns = append(conns, conn)
+		io.WriteString(conn, "GET /x HTTP/1.1\r\n\r\n")
+		if _, err := ReadResponse(bufio.NewReader(conn)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "" {
-		t.Fatalf("a fourth connection was served %q", body)
+		t.Fatalf("a connection beyond the limit was served %q", body)
 	}
 	conns[0].Close()
 	time.Sleep(300 * time.Millisecond)
 	if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "/a" {
-		t.Fatalf("not served after one left: %q", body)
+		t.Fatalf("not served after another connection was closed: %q", body)
 	}
 }
 
-// evio ends its loop on any accept error. A process that is out of descriptors
-// must go on serving once it has some again.
+// evio ends its loop on any accept error. A process that has no descriptors left must go
+// on serving once it has some again. The test leaves itself exactly one descriptor, takes
+// it for the client's socket, and has that socket connect.
 func TestServerSurvivesFailedAccept(t *testing.T) {
-	cfg := ServerConfig{Addr: freeAddr(t), MaxConns: 1000, IdleTimeout: time.Minute, ReadTimeout: time.Minute}
+	cfg := testConfig(t, 1000)
 	startServer(t, cfg)
-	waiting, err := net.Dial("tcp4", cfg.Addr) // takes the client's descriptor beforehand
+	open, err := net.Dial("tcp4", cfg.Addr) // a connection that the restart breaks
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer open.Close()
+	tcpAddr, err := net.ResolveTCPAddr("tcp4", cfg.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer waiting.Close()
-	var old syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	fds := make([]int, 0, 2)
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fds = append(fds, fd)
-	low := old
-	low.Cur = uint64(fd + 1) // no descriptor is left for accept
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
+	lowered := limit
+	lowered.Cur = uint64(fd + 1) // no descriptor is left for accept
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
 		t.Fatal(err)
 	}
-	port := 0
-	for _, d := range strings.Split(cfg.Addr, ":")[1] {
-		port = port*10 + int(d-'0')
-	}
-	err = syscall.Connect(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
+	connectErr := syscall.Connect(fd, &syscall.SockaddrInet4{Port: tcpAddr.Port, Addr: [4]byte{127, 0, 0, 1}})
 	time.Sleep(400 * time.Millisecond)
-	if e := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); e != nil {
-		t.Fatal(e)
-	}
-	for _, f := range fds {
-		syscall.Close(f)
-	}
-	if err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
+	syscall.Close(fd)
+	if connectErr != nil {
+		t.Fatal(connectErr)
+	}
 	for i := 0; ; i++ {
-		c, err := net.Dial("tcp4", cfg.Addr)
+		conn, err := net.Dial("tcp4", cfg.Addr)
 		if err == nil {
-			c.Close()
+			conn.Close()
 			if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body == "/a" {
 				return
 			}
@@ -191,27 +224,3 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 }
-
-func TestFrames(t *testing.T) {
-	type v struct{ A string }
-	b, err := AppendFrame(nil, v{"x"})
-	if err != nil {
-		t.Fatal(err)
-	}
-	two := append(append([]byte(nil), b...), b...)
-	for cut := 0; cut < len(b); cut++ {
-		if f, _, err := SplitFrame(two[:cut]); f != nil || err != nil {
-			t.Fatalf("cut at %d: %v %v", cut, f, err)
-		}
-	}
-	f, rest, err := SplitFrame(two)
-	var got v
-	if err != nil || DecodeFrame(f, &got) != nil || got.A != "x" || len(rest) != len(b) {
-		t.Fatalf("%v %v %v", got, rest, err)
-	}
-	for _, bad := range [][]byte{{0, 0, 0, 0}, {255, 255, 255, 255}} {
-		if _, _, err := SplitFrame(bad); err == nil {
-			t.Errorf("%v is taken", bad)
-		}
-	}
-}
