--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -4,17 +4,18 @@
 	"context"
 	"errors"
 	"net"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 )
 
-// fakeBackend answers as it is told to.
+// fakeBackend responds as its fields say.
 type fakeBackend struct {
 	status              ShardingStatus
 	err                 error
+	blocks              bool // StartTransfer waits for the end of its context
 	lastTransferRequest *TransferRequest
-	blocks              bool // it does not answer in time
 }
 
 func (b *fakeBackend) GetShardingStatus(context.Context, *ShardingStatusRequest) (*ShardingStatus, error) {
@@ -38,7 +39,7 @@
 	return &Controller{ID: r.Controller, Draining: r.Draining}, b.err
 }
 
-// startTestServer serves a backend on loopback and makes a client of it.
+// startTestServer serves a backend on loopback until the test ends and makes a client.
 func startTestServer(t *testing.T, b Backend) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -58,73 +59,128 @@
 
 func TestCalls(t *testing.T) {
 	startedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
-	b := &fakeBackend{status: ShardingStatus{Revision: 412, Stale: true, Controllers: []Controller{{ID: "stall-0", Incarnation: "stall-0#7", Shards: 3, Machines: 51, SupportsTransfers: true}},
-		Shards:    []Shard{{ID: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}},
-		Transfers: []Transfer{{Name: "m", Phase: "closed", ProposedAt: startedAt, EndedAt: startedAt.Add(time.Second)}}, PlannedTransfers: []PlannedTransfer{{Shard: "p", Source: "a", Target: "b"}}}}
-	client := startTestServer(t, b)
-	s, err := client.GetShardingStatus(context.Background())
-	if err != nil || s.Revision != 412 || !s.Stale || s.Controllers[0] != b.status.Controllers[0] || s.Shards[0] != b.status.Shards[0] ||
-		s.PlannedTransfers[0] != b.status.PlannedTransfers[0] || !s.Transfers[0].ProposedAt.Equal(startedAt) || !s.Transfers[0].PreparedAt.IsZero() {
-		t.Errorf("%+v, %v", s, err)
-	}
-	request := TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"}
-	if transfer, err := client.StartTransfer(context.Background(), &request); err != nil || transfer.Phase != "proposed" || *b.lastTransferRequest != request {
-		t.Errorf("%+v, %v, asked %+v", transfer, err, b.lastTransferRequest)
-	}
-	if c, err := client.SetDraining(context.Background(), &SetDrainingRequest{Controller: "stall-1", Draining: true}); err != nil || c.ID != "stall-1" || !c.Draining {
-		t.Errorf("%+v, %v", c, err)
-	}
-	if transfer, err := client.AbortTransfer(context.Background(), &AbortTransferRequest{Name: "m"}); err != nil || transfer.Phase != "aborted" || transfer.Name != "m" {
-		t.Errorf("%+v, %v", transfer, err)
-	}
+	backend := &fakeBackend{status: ShardingStatus{
+		Revision: 412,
+		Stale:    true,
+		Controllers: []Controller{{
+			ID:                "stall-0",
+			Incarnation:       "stall-0#7",
+			Shards:            3,
+			Machines:          51,
+			SupportsTransfers: true,
+		}},
+		Shards: []Shard{{ID: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}},
+		Transfers: []Transfer{{
+			Name:       "m",
+			Phase:      "closed",
+			ProposedAt: startedAt,
+			EndedAt:    startedAt.Add(time.Second),
+		}},
+		PlannedTransfers: []PlannedTransfer{{Shard: "p", Source: "a", Target: "b"}},
+	}}
+	client := startTestServer(t, backend)
+	ctx := context.Background()
+	t.Run("GetShardingStatus", func(t *testing.T) {
+		want := &backend.status
+		got, err := client.GetShardingStatus(ctx)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got.Revision != want.Revision || got.Stale != want.Stale {
+			t.Errorf("got revision %d, stale %v", got.Revision, got.Stale)
+		}
+		if !slices.Equal(got.Controllers, want.Controllers) || !slices.Equal(got.Shards, want.Shards) ||
+			!slices.Equal(got.PlannedTransfers, want.PlannedTransfers) {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+		if len(got.Transfers) != 1 || !got.Transfers[0].ProposedAt.Equal(startedAt) || !got.Transfers[0].PreparedAt.IsZero() {
+			t.Errorf("got transfers %+v, want %+v", got.Transfers, want.Transfers)
+		}
+	})
+	t.Run("StartTransfer", func(t *testing.T) {
+		request := TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"}
+		transfer, err := client.StartTransfer(ctx, &request)
+		if err != nil || transfer.Phase != "proposed" || *backend.lastTransferRequest != request {
+			t.Errorf("got %+v, %v, the backend %+v", transfer, err, backend.lastTransferRequest)
+		}
+	})
+	t.Run("SetDraining", func(t *testing.T) {
+		controller, err := client.SetDraining(ctx, &SetDrainingRequest{Controller: "stall-1", Draining: true})
+		if err != nil || controller.ID != "stall-1" || !controller.Draining {
+			t.Errorf("got %+v, %v", controller, err)
+		}
+	})
+	t.Run("AbortTransfer", func(t *testing.T) {
+		transfer, err := client.AbortTransfer(ctx, &AbortTransferRequest{Name: "m"})
+		if err != nil || transfer.Phase != "aborted" || transfer.Name != "m" {
+			t.Errorf("got %+v, %v", transfer, err)
+		}
+	})
 }
 
-// A tool can tell what will never do from what may be tried again.
+// A tool must tell a request that is refused for good from one that may be repeated.
 func TestRequestErrors(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		err    error
-		reason string
-		again  bool
+		name      string
+		err       error
+		reason    string
+		retryable bool
 	}{
-		{"for good", &RequestError{Reason: "no page"}, "no page", false},
-		{"for now", &RequestError{Reason: "state service away", Retryable: true}, "state service away", true},
-		{"in no time", context.DeadlineExceeded, "did not answer in time", true},
+		{"permanent", &RequestError{Reason: "no such shard"}, "no such shard", false},
+		{"transient", &RequestError{Reason: "store unavailable", Retryable: true}, "store unavailable", true},
+		{"timed out", context.DeadlineExceeded, "did not answer in time", true},
 	} {
-		client := startTestServer(t, &fakeBackend{err: c.err})
-		_, err := client.StartTransfer(context.Background(), &TransferRequest{Name: "m"})
+		t.Run(c.name, func(t *testing.T) {
+			client := startTestServer(t, &fakeBackend{err: c.err})
+			_, err := client.StartTransfer(context.Background(), &TransferRequest{Name: "m"})
+			var requestErr *RequestError
+			if !errors.As(err, &requestErr) || !strings.Contains(requestErr.Reason, c.reason) ||
+				requestErr.Retryable != c.retryable {
+				t.Errorf("error %v, want %q, retryable %v", err, c.reason, c.retryable)
+			}
+		})
+	}
+	t.Run("fault of the controller", func(t *testing.T) {
+		client := startTestServer(t, &fakeBackend{err: errors.New("broken")})
+		_, err := client.GetShardingStatus(context.Background())
 		var requestErr *RequestError
-		if !errors.As(err, &requestErr) || !strings.Contains(requestErr.Reason, c.reason) || requestErr.Retryable != c.again {
-			t.Errorf("%s: %v", c.name, err)
+		if err == nil || errors.As(err, &requestErr) || !strings.Contains(err.Error(), "broken") {
+			t.Errorf("error %v, want one that is no RequestError", err)
 		}
-	}
-	client := startTestServer(t, &fakeBackend{err: errors.New("broken")})
-	var requestErr *RequestError
-	if _, err := client.GetShardingStatus(context.Background()); err == nil || errors.As(err, &requestErr) || !strings.Contains(err.Error(), "broken") {
-		t.Errorf("an error of the daemon: %v", err)
-	}
+	})
 }
 
-// Nobody there, somebody who does not answer, and more than the service takes.
 func TestLimits(t *testing.T) {
-	var requestErr *RequestError
-	unreachable, err := Dial("127.0.0.1:1")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer unreachable.Close()
-	if _, err := unreachable.GetShardingStatus(context.Background()); !errors.As(err, &requestErr) || !requestErr.Retryable {
-		t.Errorf("nobody there: %v", err)
-	}
-	blocked := startTestServer(t, &fakeBackend{blocks: true})
-	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-	defer cancel()
-	if _, err := blocked.StartTransfer(ctx, &TransferRequest{Name: "m"}); !errors.As(err, &requestErr) || !requestErr.Retryable {
-		t.Errorf("no answer: %v", err)
-	}
-	b := &fakeBackend{}
-	large := startTestServer(t, b)
-	if _, err := large.StartTransfer(context.Background(), &TransferRequest{Name: strings.Repeat("x", maxRequestBytes)}); err == nil || b.lastTransferRequest != nil {
-		t.Errorf("a request of over %d bytes: %v", maxRequestBytes, err)
+	checkRetryable := func(t *testing.T, err error) {
+		t.Helper()
+		var requestErr *RequestError
+		if !errors.As(err, &requestErr) || !requestErr.Retryable {
+			t.Errorf("error %v, want a retryable RequestError", err)
+		}
 	}
+	t.Run("nobody listens", func(t *testing.T) {
+		client, err := Dial("127.0.0.1:1")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer client.Close()
+		_, err = client.GetShardingStatus(context.Background())
+		checkRetryable(t, err)
+	})
+	t.Run("no response in time", func(t *testing.T) {
+		client := startTestServer(t, &fakeBackend{blocks: true})
+		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+		defer cancel()
+		_, err := client.StartTransfer(ctx, &TransferRequest{Name: "m"})
+		checkRetryable(t, err)
+	})
+	t.Run("request too large", func(t *testing.T) {
+		backend := &fakeBackend{}
+		client := startTestServer(t, backend)
+		request := &TransferRequest{Name: strings.Repeat("x", maxRequestBytes)}
+		_, err := client.StartTransfer(context.Background(), request)
+		if err == nil || backend.lastTransferRequest != nil {
+			t.Errorf("a request of over %d bytes: %v", maxRequestBytes, err)
+		}
+	})
 }
--- a/internal/admin/codec.go
+++ b/internal/admin/codec.go
@@ -17,7 +17,7 @@
 func (jsonCodec) Unmarshal(data []byte, v any) error { return json.Unmarshal(data, v) }
 func (jsonCodec) Name() string                       { return codecName }
 
-// registerCodec makes the codec known to gRPC. It is called by who serves or dials, so
-// that a process which does neither has nothing to set up; once, as gRPC reads its codecs
-// without a lock.
+// registerCodec makes the codec known to gRPC. NewServer and Dial call it, so that a
+// process which does neither sets nothing up; once, as gRPC reads its codecs without a
+// lock.
 var registerCodec = sync.OnceFunc(func() { encoding.RegisterCodec(jsonCodec{}) })
--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -1,9 +1,3 @@
-// Package admin is the RPC service by which operators' tools talk to a running daemon:
-// gRPC on a loopback address of its own, off unless it is configured. A method is a typed
-// request, a typed answer and a line in the service's description; whatever a later tool
-// needs is added the same way.
-//
-// Messages are encoded as JSON (codec.go), so that no generated code is needed.
 package admin
 
 import "time"
@@ -14,7 +8,8 @@
 // ShardingStatus is who owns which machines, as of one revision of the records.
 type ShardingStatus struct {
 	Revision uint64 `json:"revision"`
-	// The controller that answers may be behind: it does not reach the state service.
+	// Stale says that the answering controller does not reach the store and may be
+	// behind it.
 	Stale            bool              `json:"stale"`
 	Controllers      []Controller      `json:"controllers"`
 	Shards           []Shard           `json:"pages"`
@@ -22,17 +17,18 @@
 	PlannedTransfers []PlannedTransfer `json:"plan"`
 }
 
-// Controller is a controller with what it owns.
+// Controller is a controller with what it owns. Shards and Machines are counts.
 type Controller struct {
 	ID                string `json:"member"`
 	Incarnation       string `json:"run"`
 	Shards            int    `json:"pages"`
 	Machines          int    `json:"machines"`
-	SupportsTransfers bool   `json:"moves"` // it takes part in moves on record
+	SupportsTransfers bool   `json:"moves"` // it takes part in recorded transfers
 	Draining          bool   `json:"draining"`
 }
 
-// Shard is a page of machines with its owner.
+// Shard is a shard of the fleet with its owner, an incarnation of a controller. Machines
+// and Tasks are counts.
 type Shard struct {
 	ID       string `json:"page"`
 	Owner    string `json:"owner"`
@@ -41,7 +37,8 @@
 	Tasks    int    `json:"tasks"`
 }
 
-// Transfer is a move as it is on record.
+// Transfer is a transfer of a shard as it is recorded. A phase that was not reached has
+// no time.
 type Transfer struct {
 	Name        string    `json:"name"`
 	Shard       string    `json:"page"`
@@ -56,30 +53,31 @@
 	EndedAt     time.Time `json:"ended,omitzero"`
 }
 
-// PlannedTransfer is a move that the controller would begin now.
+// PlannedTransfer is a transfer that the controller would propose now.
 type PlannedTransfer struct {
 	Shard  string `json:"page"`
 	Source string `json:"from"`
 	Target string `json:"to"`
 }
 
-// TransferRequest asks for a page to be moved. It is accepted once it is on record; asked again
-// under the same name it does nothing more.
+// TransferRequest asks for the transfer of a shard. It is accepted once the transfer is
+// recorded. Name makes it idempotent: asked again, it does nothing more.
 type TransferRequest struct {
 	Name   string `json:"name"`
-	Shard  string `json:"page,omitempty"` // which page; or
-	Source string `json:"from,omitempty"` // any one of this controller
+	Shard  string `json:"page,omitempty"` // which shard, or
+	Source string `json:"from,omitempty"` // any shard of this controller
 	Target string `json:"to"`
 }
 
-// SetDrainingRequest asks for a controller to give its machines away and be given none, or to
-// take part again. It is accepted once it is on record, and holds for later processes, too.
+// SetDrainingRequest asks for a controller to give its machines away and be given none, or
+// to take part again. It is accepted once it is recorded, and holds for later incarnations
+// of the controller, too.
 type SetDrainingRequest struct {
 	Controller string `json:"member"`
 	Draining   bool   `json:"drain"`
 }
 
-// AbortTransferRequest asks for a move to be aborted.
+// AbortTransferRequest asks for a transfer to be aborted.
 type AbortTransferRequest struct {
 	Name string `json:"name"`
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,28 +13,29 @@
 	"google.golang.org/grpc/status"
 )
 
-// Bounds of the service: a tool makes a few small calls.
+// Limits of the service: a tool makes a few small calls.
 const (
 	maxConnections   = 16
-	maxStreams       = 8
-	maxRequestBytes  = 64 << 10
-	maxResponseBytes = 16 << 20 // a fleet's pages
-	callTimeout      = 8 * time.Second
-	connectTimeout   = 3 * time.Second
-	idleTimeout      = time.Minute
+	maxStreams       = 8               // calls under way on one connection
+	maxRequestBytes  = 64 << 10        // of one message
+	maxResponseBytes = 16 << 20        // of one message; a status lists all shards of the fleet
+	callTimeout      = 8 * time.Second // of one call, at the client and at the server
+	connectTimeout   = 3 * time.Second // until a new connection is set up
+	idleTimeout      = time.Minute     // a connection without a call is closed after this
 )
 
-const serviceName = "tillerarch.Admin"
-
-// Names of the methods.
+// Names of the service and its methods on the wire.
 const (
+	serviceName          = "tillerarch.Admin"
 	methodShardingStatus = "Shares"
 	methodStartTransfer  = "Move"
 	methodAbortTransfer  = "Abort"
 	methodSetDraining    = "Drain"
 )
 
-// Backend answers the service's requests.
+// Backend carries the service's requests out. Each call ends with its context. A request
+// that cannot be carried out is answered with a *RequestError; any other error counts as
+// a fault of the controller.
 type Backend interface {
 	GetShardingStatus(context.Context, *ShardingStatusRequest) (*ShardingStatus, error)
 	StartTransfer(context.Context, *TransferRequest) (*Transfer, error)
@@ -42,15 +43,16 @@
 	SetDraining(context.Context, *SetDrainingRequest) (*Controller, error)
 }
 
-// RequestError is a request that can't be carried out as it is.
+// RequestError is the error of a request that was not carried out. Reason is shown to the
+// operator.
 type RequestError struct {
 	Reason    string
-	Retryable bool // it may be asked again as it is
+	Retryable bool // the same request may succeed later
 }
 
-func (r *RequestError) Error() string { return r.Reason }
+func (e *RequestError) Error() string { return e.Reason }
 
-// serviceDesc lists the methods.
+// serviceDesc describes the service to gRPC, in place of generated code.
 var serviceDesc = grpc.ServiceDesc{
 	ServiceName: serviceName,
 	HandlerType: (*Backend)(nil),
@@ -62,9 +64,17 @@
 	},
 }
 
-// newMethodDesc describes one method of the service.
-func newMethodDesc[Request, Response any](name string, call func(Backend, context.Context, *Request) (*Response, error)) grpc.MethodDesc {
-	handler := func(server any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
+// newMethodDesc describes one method, given as a method expression of Backend.
+func newMethodDesc[Request, Response any](
+	name string,
+	call func(Backend, context.Context, *Request) (*Response, error),
+) grpc.MethodDesc {
+	handler := func(
+		server any,
+		ctx context.Context,
+		decode func(any) error,
+		_ grpc.UnaryServerInterceptor, // the server has none
+	) (any, error) {
 		request := new(Request)
 		if err := decode(request); err != nil {
 			return nil, status.Error(codes.InvalidArgument, "malformed request")
@@ -80,7 +90,8 @@
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
-// statusFromError gives the status by which a tool tells a refusal from a trouble that passes.
+// statusFromError returns the status by which a tool tells a request that is refused for
+// good from one that may be repeated.
 func statusFromError(err error) error {
 	var requestErr *RequestError
 	switch {
@@ -94,7 +105,8 @@
 	return status.Error(codes.Internal, err.Error())
 }
 
-// NewServer makes the service. Serve takes its listener by way of Limit.
+// NewServer makes the service. The caller gives its Serve a listener that
+// LimitConnections returned, and stops it.
 func NewServer(backend Backend) *grpc.Server {
 	registerCodec()
 	server := grpc.NewServer(
@@ -108,7 +120,8 @@
 	return server
 }
 
-// LimitConnections bounds the connections that a listener has at once.
+// LimitConnections bounds the connections that a listener has at once; further ones wait
+// to be accepted.
 func LimitConnections(listener net.Listener) net.Listener {
 	return netutil.LimitListener(listener, maxConnections)
 }
