--- a/internal/coordination/catalog/parts.go
+++ b/internal/coordination/catalog/parts.go
@@ -10,12 +10,11 @@
 	Spot    *SpotPricing
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New makes the parts. They need nothing of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
-		Catalog: &Catalog{Context: ctx},
-		Spot:    NewSpotPricing(ctx),
+	spot := newSpotPricing(ctx)
+	return &Parts{
+		Catalog: &Catalog{Context: ctx, spot: spot},
+		Spot:    spot,
 	}
-	p.Catalog.spot = p.Spot
-	return p
 }
--- a/internal/coordination/catalog/resources.go
+++ b/internal/coordination/catalog/resources.go
@@ -16,36 +16,44 @@
 
 // CapacityOf is what an empty machine of a type offers.
 func CapacityOf(machineType *protocol.MachineType) Resources {
-	return Resources{Cores: machineType.Cores, accelerators: machineType.Accelerators, MemoryGB: machineType.MemoryGB}
+	return Resources{
+		Cores:        machineType.Cores,
+		accelerators: machineType.Accelerators,
+		MemoryGB:     machineType.MemoryGB,
+	}
+}
+
+// MachineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
+func MachineTypeCapacity(machineType *protocol.MachineType, job *protocol.Job) int {
+	capacity := CapacityOf(machineType)
+	return capacity.CapacityFor(job)
 }
 
-// CapacityFor tells how many tasks of a job fit.
+// CapacityFor tells how many tasks of a job the resources suffice for.
 func (r *Resources) CapacityFor(job *protocol.Job) int {
-	n := protocol.MaxTasks
+	tasks := protocol.MaxTasks
 	for _, amount := range [3]struct{ free, needed float64 }{
 		{r.Cores, job.Cores}, {r.accelerators, job.Accelerators}, {r.MemoryGB, job.MemoryGB},
 	} {
 		if amount.needed > 0 {
-			n = min(n, int(math.Floor(amount.free/amount.needed+Epsilon)))
+			tasks = min(tasks, int(math.Floor(amount.free/amount.needed+Epsilon)))
 		}
 	}
-	return max(n, 0)
+	return max(tasks, 0)
 }
 
-// Allocate takes what n tasks of a job need; a negative n gives it back.
-func (r *Resources) Allocate(job *protocol.Job, n int) {
-	r.Cores -= float64(n) * job.Cores
-	r.accelerators -= float64(n) * job.Accelerators
-	r.MemoryGB -= float64(n) * job.MemoryGB
+// Allocate takes what a number of tasks of a job need; a negative number gives it back.
+func (r *Resources) Allocate(job *protocol.Job, tasks int) {
+	r.Cores -= float64(tasks) * job.Cores
+	r.accelerators -= float64(tasks) * job.Accelerators
+	r.MemoryGB -= float64(tasks) * job.MemoryGB
 }
 
 // Without is what is left of the resources beside others.
 func (r Resources) Without(other Resources) Resources {
-	return Resources{Cores: r.Cores - other.Cores, accelerators: r.accelerators - other.accelerators, MemoryGB: r.MemoryGB - other.MemoryGB}
-}
-
-// MachineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
-func MachineTypeCapacity(machineType *protocol.MachineType, job *protocol.Job) int {
-	capacity := CapacityOf(machineType)
-	return capacity.CapacityFor(job)
+	return Resources{
+		Cores:        r.Cores - other.Cores,
+		accelerators: r.accelerators - other.accelerators,
+		MemoryGB:     r.MemoryGB - other.MemoryGB,
+	}
 }
--- /dev/null
+++ b/internal/coordination/catalog/spot_test.go
@@ -0,0 +1,156 @@
+package catalog
+
+import (
+	"log/slog"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+func instantAt(seconds float64) protocol.Instant {
+	return protocol.Instant(0).Add(protocol.Seconds(seconds))
+}
+
+// The formulas of the paper (3.3.1), with the on-demand price, here 1, for the bid.
+func TestSpotPriceThreshold(t *testing.T) {
+	const window = 60 * time.Second
+	type observation struct {
+		atSeconds, price   float64
+		wantNewlySuspended bool
+		wantThreshold      float64
+		wantAllowed        bool
+	}
+	for _, test := range []struct {
+		name         string
+		firstPrice   float64
+		observations []observation
+	}{
+		{"begins with (current + on-demand) / 2", 0.2, []observation{{10, 0.2, false, 0.6, true}}},
+		{"suspended above it, then (triggering + on-demand) / 2", 0.2, []observation{
+			{10, 0.7, true, 0.85, false},
+			{20, 0.3, false, 0.85, false}, // until recomputed
+			{30, 0.9, false, 0.85, false}, // one suspension at a time
+		}},
+		{"at the threshold is not above it", 0.2, []observation{{10, 0.6, false, 0.6, true}}},
+		{"recomputed each window from its average", 0.2, []observation{
+			{10, 0.2, false, 0.6, true}, {20, 0.4, false, 0.6, true},
+			{60, 0.3, false, 0.65, true}, // (0.3 + 1) / 2
+			{120, 0.5, false, 0.65, true},
+		}},
+		{"a suspension ends with the window", 0.2, []observation{
+			{10, 0.7, true, 0.85, false}, {60, 0.4, false, 0.85, true},
+		}},
+		{"never allowed above the on-demand price", 0.2, []observation{
+			{10, 1.2, true, 1.1, false}, {60, 1.2, true, 1.1, false},
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			threshold := newSpotPriceThreshold(window, instantAt(0), test.firstPrice, 1)
+			for _, o := range test.observations {
+				suspended := threshold.observe(instantAt(o.atSeconds), o.price, 1)
+				if suspended != o.wantNewlySuspended || math.Abs(threshold.Value()-o.wantThreshold) > 1e-9 ||
+					threshold.AllowsSpot() != o.wantAllowed {
+					t.Errorf("at %v s: newly suspended %v, threshold %v, spot allowed %v",
+						o.atSeconds, suspended, threshold.Value(), threshold.AllowsSpot())
+				}
+			}
+		})
+	}
+}
+
+// Every machine is near its boundary for the margin in each period, and those provisioned together
+// are not so together.
+func TestIsNearPeriodBoundary(t *testing.T) {
+	const period, margin = 300 * time.Second, 10 * time.Second
+	nearAtSecond := make([]int, 300)
+	for number := 0; number < 20; number++ {
+		id := protocol.MachineID("m-0000" + string(rune('a'+number)))
+		near := 0
+		for second := 0; second < 300; second++ {
+			if IsNearPeriodBoundary(id, time.Duration(second)*time.Second, period, margin) {
+				near++
+				nearAtSecond[second]++
+			}
+		}
+		if near != 10 && near != 9 {
+			t.Errorf("%s is near its boundary for %d s", id, near)
+		}
+	}
+	for second, machines := range nearAtSecond {
+		if machines > 8 {
+			t.Errorf("%d of 20 machines reach their margin together at %d s", machines, second)
+		}
+	}
+	if IsNearPeriodBoundary("m-1", time.Minute, period, 0) || IsNearPeriodBoundary("m-1", -time.Second, period, margin) {
+		t.Error("a boundary is near without margin or age")
+	}
+}
+
+// A new price of one type suspends spot use of that type in its zones, and is logged once for each.
+func TestCatalogAppliesSpotPrices(t *testing.T) {
+	ctx := &step.Context{
+		Config: step.Config{Tuning: step.DefaultTuning()},
+		Now:    step.Now{Monotonic: 1},
+		Rand:   rand.New(rand.NewPCG(1, 1)),
+	}
+	parts := New(ctx)
+	list := func(smallSpotPrice float64) {
+		ctx.Now.Monotonic = ctx.Now.Monotonic.Add(10 * time.Second)
+		parts.Catalog.OnMachineTypes(step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{
+			{Name: "small", OnDemandPrice: 1, SpotPrice: smallSpotPrice, Zones: []protocol.Zone{"b", "a"}},
+			{Name: "large", OnDemandPrice: 4, SpotPrice: 1, Zones: []protocol.Zone{"b"}},
+		}})
+	}
+	list(0.2)
+	list(0.7)
+	list(0.7)
+	for key, wantAllowed := range map[PriceKey]bool{
+		{MachineType: "small", Zone: "a"}: false,
+		{MachineType: "small", Zone: "b"}: false,
+		{MachineType: "large", Zone: "b"}: true,
+	} {
+		if threshold := parts.Spot.Threshold(key); threshold == nil || threshold.AllowsSpot() != wantAllowed {
+			t.Errorf("%v: threshold %+v, want spot allowed %v", key, threshold, wantAllowed)
+		}
+	}
+	suspensions := 0
+	for _, effect := range ctx.Effects {
+		if line, ok := effect.(step.Log); ok && line.Level == slog.LevelInfo {
+			suspensions++
+		}
+	}
+	if suspensions != 2 || len(parts.Spot.Thresholds()) != 3 {
+		t.Errorf("%d suspensions logged of %d thresholds", suspensions, len(parts.Spot.Thresholds()))
+	}
+	if zones := parts.Catalog.Zones(); len(zones) != 2 || zones[0] != "a" || zones[1] != "b" {
+		t.Errorf("zones %v", zones)
+	}
+}
+
+// Spot machines are for jobs that keep checkpoints, or whose tasks are too short to lose more than
+// they save: at 4 preemptions an hour and 60% saved, tasks of less than 540 s.
+func TestCanUseSpot(t *testing.T) {
+	ctx := &step.Context{Config: step.Config{Tuning: step.DefaultTuning()}}
+	spot := New(ctx).Spot
+	machineType := protocol.MachineType{OnDemandPrice: 1, SpotPrice: 0.4}
+	for _, test := range []struct {
+		name string
+		job  protocol.Job
+		want bool
+	}{
+		{"not allowed by the user", protocol.Job{EstimatedRunSeconds: 1, CheckpointIntervalSeconds: 30}, false},
+		{"keeps checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 7200, CheckpointIntervalSeconds: 30}, true},
+		{"short without checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 539}, true},
+		{"long without checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 541}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := spot.CanUseSpot(&test.job, &machineType); got != test.want {
+				t.Errorf("can use spot %v, want %v", got, test.want)
+			}
+		})
+	}
+}
