--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -125,7 +125,6 @@
 		m.answeredHeartbeatAt, m.answeredToken = 0, 0
 		m.LastContactAt, m.lastHeartbeatAt = at.Now.Monotonic, at.Now.Monotonic
 		m.IdleSince = 0
-		m.HandOffTarget = ""
 		m.awaitsDelivery, m.suspectedAt, m.callFailures, m.CommandsLostAt = false, 0, 0, 0
 	}
 	return m
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -57,9 +57,7 @@
 	preemptionAt         protocol.Instant // 0: none; else when the cloud takes it
 	IdleSince            protocol.Instant
 	IsFaulty             bool
-	ScaleInReason        string              // why the machine is to go back
-	HandOffTarget        storage.Incarnation // a run to which the worker reports instead
-	HandOffRequestedAt   protocol.Instant
+	ScaleInReason        string // why the machine is to go back
 	ownerIncarnation     storage.Incarnation
 	ownershipEpoch       storage.ShardEpoch
 	OwnershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
--- /dev/null
+++ b/internal/coordination/overload_test.go
@@ -0,0 +1,59 @@
+package coordination
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A controller that computes several times slower than the others falls behind, says so, and
+// transfers shards; a pause or a moment's peak is no reason.
+func TestOverloadedController(t *testing.T) {
+	const target storage.Incarnation = "stall-1#1"
+	for _, test := range []struct {
+		name          string
+		tickIntervals []time.Duration // the last one repeats
+		want          bool
+	}{
+		{"on time", []time.Duration{50 * time.Millisecond}, false},
+		{"slow all the time", []time.Duration{400 * time.Millisecond}, true},
+		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			core, advance := newReadyCore(t)
+			if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+				t.Fatal(err)
+			}
+			addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			transferred := false
+			for i := 0; i < 400; i++ {
+				interval := test.tickIntervals[min(i, len(test.tickIntervals)-1)]
+				advance(0, step.RenewLeaseResult{LeaseID: 7})
+				revision := core.Replica.Revision
+				advance(0, step.WatchResult{AfterRevision: revision, Response: &protocol.WatchResponse{Revision: revision}})
+				advance(0, step.PeerStatusInput{Status: step.PeerStatus{
+					ControllerID: "stall-1", Incarnation: target, StoreReachable: true, AcceptsShards: true,
+				}})
+				for _, effect := range advance(interval, step.Tick{}) {
+					sent, ok := effect.(step.Commit)
+					if !ok {
+						continue
+					}
+					for _, operation := range sent.Transaction.Operations {
+						goesToTarget := strings.Contains(string(operation.Value), string(target))
+						transferred = transferred || operation.PutKey == storage.ShardKey("p") && goesToTarget
+					}
+					result := protocol.TransactionResult{Revision: core.Replica.Revision + 10}
+					advance(0, step.CommitResult{ID: sent.ID, Outcome: storage.OutcomeApplied, Result: result})
+				}
+			}
+			if transferred != test.want || core.ownership.Overload.IsOverloaded() != test.want {
+				t.Errorf("shard transferred %v, overloaded %v", transferred, core.ownership.Overload.IsOverloaded())
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/ownership/failover_test.go
@@ -0,0 +1,105 @@
+package ownership
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+const endedIncarnation storage.Incarnation = "tiller-9#1"
+
+// putTransfer records a pending transfer of shard p from the ended incarnation.
+func (c *testController) putTransfer(t *testing.T, target storage.Incarnation) storage.TransferSlot {
+	t.Helper()
+	slot := storage.NewTransferSlot(target.Controller(), 0)
+	c.put(t, storage.TransferKey(slot), storage.MustMarshal(storage.TransferRecord{
+		Name: "transfer", Shard: "p", Source: endedIncarnation, Target: target, Phase: storage.TransferPrepared,
+	}))
+	return slot
+}
+
+// A shard in transfer falls to its target, whatever its key says; any other to a controller that
+// does not drain.
+func TestShardSuccessor(t *testing.T) {
+	drained := func(t *testing.T, c *testController, id protocol.ControllerID) {
+		t.Helper()
+		c.put(t, storage.DrainKey(id), []byte(`{}`))
+	}
+	for _, test := range []struct {
+		name  string
+		setUp func(t *testing.T, c *testController)
+		want  bool
+	}{
+		{"in transfer to this controller", func(t *testing.T, c *testController) {
+			c.putTransfer(t, c.commit.Lease.Incarnation())
+		}, true},
+		{"in transfer to another controller", func(t *testing.T, c *testController) {
+			c.putTransfer(t, otherIncarnation)
+		}, false},
+		{"the other controller drains", func(t *testing.T, c *testController) { drained(t, c, otherController) }, true},
+		{"this controller drains", func(t *testing.T, c *testController) { drained(t, c, selfController) }, false},
+		{"its target has ended and the other drains", func(t *testing.T, c *testController) {
+			c.putTransfer(t, "tiller-8#1")
+			drained(t, c, otherController)
+		}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			c.registerOther(t)
+			c.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			test.setUp(t, c)
+			if got := c.Manager.isShardSuccessor("p"); got != test.want {
+				t.Errorf("successor %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// A failover raises the epoch above the former owner's, and ends the transfer that it had begun: at
+// its target as committed, elsewhere as aborted.
+func TestFailoverEndsTransfer(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		target    func(c *testController) storage.Incarnation
+		wantPhase storage.TransferPhase
+	}{
+		{"at its target", func(c *testController) storage.Incarnation {
+			return c.commit.Lease.Incarnation()
+		}, storage.TransferCommitted},
+		{"elsewhere", func(*testController) storage.Incarnation {
+			return "tiller-8#1"
+		}, storage.TransferAborted},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			c.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			slot := c.putTransfer(t, test.target(c))
+			c.Manager.TrackExpiredIncarnations()
+			written := func() *commit.Batch {
+				b := c.commit.Shards.NewBatch(8)
+				c.Manager.WriteFailovers(b)
+				return b
+			}
+			if !written().IsEmpty() {
+				t.Error("taken over before the delay")
+			}
+			c.advance(1600 * time.Millisecond)
+			b := written()
+			shard := writtenShards(t, b)["p"]
+			if shard == nil || shard.Owner != c.commit.Lease.Incarnation() || shard.Epoch != 4 {
+				t.Fatalf("the shard is written as %+v", shard)
+			}
+			for _, operation := range b.Transaction().Operations {
+				if operation.PutKey == storage.TransferKey(slot) {
+					c.put(t, operation.PutKey, operation.Value)
+				}
+			}
+			if phase := c.Replica.Transfers[slot].Record.Phase; phase != test.wantPhase {
+				t.Errorf("the transfer is %s, want %s", phase, test.wantPhase)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/ownership/handoff.go
@@ -0,0 +1,174 @@
+package ownership
+
+import (
+	"log/slog"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
+)
+
+// handOff is a request of another controller to hand off an owned machine, as its agent sends
+// heartbeats there.
+type handOff struct {
+	target      storage.Incarnation
+	requestedAt protocol.Instant
+	ownership   agents.Ownership // under which it was requested; it means nothing under a later one
+}
+
+// misdirectedMachine is an owned machine that is to be handed off.
+type misdirectedMachine struct {
+	id     protocol.MachineID
+	entry  *storage.Machine
+	target storage.Incarnation
+}
+
+// targetCounts is how many machines of a shard send heartbeats to each other incarnation.
+type targetCounts map[storage.Incarnation]int
+
+// mostFrequent gives the incarnation that most machines name, the first in order among equals, and
+// how many machines name any.
+func (counts targetCounts) mostFrequent() (target storage.Incarnation, total int) {
+	for _, incarnation := range step.SortedKeys(counts) {
+		total += counts[incarnation]
+		if target == "" || counts[incarnation] > counts[target] {
+			target = incarnation
+		}
+	}
+	return target, total
+}
+
+// handOffMargin is how much longer than a heartbeat interval a request is valid: it is repeated at
+// each heartbeat that arrives elsewhere, and its message may be delayed.
+const handOffMargin = 4 * time.Second
+
+// RecordHeartbeatsElsewhere records the owned machines whose agents send heartbeats to the sender of
+// a status, to be handed off.
+func (mgr *Manager) RecordHeartbeatsElsewhere(status *step.PeerStatus) {
+	heartbeats := status.MisdirectedHeartbeats
+	for _, heartbeat := range heartbeats[:min(len(heartbeats), step.MaxMisdirectedPerStatus)] {
+		entry := mgr.Replica.Machines[heartbeat.Machine]
+		if !mgr.ownsRecorded(entry) || !mgr.Replica.IsAlive(status.Incarnation) {
+			continue
+		}
+		machine := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
+		if !machine.RecordHeartbeatElsewhere(heartbeat.AgentEpoch, heartbeat.Sequence) {
+			continue // a late copy of a heartbeat that was received here
+		}
+		mgr.pendingHandOffs[heartbeat.Machine] = handOff{
+			target:      status.Incarnation,
+			requestedAt: mgr.Now.Monotonic,
+			ownership:   machine.Ownership(),
+		}
+	}
+}
+
+// ownsRecorded tells whether a machine is on record and owned by this incarnation.
+func (mgr *Manager) ownsRecorded(entry *storage.Machine) bool {
+	return entry != nil && mgr.lease.OwnsMachine(&entry.Record)
+}
+
+// HandOffMachines gives machines whose agents send heartbeats to another controller to that one. A
+// shard most of whose machines do so goes as a whole: one operation, where a controller that has
+// lost its agents has hundreds of machines to hand off. There is nothing to quiesce, as what this
+// controller sends does not reach those agents.
+func (mgr *Manager) HandOffMachines(b *commit.Batch) {
+	machines := mgr.misdirectedMachines()
+	countsByShard := map[storage.ShardID]targetCounts{}
+	for _, machine := range machines {
+		shard := machine.entry.Record.Shard
+		if countsByShard[shard] == nil {
+			countsByShard[shard] = targetCounts{}
+		}
+		countsByShard[shard][machine.target]++
+	}
+	for _, id := range step.SortedKeys(countsByShard) {
+		target, misdirected := countsByShard[id].mostFrequent()
+		shard := mgr.Replica.Shards[id]
+		if sharding.ShouldHandOffShard(len(shard.Machines), misdirected, mgr.countResponsive(shard)) &&
+			b.HasCapacity(mgr.shards.ShardWriteOps(id)) && !b.ChangesShard(id) {
+			mgr.recordShedding()
+			mgr.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
+		}
+	}
+	mgr.handOffIndividually(b, machines)
+}
+
+// misdirectedMachines lists the owned machines whose agents send heartbeats to another controller
+// and not here, and forgets the requests that no longer hold.
+func (mgr *Manager) misdirectedMachines() (machines []misdirectedMachine) {
+	for _, id := range step.SortedKeys(mgr.pendingHandOffs) {
+		entry := mgr.Replica.Machines[id]
+		if !mgr.ownsRecorded(entry) {
+			delete(mgr.pendingHandOffs, id)
+			continue
+		}
+		// This begins a new period of ownership where the record has changed hands.
+		machine := mgr.agents.TrackOwnedMachine(entry, id)
+		request := mgr.pendingHandOffs[id]
+		if request.ownership != machine.Ownership() || mgr.isHandOffOutdated(request) {
+			delete(mgr.pendingHandOffs, id)
+			continue
+		}
+		if mgr.agents.HasMissedHeartbeat(machine) && mgr.Replica.IsAlive(request.target) && !entry.Record.Terminating {
+			machines = append(machines, misdirectedMachine{id: id, entry: entry, target: request.target})
+		}
+	}
+	return machines
+}
+
+// isHandOffOutdated tells whether a request would have been repeated if it still held.
+func (mgr *Manager) isHandOffOutdated(request handOff) bool {
+	return mgr.Since(request.requestedAt) > mgr.Config.HeartbeatInterval+handOffMargin
+}
+
+// countResponsive counts the machines of an owned shard whose agents have been heard from lately.
+func (mgr *Manager) countResponsive(shard *storage.Shard) (n int) {
+	for _, id := range shard.Machines {
+		entry := mgr.Replica.Machines[id]
+		if entry == nil || entry.Record.AgentEpoch == 0 {
+			continue
+		}
+		if !mgr.agents.HasMissedHeartbeat(mgr.agents.TrackOwnedMachine(entry, id)) {
+			n++
+		}
+	}
+	return n
+}
+
+// machineHandOffOps is how many operations moving a machine between shards takes.
+const machineHandOffOps = 2
+
+// handOffIndividually moves machines to new shards of the controllers that their agents reach.
+func (mgr *Manager) handOffIndividually(b *commit.Batch, machines []misdirectedMachine) {
+	newShards := map[storage.Incarnation]storage.ShardID{}
+	for _, machine := range machines {
+		record := &machine.entry.Record
+		if b.GivesAwayShard(record.Shard) || !b.HasCapacity(machineHandOffOps) {
+			continue
+		}
+		target := machine.target
+		if newShards[target] == "" || mgr.wouldOverflow(b.Draft(newShards[target]), machine.id) {
+			newShards[target] = b.NewShard(target, record.ShardEpoch+1)
+			b.DependOn(storage.ControllerKey(target.Controller()))
+		}
+		// A fencing token never falls: a machine with as high an epoch waits for a later batch.
+		if b.Draft(newShards[target]).Epoch > record.ShardEpoch {
+			b.MoveMachine(machine.id, newShards[target])
+			b.MutableMachine(machine.id).Cordoned = false
+			mgr.recordShedding()
+			b.Log(slog.LevelInfo, "machine handed off", "machine", string(machine.id), "target", string(target))
+		}
+	}
+}
+
+// wouldOverflow tells whether a shard would take more than three quarters of a value with a machine
+// more. The rest is for the tasks that are assigned to its machines later.
+func (mgr *Manager) wouldOverflow(draft *commit.ShardDraft, id protocol.MachineID) bool {
+	machineSize := mgr.shards.EstimateEncodedSize(len(mgr.Replica.EncodedLine(id)))
+	return draft.EstimatedSize+machineSize > mgr.limits.WriteLimits().ValueBytes*3/4
+}
--- /dev/null
+++ b/internal/coordination/ownership/handoff_test.go
@@ -0,0 +1,184 @@
+package ownership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// reportElsewhere has the other controller report heartbeats that it received.
+func (c *testController) reportElsewhere(heartbeats ...step.MisdirectedHeartbeat) {
+	c.Manager.RecordHeartbeatsElsewhere(&step.PeerStatus{
+		ControllerID:          otherController,
+		Incarnation:           otherIncarnation,
+		MisdirectedHeartbeats: heartbeats,
+	})
+}
+
+// A machine is handed off for a heartbeat that its owner has not received, not for a copy of one
+// that it has.
+func TestHandOffOnMisdirectedHeartbeat(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		agentEpoch protocol.AgentEpoch
+		sequence   protocol.Sequence
+		want       bool
+	}{
+		{"newer heartbeat", 2, 8, true},
+		{"newer agent epoch", 3, 1, true},
+		{"the same heartbeat", 2, 7, false},
+		{"an earlier one", 2, 3, false},
+		{"an earlier agent epoch", 1, 99, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+			entry := c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
+			heartbeat := &protocol.Heartbeat{
+				Machine: "m-1", Addr: "a", Type: "s", Zone: "a",
+				AgentEpoch: 2, Sequence: 7, FencingToken: entry.Record.FencingToken,
+			}
+			c.agents.Heartbeats.OnHeartbeat(step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(heartbeat)})
+			c.registerOther(t)
+			c.reportElsewhere(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: test.agentEpoch, Sequence: test.sequence})
+			if got := c.Manager.pendingHandOffs["m-1"].target == otherIncarnation; got != test.want {
+				t.Errorf("hand-off pending %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// A request to hand off a machine holds for the ownership under which it came, for as long as it
+// would be repeated, and while its target lives.
+func TestHandOffRequestLifetime(t *testing.T) {
+	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1}
+	const heartbeatMissed = 5 * time.Second // and a request of that age still holds
+	for _, test := range []struct {
+		name   string
+		change func(t *testing.T, c *testController)
+		want   bool
+	}{
+		{"nothing changes", func(*testing.T, *testController) {}, true},
+		{"the shard is written again", func(t *testing.T, c *testController) {
+			c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
+		}, true},
+		{"the shard has come back at a higher epoch", func(t *testing.T, c *testController) {
+			c.putShard(t, "p", c.commit.Lease.Incarnation(), 5, record)
+			c.agents.Table.TrackOwnedMachine(c.Replica.Machines["m-1"], "m-1")
+		}, false},
+		{"the shard belongs to another controller", func(t *testing.T, c *testController) {
+			c.putShard(t, "p", otherIncarnation, 4, record)
+		}, false},
+		{"the machine was removed and added again", func(t *testing.T, c *testController) {
+			c.Replica.Delete(storage.ShardKey("p"), protocol.ModRevision(c.Replica.Revision+1))
+			c.agents.Table.OnMachinesRemoved()
+			c.Replica.Revision++
+			c.putShard(t, "q", c.commit.Lease.Incarnation(), 3, record)
+			c.agents.Table.TrackOwnedMachine(c.Replica.Machines["m-1"], "m-1")
+		}, false},
+		{"the request is not repeated", func(t *testing.T, c *testController) {
+			c.advance(1001 * time.Millisecond)
+		}, false},
+		{"the target has ended", func(t *testing.T, c *testController) {
+			c.Replica.Delete(storage.ControllerKey(otherController), protocol.ModRevision(c.Replica.Revision+1))
+		}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			c.registerOther(t)
+			entry := c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
+			c.agents.Table.TrackOwnedMachine(entry, "m-1")
+			c.reportElsewhere(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: 1, Sequence: 9})
+			test.change(t, c)
+			c.advance(heartbeatMissed)
+			machines := c.Manager.misdirectedMachines()
+			if got := len(machines) == 1 && machines[0].target == otherIncarnation; got != test.want {
+				t.Errorf("handed off %v, want %v: %+v", got, test.want, machines)
+			}
+		})
+	}
+}
+
+// A controller that has lost its agents transfers their shards whole, and what it must move machine
+// by machine goes to shards that a value can hold. (Six hundred moved to one shard were refused as
+// malformed again and again.)
+func TestHandOffManyMachines(t *testing.T) {
+	const machinesPerShard = 60
+	for _, test := range []struct {
+		name                string
+		shards              int
+		misdirectedPerShard int
+		wantWhole           bool
+		wantMoved           bool
+		ownershipChanges    bool // after the heartbeats were received elsewhere
+	}{
+		{"most of each shard", 2, 40, true, false, false},
+		{"some of each shard", 6, 28, false, true, false},
+		{"of an earlier ownership", 2, 28, false, false, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			c.registerOther(t)
+			self := c.commit.Lease.Incarnation()
+			var misdirected []step.MisdirectedHeartbeat
+			for s := 0; s < test.shards; s++ {
+				var lines []string
+				for i := 0; i < machinesPerShard; i++ {
+					id := protocol.MachineID(fmt.Sprintf("m-%06d", s*machinesPerShard+i))
+					record := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
+					for k := 0; k < 4; k++ {
+						record.Assign(protocol.Task{Job: "j-000001", Index: 4*i + k}, protocol.Attempt(1000+k))
+					}
+					lines = append(lines, record.EncodeLine(id))
+					if i < test.misdirectedPerShard {
+						misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
+					}
+				}
+				c.put(t, storage.ShardKey(storage.ShardID(fmt.Sprint("p-", s))), storage.EncodePlainShard(self, 3, lines, nil))
+			}
+			for _, entry := range c.Replica.SortedMachines() {
+				c.agents.Table.TrackOwnedMachine(entry, entry.ID)
+			}
+			c.advance(6 * time.Second) // no agent has sent a heartbeat here
+			c.reportElsewhere(misdirected...)
+			if test.ownershipChanges {
+				for id, shard := range c.Replica.Shards {
+					var lines []string
+					for _, machine := range shard.Machines {
+						lines = append(lines, c.Replica.EncodedLine(machine))
+					}
+					c.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 5, lines, nil))
+				}
+			}
+			b := c.commit.Shards.NewBatch(24)
+			c.Config.TransactionOps = 24
+			c.Manager.HandOffMachines(b)
+			transferredShards, movedMachines := 0, 0
+			for id, shard := range writtenShards(t, b) {
+				if shard.Owner == self {
+					continue
+				}
+				if shard.Owner == "" {
+					t.Error("a shard is transferred to nobody")
+				}
+				if c.Replica.Shards[id] != nil {
+					transferredShards++
+				} else {
+					movedMachines += len(shard.Machines)
+				}
+			}
+			for _, operation := range b.Transaction().Operations {
+				if len(operation.Value) > c.Config.ValueBytes {
+					t.Errorf("a value of %d bytes", len(operation.Value))
+				}
+			}
+			if (transferredShards > 0) != test.wantWhole || (movedMachines > 0) != test.wantMoved {
+				t.Errorf("%d shards transferred, %d machines moved", transferredShards, movedMachines)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/ownership/manager.go
@@ -0,0 +1,121 @@
+package ownership
+
+import (
+	"log/slog"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
+)
+
+// Manager decides when this controller takes over or hands off shards, and writes the change.
+type Manager struct {
+	*step.Context
+
+	agents    *agents.Table
+	lease     *commit.Lease
+	limits    *commit.WriteLimiter
+	overload  *OverloadDetector
+	shards    *commit.ShardWriter
+	transfers *Transfers
+
+	expiredAt       map[storage.Incarnation]protocol.Instant // when this process first saw that it had ended
+	pendingHandOffs map[protocol.MachineID]handOff
+	lastShedAt      protocol.Instant // when machines last left this controller as it could not serve them
+}
+
+func newManager(ctx *step.Context) *Manager {
+	return &Manager{
+		Context:         ctx,
+		expiredAt:       map[storage.Incarnation]protocol.Instant{},
+		pendingHandOffs: map[protocol.MachineID]handOff{},
+	}
+}
+
+// ExpiredSince tells since when this controller has known that an incarnation has ended.
+func (mgr *Manager) ExpiredSince(incarnation storage.Incarnation) (since protocol.Instant, expired bool) {
+	since, expired = mgr.expiredAt[incarnation]
+	return since, expired
+}
+
+// HasExpiredOwners tells whether shards or jobs belong to incarnations that have ended.
+func (mgr *Manager) HasExpiredOwners() bool { return len(mgr.expiredAt) > 0 }
+
+// TrackExpiredIncarnations records when each owner of shards or jobs was first seen to have ended.
+// The delays of a failover count from then, so that the successors share the work.
+func (mgr *Manager) TrackExpiredIncarnations() {
+	expired := map[storage.Incarnation]bool{}
+	recordIfExpired := func(owner storage.Incarnation) {
+		if mgr.Replica.IsAlive(owner) {
+			return
+		}
+		// That includes the empty owner: what nobody owns is taken over by the same rules.
+		expired[owner] = true
+		if _, known := mgr.expiredAt[owner]; !known {
+			mgr.expiredAt[owner] = mgr.Now.Monotonic
+		}
+	}
+	for _, shard := range mgr.Replica.Shards {
+		recordIfExpired(shard.Owner)
+	}
+	for _, job := range mgr.Replica.UnfinishedJobs {
+		recordIfExpired(job.Record.Owner)
+	}
+	for incarnation := range mgr.expiredAt {
+		if !expired[incarnation] {
+			delete(mgr.expiredAt, incarnation)
+		}
+	}
+}
+
+// IsSuccessor tells whether this controller is the one to take over what a key names.
+func (mgr *Manager) IsSuccessor(key string) bool {
+	return mgr.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
+}
+
+// isSuccessorAmong tells the same where the others are successors only if none of the preferred
+// controllers is alive.
+func (mgr *Manager) isSuccessorAmong(key string, isPreferred func(protocol.ControllerID) bool) bool {
+	var alive, preferred []protocol.ControllerID
+	for controller, entry := range mgr.Replica.Controllers {
+		if entry.Record.Incarnation == "" {
+			continue
+		}
+		alive = append(alive, controller)
+		if isPreferred(controller) {
+			preferred = append(preferred, controller)
+		}
+	}
+	if len(preferred) > 0 {
+		alive = preferred
+	}
+	return sharding.Successor(alive, key) == mgr.Config.ControllerID
+}
+
+// sheddingCooldown is how long a controller that could not serve its machines accepts no others.
+const sheddingCooldown = time.Minute
+
+// recordShedding notes that machines leave this controller as it cannot serve them: its agents do
+// not reach it, or it is overloaded.
+func (mgr *Manager) recordShedding() { mgr.lastShedAt = mgr.Now.Monotonic }
+
+// acceptsShards tells whether other controllers may transfer shards to this one.
+func (mgr *Manager) acceptsShards() bool {
+	hasShedLately := mgr.lastShedAt != 0 && mgr.Since(mgr.lastShedAt) <= sheddingCooldown
+	return !mgr.overload.isFallingBehind() && !hasShedLately
+}
+
+// transferShard makes another incarnation the owner of a shard, with all machines in it. The
+// transaction depends on that incarnation's key: a shard never goes to one that has ended.
+func (mgr *Manager) transferShard(b *commit.Batch, id storage.ShardID, target storage.Incarnation, reason string) {
+	draft := b.MutableShard(id)
+	b.DependOn(storage.ControllerKey(target.Controller()))
+	draft.Owner = target
+	draft.Epoch++
+	b.Log(slog.LevelInfo, "shard ownership transferred",
+		"shard", string(id), "count", len(draft.MachineIDs), "target", string(target), "reason", reason)
+}
--- a/internal/coordination/ownership/overload.go
+++ b/internal/coordination/ownership/overload.go
@@ -7,26 +7,34 @@
 	"tillerarch/internal/protocol"
 )
 
-// overloadTickInterval is a mean distance of ticks that shows a process short of time: five
-// times what it should be.
-const overloadTickInterval = 250 * time.Millisecond
+const (
+	// overloadTickInterval is a mean interval of ticks that shows a process short of CPU time:
+	// five times what it should be.
+	overloadTickInterval = 250 * time.Millisecond
+	// maxTickSample bounds what one interval adds to the mean: a process pause is no overload.
+	maxTickSample = time.Second
+	// tickSmoothing is how many ticks the mean extends over, about.
+	tickSmoothing = 16
+	// overloadDuration is how long the mean must be too long: a passing peak is no overload.
+	overloadDuration = 3 * time.Second
+)
 
-// OverloadDetector notices that this process falls behind: its ticks come late for seconds on end.
+// OverloadDetector notices that this process falls behind. Its ticks are due every 50 ms; one that
+// computes several times slower than the other controllers has them late for seconds on end, and
+// transfers its shards before its agents lose patience and their leases.
 type OverloadDetector struct {
 	*step.Context
 
-	lastTickAt       protocol.Instant // last tick
-	meanTickInterval time.Duration    // mean distance of ticks
-	overloadedSince  protocol.Instant // since when it is too long; 0: it is not
+	lastTickAt       protocol.Instant
+	meanTickInterval time.Duration
+	overloadedSince  protocol.Instant // since when the mean has been too long; 0: it is not
 }
 
-// MeasureOverload notes whether this process falls behind: its ticks, which are due every 50
-// ms, come late for seconds on end. One that computes several times slower than the
-// others gives pages away, before their workers lose patience and their leases.
+// MeasureOverload takes the interval since the last tick into the mean.
 func (d *OverloadDetector) MeasureOverload() {
-	gap := min(d.Since(d.lastTickAt), time.Second)
+	interval := min(d.Since(d.lastTickAt), maxTickSample)
 	if d.lastTickAt != 0 {
-		d.meanTickInterval += (gap - d.meanTickInterval) / 16
+		d.meanTickInterval += (interval - d.meanTickInterval) / tickSmoothing
 	}
 	d.lastTickAt = d.Now.Monotonic
 	if d.meanTickInterval < overloadTickInterval {
@@ -36,7 +44,10 @@
 	}
 }
 
-// IsOverloaded tells whether it has fallen behind for so long that it is no passing peak.
+// isFallingBehind tells whether ticks are late now, be it for a moment only.
+func (d *OverloadDetector) isFallingBehind() bool { return d.overloadedSince != 0 }
+
+// IsOverloaded tells whether ticks have been late for so long that it is no passing peak.
 func (d *OverloadDetector) IsOverloaded() bool {
-	return d.overloadedSince != 0 && d.Since(d.overloadedSince) > 3*time.Second
+	return d.isFallingBehind() && d.Since(d.overloadedSince) > overloadDuration
 }
--- /dev/null
+++ b/internal/coordination/ownership/overload_test.go
@@ -0,0 +1,43 @@
+package ownership
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+)
+
+// Ticks must be late for seconds on end: neither a process pause nor a passing peak is an overload.
+func TestOverloadDetector(t *testing.T) {
+	const onTime, late = 50 * time.Millisecond, 400 * time.Millisecond
+	type phase struct {
+		interval time.Duration
+		ticks    int
+	}
+	for _, test := range []struct {
+		name            string
+		phases          []phase
+		wantFallsBehind bool
+		wantOverloaded  bool
+	}{
+		{"on time", []phase{{onTime, 400}}, false, false},
+		{"late all the time", []phase{{late, 400}}, true, true},
+		{"one pause", []phase{{onTime, 100}, {20 * time.Second, 1}, {onTime, 2}}, false, false},
+		{"a passing peak", []phase{{onTime, 100}, {late, 20}}, true, false},
+		{"has recovered", []phase{{late, 400}, {onTime, 100}}, false, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			d := &OverloadDetector{Context: &step.Context{Now: step.Now{Monotonic: 1}}}
+			for _, phase := range test.phases {
+				for range phase.ticks {
+					d.Now.Monotonic = d.Now.Monotonic.Add(phase.interval)
+					d.MeasureOverload()
+				}
+			}
+			if d.isFallingBehind() != test.wantFallsBehind || d.IsOverloaded() != test.wantOverloaded {
+				t.Errorf("falls behind %v, overloaded %v after a mean interval of %v",
+					d.isFallingBehind(), d.IsOverloaded(), d.meanTickInterval)
+			}
+		})
+	}
+}
--- a/internal/coordination/ownership/parts.go
+++ b/internal/coordination/ownership/parts.go
@@ -18,10 +18,10 @@
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
-		Peers:     NewPeers(ctx),
+		Peers:     newPeers(ctx),
 		Overload:  &OverloadDetector{Context: ctx},
-		Manager:   NewManager(ctx),
-		Transfers: NewTransfers(ctx),
+		Manager:   newManager(ctx),
+		Transfers: newTransfers(ctx),
 	}
 	p.Peers.ownership = p.Manager
 	p.Manager.overload = p.Overload
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -11,15 +11,19 @@
 	"tillerarch/internal/storage"
 )
 
-type peer struct {
-	status     step.PeerStatus
-	receivedAt protocol.Instant
-}
-
-// peerStatusBacklogInterval is the distance of hints while there is more to tell than fits into one.
-const peerStatusBacklogInterval = 200 * time.Millisecond
+const (
+	// peerStatusInterval is the mean interval of the statuses that this controller sends.
+	peerStatusInterval = time.Second
+	// peerStatusBacklogInterval is the same while there is more to tell than one status holds.
+	peerStatusBacklogInterval = 200 * time.Millisecond
+	// peerStatusLifetime is how long a status is a reason to transfer shards to its sender.
+	peerStatusLifetime = 3 * time.Second
+	// storeContactTimeout is how long after its last answer the store counts as reachable.
+	storeContactTimeout = 2 * time.Second
+)
 
 // Peers holds the last status of each other controller, and tells them the status of this one.
+// Statuses may be lost or late: no decision may rest on one that the records do not bear out.
 type Peers struct {
 	*step.Context
 
@@ -30,27 +34,43 @@
 	replication   *commit.Replication
 	store         *commit.StoreHealth
 
-	peers              map[protocol.ControllerID]peer
-	nextPeerStatusAt   protocol.Instant
-	isPeerStatusUrgent bool // there is something that the others should hear at once
+	lastStatuses   map[protocol.ControllerID]receivedStatus
+	nextStatusAt   protocol.Instant
+	isStatusUrgent bool // there is something that the others should know at once
+}
+
+type receivedStatus struct {
+	step.PeerStatus
+	receivedAt protocol.Instant
 }
 
-func NewPeers(ctx *step.Context) *Peers {
+func newPeers(ctx *step.Context) *Peers {
 	return &Peers{
-		Context: ctx,
-		peers:   map[protocol.ControllerID]peer{},
+		Context:      ctx,
+		lastStatuses: map[protocol.ControllerID]receivedStatus{},
 	}
 }
 
-// PeersReportStoreUnavailable tells whether other controllers have been heard of within a time, and
-// all of those say that they do not reach the state service.
-func (t *Peers) PeersReportStoreUnavailable(within time.Duration) bool {
-	anyHeard := t.Config.PeerCount == 0
-	for _, p := range t.peers {
-		if t.Since(p.receivedAt) >= within {
+// RecordStatus takes in the status of another controller.
+func (p *Peers) RecordStatus(status *step.PeerStatus) {
+	p.lastStatuses[status.ControllerID] = receivedStatus{PeerStatus: *status, receivedAt: p.Now.Monotonic}
+}
+
+// HasHeardFrom tells whether an incarnation has sent its status within a time.
+func (p *Peers) HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
+	status, known := p.lastStatuses[incarnation.Controller()]
+	return known && status.Incarnation == incarnation && p.Since(status.receivedAt) < within
+}
+
+// PeersReportStoreUnavailable tells whether other controllers have sent a status within a time, and
+// all of those say that they do not reach the store. It is true of a controller without others.
+func (p *Peers) PeersReportStoreUnavailable(within time.Duration) bool {
+	anyHeard := p.Config.PeerCount == 0
+	for _, status := range p.lastStatuses {
+		if p.Since(status.receivedAt) >= within {
 			continue
 		}
-		if p.status.StoreReachable {
+		if status.StoreReachable {
 			return false
 		}
 		anyHeard = true
@@ -59,36 +79,40 @@
 }
 
 // ExpediteStatus has the next status sent at the next tick.
-func (t *Peers) ExpediteStatus() { t.isPeerStatusUrgent = true }
-
-// RecordStatus takes in the status of another controller.
-func (t *Peers) RecordStatus(status *step.PeerStatus) {
-	t.peers[status.ControllerID] = peer{status: *status, receivedAt: t.Now.Monotonic}
-}
-
-// HasHeardFrom tells whether an incarnation has sent its status within a time.
-func (t *Peers) HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
-	p, ok := t.peers[incarnation.Controller()]
-	return ok && p.status.Incarnation == incarnation && t.Since(p.receivedAt) < within
-}
+func (p *Peers) ExpediteStatus() { p.isStatusUrgent = true }
 
-// TickPeerStatus tells the other controllers of this one when that is due.
-func (t *Peers) TickPeerStatus() {
-	now := t.Now.Monotonic
-	if now < t.nextPeerStatusAt && !t.isPeerStatusUrgent {
+// TickPeerStatus sends the status of this controller to the others when that is due.
+func (p *Peers) TickPeerStatus() {
+	now := p.Now.Monotonic
+	if now < p.nextStatusAt && !p.isStatusUrgent {
 		return
 	}
-	t.isPeerStatusUrgent = false
-	t.nextPeerStatusAt = now.Add(t.Jitter(time.Second))
-	status := step.PeerStatus{ControllerID: t.Config.ControllerID, StoreReachable: t.replication.IsLoaded() && t.store.IsAnswering(2*time.Second)}
-	if t.lease.IsRegistered() {
-		status.Incarnation = t.lease.Incarnation()
-		t.cancellations.AddCancellationStatus(&status)
-		status.AcceptsShards = t.ownership.canAcceptMachines()
-		if t.misdirected.AddMisdirectedHeartbeats(&status) {
-			t.nextPeerStatusAt = now.Add(t.Jitter(peerStatusBacklogInterval))
+	p.isStatusUrgent = false
+	p.nextStatusAt = now.Add(p.Jitter(peerStatusInterval))
+	status := step.PeerStatus{
+		ControllerID:   p.Config.ControllerID,
+		StoreReachable: p.replication.IsLoaded() && p.store.IsAnswering(storeContactTimeout),
+	}
+	if p.lease.IsRegistered() {
+		status.Incarnation = p.lease.Incarnation()
+		p.cancellations.AddCancellationStatus(&status)
+		status.AcceptsShards = p.ownership.acceptsShards()
+		if hasMore := p.misdirected.AddMisdirectedHeartbeats(&status); hasMore {
+			p.nextStatusAt = now.Add(p.Jitter(peerStatusBacklogInterval))
+		}
+	}
+	p.misdirected.Expire()
+	p.Emit(step.SendPeerStatus{Status: status})
+}
+
+// acceptingShards lists the other incarnations to which shards may be transferred.
+func (p *Peers) acceptingShards() []storage.Incarnation {
+	var accepting []storage.Incarnation
+	for _, status := range p.lastStatuses {
+		isRecent := p.Since(status.receivedAt) <= peerStatusLifetime
+		if isRecent && status.StoreReachable && status.AcceptsShards && p.Replica.IsAlive(status.Incarnation) {
+			accepting = append(accepting, status.Incarnation)
 		}
 	}
-	t.misdirected.Expire()
-	t.Emit(step.SendPeerStatus{Status: status})
+	return accepting
 }
--- /dev/null
+++ b/internal/coordination/ownership/peers_test.go
@@ -0,0 +1,75 @@
+package ownership
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+// The store counts as down for all if some other controller says so and none that was heard of
+// lately reaches it.
+func TestPeersReportStoreUnavailable(t *testing.T) {
+	type report struct {
+		from      protocol.ControllerID
+		reachable bool
+		age       time.Duration
+	}
+	for _, test := range []struct {
+		name      string
+		peerCount int
+		reports   []report
+		want      bool
+	}{
+		{"no other controllers", 0, nil, true},
+		{"nobody is heard of", 2, nil, false},
+		{"all say so", 2, []report{{"a", false, 0}, {"b", false, time.Second}}, true},
+		{"one reaches it", 2, []report{{"a", false, 0}, {"b", true, time.Second}}, false},
+		{"one reached it earlier", 2, []report{{"a", false, 0}, {"b", true, 4 * time.Second}}, true},
+		{"all are silent by now", 2, []report{{"a", false, 4 * time.Second}, {"b", false, 3 * time.Second}}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			ctx := &step.Context{Config: step.Config{PeerCount: test.peerCount}}
+			peers := newPeers(ctx)
+			for _, report := range test.reports {
+				ctx.Now.Monotonic = protocol.Instant(time.Minute - report.age)
+				peers.RecordStatus(&step.PeerStatus{ControllerID: report.from, StoreReachable: report.reachable})
+			}
+			ctx.Now.Monotonic = protocol.Instant(time.Minute)
+			if got := peers.PeersReportStoreUnavailable(3 * time.Second); got != test.want {
+				t.Errorf("unavailable for all %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+// Shards go only to incarnations that are alive, say that they accept them and reach the store, and
+// have said so lately.
+func TestAcceptingShards(t *testing.T) {
+	type status = step.PeerStatus
+	for _, test := range []struct {
+		name   string
+		status status
+		age    time.Duration
+		want   bool
+	}{
+		{"accepts", status{Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true}, time.Second, true},
+		{"said so too long ago", status{Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true},
+			4 * time.Second, false},
+		{"does not reach the store", status{Incarnation: otherIncarnation, AcceptsShards: true}, 0, false},
+		{"accepts none", status{Incarnation: otherIncarnation, StoreReachable: true}, 0, false},
+		{"an earlier incarnation", status{Incarnation: "tiller-1#0", StoreReachable: true, AcceptsShards: true}, 0, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			c.registerOther(t)
+			test.status.ControllerID = otherController
+			c.Peers.RecordStatus(&test.status)
+			c.advance(test.age)
+			if got := len(c.Peers.acceptingShards()) == 1; got != test.want {
+				t.Errorf("accepts shards %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/ownership/quiescence.go
@@ -0,0 +1,58 @@
+package ownership
+
+import (
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/storage"
+)
+
+// isShardQuiescent tells whether nothing that this owner has sent to the shard's agents is on its
+// way, and whether they have done what cancellations ask for. A silent agent is not waited for: it
+// drops a response that it has not carried out within seconds.
+func (t *Transfers) isShardQuiescent(shard *storage.Shard) bool {
+	return t.allResponsive(shard, func(entry *storage.Machine, machine *agents.MachineState) bool {
+		return len(machine.InflightStarts) == 0 && t.areCancellationsResolved(entry)
+	})
+}
+
+// areCancellationsResolved tells whether no task of a job whose cancellation is requested can begin
+// on an owned machine any more.
+func (t *Transfers) areCancellationsResolved(entry *storage.Machine) bool {
+	for i := range entry.Record.Assignments {
+		job := entry.Record.Assignments[i].Job
+		if t.cancellations.CancelRequested(job) && !t.cancellations.IsMachineQuiescent(entry.ID, job) {
+			return false
+		}
+	}
+	return true
+}
+
+// isShardTokenConfirmed tells whether the agents of an owned shard know its owner: they have shown a
+// fencing token of its epoch, so that an earlier owner commands nothing.
+func (t *Transfers) isShardTokenConfirmed(shard *storage.Shard) bool {
+	return t.allResponsive(shard, func(entry *storage.Machine, machine *agents.MachineState) bool {
+		return storage.ShardEpochOf(machine.ConfirmedToken) == entry.Record.ShardEpoch
+	})
+}
+
+// allResponsive tells whether something holds for all machines of an owned shard that have started
+// and are not silent or about to be terminated.
+func (t *Transfers) allResponsive(
+	shard *storage.Shard, holds func(*storage.Machine, *agents.MachineState) bool,
+) bool {
+	for _, id := range shard.Machines {
+		entry := t.Replica.Machines[id]
+		if entry == nil || !t.isInService(&entry.Record) {
+			continue
+		}
+		machine := t.agents.TrackOwnedMachine(entry, id)
+		if !t.agents.IsSilent(machine) && !holds(entry, machine) {
+			return false
+		}
+	}
+	return true
+}
+
+// isInService tells whether a machine is owned, has started and is not about to be terminated.
+func (t *Transfers) isInService(record *storage.MachineRecord) bool {
+	return t.lease.OwnsMachine(record) && record.AgentEpoch != 0 && !record.Terminating
+}
--- /dev/null
+++ b/internal/coordination/ownership/quiescence_test.go
@@ -0,0 +1,42 @@
+package ownership
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A shard is quiescent once no start is on its way to an agent that can still carry it out.
+func TestShardQuiescence(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		terminating bool
+		setUp       func(c *testController, machine *agents.MachineState)
+		want        bool
+	}{
+		{"nothing in flight", false, func(*testController, *agents.MachineState) {}, true},
+		{"a start in flight", false, func(_ *testController, machine *agents.MachineState) {
+			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
+		}, false},
+		{"a start in flight to a silent agent", false, func(c *testController, machine *agents.MachineState) {
+			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
+			c.advance(c.agents.Table.SilenceTimeout() + time.Millisecond)
+		}, true},
+		{"a start in flight to a machine that goes", true, func(_ *testController, machine *agents.MachineState) {
+			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
+		}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, Terminating: test.terminating}
+			entry := c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
+			test.setUp(c, c.agents.Table.TrackOwnedMachine(entry, "m-1"))
+			if got := c.Transfers.isShardQuiescent(c.Replica.Shards["p"]); got != test.want {
+				t.Errorf("quiescent %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/ownership/transfer_steps.go
@@ -0,0 +1,130 @@
+package ownership
+
+import (
+	"log/slog"
+	"slices"
+
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
+)
+
+// AdvanceTransfers writes the steps of recorded transfers that package sharding leaves to this
+// controller.
+func (t *Transfers) AdvanceTransfers(b *commit.Batch) {
+	if len(t.Replica.Transfers) == 0 {
+		return
+	}
+	reserved := t.machinesReservedForGangs()
+	for _, slot := range step.SortedKeys(t.Replica.Transfers) {
+		observation := t.observe(slot)
+		if !t.hasOpenTransfer(slot) || b.ChangesTransfer(slot) {
+			continue
+		}
+		status := t.transferStatus(slot, reserved)
+		status.PhaseAge = t.Since(observation.observedAt)
+		if next := sharding.NextStep(status, t.transferTimeouts()); next.Phase != "" {
+			t.WriteTransferStep(b, slot, next)
+		}
+	}
+}
+
+// observe gives since when this process has seen the transfer in a slot as it is on record.
+func (t *Transfers) observe(slot storage.TransferSlot) transferObservation {
+	observation := t.observations[slot]
+	if modRevision := t.Replica.Transfers[slot].ModRevision; observation.modRevision != modRevision {
+		observation = transferObservation{modRevision: modRevision, observedAt: t.Now.Monotonic}
+		t.observations[slot] = observation
+	}
+	return observation
+}
+
+// transferStatus is how this controller sees a transfer, but for the age of its phase.
+func (t *Transfers) transferStatus(
+	slot storage.TransferSlot, reserved map[protocol.MachineID]bool,
+) sharding.TransferStatus {
+	transfer := &t.Replica.Transfers[slot].Record
+	firstSlot, _ := t.Replica.OpenTransferOf(transfer.Shard)
+	status := sharding.TransferStatus{
+		Transfer:    *transfer,
+		Self:        t.lease.Incarnation(),
+		SourceAlive: t.Replica.IsAlive(transfer.Source),
+		TargetAlive: t.Replica.IsAlive(transfer.Target),
+		IsSuccessor: t.ownership.IsSuccessor(storage.TransferKey(slot)),
+		Superseded:  firstSlot != slot,
+	}
+	shard := t.Replica.Shards[transfer.Shard]
+	if shard == nil || len(shard.Machines) == 0 {
+		return status // one without machines is about to be deleted
+	}
+	status.Owner = shard.Owner
+	status.ReservedForGang = slices.ContainsFunc(shard.Machines, func(id protocol.MachineID) bool { return reserved[id] })
+	if shard.Owner == t.lease.Incarnation() {
+		status.Quiesced = transfer.Phase == storage.TransferPrepared && t.isShardQuiescent(shard)
+		status.TargetTokenObserved = transfer.Phase == storage.TransferCommitted && t.isShardTokenConfirmed(shard)
+	}
+	return status
+}
+
+// WriteTransferStep writes the next phase of a transfer, unless there is no capacity for it or the
+// batch changes its shard already: the next batch writes it then.
+func (t *Transfers) WriteTransferStep(b *commit.Batch, slot storage.TransferSlot, next sharding.TransferStep) {
+	record := t.Replica.Transfers[slot].Record
+	ops := 1
+	if next.Phase == storage.TransferCommitted {
+		if b.ChangesShard(record.Shard) {
+			return
+		}
+		ops += t.shards.ShardWriteOps(record.Shard)
+	}
+	if !b.HasCapacity(ops) {
+		return
+	}
+	record.Phase = next.Phase
+	switch next.Phase {
+	case storage.TransferPrepared:
+		record.PreparedAt = t.Now.Wall
+		b.DependOn(storage.ShardKey(record.Shard))
+	case storage.TransferCommitted:
+		record.CommittedAt = t.Now.Wall
+		record.MachineCount = len(t.Replica.Shards[record.Shard].Machines)
+		t.ownership.transferShard(b, record.Shard, record.Target, record.Reason)
+	case storage.TransferAborted:
+		record.Reason, record.EndedAt = next.Reason, t.Now.Wall
+	case storage.TransferClosed:
+		record.EndedAt = t.Now.Wall
+	}
+	b.PutTransfer(slot, &record)
+	logTransferStep(b, &record)
+}
+
+// logTransferStep logs a phase that a transfer enters; only its end is worth an operator's notice.
+func logTransferStep(b *commit.Batch, record *storage.TransferRecord) {
+	level := slog.LevelDebug
+	if !record.Phase.IsOpen() {
+		level = slog.LevelInfo
+	}
+	b.Log(level, "shard transfer phase changed",
+		"transfer", record.Name, "shard", string(record.Shard), "phase", string(record.Phase), "reason", record.Reason,
+		"quiesced_ms", int64(max(record.CommittedAt-record.PreparedAt, 0)),
+		"duration_ms", int64(max(record.EndedAt-record.ProposedAt, 0)))
+}
+
+// endTransferOnFailover ends the pending transfer of a shard that this incarnation takes over: it is
+// committed if this is its target, and aborted if not.
+func (t *Transfers) endTransferOnFailover(b *commit.Batch, id storage.ShardID) {
+	slot, transfer := t.Replica.OpenTransferOf(id)
+	if transfer == nil || !transfer.Record.Phase.IsPending() || b.ChangesTransfer(slot) {
+		return
+	}
+	record := transfer.Record
+	if record.Target == t.lease.Incarnation() {
+		record.Phase, record.CommittedAt = storage.TransferCommitted, t.Now.Wall
+	} else {
+		record.Phase, record.EndedAt = storage.TransferAborted, t.Now.Wall
+		record.Reason = sharding.ReasonFailover
+	}
+	b.PutTransfer(slot, &record)
+}
