--- /dev/null
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -0,0 +1,82 @@
+package ownership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// What is planned is written as a recorded transfer, which quiesces the shard first, or as a change
+// of the owner: where transfers are not recorded, where the target's version does not know them, and
+// where this controller is overloaded and has no time for it.
+func TestRebalanceWrites(t *testing.T) {
+	for _, test := range []struct {
+		name           string
+		recordSetting  bool
+		targetSupports bool
+		overloaded     bool
+		wantRecorded   bool
+		wantTransfer   bool // of the owner
+		wantAccepts    bool // whether this controller accepts shards shortly afterwards
+	}{
+		{"recorded", true, true, false, true, false, true},
+		{"the setting is off", false, true, false, false, true, true},
+		{"the target does not know such records", true, false, false, false, true, true},
+		{"overloaded", true, true, true, false, true, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestController(t)
+			c.Config.RecordTransfers = test.recordSetting
+			target := storage.ControllerRecord{Incarnation: otherIncarnation, SupportsTransfers: test.targetSupports}
+			c.put(t, storage.ControllerKey(otherController), storage.MustMarshal(target))
+			self := c.commit.Lease.Incarnation()
+			for i := range 4 {
+				record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1}
+				lines := []string{record.EncodeLine(protocol.MachineID(fmt.Sprint("m-", i)))}
+				id := storage.ShardID(fmt.Sprint("p-", i))
+				c.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 3, lines, nil))
+			}
+			c.advance(time.Minute)
+			if test.overloaded {
+				for range 100 {
+					c.advance(400 * time.Millisecond)
+					c.Overload.MeasureOverload()
+				}
+			}
+			if c.Manager.acceptsShards() == test.overloaded {
+				t.Errorf("accepts shards %v while overloaded is %v", test.overloaded, test.overloaded)
+			}
+			c.Peers.RecordStatus(&step.PeerStatus{
+				ControllerID: otherController, Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true,
+			})
+			b := c.commit.Shards.NewBatch(8)
+			c.Transfers.Rebalance(b)
+			c.Transfers.Rebalance(b) // is not due again
+			transferred, recorded := 0, 0
+			for _, shard := range writtenShards(t, b) {
+				if shard.Owner == otherIncarnation && shard.Epoch == 4 {
+					transferred++
+				}
+			}
+			for number := range storage.TransferSlotsPerController {
+				if b.ChangesTransfer(storage.NewTransferSlot(otherController, number)) {
+					recorded++
+				}
+			}
+			if (recorded == 1) != test.wantRecorded || (transferred == 1) != test.wantTransfer || recorded+transferred != 1 {
+				t.Errorf("%d transfers recorded, %d owners changed", recorded, transferred)
+			}
+			for range 100 { // the overload, if there was one, has passed
+				c.advance(50 * time.Millisecond)
+				c.Overload.MeasureOverload()
+			}
+			if got := c.Manager.acceptsShards(); got != test.wantAccepts {
+				t.Errorf("accepts shards %v, want %v", got, test.wantAccepts)
+			}
+		})
+	}
+}
