--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -1,170 +1,144 @@
 package coordination
 
 import (
-	"fmt"
 	"testing"
 	"time"
 
 	"tillerarch/internal/coordination/agents"
-	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-// putCancellingJob puts a job on record whose withdrawal has begun.
+// putCancellingJob puts a job on record whose cancellation has been requested.
 func putCancellingJob(t *testing.T, c *Core, modRevision protocol.ModRevision) {
 	t.Helper()
-	if _, err := c.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
+	putRecord(t, c, storage.JobKey("j-1"),
+		[]byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision)
+}
+
+func putRecord(t *testing.T, c *Core, key string, value []byte, modRevision protocol.ModRevision) {
+	t.Helper()
+	if _, err := c.Replica.Put(key, value, modRevision); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// What lets an owned machine be settled: nothing of a job that is called off can begin
-// there, and nobody else keeps a task of it. A task that has its start but not yet its
-// image would begin behind the confirmation.
+// What makes an owned machine quiescent: no task of a cancelled job can start there, and no other
+// owner keeps one running. A task that has been started but still pulls its image would begin
+// after the confirmation.
 func TestMachineQuiescent(t *testing.T) {
 	task := protocol.Task{Job: "j-1"}
 	taskStatus := func(s protocol.TaskState) protocol.TaskStatus {
 		return protocol.TaskStatus{Task: task, Attempt: 5, State: s}
 	}
 	for _, c := range []struct {
-		name string
-		do   func(core *Core, e *storage.Machine, m *agents.MachineState)
-		want bool
+		name  string
+		setUp func(core *Core, e *storage.Machine, m *agents.MachineState)
+		want  bool
 	}{
-		{"no report yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
-		{"never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"no heartbeat yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
+		{"task never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
 		}, true},
-		{"runs", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"task running", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.Now.Monotonic)
 		}, true},
-		{"fetches its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"task pulling its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.Now.Monotonic)
 		}, false},
-		{"its start is on its way", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"start command in flight", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
 			m.InflightStarts[task] = 5
 		}, false},
-		{"the worker has shown an earlier token only", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"agent has shown the fencing token of an earlier ownership only", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
 			m.RecordHeartbeat(r, core.Now.Monotonic)
 		}, false},
-		{"a newer session", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"newer agent epoch", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1)
 			r.AgentEpoch++
 			m.RecordHeartbeat(r, core.Now.Monotonic)
 		}, true},
-		{"released, and that answered", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"termination confirmed", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
 			core.provisioning.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
 		}, true},
-		{"released, with no answer yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"termination not confirmed yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
 		}, false},
 	} {
-		core, _ := newReadyCore(t)
-		putCancellingJob(t, core, 2)
-		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-		rec.Assign(task, 5)
-		e, m := addOwnedMachine(t, core, rec)
-		c.do(core, e, m)
-		if pending := core.scheduling.Queue.ListPendingJobs(core.commit.Shards.NewBatch(8), nil); len(pending) != 0 {
-			t.Errorf("%s: the job is still placed", c.name)
-		}
-		if got := core.cancellation.Canceller.IsMachineQuiescent("m-1", "j-1"); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
-		if got := core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
-			t.Errorf("%s: all aware %v", c.name, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			core, _ := newReadyCore(t)
+			putCancellingJob(t, core, 2)
+			rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+			rec.Assign(task, 5)
+			e, m := addOwnedMachine(t, core, rec)
+			c.setUp(core, e, m)
+			if pending := core.scheduling.Queue.ListPendingJobs(core.commit.Shards.NewBatch(8), nil); len(pending) != 0 {
+				t.Error("the job is still placed")
+			}
+			if got := core.cancellation.Canceller.IsMachineQuiescent("m-1", "j-1"); got != c.want {
+				t.Errorf("quiescent: %v, want %v", got, c.want)
+			}
+			if got := core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
+				t.Errorf("fully acknowledged: %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// Whose word counts for another controller's machine: that of its owner's living run,
-// said by a replica that knew of the ownership.
-func TestCancelAcknowledgements(t *testing.T) {
+// A controller that is told of a cancellation request is bound by it while its own replica is
+// stalled: it stops the task in its responses, starts none, and acknowledges; and it forgets the
+// request once the replica has reached it.
+func TestPeerIntentIsBinding(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		hint step.PeerStatus
-		want bool
+		name     string
+		revision protocol.Revision
+		want     bool
 	}{
-		{"its owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, true},
-		{"its owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: []protocol.JobID{"j-2"}}, false},
-		{"its owner, from before it was", step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"a run of it that has ended", step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"a run that nobody knows", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
-		{"one that has not registered", step.PeerStatus{Revision: 6, CancelAcks: []protocol.JobID{"j-1"}}, false},
+		{"newer than the replica", 50, true},
+		{"older: the replica would have it", 1, false},
 	} {
-		core, advance := newReadyCore(t)
-		for key, data := range map[string]string{storage.ControllerKey("stall-1"): `{"r":"stall-1#1"}`, storage.ControllerKey("stall-2"): `{"r":"stall-2#9"}`} {
-			if _, err := core.Replica.Put(key, []byte(data), 2); err != nil {
-				t.Fatal(err)
-			}
-		}
-		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
-			t.Fatal(err)
-		}
-		putCancellingJob(t, core, 6)
-		core.Replica.Revision = 6
-		c.hint.ControllerID = c.hint.Incarnation.Controller()
-		advance(0, step.PeerStatusInput{Status: c.hint})
-		if got := core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
-		// An answer counts only as long as its run lives.
-		core.Replica.Delete(storage.ControllerKey("stall-1"), 7)
-		if core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1") {
-			t.Errorf("%s: the word of a run that has ended counts", c.name)
-		}
-	}
-}
+		t.Run(c.name, func(t *testing.T) {
+			core, advance := newReadyCore(t)
+			putRecord(t, core, storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2)
+			rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+			rec.Assign(protocol.Task{Job: "j-1"}, 5)
+			rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
+			e, m := addOwnedMachine(t, core, rec)
+			running := protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}
+			m.RecordHeartbeat(newHeartbeat(e, 1, running), core.Now.Monotonic)
+			advance(0, step.PeerStatusInput{Status: step.PeerStatus{
+				ControllerID:  "stall-1",
+				CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.revision}},
+			}})
 
-// Who is told of an intent is bound by it while its own replica stands still: it stops the
-// task in its answers, starts none, and says so; and it forgets it once the replica has moved on.
-func TestPeerIntentIsBinding(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		rev  protocol.Revision
-		want bool
-	}{{"newer than the replica", 50, true}, {"older: the replica would have it", 1, false}} {
-		core, advance := newReadyCore(t)
-		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
-			t.Fatal(err)
-		}
-		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
-		e, m := addOwnedMachine(t, core, rec)
-		m.RecordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.Now.Monotonic)
-		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.rev}}}})
-		starts, stops, acked := 0, 0, false
-		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
-			switch o.Type {
-			case protocol.CommandStart:
-				starts++
-			case protocol.CommandStop:
-				stops++
+			starts, stops, acknowledged := 0, 0, false
+			for _, command := range core.agents.Heartbeats.CommandsFor(e, m, true) {
+				switch command.Type {
+				case protocol.CommandStart:
+					starts++
+				case protocol.CommandStop:
+					stops++
+				}
 			}
-		}
-		for _, e := range advance(60*time.Millisecond, step.Tick{}) {
-			if h, ok := e.(step.SendPeerStatus); ok && len(h.Status.CancelAcks) == 1 {
-				acked = true
+			for _, effect := range advance(60*time.Millisecond, step.Tick{}) {
+				if v, ok := effect.(step.SendPeerStatus); ok && len(v.Status.CancelAcks) == 1 {
+					acknowledged = true
+				}
 			}
-		}
-		if starts != btoi(!c.want) || stops != btoi(c.want) || acked != c.want {
-			t.Errorf("%s: %d starts, %d stops, acknowledged %v", c.name, starts, stops, acked)
-		}
-		advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
-		advance(60*time.Millisecond, step.Tick{})
-		if core.cancellation.Canceller.CancelRequested("j-1") {
-			t.Errorf("%s: still bound though its replica has gone past it", c.name)
-		}
+			if starts != btoi(!c.want) || stops != btoi(c.want) || acknowledged != c.want {
+				t.Errorf("%d starts, %d stops, acknowledged %v", starts, stops, acknowledged)
+			}
+
+			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+			advance(60*time.Millisecond, step.Tick{})
+			if core.cancellation.Canceller.CancelRequested("j-1") {
+				t.Error("still bound though its replica has gone past the request")
+			}
+		})
 	}
 }
 
@@ -175,85 +149,67 @@
 	return 0
 }
 
-// Who takes a page over answers no report before its replica has that write: it may lack
-// a withdrawal that the owner before knew of.
+// A controller that takes over a shard answers no heartbeat before its replica has that write: it
+// may lack a cancellation request that the previous owner knew.
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
+	e, _ := addOwnedMachine(t, core, rec) // its shard is newer than the replica: an own write that was applied
 	if core.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
-		t.Fatal("the page has no revision")
+		t.Fatal("the ownership has no revision")
 	}
-	status := func(out []step.Effect) int {
-		for _, e := range out {
-			if r, ok := e.(step.Reply); ok {
-				return r.Status
+	replyStatus := func(effects []step.Effect) int {
+		for _, effect := range effects {
+			if reply, ok := effect.(step.Reply); ok {
+				return reply.Status
 			}
 		}
 		return 0
 	}
-	if s := status(advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); s != 0 {
-		t.Errorf("answered %d before the replica is as new", s)
+	if status := replyStatus(advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); status != 0 {
+		t.Errorf("answered %d before the replica has caught up", status)
 	}
-	if s := status(advance(3100*time.Millisecond, step.Tick{})); s != 421 {
-		t.Errorf("answered %d at last, the worker should look elsewhere", s)
+	if status := replyStatus(advance(3100*time.Millisecond, step.Tick{})); status != 421 {
+		t.Errorf("answered %d at last, the agent should look for another controller", status)
 	}
 	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
 	core.Replica.Revision = 9
-	if s := status(advance(2600*time.Millisecond, step.Tick{})); s != 200 {
-		t.Errorf("answered %d with the replica as new", s)
+	if status := replyStatus(advance(2600*time.Millisecond, step.Tick{})); status != 200 {
+		t.Errorf("answered %d with a replica that has caught up", status)
 	}
 }
 
-// While a withdrawal waits for somebody who cannot be asked, the others are told of it once
-// a second, not with every tick, whether this controller drives it or has only read of it.
+// While a cancellation waits for a controller that cannot be reached, the others are told of it
+// once a second, not with every tick, whether this controller drives it or has only read of it.
 func TestPeerStatusRateIsBounded(t *testing.T) {
-	for _, isRequester := range []bool{true, false} {
-		core, advance := newReadyCore(t)
-		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
-			t.Fatal(err)
-		}
-		putCancellingJob(t, core, 2)
-		if isRequester {
-			core.cancellation.Canceller.RequestCancellation("j-1")
-		}
-		messages, intents := 0, 0
-		for range 60 { // 3 s
-			for _, e := range advance(50*time.Millisecond, step.Tick{}) {
-				if h, ok := e.(step.SendPeerStatus); ok {
-					messages++
-					intents += len(h.Status.CancelIntents)
-				}
+	for _, c := range []struct {
+		name        string
+		isRequester bool
+	}{
+		{"cancellation driven by this controller", true},
+		{"cancellation driven by another controller", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			core, advance := newReadyCore(t)
+			rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+			rec.Assign(protocol.Task{Job: "j-1"}, 5)
+			putRecord(t, core, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2)
+			putCancellingJob(t, core, 2)
+			if c.isRequester {
+				core.cancellation.Canceller.RequestCancellation("j-1")
 			}
-		}
-		if messages > 6 || (intents > 0) != isRequester {
-			t.Errorf("drives %v: %d messages with %d intents in 3 s", isRequester, messages, intents)
-		}
-	}
-}
-
-// Whatever the length of the list, each entry comes in its turn.
-func TestRotationCoversAll(t *testing.T) {
-	ids := make([]protocol.JobID, 1000)
-	for i := range ids {
-		ids[i] = protocol.JobID(fmt.Sprintf("j-%04d", i))
-	}
-	for _, c := range []struct{ length, most, takes int }{{10, 200, 1}, {200, 200, 1}, {201, 200, 2}, {1000, 150, 7}} {
-		var r cancellation.Rotation
-		seen := map[protocol.JobID]bool{}
-		for range c.takes {
-			part := r.NextChunk(ids[:c.length], c.most)
-			if len(part) != min(c.length, c.most) {
-				t.Errorf("%+v: %d at once", c, len(part))
+			messages, intents := 0, 0
+			for range 60 { // 3 s
+				for _, effect := range advance(50*time.Millisecond, step.Tick{}) {
+					if v, ok := effect.(step.SendPeerStatus); ok {
+						messages++
+						intents += len(v.Status.CancelIntents)
+					}
+				}
 			}
-			for _, id := range part {
-				seen[id] = true
+			if messages > 6 || (intents > 0) != c.isRequester {
+				t.Errorf("%d messages with %d requests in 3 s", messages, intents)
 			}
-		}
-		if len(seen) != c.length {
-			t.Errorf("%+v: %d seen", c, len(seen))
-		}
+		})
 	}
 }
--- /dev/null
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -0,0 +1,202 @@
+package cancellation
+
+import (
+	"maps"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// Bounds of what controllers tell each other of cancellations in one status, and of what is kept
+// of it.
+const (
+	maxIntentsPerMessage = 150
+	maxAcksPerMessage    = 200
+	maxPeerIntents       = 2000
+)
+
+// requesterTakeoverDelay is the age at which a request is driven by the successor of the job's key,
+// unless it does so already: the controller that began it may have ended.
+const requesterTakeoverDelay = 4 * time.Second
+
+// peerIntent is a cancellation request that another controller has told of.
+type peerIntent struct {
+	revision   protocol.Revision // at which it is on record
+	receivedAt protocol.Instant
+}
+
+// TickCancellations brings up to date which requests this controller acknowledges, and which of
+// them all controllers concerned know.
+func (c *Canceller) TickCancellations() {
+	if !c.replication.IsLoaded() {
+		return
+	}
+	c.dropEnded()
+	c.updateLocalAcks()
+	for id := range c.Replica.CancellingJobs {
+		if c.mustTakeOver(id) {
+			c.RequestCancellation(id)
+		}
+		c.updateAcknowledged(id)
+	}
+}
+
+// dropEnded drops what was exchanged on requests that the replica has by now, or that are over.
+func (c *Canceller) dropEnded() {
+	maps.DeleteFunc(c.peerIntents, func(_ protocol.JobID, intent peerIntent) bool {
+		return c.Replica.Revision >= intent.revision
+	})
+	maps.DeleteFunc(c.fullyAcknowledged, func(id protocol.JobID, _ bool) bool {
+		return c.Replica.CancellingJobs[id] == nil
+	})
+	maps.DeleteFunc(c.peerAcks, func(id protocol.JobID, _ map[storage.Incarnation]protocol.Revision) bool {
+		return c.Replica.CancellingJobs[id] == nil
+	})
+}
+
+// updateLocalAcks finds the requests that this controller acknowledges. A new one is sent at once.
+func (c *Canceller) updateLocalAcks() {
+	previousAcks := c.localAcks
+	c.localAcks = map[protocol.JobID]bool{}
+	acknowledge := func(id protocol.JobID) {
+		if !c.areOwnedMachinesQuiescent(id) {
+			return
+		}
+		c.localAcks[id] = true
+		if !previousAcks[id] {
+			c.peers.ExpediteStatus()
+		}
+	}
+	for id := range c.peerIntents {
+		acknowledge(id)
+	}
+	for id := range c.Replica.CancellingJobs {
+		acknowledge(id)
+	}
+}
+
+// mustTakeOver tells whether this controller goes on with a request that another one began.
+func (c *Canceller) mustTakeOver(id protocol.JobID) bool {
+	return !c.isRequester(id) &&
+		c.timeSinceCancelRequest(id) > requesterTakeoverDelay &&
+		c.ownership.IsSuccessor(storage.JobKey(id))
+}
+
+// updateAcknowledged notes whether all controllers concerned know a request by now. If not, the
+// controller that drives it tells them at once; the others have nothing new to send.
+func (c *Canceller) updateAcknowledged(id protocol.JobID) {
+	if c.fullyAcknowledged[id] {
+		return
+	}
+	c.fullyAcknowledged[id] = c.IsCancelFullyAcknowledged(id)
+	_, isSent := c.intentSentAt[id]
+	if !c.fullyAcknowledged[id] && !isSent && c.isRequester(id) {
+		c.peers.ExpediteStatus()
+	}
+}
+
+// IsCancelFullyAcknowledged tells whether every controller that could start a task of the job, or
+// keep one running, knows that its cancellation has been requested. The request is on record.
+func (c *Canceller) IsCancelFullyAcknowledged(id protocol.JobID) bool {
+	if c.Replica.Revision < protocol.Revision(c.Replica.Jobs[id].ModRevision) {
+		return false // what was assigned before the request may be missing here
+	}
+	for machineID := range c.Replica.MachinesWithJob(id) {
+		if !c.isAcknowledgedFor(machineID, id) {
+			return false
+		}
+	}
+	return true
+}
+
+// isAcknowledgedFor tells whether the owner of a machine knows that the cancellation of a job has
+// been requested, or the machine no longer exists.
+func (c *Canceller) isAcknowledgedFor(machineID protocol.MachineID, id protocol.JobID) bool {
+	record := &c.Replica.Machines[machineID].Record
+	if c.lease.OwnsMachine(record) {
+		return c.IsMachineQuiescent(machineID, id)
+	}
+	if c.terminator.IsTerminationConfirmed(machineID) {
+		return true
+	}
+	// An acknowledgement covers the machines that its sender knew to own, and ends with the
+	// sender's incarnation.
+	revision, ok := c.peerAcks[id][record.Owner]
+	ownedSince := protocol.Revision(c.Replica.Shards[record.Shard].OwnedSince)
+	return ok && c.Replica.IsAlive(record.Owner) && revision >= ownedSince
+}
+
+// AddCancellationStatus adds to the status for the other controllers the requests that some of them
+// do not seem to know, and those that this one acknowledges. Both are repeated until they are over;
+// if there are too many for one status, they take turns.
+func (c *Canceller) AddCancellationStatus(status *step.PeerStatus) {
+	status.Revision = c.Replica.Revision
+	var unacknowledged []protocol.JobID
+	for _, id := range step.SortedKeys(c.requestedAt) {
+		if c.Replica.CancellingJobs[id] != nil && !c.fullyAcknowledged[id] {
+			unacknowledged = append(unacknowledged, id)
+		}
+	}
+	clear(c.intentSentAt)
+	for _, id := range c.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
+		c.intentSentAt[id] = c.Now.Monotonic
+		status.CancelIntents = append(status.CancelIntents, step.CancelIntent{
+			Job:      id,
+			Revision: protocol.Revision(c.Replica.CancellingJobs[id].ModRevision),
+		})
+	}
+	status.CancelAcks = c.ackRotation.nextChunk(step.SortedKeys(c.localAcks), maxAcksPerMessage)
+}
+
+// OnPeerCancellations takes in what another controller says of cancellations.
+func (c *Canceller) OnPeerCancellations(status *step.PeerStatus) {
+	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
+		c.recordPeerIntent(intent)
+	}
+	if !c.Replica.IsAlive(status.Incarnation) {
+		return
+	}
+	for _, id := range status.CancelAcks[:min(len(status.CancelAcks), maxAcksPerMessage)] {
+		c.recordPeerAck(id, status)
+	}
+}
+
+// recordPeerIntent keeps a request that the replica lacks; from then on it binds this controller.
+func (c *Canceller) recordPeerIntent(intent step.CancelIntent) {
+	_, isKnown := c.peerIntents[intent.Job]
+	if isKnown || !intent.Job.IsValid() || c.Replica.Revision >= intent.Revision || len(c.peerIntents) >= maxPeerIntents {
+		return
+	}
+	c.peerIntents[intent.Job] = peerIntent{revision: intent.Revision, receivedAt: c.Now.Monotonic}
+	c.ShouldRecheckDeferred = true
+}
+
+// recordPeerAck keeps the acknowledgement of the request to cancel a job, with the newest revision
+// at which its sender has given it.
+func (c *Canceller) recordPeerAck(id protocol.JobID, status *step.PeerStatus) {
+	if c.Replica.CancellingJobs[id] == nil {
+		return
+	}
+	acks := c.peerAcks[id]
+	if acks == nil {
+		acks = map[storage.Incarnation]protocol.Revision{}
+		c.peerAcks[id] = acks
+	}
+	acks[status.Incarnation] = max(acks[status.Incarnation], status.Revision)
+}
+
+// rotation takes chunks of a list in turn, so that each entry comes within as many takes as the
+// list has chunks.
+type rotation struct{ offset int }
+
+// nextChunk gives the next entries; the following call continues after them.
+func (r *rotation) nextChunk(ids []protocol.JobID, limit int) []protocol.JobID {
+	if len(ids) <= limit {
+		return ids
+	}
+	start := r.offset % len(ids)
+	r.offset = start + limit
+	return append(append([]protocol.JobID(nil), ids[start:]...), ids[:start]...)[:limit]
+}
--- /dev/null
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -0,0 +1,84 @@
+package cancellation
+
+import (
+	"fmt"
+	"testing"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// Which acknowledgement counts for another controller's machine: that of its owner's living
+// incarnation, given by a replica that knew of the ownership.
+func TestCancelAcknowledgements(t *testing.T) {
+	acks := func(id protocol.JobID) []protocol.JobID { return []protocol.JobID{id} }
+	for _, c := range []struct {
+		name   string
+		status step.PeerStatus
+		want   bool
+	}{
+		{"owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-1")}, true},
+		{"owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-2")}, false},
+		{"owner, replica older than the ownership", step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acks("j-1")}, false},
+		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acks("j-1")}, false},
+		{"ended incarnation of the owner", step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acks("j-1")}, false},
+		{"unknown incarnation", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: acks("j-1")}, false},
+		{"controller that has not registered", step.PeerStatus{Revision: 6, CancelAcks: acks("j-1")}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 2)
+			f.put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
+			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+			record.Assign(protocol.Task{Job: "j-1"}, 5)
+			f.put(t, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil), 5)
+			f.put(t, storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), 6)
+			f.Replica.Revision = 6
+
+			c.status.ControllerID = c.status.Incarnation.Controller()
+			f.canceller.OnPeerCancellations(&c.status)
+			if got := f.canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
+				t.Errorf("acknowledged: %v, want %v", got, c.want)
+			}
+			f.Replica.Delete(storage.ControllerKey("stall-1"), 7)
+			if f.canceller.IsCancelFullyAcknowledged("j-1") {
+				t.Error("the acknowledgement of an ended incarnation counts")
+			}
+		})
+	}
+}
+
+// Whatever the length of the list, each entry comes in its turn.
+func TestRotationCoversAll(t *testing.T) {
+	ids := make([]protocol.JobID, 1000)
+	for i := range ids {
+		ids[i] = protocol.JobID(fmt.Sprintf("j-%04d", i))
+	}
+	for _, c := range []struct {
+		name                 string
+		length, limit, takes int
+	}{
+		{"shorter than a chunk", 10, 200, 1},
+		{"exactly one chunk", 200, 200, 1},
+		{"one entry more than a chunk", 201, 200, 2},
+		{"many chunks", 1000, 150, 7},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var r rotation
+			seen := map[protocol.JobID]bool{}
+			for range c.takes {
+				chunk := r.nextChunk(ids[:c.length], c.limit)
+				if len(chunk) != min(c.length, c.limit) {
+					t.Errorf("%d entries at once, want %d", len(chunk), min(c.length, c.limit))
+				}
+				for _, id := range chunk {
+					seen[id] = true
+				}
+			}
+			if len(seen) != c.length {
+				t.Errorf("%d entries seen, want %d", len(seen), c.length)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/cancellation/forced_scale_in_test.go
@@ -0,0 +1,46 @@
+package cancellation
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A machine with a task of a cancelled job is terminated after 2/5 of the time limit of 40 s if it
+// is silent, and after 3/5 in any case.
+func TestMustForceScaleIn(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		age        time.Duration // of the cancellation
+		state      protocol.TaskState
+		isSilent   bool
+		isIsolated bool
+		want       bool
+	}{
+		{"silent at 16 s", 16 * time.Second, protocol.TaskRunning, true, false, false},
+		{"silent after 16 s", 16*time.Second + time.Millisecond, protocol.TaskRunning, true, false, true},
+		{"silent to an isolated controller", 20 * time.Second, protocol.TaskRunning, true, true, false},
+		{"in contact after 16 s", 20 * time.Second, protocol.TaskRunning, false, false, false},
+		{"in contact at 24 s", 24 * time.Second, protocol.TaskRunning, false, false, false},
+		{"in contact after 24 s", 24*time.Second + time.Millisecond, protocol.TaskRunning, false, false, true},
+		{"isolated controller after 24 s", 24*time.Second + time.Millisecond, protocol.TaskRunning, true, true, true},
+		{"task exited", 30 * time.Second, protocol.TaskExited, true, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.putJob(t, func(record *storage.JobRecord) {
+				record.CancelRequested, record.CancelUpdatedAt = true, f.Now.Wall
+			})
+			entry, m := f.putOwnedMachine(t, c.state)
+			f.advance(c.age)
+			if !c.isSilent {
+				m.LastContactAt = f.Now.Monotonic
+			}
+			if got := f.canceller.MustForceScaleIn(m, &entry.Record, c.isIsolated); got != c.want {
+				t.Errorf("must be terminated: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/cancellation/requests.go
@@ -0,0 +1,122 @@
+package cancellation
+
+import (
+	"time"
+
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+const (
+	// unwrittenRequestTimeout is how long a request is kept that could not be put on record. The
+	// user has been told to ask again long before, but did ask for the cancellation.
+	unwrittenRequestTimeout = 30 * time.Second
+
+	// directCancelConditionsPerOp bounds the conditions of a batch with a direct cancellation, as
+	// a multiple of the operations that a transaction may hold. The store takes four for each;
+	// the rest is left to the other changes in the batch.
+	directCancelConditionsPerOp = 3
+)
+
+// RequestCancellation begins the cancellation of a job, or takes over one that another controller
+// has begun.
+func (c *Canceller) RequestCancellation(id protocol.JobID) {
+	if !c.isRequester(id) {
+		c.requestedAt[id] = c.Now.Monotonic
+	}
+}
+
+// HasRequests tells whether this controller drives any cancellation.
+func (c *Canceller) HasRequests() bool { return len(c.requestedAt) > 0 }
+
+// isRequester tells whether this controller drives the cancellation of a job.
+func (c *Canceller) isRequester(id protocol.JobID) bool {
+	_, ok := c.requestedAt[id]
+	return ok
+}
+
+// WriteCancellations puts the next step of each cancellation into the batch.
+func (c *Canceller) WriteCancellations(b *commit.Batch) {
+	for _, id := range step.SortedKeys(c.requestedAt) {
+		entry := c.Replica.Jobs[id]
+		switch {
+		case entry == nil || entry.Record.State.IsTerminal():
+			delete(c.requestedAt, id)
+		case !b.HasCapacity(1):
+			// It goes into a later batch.
+		case entry.Record.CancelRequested:
+			if c.canConfirm(id, &entry.Record) {
+				c.writeConfirmation(b, id)
+			}
+		case c.canCancelDirectly(b, id):
+			c.dependOnShards(b, id)
+			c.writeConfirmation(b, id)
+		default:
+			c.writeIntent(b, id)
+		}
+	}
+}
+
+// canConfirm tells whether the second step of a cancellation may be written. A job whose tasks
+// have all completed first is done, not cancelled; its owner records that.
+func (c *Canceller) canConfirm(id protocol.JobID, record *storage.JobRecord) bool {
+	return c.fullyAcknowledged[id] && c.Replica.CompletedTasks(id).Len() < record.Spec.TaskCount
+}
+
+// canCancelDirectly tells whether a job can be cancelled in one write, without a request before:
+// its tasks are assigned to quiescent machines of this controller only, and no further ones can
+// be, as this controller alone assigns them. The write must depend on the shards of those
+// machines (dependOnShards).
+func (c *Canceller) canCancelDirectly(b *commit.Batch, id protocol.JobID) bool {
+	entry := c.Replica.Jobs[id]
+	if entry.Record.Owner != c.lease.Incarnation() ||
+		c.Replica.Revision < protocol.Revision(entry.ModRevision) ||
+		c.commits.HasPendingConditionOn(storage.JobKey(id)) {
+		return false
+	}
+	maxConditions := directCancelConditionsPerOp * c.limits.WriteLimits().TransactionOps
+	if b.ConditionCount()+len(c.Replica.MachinesWithJob(id)) > maxConditions {
+		return false
+	}
+	for machineID := range c.Replica.MachinesWithJob(id) {
+		record := &c.Replica.Machines[machineID].Record
+		if !c.lease.OwnsMachine(record) || !c.IsMachineQuiescent(machineID, id) {
+			return false
+		}
+	}
+	return true
+}
+
+// dependOnShards makes a batch depend on the shards of all machines with tasks of a job: if one is
+// transferred meanwhile, the transfer is written before the batch, which then fails, or not at all.
+func (c *Canceller) dependOnShards(b *commit.Batch, id protocol.JobID) {
+	for machineID := range c.Replica.MachinesWithJob(id) {
+		b.DependOn(storage.ShardKey(c.Replica.Machines[machineID].Record.Shard))
+	}
+}
+
+// writeIntent puts the first step of a cancellation into the batch.
+func (c *Canceller) writeIntent(b *commit.Batch, id protocol.JobID) {
+	record := b.MutableJob(id)
+	record.CancelRequested = true
+	record.CancelUpdatedAt = c.Now.Wall
+}
+
+// writeConfirmation puts the second step of a cancellation into the batch.
+func (c *Canceller) writeConfirmation(b *commit.Batch, id protocol.JobID) {
+	record := b.MutableJob(id)
+	record.State = protocol.JobCancelled
+	record.CancelRequested = false
+	record.CancelUpdatedAt = c.Now.Wall
+}
+
+// ExpireCancellations drops requests that could not be put on record for long.
+func (c *Canceller) ExpireCancellations() {
+	for id, requestedAt := range c.requestedAt {
+		if c.Replica.CancellingJobs[id] == nil && c.Since(requestedAt) > unwrittenRequestTimeout {
+			delete(c.requestedAt, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/cancellation/requests_test.go
@@ -0,0 +1,175 @@
+package cancellation
+
+import (
+	"slices"
+	"testing"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A cancellation is confirmed in one write only if no other controller can have a task of the job,
+// and that write depends on the shards of the machines on which its tasks are.
+func TestWriteCancellations(t *testing.T) {
+	type write int
+	const (
+		nothing write = iota
+		intent
+		confirmation
+	)
+	cancelRequested := func(record *storage.JobRecord) { record.CancelRequested = true }
+	allTasks := map[protocol.JobID]storage.TaskSet{testJob: storage.TaskRange(0, 1)}
+	for _, c := range []struct {
+		name             string
+		setUp            func(t *testing.T, f *fixture)
+		want             write
+		dependsOnShard   bool
+		isRequestDropped bool
+	}{
+		{
+			name:  "unassigned job of this controller",
+			setUp: func(t *testing.T, f *fixture) { f.putJob(t, nil) },
+			want:  confirmation,
+		},
+		{
+			name: "running on a quiescent machine of this controller",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				f.putOwnedMachine(t, protocol.TaskRunning)
+			},
+			want:           confirmation,
+			dependsOnShard: true,
+		},
+		{
+			name: "image pulled on a machine of this controller",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				f.putOwnedMachine(t, protocol.TaskPullingImage)
+			},
+			want: intent,
+		},
+		{
+			name: "running on a machine of another controller",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				f.recordHeartbeat(f.putMachine(t, otherPeer, nil), protocol.TaskRunning)
+			},
+			want: intent,
+		},
+		{
+			name: "unassigned job of another controller",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, func(record *storage.JobRecord) { record.Owner = otherPeer })
+			},
+			want: intent,
+		},
+		{
+			name: "replica older than the job's record",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				f.Replica.Revision = 1
+			},
+			want: intent,
+		},
+		{
+			name: "on more machines than a batch may depend on",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps+1)
+			},
+			want: intent,
+		},
+		{
+			name: "on as many machines as a batch may depend on",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps)
+			},
+			want:           confirmation,
+			dependsOnShard: true,
+		},
+		{
+			name: "assignment of the job under way",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, nil)
+				b := f.commit.Shards.NewBatch(8)
+				b.MutableJob(testJob)
+				f.commit.Commits.SendBatch(b, 8)
+				if !f.commit.Commits.HasPendingConditionOn(storage.JobKey(testJob)) {
+					t.Fatal("no transaction is under way")
+				}
+			},
+			want: intent,
+		},
+		{
+			name:  "request on record, not acknowledged",
+			setUp: func(t *testing.T, f *fixture) { f.putJob(t, cancelRequested) },
+			want:  nothing,
+		},
+		{
+			name: "request on record and acknowledged",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, cancelRequested)
+				f.canceller.TickCancellations()
+			},
+			want: confirmation,
+		},
+		{
+			name: "request acknowledged, all tasks completed first",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, cancelRequested)
+				f.putMachine(t, owner, allTasks)
+				f.canceller.fullyAcknowledged[testJob] = true
+			},
+			want: nothing,
+		},
+		{
+			name: "job done",
+			setUp: func(t *testing.T, f *fixture) {
+				f.putJob(t, func(record *storage.JobRecord) { record.State = protocol.JobDone })
+			},
+			want:             nothing,
+			isRequestDropped: true,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			c.setUp(t, f)
+			f.canceller.RequestCancellation(testJob)
+			b := f.commit.Shards.NewBatch(8)
+			f.canceller.WriteCancellations(b)
+
+			transaction := b.Transaction()
+			written := storage.NewReplica()
+			for _, operation := range transaction.Operations {
+				if _, err := written.Put(operation.PutKey, operation.Value, 3); err != nil {
+					t.Fatal(err)
+				}
+			}
+			got := nothing
+			if entry := written.Jobs[testJob]; entry != nil {
+				switch {
+				case entry.Record.State == protocol.JobCancelled && !entry.Record.CancelRequested:
+					got = confirmation
+				case entry.Record.State == "" && entry.Record.CancelRequested:
+					got = intent
+				default:
+					t.Fatalf("the record is neither a request nor a confirmation: %+v", entry.Record)
+				}
+				if entry.Record.CancelUpdatedAt != f.Now.Wall {
+					t.Errorf("the record is dated %d, want %d", entry.Record.CancelUpdatedAt, f.Now.Wall)
+				}
+			}
+			if got != c.want {
+				t.Errorf("write %v, want %v", got, c.want)
+			}
+			dependsOnShard := slices.Contains(transaction.Conditions, protocol.Condition{Key: storage.ShardKey("p"), ModRevision: 2})
+			if dependsOnShard != c.dependsOnShard {
+				t.Errorf("depends on the shard: %v, want %v", dependsOnShard, c.dependsOnShard)
+			}
+			if f.canceller.HasRequests() == c.isRequestDropped {
+				t.Errorf("request is dropped: %v, want %v", !f.canceller.HasRequests(), c.isRequestDropped)
+			}
+		})
+	}
+}
