--- /dev/null
+++ b/internal/coordination/requests/sharding_status.go
@@ -0,0 +1,103 @@
+package requests
+
+import (
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/sharding"
+	"tillerarch/internal/storage"
+)
+
+// ShardingStatusRequest asks who owns which machines, and which transfers there are.
+type ShardingStatusRequest struct{ Req step.RequestID }
+
+// ShardingStatusReply answers a ShardingStatusRequest from one revision of the records.
+type ShardingStatusReply struct {
+	Req              step.RequestID
+	Revision         protocol.Revision
+	Stale            bool // the store may be ahead of this controller
+	Controllers      []ControllerStatus
+	Shards           []ShardStatus
+	Transfers        []storage.TransferRecord
+	PlannedTransfers []sharding.Transfer // what this controller would begin now
+}
+
+// ControllerStatus is what a controller owns.
+type ControllerStatus struct {
+	ID               protocol.ControllerID
+	Incarnation      storage.Incarnation
+	Shards           int
+	Machines         int
+	RecordsTransfers bool // its version takes part in transfers on record
+	Draining         bool
+}
+
+// ShardStatus is a shard with its owner.
+type ShardStatus struct {
+	ID       storage.ShardID
+	Owner    storage.Incarnation
+	Epoch    storage.ShardEpoch
+	Machines int
+	Tasks    int
+}
+
+// maxPlannedTransfers bounds the planned transfers in a reply: what two targets may receive at once.
+const maxPlannedTransfers = 2 * ownership.MaxIncomingTransfers
+
+// OnShardingStatusRequest tells who owns what, as of the replica's revision.
+func (o *OperatorRequests) OnShardingStatusRequest(v ShardingStatusRequest) {
+	reply := ShardingStatusReply{Req: v.Req, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
+	for _, id := range step.SortedKeys(o.Replica.Shards) {
+		reply.Shards = append(reply.Shards, o.shardStatus(id))
+	}
+	for _, controller := range step.SortedKeys(o.Replica.Controllers) {
+		reply.Controllers = append(reply.Controllers, o.controllerStatus(controller))
+	}
+	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
+		reply.Transfers = append(reply.Transfers, o.Replica.Transfers[slot].Record)
+	}
+	if o.lease.IsRegistered() {
+		reply.PlannedTransfers = o.plannedTransfers()
+	}
+	o.Emit(reply)
+}
+
+func (o *OperatorRequests) shardStatus(id storage.ShardID) ShardStatus {
+	shard := o.Replica.Shards[id]
+	status := ShardStatus{ID: id, Owner: shard.Owner, Epoch: shard.Epoch, Machines: len(shard.Machines)}
+	for _, machineID := range shard.Machines {
+		e := o.Replica.Machines[machineID]
+		if e == nil {
+			continue
+		}
+		for i := range e.Record.Assignments {
+			status.Tasks += e.Record.Assignments[i].Tasks.Len()
+		}
+	}
+	return status
+}
+
+func (o *OperatorRequests) controllerStatus(controller protocol.ControllerID) ControllerStatus {
+	status := ControllerStatus{ID: controller, Draining: o.Replica.IsDraining(controller)}
+	if e := o.Replica.Controllers[controller]; e != nil {
+		status.Incarnation = e.Record.Incarnation
+		status.RecordsTransfers = e.Record.SupportsTransfers
+	}
+	for _, shard := range o.Replica.Shards {
+		if status.Incarnation != "" && shard.Owner == status.Incarnation {
+			status.Shards++
+			status.Machines += len(shard.Machines)
+		}
+	}
+	return status
+}
+
+// plannedTransfers are the transfers that this controller's rebalancing would begin now.
+func (o *OperatorRequests) plannedTransfers() []sharding.Transfer {
+	snapshot := o.transfers.ShardingSnapshot(o.overload.IsOverloaded())
+	return sharding.PlanRebalance(snapshot, sharding.RebalancePolicy{
+		MaxTransfers:         maxPlannedTransfers,
+		MaxIncomingTransfers: ownership.MaxIncomingTransfers,
+		DemandWeight:         o.Config.RebalanceDemandWeight,
+	})
+}
