--- /dev/null
+++ b/internal/coordination/requests/fixture_test.go
@@ -0,0 +1,141 @@
+package requests
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/cancellation"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+const owner storage.Incarnation = "stall-0#7" // of the controller under test
+
+// fixture is the package's parts with those that they work on, registered and up to date at
+// revision 2.
+type fixture struct {
+	*step.Context
+	*Parts
+
+	catalog   *catalog.Parts
+	commit    *commit.Parts
+	canceller *cancellation.Canceller
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	config := step.Config{
+		ControllerID:    owner.Controller(),
+		Quotas:          map[string]step.Quota{"core": {}},
+		WritesPerSecond: 100,
+		TransactionOps:  8,
+		ValueBytes:      8192,
+		Tuning:          step.DefaultTuning(),
+	}
+	config.RecordTransfers = true
+	ctx := &step.Context{
+		Config:  config,
+		Now:     step.Now{Monotonic: 1, Wall: 1e12},
+		Rand:    rand.New(rand.NewPCG(1, 1)),
+		Replica: storage.NewReplica(),
+	}
+	agentParts, owners, cancellations := agents.New(ctx), ownership.New(ctx), cancellation.New(ctx)
+	f := &fixture{
+		Context:   ctx,
+		Parts:     New(ctx),
+		catalog:   catalog.New(ctx),
+		commit:    commit.New(ctx),
+		canceller: cancellations.Canceller,
+	}
+	f.commit.Connect(commit.Dependencies{
+		MachineTracker:    agentParts.Table,
+		StoreReports:      owners.Peers,
+		SuccessorElection: owners.Manager,
+		Catalog:           f.catalog.Catalog,
+		TransferTracker:   owners.Transfers,
+	})
+	cancellations.Connect(cancellation.Dependencies{
+		Agents:        agentParts.Table,
+		Calls:         agentParts.Calls,
+		Commits:       f.commit.Commits,
+		Lease:         f.commit.Lease,
+		Limits:        f.commit.Limits,
+		OwnerElection: owners.Manager,
+		PeerNotifier:  owners.Peers,
+		Replication:   f.commit.Replication,
+	})
+	owners.Connect(ownership.Dependencies{
+		Cancellations: cancellations.Canceller,
+		Lease:         f.commit.Lease,
+		Misdirected:   agentParts.Misdirected,
+		Replication:   f.commit.Replication,
+		Store:         f.commit.Store,
+		Agents:        agentParts.Table,
+		Limits:        f.commit.Limits,
+		Shards:        f.commit.Shards,
+	})
+	f.Connect(Dependencies{
+		Lease:         f.commit.Lease,
+		Overload:      owners.Overload,
+		Replication:   f.commit.Replication,
+		Transfers:     owners.Transfers,
+		Cancellations: cancellations.Canceller,
+		Catalog:       f.catalog.Catalog,
+		Limits:        f.commit.Limits,
+		Store:         f.commit.Store,
+	})
+	f.commit.Limits.UpdateWriteLimiter()
+	f.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
+	return f
+}
+
+// newRegisteredFixture is a fixture whose incarnation is on record.
+func newRegisteredFixture(t *testing.T) *fixture {
+	t.Helper()
+	f := newFixture(t)
+	f.commit.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: 7})
+	f.commit.Commits.ReadyForRecordBatch() // registers first
+	f.commit.Commits.OnCommitResult(step.CommitResult{
+		ID:      f.commit.Commits.PendingTransaction.ID,
+		Outcome: storage.OutcomeApplied,
+		Result:  protocol.TransactionResult{Revision: 2},
+	})
+	f.Replica.Revision = 2
+	if got := f.commit.Lease.Incarnation(); got != owner {
+		t.Fatalf("registered as %q, want %q", got, owner)
+	}
+	f.Effects = nil
+	return f
+}
+
+// put puts a record into the replica.
+func (f *fixture) put(t *testing.T, key string, value []byte, modRevision protocol.ModRevision) {
+	t.Helper()
+	if _, err := f.Replica.Put(key, value, modRevision); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// advance lets time pass.
+func (f *fixture) advance(d time.Duration) {
+	f.Now.Monotonic = f.Now.Monotonic.Add(d)
+	f.Now.Wall += protocol.Millis(d.Milliseconds())
+}
+
+// takeEffects gives the effects of a type since the last call, and drops the others.
+func takeEffects[T step.Effect](f *fixture) []T {
+	var taken []T
+	for _, effect := range f.Effects {
+		if v, ok := effect.(T); ok {
+			taken = append(taken, v)
+		}
+	}
+	f.Effects = nil
+	return taken
+}
--- /dev/null
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -0,0 +1,222 @@
+package requests
+
+import (
+	"errors"
+	"slices"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// operatorReply is the error of the one answer to an operator since the last call.
+func (f *fixture) operatorReply(t *testing.T) (isAnswered bool, err error) {
+	t.Helper()
+	answers := 0
+	for _, effect := range f.Effects {
+		switch v := effect.(type) {
+		case TransferReply:
+			err = v.Err
+			answers++
+		case DrainReply:
+			err = v.Err
+			answers++
+		}
+	}
+	f.Effects = nil
+	if answers > 1 {
+		t.Fatalf("%d answers to one request", answers)
+	}
+	return answers == 1, err
+}
+
+// wantRefusal checks that the last request is refused with these words.
+func (f *fixture) wantRefusal(t *testing.T, reason string, transient bool) {
+	t.Helper()
+	_, err := f.operatorReply(t)
+	var requestErr *RequestError
+	if !errors.As(err, &requestErr) {
+		t.Fatalf("answered %v, want a refusal", err)
+	}
+	if requestErr.Reason != reason || requestErr.Transient != transient {
+		t.Errorf("refused with %q, transient %v; want %q, %v", requestErr.Reason, requestErr.Transient, reason, transient)
+	}
+}
+
+// putControllers puts two more controllers on record, and a shard of this one.
+func (f *fixture) putControllers(t *testing.T) {
+	t.Helper()
+	f.put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1","m":true}`), 2)
+	f.put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#1"}`), 2)
+	record := storage.MachineRecord{MachineType: "s", Zone: "a"}
+	f.put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, nil), 2)
+	f.put(t, storage.ShardKey("q"), storage.EncodePlainShard("stall-9#1", 3, []string{record.EncodeLine("m-2")}, nil), 2)
+}
+
+// What an operator reads when a transfer or a drain is refused, word for word.
+func TestOperatorRequestRefusals(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		request   any
+		reason    string
+		transient bool
+	}{
+		{"transfer without a name", TransferRequest{Shard: "p", Target: "stall-1"}, "a move needs a name of 1 to 100 bytes", false},
+		{"transfer from an unknown controller", TransferRequest{Name: "m", Source: "stall-8", Target: "stall-1"}, `no controller "stall-8" is up`, false},
+		{"transfer to an unknown controller", TransferRequest{Name: "m", Shard: "p", Target: "stall-9"}, `no controller "stall-9" is up`, false},
+		{"transfer of an unknown shard", TransferRequest{Name: "m", Shard: "x", Target: "stall-1"}, `no page "x"`, false},
+		{"transfer of nothing", TransferRequest{Name: "m", Target: "stall-1"}, "neither a page nor a controller to take one from is named", false},
+		{"transfer to its owner", TransferRequest{Name: "m", Shard: "p", Target: "stall-0"}, `the page is "stall-0"'s already`, false},
+		{"transfer of a shard whose owner has ended", TransferRequest{Name: "m", Shard: "q", Target: "stall-1"}, "the page's owner has ended; another controller takes it over", true},
+		{"transfer from a controller to itself", TransferRequest{Name: "m", Source: "stall-1", Target: "stall-1"}, "giver and taker are the same", false},
+		{"transfer from a controller without shards", TransferRequest{Name: "m", Source: "stall-1", Target: "stall-0"}, `"stall-1" has no page that could move`, true},
+		{"transfer to a version without support", TransferRequest{Name: "m", Shard: "p", Target: "stall-2"}, `controller "stall-2" runs a version, or with settings, that take no part in moves on record`, false},
+		{"abort of an unknown transfer", TransferRequest{Name: "m", Abort: true}, `no move "m"`, false},
+		{"drain of an unknown controller", DrainRequest{Controller: "stall-9", Drain: true}, `no controller "stall-9" is up`, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newRegisteredFixture(t)
+			f.putControllers(t)
+			f.ask(c.request)
+			f.Operators.WriteOperatorRequests(f.commit.Shards.NewBatch(8))
+			f.wantRefusal(t, c.reason, c.transient)
+		})
+	}
+	t.Run("drain of the last controller", func(t *testing.T) {
+		f := newRegisteredFixture(t)
+		f.ask(DrainRequest{Controller: "stall-0", Drain: true})
+		f.wantRefusal(t, `no other controller is up that could take the machines of "stall-0"`, false)
+	})
+	t.Run("transfers not on record", func(t *testing.T) {
+		f := newRegisteredFixture(t)
+		f.putControllers(t)
+		f.Config.RecordTransfers = false
+		f.ask(TransferRequest{Name: "m", Shard: "p", Target: "stall-1"})
+		f.wantRefusal(t, "moves are not on record here: moves.recorded is off", false)
+	})
+	t.Run("controller not registered", func(t *testing.T) {
+		f := newFixture(t)
+		f.ask(DrainRequest{Controller: "stall-9", Drain: true})
+		f.wantRefusal(t, "this controller does not reach the state service", true)
+	})
+}
+
+func (f *fixture) ask(request step.Input) {
+	switch v := request.(type) {
+	case TransferRequest:
+		f.Operators.OnTransferRequest(v)
+	case DrainRequest:
+		f.Operators.OnDrainRequest(v)
+	}
+}
+
+// A drain is offered to every batch, and answered once it is on record.
+func TestDrainIsAnsweredOnRecord(t *testing.T) {
+	f := newRegisteredFixture(t)
+	f.putControllers(t)
+	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
+	for range 2 { // the first transaction may fail
+		b := f.commit.Shards.NewBatch(8)
+		f.Operators.WriteOperatorRequests(b)
+		if !b.ChangesDrain("stall-1") {
+			t.Fatal("the drain is not offered to the batch")
+		}
+		if isAnswered, _ := f.operatorReply(t); isAnswered {
+			t.Fatal("answered before it is on record")
+		}
+	}
+	f.put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
+	f.Operators.WriteOperatorRequests(f.commit.Shards.NewBatch(8))
+	if isAnswered, err := f.operatorReply(t); err != nil || !isAnswered {
+		t.Errorf("answered %v with %v once on record", isAnswered, err)
+	}
+}
+
+// At most 16 requests wait, for 5 s each.
+func TestOperatorRequestBounds(t *testing.T) {
+	f := newRegisteredFixture(t)
+	f.putControllers(t)
+	drain := DrainRequest{Controller: "stall-1", Drain: true}
+	for range 16 {
+		f.ask(drain)
+	}
+	if isAnswered, _ := f.operatorReply(t); isAnswered {
+		t.Fatal("a request within the bound is answered at once")
+	}
+	f.ask(drain)
+	f.wantRefusal(t, "too many requests wait to be written", true)
+
+	f.advance(5 * time.Second)
+	f.Operators.ExpireOperatorRequests()
+	if isAnswered, _ := f.operatorReply(t); isAnswered {
+		t.Error("a request is given up before its time")
+	}
+	f.advance(time.Millisecond)
+	f.Operators.ExpireOperatorRequests()
+	replies := takeEffects[DrainReply](f)
+	if len(replies) != 16 {
+		t.Fatalf("%d requests are given up, want 16", len(replies))
+	}
+	for _, reply := range replies {
+		if reply.Err.Error() != "it could not be written in time; ask again under the same name" {
+			t.Errorf("given up with %q", reply.Err)
+		}
+	}
+}
+
+// Two drains of the same instant must not drain the last two controllers: each write depends on the
+// drain keys of all controllers, and the one that lost is checked again.
+func TestDrainsExcludeEachOther(t *testing.T) {
+	f := newRegisteredFixture(t)
+	f.putControllers(t)
+	f.put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
+	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
+	b := f.commit.Shards.NewBatch(8)
+	f.Operators.WriteOperatorRequests(b)
+	conditions := b.Transaction().Conditions
+	for controller, modRevision := range map[protocol.ControllerID]protocol.ModRevision{"stall-0": 0, "stall-1": 0, "stall-2": 2} {
+		want := protocol.Condition{Key: storage.DrainKey(controller), ModRevision: modRevision}
+		if !slices.Contains(conditions, want) {
+			t.Errorf("the write does not depend on %+v", want)
+		}
+	}
+	f.put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
+	f.Operators.WriteOperatorRequests(f.commit.Shards.NewBatch(8))
+	f.wantRefusal(t, `no other controller is up that could take the machines of "stall-1"`, false)
+}
+
+// Without a named shard, the one with the fewest machines is transferred, of those that are not
+// being transferred already.
+func TestRequestedShard(t *testing.T) {
+	f := newRegisteredFixture(t)
+	f.putControllers(t)
+	putShard := func(id storage.ShardID, machines ...protocol.MachineID) {
+		record := storage.MachineRecord{MachineType: "s", Zone: "a"}
+		lines := []string{}
+		for _, machine := range machines {
+			lines = append(lines, record.EncodeLine(machine))
+		}
+		f.put(t, storage.ShardKey(id), storage.EncodePlainShard(owner, 3, lines, nil), 3)
+	}
+	putShard("p", "m-1", "m-3", "m-4")
+	putShard("r", "m-5", "m-6")
+	putShard("s", "m-7")
+	f.put(t, storage.TransferKey(storage.NewTransferSlot("stall-1", 0)), storage.MustMarshal(storage.TransferRecord{
+		Name:   "first",
+		Shard:  "s",
+		Source: owner,
+		Target: "stall-1#1",
+		Phase:  storage.TransferProposed,
+	}), 2)
+
+	shard, err := f.Operators.requestedShard(&TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"})
+	if err != nil || shard != "r" {
+		t.Errorf("shard %q, error %v; want the smallest that is not being transferred", shard, err)
+	}
+	_, err = f.Operators.requestedShard(&TransferRequest{Name: "m", Shard: "s", Target: "stall-1"})
+	if want := `the page is on its way with move "first"`; err == nil || err.Reason != want || !err.Transient {
+		t.Errorf("a shard that is being transferred: %v, want %q", err, want)
+	}
+}
--- /dev/null
+++ b/internal/coordination/requests/submissions_test.go
@@ -0,0 +1,43 @@
+package requests
+
+import (
+	"testing"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+// A job is rejected for good only if its quota, or all machines that it may be placed on, are too
+// small for what must run at the same time: all tasks of a gang or service, one of an array.
+func TestCanEverRun(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		quota step.Quota
+		job   protocol.Job
+		want  bool
+	}{
+		{"no limit", step.Quota{}, protocol.Job{Cores: 4}, true},
+		{"task at the limit", step.Quota{MaxCores: 4}, protocol.Job{Cores: 4}, true},
+		{"task over the limit", step.Quota{MaxCores: 3.5}, protocol.Job{Cores: 4}, false},
+		{"tasks of an array over the limit together", step.Quota{MaxCores: 4}, protocol.Job{Cores: 2, TaskCount: 3}, true},
+		{"gang at the limit", step.Quota{MaxCores: 6}, protocol.Job{Kind: protocol.KindGang, Cores: 2, TaskCount: 3}, true},
+		{"gang over the limit", step.Quota{MaxCores: 5}, protocol.Job{Kind: protocol.KindGang, Cores: 2, TaskCount: 3}, false},
+		{"service over the limit", step.Quota{MaxCores: 5}, protocol.Job{Kind: protocol.KindService, Cores: 2, TaskCount: 3}, false},
+		{"rounding at the limit", step.Quota{MaxCores: 0.3}, protocol.Job{Kind: protocol.KindGang, Cores: 0.1, TaskCount: 3}, true},
+		{"accelerators over the limit", step.Quota{MaxAccelerators: 1}, protocol.Job{Accelerators: 2}, false},
+		{"task larger than any machine", step.Quota{}, protocol.Job{Cores: 5}, false},
+		{"unknown team", step.Quota{}, protocol.Job{Team: "nobody", Cores: 1}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newRegisteredFixture(t)
+			f.listMachineTypes(machineTypes(4))
+			f.Config.Quotas = map[string]step.Quota{"core": c.quota}
+			if c.job.Team == "" {
+				c.job.Team = "core"
+			}
+			if got := f.Users.canEverRun(&c.job); got != c.want {
+				t.Errorf("can run: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/requests/user_requests_test.go
@@ -0,0 +1,269 @@
+package requests
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+const testJob protocol.JobID = "j-1"
+
+// jobBody is a submission of the test job: two tasks of as many cores.
+func jobBody(cores int) []byte {
+	return fmt.Appendf(nil, `{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low","pieces":2,"cores":%d,
+"accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,"loaners":false,
+"reckon_s":1,"bookmark_s":0,"stow_s":0}`, cores)
+}
+
+// machineTypes are types of machines with so many cores each.
+func machineTypes(cores ...float64) []protocol.MachineType {
+	types := []protocol.MachineType{}
+	for _, n := range cores {
+		types = append(types, protocol.MachineType{Name: "s", Cores: n, MemoryGB: 8, Zones: []protocol.Zone{"a"}})
+	}
+	return types
+}
+
+func (f *fixture) listMachineTypes(types []protocol.MachineType) {
+	f.catalog.Catalog.OnMachineTypes(step.ListMachineTypesResult{MachineTypes: types})
+}
+
+func (f *fixture) putJob(t *testing.T, record storage.JobRecord, modRevision protocol.ModRevision) {
+	t.Helper()
+	record.Spec = &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}
+	f.put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, &record), modRevision)
+}
+
+// replyStatuses are the HTTP statuses of the answers since the last call.
+func (f *fixture) replyStatuses() []int {
+	statuses := []int{}
+	for _, reply := range takeEffects[step.Reply](f) {
+		statuses = append(statuses, reply.Status)
+	}
+	return statuses
+}
+
+func (f *fixture) wantStatuses(t *testing.T, when string, want ...int) {
+	t.Helper()
+	if got := f.replyStatuses(); fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("%s: answered %v, want %v", when, got, want)
+	}
+}
+
+// An answer waits for a replica that is as new as a revision read after the request came; what that
+// replica says decides.
+func TestDeferredRequests(t *testing.T) {
+	query := step.UserInput{RequestID: 1, Type: protocol.RequestQuery, Job: testJob}
+	cancel := step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob}
+	submit := func(cores int) step.UserInput {
+		return step.UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: jobBody(cores)}
+	}
+	for _, c := range []struct {
+		name              string
+		before            *storage.JobRecord // of the job as the request comes
+		request           step.UserInput
+		after             *storage.JobRecord     // of the job once the replica has caught up
+		newTypes          []protocol.MachineType // replace the cloud's machine types meanwhile, unless nil
+		want              []int
+		isSubmitted       bool // the job waits to be put on record
+		isCancelRequested bool
+	}{
+		{
+			name:    "query of a job that other controllers have accepted",
+			request: query,
+			after:   &storage.JobRecord{Owner: "stall-1#1"},
+			want:    []int{http.StatusOK},
+		},
+		{
+			name:    "query of an unknown job",
+			request: query,
+			want:    []int{http.StatusNotFound},
+		},
+		{
+			name:    "cancel of an unknown job",
+			request: cancel,
+			want:    []int{http.StatusNotFound},
+		},
+		{
+			name:              "cancel of a job that comes to light",
+			request:           cancel,
+			after:             &storage.JobRecord{Owner: "stall-1#1"},
+			want:              []int{},
+			isCancelRequested: true,
+		},
+		{
+			name:              "cancel of a job that is done meanwhile",
+			before:            &storage.JobRecord{Owner: owner},
+			request:           cancel,
+			after:             &storage.JobRecord{State: protocol.JobDone, TaskCount: 2},
+			want:              []int{http.StatusOK},
+			isCancelRequested: true,
+		},
+		{
+			name:    "job too large for any machine",
+			request: submit(5),
+			want:    []int{http.StatusUnprocessableEntity},
+		},
+		{
+			name:    "job too large, accepted elsewhere",
+			request: submit(5),
+			after:   &storage.JobRecord{Owner: "stall-1#1"},
+			want:    []int{http.StatusOK},
+		},
+		{
+			name:        "job too large, larger machines offered meanwhile",
+			request:     submit(5),
+			newTypes:    machineTypes(8),
+			want:        []int{},
+			isSubmitted: true,
+		},
+		{
+			name:     "job too large, machine types no longer known",
+			request:  submit(5),
+			newTypes: machineTypes(),
+			want:     []int{http.StatusServiceUnavailable},
+		},
+		{
+			name:    "job on record with another owner",
+			before:  &storage.JobRecord{Owner: "stall-1#1"},
+			request: submit(1),
+			after:   &storage.JobRecord{Owner: "stall-1#1"},
+			want:    []int{http.StatusOK},
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newRegisteredFixture(t)
+			f.listMachineTypes(machineTypes(4))
+			if c.before != nil {
+				f.putJob(t, *c.before, 2)
+			}
+			f.Users.OnUserInput(c.request)
+			if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
+				t.Fatalf("the revision is read %d times, want once", len(reads))
+			}
+			f.Users.ReplyPending()
+			f.wantStatuses(t, "before the revision is known")
+
+			f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 9})
+			f.Replica.Revision = 8
+			f.Users.ReplyPending()
+			f.wantStatuses(t, "with an older replica")
+
+			f.Replica.Revision = 9
+			if c.after != nil {
+				f.putJob(t, *c.after, 9)
+			}
+			if c.newTypes != nil {
+				f.listMachineTypes(c.newTypes)
+			}
+			f.Users.ReplyPending()
+			f.wantStatuses(t, "with a replica as new", c.want...)
+			if f.Users.HasSubmissions() != c.isSubmitted {
+				t.Errorf("waits to be put on record: %v, want %v", f.Users.HasSubmissions(), c.isSubmitted)
+			}
+			if isWaiting := len(c.want) == 0 && !c.isSubmitted; f.Users.HasDeferred() != isWaiting {
+				t.Errorf("still deferred: %v, want %v", f.Users.HasDeferred(), isWaiting)
+			}
+			if got := f.canceller.HasRequests(); got != c.isCancelRequested {
+				t.Errorf("cancellation requested: %v, want %v", got, c.isCancelRequested)
+			}
+		})
+	}
+}
+
+// A cancellation is answered once the job is cancelled, not once it is requested.
+func TestCancelAwaitsConfirmation(t *testing.T) {
+	f := newRegisteredFixture(t)
+	f.putJob(t, storage.JobRecord{Owner: owner}, 2)
+	f.Users.OnUserInput(step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob})
+	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
+	f.Users.ReplyPending()
+	f.wantStatuses(t, "requested")
+	f.putJob(t, storage.JobRecord{Owner: owner, CancelRequested: true}, 3)
+	f.Replica.Revision = 3
+	f.Users.ReplyPending()
+	f.wantStatuses(t, "request on record")
+	f.putJob(t, storage.JobRecord{Owner: owner, State: protocol.JobCancelled}, 4)
+	f.Replica.Revision = 4
+	f.Users.ReplyPending()
+	f.wantStatuses(t, "confirmed", http.StatusOK)
+}
+
+// A read of the revision counts only for requests that came before it began; a later one needs
+// another read, which all that have come meanwhile share.
+func TestRevisionReadsAreShared(t *testing.T) {
+	f := newRegisteredFixture(t)
+	query := func(id step.RequestID) {
+		f.Users.OnUserInput(step.UserInput{RequestID: id, Type: protocol.RequestQuery, Job: testJob})
+	}
+	query(1)
+	query(2)
+	query(3)
+	if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
+		t.Fatalf("%d reads for the first request, want 1", len(reads))
+	}
+	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
+	f.Users.ReplyPending()
+	if replies := takeEffects[step.Reply](f); len(replies) != 1 || replies[0].RequestID != 1 {
+		t.Errorf("answers to %v, want the first request only", replies)
+	}
+	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Err: errors.New("no answer")})
+	f.wantStatuses(t, "second read failed", http.StatusServiceUnavailable, http.StatusServiceUnavailable)
+	if f.Users.HasDeferred() {
+		t.Error("rejected requests are still deferred")
+	}
+}
+
+// Users who would wait too long, or for a store that is unavailable, are told to ask again.
+func TestExpireUserRequests(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		wait           time.Duration
+		storeFails     bool
+		want, wantJobs []int
+	}{
+		{name: "at the timeout", wait: 1500 * time.Millisecond},
+		{name: "after the timeout", wait: 1501 * time.Millisecond, want: []int{503}, wantJobs: []int{503, 503}},
+		{name: "store unavailable", wait: 1100 * time.Millisecond, storeFails: true, want: []int{503}, wantJobs: []int{503, 503}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newRegisteredFixture(t)
+			f.listMachineTypes(machineTypes(4))
+			for id := range step.RequestID(2) { // of one job, by two users
+				f.Users.OnUserInput(step.UserInput{RequestID: id + 1, Type: protocol.RequestSubmit, Body: jobBody(1)})
+			}
+			if !f.Users.HasSubmissions() {
+				t.Fatal("the job does not wait to be put on record")
+			}
+			f.Users.OnUserInput(step.UserInput{RequestID: 3, Type: protocol.RequestQuery, Job: "j-2"})
+			f.Effects = nil
+			f.advance(c.wait)
+			if c.storeFails {
+				for range 2 {
+					f.commit.Store.RecordContact(f.Now.Monotonic, errors.New("no answer"))
+				}
+			}
+			f.Users.ExpireUserRequests()
+			replies := takeEffects[step.Reply](f)
+			var statuses []int
+			for _, reply := range replies {
+				statuses = append(statuses, reply.Status)
+				if reply.RetryAfterSeconds != 1 || string(reply.Body) != string(protocol.Encode(step.ErrorBody{Error: "cannot decide now"})) {
+					t.Errorf("told %q, to come back after %d s", reply.Body, reply.RetryAfterSeconds)
+				}
+			}
+			if want := append(c.wantJobs, c.want...); fmt.Sprint(statuses) != fmt.Sprint(want) {
+				t.Errorf("answered %v, want %v", statuses, want)
+			}
+			if isLeft := len(c.want) == 0; f.Users.HasSubmissions() != isLeft || f.Users.HasDeferred() != isLeft {
+				t.Errorf("submissions left %v, deferred requests left %v, want %v", f.Users.HasSubmissions(), f.Users.HasDeferred(), isLeft)
+			}
+		})
+	}
+}
