--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -51,7 +51,7 @@
 			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
 			m.InflightStarts[task] = 5
 		}, false},
-		{"agent has shown the fencing token of an earlier ownership only", func(core *Core, e *storage.Machine, m *agents.MachineState) {
+		{"fencing token of an earlier ownership", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
 			m.RecordHeartbeat(r, core.Now.Monotonic)
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-1")}, true},
 		{"owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-2")}, false},
-		{"owner, replica older than the ownership", step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acks("j-1")}, false},
+		{"replica older than the ownership", step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acks("j-1")}, false},
 		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acks("j-1")}, false},
 		{"ended incarnation of the owner", step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acks("j-1")}, false},
 		{"unknown incarnation", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: acks("j-1")}, false},
@@ -33,7 +33,8 @@
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(protocol.Task{Job: "j-1"}, 5)
 			f.put(t, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil), 5)
-			f.put(t, storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), 6)
+			job := `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`
+			f.put(t, storage.JobKey("j-1"), []byte(job), 6)
 			f.Replica.Revision = 6
 
 			c.status.ControllerID = c.status.Incarnation.Controller()
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -56,8 +56,8 @@
 	intentRotation, ackRotation rotation // what the next status begins with
 }
 
-// NewCanceller makes a canceller that knows of no cancellation.
-func NewCanceller(ctx *step.Context) *Canceller {
+// newCanceller makes a canceller that knows of no cancellation.
+func newCanceller(ctx *step.Context) *Canceller {
 	return &Canceller{
 		Context:           ctx,
 		requestedAt:       map[protocol.JobID]protocol.Instant{},
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -111,7 +111,9 @@
 }
 
 // putMachine puts a machine with the first task of the test job on record.
-func (f *fixture) putMachine(t *testing.T, of storage.Incarnation, completed map[protocol.JobID]storage.TaskSet) *storage.Machine {
+func (f *fixture) putMachine(
+	t *testing.T, of storage.Incarnation, completed map[protocol.JobID]storage.TaskSet,
+) *storage.Machine {
 	t.Helper()
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	record.Assign(protocol.Task{Job: testJob}, 5)
--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -61,7 +61,9 @@
 
 // longestPendingCancel tells whether a task of a job with a requested cancellation may still be on
 // the machine, and for how long the longest such request has stood.
-func (c *Canceller) longestPendingCancel(m *agents.MachineState, record *storage.MachineRecord) (longest time.Duration, isPending bool) {
+func (c *Canceller) longestPendingCancel(
+	m *agents.MachineState, record *storage.MachineRecord,
+) (longest time.Duration, isPending bool) {
 	heartbeat := m.LatestHeartbeat
 	if heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch {
 		return 0, false // the agent has killed its tasks
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -14,7 +14,7 @@
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
-		Canceller: NewCanceller(ctx),
+		Canceller: newCanceller(ctx),
 	}
 	return p
 }
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -63,18 +63,68 @@
 		reason    string
 		transient bool
 	}{
-		{"transfer without a name", TransferRequest{Shard: "p", Target: "stall-1"}, "a move needs a name of 1 to 100 bytes", false},
-		{"transfer from an unknown controller", TransferRequest{Name: "m", Source: "stall-8", Target: "stall-1"}, `no controller "stall-8" is up`, false},
-		{"transfer to an unknown controller", TransferRequest{Name: "m", Shard: "p", Target: "stall-9"}, `no controller "stall-9" is up`, false},
-		{"transfer of an unknown shard", TransferRequest{Name: "m", Shard: "x", Target: "stall-1"}, `no page "x"`, false},
-		{"transfer of nothing", TransferRequest{Name: "m", Target: "stall-1"}, "neither a page nor a controller to take one from is named", false},
-		{"transfer to its owner", TransferRequest{Name: "m", Shard: "p", Target: "stall-0"}, `the page is "stall-0"'s already`, false},
-		{"transfer of a shard whose owner has ended", TransferRequest{Name: "m", Shard: "q", Target: "stall-1"}, "the page's owner has ended; another controller takes it over", true},
-		{"transfer from a controller to itself", TransferRequest{Name: "m", Source: "stall-1", Target: "stall-1"}, "giver and taker are the same", false},
-		{"transfer from a controller without shards", TransferRequest{Name: "m", Source: "stall-1", Target: "stall-0"}, `"stall-1" has no page that could move`, true},
-		{"transfer to a version without support", TransferRequest{Name: "m", Shard: "p", Target: "stall-2"}, `controller "stall-2" runs a version, or with settings, that take no part in moves on record`, false},
-		{"abort of an unknown transfer", TransferRequest{Name: "m", Abort: true}, `no move "m"`, false},
-		{"drain of an unknown controller", DrainRequest{Controller: "stall-9", Drain: true}, `no controller "stall-9" is up`, false},
+		{
+			name:    "transfer without a name",
+			request: TransferRequest{Shard: "p", Target: "stall-1"},
+			reason:  "a move needs a name of 1 to 100 bytes",
+		},
+		{
+			name:    "transfer from an unknown controller",
+			request: TransferRequest{Name: "m", Source: "stall-8", Target: "stall-1"},
+			reason:  `no controller "stall-8" is up`,
+		},
+		{
+			name:    "transfer to an unknown controller",
+			request: TransferRequest{Name: "m", Shard: "p", Target: "stall-9"},
+			reason:  `no controller "stall-9" is up`,
+		},
+		{
+			name:    "transfer of an unknown shard",
+			request: TransferRequest{Name: "m", Shard: "x", Target: "stall-1"},
+			reason:  `no page "x"`,
+		},
+		{
+			name:    "transfer of nothing",
+			request: TransferRequest{Name: "m", Target: "stall-1"},
+			reason:  "neither a page nor a controller to take one from is named",
+		},
+		{
+			name:    "transfer to its owner",
+			request: TransferRequest{Name: "m", Shard: "p", Target: "stall-0"},
+			reason:  `the page is "stall-0"'s already`,
+		},
+		{
+			name:      "transfer of a shard whose owner has ended",
+			request:   TransferRequest{Name: "m", Shard: "q", Target: "stall-1"},
+			reason:    "the page's owner has ended; another controller takes it over",
+			transient: true,
+		},
+		{
+			name:    "transfer from a controller to itself",
+			request: TransferRequest{Name: "m", Source: "stall-1", Target: "stall-1"},
+			reason:  "giver and taker are the same",
+		},
+		{
+			name:      "transfer from a controller without shards",
+			request:   TransferRequest{Name: "m", Source: "stall-1", Target: "stall-0"},
+			reason:    `"stall-1" has no page that could move`,
+			transient: true,
+		},
+		{
+			name:    "transfer to a version without support",
+			request: TransferRequest{Name: "m", Shard: "p", Target: "stall-2"},
+			reason:  `controller "stall-2" runs a version, or with settings, that take no part in moves on record`,
+		},
+		{
+			name:    "abort of an unknown transfer",
+			request: TransferRequest{Name: "m", Abort: true},
+			reason:  `no move "m"`,
+		},
+		{
+			name:    "drain of an unknown controller",
+			request: DrainRequest{Controller: "stall-9", Drain: true},
+			reason:  `no controller "stall-9" is up`,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
--- a/internal/coordination/requests/parts.go
+++ b/internal/coordination/requests/parts.go
@@ -18,7 +18,7 @@
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
 		Operators: &OperatorRequests{Context: ctx},
-		Users:     NewUserRequests(ctx),
+		Users:     newUserRequests(ctx),
 	}
 	return p
 }
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -49,8 +49,8 @@
 	revisionRead revisionRead
 }
 
-// NewUserRequests makes a part with no request in it.
-func NewUserRequests(ctx *step.Context) *UserRequests {
+// newUserRequests makes a part with no request in it.
+func newUserRequests(ctx *step.Context) *UserRequests {
 	return &UserRequests{
 		Context:     ctx,
 		submissions: map[protocol.JobID]*submission{},
@@ -113,7 +113,9 @@
 }
 
 // jobStatus is what the replica says of a job, as the answer to a type of request.
-func (h *UserRequests) jobStatus(id protocol.JobID, record *storage.JobRecord, requestType protocol.RequestType) protocol.JobStatus {
+func (h *UserRequests) jobStatus(
+	id protocol.JobID, record *storage.JobRecord, requestType protocol.RequestType,
+) protocol.JobStatus {
 	status := protocol.JobStatus{ID: id, State: record.State}
 	running := 0
 	if !record.State.IsTerminal() {
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"net/http"
+	"slices"
 	"testing"
 	"time"
 
@@ -51,7 +52,7 @@
 
 func (f *fixture) wantStatuses(t *testing.T, when string, want ...int) {
 	t.Helper()
-	if got := f.replyStatuses(); fmt.Sprint(got) != fmt.Sprint(want) {
+	if got := f.replyStatuses(); !slices.Equal(got, want) {
 		t.Errorf("%s: answered %v, want %v", when, got, want)
 	}
 }
@@ -222,15 +223,16 @@
 
 // Users who would wait too long, or for a store that is unavailable, are told to ask again.
 func TestExpireUserRequests(t *testing.T) {
+	allRejected := slices.Repeat([]int{http.StatusServiceUnavailable}, 3)
 	for _, c := range []struct {
-		name           string
-		wait           time.Duration
-		storeFails     bool
-		want, wantJobs []int
+		name       string
+		wait       time.Duration
+		storeFails bool
+		want       []int
 	}{
 		{name: "at the timeout", wait: 1500 * time.Millisecond},
-		{name: "after the timeout", wait: 1501 * time.Millisecond, want: []int{503}, wantJobs: []int{503, 503}},
-		{name: "store unavailable", wait: 1100 * time.Millisecond, storeFails: true, want: []int{503}, wantJobs: []int{503, 503}},
+		{name: "after the timeout", wait: 1501 * time.Millisecond, want: allRejected},
+		{name: "store unavailable", wait: 1100 * time.Millisecond, storeFails: true, want: allRejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
@@ -258,8 +260,8 @@
 					t.Errorf("told %q, to come back after %d s", reply.Body, reply.RetryAfterSeconds)
 				}
 			}
-			if want := append(c.wantJobs, c.want...); fmt.Sprint(statuses) != fmt.Sprint(want) {
-				t.Errorf("answered %v, want %v", statuses, want)
+			if !slices.Equal(statuses, c.want) {
+				t.Errorf("answered %v, want %v", statuses, c.want)
 			}
 			if isLeft := len(c.want) == 0; f.Users.HasSubmissions() != isLeft || f.Users.HasDeferred() != isLeft {
 				t.Errorf("submissions left %v, deferred requests left %v, want %v", f.Users.HasSubmissions(), f.Users.HasDeferred(), isLeft)
