--- a/internal/coordination/requests/request_error.go
+++ b/internal/coordination/requests/request_error.go
@@ -7,7 +7,8 @@
 	"tillerarch/internal/storage"
 )
 
-// RequestError is why a request of an operator is refused.
+// RequestError is why a request of an operator is refused. Operators' tools show the reason as it
+// is, so the texts keep their words, "page" for a shard and "move" for a transfer, as the commands do.
 type RequestError struct {
 	Reason    string
 	Transient bool // it may be asked again as it is
