--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The project's whole check: format, vet, linter, tests with the race detector, and the
-# build that deploy/service.toml names.
+# The project's whole check: format, vet, linters (the files with the build tag golden too),
+# tests with the race detector, and the build that deploy/service.toml names.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal)
@@ -8,8 +8,11 @@
   echo "gofmt: $unformatted" >&2
   exit 1
 fi
-go vet ./...
-go tool -modfile=tools/go.mod staticcheck ./...
+for tags in "" golden; do
+  go vet -tags="$tags" ./...
+  go tool -modfile=tools/go.mod staticcheck -tags="$tags" ./...
+done
+go tool -modfile=tools/go.mod go-errorlint ./...
 go test -race -count=1 -timeout 30m ./...
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)
 bash -c "$build"
