--- /dev/null
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -0,0 +1,218 @@
+package scheduling
+
+import (
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// provisioningIDPrefix starts the ID of a candidate that has no machine yet; no machine's ID
+// begins with it.
+const provisioningIDPrefix = "~"
+
+// expectedProvisioning is how many machines being provisioned the candidate list has space for
+// before it grows.
+const expectedProvisioning = 16
+
+// candidateLister lists machines with their free capacity as candidates for placement.
+type candidateLister struct {
+	*step.Context
+
+	agents      *agents.Table
+	catalog     *catalog.Catalog
+	lease       *commit.Lease
+	provisioner *provisioning.Provisioner
+	queue       *Queue
+	spot        *catalog.SpotPricing
+	terminator  *provisioning.Terminator
+	transfers   *ownership.Transfers
+
+	nextFleetLogAt protocol.Instant
+}
+
+// listCandidates lists all machines as the batch leaves them, by ID, and behind them those that
+// are being provisioned.
+func (l *candidateLister) listCandidates(b *commit.Batch) []*Candidate {
+	machines := l.Replica.SortedMachines()
+	listing := l.newListing(b)
+	candidates := make([]*Candidate, 0, len(machines)+expectedProvisioning)
+	for _, entry := range machines {
+		id, record := entry.ID, &entry.Record
+		if b.ChangesShard(record.Shard) {
+			if b.RemovesMachine(id) {
+				continue
+			}
+			record = b.MachineRecord(id)
+		}
+		if machineType := listing.machineTypes[record.MachineType]; machineType != nil {
+			candidates = append(candidates, listing.candidate(id, record, machineType))
+		}
+	}
+	return append(candidates, l.provisioningCandidates()...)
+}
+
+// isMachineAllowed tells whether tasks of a job may be on the machine at all.
+func (l *candidateLister) isMachineAllowed(spec *protocol.Job, machine *Candidate) bool {
+	if !spec.AllowsPlacement(machine.record.MachineType, machine.record.Zone) {
+		return false
+	}
+	return !machine.record.Spot || l.spot.CanUseSpot(spec, machine.machineType)
+}
+
+// awaitsHeartbeat tells whether what is recorded for an own machine reaches it with its next
+// heartbeat only: no heartbeat is deferred here that could be answered now.
+func (l *candidateLister) awaitsHeartbeat(machine *Candidate) bool {
+	state := l.agents.Lookup(machine.id)
+	return machine.record.Owner == l.lease.Incarnation() && state != nil && state.DeferredRequest == 0
+}
+
+// candidateListing is what one listing looks up once for all machines.
+type candidateListing struct {
+	lister         *candidateLister
+	batch          *commit.Batch
+	machineTypes   map[protocol.MachineTypeName]*protocol.MachineType
+	liveOwners     map[storage.Incarnation]bool
+	quiescedShards map[storage.ShardID]bool
+	precedences    map[*protocol.Job]int
+}
+
+func (l *candidateLister) newListing(b *commit.Batch) *candidateListing {
+	listing := &candidateListing{
+		lister:         l,
+		batch:          b,
+		machineTypes:   map[protocol.MachineTypeName]*protocol.MachineType{},
+		liveOwners:     map[storage.Incarnation]bool{l.lease.Incarnation(): true},
+		quiescedShards: l.transfers.ShardsInTransfer(ownership.IsPrepared),
+		precedences:    map[*protocol.Job]int{},
+	}
+	for _, entry := range l.Replica.Controllers {
+		listing.liveOwners[entry.Record.Incarnation] = true
+	}
+	types := l.catalog.MachineTypes()
+	for i := range types {
+		listing.machineTypes[types[i].Name] = &types[i]
+	}
+	return listing
+}
+
+// candidate makes the candidate of a machine on record.
+func (c *candidateListing) candidate(
+	id protocol.MachineID, record *storage.MachineRecord, machineType *protocol.MachineType,
+) *Candidate {
+	machine := &Candidate{
+		machineSnapshot: machineSnapshot{
+			id:             id,
+			record:         record,
+			machineType:    machineType,
+			state:          c.lister.agents.Lookup(id),
+			isProvisioning: record.AgentEpoch == 0,
+		},
+		plannedUse: plannedUse{
+			free:            catalog.CapacityOf(machineType),
+			isUnschedulable: c.isClosed(id, record),
+		},
+	}
+	c.addAssignments(machine)
+	if record.Spot && !machine.isUnschedulable {
+		c.checkSpotUse(machine)
+	}
+	return machine
+}
+
+// isClosed tells whether the machine takes no new task, whatever its resources are.
+func (c *candidateListing) isClosed(id protocol.MachineID, record *storage.MachineRecord) bool {
+	return record.Terminating || record.Cordoned || !c.liveOwners[record.Owner] ||
+		c.quiescedShards[record.Shard] || c.lister.terminator.IsTerminating(id)
+}
+
+// addAssignments allocates what the records assign to the machine.
+func (c *candidateListing) addAssignments(machine *Candidate) {
+	for i := range machine.record.Assignments {
+		assigned := &machine.record.Assignments[i]
+		job := c.batch.JobRecord(assigned.Job)
+		if job == nil || job.Spec == nil {
+			machine.isUnschedulable = true // how much its tasks take is unknown
+			continue
+		}
+		count := assigned.Tasks.Len()
+		machine.free.Allocate(job.Spec, count)
+		machine.allocations = append(machine.allocations, allocation{
+			job:        assigned.Job,
+			attempt:    assigned.Attempt,
+			count:      count,
+			spec:       job.Spec,
+			precedence: c.precedenceOf(job.Spec),
+		})
+	}
+}
+
+func (c *candidateListing) precedenceOf(spec *protocol.Job) int {
+	precedence, ok := c.precedences[spec]
+	if !ok {
+		precedence = c.lister.queue.precedenceOf(spec)
+		c.precedences[spec] = precedence
+	}
+	return precedence
+}
+
+// checkSpotUse closes a spot machine while its price is above the threshold, and near the end of
+// its period.
+func (c *candidateListing) checkSpotUse(machine *Candidate) {
+	l, record := c.lister, machine.record
+	age := step.MillisToDuration(l.Now.Wall - record.AddedAt)
+	machine.isNearSpotPeriodEnd = catalog.IsNearPeriodBoundary(
+		machine.id, age, l.Config.SpotPeriod, l.Config.SpotPeriodEndMargin)
+	threshold := l.spot.Threshold(catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone})
+	isTooDear := threshold != nil && !threshold.AllowsSpot()
+	if isTooDear || machine.isNearSpotPeriodEnd {
+		machine.isUnschedulable = true
+	}
+}
+
+// provisioningCandidates lists the machines of provision requests that are not on record yet.
+func (l *candidateLister) provisioningCandidates() []*Candidate {
+	var candidates []*Candidate
+	for _, name := range step.SortedKeys(l.provisioner.Requests) {
+		request := l.provisioner.Requests[name]
+		machineType := l.catalog.MachineType(request.Request.Type)
+		if machineType == nil {
+			continue
+		}
+		missing := request.Request.Count
+		if request.GrantedMachines != nil {
+			missing = l.countUnrecorded(request.GrantedMachines)
+		}
+		for range missing {
+			record := &storage.MachineRecord{
+				MachineType: request.Request.Type,
+				Zone:        request.Request.Zone,
+				Spot:        request.Request.Spot,
+			}
+			candidates = append(candidates, &Candidate{
+				machineSnapshot: machineSnapshot{
+					id:             protocol.MachineID(provisioningIDPrefix + name),
+					record:         record,
+					machineType:    machineType,
+					isProvisioning: true,
+				},
+				plannedUse: plannedUse{free: catalog.CapacityOf(machineType)},
+			})
+		}
+	}
+	return candidates
+}
+
+func (l *candidateLister) countUnrecorded(machines []protocol.MachineID) int {
+	missing := 0
+	for _, id := range machines {
+		if l.Replica.Machines[id] == nil {
+			missing++
+		}
+	}
+	return missing
+}
--- /dev/null
+++ b/internal/coordination/scheduling/contention_test.go
@@ -0,0 +1,54 @@
+package scheduling
+
+import (
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/protocol"
+)
+
+// While tasks wait that fit one type only, jobs that can have a cheaper type in time leave it to
+// them. Small tasks of high priority used to fill the machines that had been provisioned for
+// large ones, for which the dearest machines were provisioned then.
+func TestContendedMachineTypes(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		waitingCores float64 // of the tasks that found no machine; 0: there are none
+		ago          time.Duration
+		slack        time.Duration
+		isExhausted  bool // the cloud has no small machines
+		want         []protocol.MachineTypeName
+	}{
+		{"no tasks wait", 0, 0, 90 * time.Second, false, nil},
+		{"large tasks wait", 16, 0, 90 * time.Second, false, []protocol.MachineTypeName{"large"}},
+		{"they did some time ago", 16, 5 * time.Second, 90 * time.Second, false, nil},
+		{"a small machine would come too late", 16, 0, 30 * time.Second, false, nil},
+		{"there are no small machines", 16, 0, 90 * time.Second, true, nil},
+		{"small tasks wait", 4, 0, 90 * time.Second, false, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			if c.waitingCores > 0 {
+				f.contention.recordContention(f.newPendingJob(newArrayJob(c.waitingCores, 20), time.Minute))
+			}
+			f.Now.Monotonic = f.Now.Monotonic.Add(c.ago)
+			if c.isExhausted {
+				for _, zone := range smallMachineType.Zones {
+					for _, spot := range []bool{true, false} {
+						pool := provisioning.PoolKey{MachineType: "small", Zone: zone, Spot: spot}
+						f.provisioning.Provisioner.ExhaustedAt[pool] = f.Now.Monotonic
+					}
+				}
+			}
+			f.Plan.pass.contendedTypes = f.contention.contendedTypes()
+			job := f.newPendingJob(newArrayJob(4, 20), c.slack)
+			got := slices.Sorted(maps.Keys(f.contention.typesToAvoid(job)))
+			if !slices.Equal(got, c.want) {
+				t.Errorf("leaves %v; wanted %v", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -0,0 +1,223 @@
+package scheduling
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/ownership"
+	"tillerarch/internal/coordination/provisioning"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// Small machines are cheap by the core and slow to boot, large ones the other way round.
+var (
+	smallMachineType = protocol.MachineType{
+		Name: "small", Cores: 4, MemoryGB: 8,
+		OnDemandPrice: 0.16, SpotPrice: 0.06,
+		BootSeconds: 40, ImagePullGBPerSecond: 0.25,
+		Zones: []protocol.Zone{"a", "b"},
+	}
+	largeMachineType = protocol.MachineType{
+		Name: "large", Cores: 16, MemoryGB: 32,
+		OnDemandPrice: 0.64, SpotPrice: 0.27,
+		BootSeconds: 15, ImagePullGBPerSecond: 0.8,
+		Zones: []protocol.Zone{"a", "b"},
+	}
+)
+
+// fixture is the parts of scheduling with those of the packages below, wired as Core does but
+// without cancellations.
+type fixture struct {
+	*step.Context
+	*Parts
+
+	catalog      *catalog.Parts
+	commit       *commit.Parts
+	agents       *agents.Parts
+	provisioning *provisioning.Parts
+}
+
+// newCoreWithTwoMachineTypes makes the parts of a controller that is registered and up to date,
+// with an empty fleet of two machine types.
+func newCoreWithTwoMachineTypes(t *testing.T) *fixture {
+	t.Helper()
+	f := wireParts(newStepContext())
+	f.register(t)
+	f.catalog.Catalog.OnMachineTypes(step.ListMachineTypesResult{
+		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
+	})
+	return f
+}
+
+// newStepContext is the configuration and the time of a controller that knows nothing yet.
+func newStepContext() *step.Context {
+	return &step.Context{
+		Config: step.Config{
+			ControllerID:      "stall-0",
+			Quotas:            map[string]step.Quota{"core": {}},
+			HeartbeatInterval: 2 * time.Second,
+			AgentLeaseTTL:     14 * time.Second,
+			CancelTimeout:     40 * time.Second,
+			WritesPerSecond:   100,
+			TransactionOps:    8,
+			ValueBytes:        8192,
+			Tuning:            step.DefaultTuning(),
+		},
+		Now:     step.Now{Monotonic: 1, Wall: 1e12},
+		Rand:    rand.New(rand.NewPCG(0, 7)),
+		Replica: storage.NewReplica(),
+	}
+}
+
+// wireParts makes the parts and connects them with each other.
+func wireParts(ctx *step.Context) *fixture {
+	offers := catalog.New(ctx)
+	records := commit.New(ctx)
+	machines := agents.New(ctx)
+	owners := ownership.New(ctx)
+	cloud := provisioning.New(ctx)
+	parts := New(ctx)
+	records.Connect(commit.Dependencies{
+		MachineTracker:    machines.Table,
+		StoreReports:      owners.Peers,
+		SuccessorElection: owners.Manager,
+		Catalog:           offers.Catalog,
+		TransferTracker:   owners.Transfers,
+	})
+	machines.Connect(agents.Dependencies{
+		Catalog:            offers.Catalog,
+		RemovalRecorder:    cloud.Terminator,
+		Lease:              records.Lease,
+		PlacementForecast:  parts.Plan,
+		Replication:        records.Replication,
+		QuiesceChecker:     owners.Transfers,
+		Commits:            records.Commits,
+		Shards:             records.Shards,
+		TerminationChecker: cloud.Terminator,
+		ScaleInEvaluator:   cloud.Terminator,
+	})
+	owners.Connect(ownership.Dependencies{
+		Lease:       records.Lease,
+		Misdirected: machines.Misdirected,
+		Replication: records.Replication,
+		Store:       records.Store,
+		Agents:      machines.Table,
+		Limits:      records.Limits,
+		Shards:      records.Shards,
+	})
+	cloud.Connect(provisioning.Dependencies{
+		Ownership:    owners.Manager,
+		Replication:  records.Replication,
+		Catalog:      offers.Catalog,
+		Lease:        records.Lease,
+		DemandSource: parts.Plan,
+		Spot:         offers.Spot,
+		Agents:       machines.Table,
+		PlanUse:      parts.Plan,
+		IdlePolicy:   parts.Scheduler,
+	})
+	parts.Connect(Dependencies{
+		Catalog:     offers.Catalog,
+		Agents:      machines.Table,
+		Lease:       records.Lease,
+		Provisioner: cloud.Provisioner,
+		Spot:        offers.Spot,
+		Terminator:  cloud.Terminator,
+		Transfers:   owners.Transfers,
+		Jobs:        machines.Jobs,
+		Limits:      records.Limits,
+		Ownership:   owners.Manager,
+		Commits:     records.Commits,
+		Stopper:     machines.Stopper,
+	})
+	return &fixture{
+		Context:      ctx,
+		Parts:        parts,
+		catalog:      offers,
+		commit:       records,
+		agents:       machines,
+		provisioning: cloud,
+	}
+}
+
+// register brings the controller to the point where it is registered and up to date.
+func (f *fixture) register(t *testing.T) {
+	t.Helper()
+	f.commit.Limits.UpdateWriteLimiter()
+	f.commit.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: 7})
+	f.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
+	f.commit.Commits.ReadyForRecordBatch() // sends the registration
+	f.commit.Commits.OnCommitResult(step.CommitResult{
+		ID:      f.commit.Commits.PendingTransaction.ID,
+		Outcome: storage.OutcomeApplied,
+		Result:  protocol.TransactionResult{Revision: 2},
+	})
+	f.commit.Replication.OnWatchResult(step.WatchResult{
+		AfterRevision: 1,
+		Response:      &protocol.WatchResponse{Revision: 2},
+	})
+	if !f.commit.Lease.IsRegistered() || !f.commit.Replication.IsUpToDate() {
+		t.Fatal("the controller is not registered and up to date")
+	}
+}
+
+func newArrayJob(cores, estimate float64) *protocol.Job {
+	return &protocol.Job{
+		ID:                  "j-1",
+		Class:               "lane",
+		Team:                "core",
+		Kind:                protocol.KindArray,
+		TaskCount:           10,
+		Cores:               cores,
+		MemoryGB:            cores,
+		AllowSpot:           true,
+		Image:               "b",
+		EstimatedRunSeconds: estimate,
+	}
+}
+
+// newPendingJob is a job submitted now whose tasks may wait for slack before they have to start.
+func (f *fixture) newPendingJob(spec *protocol.Job, slack time.Duration) *PendingJob {
+	latestStart := f.Now.Wall + protocol.Millis(slack.Milliseconds())
+	job := &PendingJob{
+		id:            spec.ID,
+		record:        &storage.JobRecord{Spec: spec, Owner: f.commit.Lease.Incarnation(), SubmittedAt: f.Now.Wall},
+		startDeadline: startDeadline{latestStart: latestStart, initialLatestStart: latestStart},
+		placementProgress: placementProgress{
+			tasksByZone: map[protocol.Zone]int{},
+		},
+	}
+	job.isUrgent = f.Queue.needsWarmCapacity(job)
+	return job
+}
+
+// newCandidate is an empty machine in zone a.
+func newCandidate(machineType *protocol.MachineType, id protocol.MachineID, spot bool) *Candidate {
+	return &Candidate{
+		machineSnapshot: machineSnapshot{
+			id:          id,
+			record:      &storage.MachineRecord{MachineType: machineType.Name, Zone: "a", Spot: spot},
+			machineType: machineType,
+		},
+		plannedUse: plannedUse{free: catalog.Resources{Cores: machineType.Cores, MemoryGB: machineType.MemoryGB}},
+	}
+}
+
+// addTasks allocates running tasks of a job that were assigned to the machine some time ago.
+func (f *fixture) addTasks(machine *Candidate, spec *protocol.Job, alloc allocation, runningFor time.Duration) {
+	alloc.spec = spec
+	machine.free.Allocate(spec, alloc.count)
+	machine.allocations = append(machine.allocations, alloc)
+	now := f.Now.Monotonic
+	f.Now.Monotonic = now.Add(-runningFor)
+	f.agents.Table.RecordAssignments(machine.id, nil, &storage.MachineRecord{
+		Assignments: []storage.Assignment{{Job: alloc.job, Attempt: alloc.attempt}},
+	})
+	f.Now.Monotonic = now
+}
--- /dev/null
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -0,0 +1,217 @@
+package scheduling
+
+import (
+	"slices"
+
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/protocol"
+)
+
+// preemptionSeconds is how long it takes to stop what runs on a machine and to write it.
+const preemptionSeconds = 6
+
+// gangPlacer places one gang, of which no task is placed, in a pass.
+type gangPlacer struct {
+	gangs      *gangScheduler
+	batch      *commit.Batch
+	job        *PendingJob
+	candidates []*Candidate
+	zones      []protocol.Zone // any of which may take all its tasks
+	tasks      int
+}
+
+// place writes a placement of the gang, plans one that cannot be written now, or starts a
+// preemption for it.
+func (p *gangPlacer) place() {
+	chosen := p.choose()
+	switch {
+	case chosen == nil:
+		p.preempt()
+	case p.canWrite(chosen):
+		p.write(chosen)
+	default:
+		p.plan(chosen)
+	}
+}
+
+// choose chooses where the tasks of the gang go; nil: tasks are to be preempted for them first.
+func (p *gangPlacer) choose() []placement {
+	onFree := p.cheapestOnFree()
+	preemption := p.gangs.preemption
+	if reservation := preemption.currentReservation(p.job, p.candidates, p.tasks); reservation != nil {
+		if !hasFreeCapacity(reservation, p.job.record.Spec) {
+			return nil // until what runs there has been stopped
+		}
+		return reservation
+	}
+	if onFree != nil && p.isPreemptionQuicker(onFree) {
+		return nil
+	}
+	return onFree
+}
+
+// cheapestOnFree distributes the gang over free capacity, in the zone where that costs least.
+func (p *gangPlacer) cheapestOnFree() []placement {
+	var best []placement
+	for _, zone := range p.zones {
+		placements := p.gangs.distributeOnFree(p.batch, p.job, zone, p.tasks)
+		if placements != nil && (best == nil || placementCost(placements) < placementCost(best)) {
+			best = placements
+		}
+	}
+	return best
+}
+
+// isPreemptionQuicker tells whether the gang starts sooner if tasks of lower priority are
+// stopped: that is quicker than to wait for a machine that boots, or for an image where others
+// have it.
+func (p *gangPlacer) isPreemptionQuicker(placements []placement) bool {
+	if !p.gangs.preemption.fitsJobRecord(placements) {
+		return false
+	}
+	mustBoot := waitsForBoot(placements)
+	if mustBoot || waitsForImage(placements, p.job.record.Spec) {
+		if p.cheapestPreemption(true) != nil {
+			return true
+		}
+	}
+	return mustBoot && p.cheapestPreemption(false) != nil
+}
+
+// waitsForBoot tells whether a machine is not up yet.
+func waitsForBoot(placements []placement) bool {
+	return slices.ContainsFunc(placements, func(chosen placement) bool { return chosen.machine.isProvisioning })
+}
+
+// waitsForImage tells whether a machine takes longer to fetch the image than a preemption takes
+// elsewhere.
+func waitsForImage(placements []placement, spec *protocol.Job) bool {
+	return slices.ContainsFunc(placements, func(chosen placement) bool {
+		isSlowFetch := catalog.ImageFetchSeconds(chosen.machine.machineType, spec) > preemptionSeconds
+		return isSlowFetch && !chosen.machine.state.HasImage(spec.Image)
+	})
+}
+
+// canWrite tells whether this incarnation writes the placement now. A gang too large for one
+// transaction is written in several; no task of it starts before the last one is written.
+func (p *gangPlacer) canWrite(placements []placement) bool {
+	g := p.gangs
+	isBackingOff := attemptsOf(g.jobs, p.job.id).isBackingOff(g.Now.Monotonic)
+	if waitsForBoot(placements) || isBackingOff || !g.acquirer.canWritePlacements(p.batch, p.job) {
+		return false
+	}
+	machines := make([]protocol.MachineID, 0, len(placements))
+	for _, chosen := range placements {
+		if !p.batch.HasShardHeadroom(chosen.machine.record) {
+			return false
+		}
+		machines = append(machines, chosen.machine.id)
+	}
+	fits, opsWhenEmpty := p.batch.CanWriteMachines(machines)
+	fitsNoTransaction := opsWhenEmpty == 0
+	if fits || fitsNoTransaction {
+		return true
+	}
+	if g.plan.pendingGangOps == 0 {
+		g.plan.pendingGangOps = opsWhenEmpty + g.limits.ReservedUserTokens()
+	}
+	return false
+}
+
+// write writes as much of the placement as the transaction takes.
+func (p *gangPlacer) write(placements []placement) {
+	g, job := p.gangs, p.job
+	pending := g.acquirer.pendingTasks(p.batch, job, p.tasks)
+	attempts := attemptsOf(g.jobs, job.id)
+	attempt := attempts.next()
+	p.batch.OnSend(func() { attempts.beginGang(attempt) })
+	for _, chosen := range placements {
+		if g.scheduler.fitsTransaction(p.batch, chosen.machine, job.record.Spec) {
+			g.writeGangTasks(p.batch, job, chosen.machine, pending[:chosen.count], attempt)
+		}
+		pending = pending[chosen.count:]
+		job.recordAllocation(chosen.machine, chosen.count, attempt)
+		g.plan.retainMachine(chosen.machine)
+	}
+}
+
+// plan notes a placement that is not written in this pass.
+func (p *gangPlacer) plan(placements []placement) {
+	for _, chosen := range placements {
+		p.job.recordAllocation(chosen.machine, chosen.count, 0)
+		p.gangs.plan.retainMachine(chosen.machine)
+		p.gangs.plan.expectPlacement(chosen.machine)
+	}
+}
+
+// preempt keeps machines for a gang that fits nowhere, while their owners stop tasks of lower
+// priority there. The job's owner chooses them and records its choice: if every owner chose for
+// itself, two could preempt for one gang.
+func (p *gangPlacer) preempt() {
+	g, job := p.gangs, p.job
+	canWrite := g.acquirer.canWritePlacements(p.batch, job)
+	placements := g.preemption.currentReservation(job, p.candidates, p.tasks)
+	if placements == nil && job.isStarved {
+		if g.reserveMachines(p.batch, job, p.candidates, p.zones, p.tasks) && canWrite {
+			p.addDemand()
+		}
+		if g.plan.pass.reservedPrecedences[job.precedence] {
+			return
+		}
+	}
+	if placements == nil && canWrite {
+		placements = p.choosePreemption()
+	}
+	for _, chosen := range placements {
+		p.preemptOn(chosen)
+		job.recordAllocation(chosen.machine, chosen.count, 0)
+		g.plan.retainMachine(chosen.machine)
+	}
+}
+
+// choosePreemption chooses the machines on which tasks are stopped for the gang, and records the
+// choice; nil: there are none, and the gang is unmet demand.
+func (p *gangPlacer) choosePreemption() []placement {
+	placements := p.cheapestPreemption(true)
+	if placements == nil {
+		placements = p.cheapestPreemption(false)
+	}
+	if placements == nil || !p.gangs.preemption.fitsJobRecord(placements) {
+		p.addDemand()
+		return nil
+	}
+	if p.batch.HasCapacity(p.batch.WritesNeeded("", p.job.id)) {
+		recordReservation(p.batch, p.job.id, placements, "preemption planned for gang")
+	}
+	return placements
+}
+
+// cheapestPreemption chooses the machines on which the least work is lost; with requireImage,
+// among those that have the image. nil: there are not enough.
+func (p *gangPlacer) cheapestPreemption(requireImage bool) []placement {
+	return p.gangs.preemption.cheapestPreemption(p.job, p.candidates, p.zones, p.tasks, requireImage)
+}
+
+// preemptOn stops as much on a reserved machine as the gang's tasks there need. The choice must
+// be on record before anything is stopped for it.
+func (p *gangPlacer) preemptOn(chosen placement) {
+	recorded := p.gangs.Replica.Jobs[p.job.id].Record.ReservedMachines
+	isReserved := slices.Contains(recorded, chosen.machine.id)
+	free := chosen.machine.free
+	for _, victim := range p.gangs.preemption.victims(chosen.machine, p.job) {
+		if free.CapacityFor(p.job.record.Spec) >= chosen.count {
+			return
+		}
+		free.Allocate(victim.spec, -victim.count)
+		isWritten := victim.attempt > 0
+		if isWritten && isReserved {
+			p.gangs.preemption.preemptTasks(chosen.machine, victim, p.job, victim.count)
+		}
+	}
+}
+
+// addDemand notes that no machines can take the gang.
+func (p *gangPlacer) addDemand() {
+	p.gangs.plan.addDemand(p.job, p.tasks, p.job.record.Spec.Zone, true)
+}
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -13,8 +13,16 @@
 	"tillerarch/internal/storage"
 )
 
-// JobAcquirer acquires jobs for this controller and tells which of their tasks are to be placed.
-type JobAcquirer struct {
+const (
+	// successorDelay is how long an incarnation must have expired before its successor acquires
+	// its jobs: its last transaction may still arrive.
+	successorDelay = 500 * time.Millisecond
+	// anyControllerDelay is when any controller may acquire them, should the successor not.
+	anyControllerDelay = 10 * time.Second
+)
+
+// jobAcquirer acquires jobs for this controller and tells which of their tasks are to be placed.
+type jobAcquirer struct {
 	*step.Context
 
 	jobs      *agents.JobTable
@@ -23,75 +31,95 @@
 	ownership *ownership.Manager
 }
 
-// acquireJob takes over jobs whose claimant is dead, and sets attempts aside.
-func (ja *JobAcquirer) acquireJob(b *commit.Batch, job *PendingJob) {
-	state := ja.jobs.JobState(job.ID)
-	if job.Record.Owner == ja.lease.Incarnation() {
-		if state.AttemptsOwner != ja.lease.Incarnation() || job.Record.NextAttempt > state.AttemptsEnd {
-			state.AttemptsOwner, state.NextAttempt, state.AttemptsEnd = ja.lease.Incarnation(), job.Record.NextAttempt-step.AttemptBlockSize+1, job.Record.NextAttempt
-		}
-		if state.AttemptsEnd-state.NextAttempt > 8 {
+// acquireJob acquires a job whose owner has expired, and reserves attempt numbers for an own one
+// that runs out of them.
+func (ja *jobAcquirer) acquireJob(b *commit.Batch, job *PendingJob) {
+	self := ja.lease.Incarnation()
+	attempts := attemptsOf(ja.jobs, job.id)
+	if job.record.Owner == self {
+		attempts.adoptBlock(self, job.record)
+		if attempts.hasSpare() {
 			return
 		}
-	} else if expiredAt, isExpired := ja.ownership.ExpiredSince(job.Record.Owner); !isExpired || ja.Since(expiredAt) < 500*time.Millisecond ||
-		!ja.ownership.IsSuccessor(storage.JobKey(job.ID)) && ja.Since(expiredAt) < 10*time.Second {
+	} else if !ja.mayAcquire(job) {
 		return
 	}
-	if !b.HasCapacity(b.WritesNeeded("", job.ID)) {
+	if !b.HasCapacity(b.WritesNeeded("", job.id)) {
 		return
 	}
-	record := b.MutableJob(job.ID)
-	if record.Owner != ja.lease.Incarnation() {
-		b.Log(slog.LevelInfo, "job acquired", "job", string(job.ID), "source", string(record.Owner))
+	record := b.MutableJob(job.id)
+	if record.Owner != self {
+		b.Log(slog.LevelInfo, "job acquired", "job", string(job.id), "source", string(record.Owner))
 	}
-	record.Owner = ja.lease.Incarnation()
+	record.Owner = self
 	record.NextAttempt += step.AttemptBlockSize
-	job.Record = record
+	job.record = record
 }
 
-// canWritePlacements tells whether this run may write placements of the job now. The replica
-// must have all that was written before the claim.
-func (ja *JobAcquirer) canWritePlacements(b *commit.Batch, job *PendingJob) bool {
-	entry := ja.Replica.Jobs[job.ID]
-	state := ja.jobs.JobState(job.ID)
-	return entry != nil && entry.Record.Owner == ja.lease.Incarnation() && state.AttemptsOwner == ja.lease.Incarnation() && state.NextAttempt < state.AttemptsEnd &&
-		ja.Replica.Revision >= protocol.Revision(entry.ModRevision) && b.JobRecord(job.ID).Owner == ja.lease.Incarnation()
+// mayAcquire tells whether the job's owner has expired, and this controller's turn has come.
+func (ja *jobAcquirer) mayAcquire(job *PendingJob) bool {
+	expiredAt, isExpired := ja.ownership.ExpiredSince(job.record.Owner)
+	if !isExpired || ja.Since(expiredAt) < successorDelay {
+		return false
+	}
+	return ja.ownership.IsSuccessor(storage.JobKey(job.id)) || ja.Since(expiredAt) >= anyControllerDelay
+}
+
+// canWritePlacements tells whether this incarnation may write placements of the job now. The
+// replica must contain all that was written before the job was acquired.
+func (ja *jobAcquirer) canWritePlacements(b *commit.Batch, job *PendingJob) bool {
+	self := ja.lease.Incarnation()
+	entry := ja.Replica.Jobs[job.id]
+	canUseAttempt := attemptsOf(ja.jobs, job.id).canUse(self)
+	if entry == nil || entry.Record.Owner != self || !canUseAttempt {
+		return false
+	}
+	isReplicaUpToDate := ja.Replica.Revision >= protocol.Revision(entry.ModRevision)
+	return isReplicaUpToDate && b.JobRecord(job.id).Owner == self
 }
 
-// pendingTasks lists up to max tasks that are neither done nor assigned, in order.
-func (ja *JobAcquirer) pendingTasks(b *commit.Batch, job *PendingJob, limit int) []int {
-	covered := b.DoneTasks(job.ID)
-	add := func(record *storage.MachineRecord) {
-		for a := range record.AssignmentsOf(job.ID) {
-			covered = covered.Union(a.Tasks)
+// pendingTasks lists up to limit tasks that are neither done nor assigned, in order.
+func (ja *jobAcquirer) pendingTasks(b *commit.Batch, job *PendingJob, limit int) []int {
+	covered := b.DoneTasks(job.id)
+	addAssigned := func(record *storage.MachineRecord) {
+		for assigned := range record.AssignmentsOf(job.id) {
+			covered = covered.Union(assigned.Tasks)
 		}
 	}
-	for id := range ja.Replica.MachinesWithJob(job.ID) {
+	recorded := ja.Replica.MachinesWithJob(job.id)
+	for id := range recorded {
 		if !b.RemovesMachine(id) {
-			add(b.MachineRecord(id))
+			addAssigned(b.MachineRecord(id))
 		}
 	}
 	for id, record := range b.ChangedMachines() {
-		if !ja.Replica.MachinesWithJob(job.ID)[id] {
-			add(record)
+		if !recorded[id] {
+			addAssigned(record)
 		}
 	}
-	return covered.FirstMissing(job.Record.Spec.TaskCount, limit)
+	return covered.FirstMissing(job.record.Spec.TaskCount, limit)
 }
 
-// maxTasksInProgress tells how many tasks of a job may be under way so that what is done of
-// it can be written, in whatever order they end.
-func (ja *JobAcquirer) maxTasksInProgress(tasks int) int {
-	intervalSize := 2*len(strconv.Itoa(tasks)) + 2 // "lo-hi,"
+// maxTasksInProgress tells how many tasks of a job may be in progress so that the set of done
+// ones fits the job's record, in whatever order they end.
+func (ja *jobAcquirer) maxTasksInProgress(tasks int) int {
+	const (
+		tasksPerBase64Byte  = 6 // the packed format may write a bit for each task, as base64
+		packedIntervalBytes = 6 // two varints of two bytes at most, for most intervals, as base64
+		separatorBytes      = 2 // of an interval in the plain format: "lo-hi,"
+		// The shortest interval that is written as one has two tasks, and a gap behind it.
+		tasksPerInterval = 3
+	)
+	intervalBytes := 2*len(strconv.Itoa(tasks)) + separatorBytes
 	budget := ja.limits.JobRecordBudget()
 	if ja.limits.StorageFormat() >= storage.FormatPacked {
-		if tasks/6 <= budget { // a bit each, as base64
+		if tasks/tasksPerBase64Byte <= budget {
 			return tasks
 		}
-		intervalSize = 6 // two varints of two bytes at most, for most of the runs
+		intervalBytes = packedIntervalBytes
 	}
-	if tasks/3*intervalSize <= budget {
+	if tasks/tasksPerInterval*intervalBytes <= budget {
 		return tasks
 	}
-	return budget / intervalSize
+	return budget / intervalBytes
 }
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -11,56 +11,57 @@
 
 // Parts are the parts of placement, connected with each other.
 type Parts struct {
-	Queue      *Queue
-	Capacity   *CandidateLister
-	Contention *ContentionTracker
-	Backfill   *Backfill
-	Plan       *Plan
-	Acquirer   *JobAcquirer
-	Scheduler  *Scheduler
-	Gangs      *GangScheduler
-	Services   *ServiceScheduler
-	Preemption *Preemptor
+	Queue     *Queue
+	Plan      *Plan
+	Scheduler *Scheduler
+	Services  *ServiceScheduler
+
+	lister     *candidateLister
+	contention *contentionTracker
+	backfill   *backfillPlanner
+	acquirer   *jobAcquirer
+	gangs      *gangScheduler
+	preemption *preemptor
 }
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
 		Queue:      &Queue{Context: ctx},
-		Capacity:   &CandidateLister{Context: ctx},
-		Contention: NewContentionTracker(ctx),
-		Backfill:   &Backfill{Context: ctx},
 		Plan:       &Plan{Context: ctx},
-		Acquirer:   &JobAcquirer{Context: ctx},
-		Scheduler:  NewScheduler(ctx),
-		Gangs:      &GangScheduler{Context: ctx},
+		Scheduler:  newScheduler(ctx),
 		Services:   &ServiceScheduler{Context: ctx},
-		Preemption: &Preemptor{Context: ctx},
+		lister:     &candidateLister{Context: ctx},
+		contention: newContentionTracker(ctx),
+		backfill:   &backfillPlanner{Context: ctx},
+		acquirer:   &jobAcquirer{Context: ctx},
+		gangs:      &gangScheduler{Context: ctx},
+		preemption: &preemptor{Context: ctx},
 	}
-	p.Capacity.queue = p.Queue
-	p.Contention.plan = p.Plan
-	p.Backfill.capacity = p.Capacity
-	p.Scheduler.acquirer = p.Acquirer
-	p.Scheduler.backfill = p.Backfill
-	p.Scheduler.capacity = p.Capacity
-	p.Scheduler.contention = p.Contention
-	p.Scheduler.gangs = p.Gangs
+	p.lister.queue = p.Queue
+	p.contention.plan = p.Plan
+	p.backfill.lister = p.lister
+	p.Scheduler.acquirer = p.acquirer
+	p.Scheduler.backfill = p.backfill
+	p.Scheduler.lister = p.lister
+	p.Scheduler.contention = p.contention
+	p.Scheduler.gangs = p.gangs
 	p.Scheduler.plan = p.Plan
 	p.Scheduler.queue = p.Queue
 	p.Scheduler.services = p.Services
-	p.Gangs.acquirer = p.Acquirer
-	p.Gangs.capacity = p.Capacity
-	p.Gangs.plan = p.Plan
-	p.Gangs.preemption = p.Preemption
-	p.Gangs.queue = p.Queue
-	p.Gangs.scheduler = p.Scheduler
-	p.Services.acquirer = p.Acquirer
-	p.Services.capacity = p.Capacity
+	p.gangs.acquirer = p.acquirer
+	p.gangs.lister = p.lister
+	p.gangs.plan = p.Plan
+	p.gangs.preemption = p.preemption
+	p.gangs.queue = p.Queue
+	p.gangs.scheduler = p.Scheduler
+	p.Services.acquirer = p.acquirer
+	p.Services.lister = p.lister
 	p.Services.plan = p.Plan
-	p.Services.preemption = p.Preemption
+	p.Services.preemption = p.preemption
 	p.Services.queue = p.Queue
 	p.Services.scheduler = p.Scheduler
-	p.Preemption.gangs = p.Gangs
+	p.preemption.gangs = p.gangs
 	return p
 }
 
@@ -83,36 +84,36 @@
 // Connect gives the parts what they need of other packages.
 func (p *Parts) Connect(d Dependencies) {
 	p.Queue.catalog = d.Catalog
-	p.Capacity.agents = d.Agents
-	p.Capacity.catalog = d.Catalog
-	p.Capacity.lease = d.Lease
-	p.Capacity.provisioner = d.Provisioner
-	p.Capacity.spot = d.Spot
-	p.Capacity.terminator = d.Terminator
-	p.Capacity.transfers = d.Transfers
-	p.Contention.catalog = d.Catalog
-	p.Contention.provisioner = d.Provisioner
-	p.Contention.spot = d.Spot
-	p.Backfill.agents = d.Agents
-	p.Backfill.catalog = d.Catalog
-	p.Backfill.jobs = d.Jobs
-	p.Acquirer.jobs = d.Jobs
-	p.Acquirer.lease = d.Lease
-	p.Acquirer.limits = d.Limits
-	p.Acquirer.ownership = d.Ownership
+	p.lister.agents = d.Agents
+	p.lister.catalog = d.Catalog
+	p.lister.lease = d.Lease
+	p.lister.provisioner = d.Provisioner
+	p.lister.spot = d.Spot
+	p.lister.terminator = d.Terminator
+	p.lister.transfers = d.Transfers
+	p.contention.catalog = d.Catalog
+	p.contention.provisioner = d.Provisioner
+	p.contention.spot = d.Spot
+	p.backfill.agents = d.Agents
+	p.backfill.catalog = d.Catalog
+	p.backfill.jobs = d.Jobs
+	p.acquirer.jobs = d.Jobs
+	p.acquirer.lease = d.Lease
+	p.acquirer.limits = d.Limits
+	p.acquirer.ownership = d.Ownership
 	p.Scheduler.catalog = d.Catalog
 	p.Scheduler.jobs = d.Jobs
 	p.Scheduler.lease = d.Lease
 	p.Scheduler.commits = d.Commits
-	p.Gangs.catalog = d.Catalog
-	p.Gangs.jobs = d.Jobs
-	p.Gangs.limits = d.Limits
+	p.gangs.catalog = d.Catalog
+	p.gangs.jobs = d.Jobs
+	p.gangs.limits = d.Limits
 	p.Services.agents = d.Agents
 	p.Services.catalog = d.Catalog
 	p.Services.jobs = d.Jobs
 	p.Services.lease = d.Lease
-	p.Preemption.agents = d.Agents
-	p.Preemption.lease = d.Lease
-	p.Preemption.limits = d.Limits
-	p.Preemption.stopper = d.Stopper
+	p.preemption.agents = d.Agents
+	p.preemption.lease = d.Lease
+	p.preemption.limits = d.Limits
+	p.preemption.stopper = d.Stopper
 }
--- /dev/null
+++ b/internal/coordination/scheduling/placement_test.go
@@ -0,0 +1,51 @@
+package scheduling
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+)
+
+// A placement of a task that has to start before its machine sends a heartbeat by itself makes the
+// machine's agent send one at once; no other placement does.
+func TestExpediteUrgentTasks(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		slack  time.Duration
+		isLate bool
+		want   bool
+	}{
+		{"it has to start soon", 8 * time.Second, false, true},
+		{"it can wait for a heartbeat", 60 * time.Second, false, false},
+		{"it is late in any case", time.Second, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			f.Config.HeartbeatInterval = 6 * time.Second
+			job := f.newPendingJob(newArrayJob(4, 20), c.slack)
+			job.isLate = c.isLate
+			if got := f.Queue.shouldExpedite(job); got != c.want {
+				t.Errorf("slack %v, late %v: %v", c.slack, c.isLate, got)
+			}
+		})
+	}
+	for _, c := range []struct {
+		name     string
+		deferred step.RequestID
+		want     bool
+	}{
+		{"no heartbeat is deferred", 0, true},
+		{"a heartbeat is deferred", 5, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			machine := newCandidate(&smallMachineType, "m-1", false)
+			machine.record.Owner = f.commit.Lease.Incarnation()
+			f.agents.Table.MachineState("m-1").DeferredRequest = c.deferred
+			if got := f.lister.awaitsHeartbeat(machine); got != c.want {
+				t.Errorf("heartbeat deferred as %d: %v", c.deferred, got)
+			}
+		})
+	}
+}
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"slices"
-	"sort"
 
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/catalog"
@@ -12,187 +11,91 @@
 	"tillerarch/internal/protocol"
 )
 
-// Preemptor finds the tasks whose preemption costs least, and stops them.
-type Preemptor struct {
+// reservedMachineBytes is what a reserved machine takes of a job's record.
+const reservedMachineBytes = 14
+
+// preemptor finds the tasks whose preemption costs least, and stops them.
+type preemptor struct {
 	*step.Context
 
 	agents  *agents.Table
-	gangs   *GangScheduler
+	gangs   *gangScheduler
 	lease   *commit.Lease
 	limits  *commit.WriteLimiter
 	stopper *agents.TaskStopper
 }
 
-// expectedRemainingSeconds is for how many seconds more tasks are expected to run.
-func (p *Preemptor) expectedRemainingSeconds(machine *Candidate, alloc Allocation) float64 {
-	if alloc.Desc.IsService() {
-		return unboundedRuntime.Seconds()
-	}
-	return max(alloc.Desc.EstimatedRunSeconds-p.runningSeconds(machine, alloc), 5)
-}
-
-// runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
-func (p *Preemptor) runningSeconds(machine *Candidate, alloc Allocation) float64 {
-	if assignedAt, ok := p.agents.AssignedSince(agents.AssignmentKey{Machine: machine.ID, Job: alloc.Job, Attempt: alloc.Attempt}); ok {
-		return p.Since(assignedAt).Seconds()
-	}
-	return 0
-}
-
-// fitsJobRecord tells whether a choice of machines fits the job's record. One that
-// does not would be refused with all else that is in its transaction.
-func (p *Preemptor) fitsJobRecord(placements []placement) bool {
-	return len(placements) <= p.limits.JobRecordBudget()/14
-}
-
-// capacityAfterPreemption tells how many tasks of the gang fit once what ranks lower is gone.
-func (p *Preemptor) capacityAfterPreemption(machine *Candidate, job *PendingJob) int {
-	if machine.isProvisioning {
-		return 0
-	}
-	simulated := *machine
-	for _, alloc := range p.victims(machine, job) {
-		simulated.Allocate(alloc.Desc, -alloc.Count)
-	}
-	return simulated.CapacityFor(job.Record.Spec)
-}
-
-// currentReservation is the choice on record, as long as it still serves.
-func (p *Preemptor) currentReservation(job *PendingJob, candidates []*Candidate, tasks int) []placement {
-	if len(job.Record.ReservedMachines) == 0 {
+// currentReservation is the reservation on record, as long as it still serves; nil: it does not.
+func (p *preemptor) currentReservation(job *PendingJob, candidates []*Candidate, tasks int) []placement {
+	if len(job.record.ReservedMachines) == 0 {
 		return nil
 	}
-	return p.gangs.distributeGang(nil, job, job.reservedCandidates(candidates), "", tasks, func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) })
+	capacity := func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }
+	return p.gangs.distribute(job, job.reservedCandidates(candidates), "", tasks, capacity)
 }
 
-// cheapestPreemption chooses the machines on which the least work is lost.
-// warm: only of those that have the image.
-func (p *Preemptor) cheapestPreemption(job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int, requireImage bool) []placement {
+// cheapestPreemption chooses the machines on which the least work is lost; with requireImage,
+// among those that have the image.
+func (p *preemptor) cheapestPreemption(
+	job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int, requireImage bool,
+) []placement {
 	cost := map[*Candidate]float64{}
 	var machines []*Candidate
 	for _, machine := range candidates {
-		if !machine.IsUnschedulable && !machine.isProvisioning && machine.MachineType.CanFitTask(job.Record.Spec) && (!requireImage || machine.state.HasImage(job.Record.Spec.Image)) {
-			machines = append(machines, machine)
+		if !canPreemptOn(machine, job.record.Spec, requireImage) {
+			continue
 		}
-	}
-	for _, machine := range machines {
 		cost[machine] = p.preemptionCost(machine, job)
+		machines = append(machines, machine)
 	}
-	sort.SliceStable(machines, func(i, k int) bool { return cost[machines[i]] < cost[machines[k]] })
-	for _, zone := range zones {
-		if placements := p.gangs.distributeGang(nil, job, machines, zone, tasks, func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }); placements != nil {
-			return placements
-		}
-	}
-	return nil
+	slices.SortStableFunc(machines, func(left, right *Candidate) int { return cmp.Compare(cost[left], cost[right]) })
+	capacity := func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }
+	return p.gangs.distributeInZones(job, machines, zones, tasks, capacity)
 }
 
-// preemptionCost is what making room on a machine costs, in core-seconds: work lost,
-// and cores that wait for tasks to save or for the image.
-func (p *Preemptor) preemptionCost(machine *Candidate, job *PendingJob) float64 {
-	d := job.Record.Spec
-	simulated, cost, waitSeconds := *machine, 0.0, 0.0
-	for _, alloc := range p.victims(machine, job) {
-		if simulated.CapacityFor(d) > 0 {
-			break
-		}
-		simulated.Allocate(alloc.Desc, -alloc.Count)
-		cost += p.lostWork(machine, alloc)
-		if alloc.Desc.CanCheckpoint() {
-			waitSeconds = max(waitSeconds, alloc.Desc.CheckpointSaveSeconds)
-		}
-	}
-	if !machine.state.HasImage(d.Image) {
-		waitSeconds += catalog.ImageFetchSeconds(machine.MachineType, d)
+// canPreemptOn tells whether a machine comes into question for a preemption.
+func canPreemptOn(machine *Candidate, spec *protocol.Job, requireImage bool) bool {
+	if machine.isUnschedulable || machine.isProvisioning || !machine.machineType.CanFitTask(spec) {
+		return false
 	}
-	return cost + waitSeconds*d.Cores
+	return !requireImage || machine.state.HasImage(spec.Image)
 }
 
-// lostWork is the work, in core-seconds, that stopping the tasks would throw away.
-func (p *Preemptor) lostWork(machine *Candidate, alloc Allocation) float64 {
-	if alloc.Desc.CanCheckpoint() {
-		return float64(alloc.Count) * alloc.Desc.Cores * alloc.Desc.CheckpointSaveSeconds
-	}
-	if alloc.Desc.IsService() {
-		return float64(alloc.Count) * alloc.Desc.Cores * replicaStopCostSeconds
-	}
-	return float64(alloc.Count) * alloc.Desc.Cores * p.runningSeconds(machine, alloc)
+// fitsJobRecord tells whether a reservation fits the job's record. One that does not would be
+// refused by the store with all else that is in its transaction.
+func (p *preemptor) fitsJobRecord(placements []placement) bool {
+	return len(placements) <= p.limits.JobRecordBudget()/reservedMachineBytes
 }
 
-// victims lists what ranks lower on a machine, least loss per core first.
-func (p *Preemptor) victims(machine *Candidate, job *PendingJob) []Allocation {
-	var out []Allocation
-	for _, alloc := range machine.Allocations {
-		if alloc.precedence > job.precedence {
-			out = append(out, alloc)
-		}
+// capacityAfterPreemption tells how many tasks of the job fit once all victims are stopped.
+func (p *preemptor) capacityAfterPreemption(machine *Candidate, job *PendingJob) int {
+	if machine.isProvisioning {
+		return 0
 	}
-	loss := func(alloc Allocation) float64 {
-		return p.lostWork(machine, alloc) / max(float64(alloc.Count)*alloc.Desc.Cores, catalog.Epsilon)
+	free := machine.free
+	for _, victim := range p.victims(machine, job) {
+		free.Allocate(victim.spec, -victim.count)
 	}
-	slices.SortStableFunc(out, func(a, z Allocation) int { return cmp.Compare(loss(a), loss(z)) })
-	return out
+	return free.CapacityFor(job.record.Spec)
 }
 
-// preemptTasks stops up to most of a job's tasks on an owned machine for one of higher rank,
-// those that are being stopped already among them.
-func (p *Preemptor) preemptTasks(machine *Candidate, alloc Allocation, preemptor *PendingJob, maxTasks int) {
-	if !p.lease.OwnsMachine(machine.Record) || p.Now.Wall-preemptor.Record.SubmittedAt < 500 {
-		return
-	}
-	state := p.agents.Lookup(machine.ID)
-	if state == nil {
-		return
-	}
-	if alloc.Desc.IsGang() && alloc.Desc.TaskCount > 1 && alloc.Desc.CanCheckpoint() {
-		p.stopper.GracefulStops[alloc.Job] = alloc.Attempt // all its tasks must hear of it, not only those here
-		return
-	}
-	grace := 0.0
-	if alloc.Desc.CanCheckpoint() {
-		grace = alloc.Desc.CheckpointSaveSeconds + 0.5
-	}
-	for i := range machine.Record.Assignments {
-		assigned := &machine.Record.Assignments[i]
-		if assigned.Job != alloc.Job || assigned.Attempt != alloc.Attempt {
-			continue
+// preemptionCost is what a preemption on a machine costs, in core-seconds: work lost, and cores
+// that wait for checkpoints or for the image.
+func (p *preemptor) preemptionCost(machine *Candidate, job *PendingJob) float64 {
+	spec := job.record.Spec
+	free, cost, waitSeconds := machine.free, 0.0, 0.0
+	for _, victim := range p.victims(machine, job) {
+		if free.CapacityFor(spec) > 0 {
+			break
 		}
-		assigned.Tasks.Each(func(index int) bool {
-			if s, ok := state.StopRequests[protocol.Task{Job: assigned.Job, Index: index}]; ok && s.Attempt == assigned.Attempt {
-				maxTasks--
-			}
-			return true
-		})
-		assigned.Tasks.Each(func(index int) bool {
-			task := protocol.Task{Job: assigned.Job, Index: index}
-			if s, ok := state.StopRequests[task]; maxTasks > 0 && (!ok || s.Attempt != assigned.Attempt) {
-				p.stopper.RequestStop(state, task, assigned.Attempt, grace, "preempted for "+string(preemptor.ID))
-				maxTasks--
-			}
-			return maxTasks > 0
-		})
-	}
-}
-
-// rankedVictims lists the victims on a machine, those that are being stopped already first.
-func (p *Preemptor) rankedVictims(machine *Candidate, job *PendingJob) []Allocation {
-	victims := p.victims(machine, job)
-	slices.SortStableFunc(victims, func(a, z Allocation) int {
-		return cmp.Compare(p.countStopping(machine, z), p.countStopping(machine, a))
-	})
-	return victims
-}
-
-// countStopping counts the tasks that a stop is under way for.
-func (p *Preemptor) countStopping(machine *Candidate, alloc Allocation) int {
-	if machine.state == nil {
-		return 0
-	}
-	n := 0
-	for t, s := range machine.state.StopRequests {
-		if t.Job == alloc.Job && s.Attempt == alloc.Attempt {
-			n++
+		free.Allocate(victim.spec, -victim.count)
+		cost += p.lostWork(machine, victim)
+		if victim.spec.CanCheckpoint() {
+			waitSeconds = max(waitSeconds, victim.spec.CheckpointSaveSeconds)
 		}
 	}
-	return n
+	if !machine.state.HasImage(spec.Image) {
+		waitSeconds += catalog.ImageFetchSeconds(machine.machineType, spec)
+	}
+	return cost + waitSeconds*spec.Cores
 }
--- /dev/null
+++ b/internal/coordination/scheduling/preemption_stops.go
@@ -0,0 +1,76 @@
+package scheduling
+
+import (
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+const (
+	// minPreemptorAge is the age from which a job preempts: others of its submission may still
+	// change the plan.
+	minPreemptorAge protocol.Millis = 500
+	// checkpointMarginSeconds is added to the time that a task needs to save its checkpoint.
+	checkpointMarginSeconds = 0.5
+)
+
+// preemptTasks stops up to maxTasks tasks of an allocation on an own machine for a job of higher
+// priority; those that are being stopped already count among them.
+func (p *preemptor) preemptTasks(machine *Candidate, victim *allocation, preemptedFor *PendingJob, maxTasks int) {
+	if !p.lease.OwnsMachine(machine.record) || p.Now.Wall-preemptedFor.record.SubmittedAt < minPreemptorAge {
+		return
+	}
+	state := p.agents.Lookup(machine.id)
+	if state == nil {
+		return
+	}
+	if stopsAsGang(victim.spec) {
+		p.stopper.GracefulStops[victim.job] = victim.attempt // all its tasks must learn of it, not only those here
+		return
+	}
+	reason := "preempted for " + string(preemptedFor.id)
+	for i := range machine.record.Assignments {
+		assigned := &machine.record.Assignments[i]
+		if assigned.Job == victim.job && assigned.Attempt == victim.attempt {
+			maxTasks -= p.stopTasks(state, assigned, maxTasks, checkpointGrace(victim.spec), reason)
+		}
+	}
+}
+
+// stopsAsGang tells whether the tasks of a job save a common checkpoint before they stop.
+func stopsAsGang(spec *protocol.Job) bool {
+	return spec.IsGang() && spec.TaskCount > 1 && spec.CanCheckpoint()
+}
+
+// checkpointGrace is how many seconds a task is given to stop.
+func checkpointGrace(spec *protocol.Job) float64 {
+	if !spec.CanCheckpoint() {
+		return 0
+	}
+	return spec.CheckpointSaveSeconds + checkpointMarginSeconds
+}
+
+// stopTasks stops tasks of an assignment until maxTasks are being stopped, and tells how many are.
+func (p *preemptor) stopTasks(
+	state *agents.MachineState, assigned *storage.Assignment, maxTasks int, grace float64, reason string,
+) (stopping int) {
+	taskAt := func(index int) protocol.Task { return protocol.Task{Job: assigned.Job, Index: index} }
+	isStopping := func(index int) bool {
+		request, ok := state.StopRequests[taskAt(index)]
+		return ok && request.Attempt == assigned.Attempt
+	}
+	assigned.Tasks.Each(func(index int) bool {
+		if isStopping(index) {
+			stopping++
+		}
+		return true
+	})
+	assigned.Tasks.Each(func(index int) bool {
+		if stopping < maxTasks && !isStopping(index) {
+			p.stopper.RequestStop(state, taskAt(index), assigned.Attempt, grace, reason)
+			stopping++
+		}
+		return stopping < maxTasks
+	})
+	return stopping
+}
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -9,7 +9,23 @@
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
-	"tillerarch/internal/storage"
+)
+
+const (
+	// guaranteedPrecedence puts teams within their guarantee before every priority.
+	guaranteedPrecedence = -1
+	// startLeadFactor is how many times the least run time of a job's tasks is set aside for
+	// them where a late end would miss an objective.
+	startLeadFactor = 3
+	// defaultDueAfter is the due time, counted from the submission, of a job that has no
+	// objective or has missed all of them.
+	defaultDueAfter protocol.Millis = 600_000
+	// promotionFraction: a job of low priority is served like the priority above for the last
+	// 1/promotionFraction of the time within which its tasks should start.
+	promotionFraction = 3
+	// longRunningFactor is how many times the aging threshold an array must have been here
+	// before a part of the fleet goes to it first.
+	longRunningFactor = 2
 )
 
 // Queue orders unfinished jobs by the precedence in which they are served.
@@ -19,190 +35,200 @@
 	catalog *catalog.Catalog
 }
 
-// task of a job in the planner's order.
-type PendingJob struct {
-	ID              protocol.JobID
-	Record          *storage.JobRecord
-	precedence      int
-	queuePrecedence int // the order in which it is served: that of its rank, or a better one
-	dueAt           protocol.Millis
-	IsLate          bool
-	// The latest begin of its tasks that meets all aims that can still be met, and the
-	// same as it was at the submission.
-	LatestStart        protocol.Millis
-	InitialLatestStart protocol.Millis
-	IsUrgent           bool                              // they had to begin sooner than machines can be relied on to be rented
-	avoidedTypes       map[protocol.MachineTypeName]bool // machine types that it leaves to others
-	tasksByZone        map[protocol.Zone]int
-	placedTasks        int
-	doneTasks          int
-	IsStarved          bool // has waited so long without beginning that it goes before all others
-	isLongRunning      bool // has been here so long that a part of the fleet goes to it first
+// ListPendingJobs lists the unfinished jobs in the order in which they are served.
+func (jq *Queue) ListPendingJobs(b *commit.Batch, candidates []*Candidate) []*PendingJob {
+	byID := map[protocol.JobID]*PendingJob{}
+	var jobs []*PendingJob
+	for id := range jq.Replica.UnfinishedJobs {
+		if job := jq.newPendingJob(b, id); job != nil {
+			byID[id] = job
+			jobs = append(jobs, job)
+		}
+	}
+	countPlacedTasks(byID, candidates)
+	for _, job := range jobs {
+		jq.recordAge(job)
+	}
+	sort.Slice(jobs, func(i, k int) bool { return jobs[i].servedBefore(jobs[k]) })
+	return jobs
+}
+
+// newPendingJob makes the queue's entry of a job; nil: no task of it is to be placed.
+func (jq *Queue) newPendingJob(b *commit.Batch, id protocol.JobID) *PendingJob {
+	record := b.JobRecord(id)
+	if record.State.IsTerminal() || record.CancelRequested || record.Spec == nil {
+		return nil
+	}
+	precedence := jq.precedenceOf(record.Spec)
+	job := &PendingJob{
+		id:            id,
+		record:        record,
+		queuePosition: queuePosition{precedence: precedence, queuePrecedence: precedence},
+		placementProgress: placementProgress{
+			doneTasks:   b.DoneTasks(id).Len(),
+			tasksByZone: map[protocol.Zone]int{},
+		},
+	}
+	jq.computeDeadlines(job)
+	job.isUrgent = jq.needsWarmCapacity(job)
+	return job
+}
+
+// countPlacedTasks counts for each job the tasks that the records assign.
+func countPlacedTasks(byID map[protocol.JobID]*PendingJob, candidates []*Candidate) {
+	for _, machine := range candidates {
+		for i := range machine.allocations {
+			alloc := &machine.allocations[i]
+			if job := byID[alloc.job]; job != nil {
+				job.placedTasks += alloc.count
+				job.tasksByZone[machine.record.Zone] += alloc.count
+			}
+		}
+	}
+}
+
+// recordAge finds jobs that have waited too long.
+func (jq *Queue) recordAge(job *PendingJob) {
+	waited := step.MillisToDuration(jq.Now.Wall - job.record.SubmittedAt)
+	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
+	job.isStarved = waited > jq.Config.AgingThreshold && !hasBegun
+	isArray := job.record.Spec.Kind == protocol.KindArray
+	job.isLongRunning = waited > longRunningFactor*jq.Config.AgingThreshold && !job.isStarved && isArray
 }
 
-// precedenceOf ranks jobs: a smaller one goes first and may take the place of a
-// larger one. A team within its guarantee goes before all others.
-func (jq *Queue) precedenceOf(j *protocol.Job) int {
-	if jq.isWithinGuarantee(j.Team) {
-		return -1
+// precedenceOf ranks jobs: a smaller value goes first and may preempt a larger one. A team within
+// its guarantee goes before all others.
+func (jq *Queue) precedenceOf(spec *protocol.Job) int {
+	if jq.isWithinGuarantee(spec.Team) {
+		return guaranteedPrecedence
 	}
-	return j.Priority.Precedence()
+	return spec.Priority.Precedence()
 }
 
-// isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee.
+// isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee. With one team
+// only there is nobody to guarantee anything against.
 func (jq *Queue) isWithinGuarantee(team string) bool {
 	quota := jq.Config.Quotas[team]
-	if quota.GuaranteedCores <= 0 && quota.GuaranteedAccelerators <= 0 || len(jq.Config.Quotas) < 2 {
+	hasGuarantee := quota.GuaranteedCores > 0 || quota.GuaranteedAccelerators > 0
+	if !hasGuarantee || len(jq.Config.Quotas) < 2 {
 		return false
 	}
 	cores, accelerators := 0.0, 0.0
-	for id, e := range jq.Replica.UnfinishedJobs {
-		if d := e.Record.Spec; d.Team == team {
-			remaining := float64(d.TaskCount - jq.Replica.CompletedTasks(id).Len())
-			cores += remaining * d.Cores
-			accelerators += remaining * d.Accelerators
+	for id, entry := range jq.Replica.UnfinishedJobs {
+		if spec := entry.Record.Spec; spec.Team == team {
+			remaining := float64(spec.TaskCount - jq.Replica.CompletedTasks(id).Len())
+			cores += remaining * spec.Cores
+			accelerators += remaining * spec.Accelerators
 		}
 	}
 	return cores <= quota.GuaranteedCores+catalog.Epsilon && accelerators <= quota.GuaranteedAccelerators+catalog.Epsilon
 }
 
-// ListPendingJobs lists the unfinished jobs in the order in which they are served.
-func (jq *Queue) ListPendingJobs(b *commit.Batch, candidates []*Candidate) []*PendingJob {
-	byJob := map[protocol.JobID]*PendingJob{}
-	var jobs []*PendingJob
-	for id := range jq.Replica.UnfinishedJobs {
-		r := b.JobRecord(id)
-		if r.State.IsTerminal() || r.CancelRequested || r.Spec == nil {
-			continue
-		}
-		job := &PendingJob{ID: id, Record: r, precedence: jq.precedenceOf(r.Spec), tasksByZone: map[protocol.Zone]int{}, doneTasks: b.DoneTasks(id).Len()}
-		job.queuePrecedence = job.precedence
-		jq.computeDeadlines(job)
-		job.IsUrgent = jq.NeedsWarmCapacity(job)
-		byJob[id] = job
-		jobs = append(jobs, job)
-	}
-	for _, r := range candidates {
-		for _, alloc := range r.Allocations {
-			if job := byJob[alloc.Job]; job != nil {
-				job.placedTasks += alloc.Count
-				job.tasksByZone[r.Record.Zone] += alloc.Count
-			}
-		}
-	}
-	for _, job := range jobs {
-		waited := step.MillisToDuration(jq.Now.Wall - job.Record.SubmittedAt)
-		job.IsStarved = waited > jq.Config.AgingThreshold && job.placedTasks == 0 && job.doneTasks == 0
-		job.isLongRunning = waited > 2*jq.Config.AgingThreshold && !job.IsStarved && job.Record.Spec.Kind == protocol.KindArray
-	}
-	sort.Slice(jobs, func(i, k int) bool {
-		a, z := jobs[i], jobs[k]
-		switch {
-		case a.IsStarved != z.IsStarved:
-			return a.IsStarved
-		case a.IsStarved && a.Record.SubmittedAt != z.Record.SubmittedAt:
-			return a.Record.SubmittedAt < z.Record.SubmittedAt
-		case a.queuePrecedence != z.queuePrecedence:
-			return a.queuePrecedence < z.queuePrecedence
-		case a.IsLate != z.IsLate:
-			return z.IsLate
-		case a.dueAt != z.dueAt:
-			return a.dueAt < z.dueAt
-		}
-		return a.ID < z.ID
-	})
-	return jobs
-}
-
-// startLeadFactor is how many times the least time that a job's tasks may run is set
-// aside for them where a late end would miss an aim.
-const startLeadFactor = 3
-
-// computeDeadlines tells by when a job is to be served: the first of its class's aims, and
-// of its deadline, that can still be met. What has missed all of them goes last
-// within its rank. A job of low rank whose tasks should begin soon is served like
-// the rank above: it stops nobody's work, but gets some of what becomes free.
+// computeDeadlines finds by when a job is to be served: the first objective of its class, or of
+// its own deadline, that can still be met. A job that has missed all of them goes last within
+// its precedence. A job of low priority whose tasks should start soon is served like the
+// priority above: it preempts nobody for that, but gets some of what becomes free.
 func (jq *Queue) computeDeadlines(job *PendingJob) {
-	d, sent := job.Record.Spec, job.Record.SubmittedAt
-	if d.IsService() {
-		// No replica can wait, whatever has become of the aims for the first ones.
-		job.dueAt, job.LatestStart, job.InitialLatestStart = sent, jq.Now.Wall, sent
+	spec, submittedAt := job.record.Spec, job.record.SubmittedAt
+	if spec.IsService() {
+		// No replica can wait, whether the objectives of the first ones were met or not.
+		job.dueAt, job.latestStart, job.initialLatestStart = submittedAt, jq.Now.Wall, submittedAt
 		return
 	}
-	objectives := jq.Config.Objectives[d.Class]
-	job.dueAt, job.IsLate = sent+protocol.Millis(600_000), true
-	job.LatestStart, job.InitialLatestStart = job.dueAt, job.dueAt
-	applyObjective := func(target, leadTime time.Duration) {
-		dueAt := sent + protocol.Millis(target.Milliseconds())
-		start := dueAt - startLeadFactor*protocol.Millis(leadTime.Milliseconds())
-		job.InitialLatestStart = min(job.InitialLatestStart, start)
-		if jq.Now.Wall < start {
-			job.LatestStart = min(job.LatestStart, start)
-		}
-		if jq.Now.Wall+protocol.Millis(leadTime.Milliseconds()) <= dueAt && (job.IsLate || dueAt < job.dueAt) {
-			job.dueAt, job.IsLate = dueAt, false
-		}
-	}
-	minRuntime := protocol.Seconds(d.EstimatedRunSeconds / 2) // estimates are often wrong by half
-	for _, objective := range objectives.StartWithin {
-		applyObjective(objective, 0)
-		if remaining := sent + protocol.Millis(objective.Milliseconds()) - jq.Now.Wall; job.queuePrecedence > 1 && remaining > 0 && 3*remaining < protocol.Millis(objective.Milliseconds()) {
-			job.queuePrecedence--
-		}
+	objectives := jq.Config.Objectives[spec.Class]
+	job.dueAt, job.isLate = submittedAt+defaultDueAfter, true
+	job.latestStart, job.initialLatestStart = job.dueAt, job.dueAt
+	for _, target := range objectives.StartWithin {
+		jq.applyObjective(job, target, 0)
+		jq.promoteNearStart(job, target)
 	}
-	for _, objective := range objectives.FinishWithin {
-		applyObjective(objective, minRuntime)
+	minRuntime := protocol.Seconds(spec.EstimatedRunSeconds / 2) // estimates are often wrong by half
+	for _, target := range objectives.FinishWithin {
+		jq.applyObjective(job, target, minRuntime)
 	}
-	if d.DeadlineSeconds != nil {
-		applyObjective(protocol.Seconds(*d.DeadlineSeconds), minRuntime)
+	if spec.DeadlineSeconds != nil {
+		jq.applyObjective(job, protocol.Seconds(*spec.DeadlineSeconds), minRuntime)
 		for _, multiple := range objectives.DeadlineFactors {
-			applyObjective(protocol.Seconds(*d.DeadlineSeconds*multiple), minRuntime)
+			jq.applyObjective(job, protocol.Seconds(*spec.DeadlineSeconds*multiple), minRuntime)
 		}
 	}
-	if len(objectives.StartWithin)+len(objectives.FinishWithin) == 0 && d.DeadlineSeconds == nil {
-		job.IsLate = false
+	hasObjective := len(objectives.StartWithin)+len(objectives.FinishWithin) > 0 || spec.DeadlineSeconds != nil
+	if !hasObjective {
+		job.isLate = false
+	}
+}
+
+// applyObjective takes in an objective: the job has to be through within target, its tasks
+// running for leadTime before that.
+func (jq *Queue) applyObjective(job *PendingJob, target, leadTime time.Duration) {
+	lead := protocol.Millis(leadTime.Milliseconds())
+	dueAt := job.record.SubmittedAt + protocol.Millis(target.Milliseconds())
+	start := dueAt - startLeadFactor*lead
+	job.initialLatestStart = min(job.initialLatestStart, start)
+	if jq.Now.Wall < start {
+		job.latestStart = min(job.latestStart, start)
+	}
+	canBeMet := jq.Now.Wall+lead <= dueAt
+	if canBeMet && (job.isLate || dueAt < job.dueAt) {
+		job.dueAt, job.isLate = dueAt, false
+	}
+}
+
+// promoteNearStart serves a job like the priority above while little of the time is left within
+// which its tasks should start. None is promoted to the highest priority, 0.
+func (jq *Queue) promoteNearStart(job *PendingJob, target time.Duration) {
+	startWithin := protocol.Millis(target.Milliseconds())
+	remaining := job.record.SubmittedAt + startWithin - jq.Now.Wall
+	if job.queuePrecedence > 1 && remaining > 0 && promotionFraction*remaining < startWithin {
+		job.queuePrecedence--
 	}
 }
 
-// hasSamePrecedence tells whether nothing but their dues puts one job before the other.
-func (j *PendingJob) hasSamePrecedence(other *PendingJob) bool {
-	return j.queuePrecedence == other.queuePrecedence && j.IsLate == other.IsLate && !j.IsStarved && !other.IsStarved
+// shouldExpedite tells whether a job's tasks have to start sooner than all machines send a
+// heartbeat by themselves.
+func (jq *Queue) shouldExpedite(job *PendingJob) bool {
+	return !job.isLate && job.slack(jq.Now) < 2*jq.Config.HeartbeatInterval
+}
+
+// needsWarmCapacity tells whether a job's tasks have to start sooner than machines that are
+// provisioned for them can be relied on.
+func (jq *Queue) needsWarmCapacity(job *PendingJob) bool {
+	slack := step.MillisToDuration(job.initialLatestStart - job.record.SubmittedAt)
+	provisioningTime := jq.catalog.ProvisioningTime(job.record.Spec)
+	return slack < time.Duration(jq.Config.IdleTimeoutFactor*float64(provisioningTime))
 }
 
 // quotaHeadroom tells how many more tasks of the job its team's limit allows.
-func (jq *Queue) quotaHeadroom(candidates []*Candidate, j *protocol.Job) int {
-	quota := jq.Config.Quotas[j.Team]
+func (jq *Queue) quotaHeadroom(candidates []*Candidate, spec *protocol.Job) int {
+	quota := jq.Config.Quotas[spec.Team]
 	if !quota.HasLimit() {
 		return protocol.MaxTasks
 	}
-	cores, accelerators := 0.0, 0.0
-	for _, machine := range candidates {
-		for _, alloc := range machine.Allocations {
-			if alloc.Desc.Team == j.Team {
-				cores += float64(alloc.Count) * alloc.Desc.Cores
-				accelerators += float64(alloc.Count) * alloc.Desc.Accelerators
-			}
-		}
-	}
-	n := protocol.MaxTasks
-	if quota.MaxCores > 0 && j.Cores > 0 {
-		n = min(n, int(math.Floor((quota.MaxCores-cores)/j.Cores+catalog.Epsilon)))
+	cores, accelerators := teamUsage(candidates, spec.Team)
+	tasks := protocol.MaxTasks
+	if quota.MaxCores > 0 && spec.Cores > 0 {
+		tasks = min(tasks, wholeTasks(quota.MaxCores-cores, spec.Cores))
 	}
-	if quota.MaxAccelerators > 0 && j.Accelerators > 0 {
-		n = min(n, int(math.Floor((quota.MaxAccelerators-accelerators)/j.Accelerators+catalog.Epsilon)))
+	if quota.MaxAccelerators > 0 && spec.Accelerators > 0 {
+		tasks = min(tasks, wholeTasks(quota.MaxAccelerators-accelerators, spec.Accelerators))
 	}
-	return max(n, 0)
+	return max(tasks, 0)
 }
 
-// ShouldExpedite tells whether a job's tasks have to begin sooner than all machines report
-// by themselves.
-func (jq *Queue) ShouldExpedite(job *PendingJob) bool {
-	return !job.IsLate && step.MillisToDuration(job.LatestStart-jq.Now.Wall) < 2*jq.Config.HeartbeatInterval
+// teamUsage sums up what a team's tasks take, placed and planned.
+func teamUsage(candidates []*Candidate, team string) (cores, accelerators float64) {
+	for _, machine := range candidates {
+		for i := range machine.allocations {
+			if alloc := &machine.allocations[i]; alloc.spec.Team == team {
+				cores += alloc.cores()
+				accelerators += float64(alloc.count) * alloc.spec.Accelerators
+			}
+		}
+	}
+	return cores, accelerators
 }
 
-// NeedsWarmCapacity tells whether a job's tasks have to begin sooner than machines can be relied
-// on to be rented for them.
-func (jq *Queue) NeedsWarmCapacity(q *PendingJob) bool {
-	slack := step.MillisToDuration(q.InitialLatestStart - q.Record.SubmittedAt)
-	return slack < time.Duration(jq.Config.IdleTimeoutFactor*float64(jq.catalog.ProvisioningTime(q.Record.Spec)))
+// wholeTasks tells how many tasks fit into an amount.
+func wholeTasks(amount, perTask float64) int {
+	return int(math.Floor(amount/perTask + catalog.Epsilon))
 }
--- /dev/null
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -0,0 +1,244 @@
+package scheduling
+
+import (
+	"cmp"
+	"slices"
+
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// replicaLimit says how many replicas of a job a machine may have.
+type replicaLimit int
+
+const (
+	// halfOfReplicas: as long as there are others, the loss of one machine must not stop the
+	// service.
+	halfOfReplicas replicaLimit = iota
+	oneReplica
+	allReplicas
+)
+
+// replicaPlacer places the replicas of one job in a pass.
+type replicaPlacer struct {
+	services          *ServiceScheduler
+	batch             *commit.Batch
+	job               *PendingJob
+	candidates        []*Candidate
+	limit             replicaLimit
+	canWrite          bool  // this incarnation writes the job's placements
+	pending           []int // indices of the replicas to place, if canWrite
+	remaining         int
+	replicasByMachine map[protocol.MachineID]int // of the job, on record and planned
+	reservationUsed   map[protocol.MachineID]int // replicas that the recorded reservation has been used for
+}
+
+// machineFilter tells whether a machine is eligible.
+type machineFilter func(*Candidate) bool
+
+func (s *ServiceScheduler) newReplicaPlacer(
+	b *commit.Batch, job *PendingJob, candidates []*Candidate, replicas int,
+) *replicaPlacer {
+	p := &replicaPlacer{
+		services:          s,
+		batch:             b,
+		job:               job,
+		candidates:        candidates,
+		remaining:         replicas,
+		replicasByMachine: map[protocol.MachineID]int{},
+		reservationUsed:   map[protocol.MachineID]int{},
+	}
+	isBackingOff := attemptsOf(s.jobs, job.id).isBackingOff(s.Now.Monotonic)
+	p.canWrite = s.acquirer.canWritePlacements(b, job) && !isBackingOff && !b.HasFailedReplica(job.id)
+	if p.canWrite {
+		p.pending = s.acquirer.pendingTasks(b, job, p.remaining)
+		p.remaining = min(p.remaining, len(p.pending))
+	}
+	for id := range s.Replica.MachinesWithJob(job.id) {
+		for assigned := range s.Replica.Machines[id].Record.AssignmentsOf(job.id) {
+			p.replicasByMachine[id] += assigned.Tasks.Len()
+		}
+	}
+	return p
+}
+
+// headroomOn is how many more replicas of the job the machine should have.
+func (p *replicaPlacer) headroomOn(machine *Candidate) int {
+	replicas := p.job.record.Spec.TaskCount
+	switch p.limit {
+	case halfOfReplicas:
+		replicas = (replicas + 1) / 2
+	case oneReplica:
+		replicas = 1
+	case allReplicas:
+	}
+	headroom := max(replicas-p.replicasByMachine[machine.id], 0)
+	return min(headroom, p.remaining, p.job.zoneHeadroom(machine.record.Zone))
+}
+
+// preemptionHeadroomOn is headroomOn, as far as a preemption gains the capacity for it.
+func (p *replicaPlacer) preemptionHeadroomOn(machine *Candidate) int {
+	return min(p.services.preemption.capacityAfterPreemption(machine, p.job), p.headroomOn(machine))
+}
+
+// placeOnFree places replicas where there is free capacity.
+func (p *replicaPlacer) placeOnFree(isEligible machineFilter) {
+	if p.remaining <= 0 {
+		return
+	}
+	for _, machine := range p.services.scheduler.rankedCandidates(p.batch, p.job, allShards) {
+		count := min(machine.free.CapacityFor(p.job.record.Spec), p.headroomOn(machine))
+		if count > 0 && isEligible(machine) {
+			p.placeOn(machine, count)
+		}
+	}
+}
+
+// placeOn places replicas on a machine that has the capacity for them.
+func (p *replicaPlacer) placeOn(machine *Candidate, count int) {
+	scheduler := p.services.scheduler
+	canAssign := p.canWrite && !machine.isProvisioning
+	writeNow := canAssign && scheduler.fitsTransaction(p.batch, machine, p.job.record.Spec)
+	scheduler.planTasks(p.batch, p.job, machine, count, writeNow, p.takePending(count))
+	p.replicasByMachine[machine.id] += count
+	p.remaining -= count
+}
+
+// takePending takes the next replicas to place; nil: this incarnation does not write them.
+func (p *replicaPlacer) takePending(count int) []int {
+	if !p.canWrite {
+		return nil
+	}
+	next := p.pending[:count]
+	p.pending = p.pending[count:]
+	return next
+}
+
+// placeByPreemption preempts tasks of lower priority on own machines. The owner of the job chooses
+// among its own machines only: no other controller preempts for the same replicas then, and
+// nothing has to be written before.
+func (p *replicaPlacer) placeByPreemption(isEligible machineFilter) {
+	if p.remaining <= 0 || !p.canWrite {
+		return
+	}
+	isOwnAndEligible := func(machine *Candidate) bool {
+		return p.services.lease.OwnsMachine(machine.record) && isEligible(machine)
+	}
+	for _, machine := range p.cheapestToPreempt(isOwnAndEligible) {
+		p.preemptOn(machine, p.remaining, true)
+	}
+}
+
+// placeByReservation preempts on machines of other controllers too, where own machines do not
+// suffice: the job's owner records its choice, a machine once for each replica, and the
+// machines' owners stop tasks there.
+func (p *replicaPlacer) placeByReservation(isEligible machineFilter) {
+	if p.remaining <= 0 {
+		return
+	}
+	chosen := p.reservedMachines(isEligible)
+	reservedReplicas := 0
+	for _, machine := range chosen {
+		reservedReplicas += min(p.preemptionHeadroomOn(machine), p.unusedReservation(p.job.record, machine))
+	}
+	canRecord := p.canWrite && p.batch.HasCapacity(p.batch.WritesNeeded("", p.job.id))
+	if canRecord && reservedReplicas < p.remaining {
+		if better := p.reserveMachines(isEligible, reservedReplicas); better != nil {
+			chosen = better
+		}
+	}
+	recorded := p.services.Replica.Jobs[p.job.id].Record.ReservedMachines
+	for _, machine := range chosen {
+		before := p.remaining
+		limit := p.unusedReservation(p.batch.JobRecord(p.job.id), machine)
+		p.preemptOn(machine, limit, slices.Contains(recorded, machine.id))
+		p.reservationUsed[machine.id] += before - p.remaining
+	}
+}
+
+// reservedMachines lists the machines whose recorded reservation this pass has not used up.
+func (p *replicaPlacer) reservedMachines(isEligible machineFilter) []*Candidate {
+	return p.cheapestToPreempt(func(machine *Candidate) bool {
+		return p.unusedReservation(p.job.record, machine) > 0 && isEligible(machine)
+	})
+}
+
+// unusedReservation counts the replicas that a job's record reserves a machine for and that this
+// pass has not planned there yet.
+func (p *replicaPlacer) unusedReservation(record *storage.JobRecord, machine *Candidate) int {
+	unused := -p.reservationUsed[machine.id]
+	for _, id := range record.ReservedMachines {
+		if id == machine.id {
+			unused++
+		}
+	}
+	return unused
+}
+
+// reserveMachines records machines to preempt on, if that is for more replicas than the recorded
+// reservation is; nil: it is not.
+func (p *replicaPlacer) reserveMachines(isEligible machineFilter, reservedReplicas int) []*Candidate {
+	var placements []placement
+	remaining := p.remaining
+	for _, machine := range p.cheapestToPreempt(isEligible) {
+		for range min(p.preemptionHeadroomOn(machine), remaining) {
+			placements = append(placements, placement{machine: machine, count: 1})
+			remaining--
+		}
+	}
+	if len(placements) <= reservedReplicas || !p.services.preemption.fitsJobRecord(placements) {
+		return nil
+	}
+	recordReservation(p.batch, p.job.id, placements, "preemption planned for service replicas")
+	var machines []*Candidate
+	for _, chosen := range placements {
+		machines = append(machines, chosen.machine)
+	}
+	return slices.Compact(machines)
+}
+
+// cheapestToPreempt lists machines on which tasks of lower priority can be stopped for replicas,
+// those first where that costs least.
+func (p *replicaPlacer) cheapestToPreempt(isEligible machineFilter) []*Candidate {
+	preemption := p.services.preemption
+	cost := map[*Candidate]float64{}
+	var machines []*Candidate
+	for _, machine := range p.candidates {
+		if !p.mayPreemptOn(machine) || !isEligible(machine) {
+			continue
+		}
+		if preemption.capacityAfterPreemption(machine, p.job) > 0 {
+			cost[machine] = preemption.replicaStartCost(machine, p.job)
+			machines = append(machines, machine)
+		}
+	}
+	slices.SortStableFunc(machines, func(left, right *Candidate) int { return cmp.Compare(cost[left], cost[right]) })
+	return machines
+}
+
+func (p *replicaPlacer) mayPreemptOn(machine *Candidate) bool {
+	if machine.isProvisioning || machine.isUnschedulable || p.job.avoidedTypes[machine.record.MachineType] {
+		return false
+	}
+	return p.services.lister.isMachineAllowed(p.job.record.Spec, machine)
+}
+
+// preemptOn keeps capacity of a machine for up to limit replicas, and stops tasks of lower
+// priority there if that is decided and the machine is this incarnation's.
+func (p *replicaPlacer) preemptOn(machine *Candidate, limit int, isDecided bool) {
+	count := min(p.preemptionHeadroomOn(machine), limit)
+	if count <= 0 {
+		return
+	}
+	services := p.services
+	if isDecided && services.lease.OwnsMachine(machine.record) && machine.state != nil {
+		services.preemption.preemptForReplicas(machine, p.job, count)
+	}
+	p.job.recordAllocation(machine, count, 0)
+	services.plan.retainMachine(machine)
+	services.plan.expectPlacement(machine)
+	p.replicasByMachine[machine.id] += count
+	p.takePending(count)
+	p.remaining -= count
+}
--- /dev/null
+++ b/internal/coordination/scheduling/replica_preemption.go
@@ -0,0 +1,39 @@
+package scheduling
+
+// replicaSecondCost is what a second until a replica runs is worth, in core-seconds of other work.
+const replicaSecondCost = 10
+
+// preemptForReplicas stops as few tasks of lower priority on an own machine as the replicas need.
+func (p *preemptor) preemptForReplicas(machine *Candidate, job *PendingJob, replicas int) {
+	free := machine.free
+	for _, victim := range p.stoppingFirst(machine, job) {
+		stopped := 0
+		for stopped < victim.count && free.CapacityFor(job.record.Spec) < replicas {
+			free.Allocate(victim.spec, -1)
+			stopped++
+		}
+		if stopped > 0 {
+			p.preemptTasks(machine, victim, job, stopped)
+		}
+	}
+}
+
+// replicaStartCost is what it takes until one replica runs on a machine, in core-seconds: work
+// lost, and time. Tasks that are being stopped cost nothing more, so that a choice stays what
+// it was.
+func (p *preemptor) replicaStartCost(machine *Candidate, job *PendingJob) float64 {
+	free, cost, waitSeconds := machine.free, 0.0, 0.0
+	for _, victim := range p.stoppingFirst(machine, job) {
+		stopping := countStopping(machine, victim)
+		for stopped := 0; stopped < victim.count && free.CapacityFor(job.record.Spec) == 0; stopped++ {
+			free.Allocate(victim.spec, -1)
+			if stopped >= stopping {
+				cost += p.lostWork(machine, victim) / float64(victim.count)
+			}
+			if victim.spec.CanCheckpoint() {
+				waitSeconds = max(waitSeconds, victim.spec.CheckpointSaveSeconds)
+			}
+		}
+	}
+	return cost + replicaSecondCost*(waitSeconds+machine.imageFetchTime(job.record.Spec).Seconds())
+}
--- /dev/null
+++ b/internal/coordination/scheduling/reservations.go
@@ -0,0 +1,93 @@
+package scheduling
+
+import (
+	"cmp"
+	"log/slog"
+	"slices"
+
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/protocol"
+)
+
+// reserveMachines keeps machines for a job that has waited too long and fits nowhere, until what
+// runs there has ended: nothing more is placed on them. Without it a stream of smaller jobs of
+// its own precedence would take each gap as it opens. One job of a precedence at a time, so
+// that few machines run empty; it tells whether the job is the one. The choice is on record,
+// so that all controllers keep to it.
+func (g *gangScheduler) reserveMachines(
+	b *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int,
+) bool {
+	if g.plan.pass.reservedPrecedences[job.precedence] {
+		return false
+	}
+	capacity := func(machine *Candidate) int { return capacityWhenDrained(machine, job) }
+	placements := g.distributeInZones(job, job.reservedCandidates(candidates), zones, tasks, capacity)
+	if placements == nil {
+		if !g.acquirer.canWritePlacements(b, job) || !b.HasCapacity(b.WritesNeeded("", job.id)) {
+			return false
+		}
+		placements = g.distributeInZones(job, g.soonestDrained(candidates), zones, tasks, capacity)
+		if placements == nil || !g.preemption.fitsJobRecord(placements) {
+			return false
+		}
+		recordReservation(b, job.id, placements, "machines reserved for starved job")
+	}
+	g.plan.pass.reservedPrecedences[job.precedence] = true
+	for _, p := range placements {
+		p.machine.isUnschedulable = true
+		p.machine.free.Cores = 0
+		g.plan.retainMachine(p.machine)
+	}
+	return true
+}
+
+// capacityWhenDrained tells how many tasks of the job a machine takes once all tasks have ended
+// that do not go before the job.
+func capacityWhenDrained(machine *Candidate, job *PendingJob) int {
+	if machine.isProvisioning {
+		return 0
+	}
+	free := machine.free
+	for i := range machine.allocations {
+		if alloc := &machine.allocations[i]; alloc.precedence >= job.precedence {
+			free.Allocate(alloc.spec, -alloc.count)
+		}
+	}
+	return free.CapacityFor(job.record.Spec)
+}
+
+// soonestDrained lists the machines by the time, in seconds of the whole machine, that what runs
+// there still needs: the emptiest first, and those whose tasks have run longest.
+func (g *gangScheduler) soonestDrained(candidates []*Candidate) []*Candidate {
+	remaining := map[*Candidate]float64{}
+	for _, machine := range candidates {
+		for i := range machine.allocations {
+			alloc := &machine.allocations[i]
+			usedFraction := alloc.cores() / machine.machineType.Cores
+			remaining[machine] += usedFraction * g.preemption.expectedRemainingSeconds(machine, alloc)
+		}
+	}
+	machines := slices.Clone(candidates)
+	slices.SortStableFunc(machines, func(left, right *Candidate) int {
+		return cmp.Compare(remaining[left], remaining[right])
+	})
+	return machines
+}
+
+// recordReservation records the machines that are reserved for a job; the caller has made sure
+// that the batch has capacity for it.
+func recordReservation(b *commit.Batch, id protocol.JobID, placements []placement, message string) {
+	record := b.MutableJob(id)
+	record.ReservedMachines = nil
+	for _, p := range placements {
+		record.ReservedMachines = append(record.ReservedMachines, p.machine.id)
+	}
+	b.Log(slog.LevelInfo, message, "job", string(id), "machines", record.ReservedMachines)
+}
+
+// reservedCandidates lists the machines that the job's record reserves.
+func (j *PendingJob) reservedCandidates(candidates []*Candidate) []*Candidate {
+	return slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
+		return !slices.Contains(j.record.ReservedMachines, machine.id)
+	})
+}
--- /dev/null
+++ b/internal/coordination/scheduling/services.go
@@ -0,0 +1,152 @@
+package scheduling
+
+import (
+	"log/slog"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+const (
+	// slowImageFetch is a fetch that takes longer than a preemption on a machine that has the
+	// image.
+	slowImageFetch = 3 * time.Second
+	// largeTypeFactor is how many times the cores of the smallest type that fits a machine type
+	// may have to take replicas before all others are full: a replica never ends, and would
+	// keep gangs off a large machine for good.
+	largeTypeFactor = 4
+	// unboundedRuntime stands for the run time of tasks that do not end.
+	unboundedRuntime = 24 * time.Hour
+)
+
+// ServiceScheduler places the replicas of services.
+//
+// The tasks of a service are replicas that run until their user cancels the job. It is never
+// done, has no end to plan with, and every second in which a replica does not run counts. So
+// replicas are urgent at all times, go where their image is already, and preempt tasks of lower
+// priority where that is quicker than to fetch an image or to provision a machine.
+type ServiceScheduler struct {
+	*step.Context
+
+	lister     *candidateLister
+	acquirer   *jobAcquirer
+	agents     *agents.Table
+	catalog    *catalog.Catalog
+	jobs       *agents.JobTable
+	lease      *commit.Lease
+	plan       *Plan
+	preemption *preemptor
+	queue      *Queue
+	scheduler  *Scheduler
+}
+
+// RecordExitedReplicas finds replicas that have left a machine's record while the machine and its
+// agent epoch go on: they have ended by themselves, or were stopped. All controllers see it,
+// so whoever places the next ones knows how the last ones fared.
+func (s *ServiceScheduler) RecordExitedReplicas(id protocol.MachineID, before, after *storage.MachineRecord) {
+	if after.AgentEpoch != before.AgentEpoch {
+		return
+	}
+	for i := range before.Assignments {
+		assigned := &before.Assignments[i]
+		if !s.isRunningService(assigned.Job) || remainingTasks(after, assigned) >= assigned.Tasks.Len() {
+			continue
+		}
+		key := agents.AssignmentKey{Machine: id, Job: assigned.Job, Attempt: assigned.Attempt}
+		if assignedAt, known := s.agents.AssignedSince(key); known {
+			s.onReplicasExited(assigned.Job, s.Since(assignedAt))
+		}
+	}
+}
+
+// isRunningService tells whether a job is a service that its user has not cancelled.
+func (s *ServiceScheduler) isRunningService(id protocol.JobID) bool {
+	entry := s.Replica.Jobs[id]
+	if entry == nil || entry.Record.Spec == nil || !entry.Record.Spec.IsService() {
+		return false
+	}
+	return !entry.Record.IsCancelledOrPending()
+}
+
+// remainingTasks counts the tasks that a later record of the machine still has of an assignment.
+func remainingTasks(after *storage.MachineRecord, assigned *storage.Assignment) int {
+	remaining := 0
+	for current := range after.AssignmentsOf(assigned.Job) {
+		if current.Attempt == assigned.Attempt {
+			remaining = current.Tasks.Len()
+		}
+	}
+	return remaining
+}
+
+// onReplicasExited takes in that replicas have ended some time after they were placed. Those that
+// do so soon are placed ever less often, so that they neither use up the write rate nor hide
+// others.
+func (s *ServiceScheduler) onReplicasExited(id protocol.JobID, runtime time.Duration) {
+	attempts := attemptsOf(s.jobs, id)
+	if runtime > EarlyExitWindow {
+		attempts.resetFailures()
+		return
+	}
+	backoff := attempts.recordEarlyExit(s.Now.Monotonic)
+	s.Log(slog.LevelInfo, "replica exited early", "job", string(id), "backoff_seconds", backoff.Seconds())
+}
+
+// placeReplicas places the replicas of a service that do not run: where they start soonest, then
+// where that takes longer, and last beside each other, which is better than not to run.
+func (s *ServiceScheduler) placeReplicas(b *commit.Batch, job *PendingJob, candidates []*Candidate) {
+	spec := job.record.Spec
+	replicas := min(spec.TaskCount-job.placedTasks, s.queue.quotaHeadroom(candidates, spec))
+	if replicas <= 0 {
+		return
+	}
+	p := s.newReplicaPlacer(b, job, candidates, replicas)
+	fetchesQuickly := func(machine *Candidate) bool { return machine.imageFetchTime(spec) < slowImageFetch }
+	anyMachine := func(*Candidate) bool { return true }
+
+	job.avoidedTypes = s.largeMachineTypes(spec)
+	p.placeOnFree(fetchesQuickly)
+	p.placeByPreemption(fetchesQuickly)
+	p.placeByReservation(fetchesQuickly)
+	// One on each machine that has to fetch the image: the more machines have it, the more of
+	// the next replicas start at once.
+	p.limit = oneReplica
+	p.placeOnFree(anyMachine)
+	p.limit = halfOfReplicas
+	p.placeOnFree(anyMachine)
+	p.placeByPreemption(anyMachine)
+	p.placeByReservation(anyMachine)
+	p.limit = allReplicas
+	p.placeOnFree(anyMachine)
+	job.avoidedTypes = nil
+	p.placeOnFree(anyMachine)
+
+	if p.remaining > 0 && job.record.Owner == s.lease.Incarnation() {
+		s.plan.addDemand(job, p.remaining, job.pinnedZone(), true)
+	}
+}
+
+// largeMachineTypes lists the machine types that replicas leave to others as long as they can.
+func (s *ServiceScheduler) largeMachineTypes(spec *protocol.Job) map[protocol.MachineTypeName]bool {
+	types := s.catalog.MachineTypes()
+	smallest := 0.0
+	for i := range types {
+		machineType := &types[i]
+		fits := catalog.MachineTypeCapacity(machineType, spec) > 0
+		if fits && (smallest == 0 || machineType.Cores < smallest) {
+			smallest = machineType.Cores
+		}
+	}
+	large := map[protocol.MachineTypeName]bool{}
+	for i := range types {
+		if types[i].Cores > largeTypeFactor*smallest {
+			large[types[i].Name] = true
+		}
+	}
+	return large
+}
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -10,54 +10,44 @@
 	"tillerarch/internal/protocol"
 )
 
-// warmPool says which idle machines are kept for work that could not wait until a
-// machine is rented for it: as many as such work had in use at its peak. All others
-// go back early. Every controller computes the same from the same records.
+// peakDecayPeriod is how long a peak is remembered.
+const peakDecayPeriod = 5 * time.Minute
+
+// warmPool says which idle machines are kept for work that cannot wait until a machine is
+// provisioned for it: as many as such work had in use at its peak. All others are scaled in
+// early. Every controller computes the same from the same records.
 type warmPool struct {
 	classes         map[string]*urgentClass
-	totalPeakCores  float64 // cores that unfinished work asked for at most; it fades
-	urgentPeakCores float64 // and those of urgent work
+	totalPeakCores  float64 // the most cores that unfinished work asked for; it decays
+	urgentPeakCores float64 // and the most that urgent work did
 	observedAt      protocol.Instant
 	retained        map[protocol.MachineID]bool
 }
 
 // urgentClass is the urgent work of one class.
 type urgentClass struct {
-	latestJob    *protocol.Job // what its newest tasks take
+	latestSpec   *protocol.Job // of its newest job: what a task takes
 	currentTasks float64       // unfinished tasks
-	peakTasks    float64       // the most at once; it fades
+	peakTasks    float64       // the most at once; it decays
 }
 
-// peakDecayPeriod is how long a peak is remembered.
-const peakDecayPeriod = 5 * time.Minute
-
 func newWarmPool() warmPool { return warmPool{classes: map[string]*urgentClass{}} }
 
-// Observe takes in the unfinished jobs.
-func (w *warmPool) Observe(now protocol.Instant, queue []*PendingJob) {
+// observe takes in the unfinished jobs.
+func (w *warmPool) observe(now protocol.Instant, jobs []*PendingJob) {
 	decay := 1 - min(float64(now.Sub(w.observedAt))/float64(peakDecayPeriod), 1)
 	w.observedAt = now
 	for _, class := range w.classes {
 		class.peakTasks, class.currentTasks = class.peakTasks*decay, 0
 	}
 	totalCores, urgentCores := 0.0, 0.0
-	for _, q := range queue {
-		tasks := float64(q.Record.Spec.TaskCount - q.doneTasks)
-		if q.Record.Spec.IsService() {
-			tasks -= float64(q.placedTasks) // what runs will not ask for a machine again
+	for _, job := range jobs {
+		tasks := expectedTasks(job)
+		totalCores += tasks * job.record.Spec.Cores
+		if job.isUrgent {
+			urgentCores += tasks * job.record.Spec.Cores
+			w.addUrgent(job.record.Spec, tasks)
 		}
-		totalCores += tasks * q.Record.Spec.Cores
-		if !q.IsUrgent {
-			continue
-		}
-		urgentCores += tasks * q.Record.Spec.Cores
-		class := w.classes[q.Record.Spec.Class]
-		if class == nil {
-			class = &urgentClass{}
-			w.classes[q.Record.Spec.Class] = class
-		}
-		class.latestJob = q.Record.Spec
-		class.currentTasks += tasks
 	}
 	for _, class := range w.classes {
 		class.peakTasks = max(class.peakTasks, class.currentTasks)
@@ -66,41 +56,60 @@
 	w.urgentPeakCores = max(w.urgentPeakCores*decay, urgentCores)
 }
 
-// SelectRetained picks the idle machines that are kept, those that cost least first.
-func (w *warmPool) SelectRetained(candidates []*Candidate, mayUse func(*protocol.Job, *Candidate) bool) {
+// expectedTasks counts the tasks of a job that ask for a machine now or later. A replica that
+// runs does not.
+func expectedTasks(job *PendingJob) float64 {
+	tasks := float64(job.record.Spec.TaskCount - job.doneTasks)
+	if job.record.Spec.IsService() {
+		tasks -= float64(job.placedTasks)
+	}
+	return tasks
+}
+
+func (w *warmPool) addUrgent(spec *protocol.Job, tasks float64) {
+	class := w.classes[spec.Class]
+	if class == nil {
+		class = &urgentClass{}
+		w.classes[spec.Class] = class
+	}
+	class.latestSpec = spec
+	class.currentTasks += tasks
+}
+
+// selectRetained picks the idle machines that are kept, the cheapest first.
+func (w *warmPool) selectRetained(candidates []*Candidate, isAllowed func(*protocol.Job, *Candidate) bool) {
 	w.retained = map[protocol.MachineID]bool{}
-	idle := slices.DeleteFunc(slices.Clone(candidates), func(r *Candidate) bool {
-		return r.isProvisioning || r.Record.Terminating || len(r.Record.Assignments) > 0
-	})
-	slices.SortFunc(idle, func(a, z *Candidate) int {
-		return cmp.Or(cmp.Compare(a.pricePerCore(), z.pricePerCore()), cmp.Compare(a.ID, z.ID))
-	})
+	idle := cheapestIdle(candidates)
 	for _, className := range step.SortedKeys(w.classes) {
 		class := w.classes[className]
-		need := class.peakTasks - class.currentTasks
-		for _, r := range idle {
-			if need <= 0 {
+		missing := class.peakTasks - class.currentTasks
+		for _, machine := range idle {
+			if missing <= 0 {
 				break
 			}
-			if n := catalog.MachineTypeCapacity(r.MachineType, class.latestJob); n > 0 && !w.retained[r.ID] && mayUse(class.latestJob, r) {
-				w.retained[r.ID] = true
-				need -= float64(n)
+			capacity := catalog.MachineTypeCapacity(machine.machineType, class.latestSpec)
+			if capacity > 0 && !w.retained[machine.id] && isAllowed(class.latestSpec, machine) {
+				w.retained[machine.id] = true
+				missing -= float64(capacity)
 			}
 		}
 	}
 }
 
-// ShouldRetain tells whether an idle machine is kept for urgent work. Where that is most of
-// all work, every machine is.
-func (w *warmPool) ShouldRetain(id protocol.MachineID) bool {
-	return w.retained[id] || 2*w.urgentPeakCores >= w.totalPeakCores
+// cheapestIdle lists the machines that run nothing and could be scaled in, the cheapest per core
+// first.
+func cheapestIdle(candidates []*Candidate) []*Candidate {
+	idle := slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
+		return machine.isProvisioning || machine.record.Terminating || len(machine.record.Assignments) > 0
+	})
+	slices.SortFunc(idle, func(left, right *Candidate) int {
+		return cmp.Or(cmp.Compare(left.pricePerCore(), right.pricePerCore()), cmp.Compare(left.id, right.id))
+	})
+	return idle
 }
 
-// pricePerCore is what a core of the machine costs.
-func (c *Candidate) pricePerCore() float64 {
-	price := c.MachineType.OnDemandPrice
-	if c.Record.Spot {
-		price = c.MachineType.SpotPrice
-	}
-	return price / max(c.MachineType.Cores, catalog.Epsilon)
+// shouldRetain tells whether an idle machine is kept for urgent work. Where that is half of all
+// work or more, every machine is.
+func (w *warmPool) shouldRetain(id protocol.MachineID) bool {
+	return w.retained[id] || 2*w.urgentPeakCores >= w.totalPeakCores
 }
