--- /dev/null
+++ b/internal/coordination/scheduling/gangs_test.go
@@ -0,0 +1,46 @@
+package scheduling
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/protocol"
+)
+
+// A gang is distributed as a whole or not at all.
+func TestDistributeGang(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		tasks  int
+		zone   protocol.Zone
+		closed protocol.MachineID // takes no new task
+		want   map[protocol.MachineID]int
+	}{
+		{"on the first machine", 2, "", "", map[protocol.MachineID]int{"m-1": 2}},
+		{"over two machines", 6, "", "", map[protocol.MachineID]int{"m-1": 4, "m-2": 2}},
+		{"too many tasks", 9, "", "", nil},
+		{"a machine is closed", 6, "", "m-1", nil},
+		{"no machine of the zone", 2, "b", "", nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			job := f.newPendingJob(newArrayJob(1, 20), time.Minute)
+			var machines []*Candidate
+			for _, id := range []protocol.MachineID{"m-1", "m-2"} {
+				machine := newCandidate(&smallMachineType, id, false)
+				machine.isUnschedulable = id == c.closed
+				machines = append(machines, machine)
+			}
+			capacity := func(machine *Candidate) int { return machine.free.CapacityFor(job.record.Spec) }
+			placements := f.gangs.distribute(job, machines, c.zone, c.tasks, capacity)
+			if len(placements) != len(c.want) {
+				t.Fatalf("%d placements; wanted %v", len(placements), c.want)
+			}
+			for _, p := range placements {
+				if p.count != c.want[p.machine.id] {
+					t.Errorf("%d tasks on %s; wanted %v", p.count, p.machine.id, c.want)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/scheduling/job_attempts_test.go
@@ -0,0 +1,68 @@
+package scheduling
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A job whose tasks come back again and again is placed ever less often.
+func TestPlacementBackoff(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		kind       protocol.Kind
+		placements int // for each of the job's tasks
+		want       time.Duration
+	}{
+		{"a few rounds are free", protocol.KindArray, 3, 0},
+		{"the fourth round is delayed", protocol.KindArray, 4, 5 * time.Second},
+		{"the next one more", protocol.KindArray, 5, 10 * time.Second},
+		{"up to a bound", protocol.KindArray, 100, 30 * time.Second},
+		{"replicas have a backoff of their own", protocol.KindService, 100, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			spec := newArrayJob(4, 20)
+			spec.Kind = c.kind
+			attempts := attemptsOf(f.agents.Jobs, spec.ID)
+			attempts.recordPlacement(spec, c.placements*spec.TaskCount, 1, f.Now.Monotonic)
+			end := f.Now.Monotonic.Add(c.want)
+			if attempts.isBackingOff(end) {
+				t.Errorf("delayed for more than %v", c.want)
+			}
+			if c.want > 0 && !attempts.isBackingOff(end-1) {
+				t.Errorf("delayed for less than %v", c.want)
+			}
+		})
+	}
+}
+
+// Attempt numbers come from the block that the job's record reserves for this incarnation, and no
+// number is used twice.
+func TestAttemptBlock(t *testing.T) {
+	f := newCoreWithTwoMachineTypes(t)
+	attempts := attemptsOf(f.agents.Jobs, "j-1")
+	record := &storage.JobRecord{NextAttempt: 2 * step.AttemptBlockSize}
+	if attempts.canUse("own") {
+		t.Error("an attempt can be used before a block is adopted")
+	}
+	attempts.adoptBlock("own", record)
+	if first := attempts.next(); first != step.AttemptBlockSize+1 {
+		t.Errorf("the block begins with %d", first)
+	}
+	if !attempts.canUse("own") || attempts.canUse("another") {
+		t.Error("the block is not its owner's alone")
+	}
+	attempts.recordPlacement(newArrayJob(4, 20), 1, attempts.next(), f.Now.Monotonic)
+	attempts.adoptBlock("own", record)
+	if next := attempts.next(); next != step.AttemptBlockSize+2 {
+		t.Errorf("the next attempt is %d", next)
+	}
+	attempts.recordPlacement(newArrayJob(4, 20), 1, 2*step.AttemptBlockSize-1, f.Now.Monotonic)
+	if attempts.hasSpare() || attempts.canUse("own") {
+		t.Error("the used-up block has attempts left")
+	}
+}
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -49,3 +49,43 @@
 		})
 	}
 }
+
+// The score puts a machine first on which a task starts sooner, or keeps less from others.
+func TestScore(t *testing.T) {
+	const owner, peer = "stall-0#1", "stall-1#1"
+	newMachine := func(change func(*Candidate)) *Candidate {
+		machine := newCandidate(&smallMachineType, "m-1", false)
+		machine.record.Owner = owner
+		change(machine)
+		return machine
+	}
+	for _, c := range []struct {
+		name          string
+		better, worse func(*Candidate)
+	}{
+		{"a small machine before a large one",
+			func(*Candidate) {},
+			func(m *Candidate) { m.machineType = &largeMachineType }},
+		{"a large machine before one that is not up yet",
+			func(m *Candidate) { m.machineType = &largeMachineType },
+			func(m *Candidate) { m.isProvisioning = true }},
+		{"spot before on demand",
+			func(m *Candidate) { m.record.Spot = true },
+			func(*Candidate) {}},
+		{"a shard of the job's owner before one of a peer",
+			func(*Candidate) {},
+			func(m *Candidate) { m.record.Owner = peer }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			job := f.newPendingJob(newArrayJob(4, 20), time.Minute)
+			job.record.Owner = owner
+			b := f.commit.Shards.NewBatch(8)
+			better := f.Scheduler.score(b, job, newMachine(c.better))
+			worse := f.Scheduler.score(b, job, newMachine(c.worse))
+			if better >= worse {
+				t.Errorf("scores %v and %v", better, worse)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/scheduling/preemption_test.go
@@ -0,0 +1,49 @@
+package scheduling
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"tillerarch/internal/protocol"
+)
+
+// Only tasks of lower priority are victims, those first whose stop loses the least work per core:
+// a checkpoint's time for what saves one, else all that has run.
+func TestVictims(t *testing.T) {
+	f := newCoreWithTwoMachineTypes(t)
+	f.Now.Monotonic = f.Now.Monotonic.Add(time.Hour)
+	job := f.newPendingJob(newArrayJob(1, 20), time.Minute)
+	job.precedence = 1
+	machine := newCandidate(&largeMachineType, "m-1", false)
+	for _, running := range []struct {
+		job         protocol.JobID
+		precedence  int
+		runningFor  time.Duration
+		saveSeconds float64 // of a checkpoint; 0: it saves none
+	}{
+		{"j-higher", 0, time.Second, 0},
+		{"j-equal", 1, time.Second, 0},
+		{"j-long", 2, time.Minute, 0},
+		{"j-short", 2, 5 * time.Second, 0},
+		{"j-checkpoint", 3, time.Hour / 2, 10},
+	} {
+		spec := newArrayJob(1, 20)
+		spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = running.saveSeconds, running.saveSeconds
+		alloc := allocation{job: running.job, attempt: 1, count: 1, precedence: running.precedence}
+		f.addTasks(machine, spec, alloc, running.runningFor)
+	}
+	var got []protocol.JobID
+	for _, victim := range f.preemption.victims(machine, job) {
+		got = append(got, victim.job)
+	}
+	if want := []protocol.JobID{"j-short", "j-checkpoint", "j-long"}; !slices.Equal(got, want) {
+		t.Errorf("victims %v; wanted %v", got, want)
+	}
+	if got := f.preemption.capacityAfterPreemption(machine, job); got != 14 {
+		t.Errorf("%d tasks fit after the preemption; wanted 14", got)
+	}
+	if machine.free.Cores != 11 {
+		t.Errorf("the simulation has changed the machine: %v cores are free", machine.free.Cores)
+	}
+}
--- /dev/null
+++ b/internal/coordination/scheduling/queue_test.go
@@ -0,0 +1,98 @@
+package scheduling
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// Starved jobs go first by age; all others by precedence, then those that can still meet an
+// objective, then by due time and at last by ID.
+func TestQueueOrder(t *testing.T) {
+	starvedSince := func(at protocol.Millis) PendingJob {
+		position := queuePosition{isStarved: true, queuePrecedence: 3}
+		return PendingJob{record: &storage.JobRecord{SubmittedAt: at}, queuePosition: position}
+	}
+	queued := func(precedence int, isLate bool, dueAt protocol.Millis) PendingJob {
+		position := queuePosition{queuePrecedence: precedence, isLate: isLate, dueAt: dueAt}
+		return PendingJob{record: &storage.JobRecord{}, queuePosition: position}
+	}
+	for _, c := range []struct {
+		name          string
+		first, second PendingJob
+	}{
+		{"starved before the highest priority", starvedSince(9), queued(0, false, 1)},
+		{"the job that has starved longest", starvedSince(1), starvedSince(2)},
+		{"precedence before lateness", queued(1, true, 9), queued(2, false, 1)},
+		{"what can meet an objective before what is late", queued(1, false, 9), queued(1, true, 1)},
+		{"the earlier due time", queued(1, false, 1), queued(1, false, 2)},
+		{"the ID at last", queued(1, false, 1), queued(1, false, 1)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.first.id, c.second.id = "j-1", "j-2"
+			if !c.first.servedBefore(&c.second) || c.second.servedBefore(&c.first) {
+				t.Errorf("%+v is not served before %+v", c.first.queuePosition, c.second.queuePosition)
+			}
+		})
+	}
+}
+
+// A team's limit bounds the tasks by cores and by accelerators, those in use included.
+func TestQuotaHeadroom(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		quota step.Quota
+		used  int // tasks of the team
+		want  int
+	}{
+		{"no limit", step.Quota{}, 1, protocol.MaxTasks},
+		{"nothing in use", step.Quota{MaxCores: 8}, 0, 4},
+		{"some in use", step.Quota{MaxCores: 8}, 3, 1},
+		{"a part of a task is none", step.Quota{MaxCores: 7}, 0, 3},
+		{"more in use than the limit", step.Quota{MaxCores: 4}, 3, 0},
+		{"accelerators are scarcer", step.Quota{MaxCores: 8, MaxAccelerators: 2}, 0, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			f.Config.Quotas["core"] = c.quota
+			spec := newArrayJob(2, 20)
+			spec.Accelerators = 1
+			machine := newCandidate(&largeMachineType, "m-1", false)
+			f.addTasks(machine, spec, allocation{job: "j-2", attempt: 1, count: c.used}, 0)
+			if got := f.Queue.quotaHeadroom([]*Candidate{machine}, spec); got != c.want {
+				t.Errorf("headroom of %d tasks; wanted %d", got, c.want)
+			}
+		})
+	}
+}
+
+// A job bound to one zone stays in it; one that spreads has at most half of its tasks in a zone.
+func TestZoneHeadroom(t *testing.T) {
+	for _, c := range []struct {
+		name                    string
+		singleZone, spreadZones bool
+		inA, inB                int
+		want                    int // in zone a
+	}{
+		{"no constraint", false, false, 3, 3, protocol.MaxTasks},
+		{"single zone, nothing placed", true, false, 0, 0, protocol.MaxTasks},
+		{"single zone, this one", true, false, 3, 0, protocol.MaxTasks},
+		{"single zone, another one", true, false, 0, 1, 0},
+		{"spread, the half is placed", false, true, 5, 0, 0},
+		{"spread, less than the half is", false, true, 3, 5, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			spec := newArrayJob(4, 20)
+			spec.SingleZone, spec.SpreadZones = c.singleZone, c.spreadZones
+			job := f.newPendingJob(spec, time.Minute)
+			job.tasksByZone["a"], job.tasksByZone["b"] = c.inA, c.inB
+			if got := job.zoneHeadroom("a"); got != c.want {
+				t.Errorf("headroom of %d tasks; wanted %d", got, c.want)
+			}
+		})
+	}
+}
