--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -6,11 +6,10 @@
 )
 
 const (
-	// maxTasksPerWrite bounds the tasks of an array that are assigned to a machine at once, so
-	// that the shard's value and the agent's response stay small.
+	// maxTasksPerWrite bounds the tasks of an array that one write assigns to a machine.
 	maxTasksPerWrite = 200
-	// maxReservedTasks is for how many tasks of a starved array machines are emptied; the
-	// rest follows once it has begun.
+	// maxReservedTasks is for how many tasks of a starved array machines are emptied: the first
+	// task that is placed ends the starvation.
 	maxReservedTasks = 4
 )
 
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -103,7 +103,7 @@
 		startedAt = now
 	}
 	runtime := bp.jobs.EstimatedRuntime(alloc.job, alloc.spec)
-	heartbeatDelay := bp.Config.HeartbeatInterval / 4 // until the start and the end are known here
+	heartbeatDelay := bp.Config.HeartbeatInterval / 4 // allowance until the end is known here
 	endAt := startedAt.Add(runtime + heartbeatDelay)
 	leastRemaining := time.Duration(overrunFraction * float64(runtime))
 	return max(endAt, now.Add(leastRemaining))
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -15,7 +15,7 @@
 
 const (
 	// successorDelay is how long an incarnation must have expired before its successor acquires
-	// its jobs: its last transaction may still arrive.
+	// its jobs.
 	successorDelay = 500 * time.Millisecond
 	// anyControllerDelay is when any controller may acquire them, should the successor not.
 	anyControllerDelay = 10 * time.Second
--- a/internal/coordination/scheduling/preemption_stops.go
+++ b/internal/coordination/scheduling/preemption_stops.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// minPreemptorAge is the age from which a job preempts: others of its submission may still
-	// change the plan.
+	// minPreemptorAge is the age from which a job preempts.
 	minPreemptorAge protocol.Millis = 500
 	// checkpointMarginSeconds is added to the time that a task needs to save its checkpoint.
 	checkpointMarginSeconds = 0.5
--- a/internal/coordination/scheduling/scoring.go
+++ b/internal/coordination/scheduling/scoring.go
@@ -17,10 +17,9 @@
 	sizePenaltyPerAccelerator = 1000
 	// provisioningPenalty puts machines that are not up yet behind all that are.
 	provisioningPenalty = 1e6
-	// maxImagePenalty bounds the delay of an image's fetch, so that it does not outweigh the
-	// size of the machine by far.
+	// maxImagePenalty bounds the delay of an image's fetch: the longest counts like six cores.
 	maxImagePenalty = 60
-	// spotBonus prefers spot machines among equals, since they are cheaper.
+	// spotBonus prefers spot machines, which are cheaper, to on-demand ones of the same size.
 	spotBonus = 5
 	// spotReplicaPenalty puts spot machines behind all others for replicas: as these never end,
 	// every preemption of a machine hits them.
