--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/storage"
 )
 
 // A placement of a task that has to start before its machine sends a heartbeat by itself makes the
@@ -89,3 +90,60 @@
 		})
 	}
 }
+
+// A pass writes what fits of an own array; of the rest, what can follow on machines in use waits,
+// and the others are demand. Another owner's job is planned but neither written nor reported as
+// demand.
+func TestPlacePendingJobs(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		machine    storage.MachineRecord
+		isOwnJob   bool
+		wantTasks  int // written on the machine
+		wantDemand int
+		wantExpect bool // a placement that is not written
+	}{
+		{"own job, free machine that four more can follow on", storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
+		{"own job, machine not up yet", storage.MachineRecord{}, true, 0, 6, true},
+		{"own job, cordoned machine", storage.MachineRecord{AgentEpoch: 1, Cordoned: true}, true, 0, 10, false},
+		{"another owner's job", storage.MachineRecord{AgentEpoch: 1}, false, 0, 0, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			job := storage.JobRecord{
+				Spec:        newArrayJob(1, 20),
+				Owner:       "stall-1#1",
+				NextAttempt: step.AttemptBlockSize,
+				SubmittedAt: f.Now.Wall,
+			}
+			if c.isOwnJob {
+				job.Owner = f.commit.Lease.Incarnation()
+			}
+			c.machine.MachineType, c.machine.Zone = "small", "a"
+			f.commit.Replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 1)
+			shard := storage.EncodePlainShard(f.commit.Lease.Incarnation(), 1, []string{c.machine.EncodeLine("m-1")}, nil)
+			f.commit.Replication.PutInReplica(storage.ShardKey("p"), shard, 2)
+
+			b := f.commit.Shards.NewBatch(8)
+			f.Scheduler.PlacePendingJobs(b)
+
+			written := 0
+			for assigned := range b.MachineRecord("m-1").AssignmentsOf("j-1") {
+				written += assigned.Tasks.Len()
+			}
+			demand := 0
+			for _, unmet := range f.Plan.Demands() {
+				demand += unmet.Tasks
+			}
+			if written != c.wantTasks || demand != c.wantDemand {
+				t.Errorf("%d tasks written, demand for %d; wanted %d and %d", written, demand, c.wantTasks, c.wantDemand)
+			}
+			if got := f.Plan.ExpectsPlacement("m-1"); got != c.wantExpect {
+				t.Errorf("placement expected: %v", got)
+			}
+			if got, want := f.Plan.RetainsMachine("m-1"), written > 0 || c.wantExpect; got != want {
+				t.Errorf("machine retained: %v", got)
+			}
+		})
+	}
+}
