--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -27,6 +27,7 @@
 	deferredHeartbeats map[protocol.MachineID]bool // whose reports wait for their answers
 	awaitingOwner      map[protocol.MachineID]bool // those of them that wait for an owner
 	assignedAt         map[AssignmentKey]protocol.Instant
+	lastOwnership      OwnershipID
 }
 
 func NewTable(ctx *step.Context) *Table {
@@ -124,7 +125,8 @@
 		m.Reset()
 		m.answeredHeartbeatAt, m.answeredToken = 0, 0
 		m.LastContactAt, m.lastHeartbeatAt = at.Now.Monotonic, at.Now.Monotonic
-		m.IdleSince = 0
+		at.lastOwnership++
+		m.Ownership = at.lastOwnership
 		m.HandOffTarget = ""
 		m.awaitsDelivery, m.suspectedAt, m.callFailures, m.CommandsLostAt = false, 0, 0, 0
 	}
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -55,16 +55,19 @@
 	jobsWithErrors       map[protocol.JobID]bool
 	quarantinedUntil     protocol.Instant
 	preemptionAt         protocol.Instant // 0: none; else when the cloud takes it
-	IdleSince            protocol.Instant
 	IsFaulty             bool
-	ScaleInReason        string              // why the machine is to go back
 	HandOffTarget        storage.Incarnation // a run to which the worker reports instead
 	HandOffRequestedAt   protocol.Instant
 	ownerIncarnation     storage.Incarnation
 	ownershipEpoch       storage.ShardEpoch
+	Ownership            OwnershipID       // the current period of ownership
 	OwnershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
 }
 
+// OwnershipID numbers the periods in which this process has owned machines: what was observed in
+// one is void in the next.
+type OwnershipID uint64
+
 type cachedImage struct {
 	name   string
 	SizeGB float64
--- /dev/null
+++ b/internal/coordination/provisioning/demand.go
@@ -0,0 +1,36 @@
+package provisioning
+
+import (
+	"time"
+
+	"tillerarch/internal/protocol"
+)
+
+const (
+	// minDemandAge is the age from which a job's unmet demand counts: its owner may not have
+	// planned a younger job yet.
+	minDemandAge protocol.Millis = 300
+
+	// maxPlanAge is the age up to which a plan may be acted on.
+	maxPlanAge = 2 * time.Second
+)
+
+// DemandSource holds the demand that no machine can take, as of the last plan.
+type DemandSource interface {
+	Age() time.Duration
+	Demands() []UnmetDemand
+	ClearDemands()
+}
+
+// UnmetDemand is work that no machine, up or being provisioned, can take.
+type UnmetDemand struct {
+	Job         protocol.JobID
+	Desc        *protocol.Job
+	Tasks       int
+	Zone        protocol.Zone // the only zone the tasks may be in; empty: any
+	Order       int           // demands of a lower order are served first
+	SubmittedAt protocol.Millis
+	// Urgent demand is requested from all pools at once; other demand from dearer pools only
+	// once cheaper ones are exhausted.
+	Urgent bool
+}
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -11,7 +11,24 @@
 	"tillerarch/internal/storage"
 )
 
-// Inventory holds the cloud's list of instances and adopts those that no record knows.
+const (
+	// missedListsUntilMissing is the number of lists in a row that lack a machine, all asked for
+	// after one that had it, after which the machine counts as gone.
+	missedListsUntilMissing = 2
+
+	// missedListsUntilForgotten is the number of such lists after which it is forgotten.
+	missedListsUntilForgotten = 6
+
+	// A machine must have been listed once it is as old as some times the list's lag, and a margin.
+	unlistedLagFactor = 3
+	unlistedMargin    = 5 * time.Second
+
+	// minOrphanAgeSeconds is the age of a listed machine from which on whoever requested it must
+	// have put it on record.
+	minOrphanAgeSeconds = 20
+)
+
+// Inventory holds the cloud's list of instances and adopts those that are on no record.
 type Inventory struct {
 	*step.Context
 
@@ -20,84 +37,143 @@
 	replication *commit.Replication
 	terminator  *Terminator
 
-	isListingInstances  bool
-	nextInstanceListAt  protocol.Instant // next read of the list
-	lastInstanceListAt  protocol.Instant // last one
-	silentOwnedMachines int              // owned machines that are silent
-	listedInstances     map[protocol.MachineID]*listedInstance
+	isListing       bool
+	nextListAt      protocol.Instant
+	lastListAt      protocol.Instant // when the last list was asked for
+	silentMachines  int              // owned machines that are silent
+	listedInstances map[protocol.MachineID]*listedInstance
+}
+
+// listedInstance is what the cloud's lists say of a machine.
+type listedInstance struct {
+	instance    protocol.Instance
+	listedAt    protocol.Instant // when the last list that had it was asked for
+	missedLists int              // later lists in a row without it
 }
 
-func NewInventory(ctx *step.Context) *Inventory {
+func newInventory(ctx *step.Context) *Inventory {
 	return &Inventory{
 		Context:         ctx,
 		listedInstances: map[protocol.MachineID]*listedInstance{},
 	}
 }
 
-// PollInstances reads the cloud's list of machines when that is due.
-func (ii *Inventory) PollInstances() {
-	now := ii.Now.Monotonic
-	if ii.silentOwnedMachines > 0 {
-		ii.nextInstanceListAt = min(ii.nextInstanceListAt, ii.lastInstanceListAt.Add(ii.Config.SilentInstanceListInterval))
+// PollInstances asks for the cloud's list of instances when that is due, more often while owned
+// machines are silent.
+func (inv *Inventory) PollInstances() {
+	now := inv.Now.Monotonic
+	if inv.silentMachines > 0 {
+		inv.nextListAt = min(inv.nextListAt, inv.lastListAt.Add(inv.Config.SilentInstanceListInterval))
 	}
-	if !ii.isListingInstances && now >= ii.nextInstanceListAt {
-		ii.lastInstanceListAt = now
-		ii.isListingInstances = true
-		ii.nextInstanceListAt = now.Add(ii.Jitter(ii.Config.InstanceListInterval))
-		ii.Emit(step.ListInstances{})
+	if !inv.isListing && now >= inv.nextListAt {
+		inv.lastListAt = now
+		inv.isListing = true
+		inv.nextListAt = now.Add(inv.Jitter(inv.Config.InstanceListInterval))
+		inv.Emit(step.ListInstances{})
 	}
 }
 
-func (ii *Inventory) OnInstanceList(v step.ListInstancesResult) {
-	ii.isListingInstances = false
-	if v.Err != nil {
-		ii.Log(slog.LevelDebug, "listing instances failed", "error", v.Err.Error())
+// OnInstanceList handles the cloud's list of instances.
+func (inv *Inventory) OnInstanceList(result step.ListInstancesResult) {
+	inv.isListing = false
+	if result.Err != nil {
+		inv.Log(slog.LevelDebug, "listing instances failed", "error", result.Err.Error())
 		return
 	}
-	if !ii.replication.IsLoaded() {
+	if !inv.replication.IsLoaded() {
 		return
 	}
+	listed := inv.recordListed(result)
+	inv.recordMissed(listed, result.RequestedAt)
+	inv.recordNeverListed(listed, result.RequestedAt)
+}
+
+// recordListed keeps what a list says of the machines that it has. It gives their set.
+func (inv *Inventory) recordListed(result step.ListInstancesResult) map[protocol.MachineID]bool {
 	listed := map[protocol.MachineID]bool{}
-	for _, instance := range v.Instances {
+	for _, instance := range result.Instances {
 		if !instance.ID.IsValid() {
 			continue
 		}
 		listed[instance.ID] = true
-		ii.listedInstances[instance.ID] = &listedInstance{instance: instance, listedAt: v.RequestedAt}
+		inv.listedInstances[instance.ID] = &listedInstance{instance: instance, listedAt: result.RequestedAt}
 	}
-	for id, l := range ii.listedInstances {
-		// Lists come late and out of order: one that lacks a machine counts
-		// only if it was asked for well after one that had it.
-		if !listed[id] && v.RequestedAt.Sub(l.listedAt) > 0 {
-			if l.missedLists++; l.missedLists > 5 {
-				delete(ii.listedInstances, id)
-			}
+	return listed
+}
+
+// recordMissed counts the lists that lack machines which earlier ones had. Lists come late and
+// out of order: one counts only if it was asked for after the last one that had the machine.
+func (inv *Inventory) recordMissed(listed map[protocol.MachineID]bool, requestedAt protocol.Instant) {
+	for id, known := range inv.listedInstances {
+		if listed[id] || requestedAt <= known.listedAt {
+			continue
+		}
+		if known.missedLists++; known.missedLists >= missedListsUntilForgotten {
+			delete(inv.listedInstances, id)
 		}
 	}
-	// A machine that reported but was never listed counts as missing too, once
-	// it must have been.
-	for id, e := range ii.Replica.Machines {
-		if !listed[id] && ii.listedInstances[id] == nil && step.MillisToDuration(ii.Now.Wall-e.Record.AddedAt) > 3*ii.Config.InstanceListLag+5*time.Second {
-			ii.listedInstances[id] = &listedInstance{instance: protocol.Instance{ID: id}, listedAt: v.RequestedAt}
+}
+
+// recordNeverListed enters the machines that are on record and were never listed, once they must
+// have been: from then on the lists that lack them count.
+func (inv *Inventory) recordNeverListed(listed map[protocol.MachineID]bool, requestedAt protocol.Instant) {
+	listedByAge := unlistedLagFactor*inv.Config.InstanceListLag + unlistedMargin
+	for id, entry := range inv.Replica.Machines {
+		if listed[id] || inv.listedInstances[id] != nil {
+			continue
+		}
+		if step.MillisToDuration(inv.Now.Wall-entry.Record.AddedAt) > listedByAge {
+			inv.listedInstances[id] = &listedInstance{instance: protocol.Instance{ID: id}, listedAt: requestedAt}
 		}
 	}
 }
 
-// AdoptOrphanedInstances are listed machines that no record tells of: late rentals, or ones
-// whose renter died before it wrote them down. They are adopted, to be used or
-// returned.
-func (ii *Inventory) AdoptOrphanedInstances(b *commit.Batch) {
-	orphaned := step.SelectKeys(ii.listedInstances, func(l *listedInstance) bool { return ii.Replica.Machines[l.instance.ID] == nil })
+// AdoptOrphanedInstances puts listed machines on record that are on none: late grants, or ones
+// whose controller ended before it recorded them. They are then used or scaled in.
+func (inv *Inventory) AdoptOrphanedInstances(b *commit.Batch) {
+	orphaned := step.SelectKeys(inv.listedInstances, func(known *listedInstance) bool {
+		return inv.Replica.Machines[known.instance.ID] == nil
+	})
 	for _, id := range orphaned {
-		l := ii.listedInstances[id]
-		if l.missedLists > 0 || l.instance.AgeSeconds < 20 || l.instance.Type == "" || !b.CanAddMachine() || b.ChangesMachine(id) {
+		known := inv.listedInstances[id]
+		if !known.isAdoptable() || !b.CanAddMachine() || b.ChangesMachine(id) {
 			continue
 		}
-		if _, ok := ii.terminator.terminatedAt[id]; ok || !ii.ownership.IsSuccessor(string(id)) || ii.provisioner.isGranted(id) {
+		if inv.terminator.wasTerminated(id) || !inv.ownership.IsSuccessor(string(id)) || inv.provisioner.isGranted(id) {
 			continue
 		}
-		b.AddMachine(id, &storage.MachineRecord{Address: l.instance.Addr, MachineType: l.instance.Type, Zone: l.instance.Zone,
-			Spot: l.instance.Spot, AddedAt: ii.Now.Wall - protocol.Millis(l.instance.AgeSeconds*1000)}, 0)
+		b.AddMachine(id, inv.newMachineRecord(&known.instance), 0)
 		b.Log(slog.LevelInfo, "orphaned instance adopted", "machine", string(id))
 	}
 }
+
+// isAdoptable tells whether an unrecorded machine surely exists and nobody is about to record it.
+func (known *listedInstance) isAdoptable() bool {
+	return known.missedLists == 0 && known.instance.AgeSeconds >= minOrphanAgeSeconds && known.instance.Type != ""
+}
+
+// newMachineRecord is the record of an adopted instance.
+func (inv *Inventory) newMachineRecord(instance *protocol.Instance) *storage.MachineRecord {
+	return &storage.MachineRecord{
+		Address:     instance.Addr,
+		MachineType: instance.Type,
+		Zone:        instance.Zone,
+		Spot:        instance.Spot,
+		AddedAt:     inv.Now.Wall - protocol.Millis(instance.AgeSeconds*1000),
+	}
+}
+
+// recordSilentMachines keeps how many owned machines are silent.
+func (inv *Inventory) recordSilentMachines(count int) { inv.silentMachines = count }
+
+// hasFailed tells whether the cloud lists a machine as failed.
+func (inv *Inventory) hasFailed(id protocol.MachineID) bool {
+	known := inv.listedInstances[id]
+	return known != nil && known.instance.State == protocol.InstanceFailed
+}
+
+// isMissing tells whether the cloud no longer lists a machine.
+func (inv *Inventory) isMissing(id protocol.MachineID) bool {
+	known := inv.listedInstances[id]
+	return known != nil && known.missedLists >= missedListsUntilMissing
+}
--- a/internal/coordination/provisioning/parts.go
+++ b/internal/coordination/provisioning/parts.go
@@ -19,9 +19,9 @@
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
-		Inventory:   NewInventory(ctx),
-		Provisioner: NewProvisioner(ctx),
-		Terminator:  NewTerminator(ctx),
+		Inventory:   newInventory(ctx),
+		Provisioner: newProvisioner(ctx),
+		Terminator:  newTerminator(ctx),
 	}
 	p.Inventory.provisioner = p.Provisioner
 	p.Inventory.terminator = p.Terminator
--- /dev/null
+++ b/internal/coordination/provisioning/pools.go
@@ -0,0 +1,87 @@
+package provisioning
+
+import (
+	"cmp"
+	"slices"
+
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/sharding"
+)
+
+// PoolKey names the machines of one type, zone and kind: the cloud runs out of each of these
+// pools independently.
+type PoolKey struct {
+	MachineType protocol.MachineTypeName
+	Zone        protocol.Zone
+	Spot        bool
+}
+
+// pricedPool is a pool whose machines can run a job, with what a task costs there.
+type pricedPool struct {
+	key             PoolKey
+	tasksPerMachine int
+	costPerTask     float64 // price per hour
+}
+
+// poolsByCost lists the pools whose machines can run the demand's tasks, cheapest per task first.
+func (p *Provisioner) poolsByCost(demand UnmetDemand) []pricedPool {
+	var pools []pricedPool
+	for i := range p.catalog.MachineTypes() {
+		machineType := &p.catalog.MachineTypes()[i]
+		tasksPerMachine := catalog.MachineTypeCapacity(machineType, demand.Desc)
+		if tasksPerMachine == 0 {
+			continue
+		}
+		tasks := float64(min(tasksPerMachine, demand.Tasks))
+		for _, zone := range machineType.Zones {
+			if !demand.allowsPool(machineType, zone) {
+				continue
+			}
+			pools = append(pools, pricedPool{
+				key:             PoolKey{MachineType: machineType.Name, Zone: zone, Spot: false},
+				tasksPerMachine: tasksPerMachine,
+				costPerTask:     machineType.OnDemandPrice / tasks,
+			})
+			if p.canRunOnSpot(demand.Desc, machineType, zone) {
+				pools = append(pools, pricedPool{
+					key:             PoolKey{MachineType: machineType.Name, Zone: zone, Spot: true},
+					tasksPerMachine: tasksPerMachine,
+					costPerTask:     machineType.SpotPrice / tasks,
+				})
+			}
+		}
+	}
+	slices.SortStableFunc(pools, func(a, z pricedPool) int {
+		// Controllers differ in the zone that they try first.
+		return cmp.Or(cmp.Compare(a.costPerTask, z.costPerTask), cmp.Compare(p.zonePreference(z), p.zonePreference(a)))
+	})
+	return pools
+}
+
+// allowsPool tells whether the demand's tasks may be placed on machines of a type in a zone.
+func (d *UnmetDemand) allowsPool(machineType *protocol.MachineType, zone protocol.Zone) bool {
+	return d.Desc.AllowsPlacement(machineType.Name, zone) && (d.Zone == "" || zone == d.Zone)
+}
+
+// canRunOnSpot tells whether spot machines of a type and zone may be provisioned for a job now.
+func (p *Provisioner) canRunOnSpot(job *protocol.Job, machineType *protocol.MachineType, zone protocol.Zone) bool {
+	if job.IsService() || !p.spot.CanUseSpot(job, machineType) {
+		return false
+	}
+	threshold := p.spot.Threshold(catalog.PriceKey{MachineType: machineType.Name, Zone: zone})
+	return threshold != nil && threshold.AllowsSpot()
+}
+
+func (p *Provisioner) zonePreference(pool pricedPool) uint64 {
+	return sharding.RendezvousWeight(string(p.Config.ControllerID), string(pool.key.Zone))
+}
+
+// IsPoolExhausted tells whether the cloud had too few machines of a pool recently.
+func (p *Provisioner) IsPoolExhausted(pool PoolKey) bool {
+	at, known := p.ExhaustedAt[pool]
+	return known && p.Since(at) < p.Config.NoCapacityBackoff
+}
+
+// MarkPoolExhausted records that the cloud has too few machines of a pool.
+func (p *Provisioner) MarkPoolExhausted(pool PoolKey) { p.ExhaustedAt[pool] = p.Now.Monotonic }
--- /dev/null
+++ b/internal/coordination/provisioning/provisioner.go
@@ -0,0 +1,106 @@
+package provisioning
+
+import (
+	"cmp"
+	"slices"
+
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+// maxPoolCostRatio bounds the cost per task, relative to the cheapest pool, of the further pools
+// that are asked at the same time for work that is not urgent.
+const maxPoolCostRatio = 1.05
+
+// Provisioner scales out: it requests machines for demand that no machine can take.
+type Provisioner struct {
+	*step.Context
+
+	catalog     *catalog.Catalog
+	lease       *commit.Lease
+	plan        DemandSource
+	replication *commit.Replication
+	spot        *catalog.SpotPricing
+	terminator  *Terminator
+
+	requests    map[string]*ProvisionRequest // under way, by their names
+	sequence    int                          // of the last request of this process
+	ExhaustedAt map[PoolKey]protocol.Instant // when a pool last had fewer machines than asked for
+}
+
+func newProvisioner(ctx *step.Context) *Provisioner {
+	return &Provisioner{
+		Context:     ctx,
+		requests:    map[string]*ProvisionRequest{},
+		ExhaustedAt: map[PoolKey]protocol.Instant{},
+	}
+}
+
+// ScaleOut requests machines from the cloud for what the owned jobs need and no machine, up or
+// being provisioned, can take.
+func (p *Provisioner) ScaleOut() {
+	p.retryRequests()
+	if p.replication.StoreUnavailable() || p.plan.Age() > maxPlanAge {
+		return
+	}
+	demands := p.plan.Demands()
+	slices.SortStableFunc(demands, func(a, z UnmetDemand) int { return cmp.Compare(a.Order, z.Order) })
+	pendingPools := p.pendingPools()
+	spotCount := p.countSpotMachines()
+	for _, demand := range demands {
+		if p.Now.Wall-demand.SubmittedAt >= minDemandAge {
+			p.provisionForDemand(demand, pendingPools, spotCount)
+		}
+	}
+	p.plan.ClearDemands()
+}
+
+func (p *Provisioner) countSpotMachines() int {
+	count := 0
+	for _, entry := range p.Replica.Machines {
+		if entry.Record.Spot {
+			count++
+		}
+	}
+	return count
+}
+
+// provisionForDemand sends the requests for one job's demand, at most one at a time to a pool.
+func (p *Provisioner) provisionForDemand(demand UnmetDemand, pendingPools map[PoolKey]bool, spotCount int) {
+	remaining := demand.Tasks
+	cheapest := 0.0
+	for _, pool := range p.poolsByCost(demand) {
+		if p.IsPoolExhausted(pool.key) {
+			continue
+		}
+		if cheapest == 0 {
+			cheapest = pool.costPerTask
+		}
+		if remaining <= 0 || !demand.Urgent && pool.costPerTask > cheapest*maxPoolCostRatio {
+			return
+		}
+		if pendingPools[pool.key] {
+			continue
+		}
+		count := p.requestSize(pool, remaining, spotCount)
+		if count <= 0 {
+			continue
+		}
+		pendingPools[pool.key] = true
+		p.sendRequest(pool.key, count, demand.Job)
+		remaining -= count * pool.tasksPerMachine
+	}
+}
+
+// requestSize is the number of machines to ask a pool for, within the limits of one request and
+// of the spot machines of the fleet.
+func (p *Provisioner) requestSize(pool pricedPool, tasks, spotCount int) int {
+	needed := (tasks + pool.tasksPerMachine - 1) / pool.tasksPerMachine
+	count := min(needed, p.Config.MaxProvisionCount, protocol.MaxProvisionCount)
+	if pool.key.Spot {
+		count = min(count, p.Config.MaxSpotMachines-spotCount)
+	}
+	return count
+}
--- /dev/null
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -0,0 +1,66 @@
+package provisioning
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+// For work that can wait the cheapest machines only are requested: else on-demand machines at
+// several times the price would be asked for while spot ones are being provisioned. Urgent work
+// asks all pools at once.
+func TestProvisioningPools(t *testing.T) {
+	smallSpotPool := PoolKey{MachineType: "small", Zone: "a", Spot: true}
+	inOtherZone := func(p PoolKey) PoolKey { p.Zone = "b"; return p }
+	for _, c := range []struct {
+		name      string
+		cores     float64
+		urgent    bool
+		exhausted []PoolKey
+		want      []string // type and kind of the requests
+	}{
+		{"deferrable work takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
+		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{smallSpotPool, inOtherZone(smallSpotPool)}, []string{"large spot", "large spot"}},
+		{"one zone is left", 4, false, []PoolKey{smallSpotPool}, []string{"small spot"}},
+		{"urgent work takes all", 4, true, nil, []string{"small spot", "small spot", "large spot", "large spot", "small on-demand", "small on-demand", "large on-demand", "large on-demand"}},
+		{"large tasks fit one type", 16, false, nil, []string{"large spot", "large spot"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			parts := newTestParts(t)
+			parts.ctx.Effects = nil
+			for _, pool := range c.exhausted {
+				parts.Provisioner.MarkPoolExhausted(pool)
+			}
+			job := &protocol.Job{ID: "j-1", Class: "lane", Team: "core", Kind: protocol.KindArray, TaskCount: 10, Cores: c.cores, MemoryGB: c.cores, AllowSpot: true,
+				Image: "b", EstimatedRunSeconds: 20}
+			demand := UnmetDemand{Job: "j-1", Desc: job, Tasks: 5000, Urgent: c.urgent}
+			parts.Provisioner.provisionForDemand(demand, map[PoolKey]bool{}, 0)
+			got := requestedPools(parts.ctx.Effects)
+			slices.Sort(c.want)
+			if !slices.Equal(got, c.want) {
+				t.Errorf("%s: %s; wanted %s", c.name, strings.Join(got, ", "), strings.Join(c.want, ", "))
+			}
+		})
+	}
+}
+
+// requestedPools lists the type and kind of each provision request, in order.
+func requestedPools(effects []step.Effect) []string {
+	var pools []string
+	for _, effect := range effects {
+		provision, ok := effect.(step.ProvisionMachines)
+		if !ok {
+			continue
+		}
+		kind := " on-demand"
+		if provision.Request.Spot {
+			kind = " spot"
+		}
+		pools = append(pools, string(provision.Request.Type)+kind)
+	}
+	slices.Sort(pools)
+	return pools
+}
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -1,264 +1,234 @@
 package provisioning
 
 import (
-	"log/slog"
-	"sort"
 	"time"
 
 	"tillerarch/internal/coordination/agents"
-	"tillerarch/internal/coordination/cancellation"
-	"tillerarch/internal/coordination/catalog"
-	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-// surplusIdleFactor is the part of IdleTimeoutFactor for which an idle machine is kept that
-// urgent work does not need.
-const surplusIdleFactor = 0.25
+const (
+	// surplusIdleFactor is the part of IdleTimeoutFactor for which an idle machine is kept that
+	// urgent work does not need.
+	surplusIdleFactor = 0.25
 
-// PlanUse knows the machines that the plan uses.
-type PlanUse interface {
-	RetainsMachine(id protocol.MachineID) bool
-}
-
-// IdlePolicy knows the idle machines that are kept in reserve.
-type IdlePolicy interface {
-	RetainsIdleMachine(id protocol.MachineID) bool
-}
+	// isolatedTimeoutFactor is how many times as long silent machines are waited for where nearly
+	// all are silent, so that it may be this controller that is cut off. Their agents would have
+	// reached another controller by then, which would have been handed them: nobody reaches them.
+	isolatedTimeoutFactor = 2
 
-// Terminator scales in: it decides which owned machines are returned to the cloud, and returns them.
-type Terminator struct {
-	*step.Context
+	// unknownTypeIdleTimeout is how long an idle machine is kept whose type the cloud no longer lists.
+	unknownTypeIdleTimeout = time.Minute
+)
 
-	agents        *agents.Table
-	cancellations *cancellation.Canceller
-	catalog       *catalog.Catalog
-	inventory     *Inventory
-	lease         *commit.Lease
-	plan          PlanUse
-	replication   *commit.Replication
-	scheduler     IdlePolicy
+// scaleInReason is why a machine is returned to the cloud, in the words of the log.
+type scaleInReason string
+
+const (
+	scaleInNone            scaleInReason = "" // the machine stays
+	scaleInNeverBooted     scaleInReason = "never came up"
+	scaleInBootFailed      scaleInReason = "failed while it booted"
+	scaleInFailed          scaleInReason = "failed"
+	scaleInNotListed       scaleInReason = "no longer listed"
+	scaleInSilent          scaleInReason = "silent"
+	scaleInCommandsLost    scaleInReason = "answers do not reach it"
+	scaleInFaulty          scaleInReason = "faulty"
+	scaleInTaskDoesNotStop scaleInReason = "cancelled task does not stop"
+	scaleInIdle            scaleInReason = "idle"
+)
 
-	scaleInQueue  []protocol.MachineID // owned ones that are to go back
-	terminations  map[protocol.MachineID]*termination
-	isTerminating bool
-	terminatedAt  map[protocol.MachineID]protocol.Instant
+// scaleInDecision is a machine that is to be terminated, and why.
+type scaleInDecision struct {
+	state  *agents.MachineState // a machine that was forgotten since has another one
+	reason scaleInReason        // scaleInNone once it has been acted on
 }
 
-func NewTerminator(ctx *step.Context) *Terminator {
-	return &Terminator{
-		Context:      ctx,
-		terminations: map[protocol.MachineID]*termination{},
-		terminatedAt: map[protocol.MachineID]protocol.Instant{},
-	}
+// idlePeriod is the time since which a machine has had nothing to do. It ends with the ownership
+// that it was seen under.
+type idlePeriod struct {
+	ownership agents.OwnershipID
+	since     protocol.Instant
 }
 
-// IsTerminating tells whether a machine is being returned to the cloud.
-func (mt *Terminator) IsTerminating(id protocol.MachineID) bool { return mt.terminations[id] != nil }
-
-// IsTerminationConfirmed tells whether the cloud has answered a release of the machine.
-func (mt *Terminator) IsTerminationConfirmed(id protocol.MachineID) bool {
-	r := mt.terminations[id]
-	return r != nil && r.confirmed
+// BeginScaleInReview starts a new review of the owned machines, of which some are silent.
+func (t *Terminator) BeginScaleInReview(silent int) {
+	t.inventory.recordSilentMachines(silent)
+	t.scaleInQueue = t.scaleInQueue[:0]
 }
 
-// TerminateUnrecorded sends a machine back with no mark on record: while the state service
-// is down for all, none can be written, and the task that is still there would break
-// its rule meanwhile. To others it is a machine that died, which they know to meet; the
-// mark keeps them from placing tasks there, which costs time only.
-func (mt *Terminator) TerminateUnrecorded(id protocol.MachineID) {
-	if mt.terminations[id] != nil {
+// EvaluateScaleIn decides whether an owned machine is to be terminated, and queues it if so.
+// A machine that is already marked has its termination begun. isolated tells that nearly all
+// owned machines are silent.
+func (t *Terminator) EvaluateScaleIn(entry *storage.Machine, state *agents.MachineState, isolated bool) {
+	if entry.Record.Terminating {
+		if !t.IsTerminating(state.ID) && t.lease.IsRegistered() {
+			t.terminations[state.ID] = &termination{}
+		}
+		return
+	}
+	reason := t.scaleInReasonOf(entry, state, isolated)
+	if reason == scaleInNone {
 		return
 	}
-	mt.terminations[id] = &termination{unrecorded: true}
-	mt.Log(slog.LevelWarn, "unrecorded machine termination", "machine", string(id), "reason", "withdrawn task would not go")
+	if reason == scaleInTaskDoesNotStop && t.replication.StoreUnavailableEverywhere() {
+		t.TerminateUnrecorded(state.ID)
+	}
+	t.scaleInQueue = append(t.scaleInQueue, scaleInDecision{state: state, reason: reason})
 }
 
-// RecordRemoval remembers that a machine has left the records, so that a stale list of the
-// cloud does not bring it back.
-func (mt *Terminator) RecordRemoval(id protocol.MachineID) {
-	mt.terminatedAt[id] = mt.Now.Monotonic
+// scaleInReasonOf is why a machine is to be terminated. The idle period is kept up to date only
+// where there is no other reason.
+func (t *Terminator) scaleInReasonOf(entry *storage.Machine, state *agents.MachineState, isolated bool) scaleInReason {
+	record := &entry.Record
+	if record.AgentEpoch == 0 {
+		return t.bootFailure(record, state)
+	}
+	if reason := t.defectOf(record, state, isolated); reason != scaleInNone {
+		return reason
+	}
+	t.trackIdlePeriod(record, state)
+	if t.isIdleTooLong(record, state) {
+		return scaleInIdle
+	}
+	return scaleInNone
 }
 
-// ForgetTerminated drops what is remembered of machines that went back long ago.
-func (mt *Terminator) ForgetTerminated() {
-	for id, at := range mt.terminatedAt {
-		if mt.Since(at) > terminatedRetention {
-			delete(mt.terminatedAt, id)
-		}
+// bootFailure is why a machine whose agent has never reported is to be terminated.
+func (t *Terminator) bootFailure(record *storage.MachineRecord, state *agents.MachineState) scaleInReason {
+	machineType := t.catalog.MachineType(record.MachineType)
+	if machineType == nil {
+		return scaleInNone
+	}
+	bootTime := protocol.Seconds(machineType.BootSeconds)
+	bootTimeout := time.Duration(float64(bootTime)*t.Config.BootTimeoutFactor) + t.Config.BootTimeoutMargin
+	// Its age alone says nothing of a machine that this controller has just found in the list or
+	// become the owner of: its agent gets the time to report.
+	if t.machineAge(record) > bootTimeout && t.Since(state.LastContactAt) > bootTime {
+		return scaleInNeverBooted
+	}
+	if t.inventory.hasFailed(state.ID) {
+		return scaleInBootFailed
 	}
+	return scaleInNone
 }
 
-// SendTerminations sends the releases that are due, in one call.
-func (mt *Terminator) SendTerminations() {
-	now := mt.Now.Monotonic
-	var ids []protocol.MachineID
-	for id, r := range mt.terminations {
-		if e := mt.Replica.Machines[id]; e == nil || !r.unrecorded && (!mt.lease.OwnsMachine(&e.Record) || !e.Record.Terminating) {
-			delete(mt.terminations, id)
-			continue
+// defectOf is why a machine that has come up is to be terminated although it is not idle.
+func (t *Terminator) defectOf(record *storage.MachineRecord, state *agents.MachineState, isolated bool) scaleInReason {
+	// The list does not come by way of the agents' network: what it no longer has is gone, even
+	// where most machines of this controller are silent.
+	if t.agents.IsSilent(state) {
+		if t.inventory.hasFailed(state.ID) {
+			return scaleInFailed
 		}
-		if !r.confirmed && !r.inFlight && now >= r.retryAt && len(ids) < protocol.MaxTerminateCount {
-			ids = append(ids, id)
+		if t.inventory.isMissing(state.ID) {
+			return scaleInNotListed
 		}
 	}
-	if len(ids) > 0 && !mt.isTerminating {
-		sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
-		for _, id := range ids {
-			mt.terminations[id].inFlight = true
-		}
-		mt.isTerminating = true
-		mt.Emit(step.TerminateMachines{Machines: ids})
+	switch {
+	case t.isSilentTooLong(state, isolated):
+		return scaleInSilent
+	case state.CommandsLost() && t.Since(state.CommandsLostAt) > t.silenceLimit():
+		return scaleInCommandsLost
+	case state.IsFaulty && len(record.Assignments) == 0:
+		return scaleInFaulty
+	case t.cancellations.MustForceScaleIn(state, record, isolated):
+		// A cancelled task that does not stop takes its machine with it.
+		return scaleInTaskDoesNotStop
 	}
+	return scaleInNone
 }
 
-func (mt *Terminator) OnTerminateResult(v step.TerminateMachinesResult) {
-	mt.isTerminating = false
-	for _, id := range v.Machines {
-		r := mt.terminations[id]
-		if r == nil {
-			continue
-		}
-		r.inFlight = false
-		if v.Err != nil {
-			r.retryAt = mt.Now.Monotonic.Add(mt.Jitter(time.Second))
-			continue
-		}
-		r.confirmed = true
+// isSilentTooLong tells whether nothing has come from a machine's agent for so long that it has
+// to be replaced.
+func (t *Terminator) isSilentTooLong(state *agents.MachineState, isolated bool) bool {
+	if state.DeferredRequest != 0 {
+		return false
 	}
-	if v.Err != nil {
-		mt.Log(slog.LevelWarn, "machine termination failed", "count", len(v.Machines), "error", v.Err.Error())
+	limit := t.silenceLimit()
+	if isolated {
+		limit *= isolatedTimeoutFactor
 	}
+	return t.agents.TimeSinceContact(state) > limit
 }
 
-// markTerminating marks an owned machine's record; the release is sent once that is
-// durable, so that nobody places anything there meanwhile.
-func (mt *Terminator) markTerminating(b *commit.Batch, id protocol.MachineID, reason string) {
-	b.MutableMachine(id).Terminating = true
-	b.Log(slog.LevelInfo, "machine scale-in", "machine", string(id), "reason", reason)
+// silenceLimit is the time without contact after which a machine is terminated: its agent's lease
+// has expired by then, so that it has stopped its tasks.
+func (t *Terminator) silenceLimit() time.Duration {
+	return t.Config.AgentLeaseTTL + t.Config.SilentScaleInDelay
 }
 
-// EvaluateScaleIn decides whether an owned machine goes back, and why.
-func (mt *Terminator) EvaluateScaleIn(e *storage.Machine, m *agents.MachineState, isolated bool) {
-	if e.Record.Terminating {
-		if mt.terminations[m.ID] == nil && mt.lease.IsRegistered() {
-			mt.terminations[m.ID] = &termination{}
-		}
+// trackIdlePeriod begins a machine's idle period where it has nothing to do, and ends it where
+// it has.
+func (t *Terminator) trackIdlePeriod(record *storage.MachineRecord, state *agents.MachineState) {
+	if t.isInUse(record, state) {
+		delete(t.idlePeriods, state.ID)
 		return
 	}
-	if m.ScaleInReason = mt.scaleInReasonFor(e, m, isolated); m.ScaleInReason != "" {
-		mt.scaleInQueue = append(mt.scaleInQueue, m.ID)
+	if idle, isIdle := t.idlePeriods[state.ID]; !isIdle || idle.ownership != state.Ownership {
+		t.idlePeriods[state.ID] = idlePeriod{ownership: state.Ownership, since: t.Now.Monotonic}
 	}
 }
 
-func (mt *Terminator) scaleInReasonFor(e *storage.Machine, m *agents.MachineState, isolated bool) string {
-	rec := &e.Record
-	machineType := mt.catalog.MachineType(rec.MachineType)
-	age := step.MillisToDuration(mt.Now.Wall - rec.AddedAt)
-	if rec.AgentEpoch == 0 {
-		if machineType == nil {
-			return ""
-		}
-		bootTimeout := time.Duration(float64(protocol.Seconds(machineType.BootSeconds))*mt.Config.BootTimeoutFactor) + mt.Config.BootTimeoutMargin
-		// Its age alone says nothing of a machine that this node has only just
-		// found in the list or taken over: its worker gets the time to report.
-		if age > bootTimeout && mt.Since(m.LastContactAt) > protocol.Seconds(machineType.BootSeconds) {
-			return "never came up"
-		}
-		if l := mt.inventory.listedInstances[m.ID]; l != nil && l.instance.State == protocol.InstanceFailed {
-			return "failed while it booted"
-		}
-		return ""
-	}
-	sinceContact := mt.agents.TimeSinceContact(m)
-	// The list does not come by way of the workers' network: what it no longer has is gone,
-	// also where most machines of this node are silent.
-	if l := mt.inventory.listedInstances[m.ID]; l != nil && mt.agents.IsSilent(m) {
-		if l.instance.State == protocol.InstanceFailed {
-			return "failed"
-		}
-		if l.missedLists >= 2 {
-			return "no longer listed"
-		}
-	}
-	if silenceTimeout := mt.Config.AgentLeaseTTL + mt.Config.SilentScaleInDelay; m.DeferredRequest == 0 && (sinceContact > silenceTimeout && !isolated || sinceContact > isolatedTimeoutFactor*silenceTimeout) {
-		return "silent"
-	}
-	if m.CommandsLost() && mt.Since(m.CommandsLostAt) > mt.Config.AgentLeaseTTL+mt.Config.SilentScaleInDelay {
-		return "answers do not reach it"
-	}
-	if m.IsFaulty && len(rec.Assignments) == 0 {
-		return "faulty"
-	}
-	// A withdrawn task that will not go takes its machine with it.
-	if mt.cancellations.MustForceScaleIn(m, rec, isolated) {
-		if mt.replication.StoreUnavailableEverywhere() {
-			mt.TerminateUnrecorded(m.ID)
-		}
-		return "cancelled task does not stop"
-	}
-	if len(rec.Assignments) > 0 || mt.plan.RetainsMachine(m.ID) || m.LatestHeartbeat != nil && mt.hasLiveTasks(m) {
-		m.IdleSince = 0
-		return ""
-	}
-	if m.IdleSince == 0 {
-		m.IdleSince = mt.Now.Monotonic
-	}
-	idleFor := mt.Since(m.IdleSince)
-	if idleFor > mt.idleTimeout(m, machineType) && age > mt.Config.MinMachineAge {
-		return "idle"
-	}
-	return ""
+// isInUse tells whether a machine has tasks, or is about to have some.
+func (t *Terminator) isInUse(record *storage.MachineRecord, state *agents.MachineState) bool {
+	return len(record.Assignments) > 0 || t.plan.RetainsMachine(state.ID) || hasLiveTasks(state.LatestHeartbeat)
+}
+
+// isIdleTooLong tells whether a machine's idle period has lasted longer than its like is worth
+// keeping.
+func (t *Terminator) isIdleTooLong(record *storage.MachineRecord, state *agents.MachineState) bool {
+	idle, isIdle := t.idlePeriods[state.ID]
+	return isIdle &&
+		t.Since(idle.since) > t.idleTimeout(state, t.catalog.MachineType(record.MachineType)) &&
+		t.machineAge(record) > t.Config.MinMachineAge
 }
 
-// idleTimeout is how long an idle machine is kept: about as long as it would
-// take to have its like again, up and with its images.
-func (mt *Terminator) idleTimeout(m *agents.MachineState, machineType *protocol.MachineType) time.Duration {
+// idleTimeout is how long an idle machine is kept: about as long as it would take to have another
+// one of its type up, with its images.
+func (t *Terminator) idleTimeout(state *agents.MachineState, machineType *protocol.MachineType) time.Duration {
 	if machineType == nil {
-		return time.Minute
+		return unknownTypeIdleTimeout
 	}
 	replacementSeconds := machineType.BootSeconds
-	if machineType.ImagePullGBPerSecond > 0 && len(m.CachedImages) > 0 {
+	if machineType.ImagePullGBPerSecond > 0 && len(state.CachedImages) > 0 {
 		totalGB := 0.0
-		for _, i := range m.CachedImages {
-			totalGB += i.SizeGB
+		for _, image := range state.CachedImages {
+			totalGB += image.SizeGB
 		}
-		replacementSeconds += totalGB / float64(len(m.CachedImages)) / machineType.ImagePullGBPerSecond
+		replacementSeconds += totalGB / float64(len(state.CachedImages)) / machineType.ImagePullGBPerSecond
 	}
-	factor := mt.Config.IdleTimeoutFactor
-	if !mt.scheduler.RetainsIdleMachine(m.ID) {
+	factor := t.Config.IdleTimeoutFactor
+	if !t.scheduler.RetainsIdleMachine(state.ID) {
 		factor *= surplusIdleFactor
 	}
 	return time.Duration(replacementSeconds * factor * float64(time.Second))
 }
 
-func (mt *Terminator) hasLiveTasks(m *agents.MachineState) bool {
-	for i := range m.LatestHeartbeat.Tasks {
-		if m.LatestHeartbeat.Tasks[i].State != protocol.TaskExited {
-			return true
+// forgetIdlePeriods drops the idle periods of machines that are no longer remembered.
+func (t *Terminator) forgetIdlePeriods() {
+	for id := range t.idlePeriods {
+		if t.agents.Lookup(id) == nil {
+			delete(t.idlePeriods, id)
 		}
 	}
-	return false
 }
 
-// WriteTerminations marks the machines that are to go back.
-func (mt *Terminator) WriteTerminations(b *commit.Batch) {
-	for _, id := range mt.scaleInQueue {
-		e := mt.Replica.Machines[id]
-		if m := mt.agents.Lookup(id); m != nil && m.ScaleInReason != "" && e != nil && mt.lease.OwnsMachine(&e.Record) && !e.Record.Terminating && b.HasCapacity(b.WritesNeeded(id)) && !b.RemovesMachine(id) {
-			if m.ScaleInReason == "idle" && (b.ChangesMachine(id) || len(e.Record.Assignments) > 0) {
-				continue
-			}
-			mt.markTerminating(b, id, m.ScaleInReason)
-			m.ScaleInReason = ""
-		}
-	}
+// machineAge is the time since a machine was requested.
+func (t *Terminator) machineAge(record *storage.MachineRecord) time.Duration {
+	return step.MillisToDuration(t.Now.Wall - record.AddedAt)
 }
 
-// BeginScaleInReview begins to ask anew which of the owned machines go back.
-func (mt *Terminator) BeginScaleInReview(silent int) {
-	mt.inventory.silentOwnedMachines = silent
-	mt.scaleInQueue = mt.scaleInQueue[:0]
+// hasLiveTasks tells whether a heartbeat, if there is one, shows a task that has not exited.
+func hasLiveTasks(heartbeat *protocol.Heartbeat) bool {
+	if heartbeat == nil {
+		return false
+	}
+	for i := range heartbeat.Tasks {
+		if heartbeat.Tasks[i].State != protocol.TaskExited {
+			return true
+		}
+	}
+	return false
 }
--- /dev/null
+++ b/internal/coordination/provisioning/terminator.go
@@ -0,0 +1,202 @@
+package provisioning
+
+import (
+	"log/slog"
+	"time"
+
+	"tillerarch/internal/coordination/agents"
+	"tillerarch/internal/coordination/cancellation"
+	"tillerarch/internal/coordination/catalog"
+	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// terminatedRetention is how long a machine that has left the records is remembered: the cloud's
+// list may show it for as long.
+const terminatedRetention = 90 * time.Second
+
+// PlanUse knows the machines that the plan uses.
+type PlanUse interface {
+	RetainsMachine(id protocol.MachineID) bool
+}
+
+// IdlePolicy knows the idle machines that are kept in reserve.
+type IdlePolicy interface {
+	RetainsIdleMachine(id protocol.MachineID) bool
+}
+
+// Terminator scales in: it decides which owned machines are returned to the cloud
+// (scale_in.go), and terminates them.
+type Terminator struct {
+	*step.Context
+
+	agents        *agents.Table
+	cancellations *cancellation.Canceller
+	catalog       *catalog.Catalog
+	inventory     *Inventory
+	lease         *commit.Lease
+	plan          PlanUse
+	replication   *commit.Replication
+	scheduler     IdlePolicy
+
+	scaleInQueue []scaleInDecision // of the last review of the owned machines
+	idlePeriods  map[protocol.MachineID]idlePeriod
+
+	terminations  map[protocol.MachineID]*termination
+	isTerminating bool // a call to the cloud is under way
+	terminatedAt  map[protocol.MachineID]protocol.Instant
+}
+
+// termination is a machine that is being returned to the cloud.
+type termination struct {
+	retryAt    protocol.Instant
+	inFlight   bool
+	confirmed  bool // answered 200: the machine and all on it are gone
+	unrecorded bool // the machine's record does not say so
+}
+
+// isDue tells whether the cloud is to be asked for the termination now.
+func (t *termination) isDue(now protocol.Instant) bool {
+	return !t.confirmed && !t.inFlight && now >= t.retryAt
+}
+
+func newTerminator(ctx *step.Context) *Terminator {
+	return &Terminator{
+		Context:      ctx,
+		idlePeriods:  map[protocol.MachineID]idlePeriod{},
+		terminations: map[protocol.MachineID]*termination{},
+		terminatedAt: map[protocol.MachineID]protocol.Instant{},
+	}
+}
+
+// IsTerminating tells whether a machine is being returned to the cloud.
+func (t *Terminator) IsTerminating(id protocol.MachineID) bool { return t.terminations[id] != nil }
+
+// IsTerminationConfirmed tells whether the cloud has confirmed that the machine is terminated.
+func (t *Terminator) IsTerminationConfirmed(id protocol.MachineID) bool {
+	pending := t.terminations[id]
+	return pending != nil && pending.confirmed
+}
+
+// TerminateUnrecorded terminates a machine without a mark on its record: while the store is
+// unavailable to all controllers none can be written, and the task that is still there would
+// break its job's guarantee meanwhile. To other controllers the machine has died, which they
+// handle anyway; the mark only keeps them from placing tasks there, so its lack costs time.
+func (t *Terminator) TerminateUnrecorded(id protocol.MachineID) {
+	if t.IsTerminating(id) {
+		return
+	}
+	t.terminations[id] = &termination{unrecorded: true}
+	t.Log(slog.LevelWarn, "unrecorded machine termination", "machine", string(id), "reason", "withdrawn task would not go")
+}
+
+// RecordRemoval remembers that a machine has left the records, so that a stale list of the
+// cloud does not bring it back.
+func (t *Terminator) RecordRemoval(id protocol.MachineID) {
+	t.terminatedAt[id] = t.Now.Monotonic
+}
+
+// wasTerminated tells whether a machine has left the records recently.
+func (t *Terminator) wasTerminated(id protocol.MachineID) bool {
+	_, known := t.terminatedAt[id]
+	return known
+}
+
+// ForgetTerminated drops what is remembered of machines that are long gone.
+func (t *Terminator) ForgetTerminated() {
+	for id, at := range t.terminatedAt {
+		if t.Since(at) > terminatedRetention {
+			delete(t.terminatedAt, id)
+		}
+	}
+	t.forgetIdlePeriods()
+}
+
+// SendTerminations sends the terminations that are due, in one call.
+func (t *Terminator) SendTerminations() {
+	t.dropObsoleteTerminations()
+	if t.isTerminating {
+		return
+	}
+	now := t.Now.Monotonic
+	due := step.SelectKeys(t.terminations, func(pending *termination) bool { return pending.isDue(now) })
+	if len(due) == 0 {
+		return
+	}
+	due = due[:min(len(due), protocol.MaxTerminateCount)]
+	for _, id := range due {
+		t.terminations[id].inFlight = true
+	}
+	t.isTerminating = true
+	t.Emit(step.TerminateMachines{Machines: due})
+}
+
+// dropObsoleteTerminations drops the terminations of machines that have left the records or are
+// no longer this controller's to terminate.
+func (t *Terminator) dropObsoleteTerminations() {
+	for id, pending := range t.terminations {
+		entry := t.Replica.Machines[id]
+		if entry == nil || !pending.unrecorded && !t.isMarkedTerminating(&entry.Record) {
+			delete(t.terminations, id)
+		}
+	}
+}
+
+// isMarkedTerminating tells whether an owned machine's record says that it is being terminated.
+func (t *Terminator) isMarkedTerminating(record *storage.MachineRecord) bool {
+	return t.lease.OwnsMachine(record) && record.Terminating
+}
+
+// OnTerminateResult handles the answer to a termination call.
+func (t *Terminator) OnTerminateResult(result step.TerminateMachinesResult) {
+	t.isTerminating = false
+	for _, id := range result.Machines {
+		pending := t.terminations[id]
+		if pending == nil {
+			continue
+		}
+		pending.inFlight = false
+		if result.Err != nil {
+			pending.retryAt = t.Now.Monotonic.Add(t.Jitter(retryDelay))
+			continue
+		}
+		pending.confirmed = true
+	}
+	if result.Err != nil {
+		t.Log(slog.LevelWarn, "machine termination failed", "count", len(result.Machines), "error", result.Err.Error())
+	}
+}
+
+// WriteTerminations marks the records of the machines that are to be scaled in. The termination
+// is sent once the mark is durable, so that nobody places anything there meanwhile.
+func (t *Terminator) WriteTerminations(b *commit.Batch) {
+	for i := range t.scaleInQueue {
+		decision := &t.scaleInQueue[i]
+		if !t.canMarkTerminating(b, decision) {
+			continue
+		}
+		id := decision.state.ID
+		b.MutableMachine(id).Terminating = true
+		b.Log(slog.LevelInfo, "machine scale-in", "machine", string(id), "reason", string(decision.reason))
+		decision.reason = scaleInNone
+	}
+}
+
+// canMarkTerminating tells whether a decision still holds and its mark fits into the batch.
+func (t *Terminator) canMarkTerminating(b *commit.Batch, decision *scaleInDecision) bool {
+	id := decision.state.ID
+	entry := t.Replica.Machines[id]
+	if decision.reason == scaleInNone || t.agents.Lookup(id) != decision.state || entry == nil {
+		return false
+	}
+	if !t.lease.OwnsMachine(&entry.Record) || entry.Record.Terminating {
+		return false
+	}
+	if !b.HasCapacity(b.WritesNeeded(id)) || b.RemovesMachine(id) {
+		return false
+	}
+	isInUse := b.ChangesMachine(id) || len(entry.Record.Assignments) > 0
+	return decision.reason != scaleInIdle || !isInUse
+}
--- a/internal/coordination/scheduling/candidates.go
+++ b/internal/coordination/scheduling/candidates.go
@@ -119,24 +119,15 @@
 // provisioningCandidates lists the machines of rental requests that are on no record yet.
 func (l *CandidateLister) provisioningCandidates() []*Candidate {
 	var out []*Candidate
-	for _, name := range step.SortedKeys(l.provisioner.Requests) {
-		request := l.provisioner.Requests[name]
-		machineType := l.catalog.MachineType(request.Request.Type)
+	for _, request := range l.provisioner.PendingRequests() {
+		pool := request.Pool()
+		machineType := l.catalog.MachineType(pool.MachineType)
 		if machineType == nil {
 			continue
 		}
-		missing := request.Request.Count
-		if request.GrantedMachines != nil {
-			missing = 0
-			for _, id := range request.GrantedMachines {
-				if l.Replica.Machines[id] == nil {
-					missing++
-				}
-			}
-		}
-		for range missing {
-			out = append(out, &Candidate{ID: protocol.MachineID("~" + name), isProvisioning: true, MachineType: machineType, Resources: catalog.CapacityOf(machineType),
-				Record: &storage.MachineRecord{MachineType: request.Request.Type, Zone: request.Request.Zone, Spot: request.Request.Spot}})
+		for range request.MachinesToCome(l.Replica) {
+			out = append(out, &Candidate{ID: protocol.MachineID("~" + request.Name()), isProvisioning: true, MachineType: machineType, Resources: catalog.CapacityOf(machineType),
+				Record: &storage.MachineRecord{MachineType: pool.MachineType, Zone: pool.Zone, Spot: pool.Spot}})
 		}
 	}
 	return out
