--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -15,7 +15,7 @@
 // putCancellingJob puts a job on record whose withdrawal has begun.
 func putCancellingJob(t *testing.T, c *Core, modRevision protocol.ModRevision) {
 	t.Helper()
-	if _, err := c.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
+	if _, err := c.ctx.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -35,27 +35,27 @@
 	}{
 		{"no report yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
 		{"never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 		}, true},
 		{"runs", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.ctx.Now.Monotonic)
 		}, true},
 		{"fetches its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.ctx.Now.Monotonic)
 		}, false},
 		{"its start is on its way", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 			m.InflightStarts[task] = 5
 		}, false},
 		{"the worker has shown an earlier token only", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
-			m.RecordHeartbeat(r, core.Now.Monotonic)
+			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, false},
 		{"a newer session", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1)
 			r.AgentEpoch++
-			m.RecordHeartbeat(r, core.Now.Monotonic)
+			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, true},
 		{"released, and that answered", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
@@ -101,24 +101,24 @@
 	} {
 		core, advance := newReadyCore(t)
 		for key, data := range map[string]string{storage.ControllerKey("stall-1"): `{"r":"stall-1#1"}`, storage.ControllerKey("stall-2"): `{"r":"stall-2#9"}`} {
-			if _, err := core.Replica.Put(key, []byte(data), 2); err != nil {
+			if _, err := core.ctx.Replica.Put(key, []byte(data), 2); err != nil {
 				t.Fatal(err)
 			}
 		}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 5); err != nil {
 			t.Fatal(err)
 		}
 		putCancellingJob(t, core, 6)
-		core.Replica.Revision = 6
+		core.ctx.Replica.Revision = 6
 		c.hint.ControllerID = c.hint.Incarnation.Controller()
 		advance(0, step.PeerStatusInput{Status: c.hint})
 		if got := core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 		// An answer counts only as long as its run lives.
-		core.Replica.Delete(storage.ControllerKey("stall-1"), 7)
+		core.ctx.Replica.Delete(storage.ControllerKey("stall-1"), 7)
 		if core.cancellation.Canceller.IsCancelFullyAcknowledged("j-1") {
 			t.Errorf("%s: the word of a run that has ended counts", c.name)
 		}
@@ -134,14 +134,14 @@
 		want bool
 	}{{"newer than the replica", 50, true}, {"older: the replica would have it", 1, false}} {
 		core, advance := newReadyCore(t)
-		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
 		rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 		e, m := addOwnedMachine(t, core, rec)
-		m.RecordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.Now.Monotonic)
+		m.RecordHeartbeat(newHeartbeat(e, 1, protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}), core.ctx.Now.Monotonic)
 		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.rev}}}})
 		starts, stops, acked := 0, 0, false
 		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
@@ -160,7 +160,7 @@
 		if starts != btoi(!c.want) || stops != btoi(c.want) || acked != c.want {
 			t.Errorf("%s: %d starts, %d stops, acknowledged %v", c.name, starts, stops, acked)
 		}
-		advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+		advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
 		advance(60*time.Millisecond, step.Tick{})
 		if core.cancellation.Canceller.CancelRequested("j-1") {
 			t.Errorf("%s: still bound though its replica has gone past it", c.name)
@@ -181,7 +181,7 @@
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its page is newer than the replica: an own write that was answered
-	if core.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
+	if core.ctx.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
 		t.Fatal("the page has no revision")
 	}
 	status := func(out []step.Effect) int {
@@ -199,7 +199,7 @@
 		t.Errorf("answered %d at last, the worker should look elsewhere", s)
 	}
 	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
-	core.Replica.Revision = 9
+	core.ctx.Replica.Revision = 9
 	if s := status(advance(2600*time.Millisecond, step.Tick{})); s != 200 {
 		t.Errorf("answered %d with the replica as new", s)
 	}
@@ -212,7 +212,7 @@
 		core, advance := newReadyCore(t)
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(protocol.Task{Job: "j-1"}, 5)
-		if _, err := core.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2); err != nil {
 			t.Fatal(err)
 		}
 		putCancellingJob(t, core, 2)
--- a/internal/coordination/commit_cycle.go
+++ b/internal/coordination/commit_cycle.go
@@ -2,10 +2,10 @@
 
 import "tillerarch/internal/coordination/commit"
 
-// reservedOpsFraction is the part of a batch, one in so many operations, that is kept for
-// shards of other controllers while tasks of own jobs are planned there: changes of owned
+// remoteOpsDivisor gives the part of a batch, one operation in so many, that is reserved for
+// shards of other controllers while tasks of owned jobs are planned there: changes of owned
 // shards would fill every batch.
-const reservedOpsFraction = 4
+const remoteOpsDivisor = 4
 
 // commitBatches sends the next transactions if there is something to write.
 func (c *Core) commitBatches() {
@@ -17,12 +17,12 @@
 	}
 }
 
-// hasUserChanges tells whether users have submitted or cancelled jobs.
+// hasUserChanges tells whether users have submitted or cancelled jobs that are not written yet.
 func (c *Core) hasUserChanges() bool {
 	return c.requests.Users.HasSubmissions() || c.cancellation.Canceller.HasRequests()
 }
 
-// commitUserBatch sends new and cancelled jobs.
+// commitUserBatch commits new and cancelled jobs.
 func (c *Core) commitUserBatch() {
 	_, maxOps := c.commit.Limits.Budget()
 	b := c.commit.Shards.NewBatch(maxOps)
@@ -30,10 +30,10 @@
 	c.commit.Commits.SendUserBatch(b)
 }
 
-// commitRecordBatch sends what there is to write of jobs and machines.
+// commitRecordBatch commits what there is to write of jobs and machines.
 func (c *Core) commitRecordBatch() {
 	tokens, maxOps := c.commit.Limits.Budget()
-	isPlanDue := c.Now.Monotonic >= c.scheduling.Plan.NextPlanTime()
+	isPlanDue := c.ctx.Now.Monotonic >= c.scheduling.Plan.NextPlanTime()
 	if maxOps < 1 || !isPlanDue && !c.hasUrgentChanges() {
 		return
 	}
@@ -41,7 +41,7 @@
 	c.commit.Shards.ReencodeOversized(b)
 	c.agents.Stopper.WriteGracefulStops(b)
 	c.writeOwnershipChanges(b)
-	// What can wait does so until a batch of a fair size can be paid for: a record is then
+	// What can wait does so until the write limit allows a batch of a fair size: a record is then
 	// written once for many tasks. A few tokens are left for users' requests.
 	if isPlanDue && tokens >= max(c.commit.Limits.MinBatchOps(), c.scheduling.Plan.PendingGangOps()) {
 		b.LimitOps(tokens - c.commit.Limits.ReservedUserTokens())
@@ -52,11 +52,13 @@
 
 // hasUrgentChanges tells whether there are changes that do not wait for the next plan.
 func (c *Core) hasUrgentChanges() bool {
-	return c.agents.Stopper.HasGracefulStops() || len(c.agents.Table.AwaitingOwner()) > 0 || c.ownership.Manager.HasExpiredOwners()
+	return c.agents.Stopper.HasGracefulStops() ||
+		len(c.agents.Table.AwaitingOwner()) > 0 ||
+		c.ownership.Manager.HasExpiredOwners()
 }
 
-// writeOwnershipChanges puts changes of ownership into the batch: machines that report here
-// and have no owner, failovers, transfers.
+// writeOwnershipChanges writes changes of ownership into the batch: machines without an owner
+// whose agents send heartbeats here, failovers, transfers.
 func (c *Core) writeOwnershipChanges(b *commit.Batch) {
 	hasExpiredOwners := c.ownership.Manager.HasExpiredOwners()
 	c.ownership.Manager.WriteAdoptions(b)
@@ -70,9 +72,9 @@
 	}
 }
 
-// writePlan puts the changes of owned machines and the next plan into the batch.
+// writePlan writes the changes of owned machines and the next plan into the batch.
 func (c *Core) writePlan(b *commit.Batch) {
-	// A gang is written whole or not at all. One that found no room in the last batch, behind
+	// A gang is written whole or not at all. One that did not fit into the last batch, behind
 	// changes that come all the time, goes first in this one.
 	gangFirst := c.scheduling.Plan.TakePendingGangOps() > 0
 	if gangFirst {
@@ -83,7 +85,7 @@
 	c.commit.Shards.ConsolidateDoneTasks(b)
 	reservedOps := 0
 	if c.scheduling.Plan.HasPendingRemotePlacements() && c.commit.Commits.IsPartial() {
-		reservedOps = b.OpsLeft() / reservedOpsFraction
+		reservedOps = b.OpsLeft() / remoteOpsDivisor
 	}
 	b.ReserveOps(reservedOps)
 	c.ownership.Manager.HandOffMachines(b)
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -18,10 +18,26 @@
 	"tillerarch/internal/storage"
 )
 
+const (
+	// pauseThreshold is the time between two steps from which on the process itself must have
+	// been paused: its ticks alone come every 50 ms.
+	pauseThreshold = 2 * time.Second
+
+	// slowTickInterval is the time between two rounds over machines, ownership and the cloud.
+	slowTickInterval = 200 * time.Millisecond
+
+	// forgetInterval is the time between two passes that drop what is remembered of machines and
+	// jobs that are gone.
+	forgetInterval = 2 * time.Second
+
+	// rngStream selects the random sequence of the core.
+	rngStream = 7
+)
+
 // Core is the state machine of one controller. It wires the parts, each of which owns its
 // state, and passes inputs and time to them.
 type Core struct {
-	*step.Context
+	ctx *step.Context
 
 	catalog      *catalog.Parts
 	commit       *commit.Parts
@@ -32,103 +48,20 @@
 	scheduling   *scheduling.Parts
 	requests     *requests.Parts
 
-	nextFullTickAt protocol.Instant
-	nextCleanupAt  protocol.Instant // when what is remembered of machines and jobs that are gone is dropped next
+	nextSlowTickAt protocol.Instant
+	nextForgetAt   protocol.Instant
 }
 
-// connect gives each package what it needs of the others.
-func (c *Core) connect() {
-	c.commit.Connect(commit.Dependencies{
-		MachineTracker:    c.agents.Table,
-		StoreReports:      c.ownership.Peers,
-		SuccessorElection: c.ownership.Manager,
-		Catalog:           c.catalog.Catalog,
-		TransferTracker:   c.ownership.Transfers,
-	})
-	c.agents.Connect(agents.Dependencies{
-		Catalog:             c.catalog.Catalog,
-		RemovalRecorder:     c.provisioning.Terminator,
-		CancellationChecker: c.cancellation.Canceller,
-		Lease:               c.commit.Lease,
-		PlacementForecast:   c.scheduling.Plan,
-		Replication:         c.commit.Replication,
-		QuiesceChecker:      c.ownership.Transfers,
-		Commits:             c.commit.Commits,
-		Shards:              c.commit.Shards,
-		TerminationChecker:  c.provisioning.Terminator,
-		ScaleInEvaluator:    c.provisioning.Terminator,
-	})
-	c.cancellation.Connect(cancellation.Dependencies{
-		Agents:           c.agents.Table,
-		Calls:            c.agents.Calls,
-		Commits:          c.commit.Commits,
-		Lease:            c.commit.Lease,
-		Limits:           c.commit.Limits,
-		OwnerElection:    c.ownership.Manager,
-		PeerNotifier:     c.ownership.Peers,
-		Replication:      c.commit.Replication,
-		ForcedTerminator: c.provisioning.Terminator,
-	})
-	c.ownership.Connect(ownership.Dependencies{
-		Cancellations: c.cancellation.Canceller,
-		Lease:         c.commit.Lease,
-		Misdirected:   c.agents.Misdirected,
-		Replication:   c.commit.Replication,
-		Store:         c.commit.Store,
-		Agents:        c.agents.Table,
-		Limits:        c.commit.Limits,
-		Shards:        c.commit.Shards,
-	})
-	c.provisioning.Connect(provisioning.Dependencies{
-		Ownership:     c.ownership.Manager,
-		Replication:   c.commit.Replication,
-		Catalog:       c.catalog.Catalog,
-		Lease:         c.commit.Lease,
-		DemandSource:  c.scheduling.Plan,
-		Spot:          c.catalog.Spot,
-		Agents:        c.agents.Table,
-		Cancellations: c.cancellation.Canceller,
-		PlanUse:       c.scheduling.Plan,
-		IdlePolicy:    c.scheduling.Scheduler,
-	})
-	c.scheduling.Connect(scheduling.Dependencies{
-		Catalog:     c.catalog.Catalog,
-		Agents:      c.agents.Table,
-		Lease:       c.commit.Lease,
-		Provisioner: c.provisioning.Provisioner,
-		Spot:        c.catalog.Spot,
-		Terminator:  c.provisioning.Terminator,
-		Transfers:   c.ownership.Transfers,
-		Jobs:        c.agents.Jobs,
-		Limits:      c.commit.Limits,
-		Ownership:   c.ownership.Manager,
-		Commits:     c.commit.Commits,
-		Stopper:     c.agents.Stopper,
-	})
-	c.requests.Connect(requests.Dependencies{
-		Lease:         c.commit.Lease,
-		Overload:      c.ownership.Overload,
-		Replication:   c.commit.Replication,
-		Transfers:     c.ownership.Transfers,
-		Cancellations: c.cancellation.Canceller,
-		Catalog:       c.catalog.Catalog,
-		Limits:        c.commit.Limits,
-		Store:         c.commit.Store,
-	})
-}
-
-// pauseThreshold is a pause between steps that is this process's own doing: its timer
-// alone brings one every 50 ms.
-const pauseThreshold = 2 * time.Second
-
-// rngStream selects the random sequence of the core.
-const rngStream = 7
-
-// New makes the core of a controller that knows nothing yet.
+// New makes the core of a controller that has read nothing yet.
 func New(cfg step.Config, now step.Now) *Core {
-	ctx := &step.Context{Config: cfg, Now: now, Rand: rand.New(rand.NewPCG(cfg.Seed, rngStream)), Replica: storage.NewReplica()}
+	ctx := &step.Context{
+		Config:  cfg,
+		Now:     now,
+		Rand:    rand.New(rand.NewPCG(cfg.Seed, rngStream)),
+		Replica: storage.NewReplica(),
+	}
 	c := &Core{
-		Context:      ctx,
+		ctx:          ctx,
 		catalog:      catalog.New(ctx),
 		commit:       commit.New(ctx),
 		agents:       agents.New(ctx),
@@ -139,25 +72,46 @@
 		requests:     requests.New(ctx),
 	}
 	c.connect()
-	c.Replica.OnMachineChange = c.onMachineChanged
+	ctx.Replica.OnMachineChange = c.onMachineChanged
 	c.commit.Limits.UpdateWriteLimiter()
 	return c
 }
 
-// Step takes one input and gives the effects it has.
+// Step handles one input and gives its effects.
 func (c *Core) Step(now step.Now, in step.Input) []step.Effect {
-	if c.LastStepAt != 0 && now.Monotonic.Sub(c.LastStepAt) > pauseThreshold {
-		// What has come in meanwhile lies in queues, in no order that tells who was
+	c.beginStep(now)
+	c.dispatch(in)
+	c.requests.Users.ReplyPending()
+	c.agents.Heartbeats.ResolveDeferredHeartbeats()
+	c.commitBatches()
+	c.commit.Replication.WatchRecords(c.requests.Users.HasDeferred())
+	return c.ctx.Effects
+}
+
+// beginStep sets the time of a step and drops the effects of the last one.
+func (c *Core) beginStep(now step.Now) {
+	lastStepAt := c.ctx.LastStepAt
+	if lastStepAt != 0 && now.Monotonic.Sub(lastStepAt) > pauseThreshold {
+		// What has arrived meanwhile lies in queues, in an order that does not tell who was
 		// silent: silence counts from now on.
-		c.ResumedAt = now.Monotonic
+		c.ctx.ResumedAt = now.Monotonic
 	}
-	c.Now, c.LastStepAt = now, now.Monotonic
-	c.Effects = nil
+	c.ctx.Now, c.ctx.LastStepAt = now, now.Monotonic
+	c.ctx.Effects = nil
+}
+
+// dispatch passes an input to the part that handles it.
+func (c *Core) dispatch(in step.Input) {
 	switch v := in.(type) {
+	// Users and agents.
 	case step.UserInput:
 		c.requests.Users.OnUserInput(v)
 	case step.HeartbeatInput:
 		c.agents.Heartbeats.OnHeartbeat(v)
+	case step.AgentResult:
+		c.ctx.ShouldRecheckDeferred = true
+		c.agents.Calls.OnAgentResult(v)
+	// The key-value store.
 	case step.CommitResult:
 		c.commit.Commits.OnCommitResult(v)
 	case step.LoadRecordsResult:
@@ -170,6 +124,7 @@
 		c.commit.Lease.OnGrantLeaseResult(v)
 	case step.RenewLeaseResult:
 		c.commit.Lease.OnRenewLeaseResult(v)
+	// The cloud.
 	case step.ListMachineTypesResult:
 		c.catalog.Catalog.OnMachineTypes(v)
 	case step.ProvisionMachinesResult:
@@ -178,69 +133,45 @@
 		c.provisioning.Terminator.OnTerminateResult(v)
 	case step.ListInstancesResult:
 		c.provisioning.Inventory.OnInstanceList(v)
-	case step.AgentResult:
-		c.ShouldRecheckDeferred = true
-		c.agents.Calls.OnAgentResult(v)
+	// Operators.
 	case requests.TransferRequest:
 		c.requests.Operators.OnTransferRequest(v)
 	case requests.DrainRequest:
 		c.requests.Operators.OnDrainRequest(v)
 	case requests.ShardingStatusRequest:
 		c.requests.Operators.OnShardingStatusRequest(v)
+	// Other controllers, and time.
 	case step.PeerStatusInput:
 		c.onPeerStatus(v.Status)
 	case step.Tick:
-		c.ShouldRecheckDeferred = true
+		c.ctx.ShouldRecheckDeferred = true
 		c.tick()
 	default:
 		panic(fmt.Sprintf("coordination: unknown input %T", in))
 	}
-	c.requests.Users.ReplyPending()
-	c.agents.Heartbeats.ResolveDeferredHeartbeats()
-	c.commitBatches()
-	c.commit.Replication.WatchRecords(c.requests.Users.HasDeferred())
-	return c.Effects
 }
 
-// onPeerStatus takes in what another controller says of itself. A machine that is
-// silent here but reports there is handed over: the way between its worker and
-// this node is broken, and waiting would only let its lease run out.
+// onPeerStatus handles what another controller says of itself. A machine that is silent here
+// and sends its heartbeats there is handed off: its agent does not reach this controller, and
+// waiting would only let the agent's lease expire.
 func (c *Core) onPeerStatus(status step.PeerStatus) {
 	c.ownership.Peers.RecordStatus(&status)
 	c.cancellation.Canceller.OnPeerCancellations(&status)
 	c.ownership.Manager.RecordHeartbeatsElsewhere(&status)
 }
 
-// onMachineChanged takes in that a machine's record has changed.
+// onMachineChanged handles the change of a machine's record in the replica.
 func (c *Core) onMachineChanged(id protocol.MachineID, before, after *storage.MachineRecord) {
-	c.ShouldRecheckDeferred = true
+	c.ctx.ShouldRecheckDeferred = true
 	if before != nil && after != nil {
 		c.scheduling.Services.RecordExitedReplicas(id, before, after)
 	}
 	c.agents.Table.RecordAssignments(id, before, after)
 }
 
-// Healthy tells whether the node can take requests. In an outage that all see
-// it stays healthy: it can answer, if only that the user must come back.
-func (c *Core) Healthy() bool {
-	if !c.commit.Replication.IsLoaded() || c.commit.Lease.Incarnation() == "" {
-		// A process that begins in an outage has read nothing, and is no worse than
-		// the others: it says so at once, and serves as soon as it can, while a node
-		// that was called unhealthy would be passed over for a while behind the outage.
-		if c.commit.Store.ConsecutiveFailures == 0 || c.Since(c.commit.Store.FirstFailureAt) < 2*time.Second {
-			return false
-		}
-	} else if !c.commit.Replication.StoreUnavailable() || c.Since(c.commit.Store.LastResponseAt) < 3*time.Second {
-		return true
-	}
-	// If another one reaches the state service, it is this node alone that is cut off. A
-	// node that hears neither the state service nor any other node must take it that it
-	// is the one that is cut off: users do better elsewhere.
-	return c.ownership.Peers.PeersReportStoreUnavailable(3 * time.Second)
-}
-
+// tick does what time brings: what users and the lease wait for at each tick, the rest less
+// often.
 func (c *Core) tick() {
-	now := c.Now.Monotonic
 	c.ownership.Overload.MeasureOverload()
 	c.commit.Replication.TickLoad()
 	c.commit.Lease.TickLease()
@@ -248,10 +179,13 @@
 	c.ownership.Peers.TickPeerStatus()
 	c.requests.Users.ExpireUserRequests()
 	c.cancellation.Canceller.ExpireCancellations()
-	if now < c.nextFullTickAt {
-		return
+	if c.isDue(&c.nextSlowTickAt, slowTickInterval) {
+		c.slowTick()
 	}
-	c.nextFullTickAt = now.Add(200 * time.Millisecond)
+}
+
+// slowTick looks after machines, ownership and the cloud.
+func (c *Core) slowTick() {
 	if c.commit.Replication.IsLoaded() {
 		c.commit.Upgrade.RecordFormatSupport()
 		c.ownership.Manager.TrackExpiredIncarnations()
@@ -265,21 +199,16 @@
 	c.pollCloud()
 }
 
-// forgetInterval is the distance at which what is remembered of machines and jobs that are
-// gone is dropped.
-const forgetInterval = 2 * time.Second
-
-// forgetGone drops what is remembered of machines and jobs that are gone.
+// forgetGone drops, now and then, what is remembered of machines and jobs that are gone.
 func (c *Core) forgetGone() {
-	if c.Now.Monotonic < c.nextCleanupAt {
+	if !c.isDue(&c.nextForgetAt, forgetInterval) {
 		return
 	}
-	c.nextCleanupAt = c.Now.Monotonic.Add(forgetInterval)
 	c.agents.Table.ForgetMachines()
 	c.agents.Jobs.ForgetJobs()
 }
 
-// pollCloud asks the cloud for what is due.
+// pollCloud makes the calls to the cloud that are due.
 func (c *Core) pollCloud() {
 	c.catalog.Catalog.PollMachineTypes()
 	if !c.commit.Replication.IsLoaded() || !c.commit.Lease.IsRegistered() {
@@ -290,3 +219,13 @@
 	c.provisioning.Terminator.SendTerminations()
 	c.provisioning.Inventory.PollInstances()
 }
+
+// isDue tells whether a timer has expired, and starts it anew if so.
+func (c *Core) isDue(timer *protocol.Instant, interval time.Duration) bool {
+	now := c.ctx.Now.Monotonic
+	if now < *timer {
+		return false
+	}
+	*timer = now.Add(interval)
+	return true
+}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -58,7 +58,7 @@
 				advance(0, step.RenewLeaseResult{LeaseID: 7, Err: commit.ErrNoUsableResponse})
 			}
 			if c.follow {
-				advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+				advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 			}
 		}
 		if got := core.commit.Replication.IsUpToDate(); got != c.want {
@@ -105,7 +105,7 @@
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
 	}
-	if n, _ := commits(advance(0, step.WatchResult{AfterRevision: c.Replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
+	if n, _ := commits(advance(0, step.WatchResult{AfterRevision: c.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
 		t.Fatal("nothing is written behind the fence")
 	}
 }
@@ -114,10 +114,10 @@
 func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
-	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
+	if _, err := c.ctx.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, []string{rec.EncodeLine("m-1")}, nil), c.ctx.Replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
-	machine := c.Replica.Machines["m-1"]
+	machine := c.ctx.Replica.Machines["m-1"]
 	return machine, c.agents.Table.TrackOwnedMachine(machine, "m-1")
 }
 
@@ -142,14 +142,14 @@
 		{"answers do not reach the worker", 0, 0, true, false},
 	} {
 		core, _ := newReadyCore(t)
-		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		task := protocol.Task{Job: "j-1"}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
-		m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+		m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 		if c.stop > 0 {
 			m.StopRequests[task] = agents.StopRequest{Attempt: c.stop}
 		}
@@ -157,7 +157,7 @@
 			m.RevokedAttempts[task] = c.barred
 		}
 		if c.deaf {
-			m.CommandsLostAt = core.Now.Monotonic
+			m.CommandsLostAt = core.ctx.Now.Monotonic
 		}
 		starts := 0
 		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
@@ -204,7 +204,7 @@
 		core, advance := newReadyCore(t)
 		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
 		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 7))})
-		if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
 		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: []step.MisdirectedHeartbeat{{Machine: "m-1", AgentEpoch: c.session, Sequence: c.tally}}}})
@@ -230,14 +230,14 @@
 		{"it is the only node", 0, nil, false, true},
 	} {
 		core, advance := newReadyCore(t)
-		core.Config.PeerCount = c.peers
+		core.ctx.Config.PeerCount = c.peers
 		for i := 0; i < 8; i++ {
 			var err error
 			if !c.calls {
 				err = commit.ErrNoUsableResponse
 			}
 			advance(time.Second, step.RenewLeaseResult{LeaseID: 7, Err: err})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}, Err: err})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}, Err: err})
 			for k, ok := range c.hints {
 				advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
 			}
@@ -297,7 +297,7 @@
 		for i := 0; i < 40; i++ { // all is asked for before the pause
 			advance(50*time.Millisecond, step.Tick{})
 		}
-		advance(c.pause, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+		advance(c.pause, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 		advance(0, step.RenewLeaseResult{LeaseID: 7})
 		advance(0, step.Tick{})
 		if core.commit.Replication.IsUpToDate() != c.fresh || core.agents.Table.IsSilent(m) != c.silent {
@@ -306,7 +306,7 @@
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
 			advance(600*time.Millisecond, step.Tick{})
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 		}
 		if !core.commit.Replication.IsUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
@@ -333,7 +333,7 @@
 	}{{"most of each page", 2, 40, true, false}, {"some of each page", 6, 28, false, false}, {"of an earlier ownership", 2, 28, false, true}} {
 		core, advance := newReadyCore(t)
 		advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
-		if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
 		var misdirected []step.MisdirectedHeartbeat
@@ -350,7 +350,7 @@
 					misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
 				}
 			}
-			if _, err := core.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
+			if _, err := core.ctx.Replica.Put(storage.ShardKey(storage.ShardID(fmt.Sprint("p-", p))), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil), protocol.ModRevision(4+p)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -361,16 +361,16 @@
 		}
 		advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", MisdirectedHeartbeats: misdirected}})
 		if c.late {
-			for id, p := range core.Replica.Shards {
+			for id, p := range core.ctx.Replica.Shards {
 				var lines []string
 				for _, m := range p.Machines {
-					lines = append(lines, core.Replica.EncodedLine(m))
+					lines = append(lines, core.ctx.Replica.EncodedLine(m))
 				}
-				core.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 5, lines, nil), 99)
+				core.ctx.Replica.Put(storage.ShardKey(id), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 5, lines, nil), 99)
 			}
 		}
 		b := core.commit.Shards.NewBatch(24)
-		core.Config.TransactionOps = 24
+		core.ctx.Config.TransactionOps = 24
 		core.ownership.Manager.HandOffMachines(b)
 		transferredShards, movedMachines := 0, 0
 		for id, d := range writtenShards(t, b) {
@@ -380,14 +380,14 @@
 			if d.Owner == "" {
 				t.Errorf("%s: a page is given to nobody", c.name)
 			}
-			if core.Replica.Shards[id] != nil {
+			if core.ctx.Replica.Shards[id] != nil {
 				transferredShards++
 			} else {
 				movedMachines += len(d.Machines)
 			}
 		}
 		for _, operation := range b.Transaction().Operations {
-			if len(operation.Value) > core.Config.ValueBytes {
+			if len(operation.Value) > core.ctx.Config.ValueBytes {
 				t.Errorf("%s: a value of %d bytes", c.name, len(operation.Value))
 			}
 		}
@@ -413,7 +413,7 @@
 	} {
 		now := step.Now{Monotonic: 1, Wall: 1e12}
 		core := New(step.Config{ControllerID: "stall-0", PeerCount: 2, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: step.DefaultTuning()}, now)
-		for core.Since(1) < c.after {
+		for core.ctx.Since(1) < c.after {
 			core.Step(now, step.Tick{})
 			core.Step(now, step.LoadRecordsResult{Err: commit.ErrNoUsableResponse})
 			for k, ok := range c.hints {
@@ -454,7 +454,7 @@
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
 			data := storage.EncodePlainShard(core.commit.Lease.Incarnation(), epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
-			if _, err := core.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
+			if _, err := core.ctx.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -471,13 +471,13 @@
 		}
 		for _, operation := range transaction.Operations {
 			if operation.PutKey != "" {
-				core.Replica.Put(operation.PutKey, operation.Value, 9)
+				core.ctx.Replica.Put(operation.PutKey, operation.Value, 9)
 			} else {
-				core.Replica.Delete(operation.DeleteKey, 9)
+				core.ctx.Replica.Delete(operation.DeleteKey, 9)
 			}
 		}
-		if len(core.Replica.Shards) != 1 || len(core.Replica.Machines) != n || len(core.Replica.PopRemovedMachines()) != 0 || core.Replica.CompletedTasks("j-1").String() != "0-5" {
-			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.Replica.Shards), len(core.Replica.Machines), n, core.Replica.CompletedTasks("j-1"))
+		if len(core.ctx.Replica.Shards) != 1 || len(core.ctx.Replica.Machines) != n || len(core.ctx.Replica.PopRemovedMachines()) != 0 || core.ctx.Replica.CompletedTasks("j-1").String() != "0-5" {
+			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.ctx.Replica.Shards), len(core.ctx.Replica.Machines), n, core.ctx.Replica.CompletedTasks("j-1"))
 		}
 	}
 }
@@ -534,7 +534,7 @@
 		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
 	} {
 		core, advance := newReadyCore(t)
-		if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 			t.Fatal(err)
 		}
 		addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
@@ -542,7 +542,7 @@
 		for i := 0; i < 400; i++ {
 			gap := c.gaps[min(i, len(c.gaps)-1)]
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 			advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: "stall-1", Incarnation: "stall-1#1", StoreReachable: true, AcceptsShards: true}})
 			for _, e := range advance(gap, step.Tick{}) {
 				v, ok := e.(step.Commit)
@@ -552,7 +552,7 @@
 				for _, operation := range v.Transaction.Operations {
 					transferred = transferred || operation.PutKey == storage.ShardKey("p") && strings.Contains(string(operation.Value), "stall-1#1")
 				}
-				advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 10}})
+				advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.ctx.Replica.Revision + 10}})
 			}
 		}
 		if transferred != c.want || core.ownership.Overload.IsOverloaded() != c.want {
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -19,9 +19,9 @@
 func putController(t *testing.T, c *Core, controllerID protocol.ControllerID, readFormat storage.Format) {
 	t.Helper()
 	key := storage.ControllerKey(controllerID)
-	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.Replica.ModRevision(key)+1))
+	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.ctx.Replica.ModRevision(key)+1))
 	data := storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
-	if _, err := c.Replica.Put(key, data, c.Replica.ModRevision(key)+100); err != nil {
+	if _, err := c.ctx.Replica.Put(key, data, c.ctx.Replica.ModRevision(key)+100); err != nil {
 		t.Fatal(err)
 	}
 	c.commit.Upgrade.RecordFormatSupport()
@@ -49,17 +49,17 @@
 		{"the new limits seem to hold, one is old", []storage.Format{absent, absent}, []storage.Format{packed, plain}, false, true, false},
 	} {
 		core, _ := newReadyCore(t)
-		core.Config.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
+		core.ctx.Config.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
 		if !c.none {
-			core.Config.AnnouncedLimits = &announcedLimits
+			core.ctx.Config.AnnouncedLimits = &announcedLimits
 		}
 		core.commit.Upgrade.AreAnnouncedLimitsActive = c.refused
 		putController(t, core, "stall-0", packed)
 		for _, formats := range [][]storage.Format{c.seen, c.now} {
 			for i, f := range formats {
-				controllerID := core.Config.PeerIDs[i]
+				controllerID := core.ctx.Config.PeerIDs[i]
 				if f == absent {
-					core.Replica.Delete(storage.ControllerKey(controllerID), core.Replica.ModRevision(storage.ControllerKey(controllerID))+1)
+					core.ctx.Replica.Delete(storage.ControllerKey(controllerID), core.ctx.Replica.ModRevision(storage.ControllerKey(controllerID))+1)
 				} else {
 					putController(t, core, controllerID, f)
 				}
@@ -75,7 +75,7 @@
 // of both from then on.
 func TestWriteLimitsFollowFormat(t *testing.T) {
 	core, _ := newReadyCore(t)
-	core.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
+	core.ctx.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
 	if got, want := core.commit.Limits.WriteLimits(), (step.WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}); got != want {
 		t.Errorf("before: %+v", got)
 	}
@@ -128,14 +128,14 @@
 		epoch storage.ShardEpoch
 	}{{"of a dead run", "stall-1#1", 4}, {"of this run", "", 3}} {
 		core, advance := newReadyCore(t)
-		core.Config.AnnouncedLimits = &announcedLimits
+		core.ctx.Config.AnnouncedLimits = &announcedLimits
 		if c.owner == "" {
 			c.owner = core.commit.Lease.Incarnation()
 		}
 		core.commit.Replication.PutInReplica(storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 		machines := putOversizedShard(t, core, c.owner)
 		if ops := core.commit.Shards.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
-			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.Replica.Shards["crowded"].EncodedSize)
+			t.Fatalf("%s: %d changes for a page of %d bytes", c.name, ops, core.ctx.Replica.Shards["crowded"].EncodedSize)
 		}
 		var sent *protocol.Transaction
 		for i := 0; i < 400 && sent == nil; i++ {
@@ -143,25 +143,25 @@
 				if v, ok := e.(step.Commit); ok && len(v.Transaction.Operations) > 1 {
 					sent = &v.Transaction
 				} else if ok {
-					advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 1}})
+					advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.ctx.Replica.Revision + 1}})
 				}
 			}
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 		}
 		if sent == nil || !announcedLimits.Allows(sent) {
 			t.Fatalf("%s: %+v", c.name, sent)
 		}
 		advance(0, step.CommitResult{ID: core.commit.Commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 70}})
-		if len(core.Replica.Machines) != machines {
-			t.Errorf("%s: %d machines of %d are left", c.name, len(core.Replica.Machines), machines)
+		if len(core.ctx.Replica.Machines) != machines {
+			t.Errorf("%s: %d machines of %d are left", c.name, len(core.ctx.Replica.Machines), machines)
 		}
-		for id, m := range core.Replica.Machines {
+		for id, m := range core.ctx.Replica.Machines {
 			if m.Record.Owner != core.commit.Lease.Incarnation() || m.Record.ShardEpoch != c.epoch || len(m.Record.Assignments) == 0 {
 				t.Errorf("%s: %s of %s at epoch %d", c.name, id, m.Record.Owner, m.Record.ShardEpoch)
 			}
 		}
-		if got := core.Replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
+		if got := core.ctx.Replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
 			t.Errorf("%s: done tasks are %v", c.name, got)
 		}
 	}
@@ -171,7 +171,7 @@
 // shows that the announced limits hold if it kept to today's.
 func TestTooLargeTransaction(t *testing.T) {
 	core, _ := newReadyCore(t)
-	core.Config.AnnouncedLimits = &announcedLimits
+	core.ctx.Config.AnnouncedLimits = &announcedLimits
 	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
 	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
 	before := core.commit.Limits.MaxTransactionOps
@@ -199,7 +199,7 @@
 		want  bool
 	}{{1, &announcedLimits, true}, {50, &announcedLimits, false}, {30, nil, true}} {
 		core, _ := newReadyCore(t)
-		core.Config.AnnouncedLimits = c.next
+		core.ctx.Config.AnnouncedLimits = c.next
 		j := &protocol.Job{ID: "j-1", Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "low", TaskCount: 1, Image: "b"}
 		for range c.types {
 			j.MachineTypes = append(j.MachineTypes, protocol.MachineTypeName(random(100)))
@@ -227,7 +227,7 @@
 		modRevision++
 		c.commit.Replication.PutInReplica(storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{r.EncodeLine("m-1")}, nil), modRevision)
 	}
-	backoff := func() time.Duration { return c.agents.Jobs.JobState("j-1").NotBefore.Sub(c.Now.Monotonic) }
+	backoff := func() time.Duration { return c.agents.Jobs.JobState("j-1").NotBefore.Sub(c.ctx.Now.Monotonic) }
 	before := time.Duration(0)
 	for attempt := range protocol.Attempt(12) {
 		put(attempt + 1)
@@ -263,7 +263,7 @@
 // as one packed value instead of two halves, and a job whose done tasks have many gaps.
 func TestOwnedRecordsAreReencoded(t *testing.T) {
 	core, advance := newReadyCore(t)
-	core.Config.AnnouncedLimits = &announcedLimits
+	core.ctx.Config.AnnouncedLimits = &announcedLimits
 	var lines []string
 	for i := range 60 {
 		m := storage.MachineRecord{AgentEpoch: 1, Address: fmt.Sprintf("10.1.0.%d:9000", i), MachineType: "small", Zone: "a", AddedAt: 1e12}
@@ -296,11 +296,11 @@
 					jobWrites++
 				}
 			}
-			advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.Replica.Revision + 60}})
+			advance(0, step.CommitResult{ID: v.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: core.ctx.Replica.Revision + 60}})
 		}
-		advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision + 61}})
+		advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision + 61}})
 	}
-	if shardWrites != 1 || jobWrites == 0 || len(core.Replica.Shards) != 1 || core.Replica.CompletedTasks("j-1").String() != done.String() {
-		t.Errorf("the page is written %d times, the job %d times; %d pages", shardWrites, jobWrites, len(core.Replica.Shards))
+	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || core.ctx.Replica.CompletedTasks("j-1").String() != done.String() {
+		t.Errorf("the page is written %d times, the job %d times; %d pages", shardWrites, jobWrites, len(core.ctx.Replica.Shards))
 	}
 }
--- a/internal/coordination/provisioning_test.go
+++ b/internal/coordination/provisioning_test.go
@@ -34,8 +34,8 @@
 
 // newPendingJob is a queued job whose tasks had this long to begin when it came, just now.
 func (c *Core) newPendingJob(d *protocol.Job, slack time.Duration) *scheduling.PendingJob {
-	latestStart := c.Now.Wall + protocol.Millis(slack.Milliseconds())
-	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.commit.Lease.Incarnation(), SubmittedAt: c.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
+	latestStart := c.ctx.Now.Wall + protocol.Millis(slack.Milliseconds())
+	q := &scheduling.PendingJob{ID: d.ID, Record: &storage.JobRecord{Spec: d, Owner: c.commit.Lease.Incarnation(), SubmittedAt: c.ctx.Now.Wall}, LatestStart: latestStart, InitialLatestStart: latestStart}
 	q.IsUrgent = c.scheduling.Queue.NeedsWarmCapacity(q)
 	return q
 }
@@ -73,10 +73,10 @@
 			running := newArrayJob(4, c.runs)
 			r.Allocate(running, 1)
 			r.Allocations = []scheduling.Allocation{{Job: "j-2", Attempt: 1, Count: 1, Desc: running}}
-			now := core.Now.Monotonic
-			core.Now.Monotonic = now.Add(-c.ran)
+			now := core.ctx.Now.Monotonic
+			core.ctx.Now.Monotonic = now.Add(-c.ran)
 			core.agents.Table.RecordAssignments(id, nil, &storage.MachineRecord{Assignments: []storage.Assignment{{Job: "j-2", Attempt: 1}}})
-			core.Now.Monotonic = now
+			core.ctx.Now.Monotonic = now
 			candidates = append(candidates, r)
 		}
 		if got := core.scheduling.Backfill.ReserveBackfill(q, candidates, 10); got != c.want {
@@ -115,8 +115,8 @@
 			newCandidate(&smallMachineType, "m-3", true), newCandidate(&smallMachineType, "m-4", true)}
 		slack := time.Duration(c.slack) * time.Second
 		other := newWork(c.other, "other", 10*time.Minute)
-		core.scheduling.Scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.urgent, "urgent", slack), other})
-		core.scheduling.Scheduler.WarmPool.Observe(core.Now.Monotonic, []*scheduling.PendingJob{newWork(c.now, "urgent", slack), other})
+		core.scheduling.Scheduler.WarmPool.Observe(core.ctx.Now.Monotonic, []*scheduling.PendingJob{newWork(c.urgent, "urgent", slack), other})
+		core.scheduling.Scheduler.WarmPool.Observe(core.ctx.Now.Monotonic, []*scheduling.PendingJob{newWork(c.now, "urgent", slack), other})
 		core.scheduling.Scheduler.WarmPool.SelectRetained(candidates, core.scheduling.Capacity.IsMachineAllowed)
 		var got []protocol.MachineID
 		for _, r := range candidates {
@@ -153,7 +153,7 @@
 		if c.waiting > 0 {
 			core.scheduling.Contention.RecordContention(core.newPendingJob(newArrayJob(c.waiting, 20), time.Minute))
 		}
-		core.Now.Monotonic = core.Now.Monotonic.Add(c.ago)
+		core.ctx.Now.Monotonic = core.ctx.Now.Monotonic.Add(c.ago)
 		if c.refused {
 			for _, z := range smallMachineType.Zones {
 				core.provisioning.Provisioner.MarkPoolExhausted(provisioning.PoolKey{MachineType: "small", Zone: z, Spot: true})
@@ -172,7 +172,7 @@
 // the machine's worker report at once; nothing else does.
 func TestExpediteUrgentTasks(t *testing.T) {
 	core := newCoreWithTwoMachineTypes(t)
-	core.Config.HeartbeatInterval = 6 * time.Second
+	core.ctx.Config.HeartbeatInterval = 6 * time.Second
 	for _, c := range []struct {
 		slack time.Duration
 		late  bool
