--- a/cmd/tillerarch/sharding_commands_test.go
+++ b/cmd/tillerarch/sharding_commands_test.go
@@ -12,7 +12,7 @@
 	"tillerarch/internal/admin"
 )
 
-// fakeBackend answers operators with what a test sets.
+// fakeBackend replies to operators with what a test sets.
 type fakeBackend struct {
 	status              admin.ShardingStatus
 	transfer            admin.Transfer
@@ -39,7 +39,8 @@
 	return &c, f.err
 }
 
-// runShares runs `tillerarch shares` against a daemon: what it prints, and its exit code.
+// runShares runs `tillerarch shares` against a fake controller. It gives what the command prints,
+// and its exit code.
 func runShares(t *testing.T, f *fakeBackend, args ...string) (out string, code int) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -65,76 +66,95 @@
 
 func TestSharesCommands(t *testing.T) {
 	startedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
-	transfer := admin.Transfer{Name: "m-1", Shard: "stall-0#7-1", Source: "stall-0#7", Target: "stall-1#8", Phase: "closed", Machines: 17, ProposedAt: startedAt,
-		PreparedAt: startedAt.Add(time.Second), CommittedAt: startedAt.Add(3 * time.Second), EndedAt: startedAt.Add(5 * time.Second)}
+	transfer := admin.Transfer{
+		Name:        "m-1",
+		Shard:       "stall-0#7-1",
+		Source:      "stall-0#7",
+		Target:      "stall-1#8",
+		Phase:       "closed",
+		Machines:    17,
+		ProposedAt:  startedAt,
+		PreparedAt:  startedAt.Add(time.Second),
+		CommittedAt: startedAt.Add(3 * time.Second),
+		EndedAt:     startedAt.Add(5 * time.Second),
+	}
 	aborted := transfer
 	aborted.Phase, aborted.Reason = "aborted", "the taker has ended"
 	newBackend := func() *fakeBackend {
-		return &fakeBackend{transfer: transfer, status: admin.ShardingStatus{Revision: 412, Controllers: []admin.Controller{{ID: "stall-0", Incarnation: "stall-0#7", Shards: 3, Machines: 51}},
-			Shards: []admin.Shard{{ID: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}}, Transfers: []admin.Transfer{transfer},
-			PlannedTransfers: []admin.PlannedTransfer{{Shard: "stall-0#7-2", Source: "stall-0#7", Target: "stall-1#8"}}}}
+		return &fakeBackend{
+			transfer: transfer,
+			status: admin.ShardingStatus{
+				Revision:         412,
+				Controllers:      []admin.Controller{{ID: "stall-0", Incarnation: "stall-0#7", Shards: 3, Machines: 51}},
+				Shards:           []admin.Shard{{ID: "stall-0#7-1", Owner: "stall-0#7", Epoch: 4, Machines: 17, Tasks: 9}},
+				Transfers:        []admin.Transfer{transfer},
+				PlannedTransfers: []admin.PlannedTransfer{{Shard: "stall-0#7-2", Source: "stall-0#7", Target: "stall-1#8"}},
+			},
+		}
 	}
 	for _, c := range []struct {
 		name string
 		args []string
 		set  func(*fakeBackend)
 		code int
-		says []string
+		want []string // parts of what is printed
 	}{
 		{"list", []string{"list"}, nil, 0, []string{"revision 412", "stall-0#7", "51"}},
-		{"list of pages", []string{"list", "--pages"}, nil, 0, []string{"stall-0#7-1", "EPOCH"}},
+		{"list of shards", []string{"list", "--pages"}, nil, 0, []string{"stall-0#7-1", "EPOCH"}},
 		{"plan", []string{"plan"}, nil, 0, []string{"stall-0#7-2"}},
 		{"history", []string{"history"}, nil, 0, []string{"m-1", "closed", "2s", "5s"}},
-		{"move", []string{"move", "--from", "stall-0", "--to", "stall-1"}, nil, 0, []string{"m-1", "17"}},
-		{"move, waited for", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "2s"}, nil, 0, []string{"closed"}},
-		{"move that is aborted", []string{"move", "--page", "p", "--to", "stall-1"}, func(f *fakeBackend) { f.transfer = aborted }, exitAborted, []string{"the taker has ended"}},
+		{"transfer", []string{"move", "--from", "stall-0", "--to", "stall-1"}, nil, 0, []string{"m-1", "17"}},
+		{"transfer with wait", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "2s"}, nil, 0, []string{"closed"}},
+		{"transfer that is aborted", []string{"move", "--page", "p", "--to", "stall-1"}, func(f *fakeBackend) { f.transfer = aborted }, exitAborted, []string{"the taker has ended"}},
 		{"abort", []string{"abort", "m-1"}, func(f *fakeBackend) { f.transfer = aborted }, 0, []string{"aborted"}},
 		{"drain", []string{"drain", "stall-0"}, nil, 0, []string{"DRAINING", "true", "51"}},
-		{"drain, waited for in vain", []string{"drain", "stall-0", "--wait", "400ms"}, nil, exitUnavailable, []string{"51 machines"}},
-		{"drain, waited for", []string{"drain", "stall-0", "--wait", "2s"}, func(f *fakeBackend) { f.status.Controllers[0].Machines = 0 }, 0, []string{"stall-0"}},
+		{"drain with wait that times out", []string{"drain", "stall-0", "--wait", "400ms"}, nil, exitUnavailable, []string{"51 machines"}},
+		{"drain with wait", []string{"drain", "stall-0", "--wait", "2s"}, func(f *fakeBackend) { f.status.Controllers[0].Machines = 0 }, 0, []string{"stall-0"}},
 		{"undrain", []string{"undrain", "stall-0"}, nil, 0, []string{"false"}},
-		{"drain of nobody", []string{"drain"}, nil, exitUsage, []string{"1 arg"}},
-		{"move without a taker", []string{"move", "--from", "stall-0"}, nil, exitUsage, []string{"--to"}},
-		{"move of a page and of any", []string{"move", "--from", "stall-0", "--page", "p", "--to", "x"}, nil, exitUsage, []string{"one of"}},
-		{"abort of nothing", []string{"abort"}, nil, exitUsage, []string{"1 arg"}},
-		{"no such command", []string{"list", "--machines"}, nil, exitUsage, []string{"unknown flag"}},
-		{"refused", []string{"move", "--from", "stall-0", "--to", "x"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: `no controller "x" is up`} }, exitRejected, []string{`"x"`}},
-		{"not now", []string{"list"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: "overloaded", Retryable: true} }, exitUnavailable, []string{"overloaded"}},
-		{"no address", []string{"list", "--admin", "nowhere"}, nil, exitUsage, []string{"--admin"}},
-		{"nobody there", []string{"list", "--admin", "127.0.0.1:1"}, nil, exitUnavailable, []string{"refused"}},
-		{"not at its end in time", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "400ms"}, func(f *fakeBackend) {
+		{"drain without a controller", []string{"drain"}, nil, exitUsage, []string{"1 arg"}},
+		{"transfer without a target", []string{"move", "--from", "stall-0"}, nil, exitUsage, []string{"--to"}},
+		{"transfer with both a shard and a source", []string{"move", "--from", "stall-0", "--page", "p", "--to", "x"}, nil, exitUsage, []string{"one of"}},
+		{"abort without a transfer", []string{"abort"}, nil, exitUsage, []string{"1 arg"}},
+		{"unknown flag", []string{"list", "--machines"}, nil, exitUsage, []string{"unknown flag"}},
+		{"rejected", []string{"move", "--from", "stall-0", "--to", "x"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: `no controller "x" is up`} }, exitRejected, []string{`"x"`}},
+		{"unavailable", []string{"list"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: "overloaded", Retryable: true} }, exitUnavailable, []string{"overloaded"}},
+		{"malformed address", []string{"list", "--admin", "nowhere"}, nil, exitUsage, []string{"--admin"}},
+		{"connection refused", []string{"list", "--admin", "127.0.0.1:1"}, nil, exitUnavailable, []string{"refused"}},
+		{"transfer with wait that times out", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "400ms"}, func(f *fakeBackend) {
 			f.transfer.Phase = "prepared"
 			f.status.Transfers = []admin.Transfer{f.transfer}
 		}, exitUnavailable, []string{"goes on"}},
 	} {
-		f := newBackend()
-		if c.set != nil {
-			c.set(f)
-		}
-		out, code := runShares(t, f, c.args...)
-		if code != c.code {
-			t.Errorf("%s: exit code %d, want %d: %s", c.name, code, c.code, out)
-		}
-		for _, part := range c.says {
-			if !strings.Contains(out, part) {
-				t.Errorf("%s: %q lacks %q", c.name, out, part)
+		t.Run(c.name, func(t *testing.T) {
+			backend := newBackend()
+			if c.set != nil {
+				c.set(backend)
 			}
-		}
+			out, code := runShares(t, backend, c.args...)
+			if code != c.code {
+				t.Errorf("exit code %d, want %d: %s", code, c.code, out)
+			}
+			for _, part := range c.want {
+				if !strings.Contains(out, part) {
+					t.Errorf("%q lacks %q", out, part)
+				}
+			}
+		})
 	}
 }
 
-// JSON is whole, and a move that is not named gets a name of its own.
+// The JSON is complete, and a transfer that is not named gets a name of its own.
 func TestSharesAsJSON(t *testing.T) {
-	f := &fakeBackend{status: admin.ShardingStatus{Revision: 9, Controllers: []admin.Controller{{ID: "stall-0"}}}}
-	out, code := runShares(t, f, "list", "--json")
-	var s admin.ShardingStatus
-	if err := json.Unmarshal([]byte(out), &s); err != nil || code != 0 || s.Revision != 9 || len(s.Controllers) != 1 {
-		t.Errorf("%d %q: %v", code, out, err)
+	backend := &fakeBackend{status: admin.ShardingStatus{Revision: 9, Controllers: []admin.Controller{{ID: "stall-0"}}}}
+	out, code := runShares(t, backend, "list", "--json")
+	var status admin.ShardingStatus
+	if err := json.Unmarshal([]byte(out), &status); err != nil || code != 0 || status.Revision != 9 || len(status.Controllers) != 1 {
+		t.Errorf("exit code %d, output %q: %v", code, out, err)
 	}
-	runShares(t, f, "move", "--from", "stall-0", "--to", "stall-1")
-	first := f.lastTransferRequest.Name
-	runShares(t, f, "move", "--from", "stall-0", "--to", "stall-1")
-	if first == "" || f.lastTransferRequest.Name == first {
-		t.Errorf("names %q, %q", first, f.lastTransferRequest.Name)
+	runShares(t, backend, "move", "--from", "stall-0", "--to", "stall-1")
+	first := backend.lastTransferRequest.Name
+	runShares(t, backend, "move", "--from", "stall-0", "--to", "stall-1")
+	if first == "" || backend.lastTransferRequest.Name == first {
+		t.Errorf("names %q and %q, want two different ones", first, backend.lastTransferRequest.Name)
 	}
 }
