--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -72,62 +72,74 @@
 		{"announced limit of a wrong type", `[params.cloud]`, "[params.state.next]\ntxn_ops = 1.5\n[params.cloud]", "txn_ops"},
 		{"not TOML", `[outside]`, `[outside`, ""},
 	} {
-		s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, c.old, c.new, 1)), "")
-		if c.name == "good" {
-			if err != nil || s.core.Quotas["core"].MaxCores != 40 || len(s.peerAddrs) != 1 || s.core.AgentLeaseTTL != 42*time.Second {
-				t.Errorf("%+v, %v", s, err)
+		t.Run(c.name, func(t *testing.T) {
+			s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, c.old, c.new, 1)), "")
+			if c.name == "good" {
+				if err != nil || s.core.Quotas["core"].MaxCores != 40 || len(s.peerAddrs) != 1 || s.core.AgentLeaseTTL != 42*time.Second {
+					t.Errorf("%+v, %v", s, err)
+				}
+				return
 			}
-			continue
-		}
-		if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c.name, err)
-		}
+			if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line that names %q", err, c.key)
+			}
+		})
 	}
 }
 
 func TestProperties(t *testing.T) {
 	good := writeFile(t, "s.toml", goodSettings)
-	for _, c := range []struct{ text, key string }{
-		{"spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\nmoves.recorded = true\nmoves.by-demand = 0.5\nadmin.listen = 127.0.0.1:8090\n", ""},
-		{"spot.window = 90", "spot.window"},
-		{"spot.window = -1s", "spot.window"},
-		{"spot.cap = many", "spot.cap"},
-		{"write.share = 0", "write.share"},
-		{"spot.windw = 90s", "spot.windw"},
-		{"moves.recorded = perhaps", "moves.recorded"},
-		{"moves.by-demand = 1.5", "moves.by-demand"},
-		{"admin.listen = 0.0.0.0:8090", "admin.listen"},
-		{"admin.listen = 8090", "admin.listen"},
+	for _, c := range []struct{ name, text, key string }{
+		{"good", "spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\nmoves.recorded = true\nmoves.by-demand = 0.5\nadmin.listen = 127.0.0.1:8090\n", ""},
+		{"duration without a unit", "spot.window = 90", "spot.window"},
+		{"negative duration", "spot.window = -1s", "spot.window"},
+		{"zero duration", "spot.window = 0s", "spot.window"},
+		{"count that is no number", "spot.cap = many", "spot.cap"},
+		{"negative count", "spot.cap = -1", "spot.cap"},
+		{"number that is zero", "write.share = 0", "write.share"},
+		{"number that is too large", "idle.factor = 101", "idle.factor"},
+		{"unknown key", "spot.windw = 90s", "spot.windw"},
+		{"neither true nor false", "moves.recorded = perhaps", "moves.recorded"},
+		{"fraction above one", "moves.by-demand = 1.5", "moves.by-demand"},
+		{"address of all interfaces", "admin.listen = 0.0.0.0:8090", "admin.listen"},
+		{"address without a host", "admin.listen = 8090", "admin.listen"},
 	} {
-		s, err := loadSettings(good, writeFile(t, "p.properties", c.text))
-		if c.key == "" {
-			if err != nil || s.core.SpotPriceWindow != 90*time.Second || s.core.MaxSpotMachines != 3 || s.core.WriteBudgetShare != 0.5 ||
-				!s.core.RecordTransfers || s.core.RebalanceDemandWeight != 0.5 || s.adminListen != "127.0.0.1:8090" {
-				t.Errorf("%v", err)
+		t.Run(c.name, func(t *testing.T) {
+			s, err := loadSettings(good, writeFile(t, "p.properties", c.text))
+			if c.key == "" {
+				if err != nil || s.core.SpotPriceWindow != 90*time.Second || s.core.MaxSpotMachines != 3 || s.core.WriteBudgetShare != 0.5 ||
+					!s.core.RecordTransfers || s.core.RebalanceDemandWeight != 0.5 || s.adminListen != "127.0.0.1:8090" {
+					t.Errorf("%+v, %v", s, err)
+				}
+			} else if err == nil || !strings.Contains(err.Error(), c.key) {
+				t.Errorf("%q: error %v, want one that names %q", c.text, err, c.key)
 			}
-		} else if err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%q: %v", c.text, err)
-		}
+		})
 	}
 }
 
-// What is announced of the state service's limits may leave some out, and nothing
-// announced leaves everything as it is.
+// What is announced of the store's limits may leave some out, and nothing announced leaves
+// everything as it is.
 func TestNextLimits(t *testing.T) {
 	for _, c := range []struct {
-		text string
-		want *step.WriteLimits
+		name, text string
+		want       *step.WriteLimits
 	}{
-		{"", nil},
-		{"[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n", &step.WriteLimits{WritesPerSecond: 28, TransactionOps: 8, ValueBytes: 2048}},
-		{"[params.state.next]\nvalue_kb = 2.0\n", &step.WriteLimits{WritesPerSecond: 40, TransactionOps: 24, ValueBytes: 2048}},
+		{"nothing", "", nil},
+		{"all limits and an unknown one", "[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n",
+			&step.WriteLimits{WritesPerSecond: 28, TransactionOps: 8, ValueBytes: 2048}},
+		{"one limit", "[params.state.next]\nvalue_kb = 2.0\n",
+			&step.WriteLimits{WritesPerSecond: 40, TransactionOps: 24, ValueBytes: 2048}},
 	} {
-		s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, "[params.cloud]", c.text+"[params.cloud]", 1)), "")
-		if err != nil {
-			t.Fatalf("%q: %v", c.text, err)
-		}
-		if got := s.core.AnnouncedLimits; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
-			t.Errorf("%q: %+v, want %+v", c.text, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(goodSettings, "[params.cloud]", c.text+"[params.cloud]", 1)
+			s, err := loadSettings(writeFile(t, "s.toml", text), "")
+			if err != nil {
+				t.Fatalf("%q: %v", c.text, err)
+			}
+			if got := s.core.AnnouncedLimits; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
+				t.Errorf("%q: %+v, want %+v", c.text, got, c.want)
+			}
+		})
 	}
 }
