--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -18,20 +18,25 @@
 // adminBackend answers the admin service by asking the core.
 type adminBackend struct{ daemon *daemon }
 
-// serveAdmin listens for operators' tools. A failure there does not end the daemon.
-func (d *daemon) serveAdmin(address string) {
+// serveAdmin serves operators' tools until the context ends. A failure does not end the daemon.
+func (d *daemon) serveAdmin(ctx context.Context, address string) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		slog.Error("admin service failed to start", "error", err)
 		return
 	}
 	slog.Info("admin service listening", "listen", listener.Addr().String())
-	err = admin.NewServer(adminBackend{daemon: d}).Serve(admin.LimitConnections(listener))
-	slog.Error("admin service stopped", "error", err)
+	server := admin.NewServer(adminBackend{daemon: d})
+	cancelStop := context.AfterFunc(ctx, server.Stop)
+	defer cancelStop()
+	err = server.Serve(admin.LimitConnections(listener))
+	if ctx.Err() == nil {
+		slog.Error("admin service stopped", "error", err)
+	}
 }
 
-// callCore hands the core a request of an operator, made for the number that it gets, and
-// waits for the answer.
+// callCore hands the core a request of an operator, made for the number that it gets, and waits
+// for the reply.
 func (d *daemon) callCore(ctx context.Context, request func(step.RequestID) step.Input) (step.Effect, error) {
 	reply := make(chan step.Effect, 1)
 	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{makeInput: request, reply: reply}}) {
@@ -41,11 +46,11 @@
 	case effect := <-reply:
 		return effect, nil
 	case <-ctx.Done():
-		return nil, ctx.Err()
+		return nil, fmt.Errorf("wait for the core: %w", ctx.Err())
 	}
 }
 
-// callCoreFor asks the core and wants an answer of a type.
+// callCoreFor hands the core a request and wants a reply of a type.
 func callCoreFor[Reply step.Effect](ctx context.Context, d *daemon, request func(step.RequestID) step.Input) (reply Reply, err error) {
 	effect, err := d.callCore(ctx, request)
 	if err != nil {
@@ -60,19 +65,26 @@
 
 // GetShardingStatus tells who owns which machines.
 func (b adminBackend) GetShardingStatus(ctx context.Context, _ *admin.ShardingStatusRequest) (*admin.ShardingStatus, error) {
-	reply, err := callCoreFor[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input { return requests.ShardingStatusRequest{Req: id} })
+	reply, err := callCoreFor[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input {
+		return requests.ShardingStatusRequest{Req: id}
+	})
 	if err != nil {
 		return nil, err
 	}
 	return shardingStatusMessage(&reply), nil
 }
 
-// StartTransfer has a move put on record.
+// StartTransfer has a transfer recorded.
 func (b adminBackend) StartTransfer(ctx context.Context, r *admin.TransferRequest) (*admin.Transfer, error) {
-	return b.requestTransfer(ctx, requests.TransferRequest{Name: r.Name, Shard: storage.ShardID(r.Shard), Source: protocol.ControllerID(r.Source), Target: protocol.ControllerID(r.Target)})
+	return b.requestTransfer(ctx, requests.TransferRequest{
+		Name:   r.Name,
+		Shard:  storage.ShardID(r.Shard),
+		Source: protocol.ControllerID(r.Source),
+		Target: protocol.ControllerID(r.Target),
+	})
 }
 
-// SetDraining has a controller's drain put on record, or its end.
+// SetDraining has a controller's drain recorded, or its end.
 func (b adminBackend) SetDraining(ctx context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
 	reply, err := callCoreFor[requests.DrainReply](ctx, b.daemon, func(id step.RequestID) step.Input {
 		return requests.DrainRequest{Req: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
@@ -83,11 +95,11 @@
 	if reply.Err != nil {
 		return nil, toRequestError(reply.Err)
 	}
-	c := controllerMessage(&reply.Status)
-	return &c, nil
+	controller := controllerMessage(&reply.Status)
+	return &controller, nil
 }
 
-// toRequestError is why the core refused a request, as tools are told.
+// toRequestError turns the core's refusal of a request into what tools are told.
 func toRequestError(err error) error {
 	var requestErr *requests.RequestError
 	if errors.As(err, &requestErr) {
@@ -96,7 +108,7 @@
 	return err
 }
 
-// AbortTransfer has the end of a move put on record.
+// AbortTransfer has the abort of a transfer recorded.
 func (b adminBackend) AbortTransfer(ctx context.Context, r *admin.AbortTransferRequest) (*admin.Transfer, error) {
 	return b.requestTransfer(ctx, requests.TransferRequest{Name: r.Name, Abort: true})
 }
@@ -118,31 +130,59 @@
 
 func shardingStatusMessage(r *requests.ShardingStatusReply) *admin.ShardingStatus {
 	status := &admin.ShardingStatus{Revision: uint64(r.Revision), Stale: r.Stale}
-	for _, c := range r.Controllers {
-		status.Controllers = append(status.Controllers, controllerMessage(&c))
+	for i := range r.Controllers {
+		status.Controllers = append(status.Controllers, controllerMessage(&r.Controllers[i]))
 	}
 	for _, shard := range r.Shards {
-		status.Shards = append(status.Shards, admin.Shard{ID: string(shard.ID), Owner: string(shard.Owner), Epoch: uint64(shard.Epoch), Machines: shard.Machines, Tasks: shard.Tasks})
+		status.Shards = append(status.Shards, admin.Shard{
+			ID:       string(shard.ID),
+			Owner:    string(shard.Owner),
+			Epoch:    uint64(shard.Epoch),
+			Machines: shard.Machines,
+			Tasks:    shard.Tasks,
+		})
 	}
 	for i := range r.Transfers {
 		status.Transfers = append(status.Transfers, transferMessage(&r.Transfers[i]))
 	}
 	for _, planned := range r.PlannedTransfers {
-		status.PlannedTransfers = append(status.PlannedTransfers, admin.PlannedTransfer{Shard: string(planned.Shard), Source: string(planned.Source), Target: string(planned.Target)})
+		status.PlannedTransfers = append(status.PlannedTransfers, admin.PlannedTransfer{
+			Shard:  string(planned.Shard),
+			Source: string(planned.Source),
+			Target: string(planned.Target),
+		})
 	}
 	return status
 }
 
 func controllerMessage(c *requests.ControllerStatus) admin.Controller {
-	return admin.Controller{ID: string(c.ID), Incarnation: string(c.Incarnation), Shards: c.Shards, Machines: c.Machines, SupportsTransfers: c.RecordsTransfers, Draining: c.Draining}
+	return admin.Controller{
+		ID:                string(c.ID),
+		Incarnation:       string(c.Incarnation),
+		Shards:            c.Shards,
+		Machines:          c.Machines,
+		SupportsTransfers: c.RecordsTransfers,
+		Draining:          c.Draining,
+	}
 }
 
 func transferMessage(record *storage.TransferRecord) admin.Transfer {
-	return admin.Transfer{Name: record.Name, Shard: string(record.Shard), Source: string(record.Source), Target: string(record.Target), Phase: string(record.Phase), Reason: record.Reason,
-		Machines: record.MachineCount, ProposedAt: wallTime(record.ProposedAt), PreparedAt: wallTime(record.PreparedAt), CommittedAt: wallTime(record.CommittedAt), EndedAt: wallTime(record.EndedAt)}
+	return admin.Transfer{
+		Name:        record.Name,
+		Shard:       string(record.Shard),
+		Source:      string(record.Source),
+		Target:      string(record.Target),
+		Phase:       string(record.Phase),
+		Reason:      record.Reason,
+		Machines:    record.MachineCount,
+		ProposedAt:  wallTime(record.ProposedAt),
+		PreparedAt:  wallTime(record.PreparedAt),
+		CommittedAt: wallTime(record.CommittedAt),
+		EndedAt:     wallTime(record.EndedAt),
+	}
 }
 
-// wallTime is a time on record as a time of day; none stays none.
+// wallTime is a recorded time as a time of day; none stays the zero time.
 func wallTime(at protocol.Millis) time.Time {
 	if at == 0 {
 		return time.Time{}
--- /dev/null
+++ b/cmd/tillerarch/cloud_calls.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+// maxListedInstances ends a list of instances that does not end by itself.
+const maxListedInstances = 100_000
+
+// noCapacityError is the error text by which the cloud says that it has no machines.
+const noCapacityError = "no capacity"
+
+// callCloud calls the cloud and wants a 200.
+func (d *daemon) callCloud(method, target string, payload any) ([]byte, error) {
+	var body []byte
+	if payload != nil {
+		body = protocol.Encode(payload)
+	}
+	response, err := d.cloud.Call(method, target, body, cloudTimeout)
+	if err != nil {
+		return nil, fmt.Errorf("%s %s: %w", method, target, err)
+	}
+	if response.Status != http.StatusOK {
+		return nil, fmt.Errorf("%s %s: cloud answered %d", method, target, response.Status)
+	}
+	return response.Body, nil
+}
+
+func (d *daemon) listMachineTypes() ([]protocol.MachineType, error) {
+	body, err := d.callCloud("GET", protocol.PathMachineTypes, nil)
+	if err != nil {
+		return nil, err
+	}
+	machineTypes, err := protocol.ParseMachineTypes(body)
+	if err != nil {
+		return machineTypes, fmt.Errorf("parse machine types: %w", err)
+	}
+	return machineTypes, nil
+}
+
+func (d *daemon) terminateMachines(machines []protocol.MachineID) error {
+	_, err := d.callCloud("POST", protocol.PathTerminate, protocol.MachineList{Machines: machines})
+	return err
+}
+
+// provisionMachines asks for machines. The core has to tell apart whether the cloud has none,
+// refuses the request, or leaves open whether it has carried it out.
+func (d *daemon) provisionMachines(request protocol.ProvisionRequest) step.ProvisionMachinesResult {
+	result := step.ProvisionMachinesResult{Request: request}
+	response, err := d.cloud.Call("POST", protocol.PathInstances, protocol.Encode(request), cloudTimeout)
+	if err != nil {
+		result.Err = fmt.Errorf("POST %s: %w", protocol.PathInstances, err)
+		return result
+	}
+	switch response.Status {
+	case http.StatusOK:
+		result.Machines, result.Err = parseGrantedMachines(response.Body)
+	case http.StatusBadRequest:
+		result.Invalid = true
+	case http.StatusServiceUnavailable:
+		var failure struct{ Error string }
+		if json.Unmarshal(response.Body, &failure) == nil && failure.Error == noCapacityError {
+			result.NoCapacity = true
+			break
+		}
+		result.Err = fmt.Errorf("POST %s: cloud answered %d %s", protocol.PathInstances, response.Status, failure.Error)
+	default:
+		result.Err = fmt.Errorf("POST %s: cloud answered %d", protocol.PathInstances, response.Status)
+	}
+	return result
+}
+
+func parseGrantedMachines(body []byte) ([]protocol.MachineID, error) {
+	var granted protocol.MachineList
+	if err := json.Unmarshal(body, &granted); err != nil {
+		return nil, fmt.Errorf("parse granted machines: %w", err)
+	}
+	for _, id := range granted.Machines {
+		if !id.IsValid() {
+			return nil, fmt.Errorf("cloud granted a machine with the invalid name %q", id)
+		}
+	}
+	return granted.Machines, nil
+}
+
+// listInstances reads the cloud's list of instances page by page.
+func (d *daemon) listInstances() ([]protocol.Instance, error) {
+	var instances []protocol.Instance
+	after := protocol.MachineID("")
+	for {
+		body, err := d.callCloud("GET", protocol.ListInstancesPath(after), nil)
+		if err != nil {
+			return nil, err
+		}
+		var page protocol.InstancePage
+		if err := json.Unmarshal(body, &page); err != nil {
+			return nil, fmt.Errorf("parse instances after %q: %w", after, err)
+		}
+		instances = append(instances, page.Instances...)
+		if !page.HasMore || len(page.Instances) == 0 || len(instances) > maxListedInstances {
+			return instances, nil
+		}
+		after = page.Instances[len(page.Instances)-1].ID
+	}
+}
--- /dev/null
+++ b/cmd/tillerarch/http_requests.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"net/http"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/transport"
+)
+
+const (
+	// maxStepAge is the age of the last step up to which the process counts as alive.
+	maxStepAge = 2 * time.Second
+
+	// overloadRetryAfterSeconds is when a user may retry a request that the full queue refused.
+	overloadRetryAfterSeconds = 2
+)
+
+// handleRequest routes one HTTP request. It runs in the server's loop and must not block.
+func (d *daemon) handleRequest(exchange *transport.Exchange) {
+	switch exchange.Request.Path {
+	case protocol.PathHealth:
+		d.handleHealth(exchange)
+	case protocol.PathHeartbeat:
+		d.handleHeartbeat(exchange)
+	default:
+		d.handleJobRequest(exchange)
+	}
+}
+
+func (d *daemon) handleHealth(exchange *transport.Exchange) {
+	switch {
+	case exchange.Request.Method != http.MethodGet:
+		d.replyError(exchange, http.StatusMethodNotAllowed, "method not allowed")
+	case d.isHealthy():
+		d.server.Reply(exchange, http.StatusOK, 0, []byte(`{}`))
+	default:
+		d.replyError(exchange, http.StatusServiceUnavailable, "not ready")
+	}
+}
+
+// isHealthy tells whether the core is healthy and the event loop runs.
+func (d *daemon) isHealthy() bool {
+	return d.healthy.Load() && time.Now().UnixNano()-d.lastStepNanos.Load() < int64(maxStepAge)
+}
+
+func (d *daemon) handleHeartbeat(exchange *transport.Exchange) {
+	if exchange.Request.Method != http.MethodPost {
+		d.replyError(exchange, http.StatusMethodNotAllowed, "method not allowed")
+		return
+	}
+	queued := queuedInput{input: step.HeartbeatInput{Body: exchange.Request.Body}, exchange: exchange}
+	if !d.tryEnqueue(queued) {
+		d.replyError(exchange, http.StatusServiceUnavailable, "overloaded")
+	}
+}
+
+func (d *daemon) handleJobRequest(exchange *transport.Exchange) {
+	request := exchange.Request
+	requestType, jobID, pathExists, methodAllowed := protocol.RouteJobRequest(request.Method, request.Path)
+	if !pathExists {
+		d.replyError(exchange, http.StatusNotFound, "no such path")
+		return
+	}
+	if !methodAllowed {
+		d.replyError(exchange, http.StatusMethodNotAllowed, "method not allowed")
+		return
+	}
+	input := step.UserInput{Type: requestType, Job: jobID, Body: request.Body}
+	if !d.tryEnqueue(queuedInput{input: input, exchange: exchange}) {
+		d.replyRetryableError(exchange, http.StatusServiceUnavailable, overloadRetryAfterSeconds, "overloaded")
+	}
+}
+
+func (d *daemon) replyError(exchange *transport.Exchange, status int, detail string) {
+	d.replyRetryableError(exchange, status, 0, detail)
+}
+
+// replyRetryableError replies with an error whose detail needs no escape in JSON.
+func (d *daemon) replyRetryableError(exchange *transport.Exchange, status, retryAfterSeconds int, detail string) {
+	d.server.Reply(exchange, status, retryAfterSeconds, []byte(`{"error":"`+detail+`"}`))
+}
--- a/cmd/tillerarch/main.go
+++ b/cmd/tillerarch/main.go
@@ -1,7 +1,8 @@
-// Command tillerarch is one controller of the tillerarch cluster scheduler.
 package main
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -9,45 +10,58 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the program's version; the build may set it.
+// version is the program's version; the build may set it with -ldflags.
 var version = "0.1"
 
 func main() {
+	if err := newRootCommand().Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "tillerarch:", err)
+		os.Exit(exitCode(err))
+	}
+}
+
+// newRootCommand is `tillerarch`: it runs a controller, and has the operators' commands below it.
+func newRootCommand() *cobra.Command {
 	var configFile, propertiesFile string
 	root := &cobra.Command{
-		Use:           "tillerarch --config FILE",
-		Short:         "Cluster scheduler: one controller of a deployment",
-		Long:          "tillerarch accepts jobs, rents machines, and decides what runs where.\nAll controllers of a deployment run this program with their own settings file.",
+		Use:   "tillerarch --config FILE",
+		Short: "Cluster scheduler: one controller of a deployment",
+		Long: "tillerarch accepts jobs, rents machines, and decides what runs where.\n" +
+			"All controllers of a deployment run this program with their own settings file.",
 		Version:       version,
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if configFile == "" {
-				return fmt.Errorf("--config: a settings file is needed (see --help)")
-			}
-			level, err := parseLogLevel(os.Getenv("LOG_LEVEL"))
-			if err != nil {
-				return err
-			}
-			slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-			s, err := loadSettings(configFile, propertiesFile)
-			if err != nil {
-				return err
-			}
-			return serve(s)
+		RunE: func(command *cobra.Command, _ []string) error {
+			return runController(command.Context(), configFile, propertiesFile)
 		},
 	}
 	root.Flags().StringVar(&configFile, "config", "", "settings file of the platform (TOML)")
-	root.Flags().StringVar(&propertiesFile, "properties", os.Getenv("TILLERARCH_PROPERTIES"), "operators' own settings (Java-style properties, optional)")
+	root.Flags().StringVar(&propertiesFile, "properties", os.Getenv("TILLERARCH_PROPERTIES"),
+		"operators' own settings (Java-style properties, optional)")
 	root.AddCommand(newSharesCommand())
 	root.CompletionOptions.DisableDefaultCmd = true
-	if err := root.Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "tillerarch:", err)
-		os.Exit(exitCode(err))
+	return root
+}
+
+// runController reads the settings and serves.
+func runController(ctx context.Context, configFile, propertiesFile string) error {
+	if configFile == "" {
+		return errors.New("--config: a settings file is needed (see --help)")
+	}
+	level, err := parseLogLevel(os.Getenv("LOG_LEVEL"))
+	if err != nil {
+		return err
+	}
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+	s, err := loadSettings(configFile, propertiesFile)
+	if err != nil {
+		return err
 	}
+	return serve(ctx, s)
 }
 
+// parseLogLevel reads the log level of the environment; none is info.
 func parseLogLevel(s string) (slog.Level, error) {
 	switch s {
 	case "", "info":
