--- /dev/null
+++ b/internal/coordination/provisioning/terminator_test.go
@@ -0,0 +1,94 @@
+package provisioning
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// sentTerminations lets the terminator send what is due, and gives the machines of each call.
+func (p *testParts) sentTerminations() [][]protocol.MachineID {
+	p.ctx.Effects = nil
+	p.Terminator.SendTerminations()
+	var calls [][]protocol.MachineID
+	for _, effect := range p.ctx.Effects {
+		if call, ok := effect.(step.TerminateMachines); ok {
+			calls = append(calls, call.Machines)
+		}
+	}
+	return calls
+}
+
+// terminate puts machines on record and begins their terminations. It gives their names in order.
+func (p *testParts) terminate(count int) []protocol.MachineID {
+	var ids []protocol.MachineID
+	for i := range count {
+		id := protocol.MachineID(fmt.Sprintf("m-%03d", i))
+		p.ctx.Replica.Machines[id] = &storage.Machine{ID: id}
+		p.Terminator.TerminateUnrecorded(id)
+		ids = append(ids, id)
+	}
+	return ids
+}
+
+// One call to the cloud is under way at a time, with no more machines than it may have, chosen in
+// the order of their names.
+func TestTerminationCalls(t *testing.T) {
+	parts := newTestParts(t)
+	ids := parts.terminate(protocol.MaxTerminateCount + 2)
+	first, rest := ids[:protocol.MaxTerminateCount], ids[protocol.MaxTerminateCount:]
+	if calls := parts.sentTerminations(); len(calls) != 1 || !slices.Equal(calls[0], first) {
+		t.Fatalf("calls with %v", calls)
+	}
+	if calls := parts.sentTerminations(); len(calls) != 0 {
+		t.Fatalf("calls with %v beside one that is under way", calls)
+	}
+	parts.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: first})
+	if calls := parts.sentTerminations(); len(calls) != 1 || !slices.Equal(calls[0], rest) {
+		t.Fatalf("calls with %v, want one with %v", calls, rest)
+	}
+}
+
+// A termination that failed is repeated after a pause; one that was confirmed is not. A machine
+// that is on no record any more is of no interest.
+func TestTerminationResults(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		result        error
+		after         time.Duration
+		removed       bool
+		wantConfirmed bool
+		wantCalls     int
+	}{
+		{"confirmed", nil, time.Minute, false, true, 0},
+		{"failed just now", errors.New("busy"), 500 * time.Millisecond, false, false, 0},
+		{"failed some time ago", errors.New("busy"), 2 * time.Second, false, false, 1},
+		{"failed, and the machine has left the records", errors.New("busy"), 2 * time.Second, true, false, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			parts := newTestParts(t)
+			ids := parts.terminate(1)
+			parts.sentTerminations()
+			parts.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: ids, Err: c.result})
+			if got := parts.Terminator.IsTerminationConfirmed(ids[0]); got != c.wantConfirmed {
+				t.Errorf("confirmed: %v", got)
+			}
+			parts.advance(c.after)
+			if c.removed {
+				delete(parts.ctx.Replica.Machines, ids[0])
+			}
+			if calls := parts.sentTerminations(); len(calls) != c.wantCalls {
+				t.Errorf("calls with %v, want %d calls", calls, c.wantCalls)
+			}
+			if got := parts.Terminator.IsTerminating(ids[0]); got == c.removed {
+				t.Errorf("terminating: %v", got)
+			}
+		})
+	}
+}
