--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -17,8 +17,26 @@
 
 // Small machines are cheap by the core and slow to boot, large ones the other way round.
 var (
-	smallMachineType = protocol.MachineType{Name: "small", Cores: 4, MemoryGB: 8, OnDemandPrice: 0.16, SpotPrice: 0.06, BootSeconds: 40, ImagePullGBPerSecond: 0.25, Zones: []protocol.Zone{"a", "b"}}
-	largeMachineType = protocol.MachineType{Name: "large", Cores: 16, MemoryGB: 32, OnDemandPrice: 0.64, SpotPrice: 0.27, BootSeconds: 15, ImagePullGBPerSecond: 0.8, Zones: []protocol.Zone{"a", "b"}}
+	smallMachineType = protocol.MachineType{
+		Name:                 "small",
+		Cores:                4,
+		MemoryGB:             8,
+		OnDemandPrice:        0.16,
+		SpotPrice:            0.06,
+		BootSeconds:          40,
+		ImagePullGBPerSecond: 0.25,
+		Zones:                []protocol.Zone{"a", "b"},
+	}
+	largeMachineType = protocol.MachineType{
+		Name:                 "large",
+		Cores:                16,
+		MemoryGB:             32,
+		OnDemandPrice:        0.64,
+		SpotPrice:            0.27,
+		BootSeconds:          15,
+		ImagePullGBPerSecond: 0.8,
+		Zones:                []protocol.Zone{"a", "b"},
+	}
 )
 
 // fakePlan stands for the scheduler's plan and its reserve of idle machines.
@@ -63,8 +81,14 @@
 		Replica: storage.NewReplica(),
 	}
 	cloud, records, fleet, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
-	cloud.Catalog.OnMachineTypes(step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType}})
-	cancellations.Connect(cancellation.Dependencies{Agents: fleet.Table, Lease: records.Lease, Replication: records.Replication})
+	cloud.Catalog.OnMachineTypes(step.ListMachineTypesResult{
+		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
+	})
+	cancellations.Connect(cancellation.Dependencies{
+		Agents:      fleet.Table,
+		Lease:       records.Lease,
+		Replication: records.Replication,
+	})
 	parts := &testParts{Parts: New(ctx), ctx: ctx, agents: fleet, plan: &fakePlan{}, peers: &fakeStoreReports{}}
 	records.Connect(commit.Dependencies{StoreReports: parts.peers})
 	parts.Connect(Dependencies{
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -25,7 +25,10 @@
 		{"deferrable work takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
 		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{smallSpotPool, inOtherZone(smallSpotPool)}, []string{"large spot", "large spot"}},
 		{"one zone is left", 4, false, []PoolKey{smallSpotPool}, []string{"small spot"}},
-		{"urgent work takes all", 4, true, nil, []string{"small spot", "small spot", "large spot", "large spot", "small on-demand", "small on-demand", "large on-demand", "large on-demand"}},
+		{"urgent work takes all", 4, true, nil, []string{
+			"small spot", "small spot", "large spot", "large spot",
+			"small on-demand", "small on-demand", "large on-demand", "large on-demand",
+		}},
 		{"large tasks fit one type", 16, false, nil, []string{"large spot", "large spot"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,8 +37,18 @@
 			for _, pool := range c.exhausted {
 				parts.Provisioner.MarkPoolExhausted(pool)
 			}
-			job := &protocol.Job{ID: "j-1", Class: "lane", Team: "core", Kind: protocol.KindArray, TaskCount: 10, Cores: c.cores, MemoryGB: c.cores, AllowSpot: true,
-				Image: "b", EstimatedRunSeconds: 20}
+			job := &protocol.Job{
+				ID:                  "j-1",
+				Class:               "lane",
+				Team:                "core",
+				Kind:                protocol.KindArray,
+				TaskCount:           10,
+				Cores:               c.cores,
+				MemoryGB:            c.cores,
+				AllowSpot:           true,
+				Image:               "b",
+				EstimatedRunSeconds: 20,
+			}
 			demand := UnmetDemand{Job: "j-1", Desc: job, Tasks: 5000, Urgent: c.urgent}
 			parts.Provisioner.provisionForDemand(demand, map[PoolKey]bool{}, 0)
 			got := requestedPools(parts.ctx.Effects)
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -1,6 +1,7 @@
 package provisioning
 
 import (
+	"cmp"
 	"testing"
 	"time"
 
@@ -14,7 +15,7 @@
 func TestScaleInReasons(t *testing.T) {
 	const (
 		silenceLimit = 29 * time.Second // AgentLeaseTTL and SilentScaleInDelay
-		old          = protocol.Millis(600_000)
+		defaultAge   = protocol.Millis(600_000)
 	)
 	booted := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2}
 	booting := storage.MachineRecord{MachineType: "small", Zone: "a"}
@@ -26,50 +27,62 @@
 	for _, c := range []struct {
 		name      string
 		record    storage.MachineRecord
-		age       protocol.Millis
-		elapsed   time.Duration // since the ownership began
-		silentFor time.Duration // of the time elapsed
+		age       protocol.Millis // none: ten minutes
+		elapsed   time.Duration   // since the ownership began
+		silent    bool            // all the time elapsed
 		isolated  bool
 		listed    *listedInstance
 		cancelled bool // job j-1 is, since the ownership began
 		set       func(*agents.MachineState, *fakePlan)
 		want      scaleInReason
 	}{
-		{name: "boots", record: booting, age: 50_000, elapsed: 50 * time.Second, silentFor: 50 * time.Second, want: scaleInNone},
-		{name: "has not booted in time", record: booting, age: old, elapsed: 41 * time.Second, silentFor: 41 * time.Second, want: scaleInNeverBooted},
-		{name: "has not booted in time, and is newly owned", record: booting, age: old, elapsed: 30 * time.Second, silentFor: 30 * time.Second, want: scaleInNone},
-		{name: "failed while it booted", record: booting, age: 1000, elapsed: time.Second, listed: listed(protocol.InstanceFailed, 0), want: scaleInBootFailed},
-		{name: "boots, of an unknown type", record: storage.MachineRecord{MachineType: "gone", Zone: "a"}, age: old, elapsed: time.Hour, silentFor: time.Hour, want: scaleInNone},
-		{name: "is listed as failed but sends heartbeats", record: busy, age: old, elapsed: 10 * time.Second, listed: listed(protocol.InstanceFailed, 0), want: scaleInNone},
-		{name: "is listed as failed and silent", record: busy, age: old, elapsed: 10 * time.Second, silentFor: 10 * time.Second, isolated: true, listed: listed(protocol.InstanceFailed, 0), want: scaleInFailed},
-		{name: "is missing from one list", record: busy, age: old, elapsed: 10 * time.Second, silentFor: 10 * time.Second, listed: listed("", 1), want: scaleInNone},
-		{name: "is missing from two lists", record: busy, age: old, elapsed: 10 * time.Second, silentFor: 10 * time.Second, isolated: true, listed: listed("", 2), want: scaleInNotListed},
-		{name: "is silent up to the limit", record: busy, age: old, elapsed: silenceLimit, silentFor: silenceLimit, want: scaleInNone},
-		{name: "is silent beyond the limit", record: busy, age: old, elapsed: silenceLimit + 1, silentFor: silenceLimit + 1, want: scaleInSilent},
-		{name: "is silent with most others", record: busy, age: old, elapsed: 2 * silenceLimit, silentFor: 2 * silenceLimit, isolated: true, want: scaleInNone},
-		{name: "is silent with most others beyond twice the limit", record: busy, age: old, elapsed: 2*silenceLimit + 1, silentFor: 2*silenceLimit + 1, isolated: true, want: scaleInSilent},
-		{name: "is silent while a response is deferred", record: busy, age: old, elapsed: time.Minute, silentFor: time.Minute,
+		{name: "boots", record: booting, age: 50_000, elapsed: 50 * time.Second, silent: true, want: scaleInNone},
+		{name: "has not booted in time", record: booting, elapsed: 41 * time.Second, silent: true,
+			want: scaleInNeverBooted},
+		{name: "has not booted in time, and is newly owned", record: booting, elapsed: 30 * time.Second, silent: true,
+			want: scaleInNone},
+		{name: "failed while it booted", record: booting, age: 1000, elapsed: time.Second,
+			listed: listed(protocol.InstanceFailed, 0), want: scaleInBootFailed},
+		{name: "boots, of an unknown type", record: storage.MachineRecord{MachineType: "gone", Zone: "a"}, elapsed: time.Hour, silent: true,
+			want: scaleInNone},
+		{name: "is listed as failed but sends heartbeats", record: busy, elapsed: 10 * time.Second,
+			listed: listed(protocol.InstanceFailed, 0), want: scaleInNone},
+		{name: "is listed as failed and silent", record: busy, elapsed: 10 * time.Second, silent: true,
+			isolated: true, listed: listed(protocol.InstanceFailed, 0), want: scaleInFailed},
+		{name: "is missing from one list", record: busy, elapsed: 10 * time.Second, silent: true,
+			listed: listed("", 1), want: scaleInNone},
+		{name: "is missing from two lists", record: busy, elapsed: 10 * time.Second, silent: true,
+			isolated: true, listed: listed("", 2), want: scaleInNotListed},
+		{name: "is silent up to the limit", record: busy, elapsed: silenceLimit, silent: true, want: scaleInNone},
+		{name: "is silent beyond the limit", record: busy, elapsed: silenceLimit + 1, silent: true, want: scaleInSilent},
+		{name: "is silent with most others", record: busy, elapsed: 2 * silenceLimit, silent: true,
+			isolated: true, want: scaleInNone},
+		{name: "is silent with most others beyond twice the limit", record: busy, elapsed: 2*silenceLimit + 1, silent: true,
+			isolated: true, want: scaleInSilent},
+		{name: "is silent while a response is deferred", record: busy, elapsed: time.Minute, silent: true,
 			set: func(m *agents.MachineState, _ *fakePlan) { m.DeferredRequest = 3 }, want: scaleInNone},
-		{name: "commands are lost", record: busy, age: old, elapsed: time.Minute,
+		{name: "commands are lost", record: busy, elapsed: time.Minute,
 			set: func(m *agents.MachineState, _ *fakePlan) { m.CommandsLostAt = 1 }, want: scaleInCommandsLost},
-		{name: "commands are lost for a moment", record: busy, age: old, elapsed: 10 * time.Second,
+		{name: "commands are lost for a moment", record: busy, elapsed: 10 * time.Second,
 			set: func(m *agents.MachineState, _ *fakePlan) { m.CommandsLostAt = 1 }, want: scaleInNone},
 		{name: "is faulty", record: booted, age: 1000, elapsed: time.Second,
 			set: func(m *agents.MachineState, _ *fakePlan) { m.IsFaulty = true }, want: scaleInFaulty},
-		{name: "is faulty and has tasks", record: busy, age: old, elapsed: time.Second,
+		{name: "is faulty and has tasks", record: busy, elapsed: time.Second,
 			set: func(m *agents.MachineState, _ *fakePlan) { m.IsFaulty = true }, want: scaleInNone},
-		{name: "a cancelled task may still stop", record: busy, age: old, elapsed: 24 * time.Second, cancelled: true, want: scaleInNone},
-		{name: "a cancelled task does not stop", record: busy, age: old, elapsed: 25 * time.Second, cancelled: true, want: scaleInTaskDoesNotStop},
-		{name: "is idle for a while", record: booted, age: old, elapsed: 20 * time.Second, want: scaleInNone},
-		{name: "is idle for longer", record: booted, age: old, elapsed: 21 * time.Second, want: scaleInIdle},
+		{name: "a cancelled task may still stop", record: busy, elapsed: 24 * time.Second, cancelled: true,
+			want: scaleInNone},
+		{name: "a cancelled task does not stop", record: busy, elapsed: 25 * time.Second, cancelled: true,
+			want: scaleInTaskDoesNotStop},
+		{name: "is idle for a while", record: booted, elapsed: 20 * time.Second, want: scaleInNone},
+		{name: "is idle for longer", record: booted, elapsed: 21 * time.Second, want: scaleInIdle},
 		{name: "is idle and new", record: booted, age: 21_000, elapsed: 21 * time.Second, want: scaleInNone},
-		{name: "is idle and held in reserve", record: booted, age: old, elapsed: 80 * time.Second,
+		{name: "is idle and held in reserve", record: booted, elapsed: 80 * time.Second,
 			set: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdle = true }, want: scaleInNone},
-		{name: "is idle and held in reserve for too long", record: booted, age: old, elapsed: 81 * time.Second,
+		{name: "is idle and held in reserve for too long", record: booted, elapsed: 81 * time.Second,
 			set: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdle = true }, want: scaleInIdle},
-		{name: "is planned for", record: booted, age: old, elapsed: time.Hour,
+		{name: "is planned for", record: booted, elapsed: time.Hour,
 			set: func(_ *agents.MachineState, plan *fakePlan) { plan.retains = true }, want: scaleInNone},
-		{name: "runs a task that is on no record", record: booted, age: old, elapsed: time.Hour,
+		{name: "runs a task that is on no record", record: booted, elapsed: time.Hour,
 			set: func(m *agents.MachineState, _ *fakePlan) {
 				m.LatestHeartbeat = &protocol.Heartbeat{Tasks: []protocol.TaskStatus{{State: protocol.TaskRunning}}}
 			}, want: scaleInNone},
@@ -77,14 +90,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			record := c.record
-			record.AddedAt = parts.ctx.Now.Wall + protocol.Millis(c.elapsed.Milliseconds()) - c.age
+			record.AddedAt = parts.ctx.Now.Wall + protocol.Millis(c.elapsed.Milliseconds()) - cmp.Or(c.age, defaultAge)
 			entry, state := parts.putMachine(t, 3, record)
 			if c.cancelled {
 				parts.putCancelledJob(t)
 			}
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
 			parts.advance(c.elapsed)
-			state.LastContactAt = parts.ctx.Now.Monotonic.Add(-c.silentFor)
+			if !c.silent {
+				state.LastContactAt = parts.ctx.Now.Monotonic
+			}
 			if c.listed != nil {
 				parts.Inventory.listedInstances["m-1"] = c.listed
 			}
