--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -19,7 +19,7 @@
 
 func putRecord(t *testing.T, c *Core, key string, value []byte, modRevision protocol.ModRevision) {
 	t.Helper()
-	if _, err := c.Replica.Put(key, value, modRevision); err != nil {
+	if _, err := c.ctx.Replica.Put(key, value, modRevision); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -39,27 +39,27 @@
 	}{
 		{"no heartbeat yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
 		{"task never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 		}, true},
 		{"task running", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.ctx.Now.Monotonic)
 		}, true},
 		{"task pulling its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.ctx.Now.Monotonic)
 		}, false},
 		{"start command in flight", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 			m.InflightStarts[task] = 5
 		}, false},
 		{"fencing token of an earlier ownership", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
-			m.RecordHeartbeat(r, core.Now.Monotonic)
+			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, false},
 		{"newer agent epoch", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1)
 			r.AgentEpoch++
-			m.RecordHeartbeat(r, core.Now.Monotonic)
+			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, true},
 		{"termination confirmed", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
@@ -109,7 +109,7 @@
 			rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 			e, m := addOwnedMachine(t, core, rec)
 			running := protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}
-			m.RecordHeartbeat(newHeartbeat(e, 1, running), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, running), core.ctx.Now.Monotonic)
 			advance(0, step.PeerStatusInput{Status: step.PeerStatus{
 				ControllerID:  "stall-1",
 				CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.revision}},
@@ -133,7 +133,7 @@
 				t.Errorf("%d starts, %d stops, acknowledged %v", starts, stops, acknowledged)
 			}
 
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
 			advance(60*time.Millisecond, step.Tick{})
 			if core.cancellation.Canceller.CancelRequested("j-1") {
 				t.Error("still bound though its replica has gone past the request")
@@ -155,7 +155,7 @@
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its shard is newer than the replica: an own write that was applied
-	if core.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
+	if core.ctx.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
 		t.Fatal("the ownership has no revision")
 	}
 	replyStatus := func(effects []step.Effect) int {
@@ -173,7 +173,7 @@
 		t.Errorf("answered %d at last, the agent should look for another controller", status)
 	}
 	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
-	core.Replica.Revision = 9
+	core.ctx.Replica.Revision = 9
 	if status := replyStatus(advance(2600*time.Millisecond, step.Tick{})); status != 200 {
 		t.Errorf("answered %d with a replica that has caught up", status)
 	}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -57,7 +57,7 @@
 				advance(0, step.RenewLeaseResult{LeaseID: 7, Err: commit.ErrNoUsableResponse})
 			}
 			if c.follow {
-				advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+				advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 			}
 		}
 		if got := core.commit.Replication.IsUpToDate(); got != c.want {
@@ -104,7 +104,7 @@
 	if n, keys := commits(out); n != 0 {
 		t.Fatalf("%v is written before the replica is at the fence", keys)
 	}
-	if n, _ := commits(advance(0, step.WatchResult{AfterRevision: c.Replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
+	if n, _ := commits(advance(0, step.WatchResult{AfterRevision: c.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
 		t.Fatal("nothing is written behind the fence")
 	}
 }
@@ -113,10 +113,10 @@
 func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
-	if _, err := c.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, []string{rec.EncodeLine("m-1")}, nil), c.Replica.ModRevision(key)+1); err != nil {
+	if _, err := c.ctx.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, []string{rec.EncodeLine("m-1")}, nil), c.ctx.Replica.ModRevision(key)+1); err != nil {
 		t.Fatal(err)
 	}
-	machine := c.Replica.Machines["m-1"]
+	machine := c.ctx.Replica.Machines["m-1"]
 	return machine, c.agents.Table.TrackOwnedMachine(machine, "m-1")
 }
 
@@ -141,14 +141,14 @@
 		{"answers do not reach the worker", 0, 0, true, false},
 	} {
 		core, _ := newReadyCore(t)
-		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
+		if _, err := core.ctx.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
 			t.Fatal(err)
 		}
 		task := protocol.Task{Job: "j-1"}
 		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 		rec.Assign(task, 5)
 		e, m := addOwnedMachine(t, core, rec)
-		m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+		m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 		if c.stop > 0 {
 			m.StopRequests[task] = agents.StopRequest{Attempt: c.stop}
 		}
@@ -156,7 +156,7 @@
 			m.RevokedAttempts[task] = c.barred
 		}
 		if c.deaf {
-			m.CommandsLostAt = core.Now.Monotonic
+			m.CommandsLostAt = core.ctx.Now.Monotonic
 		}
 		starts := 0
 		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
@@ -219,7 +219,7 @@
 		for i := 0; i < 40; i++ { // all is asked for before the pause
 			advance(50*time.Millisecond, step.Tick{})
 		}
-		advance(c.pause, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+		advance(c.pause, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 		advance(0, step.RenewLeaseResult{LeaseID: 7})
 		advance(0, step.Tick{})
 		if core.commit.Replication.IsUpToDate() != c.fresh || core.agents.Table.IsSilent(m) != c.silent {
@@ -228,7 +228,7 @@
 		for i := 0; i < 4; i++ { // and what is asked for now is answered
 			advance(600*time.Millisecond, step.Tick{})
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.ctx.Replica.Revision}})
 		}
 		if !core.commit.Replication.IsUpToDate() {
 			t.Errorf("%s: not fresh again", c.name)
@@ -268,7 +268,7 @@
 				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
 			}
 			data := storage.EncodePlainShard(core.commit.Lease.Incarnation(), epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
-			if _, err := core.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
+			if _, err := core.ctx.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -285,13 +285,13 @@
 		}
 		for _, operation := range transaction.Operations {
 			if operation.PutKey != "" {
-				core.Replica.Put(operation.PutKey, operation.Value, 9)
+				core.ctx.Replica.Put(operation.PutKey, operation.Value, 9)
 			} else {
-				core.Replica.Delete(operation.DeleteKey, 9)
+				core.ctx.Replica.Delete(operation.DeleteKey, 9)
 			}
 		}
-		if len(core.Replica.Shards) != 1 || len(core.Replica.Machines) != n || len(core.Replica.PopRemovedMachines()) != 0 || core.Replica.CompletedTasks("j-1").String() != "0-5" {
-			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.Replica.Shards), len(core.Replica.Machines), n, core.Replica.CompletedTasks("j-1"))
+		if len(core.ctx.Replica.Shards) != 1 || len(core.ctx.Replica.Machines) != n || len(core.ctx.Replica.PopRemovedMachines()) != 0 || core.ctx.Replica.CompletedTasks("j-1").String() != "0-5" {
+			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.ctx.Replica.Shards), len(core.ctx.Replica.Machines), n, core.ctx.Replica.CompletedTasks("j-1"))
 		}
 	}
 }
--- a/internal/coordination/health_test.go
+++ b/internal/coordination/health_test.go
@@ -34,14 +34,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
-			core.Config.PeerCount = test.peerCount
+			core.ctx.Config.PeerCount = test.peerCount
 			for i := 0; i < 8; i++ {
 				var err error
 				if !test.reachable {
 					err = commit.ErrNoUsableResponse
 				}
 				advance(time.Second, step.RenewLeaseResult{LeaseID: 7, Err: err})
-				revision := core.Replica.Revision
+				revision := core.ctx.Replica.Revision
 				response := &protocol.WatchResponse{Revision: revision}
 				advance(0, step.WatchResult{AfterRevision: revision, Response: response, Err: err})
 				reportStoreReachable(test.reachableFromPeers, func(in step.Input) { advance(0, in) })
@@ -77,7 +77,7 @@
 				ValueBytes:      8192,
 				Tuning:          step.DefaultTuning(),
 			}, now)
-			for core.Since(1) < test.after {
+			for core.ctx.Since(1) < test.after {
 				core.Step(now, step.Tick{})
 				core.Step(now, step.LoadRecordsResult{Err: commit.ErrNoUsableResponse})
 				reportStoreReachable(test.reachableFromPeers, func(in step.Input) { core.Step(now, in) })
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -177,42 +177,29 @@
 // provisioningCandidates lists the machines of provision requests that are not on record yet.
 func (l *candidateLister) provisioningCandidates() []*Candidate {
 	var candidates []*Candidate
-	for _, name := range step.SortedKeys(l.provisioner.Requests) {
-		request := l.provisioner.Requests[name]
-		machineType := l.catalog.MachineType(request.Request.Type)
+	for _, request := range l.provisioner.PendingRequests() {
+		pool := request.Pool()
+		machineType := l.catalog.MachineType(pool.MachineType)
 		if machineType == nil {
 			continue
 		}
-		missing := request.Request.Count
-		if request.GrantedMachines != nil {
-			missing = l.countUnrecorded(request.GrantedMachines)
-		}
-		for range missing {
-			record := &storage.MachineRecord{
-				MachineType: request.Request.Type,
-				Zone:        request.Request.Zone,
-				Spot:        request.Request.Spot,
-			}
-			candidates = append(candidates, &Candidate{
-				machineSnapshot: machineSnapshot{
-					id:             protocol.MachineID(provisioningIDPrefix + name),
-					record:         record,
-					machineType:    machineType,
-					isProvisioning: true,
-				},
-				plannedUse: plannedUse{free: catalog.CapacityOf(machineType)},
-			})
+		for range request.MachinesToCome(l.Replica) {
+			candidates = append(candidates, newProvisioningCandidate(request.Name(), pool, machineType))
 		}
 	}
 	return candidates
 }
 
-func (l *candidateLister) countUnrecorded(machines []protocol.MachineID) int {
-	missing := 0
-	for _, id := range machines {
-		if l.Replica.Machines[id] == nil {
-			missing++
-		}
+// newProvisioningCandidate stands for a machine that a provision request has yet to bring.
+func newProvisioningCandidate(request string, pool provisioning.PoolKey, machineType *protocol.MachineType) *Candidate {
+	record := &storage.MachineRecord{MachineType: pool.MachineType, Zone: pool.Zone, Spot: pool.Spot}
+	return &Candidate{
+		machineSnapshot: machineSnapshot{
+			id:             protocol.MachineID(provisioningIDPrefix + request),
+			record:         record,
+			machineType:    machineType,
+			isProvisioning: true,
+		},
+		plannedUse: plannedUse{free: catalog.CapacityOf(machineType)},
 	}
-	return missing
 }
--- a/internal/coordination/scheduling/contention_test.go
+++ b/internal/coordination/scheduling/contention_test.go
@@ -39,7 +39,7 @@
 				for _, zone := range smallMachineType.Zones {
 					for _, spot := range []bool{true, false} {
 						pool := provisioning.PoolKey{MachineType: "small", Zone: zone, Spot: spot}
-						f.provisioning.Provisioner.ExhaustedAt[pool] = f.Now.Monotonic
+						f.provisioning.Provisioner.MarkPoolExhausted(pool)
 					}
 				}
 			}
