--- a/internal/coordination/step/peer_wire.go
+++ b/internal/coordination/step/peer_wire.go
@@ -10,7 +10,7 @@
 // those of every version in production and must not change. All other code uses the types
 // that these are converted to and from.
 
-// PeerStatusWire is the form in which a Hint travels between controllers.
+// PeerStatusWire is the form in which a PeerStatus travels between controllers.
 type PeerStatusWire struct {
 	Member  protocol.ControllerID
 	StateOK bool
@@ -35,9 +35,20 @@
 
 // Wire converts a status to the form in which it is sent.
 func (s *PeerStatus) Wire() *PeerStatusWire {
-	wire := &PeerStatusWire{Member: s.ControllerID, StateOK: s.StoreReachable, Run: s.Incarnation, Fit: s.AcceptsShards, Rev: s.Revision, Acks: s.CancelAcks}
+	wire := &PeerStatusWire{
+		Member:  s.ControllerID,
+		StateOK: s.StoreReachable,
+		Run:     s.Incarnation,
+		Fit:     s.AcceptsShards,
+		Rev:     s.Revision,
+		Acks:    s.CancelAcks,
+	}
 	for _, misdirected := range s.MisdirectedHeartbeats {
-		wire.Seen = append(wire.Seen, misdirectedHeartbeatWire{Machine: misdirected.Machine, Session: misdirected.AgentEpoch, Tally: misdirected.Sequence})
+		wire.Seen = append(wire.Seen, misdirectedHeartbeatWire{
+			Machine: misdirected.Machine,
+			Session: misdirected.AgentEpoch,
+			Tally:   misdirected.Sequence,
+		})
 	}
 	for _, intent := range s.CancelIntents {
 		wire.Intents = append(wire.Intents, cancelIntentWire{Job: intent.Job, Rev: intent.Revision})
@@ -47,9 +58,20 @@
 
 // Status converts a received message to the type that the core works with.
 func (w *PeerStatusWire) Status() PeerStatus {
-	status := PeerStatus{ControllerID: w.Member, StoreReachable: w.StateOK, Incarnation: w.Run, AcceptsShards: w.Fit, Revision: w.Rev, CancelAcks: w.Acks}
+	status := PeerStatus{
+		ControllerID:   w.Member,
+		StoreReachable: w.StateOK,
+		Incarnation:    w.Run,
+		AcceptsShards:  w.Fit,
+		Revision:       w.Rev,
+		CancelAcks:     w.Acks,
+	}
 	for _, misdirected := range w.Seen {
-		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, MisdirectedHeartbeat{Machine: misdirected.Machine, AgentEpoch: misdirected.Session, Sequence: misdirected.Tally})
+		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, MisdirectedHeartbeat{
+			Machine:    misdirected.Machine,
+			AgentEpoch: misdirected.Session,
+			Sequence:   misdirected.Tally,
+		})
 	}
 	for _, intent := range w.Intents {
 		status.CancelIntents = append(status.CancelIntents, CancelIntent{Job: intent.Job, Revision: intent.Rev})
--- /dev/null
+++ b/internal/coordination/step/peer_wire_test.go
@@ -0,0 +1,45 @@
+package step
+
+import (
+	"reflect"
+	"testing"
+
+	"tillerarch/internal/protocol"
+)
+
+// A status is the same after it was sent, and its wire form has the fields that every version in
+// production knows.
+func TestPeerStatusWire(t *testing.T) {
+	status := PeerStatus{
+		ControllerID:          "stall-1",
+		StoreReachable:        true,
+		Incarnation:           "stall-1#3",
+		AcceptsShards:         true,
+		MisdirectedHeartbeats: []MisdirectedHeartbeat{{Machine: "m-1", AgentEpoch: 2, Sequence: 9}},
+		Revision:              12,
+		CancelIntents:         []CancelIntent{{Job: "j-1", Revision: 11}},
+		CancelAcks:            []protocol.JobID{"j-2"},
+	}
+	if got := status.Wire().Status(); !reflect.DeepEqual(got, status) {
+		t.Errorf("%+v, want %+v", got, status)
+	}
+	for _, c := range []struct {
+		wire any
+		want []string
+	}{
+		{wire: PeerStatusWire{}, want: []string{"Member", "StateOK", "Run", "Fit", "Seen", "Rev", "Intents", "Acks"}},
+		{wire: misdirectedHeartbeatWire{}, want: []string{"Machine", "Session", "Tally"}},
+		{wire: cancelIntentWire{}, want: []string{"Job", "Rev"}},
+	} {
+		wireType := reflect.TypeOf(c.wire)
+		t.Run(wireType.Name(), func(t *testing.T) {
+			var got []string
+			for i := range wireType.NumField() {
+				got = append(got, wireType.Field(i).Name)
+			}
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("fields %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/coordination/step/user_requests.go
+++ /dev/null
@@ -1,5 +0,0 @@
-package step
-
-type ErrorBody struct {
-	Error string `json:"error"`
-}
