--- /dev/null
+++ b/internal/coordination/commit/batch_changes.go
@@ -0,0 +1,106 @@
+package commit
+
+import (
+	"log/slog"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// LockQuota rewrites the quota record of a team, so that two placements for it never pass each
+// other.
+func (b *Batch) LockQuota(team string) {
+	b.reserveWrite(storage.QuotaKey(team), quotaRecordSize)
+	b.teams[team] = true
+}
+
+// AddJob puts a new job on record.
+func (b *Batch) AddJob(id protocol.JobID, record *storage.JobRecord) {
+	b.reserveWrite(storage.JobKey(id), newJobRecordSize)
+	b.jobs[id] = record
+}
+
+// MutableJob is the record of a job, to be changed.
+func (b *Batch) MutableJob(id protocol.JobID) *storage.JobRecord {
+	if record := b.jobs[id]; record != nil {
+		return record
+	}
+	entry := b.shardWriter.Replica.Jobs[id]
+	record := entry.Record
+	b.reserveWrite(storage.JobKey(id), entry.EncodedSize+jobSizeMargin)
+	b.jobs[id] = &record
+	return &record
+}
+
+// RecordTaskDone records on the machine's shard that a task is done.
+func (b *Batch) RecordTaskDone(id protocol.MachineID, task protocol.Task) {
+	draft := b.MutableShard(b.MachineRecord(id).Shard)
+	if done, ok := draft.doneTasks[task.Job]; ok {
+		draft.doneTasks[task.Job] = done.Add(task.Index)
+	} else {
+		draft.doneTasks[task.Job] = storage.TaskRange(task.Index, task.Index)
+		draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(doneJobSize)
+	}
+	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(doneTaskSize)
+	b.estimatedBytes += doneTaskSize
+	b.newlyDone[task.Job] = b.newlyDone[task.Job].Add(task.Index)
+}
+
+// DoneTasks is what is done of a job as the batch leaves it.
+func (b *Batch) DoneTasks(id protocol.JobID) storage.TaskSet {
+	done := b.shardWriter.Replica.CompletedTasks(id)
+	if added, ok := b.newlyDone[id]; ok {
+		done = done.Union(added)
+	}
+	return done
+}
+
+// CompleteJobIfDone records a job as done once all its tasks are, if there is capacity for it.
+func (b *Batch) CompleteJobIfDone(id protocol.JobID) {
+	record := b.JobRecord(id)
+	isDone := !record.State.IsTerminal() && b.DoneTasks(id).Len() >= record.Spec.TaskCount
+	if !isDone || !b.HasCapacity(b.WritesNeeded("", id)) {
+		return
+	}
+	record = b.MutableJob(id)
+	b.Log(slog.LevelInfo, "job completed", "job", string(id), "class", record.Spec.Class,
+		"duration_s", float64(b.shardWriter.Now.Wall-record.SubmittedAt)/1000)
+	*record = storage.JobRecord{
+		State:       protocol.JobDone,
+		TaskCount:   record.Spec.TaskCount,
+		SubmittedAt: record.SubmittedAt,
+	}
+	for _, draft := range b.shards {
+		delete(draft.doneTasks, id)
+	}
+}
+
+// MarkFailedReplica notes that a replica of a service has exited by what the batch records.
+func (b *Batch) MarkFailedReplica(id protocol.JobID) { b.failedServices[id] = true }
+
+// PutTransfer writes the record of a transfer.
+func (b *Batch) PutTransfer(slot storage.TransferSlot, record *storage.TransferRecord) {
+	if b.transfers[slot] == nil {
+		b.reserveWrite(storage.TransferKey(slot), transferRecordSize)
+	}
+	b.transfers[slot] = record
+}
+
+// DrainChange is what becomes of a controller's drain: no record ends it.
+type DrainChange struct{ Record *storage.DrainRecord }
+
+func (d *DrainChange) operation(controllerID protocol.ControllerID) protocol.Operation {
+	if d.Record == nil {
+		return protocol.Operation{DeleteKey: storage.DrainKey(controllerID)}
+	}
+	return protocol.Operation{
+		PutKey: storage.DrainKey(controllerID),
+		Value:  storage.MustMarshal(d.Record),
+	}
+}
+
+// SetDrain writes or ends a controller's drain.
+func (b *Batch) SetDrain(controllerID protocol.ControllerID, change *DrainChange) {
+	b.reserveWrite(storage.DrainKey(controllerID), drainRecordSize)
+	b.drains[controllerID] = change
+}
--- /dev/null
+++ b/internal/coordination/commit/batch_transaction.go
@@ -0,0 +1,80 @@
+package commit
+
+import (
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// isEmpty tells whether there is nothing worth a transaction: locks and the registry only
+// accompany other changes.
+func (b *Batch) isEmpty() bool {
+	return len(b.jobs) == 0 && len(b.shards) == 0 && len(b.transfers)+len(b.drains) == 0
+}
+
+// Transaction encodes the batch. Equal batches give equal transactions: all keys are in order.
+func (b *Batch) Transaction() protocol.Transaction {
+	var transaction protocol.Transaction
+	put := func(key string, value []byte) {
+		transaction.Operations = append(transaction.Operations, protocol.Operation{PutKey: key, Value: value})
+	}
+	incarnation := b.shardWriter.lease.incarnation
+	for _, id := range step.SortedKeys(b.jobs) {
+		put(storage.JobKey(id), storage.EncodeJob(b.shardWriter.limits.StorageFormat(), b.jobs[id]))
+	}
+	for _, id := range step.SortedKeys(b.shards) {
+		transaction.Operations = append(transaction.Operations, b.shardOperations(id, b.shards[id])...)
+	}
+	for _, slot := range step.SortedKeys(b.transfers) {
+		put(storage.TransferKey(slot), storage.MustMarshal(b.transfers[slot]))
+	}
+	for _, id := range step.SortedKeys(b.drains) {
+		transaction.Operations = append(transaction.Operations, b.drains[id].operation(id))
+	}
+	if b.writesRegistry {
+		put(storage.RegistryKey, storage.MustMarshal(storage.RegistryRecord{UpdatedBy: incarnation}))
+	}
+	for _, team := range step.SortedKeys(b.teams) {
+		record := storage.QuotaRecord{UpdatedBy: incarnation, TransactionID: b.shardWriter.commits.lastTransactionID}
+		put(storage.QuotaKey(team), storage.MustMarshal(record))
+	}
+	for _, key := range step.SortedKeys(b.conditions) {
+		transaction.Conditions = append(transaction.Conditions, protocol.Condition{Key: key, ModRevision: b.conditions[key]})
+	}
+	return transaction
+}
+
+// shardOperations writes a shard, or deletes one that has nothing on it any more.
+func (b *Batch) shardOperations(id storage.ShardID, draft *ShardDraft) []protocol.Operation {
+	if !draft.isEmpty() {
+		return b.encodeShard(id, draft)
+	}
+	if isOnRecord := b.conditions[storage.ShardKey(id)] != 0; isOnRecord {
+		return []protocol.Operation{{DeleteKey: storage.ShardKey(id)}}
+	}
+	return nil
+}
+
+// encodeShard writes a shard; one that has outgrown a value in several parts, all of them
+// with the same owner and epoch. The new parts come first: a machine is on some shard at
+// every moment then.
+func (b *Batch) encodeShard(id storage.ShardID, draft *ShardDraft) []protocol.Operation {
+	lines := make([]string, len(draft.MachineIDs))
+	for i, machineID := range draft.MachineIDs {
+		if record := b.machines[machineID]; record != nil {
+			lines[i] = record.EncodeLine(machineID)
+		} else {
+			lines[i] = b.shardWriter.Replica.EncodedLine(machineID)
+		}
+	}
+	format := b.shardWriter.limits.StorageFormat()
+	data := storage.EncodeShard(format, draft.Owner, draft.Epoch, lines, draft.doneTasks)
+	fits := len(data) <= b.shardWriter.limits.WriteLimits().ValueBytes
+	if fits || len(draft.MachineIDs) < 2 || format < storage.FormatPacked {
+		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
+	}
+	first, second := draft.halves()
+	secondID := b.shardWriter.newShardID()
+	b.DependOn(storage.ShardKey(secondID))
+	return append(b.encodeShard(secondID, second), b.encodeShard(id, first)...)
+}
--- /dev/null
+++ b/internal/coordination/commit/committer_test.go
@@ -0,0 +1,70 @@
+package commit
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// sendJob sends a transaction that puts a job on record.
+func sendJob(c *testController) *step.Commit {
+	c.Effects = nil
+	b := c.Shards.NewBatch(c.Config.TransactionOps)
+	b.AddJob("j-1", &storage.JobRecord{Spec: &protocol.Job{ID: "j-1"}})
+	c.Commits.SendUserBatch(b)
+	return sentTransaction(c.Effects)
+}
+
+// Every transaction of records has a condition on the revision of the registration key, so that
+// none of an ended incarnation can be applied.
+func TestTransactionsDependOnRegistration(t *testing.T) {
+	c := newReadyController(t)
+	sent := sendJob(c)
+	want := protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.Lease.registrationRevision}
+	if sent == nil || !slices.Contains(sent.Transaction.Conditions, want) {
+		t.Errorf("no condition %v in %+v", want, sent)
+	}
+}
+
+// What is sent after an outcome says whether it is known what became of the transaction.
+func TestOutcomes(t *testing.T) {
+	for _, c := range []struct {
+		outcome     storage.Outcome
+		wantBarrier bool // a write barrier follows
+		wantLease   bool // another lease is requested
+	}{
+		{outcome: storage.OutcomeApplied},
+		{outcome: storage.OutcomeConflict},
+		{outcome: storage.OutcomeThrottled},
+		{outcome: storage.OutcomeUnavailable},
+		{outcome: storage.OutcomeInvalid},
+		{outcome: storage.OutcomeLeaseExpired, wantLease: true},
+		{outcome: storage.OutcomeUnknown, wantBarrier: true},
+	} {
+		t.Run(c.outcome.String(), func(t *testing.T) {
+			controller := newReadyController(t)
+			sent := sendJob(controller)
+			if sent == nil {
+				t.Fatal("no transaction is sent")
+			}
+			result := committedAt(sent.ID, 2)
+			result.Outcome = c.outcome
+			controller.advance(0, result)
+			if controller.Commits.pendingUser != nil {
+				t.Error("the transaction is still pending")
+			}
+			effects := controller.advance(time.Second, step.Tick{})
+			pending := controller.Commits.pending
+			if got := pending != nil && pending.kind == writeBarrierTransaction; got != c.wantBarrier {
+				t.Errorf("write barrier: %v", got)
+			}
+			if got := hasEffect[step.GrantLease](effects); got != c.wantLease {
+				t.Errorf("lease requested: %v", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/commit/done_tasks.go
@@ -0,0 +1,76 @@
+package commit
+
+import (
+	"maps"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// ownerCompletionTimeout is how long the owner of a job has to record that all its tasks are
+// done, before another controller does.
+const ownerCompletionTimeout = 1500 * time.Millisecond
+
+// ConsolidateDoneTasks records jobs whose tasks are all done, and moves what is done from own
+// shards to the jobs' records: where a shard fills up, or has no machines left.
+func (w *ShardWriter) ConsolidateDoneTasks(b *Batch) {
+	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool {
+		return w.Replica.UnfinishedJobs[id] == nil
+	})
+	for _, id := range step.SortedKeys(w.Replica.UnfinishedJobs) {
+		w.completeJob(b, id, &w.Replica.UnfinishedJobs[id].Record)
+	}
+	for _, id := range w.OwnedShards() {
+		shard := w.Replica.Shards[id]
+		isDue := len(shard.CompletedTasks) > 0 && (w.needsConsolidation(shard) || len(shard.Machines) == 0)
+		if isDue && (b.ChangesShard(id) || b.HasCapacity(2)) {
+			w.consolidateShard(b, id)
+		}
+	}
+}
+
+// completeJob records a job as done if it is this controller's task to do so: as its owner, or
+// if its owner has not done it in time.
+func (w *ShardWriter) completeJob(b *Batch, id protocol.JobID, record *storage.JobRecord) {
+	isOwner := record.Owner == w.lease.incarnation
+	completeSince, isKnown := w.completeSince[id]
+	switch {
+	case w.Replica.CompletedTasks(id).Len() < record.Spec.TaskCount:
+		delete(w.completeSince, id)
+	case !isKnown && !isOwner:
+		w.completeSince[id] = w.Now.Monotonic
+	case isOwner || w.Since(completeSince) > ownerCompletionTimeout:
+		b.CompleteJobIfDone(id)
+	}
+}
+
+func (w *ShardWriter) consolidateShard(b *Batch, id storage.ShardID) {
+	draft := b.MutableShard(id)
+	for _, job := range step.SortedKeys(draft.doneTasks) {
+		if w.Replica.Jobs[job] == nil || !b.HasCapacity(b.WritesNeeded("", job)) {
+			continue
+		}
+		if record := b.MutableJob(job); !record.State.IsTerminal() {
+			record.CompletedTasks = record.CompletedTasks.Union(draft.doneTasks[job])
+		}
+		delete(draft.doneTasks, job)
+	}
+}
+
+// needsConsolidation tells whether the done tasks on a shard are to move to their jobs' records:
+// an operation each, so not before the space is needed. A packed shard that is full of machines
+// is split instead.
+func (w *ShardWriter) needsConsolidation(shard *storage.Shard) bool {
+	maxValueBytes := w.limits.WriteLimits().ValueBytes
+	if w.limits.StorageFormat() < storage.FormatPacked {
+		return shard.EncodedSize >= maxValueBytes*3/4
+	}
+	const jobSize, intervalSize = 8, 2 // bytes, packed
+	size := 0
+	for _, done := range shard.CompletedTasks {
+		size += jobSize + intervalSize*done.IntervalCount()
+	}
+	return size >= maxValueBytes/4
+}
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -9,12 +9,22 @@
 	"tillerarch/internal/storage"
 )
 
+// raiseFormatDelay is how long the other controllers leave it to the elected one to raise the
+// format.
+const raiseFormatDelay = 2 * time.Second
+
 // SuccessorElection names the one controller to which a key falls.
 type SuccessorElection interface {
 	IsSuccessor(key string) bool
 }
 
 // FormatUpgrade raises the storage format once every controller can read the new one.
+//
+// While a deployment is upgraded, controllers of the previous and of this version work on the
+// same records. Each incarnation of this version says in its controller record which format it
+// reads. Once all controllers have been seen to do so, the format on record is raised, and only
+// then is anything written that the previous version could not read. Where no new limits of the
+// store are announced, the plain format serves, and nothing is raised.
 type FormatUpgrade struct {
 	*step.Context
 
@@ -23,47 +33,44 @@
 	limits    *WriteLimiter
 	ownership SuccessorElection
 
-	packedReaders            map[protocol.ControllerID]bool // controllers last seen to read the packed format
-	AreAnnouncedLimitsActive bool                           // the announced limits hold: a write within today's was refused as too large
-	raisableSince            protocol.Instant               // since when the format could be raised
-	warnedIncarnation        storage.Incarnation            // a run that was reported as too old
+	packedReaders            map[protocol.ControllerID]bool // whether a controller, as last seen, reads the packed format
+	areAnnouncedLimitsActive bool                           // a write within the current limits was refused as too large
+	raisableSince            protocol.Instant               // since when the format could be raised; 0: it cannot
+	warnedIncarnation        storage.Incarnation            // the last one that was reported as too old
 }
 
-func NewFormatUpgrade(ctx *step.Context) *FormatUpgrade {
+func newFormatUpgrade(ctx *step.Context) *FormatUpgrade {
 	return &FormatUpgrade{
 		Context:       ctx,
 		packedReaders: map[protocol.ControllerID]bool{},
 	}
 }
 
-// While a deployment is upgraded, controllers of the old and of this version work on the
-// same records. Each run of this version says in its member record which format it
-// reads. Once all controllers have been seen to do so, the format on record is raised,
-// and only then is anything written that the old version could not read. Where no new
-// limits of the state service are announced, the plain format serves, and nothing is
-// raised.
-
-// raiseFormatDelay is how long the other controllers leave it to one of them to raise the
-// format.
-const raiseFormatDelay = 2 * time.Second
-
-// RecordFormatSupport notes which controllers read the packed format. A run of an older
-// version takes back what was noted of its controller.
+// RecordFormatSupport records which controllers read the packed format. An incarnation of an
+// older version overrides what was recorded of its controller.
 func (u *FormatUpgrade) RecordFormatSupport() {
-	for controllerID, e := range u.Replica.Controllers {
-		readsPacked := e.Record.ReadableFormat >= storage.FormatPacked
-		if u.packedReaders[controllerID] = readsPacked; !readsPacked && u.limits.StorageFormat() >= storage.FormatPacked && u.warnedIncarnation != e.Record.Incarnation {
-			u.warnedIncarnation = e.Record.Incarnation
-			u.Log(slog.LevelError, "incompatible controller version running", "incarnation", string(e.Record.Incarnation))
+	for controllerID, controller := range u.Replica.Controllers {
+		readsPacked := controller.Record.ReadableFormat >= storage.FormatPacked
+		u.packedReaders[controllerID] = readsPacked
+		if !readsPacked && u.limits.StorageFormat() >= storage.FormatPacked {
+			u.warnIncompatible(controller.Record.Incarnation)
 		}
 	}
 }
 
-// CanRaiseFormat tells whether the packed format may be written from now on: every
-// controller of the deployment has been seen to read it. That the announced limits hold
-// shows it too, as they come only when the upgrade is over; but not against a run of
-// an older version that lives.
-func (u *FormatUpgrade) CanRaiseFormat() bool {
+func (u *FormatUpgrade) warnIncompatible(incarnation storage.Incarnation) {
+	if u.warnedIncarnation == incarnation {
+		return
+	}
+	u.warnedIncarnation = incarnation
+	u.Log(slog.LevelError, "incompatible controller version running", "incarnation", string(incarnation))
+}
+
+// canRaiseFormat tells whether the packed format may be written from now on: every
+// controller of the deployment has been seen to read it. That the announced limits are active
+// shows it too, as they come only when the upgrade is over; but it counts for nothing while an
+// incarnation of an older version lives.
+func (u *FormatUpgrade) canRaiseFormat() bool {
 	if u.Config.AnnouncedLimits == nil || u.limits.StorageFormat() >= storage.FormatPacked {
 		return false
 	}
@@ -72,7 +79,7 @@
 			return false
 		}
 	}
-	if u.AreAnnouncedLimitsActive {
+	if u.areAnnouncedLimitsActive {
 		return true
 	}
 	for _, controllerID := range u.Config.PeerIDs {
@@ -83,35 +90,49 @@
 	return u.packedReaders[u.Config.ControllerID]
 }
 
-// tryRaiseFormat sends the change of the format, and tells whether it did. It rests on the
-// keys of all controllers, those that are away too: one of them may end, and another
-// version begin, before the change is applied.
+// tryRaiseFormat sends the change of the format, and tells whether it did.
 func (u *FormatUpgrade) tryRaiseFormat() bool {
-	if !u.CanRaiseFormat() {
+	if !u.canRaiseFormat() {
 		u.raisableSince = 0
 		return false
 	}
 	if u.raisableSince == 0 {
 		u.raisableSince = u.Now.Monotonic
 	}
-	if !u.ownership.IsSuccessor(storage.FormatKey) && u.Since(u.raisableSince) < raiseFormatDelay || !u.limits.TakeWriteTokens(1) {
+	isOurTurn := u.ownership.IsSuccessor(storage.FormatKey) || u.Since(u.raisableSince) >= raiseFormatDelay
+	if !isOurTurn || !u.limits.takeWriteTokens(1) {
 		return false
 	}
-	conditions := []protocol.Condition{{Key: storage.FormatKey, ModRevision: u.Replica.ModRevision(storage.FormatKey)}}
-	for _, controllerID := range append([]protocol.ControllerID{u.Config.ControllerID}, u.Config.PeerIDs...) {
-		key := storage.ControllerKey(controllerID)
-		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.Replica.ModRevision(key)})
-	}
 	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.incarnation}
-	u.commits.sendTransaction(&PendingTransaction{Transaction: protocol.Transaction{Conditions: conditions, Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}}},
-		logsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed", Args: nil}}})
+	u.commits.send(&pendingTransaction{
+		transaction: protocol.Transaction{
+			Conditions: u.raiseConditions(),
+			Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}},
+		},
+		logsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed"}},
+	})
 	return true
 }
 
-// OnTransactionTooLarge takes in that the state service has called a transaction malformed.
-func (u *FormatUpgrade) OnTransactionTooLarge(transaction *protocol.Transaction) {
-	if u.Config.AnnouncedLimits != nil && u.limits.StorageFormat() < storage.FormatPacked && !u.limits.AdmissionLimits().Allows(transaction) {
-		u.AreAnnouncedLimitsActive = true
+// raiseConditions ties the change to the keys of all controllers, also of those that are away:
+// one of them may end, and another version start, before the change is applied.
+func (u *FormatUpgrade) raiseConditions() []protocol.Condition {
+	keys := []string{storage.FormatKey, storage.ControllerKey(u.Config.ControllerID)}
+	for _, controllerID := range u.Config.PeerIDs {
+		keys = append(keys, storage.ControllerKey(controllerID))
+	}
+	conditions := make([]protocol.Condition, 0, len(keys))
+	for _, key := range keys {
+		conditions = append(conditions, protocol.Condition{Key: key, ModRevision: u.Replica.ModRevision(key)})
+	}
+	return conditions
+}
+
+// onTransactionTooLarge takes in that the store has refused a transaction as malformed.
+func (u *FormatUpgrade) onTransactionTooLarge(transaction *protocol.Transaction) {
+	if u.Config.AnnouncedLimits != nil && u.limits.StorageFormat() < storage.FormatPacked &&
+		!u.limits.AdmissionLimits().Allows(transaction) {
+		u.areAnnouncedLimitsActive = true
 	}
 	u.limits.shrinkTransactions()
 }
--- /dev/null
+++ b/internal/coordination/commit/format_upgrade_test.go
@@ -0,0 +1,133 @@
+package commit
+
+import (
+	"fmt"
+	"testing"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+var announcedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
+
+// putController puts a live incarnation of a controller on record.
+func putController(t *testing.T, c *testController, controllerID protocol.ControllerID, readFormat storage.Format) {
+	t.Helper()
+	key := storage.ControllerKey(controllerID)
+	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.Replica.ModRevision(key)+1))
+	data := storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
+	if _, err := c.Replica.Put(key, data, c.Replica.ModRevision(key)+100); err != nil {
+		t.Fatal(err)
+	}
+	c.Upgrade.RecordFormatSupport()
+}
+
+// The format is raised only once every controller has been seen to read the packed one,
+// and never while an incarnation of an older version lives.
+func TestFormatRaisedOnlyWhenAllCanRead(t *testing.T) {
+	const packed, plain, absent = storage.FormatPacked, storage.FormatPlain, storage.Format(-1)
+	for _, c := range []struct {
+		name         string
+		earlier      []storage.Format // that the two others read earlier
+		now          []storage.Format // and now
+		notAnnounced bool             // no limits are announced
+		refused      bool             // a write within the current limits was refused
+		want         bool
+	}{
+		{
+			name:    "all read it",
+			earlier: []storage.Format{absent, absent},
+			now:     []storage.Format{packed, packed},
+			want:    true,
+		},
+		{
+			name:         "no limits are announced",
+			earlier:      []storage.Format{absent, absent},
+			now:          []storage.Format{packed, packed},
+			notAnnounced: true,
+			want:         false,
+		},
+		{
+			name:    "one is old",
+			earlier: []storage.Format{absent, absent},
+			now:     []storage.Format{packed, plain},
+			want:    false,
+		},
+		{
+			name:    "one has not been seen",
+			earlier: []storage.Format{absent, absent},
+			now:     []storage.Format{packed, absent},
+			want:    false,
+		},
+		{
+			name:    "one was seen to read it and is away",
+			earlier: []storage.Format{packed, packed},
+			now:     []storage.Format{packed, absent},
+			want:    true,
+		},
+		{
+			name:    "one came back old",
+			earlier: []storage.Format{packed, packed},
+			now:     []storage.Format{packed, plain},
+			want:    false,
+		},
+		{
+			name:    "the announced limits are active, one has not been seen",
+			earlier: []storage.Format{absent, absent},
+			now:     []storage.Format{packed, absent},
+			refused: true,
+			want:    true,
+		},
+		{
+			name:    "the announced limits seem to be active, one is old",
+			earlier: []storage.Format{absent, absent},
+			now:     []storage.Format{packed, plain},
+			refused: true,
+			want:    false,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newReadyController(t)
+			controller.Config.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
+			if !c.notAnnounced {
+				controller.Config.AnnouncedLimits = &announcedLimits
+			}
+			controller.Upgrade.areAnnouncedLimitsActive = c.refused
+			putController(t, controller, "stall-0", packed)
+			for _, formats := range [][]storage.Format{c.earlier, c.now} {
+				for i, format := range formats {
+					controllerID := controller.Config.PeerIDs[i]
+					if format == absent {
+						key := storage.ControllerKey(controllerID)
+						controller.Replica.Delete(key, controller.Replica.ModRevision(key)+1)
+					} else {
+						putController(t, controller, controllerID, format)
+					}
+				}
+			}
+			if got := controller.Upgrade.canRaiseFormat(); got != c.want {
+				t.Errorf("can be raised: %v", got)
+			}
+		})
+	}
+}
+
+// A transaction that the store calls too large is never sent again as it is, and shows that the
+// announced limits are active if it kept to the current ones.
+func TestTooLargeTransaction(t *testing.T) {
+	controller := newReadyController(t)
+	controller.Config.AnnouncedLimits = &announcedLimits
+	upgrade, limits := controller.Upgrade, controller.Limits
+	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
+	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
+	opsBefore := limits.maxTransactionOps
+	if upgrade.onTransactionTooLarge(small); upgrade.areAnnouncedLimitsActive {
+		t.Error("a small transaction that is refused says nothing of the limits")
+	}
+	upgrade.onTransactionTooLarge(large)
+	ops := limits.maxTransactionOps
+	if !upgrade.areAnnouncedLimitsActive || ops >= opsBefore || ops < minTransactionOps {
+		t.Errorf("announced limits active %v, %d operations in the next transaction", upgrade.areAnnouncedLimitsActive, ops)
+	}
+}
--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -10,6 +10,16 @@
 	"tillerarch/internal/storage"
 )
 
+const (
+	// renewalsPerLease is how often a lease is renewed in the time that it would last, so that
+	// it survives some lost requests.
+	renewalsPerLease = 4
+	// grantRetryDelay and renewalRetryDelay are the pauses after a failed request; they vary by
+	// a quarter.
+	grantRetryDelay   = 500 * time.Millisecond
+	renewalRetryDelay = 300 * time.Millisecond
+)
+
 // Lease keeps the store's lease of this process and the incarnation that is registered under it.
 // As long as the lease lives, the incarnation owns what the records say it owns.
 type Lease struct {
@@ -18,77 +28,98 @@
 	store *StoreHealth
 
 	incarnation          storage.Incarnation
-	RegistrationRevision protocol.ModRevision // stamp of this member's key while run is registered
-	id                   protocol.LeaseID     // of the run, or the one to register with; 0: none
-	isGranting           bool
-	grantRequestedAt     protocol.Instant // when the one that is being granted was asked for
-	grantedOrRetryAt     protocol.Instant // when the next may be
-	isRenewing           bool
-	renewalRequestedAt   protocol.Instant
-	nextRenewalAt        protocol.Instant
+	registrationRevision protocol.ModRevision // of this controller's key while the incarnation is registered; else 0
+	id                   protocol.LeaseID     // of the incarnation, or to register with; 0: none
+
+	isGranting       bool
+	grantRequestedAt protocol.Instant // of the lease that is being granted
+	grantedAt        protocol.Instant // of the latest lease
+	nextGrantAt      protocol.Instant // earliest next request after a failed one
+
+	isRenewing         bool
+	renewalRequestedAt protocol.Instant
+	nextRenewalAt      protocol.Instant
+}
+
+// IsRegistered tells whether the store has this incarnation on record, as far as is known.
+func (l *Lease) IsRegistered() bool { return l.registrationRevision != 0 }
+
+// Incarnation is this process under its lease, as registered; empty before the first registration.
+func (l *Lease) Incarnation() storage.Incarnation { return l.incarnation }
+
+// isGranted tells whether this process holds a lease.
+func (l *Lease) isGranted() bool { return l.id != 0 }
+
+// OwnsMachine tells whether this incarnation owns the machine, as far as it knows.
+func (l *Lease) OwnsMachine(record *storage.MachineRecord) bool {
+	return l.owns(record.Owner)
+}
+
+// owns tells whether an owner on record is this incarnation.
+func (l *Lease) owns(owner storage.Incarnation) bool {
+	return l.incarnation != "" && owner == l.incarnation
 }
 
-// TickLease asks for a lease where there is none, and renews it in good time.
+// TickLease requests a lease where there is none, and renews it in good time.
 func (l *Lease) TickLease() {
 	now := l.Now.Monotonic
-	if l.id == 0 && !l.isGranting && now >= l.grantedOrRetryAt {
+	if l.id == 0 && !l.isGranting && now >= l.nextGrantAt {
 		l.isGranting, l.grantRequestedAt = true, now
 		l.Emit(step.GrantLease{TTL: l.Config.LeaseTTL})
 	}
-	if l.id != 0 && !l.isRenewing && now >= l.nextRenewalAt && l.Since(l.grantedOrRetryAt) > l.Config.LeaseTTL/4 {
+	if l.isRenewalDue() {
 		l.isRenewing, l.renewalRequestedAt = true, now
-		l.nextRenewalAt = now.Add(l.Jitter(l.Config.LeaseTTL / 4))
+		l.nextRenewalAt = now.Add(l.Jitter(l.renewalInterval()))
 		l.Emit(step.RenewLease{LeaseID: l.id})
 	}
 }
 
+func (l *Lease) isRenewalDue() bool {
+	return l.id != 0 && !l.isRenewing && l.Now.Monotonic >= l.nextRenewalAt &&
+		l.Since(l.grantedAt) > l.renewalInterval()
+}
+
+func (l *Lease) renewalInterval() time.Duration { return l.Config.LeaseTTL / renewalsPerLease }
+
+// OnGrantLeaseResult takes in a new lease.
 func (l *Lease) OnGrantLeaseResult(v step.GrantLeaseResult) {
 	l.isGranting = false
 	if l.store.RecordContact(l.grantRequestedAt, v.Err) {
 		l.id = v.LeaseID
-		l.grantedOrRetryAt = l.Now.Monotonic
+		l.grantedAt = l.Now.Monotonic
 	} else {
-		l.grantedOrRetryAt = l.Now.Monotonic.Add(l.Jitter(500 * time.Millisecond))
+		l.nextGrantAt = l.Now.Monotonic.Add(l.Jitter(grantRetryDelay))
 	}
 }
 
+// OnRenewLeaseResult takes in whether the lease was renewed.
 func (l *Lease) OnRenewLeaseResult(v step.RenewLeaseResult) {
 	l.isRenewing = false
 	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == l.id {
 		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.incarnation))
-		l.RegistrationRevision, l.id = 0, 0
+		l.drop()
 	}
 	if !l.store.RecordContact(l.renewalRequestedAt, v.Err) {
-		l.nextRenewalAt = l.Now.Monotonic.Add(l.Jitter(300 * time.Millisecond))
+		l.nextRenewalAt = l.Now.Monotonic.Add(l.Jitter(renewalRetryDelay))
 	}
 }
 
-// checkRegistration compares this run with what the state service says of it.
+// drop forgets a lease that has expired, and with it the registration.
+func (l *Lease) drop() { l.registrationRevision, l.id = 0, 0 }
+
+// checkRegistration compares this incarnation with the one that the store has on record.
 func (l *Lease) checkRegistration() {
 	if !l.IsRegistered() {
 		return
 	}
-	e := l.Replica.Controllers[l.Config.ControllerID]
-	if e != nil && e.Record.Incarnation == l.incarnation {
-		l.RegistrationRevision = e.ModRevision
+	registered := l.Replica.Controllers[l.Config.ControllerID]
+	if registered != nil && registered.Record.Incarnation == l.incarnation {
+		l.registrationRevision = registered.ModRevision
 		return
 	}
-	if e == nil && l.Replica.Revision < protocol.Revision(l.RegistrationRevision) {
+	if registered == nil && l.Replica.Revision < protocol.Revision(l.registrationRevision) {
 		return // the replica is older than the registration
 	}
 	l.Log(slog.LevelWarn, "controller registration lost, registering again", "incarnation", string(l.incarnation))
-	l.RegistrationRevision, l.id = 0, 0
-}
-
-func (l *Lease) IsRegistered() bool { return l.RegistrationRevision != 0 }
-
-// Incarnation names this process run as it is registered, empty before the first registration.
-func (l *Lease) Incarnation() storage.Incarnation { return l.incarnation }
-
-// IsGranted tells whether this process holds a lease.
-func (l *Lease) IsGranted() bool { return l.id != 0 }
-
-// OwnsMachine tells whether this run owns the machine, as far as it knows.
-func (l *Lease) OwnsMachine(record *storage.MachineRecord) bool {
-	return l.incarnation != "" && record.Owner == l.incarnation
+	l.drop()
 }
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -5,7 +5,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of the records and their changes, connected with each other.
+// Parts are the parts of this package, connected with each other.
 type Parts struct {
 	Store       *StoreHealth
 	Lease       *Lease
@@ -16,16 +16,16 @@
 	Shards      *ShardWriter
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New creates the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
 		Store:       &StoreHealth{Context: ctx},
 		Lease:       &Lease{Context: ctx},
 		Replication: &Replication{Context: ctx},
 		Limits:      &WriteLimiter{Context: ctx},
-		Upgrade:     NewFormatUpgrade(ctx),
+		Upgrade:     newFormatUpgrade(ctx),
 		Commits:     &Committer{Context: ctx},
-		Shards:      NewShardWriter(ctx),
+		Shards:      newShardWriter(ctx),
 	}
 	p.Lease.store = p.Store
 	p.Replication.lease = p.Lease
@@ -46,7 +46,7 @@
 	return p
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies are what the parts ask of other packages.
 type Dependencies struct {
 	MachineTracker    MachineTracker
 	StoreReports      StoreReports
@@ -55,7 +55,7 @@
 	TransferTracker   TransferTracker
 }
 
-// Connect gives the parts what they need of other packages.
+// Connect gives the parts what they ask of other packages.
 func (p *Parts) Connect(d Dependencies) {
 	p.Replication.agents = d.MachineTracker
 	p.Replication.peers = d.StoreReports
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -11,6 +11,19 @@
 	"tillerarch/internal/storage"
 )
 
+const (
+	// loadRetryDelay and watchRetryDelay are the pauses after a failed request; they vary by a
+	// quarter.
+	loadRetryDelay  = 500 * time.Millisecond
+	watchRetryDelay = 200 * time.Millisecond
+	// unavailableAfter is how long after the store's last answer it counts as unavailable if
+	// more than one request has failed since.
+	unavailableAfter = time.Second
+	// peerReportWindow is how old the status of another controller may be to tell whether
+	// the store is unavailable for it too.
+	peerReportWindow = 5 * time.Second
+)
+
 // MachineTracker drops what is remembered of machines that the records no longer have.
 type MachineTracker interface {
 	ForgetAssignments()
@@ -36,136 +49,168 @@
 	peers  StoreReports
 	store  *StoreHealth
 
-	minRevision      protocol.Revision // the replica must be as new before the next one
+	minRevision      protocol.Revision // the replica must have reached this before the next transaction
 	minRevisionSince protocol.Instant
-	isLoaded         bool              // the replica is whole
-	completeRevision protocol.Revision // it is whole once it has reached this
-	hasSnapshot      bool              // there is a replica to go on from; an empty store has revision 0
+	isLoaded         bool              // the replica is complete
+	completeRevision protocol.Revision // the replica is complete once it has reached this
+	hasSnapshot      bool              // there is a replica to watch from; an empty store has revision 0
+	upToDateAt       protocol.Instant  // when the replica was last known to be up to date
+
 	isLoading        bool
-	loadRequestedAt  protocol.Instant // when the records that are being read were asked for
+	loadRequestedAt  protocol.Instant // of the load under way
 	isWatching       bool
-	watchRequestedAt protocol.Instant // when the watch that is open was asked for
-	nextWatchAt      protocol.Instant // when the next one may be
-	upToDateAt       protocol.Instant // when the replica was last known to be up to date
-	retryAt          protocol.Instant // next try of load or follow
+	watchRequestedAt protocol.Instant // of the watch request under way
+	nextWatchAt      protocol.Instant
+	retryAt          protocol.Instant // of a load or watch request after a failed one
 }
 
-// WatchRecords asks for changes again. Each answer costs a request of a tight
-// budget, so the calls keep a distance unless something waits for the replica.
-func (s *Replication) WatchRecords(waiting bool) {
-	now := s.Now.Monotonic
-	if !s.hasSnapshot || s.isWatching || s.isLoading || now < s.retryAt {
-		return
-	}
-	if now < s.nextWatchAt && s.Replica.Revision >= s.minRevision && !waiting {
-		return
-	}
-	s.isWatching, s.watchRequestedAt = true, now
-	s.nextWatchAt = now.Add(s.Config.MinWatchInterval)
-	s.Emit(step.Watch{AfterRevision: s.Replica.Revision})
-}
+// IsLoaded tells whether the replica holds all records.
+func (r *Replication) IsLoaded() bool { return r.isLoaded }
 
-// TickLoad asks for all records where there is no replica to go on from.
-func (s *Replication) TickLoad() {
-	if s.isLoaded || s.isLoading || s.isWatching || s.Now.Monotonic < s.retryAt {
-		return
-	}
-	s.isLoading, s.loadRequestedAt = true, s.Now.Monotonic
-	s.Emit(step.LoadRecords{})
+// IsUpToDate tells whether new starts may rest on the replica.
+func (r *Replication) IsUpToDate() bool {
+	// Requests may be answered while the watch has stalled: the replica's own age counts too,
+	// or a task of a job that was cancelled long ago could be started. Both ages count from
+	// when the request was sent: its answer may have lain in a socket while this process was
+	// paused, and its incarnation may have ended meanwhile.
+	return r.isLoaded && r.lease.IsRegistered() &&
+		r.Since(r.store.lastAnsweredRequestAt) < r.Config.LeaseTTL/2 &&
+		r.Since(r.upToDateAt) < r.Config.LeaseTTL
 }
 
-// IsLoaded tells whether the replica holds all records.
-func (s *Replication) IsLoaded() bool { return s.isLoaded }
-
-// isBehind tells whether the replica lacks what the next transaction must have seen.
-func (s *Replication) isBehind() bool { return s.Replica.Revision < s.minRevision }
+// StoreUnavailable tells whether a request to the store would likely fail.
+func (r *Replication) StoreUnavailable() bool {
+	sinceResponse := r.store.SinceResponse()
+	return !r.isLoaded ||
+		r.store.consecutiveFailures > 1 && sinceResponse > unavailableAfter ||
+		sinceResponse > r.Config.LeaseTTL
+}
 
-// StoreUnavailable tells whether a request to the state service would likely fail.
-func (s *Replication) StoreUnavailable() bool {
-	return !s.isLoaded || s.store.ConsecutiveFailures > 1 && s.Since(s.store.LastResponseAt) > time.Second || s.Since(s.store.LastResponseAt) > s.Config.LeaseTTL
+// StoreUnavailableEverywhere tells whether the store is unavailable, and not for this
+// controller alone as far as the others say.
+func (r *Replication) StoreUnavailableEverywhere() bool {
+	return r.StoreUnavailable() && r.peers.PeersReportStoreUnavailable(peerReportWindow)
 }
 
-// IsUpToDate tells whether new starts may rest on the replica.
-func (s *Replication) IsUpToDate() bool {
-	// Calls may be answered while the watch stands still: the replica's own age
-	// counts too, or a task of a job withdrawn long ago could be started. Both count
-	// from when the request was sent: an answer may have lain in a socket while this
-	// process stood still, and its run may have ended meanwhile.
-	return s.isLoaded && s.lease.IsRegistered() && s.Since(s.store.lastAnsweredRequestAt) < s.Config.LeaseTTL/2 && s.Since(s.upToDateAt) < s.Config.LeaseTTL
+// TickLoad asks for all records where there is no replica to watch from.
+func (r *Replication) TickLoad() {
+	if r.isLoaded || r.isLoading || r.isWatching || r.Now.Monotonic < r.retryAt {
+		return
+	}
+	r.isLoading, r.loadRequestedAt = true, r.Now.Monotonic
+	r.Emit(step.LoadRecords{})
 }
 
-func (s *Replication) OnLoadRecordsResult(v step.LoadRecordsResult) {
-	s.isLoading = false
-	if !s.store.RecordContact(s.loadRequestedAt, v.Err) {
-		s.retryAt = s.Now.Monotonic.Add(s.Jitter(500 * time.Millisecond))
+// WatchRecords asks for changes again. Each response costs a request of a tight budget, so
+// requests keep a distance unless something waits for the replica.
+func (r *Replication) WatchRecords(waiting bool) {
+	now := r.Now.Monotonic
+	if !r.hasSnapshot || r.isWatching || r.isLoading || now < r.retryAt {
 		return
 	}
-	// Records deleted while this node did not follow must not stay: begin anew.
-	previous := s.Replica
-	s.Replica = storage.NewReplica()
-	s.Replica.OnMachineChange = previous.OnMachineChange
-	s.agents.ForgetAssignments()
-	for _, entry := range v.Entries {
-		s.PutInReplica(entry.Key, entry.Value, entry.ModRevision)
+	if now < r.nextWatchAt && !r.isBehind() && !waiting {
+		return
 	}
-	s.agents.ForgetUnrecordedMachines(previous)
-	s.Replica.Revision = v.StartRevision
-	s.completeRevision = v.EndRevision
-	s.upToDateAt = s.loadRequestedAt
-	s.hasSnapshot = true
-	s.isLoaded = s.Replica.Revision >= s.completeRevision
-	s.limits.UpdateWriteLimiter()
-	s.Log(slog.LevelInfo, "records loaded", "jobs", len(s.Replica.Jobs), "machines", len(s.Replica.Machines), "revision", uint64(v.StartRevision))
+	r.isWatching, r.watchRequestedAt = true, now
+	r.nextWatchAt = now.Add(r.Config.MinWatchInterval)
+	r.Emit(step.Watch{AfterRevision: r.Replica.Revision})
 }
 
-func (s *Replication) PutInReplica(key string, data json.RawMessage, modRevision protocol.ModRevision) {
-	formatBefore := s.limits.StorageFormat()
-	if _, err := s.Replica.Put(key, data, modRevision); err != nil {
-		s.Log(slog.LevelError, "unreadable record ignored", "key", key, "error", err.Error())
+// OnLoadRecordsResult replaces the replica by all records.
+func (r *Replication) OnLoadRecordsResult(v step.LoadRecordsResult) {
+	r.isLoading = false
+	if !r.store.RecordContact(r.loadRequestedAt, v.Err) {
+		r.retryAt = r.Now.Monotonic.Add(r.Jitter(loadRetryDelay))
+		return
 	}
-	if s.limits.StorageFormat() != formatBefore {
-		s.limits.UpdateWriteLimiter()
+	r.replaceReplica(v.Entries)
+	r.Replica.Revision = v.StartRevision
+	r.completeRevision = v.EndRevision
+	r.upToDateAt = r.loadRequestedAt
+	r.hasSnapshot = true
+	r.isLoaded = r.Replica.Revision >= r.completeRevision
+	r.limits.UpdateWriteLimiter()
+	r.Log(slog.LevelInfo, "records loaded", "jobs", len(r.Replica.Jobs), "machines", len(r.Replica.Machines),
+		"revision", uint64(v.StartRevision))
+}
+
+// replaceReplica begins a new replica: records that were deleted while this controller did not
+// watch must not stay.
+func (r *Replication) replaceReplica(entries []protocol.Entry) {
+	previous := r.Replica
+	r.Replica = storage.NewReplica()
+	r.Replica.OnMachineChange = previous.OnMachineChange
+	r.agents.ForgetAssignments()
+	for _, entry := range entries {
+		r.putInReplica(entry.Key, entry.Value, entry.ModRevision)
 	}
+	r.agents.ForgetUnrecordedMachines(previous)
 }
 
-func (s *Replication) OnWatchResult(v step.WatchResult) {
-	s.isWatching = false
+// OnWatchResult takes changes into the replica.
+func (r *Replication) OnWatchResult(v step.WatchResult) {
+	r.isWatching = false
 	if errors.Is(v.Err, storage.ErrRevisionTooOld) {
-		s.Log(slog.LevelWarn, "watch revision compacted, reloading records", "revision", uint64(v.AfterRevision))
-		s.isLoaded, s.hasSnapshot = false, false
-		s.retryAt = s.Now.Monotonic
+		r.Log(slog.LevelWarn, "watch revision compacted, reloading records", "revision", uint64(v.AfterRevision))
+		r.isLoaded, r.hasSnapshot = false, false
+		r.retryAt = r.Now.Monotonic
 		return
 	}
-	if !s.store.RecordContact(s.watchRequestedAt, v.Err) {
-		s.retryAt = s.Now.Monotonic.Add(s.Jitter(200 * time.Millisecond))
+	if !r.store.RecordContact(r.watchRequestedAt, v.Err) {
+		r.retryAt = r.Now.Monotonic.Add(r.Jitter(watchRetryDelay))
 		return
 	}
-	if v.AfterRevision != s.Replica.Revision {
+	if v.AfterRevision != r.Replica.Revision {
 		return
 	}
-	for _, event := range v.Response.Events {
+	r.applyEvents(v.Response.Events)
+	r.Replica.Revision = max(r.Replica.Revision, v.Response.Revision)
+	r.upToDateAt = r.watchRequestedAt
+	if !r.isLoaded && r.Replica.Revision >= r.completeRevision {
+		r.isLoaded = true
+	}
+	r.lease.checkRegistration()
+}
+
+func (r *Replication) applyEvents(events []protocol.Event) {
+	for _, event := range events {
 		if event.PutKey != "" {
-			s.PutInReplica(event.PutKey, event.Value, event.ModRevision)
+			r.putInReplica(event.PutKey, event.Value, event.ModRevision)
 		} else {
-			s.Replica.Delete(event.DeleteKey, event.ModRevision)
+			r.Replica.Delete(event.DeleteKey, event.ModRevision)
 		}
 	}
-	s.agents.OnMachinesRemoved()
-	s.ShouldRecheckDeferred = true
-	s.Replica.Revision = max(s.Replica.Revision, v.Response.Revision)
-	s.upToDateAt = s.watchRequestedAt
-	if !s.isLoaded && s.Replica.Revision >= s.completeRevision {
-		s.isLoaded = true
+	r.agents.OnMachinesRemoved()
+	r.ShouldRecheckDeferred = true
+}
+
+// applyOperations takes the operations of an applied transaction into the replica.
+func (r *Replication) applyOperations(operations []protocol.Operation, modRevision protocol.ModRevision) {
+	for _, operation := range operations {
+		if operation.PutKey != "" {
+			r.putInReplica(operation.PutKey, operation.Value, modRevision)
+		} else {
+			r.Replica.Delete(operation.DeleteKey, modRevision)
+		}
 	}
-	s.lease.checkRegistration()
+	r.agents.OnMachinesRemoved()
 }
 
-// StoreUnavailableEverywhere tells whether the state service is down, and not for this controller alone
-// as far as the others say.
-func (s *Replication) StoreUnavailableEverywhere() bool {
-	return s.StoreUnavailable() && s.peers.PeersReportStoreUnavailable(5*time.Second)
+// putInReplica puts a record into the replica. The write limits follow the storage format.
+func (r *Replication) putInReplica(key string, data json.RawMessage, modRevision protocol.ModRevision) {
+	formatBefore := r.limits.StorageFormat()
+	if _, err := r.Replica.Put(key, data, modRevision); err != nil {
+		r.Log(slog.LevelError, "unreadable record ignored", "key", key, "error", err.Error())
+	}
+	if r.limits.StorageFormat() != formatBefore {
+		r.limits.UpdateWriteLimiter()
+	}
 }
 
-func (s *Replication) requireRevision(revision protocol.Revision) {
-	s.minRevision, s.minRevisionSince = max(s.minRevision, revision), s.Now.Monotonic
+// isBehind tells whether the replica lacks what the next transaction must have seen.
+func (r *Replication) isBehind() bool { return r.Replica.Revision < r.minRevision }
+
+// requireRevision holds the next transaction back until the replica has reached a revision.
+func (r *Replication) requireRevision(revision protocol.Revision) {
+	r.minRevision, r.minRevisionSince = max(r.minRevision, revision), r.Now.Monotonic
 }
--- /dev/null
+++ b/internal/coordination/commit/replication_test.go
@@ -0,0 +1,42 @@
+package commit
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+)
+
+// New starts rest on a replica that is known to be up to date. Answered requests alone do not
+// show that: the watch may have stalled while a job is cancelled.
+func TestIsUpToDate(t *testing.T) {
+	for _, c := range []struct {
+		name             string
+		requestsAnswered bool
+		watchAnswered    bool
+		want             bool
+	}{
+		{name: "all requests are answered", requestsAnswered: true, watchAnswered: true, want: true},
+		{name: "the watch has stalled", requestsAnswered: true, watchAnswered: false, want: false},
+		{name: "nothing is answered", requestsAnswered: false, watchAnswered: false, want: false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newReadyController(t)
+			for range 10 {
+				controller.advance(time.Second, step.Tick{})
+				if c.requestsAnswered {
+					controller.advance(0, step.RenewLeaseResult{LeaseID: 7})
+				} else {
+					controller.advance(0, step.RenewLeaseResult{LeaseID: 7, Err: errUnreachable})
+				}
+				if c.watchAnswered {
+					revision := controller.Replica.Revision
+					controller.advance(0, unchangedUntil(revision, revision))
+				}
+			}
+			if got := controller.Replication.IsUpToDate(); got != c.want {
+				t.Errorf("up to date: %v", got)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/commit/shard_layout.go
@@ -0,0 +1,148 @@
+package commit
+
+import (
+	"cmp"
+	"log/slog"
+	"slices"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/storage"
+)
+
+// MergeShards puts what is left on a shard that has lost most of its machines onto another
+// shard of this incarnation: each shard costs an operation of its own whenever a task begins or
+// ends there. It merges one at a time, and only to where fencing tokens do not fall. Shards with
+// an open transfer stay as they are until it has ended.
+func (w *ShardWriter) MergeShards(b *Batch) {
+	if w.Now.Monotonic < w.nextShardMergeAt || !b.HasCapacity(2) {
+		return
+	}
+	w.nextShardMergeAt = w.Now.Monotonic.Add(w.Config.MinRebalanceInterval)
+	candidates := w.mergeCandidates(b)
+	for _, source := range candidates {
+		if !w.isMergeSource(b, source) {
+			continue
+		}
+		for _, target := range candidates {
+			if w.canMerge(b, source, target) {
+				w.mergeShard(b, source.id, target.id)
+				return
+			}
+		}
+	}
+}
+
+// mergeCandidate is a shard with the size, in bytes, that it may come to take.
+type mergeCandidate struct {
+	id            storage.ShardID
+	shard         *storage.Shard
+	projectedSize int
+}
+
+// mergeCandidates lists the own shards without an open transfer, the smallest first.
+func (w *ShardWriter) mergeCandidates(b *Batch) []mergeCandidate {
+	inTransfer := w.transfers.ShardsInTransfer(storage.TransferPhase.IsOpen)
+	var candidates []mergeCandidate
+	for _, id := range w.OwnedShards() {
+		if inTransfer[id] {
+			continue
+		}
+		shard := w.Replica.Shards[id]
+		candidates = append(candidates, mergeCandidate{
+			id:            id,
+			shard:         shard,
+			projectedSize: b.projectShardSize(draftOf(shard)),
+		})
+	}
+	slices.SortStableFunc(candidates, func(a, z mergeCandidate) int {
+		return cmp.Compare(a.projectedSize, z.projectedSize)
+	})
+	return candidates
+}
+
+func (w *ShardWriter) isMergeSource(b *Batch, source mergeCandidate) bool {
+	isSmall := source.projectedSize <= w.limits.WriteLimits().ValueBytes/3
+	return isSmall && len(source.shard.Machines) > 0 && !b.ChangesShard(source.id)
+}
+
+// canMerge tells whether the target can take all that is on the source.
+func (w *ShardWriter) canMerge(b *Batch, source, target mergeCandidate) bool {
+	if target.id == source.id || b.ChangesShard(target.id) || len(target.shard.Machines) == 0 {
+		return false
+	}
+	if target.shard.Epoch < source.shard.Epoch {
+		return false // fencing tokens would fall
+	}
+	limits := w.limits.WriteLimits()
+	return target.projectedSize+source.projectedSize <= maxFilledShardSize(limits) &&
+		target.shard.EncodedSize+source.shard.EncodedSize <= limits.ValueBytes*3/4
+}
+
+func (w *ShardWriter) mergeShard(b *Batch, sourceID, targetID storage.ShardID) {
+	machines := w.Replica.Shards[sourceID].Machines
+	source := b.MutableShard(sourceID)
+	for _, machineID := range machines {
+		b.MoveMachine(machineID, targetID)
+	}
+	target := b.MutableShard(targetID)
+	for job, done := range source.doneTasks {
+		target.doneTasks[job] = target.doneTasks[job].Union(done)
+		target.EstimatedSize += mergedJobSize + len(done.String())
+	}
+	clear(source.doneTasks)
+	b.Log(slog.LevelInfo, "shards merged", "source", string(sourceID), "count", len(machines), "target", string(targetID))
+}
+
+// SplitShards splits own shards in two that come near the size of a value.
+func (w *ShardWriter) SplitShards(b *Batch) {
+	for _, id := range w.OwnedShards() {
+		shard := w.Replica.Shards[id]
+		isDue := shard.EncodedSize >= w.shardSplitThreshold() && len(shard.Machines) >= 2
+		if !isDue || b.ChangesShard(id) || !b.HasCapacity(2) {
+			continue
+		}
+		b.MutableShard(id)
+		targetID := b.NewShard(shard.Owner, shard.Epoch)
+		for _, machineID := range shard.Machines[len(shard.Machines)/2:] {
+			b.MoveMachine(machineID, targetID)
+		}
+	}
+}
+
+// shardSplitThreshold is the size, in bytes, from which a shard is split. A packed one changes
+// its size less evenly, and is split before it takes no more tasks.
+func (w *ShardWriter) shardSplitThreshold() int {
+	limits := w.limits.WriteLimits()
+	if w.limits.StorageFormat() < storage.FormatPacked {
+		return limits.ValueBytes * 15 / 16
+	}
+	return maxFilledShardSize(limits)
+}
+
+// ReencodeOversized rewrites what this incarnation is responsible for and what the limits would
+// refuse as it is: shards and jobs written before the format was raised. It takes what capacity
+// the batch has, so a few transactions do; a change that needs such a record before rewrites it
+// the same way.
+func (w *ShardWriter) ReencodeOversized(b *Batch) {
+	if w.limits.StorageFormat() < storage.FormatPacked {
+		return
+	}
+	maxValueBytes := w.limits.WriteLimits().ValueBytes
+	// Most of the time there are none: only what is found is sorted.
+	shards := step.SelectKeys(w.Replica.Shards, func(shard *storage.Shard) bool {
+		return shard.Owner == w.lease.incarnation && shard.EncodedSize > maxValueBytes
+	})
+	for _, id := range shards {
+		if !b.ChangesShard(id) && b.HasCapacity(w.ShardWriteOps(id)) {
+			b.MutableShard(id)
+		}
+	}
+	jobs := step.SelectKeys(w.Replica.UnfinishedJobs, func(entry *storage.Versioned[storage.JobRecord]) bool {
+		return entry.Record.Owner == w.lease.incarnation && entry.EncodedSize > maxValueBytes
+	})
+	for _, id := range jobs {
+		if b.HasCapacity(b.WritesNeeded("", id)) {
+			b.MutableJob(id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/commit/shard_layout_test.go
@@ -0,0 +1,66 @@
+package commit
+
+import (
+	"fmt"
+	"testing"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A shard that has lost most of its machines is merged into another, with all that it knows to
+// be done; never where a machine's fencing token would fall.
+func TestMergeShards(t *testing.T) {
+	for _, c := range []struct {
+		name                   string
+		smallCount, largeCount int // machines on each
+		smallEpoch, largeEpoch storage.ShardEpoch
+		want                   bool
+	}{
+		{name: "one has few", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: true},
+		{name: "the other's epoch is higher", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 4, want: true},
+		{name: "the other's epoch is lower", smallCount: 5, largeCount: 30, smallEpoch: 4, largeEpoch: 3, want: false},
+		{name: "both have many", smallCount: 30, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: false},
+		{name: "the other is full", smallCount: 5, largeCount: 56, smallEpoch: 3, largeEpoch: 3, want: false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newReadyController(t)
+			controller.catalog.OnMachineTypes(step.ListMachineTypesResult{
+				MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
+			})
+			machineCount := 0
+			put := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
+				var lines []string
+				for range count {
+					machineCount++
+					record := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
+					lines = append(lines, record.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machineCount))))
+				}
+				doneTasks := map[protocol.JobID]storage.TaskSet{"j-1": done}
+				data := storage.EncodePlainShard(controller.Lease.Incarnation(), epoch, lines, doneTasks)
+				if _, err := controller.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
+					t.Fatal(err)
+				}
+			}
+			put("a", c.smallEpoch, c.smallCount, storage.TaskRange(0, 3))
+			put("b", c.largeEpoch, c.largeCount, storage.TaskRange(4, 5))
+			b := controller.Shards.NewBatch(8)
+			controller.Shards.MergeShards(b)
+			transaction := b.Transaction()
+			if merged := len(transaction.Operations) == 2; merged != c.want {
+				t.Errorf("merged %v", merged)
+			}
+			if !c.want {
+				return
+			}
+			controller.Replication.applyOperations(transaction.Operations, 9)
+			replica := controller.Replica
+			done := replica.CompletedTasks("j-1").String()
+			isComplete := len(replica.Machines) == machineCount && len(replica.PopRemovedMachines()) == 0
+			if len(replica.Shards) != 1 || !isComplete || done != "0-5" {
+				t.Errorf("%d shards, %d of %d machines, done %s", len(replica.Shards), len(replica.Machines), machineCount, done)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/commit/store_health_test.go
@@ -0,0 +1,35 @@
+package commit
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"tillerarch/internal/storage"
+)
+
+// Some errors are responses of the store: it is available, though the request failed.
+func TestRecordContact(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		err           error
+		wantSuccess   bool
+		wantAnswering bool
+	}{
+		{name: "success", wantSuccess: true, wantAnswering: true},
+		{name: "lease expired", err: storage.ErrLeaseExpired, wantAnswering: true},
+		{name: "revision compacted", err: fmt.Errorf("watch: %w", storage.ErrRevisionTooOld), wantAnswering: true},
+		{name: "unreachable", err: errors.New("connection refused")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			health := newReadyController(t).Store
+			if got := health.RecordContact(health.Now.Monotonic, c.err); got != c.wantSuccess {
+				t.Errorf("success: %v", got)
+			}
+			if got := health.IsAnswering(time.Second); got != c.wantAnswering {
+				t.Errorf("answering: %v", got)
+			}
+		})
+	}
+}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -227,10 +227,10 @@
 		// A process that begins in an outage has read nothing, and is no worse than
 		// the others: it says so at once, and serves as soon as it can, while a node
 		// that was called unhealthy would be passed over for a while behind the outage.
-		if c.commit.Store.ConsecutiveFailures == 0 || c.Since(c.commit.Store.FirstFailureAt) < 2*time.Second {
+		if !c.commit.Store.HasFailedFor(2 * time.Second) {
 			return false
 		}
-	} else if !c.commit.Replication.StoreUnavailable() || c.Since(c.commit.Store.LastResponseAt) < 3*time.Second {
+	} else if !c.commit.Replication.StoreUnavailable() || c.commit.Store.SinceResponse() < 3*time.Second {
 		return true
 	}
 	// If another one reaches the state service, it is this node alone that is cut off. A
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -14,12 +13,24 @@
 	"tillerarch/internal/storage"
 )
 
+// registeredAt is the revision of the registration that newReadyCore makes.
+const registeredAt = 2
+
 // newReadyCore brings a core to the point where it is registered and up to date.
 func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in step.Input) []step.Effect) {
 	t.Helper()
 	now := step.Now{Monotonic: 1, Wall: 1e12}
-	cfg := step.Config{ControllerID: "stall-0", Quotas: map[string]step.Quota{"core": {}}, HeartbeatInterval: 2 * time.Second, AgentLeaseTTL: 14 * time.Second,
-		CancelTimeout: 40 * time.Second, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: step.DefaultTuning()}
+	cfg := step.Config{
+		ControllerID:      "stall-0",
+		Quotas:            map[string]step.Quota{"core": {}},
+		HeartbeatInterval: 2 * time.Second,
+		AgentLeaseTTL:     14 * time.Second,
+		CancelTimeout:     40 * time.Second,
+		WritesPerSecond:   100,
+		TransactionOps:    8,
+		ValueBytes:        8192,
+		Tuning:            step.DefaultTuning(),
+	}
 	c := New(cfg, now)
 	advance := func(after time.Duration, in step.Input) []step.Effect {
 		now.Monotonic = now.Monotonic.Add(after)
@@ -28,85 +39,42 @@
 	}
 	advance(0, step.Tick{})
 	advance(0, step.GrantLeaseResult{LeaseID: 7})
-	advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	advance(0, step.CommitResult{ID: c.commit.Commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 2}})
-	advance(0, step.WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
+	registrations := sentTransactions(advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
+	if len(registrations) != 1 {
+		t.Fatalf("%d transactions instead of the registration", len(registrations))
+	}
+	advance(0, committedAt(registrations[0].ID, registeredAt))
+	advance(0, unchangedUntil(1, registeredAt))
 	if !c.commit.Lease.IsRegistered() || !c.commit.Replication.IsUpToDate() {
-		t.Fatal("the core does not begin")
+		t.Fatal("the core is not registered and up to date")
 	}
 	return c, advance
 }
 
-// New starts rest on a replica that is known to be up to date. Answered calls
-// alone do not show that: the watch may stand still while a job is withdrawn.
-func TestIsUpToDate(t *testing.T) {
-	for _, c := range []struct {
-		name          string
-		calls, follow bool
-		want          bool
-	}{
-		{"all answers", true, true, true},
-		{"the watch stands still", true, false, false},
-		{"nothing answers", false, false, false},
-	} {
-		core, advance := newReadyCore(t)
-		for i := 0; i < 10; i++ {
-			advance(time.Second, step.Tick{})
-			if c.calls {
-				advance(0, step.RenewLeaseResult{LeaseID: 7})
-			} else {
-				advance(0, step.RenewLeaseResult{LeaseID: 7, Err: commit.ErrNoUsableResponse})
-			}
-			if c.follow {
-				advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
-			}
-		}
-		if got := core.commit.Replication.IsUpToDate(); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+// sentTransactions lists the transactions among the effects of a step.
+func sentTransactions(effects []step.Effect) (commits []step.Commit) {
+	for _, effect := range effects {
+		if commit, ok := effect.(step.Commit); ok {
+			commits = append(commits, commit)
 		}
 	}
+	return commits
 }
 
-// A transaction without outcome is followed by a fence, and by nothing else
-// before the replica has all that was written until then.
-func TestWriteBarrierAfterUnknownOutcome(t *testing.T) {
-	c, advance := newReadyCore(t)
-	advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
-	submit := func() []step.Effect {
-		return advance(time.Second, step.UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(`{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
-"pieces":1,"cores":1,"accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,"loaners":false,"reckon_s":1,"bookmark_s":0,"stow_s":0}`)})
+// committedAt is the result of a transaction that was applied at a revision.
+func committedAt(id uint64, revision protocol.Revision) step.CommitResult {
+	return step.CommitResult{
+		ID:      id,
+		Outcome: storage.OutcomeApplied,
+		Result:  protocol.TransactionResult{Revision: revision},
 	}
-	commits := func(out []step.Effect) (n int, keys []string) {
-		for _, e := range out {
-			if v, ok := e.(step.Commit); ok {
-				n++
-				for _, t := range v.Transaction.Operations {
-					keys = append(keys, t.PutKey)
-				}
-			}
-		}
-		return n, keys
-	}
-	if n, keys := commits(submit()); n != 1 || keys[0] != storage.JobKey("j-1") {
-		t.Fatalf("%d commits of %v", n, keys)
-	}
-	// Whatever is sent rests on this run's own key: once that has gone, nothing
-	// that is still on its way is applied.
-	if !slices.Contains(c.commit.Commits.PendingUserTransaction.Transaction.Conditions, protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.commit.Lease.RegistrationRevision}) {
-		t.Errorf("the transaction does not depend on the run's key: %v", c.commit.Commits.PendingUserTransaction.Transaction.Conditions)
-	}
-	advance(0, step.CommitResult{ID: c.commit.Commits.PendingUserTransaction.ID, Outcome: storage.OutcomeUnknown, Err: commit.ErrNoUsableResponse})
-	advance(time.Second, step.RenewLeaseResult{LeaseID: 7})
-	if c.commit.Commits.PendingTransaction == nil || !c.commit.Commits.PendingTransaction.IsWriteBarrier || c.commit.Commits.PendingTransaction.Transaction.Operations[0].PutKey != storage.ControllerKey("stall-0") || c.commit.Commits.PendingTransaction.Transaction.Operations[0].Lease != 7 {
-		t.Fatalf("no fence: %+v", c.commit.Commits.PendingTransaction)
-	}
-	out := advance(0, step.CommitResult{ID: c.commit.Commits.PendingTransaction.ID, Outcome: storage.OutcomeApplied, Result: protocol.TransactionResult{Revision: 9}})
-	out = append(out, submit()...)
-	if n, keys := commits(out); n != 0 {
-		t.Fatalf("%v is written before the replica is at the fence", keys)
-	}
-	if n, _ := commits(advance(0, step.WatchResult{AfterRevision: c.Replica.Revision, Response: &protocol.WatchResponse{Revision: 9}})); n != 1 {
-		t.Fatal("nothing is written behind the fence")
+}
+
+// unchangedUntil is the result of a watch request that no record has changed up to a revision.
+func unchangedUntil(after, revision protocol.Revision) step.WatchResult {
+	return step.WatchResult{
+		AfterRevision: after,
+		Response:      &protocol.WatchResponse{Revision: revision},
 	}
 }
 
@@ -214,40 +182,6 @@
 	}
 }
 
-// Which node tells the load balancer that it can take requests.
-func TestHealthy(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		peers int
-		hints []bool // of other nodes: whether they reach the state service
-		calls bool
-		want  bool
-	}{
-		{"all is well", 2, nil, true, true},
-		{"an outage that all see", 2, []bool{false, false}, false, true},
-		{"it alone is cut off from the state service", 2, []bool{false, true}, false, false},
-		{"it hears nobody at all", 2, nil, false, false},
-		{"it is the only node", 0, nil, false, true},
-	} {
-		core, advance := newReadyCore(t)
-		core.Config.PeerCount = c.peers
-		for i := 0; i < 8; i++ {
-			var err error
-			if !c.calls {
-				err = commit.ErrNoUsableResponse
-			}
-			advance(time.Second, step.RenewLeaseResult{LeaseID: 7, Err: err})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}, Err: err})
-			for k, ok := range c.hints {
-				advance(0, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
-			}
-		}
-		if got := core.Healthy(); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
-	}
-}
-
 // A lease has surely expired only if the worker has shown this owner's epoch,
 // counted from its last answered report: the machine's own part of the token
 // changes nothing of that, a takeover changes everything.
@@ -397,91 +331,6 @@
 	}
 }
 
-// A process that begins in an outage takes requests, if only to send users away at
-// once, unless it alone is cut off.
-func TestHealthyDuringStoreOutage(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		after time.Duration
-		hints []bool // of other nodes: whether they reach the state service
-		want  bool
-	}{
-		{"not known yet", time.Second, []bool{false, false}, false},
-		{"an outage that all see", 4 * time.Second, []bool{false, false}, true},
-		{"it alone is cut off", 4 * time.Second, []bool{false, true}, false},
-		{"it hears nobody", 4 * time.Second, nil, false},
-	} {
-		now := step.Now{Monotonic: 1, Wall: 1e12}
-		core := New(step.Config{ControllerID: "stall-0", PeerCount: 2, WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192, Tuning: step.DefaultTuning()}, now)
-		for core.Since(1) < c.after {
-			core.Step(now, step.Tick{})
-			core.Step(now, step.LoadRecordsResult{Err: commit.ErrNoUsableResponse})
-			for k, ok := range c.hints {
-				core.Step(now, step.PeerStatusInput{Status: step.PeerStatus{ControllerID: protocol.ControllerID(rune('a' + k)), StoreReachable: ok}})
-			}
-			now.Monotonic = now.Monotonic.Add(500 * time.Millisecond)
-			core.Step(now, step.Tick{})
-		}
-		if got := core.Healthy(); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
-	}
-}
-
-// A page that has lost most of its machines is joined with another, with all that
-// it knows to be done; never where a machine's token would fall.
-func TestMergeShards(t *testing.T) {
-	for _, c := range []struct {
-		name           string
-		small, large   int // machines on each
-		eSmall, eLarge storage.ShardEpoch
-		want           bool
-	}{
-		{"one has few", 5, 30, 3, 3, true},
-		{"the other's epoch is higher", 5, 30, 3, 4, true},
-		{"the other's epoch is lower", 5, 30, 4, 3, false},
-		{"both have many", 30, 30, 3, 3, false},
-		{"the other is full", 5, 56, 3, 3, false},
-	} {
-		core, advance := newReadyCore(t)
-		advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}}})
-		n := 0
-		put := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
-			var lines []string
-			for range count {
-				n++
-				r := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
-				lines = append(lines, r.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", n))))
-			}
-			data := storage.EncodePlainShard(core.commit.Lease.Incarnation(), epoch, lines, map[protocol.JobID]storage.TaskSet{"j-1": done})
-			if _, err := core.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
-				t.Fatal(err)
-			}
-		}
-		put("a", c.eSmall, c.small, storage.TaskRange(0, 3))
-		put("b", c.eLarge, c.large, storage.TaskRange(4, 5))
-		b := core.commit.Shards.NewBatch(8)
-		core.commit.Shards.MergeShards(b)
-		transaction := b.Transaction()
-		if merged := len(transaction.Operations) == 2; merged != c.want {
-			t.Errorf("%s: joined %v", c.name, merged)
-		}
-		if !c.want {
-			continue
-		}
-		for _, operation := range transaction.Operations {
-			if operation.PutKey != "" {
-				core.Replica.Put(operation.PutKey, operation.Value, 9)
-			} else {
-				core.Replica.Delete(operation.DeleteKey, 9)
-			}
-		}
-		if len(core.Replica.Shards) != 1 || len(core.Replica.Machines) != n || len(core.Replica.PopRemovedMachines()) != 0 || core.Replica.CompletedTasks("j-1").String() != "0-5" {
-			t.Errorf("%s: %d pages, %d of %d machines, done %s", c.name, len(core.Replica.Shards), len(core.Replica.Machines), n, core.Replica.CompletedTasks("j-1"))
-		}
-	}
-}
-
 // A machine that is merely slow is known by its tasks against others of their jobs.
 func TestSlowMachine(t *testing.T) {
 	for _, c := range []struct {
--- /dev/null
+++ b/internal/coordination/store_outage_test.go
@@ -0,0 +1,160 @@
+package coordination
+
+import (
+	"encoding/json"
+	"errors"
+	"slices"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+var errStoreUnreachable = errors.New("store unreachable")
+
+// A transaction with unknown outcome is followed by a write barrier, and by nothing else
+// before the replica has all that was written until then.
+func TestWriteBarrierAfterUnknownOutcome(t *testing.T) {
+	c, advance := newReadyCore(t)
+	machineType := protocol.MachineType{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}
+	advance(0, step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{machineType}})
+	const job = `{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low",
+"pieces":1,"cores":1,"accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,
+"loaners":false,"reckon_s":1,"bookmark_s":0,"stow_s":0}`
+	submit := func() []step.Effect {
+		return advance(time.Second, step.UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: []byte(job)})
+	}
+	writtenKeys := func(commits []step.Commit) (keys []string) {
+		for _, commit := range commits {
+			for _, operation := range commit.Transaction.Operations {
+				keys = append(keys, operation.PutKey)
+			}
+		}
+		return keys
+	}
+	commits := sentTransactions(submit())
+	if len(commits) != 1 || writtenKeys(commits)[0] != storage.JobKey("j-1") {
+		t.Fatalf("%d commits of %v", len(commits), writtenKeys(commits))
+	}
+	// Whatever is sent rests on this incarnation's own key: once that has gone, nothing
+	// that is still on its way is applied.
+	registrationKey := storage.ControllerKey("stall-0")
+	registration := protocol.Condition{Key: registrationKey, ModRevision: registeredAt}
+	if conditions := commits[0].Transaction.Conditions; !slices.Contains(conditions, registration) {
+		t.Errorf("the transaction does not depend on the registration key: %v", conditions)
+	}
+	effects := advance(0, step.CommitResult{ID: commits[0].ID, Outcome: storage.OutcomeUnknown, Err: errStoreUnreachable})
+	effects = append(effects, advance(time.Second, step.RenewLeaseResult{LeaseID: 7})...)
+	barriers := sentTransactions(effects)
+	if len(barriers) != 1 || !isWriteBarrier(barriers[0], registrationKey) || barriers[0].Transaction.Operations[0].Lease != 7 {
+		t.Fatalf("no write barrier: %+v", barriers)
+	}
+	effects = advance(0, committedAt(barriers[0].ID, 9))
+	effects = append(effects, submit()...)
+	if commits := sentTransactions(effects); len(commits) != 0 {
+		t.Fatalf("%v is written before the replica is at the write barrier", writtenKeys(commits))
+	}
+	effects = advance(0, unchangedUntil(c.Replica.Revision, 9))
+	if len(sentTransactions(effects)) != 1 {
+		t.Fatal("nothing is written behind the write barrier")
+	}
+}
+
+// isWriteBarrier tells whether a transaction rewrites the registration with another barrier, and
+// nothing else.
+func isWriteBarrier(commit step.Commit, registrationKey string) bool {
+	operations := commit.Transaction.Operations
+	if len(operations) != 1 || operations[0].PutKey != registrationKey {
+		return false
+	}
+	var record storage.ControllerRecord
+	return json.Unmarshal(operations[0].Value, &record) == nil && record.WriteBarrier == 1
+}
+
+// A controller tells the load balancer whether it can take requests.
+func TestHealthy(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		peerCount      int
+		peersReach     []bool // whether each of the other controllers that send a status reaches the store
+		storeReachable bool
+		want           bool
+	}{
+		{name: "all is well", peerCount: 2, storeReachable: true, want: true},
+		{name: "an outage that all see", peerCount: 2, peersReach: []bool{false, false}, want: true},
+		{name: "it alone is cut off from the store", peerCount: 2, peersReach: []bool{false, true}, want: false},
+		{name: "it hears of no other controller", peerCount: 2, want: false},
+		{name: "it is the only controller", peerCount: 0, want: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			core, advance := newReadyCore(t)
+			core.Config.PeerCount = c.peerCount
+			for range 8 {
+				var err error
+				if !c.storeReachable {
+					err = errStoreUnreachable
+				}
+				advance(time.Second, step.RenewLeaseResult{LeaseID: 7, Err: err})
+				watched := unchangedUntil(core.Replica.Revision, core.Replica.Revision)
+				watched.Err = err
+				advance(0, watched)
+				for i, reaches := range c.peersReach {
+					advance(0, peerStatusInput(i, reaches))
+				}
+			}
+			if got := core.Healthy(); got != c.want {
+				t.Errorf("healthy: %v", got)
+			}
+		})
+	}
+}
+
+// A process that starts in an outage takes requests, if only to refuse them at once, unless it
+// alone is cut off.
+func TestHealthyDuringStoreOutage(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		after      time.Duration
+		peersReach []bool // whether each of the other controllers reaches the store
+		want       bool
+	}{
+		{name: "not known yet", after: time.Second, peersReach: []bool{false, false}, want: false},
+		{name: "an outage that all see", after: 4 * time.Second, peersReach: []bool{false, false}, want: true},
+		{name: "it alone is cut off", after: 4 * time.Second, peersReach: []bool{false, true}, want: false},
+		{name: "it hears of no other controller", after: 4 * time.Second, want: false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			now := step.Now{Monotonic: 1, Wall: 1e12}
+			core := New(step.Config{
+				ControllerID:    "stall-0",
+				PeerCount:       2,
+				WritesPerSecond: 100,
+				TransactionOps:  8,
+				ValueBytes:      8192,
+				Tuning:          step.DefaultTuning(),
+			}, now)
+			for core.Since(1) < c.after {
+				core.Step(now, step.Tick{})
+				core.Step(now, step.LoadRecordsResult{Err: errStoreUnreachable})
+				for i, reaches := range c.peersReach {
+					core.Step(now, peerStatusInput(i, reaches))
+				}
+				now.Monotonic = now.Monotonic.Add(500 * time.Millisecond)
+				core.Step(now, step.Tick{})
+			}
+			if got := core.Healthy(); got != c.want {
+				t.Errorf("healthy: %v", got)
+			}
+		})
+	}
+}
+
+// peerStatusInput is the status of one of several other controllers.
+func peerStatusInput(i int, storeReachable bool) step.PeerStatusInput {
+	return step.PeerStatusInput{Status: step.PeerStatus{
+		ControllerID:   protocol.ControllerID(rune('a' + i)),
+		StoreReachable: storeReachable,
+	}}
+}
