--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -10,6 +10,24 @@
 	"tillerarch/internal/storage"
 )
 
+// Bounds of the direct calls in flight. After a failover there are hundreds of agents to be
+// told, and each call takes a socket. The bound grows with the fleet, as do the machines that
+// hang at once, each of which holds a call for seconds.
+const (
+	minAgentCalls        = 24
+	machinesPerAgentCall = 32 // one call for so many machines on record
+	// adoptionCallFactor raises the bound for the agents of machines that are on no record: they
+	// get no response before they have answered.
+	adoptionCallFactor = 2
+)
+
+// Least times between direct calls to one agent.
+const (
+	stopCallInterval     = time.Second     // of calls that stop tasks
+	tokenCallInterval    = 2 * time.Second // of calls that show the fencing token, or test delivery
+	unownedProbeInterval = 2 * time.Second // of probes of an agent whose machine another controller owns
+)
+
 // Caller sends commands and probes directly to agents and bounds how many are in flight.
 type Caller struct {
 	*step.Context
@@ -18,10 +36,10 @@
 	lease       *commit.Lease
 	misdirected *MisdirectedHeartbeats
 
-	agentCallsInFlight int // direct commands under way
+	agentCallsInFlight int
 }
 
-// OnAgentResult takes the report that answers a direct command.
+// OnAgentResult takes the status that answers a direct call.
 func (ac *Caller) OnAgentResult(result step.AgentResult) {
 	ac.agentCallsInFlight--
 	ok := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
@@ -34,68 +52,58 @@
 	}
 	m.isCallInFlight = false
 	entry := ac.Replica.Machines[result.Machine]
-	if entry == nil && m.awaitsOwnership && ok {
-		if !isStale(result.Heartbeat, m.LastAgentEpoch, m.LastSequence) {
-			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
-			m.HasAnsweredProbe = true
+	switch {
+	case entry != nil && ac.lease.OwnsMachine(&entry.Record):
+		if ok {
+			ac.onOwnedAgentStatus(m, result.Heartbeat)
+		} else {
+			ac.onOwnedAgentFailure(m)
 		}
-		return
-	}
-	if entry == nil || !ac.lease.OwnsMachine(&entry.Record) {
-		// Asked as a last resort: what its worker shows is no less true.
-		if entry != nil && ok && (m.LatestHeartbeat == nil || !isStale(result.Heartbeat, m.LatestHeartbeat.AgentEpoch, m.LatestHeartbeat.Sequence)) {
+	case !ok:
+	case entry != nil:
+		// The agent was probed because its owner is not heard of. What it shows is no less true.
+		if m.isNewerThanLatest(result.Heartbeat) {
 			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
 		}
-		return
-	}
-	if !ok {
-		if m.callFailures == 0 {
-			m.firstCallFailureAt = m.callStartedAt
-		}
-		m.callFailures++
-		ac.agents.markSuspect(m)
-		// It talks all the while: it is no dead machine, and no cut one.
-		if m.callFailures >= 2 && m.LastContactAt > m.firstCallFailureAt && m.CommandsLostAt == 0 {
-			m.CommandsLostAt = ac.Now.Monotonic
-			ac.Log(slog.LevelWarn, "commands do not reach machine", "machine", string(m.ID))
+	case m.awaitsOwnership:
+		if !m.IsOutOfOrder(result.Heartbeat.AgentEpoch, result.Heartbeat.Sequence) {
+			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
+			m.HasAnsweredProbe = true
 		}
-		return
-	}
-	if m.LatestHeartbeat == nil || !isStale(result.Heartbeat, m.LatestHeartbeat.AgentEpoch, m.LatestHeartbeat.Sequence) {
-		m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
-		ac.agents.markReachable(m)
 	}
 }
 
-func (ac *Caller) maxAgentCalls() int {
-	return max(minAgentCalls, len(ac.Replica.Machines)/machinesPerAgentCall)
+// onOwnedAgentStatus takes the answer of an agent whose machine this controller owns.
+func (ac *Caller) onOwnedAgentStatus(m *MachineState, heartbeat *protocol.Heartbeat) {
+	if m.isNewerThanLatest(heartbeat) {
+		m.RecordHeartbeat(heartbeat, ac.Now.Monotonic)
+		ac.agents.markReachable(m)
+	}
 }
 
-// sendCommands sends a direct command, at most one at a time to a machine.
-func (ac *Caller) sendCommands(entry *storage.Machine, m *MachineState, commands []protocol.Command, minInterval time.Duration) {
-	if m.isCallInFlight || m.callStartedAt != 0 && ac.Since(m.callStartedAt) < minInterval || entry.Record.Address == "" || len(commands) == 0 && ac.agentCallsInFlight >= ac.maxAgentCalls() {
-		return
-	}
-	agentEpoch := entry.Record.AgentEpoch
-	if m.LatestHeartbeat != nil && m.LatestHeartbeat.AgentEpoch > agentEpoch {
-		agentEpoch = m.LatestHeartbeat.AgentEpoch
-	}
-	if agentEpoch == 0 {
-		return
+// onOwnedAgentFailure takes in that an agent whose machine this controller owns did not answer.
+func (ac *Caller) onOwnedAgentFailure(m *MachineState) {
+	m.recordCallFailure(m.callStartedAt)
+	ac.agents.markSuspect(m)
+	if m.isHeardWhileCallsFail() && !m.CommandsLost() {
+		m.CommandsLostAt = ac.Now.Monotonic
+		ac.Log(slog.LevelWarn, "commands do not reach machine", "machine", string(m.ID))
 	}
-	m.isCallInFlight, m.callStartedAt = true, ac.Now.Monotonic
-	ac.agentCallsInFlight++
-	ac.Emit(step.SendCommands{Machine: m.ID, Addr: entry.Record.Address, Commands: protocol.Commands{FencingToken: entry.Record.FencingToken, AgentEpoch: agentEpoch, Commands: commands}})
 }
 
-// unownedProbeInterval is the least time between probes of an agent whose machine another
-// controller owns.
-const unownedProbeInterval = 2 * time.Second
-
 // ProbeUnownedAgent asks the agent of a machine whose owner is not heard of for its status,
 // unless it was asked a moment ago or too many calls are in flight.
 func (ac *Caller) ProbeUnownedAgent(m *MachineState, addr string) {
-	if m.isCallInFlight || ac.Since(m.callStartedAt) <= unownedProbeInterval || addr == "" || ac.agentCallsInFlight >= ac.maxAgentCalls() {
+	if m.isCallInFlight || ac.Since(m.callStartedAt) <= unownedProbeInterval || addr == "" || !ac.hasCapacity() {
+		return
+	}
+	ac.startProbe(m, addr)
+}
+
+// probeForAdoption asks the agent of a machine that is on no record for its status, once.
+func (ac *Caller) probeForAdoption(m *MachineState, addr string) {
+	hasCapacity := ac.agentCallsInFlight < adoptionCallFactor*ac.maxAgentCalls()
+	if m.isCallInFlight || m.HasAnsweredProbe || addr == "" || !hasCapacity {
 		return
 	}
 	ac.startProbe(m, addr)
@@ -104,25 +112,57 @@
 // tryProbe sends a probe to the agent of a machine of which nothing else is remembered here,
 // unless too many calls are in flight.
 func (ac *Caller) tryProbe(id protocol.MachineID, addr string) bool {
-	if ac.agentCallsInFlight >= ac.maxAgentCalls() {
+	if !ac.hasCapacity() {
 		return false
 	}
-	ac.agentCallsInFlight++
-	ac.Emit(step.ProbeAgent{Machine: id, Addr: addr})
+	ac.emitProbe(id, addr)
 	return true
 }
 
-// startProbe sends a probe to an agent.
 func (ac *Caller) startProbe(m *MachineState, addr string) {
-	m.isCallInFlight, m.callStartedAt = true, ac.Now.Monotonic
+	m.beginCall(ac.Now.Monotonic)
+	ac.emitProbe(m.ID, addr)
+}
+
+func (ac *Caller) emitProbe(id protocol.MachineID, addr string) {
 	ac.agentCallsInFlight++
-	ac.Emit(step.ProbeAgent{Machine: m.ID, Addr: addr})
+	ac.Emit(step.ProbeAgent{Machine: id, Addr: addr})
 }
 
-// probeAgent asks the worker of a machine that this run does not own for its report.
-func (ac *Caller) probeAgent(m *MachineState, addr string) {
-	if m.isCallInFlight || m.HasAnsweredProbe || addr == "" || ac.agentCallsInFlight >= 2*ac.maxAgentCalls() {
+// sendCommands calls an agent, at most one call at a time. Without commands the call only shows
+// the fencing token and asks for the status, and counts against the bound.
+func (ac *Caller) sendCommands(entry *storage.Machine, m *MachineState, commands []protocol.Command, minInterval time.Duration) {
+	switch {
+	case m.isCallInFlight, entry.Record.Address == "":
+		return
+	case m.callStartedAt != 0 && ac.Since(m.callStartedAt) < minInterval:
+		return
+	case len(commands) == 0 && !ac.hasCapacity():
 		return
 	}
-	ac.startProbe(m, addr)
+	agentEpoch := entry.Record.AgentEpoch
+	if m.LatestHeartbeat != nil {
+		agentEpoch = max(agentEpoch, m.LatestHeartbeat.AgentEpoch)
+	}
+	if agentEpoch == 0 {
+		return
+	}
+	m.beginCall(ac.Now.Monotonic)
+	ac.agentCallsInFlight++
+	ac.Emit(step.SendCommands{
+		Machine: m.ID,
+		Addr:    entry.Record.Address,
+		Commands: protocol.Commands{
+			FencingToken: entry.Record.FencingToken,
+			AgentEpoch:   agentEpoch,
+			Commands:     commands,
+		},
+	})
+}
+
+func (ac *Caller) maxAgentCalls() int {
+	return max(minAgentCalls, len(ac.Replica.Machines)/machinesPerAgentCall)
 }
+
+// hasCapacity tells whether another direct call may start.
+func (ac *Caller) hasCapacity() bool { return ac.agentCallsInFlight < ac.maxAgentCalls() }
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -2,6 +2,7 @@
 
 import (
 	"log/slog"
+	"net/http"
 	"time"
 
 	"tillerarch/internal/coordination/catalog"
@@ -15,6 +16,13 @@
 	RecordRemoval(id protocol.MachineID)
 }
 
+// AssignmentKey names the tasks of a job that one attempt has on a machine.
+type AssignmentKey struct {
+	Machine protocol.MachineID
+	Job     protocol.JobID
+	Attempt protocol.Attempt
+}
+
 // Table holds what this process remembers of machines and their agents beyond the records:
 // heartbeats, reachability, deferred responses, cached images.
 type Table struct {
@@ -24,12 +32,12 @@
 	terminator RemovalRecorder
 
 	machineStates      map[protocol.MachineID]*MachineState
-	deferredHeartbeats map[protocol.MachineID]bool // whose reports wait for their answers
+	deferredHeartbeats map[protocol.MachineID]bool // those whose heartbeats wait for their responses
 	awaitingOwner      map[protocol.MachineID]bool // those of them that wait for an owner
 	assignedAt         map[AssignmentKey]protocol.Instant
 }
 
-func NewTable(ctx *step.Context) *Table {
+func newTable(ctx *step.Context) *Table {
 	return &Table{
 		Context:            ctx,
 		machineStates:      map[protocol.MachineID]*MachineState{},
@@ -39,124 +47,33 @@
 	}
 }
 
-func (at *Table) recordImage(id protocol.MachineID, machineType *protocol.MachineType, j *protocol.Job) {
-	m := at.MachineState(id)
-	for i := range m.CachedImages {
-		if m.CachedImages[i].name == j.Image {
-			m.CachedImages = append(m.CachedImages[:i], m.CachedImages[i+1:]...)
-			break
-		}
-	}
-	m.CachedImages = append(m.CachedImages, cachedImage{name: j.Image, SizeGB: j.ImageGB})
-	totalGB := 0.0
-	for i := len(m.CachedImages) - 1; i >= 0; i-- {
-		if totalGB += m.CachedImages[i].SizeGB; totalGB > machineType.LocalDiskGB {
-			m.CachedImages = append([]cachedImage(nil), m.CachedImages[i+1:]...)
-			break
-		}
-	}
-}
-
-func (at *Table) replyRedirect(req step.RequestID, owner protocol.ControllerID) {
-	at.Reply(req, 421, protocol.Redirect{Controller: owner})
-}
-
-// deferResponse lets a report wait for its answer.
-func (at *Table) deferResponse(m *MachineState, req step.RequestID, awaitsOwnership bool) {
-	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = req, at.Now.Monotonic, awaitsOwnership
-	at.deferredHeartbeats[m.ID] = true
-	if awaitsOwnership {
-		at.awaitingOwner[m.ID] = true
-	}
-}
-
-// popDeferredRequest gives the waiting report to whoever answers it now.
-func (at *Table) popDeferredRequest(m *MachineState) step.RequestID {
-	req := m.DeferredRequest
-	m.DeferredRequest = 0
-	delete(at.deferredHeartbeats, m.ID)
-	delete(at.awaitingOwner, m.ID)
-	return req
-}
-
-func (at *Table) dropDeferredRequest(m *MachineState) {
-	if m.DeferredRequest != 0 {
-		at.replyRedirect(at.popDeferredRequest(m), "")
-	}
-}
-
-func (at *Table) markSuspect(m *MachineState) {
-	if m.suspectedAt == 0 {
-		m.suspectedAt = at.Now.Monotonic
-	}
-}
-
-// markReachable notes that something that was sent to the worker has arrived.
-func (at *Table) markReachable(m *MachineState) {
-	if m.CommandsLostAt != 0 {
-		at.Log(slog.LevelInfo, "commands reach machine again", "machine", string(m.ID))
-	}
-	m.suspectedAt, m.callFailures, m.CommandsLostAt = 0, 0, 0
-}
-
-// isSuspect tells whether it has been unsure for a while that the worker hears.
-func (at *Table) isSuspect(m *MachineState) bool {
-	return m.suspectedAt != 0 && at.Since(m.suspectedAt) > 3*time.Second
-}
+// Lookup gives what is remembered of a machine, nil for nothing.
+func (at *Table) Lookup(id protocol.MachineID) *MachineState { return at.machineStates[id] }
 
+// MachineState gives what is remembered of a machine, and begins to remember it if need be.
 func (at *Table) MachineState(id protocol.MachineID) *MachineState {
 	m := at.machineStates[id]
 	if m == nil {
-		m = &MachineState{ID: id, LastContactAt: at.Now.Monotonic}
-		m.Reset()
+		m = newMachineState(id, at.Now.Monotonic)
 		at.machineStates[id] = m
 	}
 	return m
 }
 
-// TrackOwnedMachine begins or goes on with the ownership of a machine: what an earlier
-// owner was told proves nothing under a new token.
+// TrackOwnedMachine gives the state of a machine that this controller owns. It begins anew if
+// the ownership on record is another one than before.
 func (at *Table) TrackOwnedMachine(entry *storage.Machine, id protocol.MachineID) *MachineState {
 	m := at.MachineState(id)
-	if m.ownerIncarnation != entry.Record.Owner || m.ownershipEpoch != entry.Record.ShardEpoch {
-		m.ownerIncarnation, m.ownershipEpoch = entry.Record.Owner, entry.Record.ShardEpoch
-		m.OwnershipRevision = protocol.Revision(at.Replica.Shards[entry.Record.Shard].ModRevision)
-		m.Reset()
-		m.answeredHeartbeatAt, m.answeredToken = 0, 0
-		m.LastContactAt, m.lastHeartbeatAt = at.Now.Monotonic, at.Now.Monotonic
-		m.IdleSince = 0
-		m.HandOffTarget = ""
-		m.awaitsDelivery, m.suspectedAt, m.callFailures, m.CommandsLostAt = false, 0, 0, 0
+	if !m.isOf(&entry.Record) {
+		revision := protocol.Revision(at.Replica.Shards[entry.Record.Shard].ModRevision)
+		m.beginOwnership(&entry.Record, revision, at.Now.Monotonic)
 	}
 	return m
 }
 
-// ForgetMachines drops what is remembered of machines that are on no record.
-func (at *Table) ForgetMachines() {
-	for id, m := range at.machineStates {
-		if at.Replica.Machines[id] == nil && m.DeferredRequest == 0 {
-			delete(at.machineStates, id)
-		}
-	}
-}
-
-// ForgetAssignments drops since when tasks have been on machines.
-func (at *Table) ForgetAssignments() { clear(at.assignedAt) }
-
-// ForgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
-func (at *Table) ForgetUnrecordedMachines(earlier *storage.Replica) {
-	for _, e := range earlier.SortedMachines() {
-		if id := e.ID; at.Replica.Machines[id] == nil {
-			if m := at.machineStates[id]; m != nil {
-				at.dropDeferredRequest(m)
-				delete(at.machineStates, id)
-			}
-		}
-	}
-}
-
-// Lookup gives what is remembered of a machine, nil for nothing.
-func (at *Table) Lookup(id protocol.MachineID) *MachineState { return at.machineStates[id] }
+// AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
+// It is not to be changed.
+func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
 
 // AssignedSince tells since when tasks of one attempt have been assigned to a machine, as far
 // as this process has seen.
@@ -165,23 +82,8 @@
 	return since, known
 }
 
-// AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
-// It is not to be changed.
-func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
-
-// OnMachinesRemoved forgets machines that have left the records.
-func (at *Table) OnMachinesRemoved() {
-	for _, id := range at.Replica.PopRemovedMachines() {
-		at.terminator.RecordRemoval(id)
-		if m := at.machineStates[id]; m != nil {
-			at.dropDeferredRequest(m)
-			delete(at.machineStates, id)
-		}
-	}
-}
-
-// RecordAssignments keeps what rests on the machines' records: since when tasks have
-// been on a machine, and which images it has.
+// RecordAssignments takes in a change of a machine's record: since when tasks have been assigned
+// to the machine, and which images it has.
 func (at *Table) RecordAssignments(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if before != nil {
 		for i := range before.Assignments {
@@ -201,53 +103,154 @@
 			continue
 		}
 		at.assignedAt[key] = at.Now.Monotonic
-		if job, machineType := at.Replica.Jobs[a.Job], at.catalog.MachineType(after.MachineType); job != nil && job.Record.Spec != nil && machineType != nil {
-			at.recordImage(id, machineType, job.Record.Spec)
+		job, machineType := at.Replica.Jobs[a.Job], at.catalog.MachineType(after.MachineType)
+		if job != nil && job.Record.Spec != nil && machineType != nil {
+			spec := job.Record.Spec
+			at.MachineState(id).use(spec.Image, spec.ImageGB, machineType.LocalDiskGB)
+		}
+	}
+}
+
+func hasAttempt(record *storage.MachineRecord, a *storage.Assignment) bool {
+	for i := range record.Assignments {
+		if other := &record.Assignments[i]; other.Job == a.Job && other.Attempt == a.Attempt {
+			return true
+		}
+	}
+	return false
+}
+
+// ForgetAssignments drops since when tasks have been on machines.
+func (at *Table) ForgetAssignments() { clear(at.assignedAt) }
+
+// ForgetMachines drops what is remembered of machines that are on no record.
+func (at *Table) ForgetMachines() {
+	for id, m := range at.machineStates {
+		if at.Replica.Machines[id] == nil && !m.IsDeferred() {
+			delete(at.machineStates, id)
 		}
 	}
 }
 
-// IsAgentLeaseExpired tells whether the worker's lease must have run out: this
-// token was confirmed by the worker, so only this run's answers counted, and
-// the last of them answered a report sent no later than it was received.
+// ForgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
+func (at *Table) ForgetUnrecordedMachines(earlier *storage.Replica) {
+	for _, e := range earlier.SortedMachines() {
+		if at.Replica.Machines[e.ID] == nil {
+			at.forgetMachine(e.ID)
+		}
+	}
+}
+
+// OnMachinesRemoved forgets machines that have left the records.
+func (at *Table) OnMachinesRemoved() {
+	for _, id := range at.Replica.PopRemovedMachines() {
+		at.terminator.RecordRemoval(id)
+		at.forgetMachine(id)
+	}
+}
+
+// forgetMachine drops what is remembered of a machine. A heartbeat that waits is redirected.
+func (at *Table) forgetMachine(id protocol.MachineID) {
+	if m := at.machineStates[id]; m != nil {
+		at.dropDeferredRequest(m)
+		delete(at.machineStates, id)
+	}
+}
+
+// IsAgentLeaseExpired tells whether the agent's lease has expired for sure, so that it has killed
+// all its tasks. It has shown this ownership's epoch, so only this incarnation's responses counted
+// since; and the last of them answered a heartbeat that was sent no later than it was received.
 func (at *Table) IsAgentLeaseExpired(m *MachineState, record *storage.MachineRecord) bool {
-	if storage.ShardEpochOf(m.ConfirmedToken) != record.ShardEpoch || m.LatestHeartbeat == nil {
+	if m.LatestHeartbeat == nil || m.IsDeferred() {
 		return false
 	}
-	// Before it showed this token, an earlier owner may have renewed its lease.
-	last := m.tokenConfirmedAt
-	if storage.ShardEpochOf(m.answeredToken) == record.ShardEpoch {
-		last = max(last, m.answeredHeartbeatAt)
-	}
-	// Steady clocks drift by up to 0.05% each; the rest is margin.
-	expiry := at.Config.AgentLeaseTTL + at.Config.AgentLeaseTTL/500 + 500*time.Millisecond
-	return at.Since(last) > expiry && m.DeferredRequest == 0
+	renewedAt, isKnown := m.latestRenewal(record.ShardEpoch)
+	return isKnown && at.Since(renewedAt) > at.agentLeaseExpiry()
+}
+
+// agentLeaseExpiry is the time after which an agent's lease has run out whatever its clock says.
+// Monotonic clocks drift by up to 0.05% each; the rest is margin.
+func (at *Table) agentLeaseExpiry() time.Duration {
+	const clockDriftDivisor, margin = 500, 500 * time.Millisecond
+	return at.Config.AgentLeaseTTL + at.Config.AgentLeaseTTL/clockDriftDivisor + margin
 }
 
-// HasMissedHeartbeat tells whether a worker has missed a report for sure.
+// HasMissedHeartbeat tells whether an agent has missed a heartbeat for sure.
 func (at *Table) HasMissedHeartbeat(m *MachineState) bool {
-	return m.DeferredRequest == 0 && at.TimeSinceContact(m) > at.Config.HeartbeatInterval*5/4+1500*time.Millisecond
+	const networkMargin = 1500 * time.Millisecond
+	return !m.IsDeferred() && at.TimeSinceContact(m) > at.Config.HeartbeatInterval*5/4+networkMargin
 }
 
-// IsSilent tells whether a worker has missed several reports.
+// IsSilent tells whether an agent has missed several heartbeats.
 func (at *Table) IsSilent(m *MachineState) bool {
-	return m.DeferredRequest == 0 && at.TimeSinceContact(m) > at.SilenceTimeout()
+	return !m.IsDeferred() && at.TimeSinceContact(m) > at.SilenceTimeout()
 }
 
-// SilenceTimeout is the time in which several reports must have come from a worker that
-// reaches this node.
+// SilenceTimeout is the time in which several heartbeats must have come from an agent that
+// reaches this controller.
 func (at *Table) SilenceTimeout() time.Duration {
 	return 2*at.Config.HeartbeatInterval + at.Config.HeartbeatInterval/2 + time.Second
 }
 
-// heartbeatsLost tells whether no report has come from a worker for a while, whatever it says when
-// it is asked: starts go out in answers to reports only, so what is placed there waits.
+// TimeSinceContact is for how long nothing has come from an agent while this process could
+// have received it: a process pause is not the agent's silence.
+func (at *Table) TimeSinceContact(m *MachineState) time.Duration {
+	return at.Since(max(m.LastContactAt, at.ResumedAt))
+}
+
+// heartbeatsLost tells whether an agent has sent no heartbeat for a while, whatever it says when
+// it is probed: starts go out in responses to heartbeats only, so what is placed there waits.
 func (at *Table) heartbeatsLost(m *MachineState) bool {
-	return m.DeferredRequest == 0 && at.Since(max(m.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
+	return !m.IsDeferred() && at.Since(max(m.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
 }
 
-// TimeSinceContact is for how long nothing has come from a worker while this process could
-// have heard it: one that stood still for seconds takes none of that for silence.
-func (at *Table) TimeSinceContact(m *MachineState) time.Duration {
-	return at.Since(max(m.LastContactAt, at.ResumedAt))
+// markSuspect notes that commands may not reach the agent.
+func (at *Table) markSuspect(m *MachineState) { m.suspect(at.Now.Monotonic) }
+
+// markReachable notes that something that was sent to the agent has arrived.
+func (at *Table) markReachable(m *MachineState) {
+	if m.CommandsLost() {
+		at.Log(slog.LevelInfo, "commands reach machine again", "machine", string(m.ID))
+	}
+	m.confirmDelivery()
+}
+
+// isSuspect tells whether it has been uncertain for a while that commands reach the agent.
+func (at *Table) isSuspect(m *MachineState) bool {
+	return m.suspectedAt != 0 && at.Since(m.suspectedAt) > suspectTimeout
+}
+
+// replyRedirect sends an agent to another controller, or to any if the owner is unknown.
+func (at *Table) replyRedirect(req step.RequestID, owner protocol.ControllerID) {
+	at.Reply(req, http.StatusMisdirectedRequest, protocol.Redirect{Controller: owner})
+}
+
+// deferResponse lets a heartbeat wait for its response.
+func (at *Table) deferResponse(m *MachineState, req step.RequestID, awaitsOwnership bool) {
+	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = req, at.Now.Monotonic, awaitsOwnership
+	at.deferredHeartbeats[m.ID] = true
+	if awaitsOwnership {
+		at.awaitingOwner[m.ID] = true
+	}
+}
+
+// popDeferredRequest gives the waiting heartbeat to whoever answers it now.
+func (at *Table) popDeferredRequest(m *MachineState) step.RequestID {
+	req := m.DeferredRequest
+	m.DeferredRequest = 0
+	delete(at.deferredHeartbeats, m.ID)
+	delete(at.awaitingOwner, m.ID)
+	return req
+}
+
+// redirectDeferred answers the waiting heartbeat with the name of the machine's owner.
+func (at *Table) redirectDeferred(m *MachineState, owner protocol.ControllerID) {
+	at.replyRedirect(at.popDeferredRequest(m), owner)
+}
+
+// dropDeferredRequest sends the agent whose heartbeat waits, if one does, to any controller.
+func (at *Table) dropDeferredRequest(m *MachineState) {
+	if m.IsDeferred() {
+		at.redirectDeferred(m, "")
+	}
 }
--- /dev/null
+++ b/internal/coordination/agents/commands.go
@@ -0,0 +1,133 @@
+package agents
+
+import (
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// commandList collects the commands for one agent.
+type commandList struct {
+	handler *HeartbeatHandler
+	machine *MachineState
+	record  *storage.MachineRecord
+
+	isCurrent  bool // the latest heartbeat is under the recorded epochs
+	isUpToDate bool // the replica is
+	commands   []protocol.Command
+}
+
+// CommandsFor lists what the agent is to do. Only a response to a heartbeat may start tasks or
+// have ended ones forgotten: agents never carry out a response late, while a direct call may
+// arrive after its sender has lost the machine.
+func (h *HeartbeatHandler) CommandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
+	list := commandList{
+		handler:    h,
+		machine:    m,
+		record:     &entry.Record,
+		isCurrent:  m.CurrentHeartbeat(&entry.Record) != nil,
+		isUpToDate: h.replication.IsUpToDate(),
+	}
+	list.addStopsAndForgets(inResponse)
+	if inResponse && list.mayStart() {
+		list.addStarts()
+	}
+	return list.commands
+}
+
+// addStopsAndForgets goes through the tasks that the agent shows.
+func (l *commandList) addStopsAndForgets(inResponse bool) {
+	for i := range l.machine.LatestHeartbeat.Tasks {
+		status := &l.machine.LatestHeartbeat.Tasks[i]
+		attempt, ok := l.record.AttemptOf(status.Task)
+		isAssigned := ok && attempt == status.Attempt
+		if status.State == protocol.TaskExited {
+			// While it is assigned its end is not on record yet, and the agent must go on showing it.
+			if inResponse && l.isCurrent && !isAssigned && l.isUpToDate {
+				l.commands = append(l.commands, protocol.Command{
+					Type:    protocol.CommandForget,
+					Task:    status.Task,
+					Attempt: status.Attempt,
+				})
+			}
+			continue
+		}
+		if graceSeconds, mustStop := l.stopGracePeriod(status, isAssigned); mustStop {
+			l.commands = append(l.commands, protocol.Command{
+				Type:               protocol.CommandStop,
+				Task:               status.Task,
+				Attempt:            status.Attempt,
+				GracePeriodSeconds: &graceSeconds,
+			})
+		}
+	}
+}
+
+// stopGracePeriod tells whether a live task must stop, and in what time.
+func (l *commandList) stopGracePeriod(status *protocol.TaskStatus, isAssigned bool) (seconds float64, mustStop bool) {
+	if !isAssigned && l.isUpToDate || l.handler.cancellations.CancelRequested(status.Task.Job) {
+		return 0, true
+	}
+	if !l.machine.hasStopRequest(status.Task, status.Attempt) {
+		return 0, false
+	}
+	seconds = l.machine.StopRequests[status.Task].graceSeconds
+	if status.State == protocol.TaskSaving && seconds != 0 {
+		return 0, false // it is stopping already
+	}
+	return seconds, true
+}
+
+// mayStart tells whether the agent may be told to start anything at all. The replica must be up
+// to date: an old one may show tasks that have been taken back, or jobs that are being cancelled.
+func (l *commandList) mayStart() bool {
+	return l.isUpToDate &&
+		l.machine.LatestHeartbeat.AgentEpoch == l.record.AgentEpoch &&
+		!l.record.Terminating &&
+		!l.machine.CommandsLost() &&
+		!l.handler.transfers.IsQuiesced(l.record.Shard)
+}
+
+// addStarts goes through the tasks that are assigned to the machine.
+func (l *commandList) addStarts() {
+	for i := range l.record.Assignments {
+		a := &l.record.Assignments[i]
+		if !l.mayStartAttempt(a) {
+			continue
+		}
+		a.Tasks.Each(func(n int) bool {
+			task := protocol.Task{Job: a.Job, Index: n}
+			if l.mayStartTask(task, a.Attempt) {
+				l.commands = append(l.commands, protocol.Command{
+					Type:    protocol.CommandStart,
+					Task:    task,
+					Attempt: a.Attempt,
+				})
+			}
+			return true
+		})
+	}
+}
+
+// mayStartAttempt tells whether the job lets tasks of an attempt start.
+func (l *commandList) mayStartAttempt(a *storage.Assignment) bool {
+	job := l.handler.Replica.Jobs[a.Job]
+	if job == nil || job.Record.State.IsTerminal() || l.handler.cancellations.CancelRequested(a.Job) ||
+		isGracefullyStopped(&job.Record, a.Attempt) {
+		return false
+	}
+	return !job.Record.Spec.IsGang() || l.handler.jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt)
+}
+
+// mayStartTask tells whether one task that is assigned may start now.
+func (l *commandList) mayStartTask(task protocol.Task, attempt protocol.Attempt) bool {
+	if l.machine.isWithheld(task, attempt) {
+		return false
+	}
+	status := l.machine.taskStatuses[task]
+	if status == nil {
+		return true
+	}
+	// It is here already, or an earlier attempt must be forgotten first. The command for that
+	// goes into the same response, ahead of the start, if the heartbeat is current.
+	return status.Attempt != attempt && status.State == protocol.TaskExited && l.isCurrent
+}
--- /dev/null
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -0,0 +1,77 @@
+package agents
+
+import (
+	"tillerarch/internal/protocol"
+)
+
+// commandsInFlight is what the agent has been told, or is to be told, and may not have done yet.
+type commandsInFlight struct {
+	// InflightStarts are the starts in the last response that the agent may not have carried out
+	// yet. A heartbeat that lacks these tasks proves nothing.
+	InflightStarts map[protocol.Task]protocol.Attempt
+	// RevokedAttempts are the attempts that are being taken back. They are never started from
+	// then on: the transaction that takes them back may still be applied.
+	RevokedAttempts map[protocol.Task]protocol.Attempt
+	// StopRequests are the tasks that are to stop.
+	StopRequests map[protocol.Task]StopRequest
+
+	callStartedAt  protocol.Instant // of the last direct call
+	isCallInFlight bool
+}
+
+// StopRequest asks for one attempt of a task to stop within a grace period.
+type StopRequest struct {
+	Attempt      protocol.Attempt
+	graceSeconds float64
+}
+
+func (c *commandsInFlight) reset() {
+	c.InflightStarts = map[protocol.Task]protocol.Attempt{}
+	c.RevokedAttempts = map[protocol.Task]protocol.Attempt{}
+	c.StopRequests = map[protocol.Task]StopRequest{}
+}
+
+// hasStopRequest tells whether this attempt of a task is to stop.
+func (c *commandsInFlight) hasStopRequest(task protocol.Task, attempt protocol.Attempt) bool {
+	stop, ok := c.StopRequests[task]
+	return ok && stop.Attempt == attempt
+}
+
+// isWithheld tells whether an attempt of a task must not be started: it, or a later one, is being
+// taken back or has been asked to stop. A stop of an earlier attempt, which may have ended unseen
+// with its agent epoch, does not hold back the next one.
+func (c *commandsInFlight) isWithheld(task protocol.Task, attempt protocol.Attempt) bool {
+	if revoked, ok := c.RevokedAttempts[task]; ok && revoked >= attempt {
+		return true
+	}
+	stop, ok := c.StopRequests[task]
+	return ok && stop.Attempt >= attempt
+}
+
+// dropOutdatedStopRequests drops the stops of tasks that the agent shows with another attempt.
+func (c *commandsInFlight) dropOutdatedStopRequests(statuses map[protocol.Task]*protocol.TaskStatus) {
+	for task, stop := range c.StopRequests {
+		if status := statuses[task]; status != nil && status.Attempt != stop.Attempt {
+			delete(c.StopRequests, task)
+		}
+	}
+}
+
+// showsInflightStart tells whether a heartbeat shows any start that was in flight, or none was.
+func (c *commandsInFlight) showsInflightStart(heartbeat *protocol.Heartbeat) bool {
+	if len(c.InflightStarts) == 0 {
+		return true
+	}
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		if attempt, ok := c.InflightStarts[status.Task]; ok && attempt == status.Attempt {
+			return true
+		}
+	}
+	return false
+}
+
+// beginCall notes that a direct call starts.
+func (c *commandsInFlight) beginCall(now protocol.Instant) {
+	c.isCallInFlight, c.callStartedAt = true, now
+}
--- /dev/null
+++ b/internal/coordination/agents/commands_test.go
@@ -0,0 +1,57 @@
+package agents
+
+import (
+	"testing"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// What keeps an assigned task from being started: a stop or a requeue of this
+// attempt, not of an earlier one. (A stop whose task ended with its agent epoch once
+// held back the task's next attempt on that machine for ever.)
+func TestStartCommandsWithheld(t *testing.T) {
+	const assigned = protocol.Attempt(5)
+	for _, c := range []struct {
+		name         string
+		stopped      protocol.Attempt
+		revoked      protocol.Attempt
+		commandsLost bool
+		want         bool
+	}{
+		{"nothing", 0, 0, false, true},
+		{"stop of an earlier attempt", 4, 0, false, true},
+		{"stop of this attempt", 5, 0, false, false},
+		{"earlier attempt revoked", 0, 4, false, true},
+		{"this attempt revoked", 0, 5, false, false},
+		{"responses do not reach the agent", 0, 0, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`)
+			task := protocol.Task{Job: testJob}
+			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
+			record.Assign(task, assigned)
+			entry, m := f.addOwnedMachine(t, record)
+			m.RecordHeartbeat(newHeartbeat(entry, 1), f.Now.Monotonic)
+			if c.stopped > 0 {
+				m.StopRequests[task] = StopRequest{Attempt: c.stopped}
+			}
+			if c.revoked > 0 {
+				m.RevokedAttempts[task] = c.revoked
+			}
+			if c.commandsLost {
+				m.CommandsLostAt = f.Now.Monotonic
+			}
+			starts := 0
+			for _, command := range f.Heartbeats.CommandsFor(entry, m, true) {
+				if command.Type == protocol.CommandStart && command.Attempt == assigned {
+					starts++
+				}
+			}
+			if (starts == 1) != c.want {
+				t.Errorf("%d starts", starts)
+			}
+		})
+	}
+}
--- a/internal/coordination/agents/doc.go
+++ b/internal/coordination/agents/doc.go
@@ -3,5 +3,11 @@
 // machines with what their agents report.
 //
 // It owns what is remembered of machines (MachineState) and jobs (JobState) beyond their
-// records, and the calls to agents that are in flight. It places no task.
+// records, the heartbeats whose responses wait, and the direct calls to agents that are in
+// flight. It places no task, changes no ownership and terminates no machine; it writes only to
+// the records of machines that this controller owns, and what follows from those for jobs.
+//
+// A heartbeat passes through HeartbeatHandler (heartbeats.go, commands.go). What it proves is
+// written by Reconciler with the next transaction. Monitor looks after agents between heartbeats,
+// with direct calls through Caller.
 package agents
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -1,6 +1,7 @@
 package agents
 
 import (
+	"net/http"
 	"time"
 
 	"tillerarch/internal/coordination/catalog"
@@ -41,75 +42,110 @@
 	transfers     QuiesceChecker
 }
 
-// OnHeartbeat handles a worker's report.
+const (
+	// ownershipCatchUpTimeout is how long a heartbeat waits for the replica to show what was
+	// written before this incarnation became the owner.
+	ownershipCatchUpTimeout = 3 * time.Second
+	// ownerWaitTimeout is how long the heartbeat of a machine without owner waits for one.
+	ownerWaitTimeout = 2500 * time.Millisecond
+	// longestResponseDelay bounds how long a heartbeat with news waits, unless the configuration
+	// says more.
+	longestResponseDelay = 3 * time.Second
+	// idleCoresDivisor is the part of a machine's cores that must be free, one in so many, for
+	// the response to wait for something to do while tasks run there.
+	idleCoresDivisor = 3
+)
+
+// OnHeartbeat handles an agent's heartbeat.
 func (h *HeartbeatHandler) OnHeartbeat(input step.HeartbeatInput) {
 	heartbeat, err := protocol.ParseHeartbeat(input.Body)
 	if err != nil {
-		h.Reply(input.RequestID, 400, step.ErrorBody{Error: err.Error()})
+		h.Reply(input.RequestID, http.StatusBadRequest, step.ErrorBody{Error: err.Error()})
 		return
 	}
 	if !h.replication.IsLoaded() {
-		h.Reply(input.RequestID, 503, step.ErrorBody{Error: "not ready"})
+		h.Reply(input.RequestID, http.StatusServiceUnavailable, step.ErrorBody{Error: "not ready"})
 		return
 	}
 	entry := h.Replica.Machines[heartbeat.Machine]
-	if entry == nil || !h.lease.OwnsMachine(&entry.Record) {
-		switch {
-		case entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID:
-			h.misdirected.recordMisdirectedHeartbeat(heartbeat)
-			h.agents.replyRedirect(input.RequestID, entry.Record.Owner.Controller())
-		case h.replication.StoreUnavailable() || !h.lease.IsRegistered():
-			h.agents.replyRedirect(input.RequestID, "")
-		default:
-			m := h.agents.MachineState(heartbeat.Machine)
-			if isStale(heartbeat, m.LastAgentEpoch, m.LastSequence) || entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-				h.agents.replyRedirect(input.RequestID, "") // a late copy
-				return
-			}
-			h.agents.dropDeferredRequest(m)
-			m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
-			m.LastAgentEpoch, m.LastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
-			h.agents.deferResponse(m, input.RequestID, true)
-			if entry == nil {
-				// It may be a copy that outlived its machine. Only a worker that
-				// answers shows that there still is one.
-				h.calls.probeAgent(m, heartbeat.Addr)
-			}
-		}
+	if entry != nil && h.lease.OwnsMachine(&entry.Record) {
+		h.onOwnedHeartbeat(input.RequestID, entry, heartbeat)
+	} else {
+		h.onUnownedHeartbeat(input.RequestID, entry, heartbeat)
+	}
+}
+
+// onUnownedHeartbeat handles the heartbeat of a machine that this controller does not own, or
+// that is on no record (nil entry): it is redirected, or waits until there is an owner.
+func (h *HeartbeatHandler) onUnownedHeartbeat(req step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
+	if entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID {
+		h.misdirected.recordMisdirectedHeartbeat(heartbeat)
+		h.agents.replyRedirect(req, entry.Record.Owner.Controller())
+		return
+	}
+	if h.replication.StoreUnavailable() || !h.lease.IsRegistered() {
+		h.agents.replyRedirect(req, "")
+		return
+	}
+	m := h.agents.MachineState(heartbeat.Machine)
+	if h.isLateCopy(entry, m, heartbeat) {
+		h.agents.replyRedirect(req, "")
 		return
 	}
+	h.agents.dropDeferredRequest(m)
+	m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
+	m.AdvanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
+	h.agents.deferResponse(m, req, true)
+	if entry == nil {
+		// A copy of a heartbeat may outlive its machine. Only an agent that answers shows that
+		// the machine still exists.
+		h.calls.probeForAdoption(m, heartbeat.Addr)
+	}
+}
+
+// onOwnedHeartbeat handles the heartbeat of a machine that this controller owns.
+func (h *HeartbeatHandler) onOwnedHeartbeat(req step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.FencingToken > entry.Record.FencingToken {
-		// Someone else is entitled by now, whatever the replica says.
-		h.agents.replyRedirect(input.RequestID, "")
+		// Another controller is entitled by now, whatever the replica says.
+		h.agents.replyRedirect(req, "")
 		return
 	}
 	m := h.agents.TrackOwnedMachine(entry, heartbeat.Machine)
-	if isStale(heartbeat, m.LastAgentEpoch, m.LastSequence) || heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-		h.agents.replyRedirect(input.RequestID, "") // delivered late; its worker has long gone on
+	if h.isLateCopy(entry, m, heartbeat) {
+		h.agents.replyRedirect(req, "")
 		return
 	}
 	h.agents.dropDeferredRequest(m)
-	m.LastAgentEpoch, m.LastSequence = heartbeat.AgentEpoch, heartbeat.Sequence
-	h.processDeliveryEvidence(entry, m, heartbeat)
-	// One report is in flight at a time: the last answer has been carried out
-	// or dropped by now.
+	m.AdvanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
+	h.processDeliveryEvidence(m, heartbeat)
+	// An agent has one heartbeat in flight at a time: it has carried out the last response, or
+	// dropped it, before it sent this one. From here on what this heartbeat lacks is proof.
 	clear(m.InflightStarts)
-	if m.LatestHeartbeat == nil || !isStale(heartbeat, m.LatestHeartbeat.AgentEpoch, m.LatestHeartbeat.Sequence) {
+	if m.isNewerThanLatest(heartbeat) {
 		m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 	}
 	m.LastContactAt, m.lastHeartbeatAt = h.Now.Monotonic, h.Now.Monotonic
-	h.agents.deferResponse(m, input.RequestID, false)
+	h.agents.deferResponse(m, req, false)
 	if !h.shouldDeferResponse(entry, m) {
 		h.answerHeartbeat(entry, m)
 	}
 }
 
-// processDeliveryEvidence notices a worker whose reports arrive while answers may not reach it: it
-// does not show the token, nor the starts, that the last answer had, or its
-// session has ended. Whether it hears is then asked directly.
-func (h *HeartbeatHandler) processDeliveryEvidence(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) {
+// isLateCopy tells whether a heartbeat was delivered after one that its agent sent later, or the
+// same again. Its agent no longer waits for the response, so nothing may rest on it.
+func (h *HeartbeatHandler) isLateCopy(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) bool {
+	return m.IsOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence) ||
+		entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch
+}
+
+// processDeliveryEvidence notices an agent whose heartbeats arrive while responses may not reach
+// it: it does not show the token, nor the starts, that the last response had, or it has begun a
+// new agent epoch. Whether commands arrive is then tested with a direct call.
+func (h *HeartbeatHandler) processDeliveryEvidence(m *MachineState, heartbeat *protocol.Heartbeat) {
+	hasNewEpoch := m.deliveryAgentEpoch != 0 && heartbeat.AgentEpoch > m.deliveryAgentEpoch
+	showsDelivery := heartbeat.FencingToken >= m.answeredToken && m.showsInflightStart(heartbeat)
 	switch {
-	case heartbeat.AgentEpoch > m.deliveryAgentEpoch && m.deliveryAgentEpoch != 0, m.awaitsDelivery && (heartbeat.FencingToken < m.answeredToken || !m.showsInflightStart(heartbeat)):
+	case hasNewEpoch, m.awaitsDelivery && !showsDelivery:
 		h.agents.markSuspect(m)
 	case m.awaitsDelivery:
 		h.agents.markReachable(m)
@@ -117,255 +153,200 @@
 	m.awaitsDelivery, m.deliveryAgentEpoch = false, heartbeat.AgentEpoch
 }
 
-// showsInflightStart tells whether the report shows any start that was on its way.
-func (m *MachineState) showsInflightStart(heartbeat *protocol.Heartbeat) bool {
-	if len(m.InflightStarts) == 0 {
-		return true
-	}
-	for i := range heartbeat.Tasks {
-		if attempt, ok := m.InflightStarts[heartbeat.Tasks[i].Task]; ok && attempt == heartbeat.Tasks[i].Attempt {
-			return true
-		}
-	}
-	return false
-}
-
-// CommandsLost tells whether what is sent to the worker is known not to arrive.
-func (m *MachineState) CommandsLost() bool { return m.CommandsLostAt != 0 }
-
-// shouldDeferResponse tells whether the answer should wait a moment for a write, so that
+// shouldDeferResponse tells whether the response should wait a moment for a write, so that
 // it can carry the starts that take the place of what has ended.
 func (h *HeartbeatHandler) shouldDeferResponse(entry *storage.Machine, m *MachineState) bool {
-	if h.Replica.Revision < m.OwnershipRevision {
-		return h.Since(m.deferredAt) < 3*time.Second
+	if h.isReplicaBehindOwnership(m) {
+		return h.Since(m.deferredAt) < ownershipCatchUpTimeout
 	}
 	if h.replication.StoreUnavailable() || !h.lease.IsRegistered() {
 		return false
 	}
-	heartbeat := m.LatestHeartbeat
 	if m.CommandsLost() || m.ConfirmedToken < entry.Record.FencingToken {
 		return false
 	}
 	if h.Since(m.deferredAt) >= h.maxResponseDelay() {
 		return h.shouldDeferIdleResponse(entry, m)
 	}
-	if heartbeat.AgentEpoch != entry.Record.AgentEpoch {
-		return storage.ShardEpochOf(heartbeat.FencingToken) == entry.Record.ShardEpoch || entry.Record.AgentEpoch == 0
+	heartbeat, record := m.LatestHeartbeat, &entry.Record
+	showsShardEpoch := storage.ShardEpochOf(heartbeat.FencingToken) == record.ShardEpoch
+	if heartbeat.AgentEpoch != record.AgentEpoch {
+		return showsShardEpoch || record.AgentEpoch == 0 // the new agent epoch is about to be written
 	}
-	if storage.ShardEpochOf(heartbeat.FencingToken) != entry.Record.ShardEpoch {
+	if !showsShardEpoch {
 		return false
 	}
+	return showsUnrecordedExit(heartbeat, record) || h.expectsAssignments(entry, m) || h.shouldDeferIdleResponse(entry, m)
+}
+
+// isReplicaBehindOwnership tells whether the replica may lack what was written before this
+// incarnation became the owner: a job may have been cancelled that nobody told it of.
+func (h *HeartbeatHandler) isReplicaBehindOwnership(m *MachineState) bool {
+	return h.Replica.Revision < m.OwnershipRevision
+}
+
+// showsUnrecordedExit tells whether an assigned task has exited, so that its end is to be written.
+func showsUnrecordedExit(heartbeat *protocol.Heartbeat, record *storage.MachineRecord) bool {
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
-		if status.State == protocol.TaskExited {
-			if attempt, ok := entry.Record.AttemptOf(status.Task); ok && attempt == status.Attempt {
-				return true
-			}
+		if status.State != protocol.TaskExited {
+			continue
+		}
+		if attempt, ok := record.AttemptOf(status.Task); ok && attempt == status.Attempt {
+			return true
 		}
 	}
-	return h.expectsAssignments(entry, m) || h.shouldDeferIdleResponse(entry, m)
+	return false
 }
 
 // expectsAssignments tells whether the plan has tasks for the machine that its owner waits to
-// see on record, most often those of a job that another controller has claimed. The
-// answer waits for them within maxResponseDelay: without that a core that has become free
-// stays so for half a report interval on average, where tasks are short a tenth of
-// all cores.
+// see on record, most often those of a job that another controller owns. The response waits
+// for them within maxResponseDelay: without that a core that has become free stays so for half
+// a heartbeat interval on average, where tasks are short a tenth of all cores.
 func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, m *MachineState) bool {
-	rec := &entry.Record
-	if !h.plan.ExpectsPlacement(m.ID) || !h.replication.IsUpToDate() || rec.Terminating || rec.Cordoned || m.LatestHeartbeat.PreemptionNoticeSeconds != nil {
+	record := &entry.Record
+	if !h.plan.ExpectsPlacement(m.ID) || !h.replication.IsUpToDate() || !acceptsTasks(record, m.LatestHeartbeat) {
 		return false
 	}
-	for i := range rec.Assignments {
-		if job := h.Replica.Jobs[rec.Assignments[i].Job]; job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() || !h.showsAllTasks(m, &rec.Assignments[i]) {
+	for i := range record.Assignments {
+		if h.ungangedSpec(&record.Assignments[i]) == nil || !m.showsAllTasks(&record.Assignments[i]) {
 			return false // there is something to start
 		}
 	}
 	return true
 }
 
-// maxResponseDelay is how long a report with news waits for the write. Where reports are
-// far apart it waits longer: the next one, which would take what this answer
-// lacks, is that much later.
+// acceptsTasks tells whether new tasks may be assigned to a machine.
+func acceptsTasks(record *storage.MachineRecord, heartbeat *protocol.Heartbeat) bool {
+	return !record.Terminating && !record.Cordoned && heartbeat.PreemptionNoticeSeconds == nil
+}
+
+// ungangedSpec is the job of an assignment, nil if it is unknown or a gang, whose tasks may wait
+// to start for those on other machines.
+func (h *HeartbeatHandler) ungangedSpec(a *storage.Assignment) *protocol.Job {
+	job := h.Replica.Jobs[a.Job]
+	if job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() {
+		return nil
+	}
+	return job.Record.Spec
+}
+
+// maxResponseDelay is how long a heartbeat with news waits for the write. Where heartbeats are
+// far apart it waits longer: the next one, which would take what this response lacks, is that
+// much later.
 func (h *HeartbeatHandler) maxResponseDelay() time.Duration {
-	return max(h.Config.MaxResponseDelay, min(h.Config.HeartbeatInterval*3/8, 3*time.Second))
+	return max(h.Config.MaxResponseDelay, min(h.Config.HeartbeatInterval*3/8, longestResponseDelay))
 }
 
-// shouldDeferIdleResponse tells whether the answer to a machine with room waits for something
-// to do: a start that is written meanwhile goes out at once instead of with the
-// next report. The worker waits longer than that for an answer. While tasks
-// run there it waits only where reports are so far apart that it pays.
+// shouldDeferIdleResponse tells whether the response to a machine with free capacity waits for
+// something to do: a start that is written meanwhile goes out at once instead of with the next
+// heartbeat. The agent waits longer than that for a response. While tasks run there it waits
+// only where heartbeats are so far apart that it pays.
 func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, m *MachineState) bool {
-	heartbeat, rec := m.LatestHeartbeat, &entry.Record
-	if h.Since(m.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() || storage.ShardEpochOf(heartbeat.FencingToken) != rec.ShardEpoch || heartbeat.AgentEpoch != rec.AgentEpoch || heartbeat.PreemptionNoticeSeconds != nil ||
-		rec.Terminating || rec.Cordoned {
+	heartbeat, record := m.LatestHeartbeat, &entry.Record
+	if h.Since(m.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() ||
+		!isUnderRecordedEpochs(heartbeat, record) || !acceptsTasks(record, heartbeat) {
 		return false
 	}
-	if len(heartbeat.Tasks) == 0 && len(rec.Assignments) == 0 {
+	if len(heartbeat.Tasks) == 0 && len(record.Assignments) == 0 {
 		return true
 	}
 	if h.Config.HeartbeatInterval < 2*h.Config.MaxIdleResponseDelay {
 		return false
 	}
-	machineType := h.catalog.MachineType(rec.MachineType)
+	return h.hasFreeCapacityOnly(record, m)
+}
+
+// hasFreeCapacityOnly tells whether a good part of the machine is free while there is nothing to
+// tell its agent: all assigned tasks run, and none has exited.
+func (h *HeartbeatHandler) hasFreeCapacityOnly(record *storage.MachineRecord, m *MachineState) bool {
+	machineType := h.catalog.MachineType(record.MachineType)
 	if machineType == nil {
 		return false
 	}
 	freeCores := machineType.Cores
-	for i := range rec.Assignments {
-		job := h.Replica.Jobs[rec.Assignments[i].Job]
-		if job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() {
-			return false
-		}
-		freeCores -= float64(rec.Assignments[i].Tasks.Len()) * job.Record.Spec.Cores
-		if !h.showsAllTasks(m, &rec.Assignments[i]) {
+	for i := range record.Assignments {
+		a := &record.Assignments[i]
+		spec := h.ungangedSpec(a)
+		if spec == nil || !m.showsAllTasks(a) {
 			return false // there is something to start
 		}
+		freeCores -= float64(a.Tasks.Len()) * spec.Cores
 	}
-	for i := range heartbeat.Tasks {
-		if status := &heartbeat.Tasks[i]; status.State == protocol.TaskExited {
-			return false // to be reaped
+	for i := range m.LatestHeartbeat.Tasks {
+		if m.LatestHeartbeat.Tasks[i].State == protocol.TaskExited {
+			return false // to be forgotten
 		}
 	}
-	return freeCores >= machineType.Cores/3
-}
-
-// showsAllTasks tells whether the report shows all tasks of an assignment.
-func (h *HeartbeatHandler) showsAllTasks(m *MachineState, a *storage.Assignment) bool {
-	showsAll := true
-	a.Tasks.Each(func(n int) bool {
-		status := m.taskStatuses[protocol.Task{Job: a.Job, Index: n}]
-		showsAll = status != nil && status.Attempt == a.Attempt
-		return showsAll
-	})
-	return showsAll
+	return freeCores >= machineType.Cores/idleCoresDivisor
 }
 
+// ResolveDeferredHeartbeats answers the heartbeats that need not wait any longer, if anything
+// has changed that they may wait for.
 func (h *HeartbeatHandler) ResolveDeferredHeartbeats() {
 	if !h.ShouldRecheckDeferred {
 		return
 	}
 	h.ShouldRecheckDeferred = false
 	for _, id := range step.SortedKeys(h.agents.deferredHeartbeats) {
-		m := h.agents.machineStates[id]
-		entry := h.Replica.Machines[id]
+		m, entry := h.agents.machineStates[id], h.Replica.Machines[id]
 		if m.awaitsOwnership {
-			switch {
-			case entry != nil && h.lease.OwnsMachine(&entry.Record):
-				m.awaitsOwnership = false
-				delete(h.agents.awaitingOwner, id)
-				h.agents.TrackOwnedMachine(entry, id)
-				if m.LatestHeartbeat.FencingToken > entry.Record.FencingToken || m.LatestHeartbeat.AgentEpoch < entry.Record.AgentEpoch {
-					h.agents.dropDeferredRequest(m)
-				} else if h.Replica.Revision >= m.OwnershipRevision {
-					h.answerHeartbeat(entry, m)
-				}
-			case entry != nil && h.Replica.IsAlive(entry.Record.Owner):
-				h.agents.replyRedirect(h.agents.popDeferredRequest(m), entry.Record.Owner.Controller())
-			case h.replication.StoreUnavailable() || h.Since(m.deferredAt) > 2500*time.Millisecond:
-				h.agents.dropDeferredRequest(m)
-			}
-			continue
+			h.resolveUnowned(entry, m)
+		} else {
+			h.resolveOwned(entry, m)
 		}
-		if entry != nil && !h.lease.OwnsMachine(&entry.Record) && h.Replica.IsAlive(entry.Record.Owner) {
-			h.agents.replyRedirect(h.agents.popDeferredRequest(m), entry.Record.Owner.Controller())
-		} else if entry == nil || !h.lease.OwnsMachine(&entry.Record) || m.LatestHeartbeat.FencingToken > entry.Record.FencingToken {
+	}
+}
+
+// resolveUnowned looks after a heartbeat that came while nobody owned its machine.
+func (h *HeartbeatHandler) resolveUnowned(entry *storage.Machine, m *MachineState) {
+	switch {
+	case entry != nil && h.lease.OwnsMachine(&entry.Record):
+		m.awaitsOwnership = false
+		delete(h.agents.awaitingOwner, m.ID)
+		h.agents.TrackOwnedMachine(entry, m.ID)
+		heartbeat := m.LatestHeartbeat
+		if heartbeat.FencingToken > entry.Record.FencingToken || heartbeat.AgentEpoch < entry.Record.AgentEpoch {
 			h.agents.dropDeferredRequest(m)
-		} else if !h.shouldDeferResponse(entry, m) {
+		} else if !h.isReplicaBehindOwnership(m) {
 			h.answerHeartbeat(entry, m)
 		}
+	case entry != nil && h.Replica.IsAlive(entry.Record.Owner):
+		h.agents.redirectDeferred(m, entry.Record.Owner.Controller())
+	case h.replication.StoreUnavailable() || h.Since(m.deferredAt) > ownerWaitTimeout:
+		h.agents.dropDeferredRequest(m)
 	}
 }
 
-// answerHeartbeat answers the report that is held: 200 with the orders.
-func (h *HeartbeatHandler) answerHeartbeat(entry *storage.Machine, m *MachineState) {
-	if h.Replica.Revision < m.OwnershipRevision {
-		// The replica may lack what was written before this run became the owner: a job
-		// may have been withdrawn that nobody told this run of.
+// resolveOwned looks after a heartbeat that came while this controller owned its machine.
+func (h *HeartbeatHandler) resolveOwned(entry *storage.Machine, m *MachineState) {
+	isOwned := entry != nil && h.lease.OwnsMachine(&entry.Record)
+	switch {
+	case entry != nil && !isOwned && h.Replica.IsAlive(entry.Record.Owner):
+		h.agents.redirectDeferred(m, entry.Record.Owner.Controller())
+	case !isOwned, m.LatestHeartbeat.FencingToken > entry.Record.FencingToken:
 		h.agents.dropDeferredRequest(m)
-		return
-	}
-	commands := h.CommandsFor(entry, m, true)
-	for _, o := range commands {
-		if o.Type == protocol.CommandStart {
-			m.InflightStarts[o.Task] = o.Attempt
-		}
-	}
-	m.awaitsDelivery = len(m.InflightStarts) > 0 || m.LatestHeartbeat.FencingToken < entry.Record.FencingToken
-	o := protocol.Commands{FencingToken: entry.Record.FencingToken, Commands: commands}
-	h.Emit(step.Reply{RequestID: h.agents.popDeferredRequest(m), Status: 200, Body: o.Encode()})
-	if m.deferredAt > m.answeredHeartbeatAt {
-		m.answeredHeartbeatAt, m.answeredToken = m.deferredAt, entry.Record.FencingToken
+	case !h.shouldDeferResponse(entry, m):
+		h.answerHeartbeat(entry, m)
 	}
 }
 
-// CommandsFor lists what the worker is to do. Starts and reaps go into answers to
-// reports only: those are never carried out late.
-func (h *HeartbeatHandler) CommandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
-	var commands []protocol.Command
-	heartbeat, rec := m.LatestHeartbeat, &entry.Record
-	isCurrent := m.CurrentHeartbeat(rec) != nil
-	upToDate := h.replication.IsUpToDate()
-	for i := range heartbeat.Tasks {
-		status := &heartbeat.Tasks[i]
-		attempt, ok := rec.AttemptOf(status.Task)
-		assigned := ok && attempt == status.Attempt
-		if status.State == protocol.TaskExited {
-			if inResponse && isCurrent && !assigned && upToDate {
-				commands = append(commands, protocol.Command{Type: protocol.CommandForget, Task: status.Task, Attempt: status.Attempt})
-			}
-			continue
-		}
-		graceSeconds := -1.0
-		if stop, ok := m.StopRequests[status.Task]; ok && stop.Attempt == status.Attempt {
-			if status.State != protocol.TaskSaving || stop.graceSeconds == 0 {
-				graceSeconds = stop.graceSeconds
-			}
-		}
-		if !assigned && upToDate || h.cancellations.CancelRequested(status.Task.Job) {
-			graceSeconds = 0
-		}
-		if graceSeconds >= 0 {
-			seconds := graceSeconds
-			commands = append(commands, protocol.Command{Type: protocol.CommandStop, Task: status.Task, Attempt: status.Attempt, GracePeriodSeconds: &seconds})
-		}
-	}
-	if !inResponse || !upToDate || heartbeat.AgentEpoch != rec.AgentEpoch || rec.Terminating || m.CommandsLost() || h.transfers.IsQuiesced(rec.Shard) {
-		return commands
+// answerHeartbeat answers the deferred heartbeat with the commands.
+func (h *HeartbeatHandler) answerHeartbeat(entry *storage.Machine, m *MachineState) {
+	if h.isReplicaBehindOwnership(m) {
+		h.agents.dropDeferredRequest(m)
+		return
 	}
-	for i := range rec.Assignments {
-		a := &rec.Assignments[i]
-		job := h.Replica.Jobs[a.Job]
-		if job == nil || job.Record.State.IsTerminal() || h.cancellations.CancelRequested(a.Job) || job.Record.GracefulStopAttempt >= a.Attempt && job.Record.GracefulStopAttempt > 0 {
-			continue
-		}
-		if job.Record.Spec.IsGang() && !h.jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt) {
-			continue
+	commands := h.CommandsFor(entry, m, true)
+	for _, command := range commands {
+		if command.Type == protocol.CommandStart {
+			// Until the next heartbeat the task's absence proves nothing.
+			m.InflightStarts[command.Task] = command.Attempt
 		}
-		a.Tasks.Each(func(n int) bool {
-			task := protocol.Task{Job: a.Job, Index: n}
-			if status := m.taskStatuses[task]; status != nil && (status.Attempt == a.Attempt || status.State != protocol.TaskExited || !isCurrent) {
-				return true // here already, or an old attempt that must go first
-			}
-			if attempt, ok := m.RevokedAttempts[task]; ok && attempt >= a.Attempt {
-				return true
-			}
-			// A stop of an earlier attempt, which may have ended unseen with its
-			// session, does not hold back the next one.
-			if stop, ok := m.StopRequests[task]; ok && stop.Attempt >= a.Attempt {
-				return true
-			}
-			commands = append(commands, protocol.Command{Type: protocol.CommandStart, Task: task, Attempt: a.Attempt})
-			return true
-		})
 	}
-	return commands
+	token := entry.Record.FencingToken
+	m.awaitsDelivery = len(m.InflightStarts) > 0 || m.LatestHeartbeat.FencingToken < token
+	body := protocol.Commands{FencingToken: token, Commands: commands}
+	h.Emit(step.Reply{RequestID: h.agents.popDeferredRequest(m), Status: http.StatusOK, Body: body.Encode()})
+	m.recordAnswer(m.deferredAt, token)
 }
-
-// Direct commands under way at once: after a takeover there are hundreds of
-// workers to be told, and each call takes a socket. Those of a large fleet grow with it, as
-// the machines do that hang at once, each of which holds a call for seconds.
-const (
-	minAgentCalls        = 24
-	machinesPerAgentCall = 32 // of the machines on record, one in so many
-)
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -11,91 +11,76 @@
 )
 
 // JobTable holds what this process remembers of jobs beyond their records: attempts, run times,
-// incomplete gangs.
+// incomplete gangs, failures.
 type JobTable struct {
 	*step.Context
 
-	jobStates map[protocol.JobID]*jobState
+	jobStates map[protocol.JobID]*JobState
 }
 
-func NewJobTable(ctx *step.Context) *JobTable {
+func newJobTable(ctx *step.Context) *JobTable {
 	return &JobTable{
 		Context:   ctx,
-		jobStates: map[protocol.JobID]*jobState{},
+		jobStates: map[protocol.JobID]*JobState{},
 	}
 }
 
-// EstimatedRuntime is how long a task of the job runs: as seen here, else as its owner reckons.
-func (jt *JobTable) EstimatedRuntime(id protocol.JobID, d *protocol.Job) time.Duration {
-	if state := jt.jobStates[id]; state != nil && state.MeasuredTasks >= minRuntimeSamples {
-		return state.MeasuredRuntime / time.Duration(state.MeasuredTasks)
+// JobState gives what is remembered of a job, and begins to remember it if need be.
+func (jt *JobTable) JobState(id protocol.JobID) *JobState {
+	state := jt.jobStates[id]
+	if state == nil {
+		state = &JobState{jobFailures: jobFailures{FailedMachines: map[protocol.MachineID]bool{}}}
+		jt.jobStates[id] = state
 	}
-	return protocol.Seconds(d.EstimatedRunSeconds)
+	return state
 }
 
-// isGangFullyAssigned tells whether every task of the gang is assigned with the attempt
-// or done: only then may any of them start.
-func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
-	covered := jt.Replica.CompletedTasks(id)
-	for machineID := range jt.Replica.MachinesWithJob(id) {
-		m := jt.Replica.Machines[machineID]
-		if m.Record.Terminating {
-			continue
-		}
-		for a := range m.Record.AssignmentsOf(id) {
-			if a.Attempt == attempt {
-				covered = covered.Union(a.Tasks)
-			}
+// ForgetJobs drops what is remembered of jobs that are over.
+func (jt *JobTable) ForgetJobs() {
+	for id := range jt.jobStates {
+		if jt.isOver(id) {
+			delete(jt.jobStates, id)
 		}
 	}
-	return covered.Len() == record.Spec.TaskCount
 }
 
-// RecordTaskRuntime takes in a task that was done.
+// isOver tells whether a job is off the records, done, or cancelled with no task left on a machine.
+func (jt *JobTable) isOver(id protocol.JobID) bool {
+	e := jt.Replica.Jobs[id]
+	if e == nil || e.Record.State == protocol.JobDone {
+		return true
+	}
+	return e.Record.State.IsTerminal() && len(jt.Replica.MachinesWithJob(id)) == 0
+}
+
+// EstimatedRuntime is how long a task of the job runs: as measured here, else as its user estimates.
+func (jt *JobTable) EstimatedRuntime(id protocol.JobID, d *protocol.Job) time.Duration {
+	if state := jt.jobStates[id]; state != nil && state.hasEnoughSamples() {
+		return state.meanRuntime()
+	}
+	return protocol.Seconds(d.EstimatedRunSeconds)
+}
+
+// RecordTaskRuntime takes in how long a task ran that has completed on a machine, if it was seen
+// to start there.
 func (jt *JobTable) RecordTaskRuntime(m *MachineState, task protocol.Task) {
 	startedAt := m.runningSince[task]
-	if startedAt <= 0 {
+	if startedAt == 0 || startedAt == startTimeUnknown {
 		return
 	}
 	state, runtime := jt.JobState(task.Job), jt.Since(startedAt)
-	if state.MeasuredTasks >= minRuntimeSamples {
-		ratio := runtime.Seconds() / max(state.MeasuredRuntime.Seconds()/float64(state.MeasuredTasks), 1)
-		wasSlow := m.Slowdown.IsSlow()
-		if m.Slowdown.samples++; m.Slowdown.samples == 1 {
-			m.Slowdown.Ratio = ratio
-		} else {
-			m.Slowdown.Ratio += (ratio - m.Slowdown.Ratio) / minRuntimeSamples
-		}
-		if isSlow := m.Slowdown.IsSlow(); isSlow != wasSlow {
-			jt.Log(slog.LevelInfo, "machine slow state changed", "machine", string(m.ID), "enabled", isSlow, "runtime_ratio", m.Slowdown.Ratio)
-		}
+	if state.hasEnoughSamples() && m.Slowdown.record(state.ratioOf(runtime)) {
+		jt.Log(slog.LevelInfo, "machine slow state changed", "machine", string(m.ID),
+			"enabled", m.Slowdown.IsSlow(), "runtime_ratio", m.Slowdown.ratio)
 	}
 	// Slow machines do not set the measure.
 	if !m.Slowdown.IsSlow() {
-		state.MeasuredTasks++
-		state.MeasuredRuntime += runtime
+		state.recordRuntime(runtime)
 	}
 }
 
-func (jt *JobTable) JobState(id protocol.JobID) *jobState {
-	j := jt.jobStates[id]
-	if j == nil {
-		j = &jobState{FailedMachines: map[protocol.MachineID]bool{}}
-		jt.jobStates[id] = j
-	}
-	return j
-}
-
-// ForgetJobs drops what is remembered of jobs that are over.
-func (jt *JobTable) ForgetJobs() {
-	for id := range jt.jobStates {
-		if e := jt.Replica.Jobs[id]; e == nil || e.Record.State == protocol.JobDone || e.Record.State.IsTerminal() && len(jt.Replica.MachinesWithJob(id)) == 0 {
-			delete(jt.jobStates, id)
-		}
-	}
-}
-
-// HighestAttempt is the highest attempt with which tasks of the job are assigned.
+// HighestAttempt is the highest attempt with which tasks of the job are assigned, as the batch
+// would leave the records (nil: as they are).
 func (jt *JobTable) HighestAttempt(id protocol.JobID, b *commit.Batch) (attempt protocol.Attempt) {
 	for machineID := range jt.Replica.MachinesWithJob(id) {
 		record := &jt.Replica.Machines[machineID].Record
@@ -109,25 +94,41 @@
 	return attempt
 }
 
+// trackIncompleteGangs looks since when gangs have been assigned in part only.
 func (jt *JobTable) trackIncompleteGangs() {
 	for id, e := range jt.Replica.UnfinishedJobs {
-		if !e.Record.Spec.IsGang() || e.Record.Spec.TaskCount < 2 {
+		if !spansSeveralTasks(e.Record.Spec) {
 			continue
 		}
 		attempt := jt.HighestAttempt(id, nil)
-		state := jt.JobState(id)
-		if attempt == 0 || jt.isGangFullyAssigned(id, &e.Record, attempt) {
-			state.GangIncompleteAt = 0
-		} else if state.GangIncompleteAt == 0 || state.seenAttempt != attempt {
-			state.GangIncompleteAt = jt.Now.Monotonic
+		isComplete := attempt == 0 || jt.isGangFullyAssigned(id, &e.Record, attempt)
+		jt.JobState(id).track(attempt, isComplete, jt.Now.Monotonic)
+	}
+}
+
+// isGangFullyAssigned tells whether every task of the gang is assigned with the attempt
+// or done: only then may any of them start.
+func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
+	covered := jt.Replica.CompletedTasks(id)
+	for machineID := range jt.Replica.MachinesWithJob(id) {
+		m := jt.Replica.Machines[machineID]
+		if m.Record.Terminating {
+			continue
+		}
+		for a := range m.Record.AssignmentsOf(id) {
+			if a.Attempt == attempt {
+				covered = covered.Union(a.Tasks)
+			}
 		}
-		state.seenAttempt = attempt
 	}
+	return covered.Len() == record.Spec.TaskCount
 }
 
-// isGangBroken tells whether an attempt of a gang has been incomplete too long
-// to be one that is still being written.
+// isGangBroken tells whether an attempt of a gang has been incomplete for too long to be one
+// that is still being written.
 func (jt *JobTable) isGangBroken(id protocol.JobID, attempt protocol.Attempt) bool {
-	state := jt.JobState(id)
-	return state.GangIncompleteAt != 0 && state.seenAttempt == attempt && jt.Since(state.GangIncompleteAt) > 3*time.Second
+	return jt.JobState(id).isBroken(attempt, jt.Now.Monotonic)
 }
+
+// spansSeveralTasks tells whether a job is a gang whose tasks depend on each other.
+func spansSeveralTasks(d *protocol.Job) bool { return d.IsGang() && d.TaskCount > 1 }
--- /dev/null
+++ b/internal/coordination/agents/job_table_test.go
@@ -0,0 +1,52 @@
+package agents
+
+import (
+	"testing"
+	"time"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A machine that is merely slow is known by its tasks against others of their jobs.
+func TestSlowMachine(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		seconds       []int // that its tasks run; others take 10
+		startedBefore bool  // its tasks had started before this ownership
+		want          bool
+	}{
+		{"as others", []int{10, 11, 9, 10, 11, 10}, false, false},
+		{"one long task", []int{10, 40, 10, 10, 10, 10}, false, false},
+		{"all slow", []int{25, 24, 26, 25, 25, 26}, false, true},
+		{"slow, not seen to start", []int{25, 24, 26, 25, 25, 26}, true, false},
+		{"was slow, has recovered", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			entry, m := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			state := f.Jobs.JobState(testJob)
+			state.measuredTasks, state.measuredRuntime = 100, 1000*time.Second
+			sequence := protocol.Sequence(0)
+			receive := func(afterSeconds int, tasks ...protocol.TaskStatus) {
+				t.Helper()
+				sequence++
+				f.advance(time.Duration(afterSeconds) * time.Second)
+				f.receive(newHeartbeat(entry, sequence, tasks...))
+			}
+			receive(0)
+			for i, seconds := range c.seconds {
+				if c.startedBefore {
+					m.reset()
+				}
+				task := protocol.Task{Job: testJob, Index: i}
+				receive(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
+				receive(seconds, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
+				f.Jobs.RecordTaskRuntime(m, task)
+			}
+			if got := m.Slowdown.IsSlow(); got != c.want {
+				t.Errorf("slow %v, %.2f times", got, m.Slowdown.ratio)
+			}
+		})
+	}
+}
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -1,188 +1,123 @@
 package agents
 
 import (
-	"time"
-
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-// MachineState is what this process remembers of a machine beyond its record.
+// MachineState is what this process remembers of a machine beyond its record. Each concern is
+// a struct of its own, embedded so that other packages read its exported fields here.
 type MachineState struct {
 	ID protocol.MachineID
 
-	LatestHeartbeat     *protocol.Heartbeat // newest report
-	taskStatuses        map[protocol.Task]*protocol.TaskStatus
-	ConfirmedToken      protocol.FencingToken // highest token that the worker has shown
-	tokenConfirmedAt    protocol.Instant      // when it first did
-	LastAgentEpoch      protocol.AgentEpoch   // order of the reports
-	LastSequence        protocol.Sequence     //
-	answeredHeartbeatAt protocol.Instant      // receipt of the last report that was answered with 200
-	answeredToken       protocol.FencingToken // under which it was
-	LastContactAt       protocol.Instant      // any sign of life, or the begin of this ownership
-	lastHeartbeatAt     protocol.Instant      // last report that came by itself, or the begin of this ownership
-
-	DeferredRequest  step.RequestID // a report that waits for its answer
-	deferredAt       protocol.Instant
-	awaitsOwnership  bool // it waits until this node owns the machine
-	HasAnsweredProbe bool // the worker of a machine that is on no record has answered here
-
-	// Whether what is sent to the worker arrives. Its reports may come in all
-	// the while: they say nothing of the way back.
-	awaitsDelivery     bool // the last answer had a start, or a token, that the worker must show
-	deliveryAgentEpoch protocol.AgentEpoch
-	suspectedAt        protocol.Instant // since when it is not sure that it hears; 0: it does
-	firstCallFailureAt protocol.Instant // when the first of the direct commands failed that have failed in a row
-	callFailures       int              // and how many those are
-	CommandsLostAt     protocol.Instant // since when it is sure that it does not
-
-	// Starts in the answer that the worker may not have carried out yet. A
-	// report that lacks them proves nothing while they are in flight.
-	InflightStarts map[protocol.Task]protocol.Attempt
-	// Attempts that are being taken back: never started from then on, since
-	// the transaction that takes them back may still be applied.
-	RevokedAttempts map[protocol.Task]protocol.Attempt
-	StopRequests    map[protocol.Task]StopRequest
-	callStartedAt   protocol.Instant
-	isCallInFlight  bool
-
-	firstSeenAt          map[protocol.Task]protocol.Instant
-	runningSince         map[protocol.Task]protocol.Instant // since when tasks are seen to run
-	awaitsFirstHeartbeat bool                               // no report has come under this ownership
-	Slowdown             slowdown                           // of the machine against others
-	CachedImages         []cachedImage                      // most recently used last
-	jobsWithErrors       map[protocol.JobID]bool
-	quarantinedUntil     protocol.Instant
-	preemptionAt         protocol.Instant // 0: none; else when the cloud takes it
-	IdleSince            protocol.Instant
-	IsFaulty             bool
-	ScaleInReason        string              // why the machine is to go back
-	HandOffTarget        storage.Incarnation // a run to which the worker reports instead
-	HandOffRequestedAt   protocol.Instant
-	ownerIncarnation     storage.Incarnation
-	ownershipEpoch       storage.ShardEpoch
-	OwnershipRevision    protocol.Revision // the replica must be as new before a report is answered: it lacks what came before else
+	reachability
+	heartbeatOrder
+	agentLease
+	delivery
+	deferredResponse
+	commandsInFlight
+	observedTasks
+	machineHealth
+	imageCache
+	trackedOwnership
+
+	// IdleSince and ScaleInReason belong to package provisioning.
+	IdleSince     protocol.Instant
+	ScaleInReason string // why the machine is to be returned to the cloud
+
+	// HandOffTarget and HandOffRequestedAt belong to package ownership.
+	HandOffTarget      storage.Incarnation // the incarnation to which the agent reports instead
+	HandOffRequestedAt protocol.Instant
 }
 
-type cachedImage struct {
-	name   string
-	SizeGB float64
+// newMachineState makes the state of a machine of which nothing is known but that it exists.
+func newMachineState(id protocol.MachineID, now protocol.Instant) *MachineState {
+	m := &MachineState{ID: id}
+	m.LastContactAt = now
+	m.reset()
+	return m
 }
 
-type StopRequest struct {
-	Attempt      protocol.Attempt
-	graceSeconds float64
+// reset drops what was sent and observed under an earlier ownership. The latest heartbeat stays.
+func (m *MachineState) reset() {
+	m.commandsInFlight.reset()
+	m.observedTasks.reset()
+	m.jobsWithErrors = map[protocol.JobID]bool{}
 }
 
-// jobState is what this process remembers of a job beyond its record.
-type jobState struct {
-	NextAttempt, AttemptsEnd protocol.Attempt // attempts set aside for this claim
-	AttemptsOwner            storage.Incarnation
-	FailedMachines           map[protocol.MachineID]bool
-	Placements               int // tasks placed so far, each time counted
-	MeasuredTasks            int // tasks that were seen from their begin to their end
-	MeasuredRuntime          time.Duration
-	NotBefore                protocol.Instant
-	GangIncompleteAt         protocol.Instant
-	seenAttempt              protocol.Attempt
-	EarlyExits               int              // replicas that ended soon after their start, in a row
-	GangAttemptInProgress    protocol.Attempt // of a gang whose assignment takes several transactions
+// beginOwnership starts a new ownership of the machine: what an earlier owner was told, or
+// told, proves nothing under a new fencing token.
+func (m *MachineState) beginOwnership(record *storage.MachineRecord, revision protocol.Revision, now protocol.Instant) {
+	m.trackedOwnership = trackedOwnership{
+		ownerIncarnation:  record.Owner,
+		ownershipEpoch:    record.ShardEpoch,
+		OwnershipRevision: revision,
+	}
+	m.reset()
+	m.forgetAnswer()
+	m.LastContactAt, m.lastHeartbeatAt = now, now
+	m.IdleSince = 0
+	m.HandOffTarget = ""
+	m.awaitsDelivery = false
+	m.confirmDelivery()
 }
 
-func (m *MachineState) Reset() {
-	m.InflightStarts = map[protocol.Task]protocol.Attempt{}
-	m.RevokedAttempts = map[protocol.Task]protocol.Attempt{}
-	m.StopRequests = map[protocol.Task]StopRequest{}
-	m.firstSeenAt = map[protocol.Task]protocol.Instant{}
-	m.runningSince = map[protocol.Task]protocol.Instant{}
-	m.awaitsFirstHeartbeat = true
-	m.jobsWithErrors = map[protocol.JobID]bool{}
+// RecordHeartbeat takes in a heartbeat that is newer than all that were processed before.
+func (m *MachineState) RecordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
+	m.LastContactAt = now
+	m.confirmToken(heartbeat.FencingToken, now)
+	m.observe(heartbeat, now)
+	m.dropOutdatedStopRequests(m.taskStatuses)
+	m.recordPreemptionNotice(heartbeat.PreemptionNoticeSeconds, now)
 }
 
-// slowdown is how long a machine's tasks run, as a multiple of what others of the same
-// jobs do, smoothed over the last few.
-type slowdown struct {
-	samples int
-	Ratio   float64
+// AllTasksSatisfy tells whether no start of the assigned tasks is in flight, and the latest
+// heartbeat either lacks each of them or shows it as it should be.
+func (m *MachineState) AllTasksSatisfy(a *storage.Assignment, isSatisfied func(*protocol.TaskStatus) bool) bool {
+	satisfied := true
+	a.Tasks.Each(func(n int) bool {
+		task := protocol.Task{Job: a.Job, Index: n}
+		_, inFlight := m.InflightStarts[task]
+		status := m.taskStatuses[task]
+		satisfied = !inFlight && (status == nil || isSatisfied(status))
+		return satisfied
+	})
+	return satisfied
 }
 
-// IsSlow tells whether a machine is surely slower than its like: a tenth is usual,
-// and tasks differ by themselves.
-func (p slowdown) IsSlow() bool { return p.samples >= minRuntimeSamples && p.Ratio > slowMachineRatio }
+// HasImage tells whether the machine is known to have an image. Nothing is known of a nil machine.
+func (m *MachineState) HasImage(name string) bool {
+	return m != nil && m.imageCache.has(name)
+}
 
-// startTimeUnknown stands for the begin of a task that another owner saw, or nobody.
-const startTimeUnknown protocol.Instant = -1
+// IsFetchingImage tells whether the latest heartbeat shows an image that is being fetched.
+func (m *MachineState) IsFetchingImage() bool {
+	return m != nil && m.observedTasks.showsImagePull()
+}
 
-const (
-	minRuntimeSamples = 4   // one long task says nothing
-	slowMachineRatio  = 1.8 // estimates of one job's tasks, seen through reports, differ by less
-)
+// trackedOwnership is the ownership under which the rest of a machine's state was gathered.
+type trackedOwnership struct {
+	ownerIncarnation storage.Incarnation
+	ownershipEpoch   storage.ShardEpoch
 
-// CurrentHeartbeat is the newest report if it was sent under the current token and in
-// the recorded session: only then does what it lacks prove anything.
-func (m *MachineState) CurrentHeartbeat(record *storage.MachineRecord) *protocol.Heartbeat {
-	if m.LatestHeartbeat == nil || storage.ShardEpochOf(m.LatestHeartbeat.FencingToken) != record.ShardEpoch || m.LatestHeartbeat.AgentEpoch != record.AgentEpoch {
-		return nil
-	}
-	return m.LatestHeartbeat
+	// OwnershipRevision is what the replica must have reached before a heartbeat is answered:
+	// an older one lacks what the previous owner wrote, such as requests to cancel a job.
+	OwnershipRevision protocol.Revision
 }
 
-func (m *MachineState) RecordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
-	m.LatestHeartbeat = heartbeat
-	m.LastContactAt = now
-	if storage.ShardEpochOf(heartbeat.FencingToken) > storage.ShardEpochOf(m.ConfirmedToken) {
-		m.tokenConfirmedAt = now
-	}
-	m.ConfirmedToken = max(m.ConfirmedToken, heartbeat.FencingToken)
-	m.taskStatuses = make(map[protocol.Task]*protocol.TaskStatus, len(heartbeat.Tasks))
-	for i := range heartbeat.Tasks {
-		status := &heartbeat.Tasks[i]
-		m.taskStatuses[status.Task] = status
-		if status.State != protocol.TaskExited && m.firstSeenAt[status.Task] == 0 {
-			m.firstSeenAt[status.Task] = now
-		}
-		if status.State == protocol.TaskRunning && m.runningSince[status.Task] == 0 {
-			if m.runningSince[status.Task] = now; m.awaitsFirstHeartbeat {
-				m.runningSince[status.Task] = startTimeUnknown
-			}
-		}
-	}
-	m.awaitsFirstHeartbeat = false
-	for t := range m.runningSince {
-		if m.taskStatuses[t] == nil {
-			delete(m.runningSince, t)
-		}
-	}
-	for t := range m.firstSeenAt {
-		if status := m.taskStatuses[t]; status == nil || status.State == protocol.TaskExited {
-			delete(m.firstSeenAt, t)
-		}
-	}
-	for t, s := range m.StopRequests {
-		if status := m.taskStatuses[t]; status != nil && status.Attempt != s.Attempt {
-			delete(m.StopRequests, t)
-		}
-	}
-	if heartbeat.PreemptionNoticeSeconds != nil {
-		preemptionAt := now.Add(protocol.Seconds(*heartbeat.PreemptionNoticeSeconds))
-		if m.preemptionAt == 0 || preemptionAt < m.preemptionAt {
-			m.preemptionAt = preemptionAt
-		}
-	} else {
-		m.preemptionAt = 0
-	}
+// isOf tells whether this is the ownership on record.
+func (o *trackedOwnership) isOf(record *storage.MachineRecord) bool {
+	return o.ownerIncarnation == record.Owner && o.ownershipEpoch == record.ShardEpoch
 }
 
-func isStale(heartbeat *protocol.Heartbeat, agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
-	return heartbeat.AgentEpoch < agentEpoch || heartbeat.AgentEpoch == agentEpoch && heartbeat.Sequence <= sequence
+// deferredResponse is the request of an agent whose response waits.
+type deferredResponse struct {
+	DeferredRequest  step.RequestID // 0: none waits
+	deferredAt       protocol.Instant
+	awaitsOwnership  bool // it waits until this controller owns the machine
+	HasAnsweredProbe bool // the agent of a machine that is on no record has answered a probe from here
 }
 
-func hasAttempt(record *storage.MachineRecord, a *storage.Assignment) bool {
-	for i := range record.Assignments {
-		if other := &record.Assignments[i]; other.Job == a.Job && other.Attempt == a.Attempt {
-			return true
-		}
-	}
-	return false
-}
+// IsDeferred tells whether a heartbeat waits for its response.
+func (d *deferredResponse) IsDeferred() bool { return d.DeferredRequest != 0 }
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -8,40 +8,45 @@
 	"tillerarch/internal/protocol"
 )
 
-// misdirectedHeartbeat is a report that came to a node that does not own its machine.
+// misdirectedHeartbeat is a heartbeat that came to a controller that does not own its machine.
 type misdirectedHeartbeat struct {
 	receivedAt        protocol.Instant
 	agentEpoch        protocol.AgentEpoch
 	sequence          protocol.Sequence
-	hasAgentResponded bool // its worker has answered here since
-	isAnnounced       bool // its owner has been told, in this turn of the hints
+	hasAgentResponded bool // its agent has answered a probe from here since
+	isAnnounced       bool // its owner has been told, in this round of peer statuses
 }
 
-// MisdirectedHeartbeats remembers heartbeats of machines that another controller owns.
+// MisdirectedHeartbeats remembers heartbeats of machines that another controller owns. If the
+// agent answers a probe from here, the owner is told: the path between those two may be broken.
 type MisdirectedHeartbeats struct {
 	*step.Context
 
 	calls *Caller
 
-	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat // reported here though another run owns them
+	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat
 }
 
-func NewMisdirectedHeartbeats(ctx *step.Context) *MisdirectedHeartbeats {
+func newMisdirectedHeartbeats(ctx *step.Context) *MisdirectedHeartbeats {
 	return &MisdirectedHeartbeats{
 		Context:               ctx,
 		misdirectedHeartbeats: map[protocol.MachineID]misdirectedHeartbeat{},
 	}
 }
 
-// AddMisdirectedHeartbeats adds to a hint the machines of others whose workers report here, in turn, and
-// tells whether there are more.
+// AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents report here,
+// in turn, and tells whether there are more.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
 	responded := step.SelectKeys(mh.misdirectedHeartbeats, func(heartbeat misdirectedHeartbeat) bool {
 		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
 	})
 	for _, id := range responded[:min(len(responded), step.MaxMisdirectedPerStatus)] {
 		heartbeat := mh.misdirectedHeartbeats[id]
-		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: heartbeat.agentEpoch, Sequence: heartbeat.sequence})
+		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, step.MisdirectedHeartbeat{
+			Machine:    id,
+			AgentEpoch: heartbeat.agentEpoch,
+			Sequence:   heartbeat.sequence,
+		})
 		heartbeat.isAnnounced = true
 		mh.misdirectedHeartbeats[id] = heartbeat
 	}
@@ -49,7 +54,7 @@
 		return true
 	}
 	for id, heartbeat := range mh.misdirectedHeartbeats {
-		heartbeat.isAnnounced = false // a hint may have been lost: they are told once more
+		heartbeat.isAnnounced = false // a status may have been lost: they are announced once more
 		mh.misdirectedHeartbeats[id] = heartbeat
 	}
 	return false
@@ -73,21 +78,33 @@
 	}
 }
 
-// recordMisdirectedHeartbeat notes a report of a machine that another run owns. If its worker answers
-// here, its owner is told: the way between those two may be broken. (A worker
-// that answers nobody, or a late copy, is no reason to hand anything over.)
+// recordMisdirectedHeartbeat notes the heartbeat of a machine that another incarnation owns, and
+// probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
+// machine over.)
 func (mh *MisdirectedHeartbeats) recordMisdirectedHeartbeat(heartbeat *protocol.Heartbeat) {
 	known, ok := mh.misdirectedHeartbeats[heartbeat.Machine]
-	if ok && (heartbeat.AgentEpoch < known.agentEpoch || heartbeat.AgentEpoch == known.agentEpoch && heartbeat.Sequence <= known.sequence) || heartbeat.Addr == "" || len(mh.misdirectedHeartbeats) >= mh.maxMisdirectedHeartbeats() {
+	switch {
+	case ok && isStale(heartbeat, known.agentEpoch, known.sequence):
+		return
+	case heartbeat.Addr == "":
+		return
+	case len(mh.misdirectedHeartbeats) >= mh.maxMisdirectedHeartbeats():
 		return
 	}
 	if mh.calls.tryProbe(heartbeat.Machine, heartbeat.Addr) {
-		mh.misdirectedHeartbeats[heartbeat.Machine] = misdirectedHeartbeat{receivedAt: mh.Now.Monotonic, agentEpoch: heartbeat.AgentEpoch, sequence: heartbeat.Sequence}
+		mh.misdirectedHeartbeats[heartbeat.Machine] = misdirectedHeartbeat{
+			receivedAt: mh.Now.Monotonic,
+			agentEpoch: heartbeat.AgentEpoch,
+			sequence:   heartbeat.Sequence,
+		}
 	}
 }
 
-// maxMisdirectedHeartbeats bounds the reports of others' machines that are kept in mind: a controller
-// that has lost its workers may send all of them here.
+// minMisdirectedHeartbeats is how many misdirected heartbeats are remembered in a small fleet.
+const minMisdirectedHeartbeats = 500
+
+// maxMisdirectedHeartbeats bounds the heartbeats that are remembered: a controller that has lost
+// its agents may send all of them here.
 func (mh *MisdirectedHeartbeats) maxMisdirectedHeartbeats() int {
-	return max(len(mh.Replica.Machines), 500)
+	return max(len(mh.Replica.Machines), minMisdirectedHeartbeats)
 }
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -26,45 +26,76 @@
 	terminator ScaleInEvaluator
 }
 
-// TickMachines looks after owned machines: stops that are due, silence, release.
+// ownedMachine is a machine that this controller owns, with what is remembered of it.
+type ownedMachine struct {
+	entry *storage.Machine
+	state *MachineState
+}
+
+const (
+	// minSilentWhenCutOff is the least number of silent machines that tells anything of this
+	// controller's own network.
+	minSilentWhenCutOff = 4
+	// staleTokenContactAge is how long nothing has come from an agent that does not show its
+	// token before it is called: most show the token in their next heartbeat.
+	staleTokenContactAge = 500 * time.Millisecond
+)
+
+// TickMachines looks after the owned machines: stops that are due, silence, scale-in, and direct
+// calls to agents that may not have the current fencing token or may not receive commands.
 func (am *Monitor) TickMachines() {
 	am.jobs.trackIncompleteGangs()
-	type ownedMachine struct {
-		e *storage.Machine
-		m *MachineState
+	owned, isCutOff := am.inspectOwnedMachines()
+	for _, o := range owned {
+		am.stopper.tickTaskStops(o.entry, o.state)
+		am.terminator.EvaluateScaleIn(o.entry, o.state, isCutOff)
+		if am.mustCallAgent(o.entry, o.state) {
+			am.calls.sendCommands(o.entry, o.state, nil, tokenCallInterval)
+		}
 	}
-	var owned []ownedMachine
-	monitored, silentCount := 0, 0
+}
+
+// inspectOwnedMachines lists the owned machines and marks the silent ones as suspect. It tells
+// whether so many are silent that this controller must be the one that is cut off.
+func (am *Monitor) inspectOwnedMachines() (owned []ownedMachine, isCutOff bool) {
+	monitored, silent := 0, 0
 	for _, shard := range am.shards.OwnedShards() {
 		for _, id := range am.Replica.Shards[shard].Machines {
-			e := am.Replica.Machines[id]
-			if e == nil || e.Record.Shard != shard {
+			entry := am.Replica.Machines[id]
+			if entry == nil || entry.Record.Shard != shard {
 				continue
 			}
-			m := am.agents.TrackOwnedMachine(e, id)
-			owned = append(owned, ownedMachine{e, m})
-			if e.Record.AgentEpoch > 0 && !e.Record.Terminating {
-				monitored++
-				if am.agents.IsSilent(m) {
-					silentCount++
-					am.agents.markSuspect(m)
-				}
+			m := am.agents.TrackOwnedMachine(entry, id)
+			owned = append(owned, ownedMachine{entry: entry, state: m})
+			if entry.Record.AgentEpoch == 0 || entry.Record.Terminating {
+				continue
+			}
+			monitored++
+			if am.agents.IsSilent(m) {
+				silent++
+				am.agents.markSuspect(m)
 			}
 		}
 	}
-	// If nearly all fall silent, it is this node that is cut off.
-	cutOff := silentCount > 3 && silentCount*3 > monitored*2
-	am.terminator.BeginScaleInReview(silentCount)
-	for _, o := range owned {
-		e, m := o.e, o.m
-		am.stopper.tickTaskStops(e, m)
-		am.terminator.EvaluateScaleIn(e, m, cutOff)
-		if needsNewToken := m.ConfirmedToken < e.Record.FencingToken; e.Record.AgentEpoch > 0 && (needsNewToken && storage.ShardEpochOf(m.ConfirmedToken) == e.Record.ShardEpoch && m.DeferredRequest == 0 ||
-			needsNewToken && am.Since(m.LastContactAt) > 500*time.Millisecond || m.suspectedAt != 0 && m.LastContactAt >= m.suspectedAt) {
-			// The worker may still report to an owner that was cut off: the
-			// higher token makes that one's answers worthless. One that may not
-			// hear is asked.
-			am.calls.sendCommands(e, m, nil, 2*time.Second)
-		}
+	am.terminator.BeginScaleInReview(silent)
+	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored
+}
+
+// mustCallAgent tells whether the agent has to be called directly: to test whether commands
+// arrive, or because it lacks the fencing token. It may still report to an owner that was cut
+// off, and the higher token makes that one's responses worthless.
+func (am *Monitor) mustCallAgent(entry *storage.Machine, m *MachineState) bool {
+	if entry.Record.AgentEpoch == 0 {
+		return false
+	}
+	if m.isHeardWhileSuspect() {
+		return true
+	}
+	if m.ConfirmedToken >= entry.Record.FencingToken {
+		return false
 	}
+	// Within one shard epoch the agent reports here, and a response that is about to be sent
+	// shows the token as well.
+	reportsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
+	return reportsHere && !m.IsDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -6,7 +6,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of the machines' agents, connected with each other.
+// Parts are the parts of this package, connected with each other.
 type Parts struct {
 	Table       *Table
 	Misdirected *MisdirectedHeartbeats
@@ -21,14 +21,14 @@
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
 	p := &Parts{
-		Table:       NewTable(ctx),
-		Misdirected: NewMisdirectedHeartbeats(ctx),
+		Table:       newTable(ctx),
+		Misdirected: newMisdirectedHeartbeats(ctx),
 		Heartbeats:  &HeartbeatHandler{Context: ctx},
 		Calls:       &Caller{Context: ctx},
 		Reconciler:  &Reconciler{Context: ctx},
-		Stopper:     NewTaskStopper(ctx),
+		Stopper:     newTaskStopper(ctx),
 		Monitor:     &Monitor{Context: ctx},
-		Jobs:        NewJobTable(ctx),
+		Jobs:        newJobTable(ctx),
 	}
 	p.Misdirected.calls = p.Calls
 	p.Heartbeats.agents = p.Table
@@ -39,7 +39,6 @@
 	p.Calls.misdirected = p.Misdirected
 	p.Reconciler.agents = p.Table
 	p.Reconciler.jobs = p.Jobs
-	p.Reconciler.stopper = p.Stopper
 	p.Stopper.calls = p.Calls
 	p.Stopper.heartbeats = p.Heartbeats
 	p.Stopper.jobs = p.Jobs
@@ -78,7 +77,6 @@
 	p.Calls.lease = d.Lease
 	p.Reconciler.commits = d.Commits
 	p.Reconciler.cancellations = d.CancellationChecker
-	p.Reconciler.lease = d.Lease
 	p.Reconciler.shards = d.Shards
 	p.Reconciler.terminator = d.TerminationChecker
 	p.Stopper.cancellations = d.CancellationChecker
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"time"
 
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
@@ -16,6 +15,17 @@
 }
 
 // Reconciler brings the records of owned machines in line with what their agents report.
+//
+// A task must never run twice, so it is taken back from a machine only on one of these proofs
+// that it does not run there and never will under the same attempt:
+//
+//   - a heartbeat under the recorded shard epoch and agent epoch lacks it, while no start of it is
+//     in flight, or shows that it has exited (reconcileTask);
+//   - the agent has begun a newer agent epoch (adoptAgentEpoch);
+//   - the agent's lease has expired for sure (Table.IsAgentLeaseExpired);
+//   - the cloud has confirmed the termination of the machine (IsTerminationConfirmed).
+//
+// Time alone proves nothing before the agent has shown the shard epoch on record.
 type Reconciler struct {
 	*step.Context
 
@@ -23,17 +33,15 @@
 	agents        *Table
 	cancellations CancellationChecker
 	jobs          *JobTable
-	lease         *commit.Lease
 	shards        *commit.ShardWriter
-	stopper       *TaskStopper
 	terminator    TerminationChecker
 
-	nextShardIndex int // of own pages, the one to go on with
+	nextShardIndex int // of the owned shards, the one to go on with
 }
 
 // WriteMachines brings the records of owned machines in line with what their
-// workers report, page by page. Where a transaction cannot take all, the next
-// one goes on with the page that was left.
+// agents report, shard by shard. Where a transaction cannot take all, the next
+// one goes on with the shard that was left.
 func (r *Reconciler) WriteMachines(b *commit.Batch) {
 	shards := r.shards.OwnedShards()
 	for i := range shards {
@@ -53,155 +61,227 @@
 	r.commits.SetPartial(false)
 }
 
-// requeue takes a task back from a machine where it provably is no more.
-func (r *Reconciler) requeue(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
-	b.MutableMachine(m.ID).Unassign(task)
-	m.RevokedAttempts[task] = attempt
-	b.OnSend(func() { delete(m.StopRequests, task) })
-}
-
 func (r *Reconciler) reconcileMachine(b *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
-	if b.ChangesMachine(id) || b.RemovesMachine(id) || b.GivesAwayShard(entry.Record.Shard) {
+	record := &entry.Record
+	if b.ChangesMachine(id) || b.RemovesMachine(id) || b.GivesAwayShard(record.Shard) {
 		return // being handed over in this transaction
 	}
 	m := r.agents.TrackOwnedMachine(entry, id)
-	record := &entry.Record
-	heartbeat := m.LatestHeartbeat
-
-	if record.Terminating || r.terminator.IsTerminationConfirmed(id) {
-		if r.terminator.IsTerminationConfirmed(id) && b.HasCapacity(b.WritesNeeded(id)) {
-			b.RemoveMachine(id)
-			b.Log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
-		}
+	switch {
+	case record.Terminating || r.terminator.IsTerminationConfirmed(id):
+		r.removeTerminated(b, id, record)
+		return
+	case hasNewAgentEpoch(m, record):
+		r.adoptAgentEpoch(b, m, record)
+		return
+	case len(record.Assignments) > 0 && r.agents.IsAgentLeaseExpired(m, record):
+		r.requeueExpired(b, m)
 		return
 	}
-	// A newer session: whatever was assigned in the old one has been killed.
-	if heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch && heartbeat.FencingToken <= record.FencingToken {
-		if record.AgentEpoch > 0 || len(record.Assignments) == 0 {
-			if !b.HasCapacity(b.WritesNeeded(id)) {
-				return
-			}
-			updated := b.MutableMachine(id)
-			r.requeueAll(b, m, updated, "newer agent epoch")
-			updated.AgentEpoch, updated.Address = heartbeat.AgentEpoch, heartbeat.Addr
-			if record.AgentEpoch == 0 {
-				updated.MachineType, updated.Zone, updated.Spot = heartbeat.Type, heartbeat.Zone, heartbeat.Spot
-			}
-		}
+	if m.CurrentHeartbeat(record) != nil {
+		r.reconcileTasks(b, m, record)
+	}
+	r.updateDrain(b, m, record)
+}
+
+// removeTerminated drops a machine from the records once the cloud has confirmed its termination:
+// only then are its tasks surely gone.
+func (r *Reconciler) removeTerminated(b *commit.Batch, id protocol.MachineID, record *storage.MachineRecord) {
+	if !r.terminator.IsTerminationConfirmed(id) || !b.HasCapacity(b.WritesNeeded(id)) {
 		return
 	}
-	if len(record.Assignments) > 0 && r.agents.IsAgentLeaseExpired(m, record) {
-		if b.HasCapacity(b.WritesNeeded(id)) {
-			r.requeueAll(b, m, b.MutableMachine(id), "agent lease expired")
-			b.MutableMachine(id).Cordoned = true
-		}
+	b.RemoveMachine(id)
+	b.Log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
+}
+
+// hasNewAgentEpoch tells whether the agent has begun an agent epoch that is not on record. A
+// heartbeat with a higher token than the one on record is another owner's to judge.
+func hasNewAgentEpoch(m *MachineState, record *storage.MachineRecord) bool {
+	heartbeat := m.LatestHeartbeat
+	return heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch && heartbeat.FencingToken <= record.FencingToken
+}
+
+// adoptAgentEpoch records the agent's new epoch and takes all tasks back: an agent kills every task
+// of an earlier epoch before it begins a new one.
+func (r *Reconciler) adoptAgentEpoch(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
+	isFirstEpoch := record.AgentEpoch == 0
+	if isFirstEpoch && len(record.Assignments) > 0 || !b.HasCapacity(b.WritesNeeded(m.ID)) {
 		return
 	}
-	if current := m.CurrentHeartbeat(record); current != nil {
-		for i := range record.Assignments {
-			a := &record.Assignments[i]
-			a.Tasks.Each(func(n int) bool {
-				return r.reconcileTask(b, m, record, protocol.Task{Job: a.Job, Index: n}, a.Attempt)
-			})
-		}
+	heartbeat, updated := m.LatestHeartbeat, b.MutableMachine(m.ID)
+	r.requeueAll(b, m, updated, "newer agent epoch")
+	updated.AgentEpoch, updated.Address = heartbeat.AgentEpoch, heartbeat.Addr
+	if isFirstEpoch {
+		updated.MachineType, updated.Zone, updated.Spot = heartbeat.Type, heartbeat.Zone, heartbeat.Spot
 	}
-	if drain := r.shouldDrain(m, record); drain != b.MachineRecord(id).Cordoned && b.HasCapacity(b.WritesNeeded(id)) {
-		b.MutableMachine(id).Cordoned = drain
-		b.Log(slog.LevelInfo, "machine drain changed", "machine", string(id), "enabled", drain, "preempted", m.preemptionAt != 0,
-			"seconds_since_contact", r.Since(m.LastContactAt).Seconds())
+}
+
+// requeueExpired takes all tasks back from a machine whose agent has killed them, as no response
+// renewed its lease.
+func (r *Reconciler) requeueExpired(b *commit.Batch, m *MachineState) {
+	if !b.HasCapacity(b.WritesNeeded(m.ID)) {
+		return
 	}
+	updated := b.MutableMachine(m.ID)
+	r.requeueAll(b, m, updated, "agent lease expired")
+	updated.Cordoned = true
 }
 
+// requeueAll takes all tasks back from a machine.
 func (r *Reconciler) requeueAll(b *commit.Batch, m *MachineState, record *storage.MachineRecord, reason string) {
 	for _, a := range record.Assignments {
 		a.Tasks.Each(func(n int) bool {
-			task := protocol.Task{Job: a.Job, Index: n}
-			m.RevokedAttempts[task] = a.Attempt
-			b.OnSend(func() { delete(m.StopRequests, task) })
+			r.revoke(b, m, protocol.Task{Job: a.Job, Index: n}, a.Attempt)
 			return true
 		})
-		b.Log(slog.LevelInfo, "tasks requeued", "machine", string(m.ID), "job", string(a.Job), "tasks", a.Tasks.String(), "reason", reason)
+		b.Log(slog.LevelInfo, "tasks requeued", "machine", string(m.ID), "job", string(a.Job),
+			"tasks", a.Tasks.String(), "reason", reason)
 	}
 	record.Assignments = nil
 }
 
-// reconcileTask compares one assigned task with the report. It returns false
+// requeue takes one task back from a machine.
+func (r *Reconciler) requeue(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
+	b.MutableMachine(m.ID).Unassign(task)
+	r.revoke(b, m, task, attempt)
+}
+
+// revoke bars an attempt that is taken back from being started again, from now on: the write may
+// be applied even if its outcome is never known.
+func (r *Reconciler) revoke(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
+	m.RevokedAttempts[task] = attempt
+	b.OnSend(func() { delete(m.StopRequests, task) })
+}
+
+// reconcileTasks compares the assigned tasks with the current heartbeat.
+func (r *Reconciler) reconcileTasks(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
+	for i := range record.Assignments {
+		a := &record.Assignments[i]
+		a.Tasks.Each(func(n int) bool {
+			return r.reconcileTask(b, m, record, protocol.Task{Job: a.Job, Index: n}, a.Attempt)
+		})
+	}
+}
+
+// reconcileTask compares one assigned task with the current heartbeat. It returns false
 // once the transaction is full.
 func (r *Reconciler) reconcileTask(b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt) bool {
 	status := m.taskStatuses[task]
-	job := b.JobRecord(task.Job)
-	if status != nil && (status.Attempt != attempt || status.State != protocol.TaskExited) {
-		return true // running, or an old attempt that the next answer reaps
-	}
-	if status == nil {
-		// Not there. While a start may be in flight this proves nothing.
-		if _, ok := m.InflightStarts[task]; ok {
+	switch {
+	case status == nil:
+		if !r.mustRequeueAbsent(b, m, record, task, attempt) {
 			return true
 		}
-		gone := job == nil || job.State.IsTerminal() || r.cancellations.CancelRequested(task.Job) || job.GracefulStopAttempt >= attempt && job.GracefulStopAttempt > 0 || r.stopper.hasStopRequest(m, task, attempt)
-		if job != nil && !job.State.IsTerminal() && job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt) {
-			gone = true
-		}
-		if m.RevokedAttempts[task] == attempt {
-			gone = true // taken back already; that write was refused, or a later one assigned it anew
-		}
-		if record.Cordoned && m.firstSeenAt[task] == 0 && (m.preemptionAt != 0 || m.IsFaulty || m.CommandsLost() || r.agents.heartbeatsLost(m)) {
-			gone = true
-		}
-		if gone {
-			if !b.HasCapacity(b.WritesNeeded(m.ID)) {
-				return false
-			}
-			r.requeue(b, m, task, attempt)
-		}
+	case status.Attempt != attempt || status.State != protocol.TaskExited:
+		return true // running, or an old attempt that the next response has forgotten
+	}
+	if !b.HasCapacity(b.WritesNeeded(m.ID)) {
+		return false
+	}
+	if status == nil {
+		r.requeue(b, m, task, attempt)
+	} else {
+		r.recordExit(b, m, task, status)
+	}
+	return true
+}
+
+// mustRequeueAbsent tells whether an assigned task that the current heartbeat lacks is to be taken
+// back. That it does not run is proven, unless a start is in flight; that it should not be started
+// again is the question.
+func (r *Reconciler) mustRequeueAbsent(b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt) bool {
+	if _, inFlight := m.InflightStarts[task]; inFlight {
+		return false // the agent may carry it out yet: absence proves nothing
+	}
+	job := b.JobRecord(task.Job)
+	switch {
+	case job == nil || job.State.IsTerminal() || r.cancellations.CancelRequested(task.Job):
+		return true
+	case isGracefullyStopped(job, attempt) || m.hasStopRequest(task, attempt):
 		return true
+	case job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt):
+		return true
+	case m.RevokedAttempts[task] == attempt:
+		return true // taken back already; that write was refused, or a later one assigned it anew
 	}
+	wasEverSeen := m.firstSeenAt[task] != 0
+	return record.Cordoned && !wasEverSeen && r.cannotStart(m)
+}
+
+// cannotStart tells whether a machine that is drained will start nothing for some time.
+func (r *Reconciler) cannotStart(m *MachineState) bool {
+	return m.isPreempted() || m.IsFaulty || m.CommandsLost() || r.agents.heartbeatsLost(m)
+}
+
+// recordExit takes a task back that the current heartbeat shows as exited. If it was done, that goes
+// into the same transaction: it is neither lost nor run again.
+func (r *Reconciler) recordExit(b *commit.Batch, m *MachineState, task protocol.Task, status *protocol.TaskStatus) {
+	job := b.JobRecord(task.Job)
 	isService := job != nil && job.Spec != nil && job.Spec.IsService()
-	if status.Reason == protocol.ReasonDone && job != nil && !job.State.IsTerminal() && !isService {
-		if !b.HasCapacity(b.WritesNeeded(m.ID)) {
-			return false
-		}
+	isDone := status.Reason == protocol.ReasonDone && !isService // replicas are never done
+	if isDone && job != nil && !job.State.IsTerminal() {
 		b.RecordTaskDone(m.ID, task)
 		b.OnSend(func() { r.jobs.RecordTaskRuntime(m, task) })
-		r.requeue(b, m, task, attempt)
+		r.requeue(b, m, task, status.Attempt)
 		b.CompleteJobIfDone(task.Job)
 		clear(m.jobsWithErrors)
-		return true
-	}
-	if !b.HasCapacity(b.WritesNeeded(m.ID)) {
-		return false
+		return
 	}
-	r.requeue(b, m, task, attempt)
+	r.requeue(b, m, task, status.Attempt)
 	if isService {
 		b.MarkFailedReplica(task.Job) // how soon it is tried again shows once this is written
 	}
-	if status.Reason == protocol.ReasonDone && !isService {
-		return true
+	if isDone {
+		return
 	}
-	b.Log(slog.LevelInfo, "task ended incomplete", "task", task.String(), "attempt", uint64(attempt), "machine", string(m.ID),
-		"reason", string(status.Reason), "checkpointed", status.ProgressSaved)
+	b.Log(slog.LevelInfo, "task ended incomplete", "task", task.String(), "attempt", uint64(status.Attempt),
+		"machine", string(m.ID), "reason", string(status.Reason), "checkpointed", status.ProgressSaved)
 	if status.Reason == protocol.ReasonError {
 		r.onTaskError(m, task.Job)
 	}
-	return true
 }
 
+// minFailedMachines is on how many machines a job must fail before the fault is the job's.
+const minFailedMachines = 2
+
 // onTaskError tells a faulty machine from a job that fails everywhere.
 func (r *Reconciler) onTaskError(m *MachineState, id protocol.JobID) {
 	state := r.jobs.JobState(id)
 	state.FailedMachines[m.ID] = true
-	if e := r.Replica.Jobs[id]; len(state.FailedMachines) >= 2 && (e == nil || r.Replica.CompletedTasks(id).IsZero()) {
+	if r.failsEverywhere(id, state) {
 		r.Log(slog.LevelWarn, "job fails on multiple machines", "job", string(id), "count", len(state.FailedMachines))
 		return
 	}
-	m.jobsWithErrors[id] = true
-	m.quarantinedUntil = r.Now.Monotonic.Add(20 * time.Second)
-	if len(m.jobsWithErrors) >= 2 && !m.IsFaulty {
-		m.IsFaulty = true
+	if becameFaulty := m.recordTaskError(id, r.Now.Monotonic); becameFaulty {
 		r.Log(slog.LevelWarn, "machine marked faulty", "machine", string(m.ID))
 	}
 }
 
+// failsEverywhere tells whether a job has failed on several machines and completed nothing.
+func (r *Reconciler) failsEverywhere(id protocol.JobID, state *JobState) bool {
+	return len(state.FailedMachines) >= minFailedMachines &&
+		(r.Replica.Jobs[id] == nil || r.Replica.CompletedTasks(id).IsZero())
+}
+
+// updateDrain records whether the machine takes new tasks.
+func (r *Reconciler) updateDrain(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
+	drain := r.shouldDrain(m, record)
+	if drain == b.MachineRecord(m.ID).Cordoned || !b.HasCapacity(b.WritesNeeded(m.ID)) {
+		return
+	}
+	b.MutableMachine(m.ID).Cordoned = drain
+	b.Log(slog.LevelInfo, "machine drain changed", "machine", string(m.ID), "enabled", drain,
+		"preempted", m.isPreempted(), "seconds_since_contact", r.Since(m.LastContactAt).Seconds())
+}
+
+// shouldDrain tells whether a machine should take no new tasks: it will be preempted, is faulty,
+// or its agent may not start them.
 func (r *Reconciler) shouldDrain(m *MachineState, record *storage.MachineRecord) bool {
-	return m.preemptionAt != 0 || m.IsFaulty || m.CommandsLost() || r.agents.isSuspect(m) || r.Now.Monotonic < m.quarantinedUntil || record.AgentEpoch > 0 && (r.agents.IsSilent(m) || r.agents.heartbeatsLost(m))
+	if m.isPreempted() || m.IsFaulty || r.Now.Monotonic < m.quarantinedUntil {
+		return true
+	}
+	if m.CommandsLost() || r.agents.isSuspect(m) {
+		return true
+	}
+	return record.AgentEpoch > 0 && (r.agents.IsSilent(m) || r.agents.heartbeatsLost(m))
 }
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -125,52 +125,6 @@
 	return &protocol.Heartbeat{Machine: "m-1", Addr: "a", Type: "s", Zone: "a", AgentEpoch: machine.Record.AgentEpoch, Sequence: sequence, FencingToken: machine.Record.FencingToken, Tasks: tasks}
 }
 
-// What keeps an assigned task from being started: a stop or a requeue of this
-// attempt, not of an earlier one. (A stop whose task ended with its session once
-// held back the task's next attempt on that machine for ever.)
-func TestStartCommandsWithheld(t *testing.T) {
-	for _, c := range []struct {
-		name         string
-		stop, barred protocol.Attempt
-		deaf, want   bool
-	}{
-		{"nothing", 0, 0, false, true},
-		{"stop of an earlier attempt", 4, 0, false, true},
-		{"stop of this attempt", 5, 0, false, false},
-		{"earlier attempt taken back", 0, 4, false, true},
-		{"this attempt taken back", 0, 5, false, false},
-		{"answers do not reach the worker", 0, 0, true, false},
-	} {
-		core, _ := newReadyCore(t)
-		if _, err := core.Replica.Put(storage.JobKey("j-1"), []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`), 2); err != nil {
-			t.Fatal(err)
-		}
-		task := protocol.Task{Job: "j-1"}
-		rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-		rec.Assign(task, 5)
-		e, m := addOwnedMachine(t, core, rec)
-		m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
-		if c.stop > 0 {
-			m.StopRequests[task] = agents.StopRequest{Attempt: c.stop}
-		}
-		if c.barred > 0 {
-			m.RevokedAttempts[task] = c.barred
-		}
-		if c.deaf {
-			m.CommandsLostAt = core.Now.Monotonic
-		}
-		starts := 0
-		for _, o := range core.agents.Heartbeats.CommandsFor(e, m, true) {
-			if o.Type == protocol.CommandStart && o.Attempt == 5 {
-				starts++
-			}
-		}
-		if (starts == 1) != c.want {
-			t.Errorf("%s: %d starts", c.name, starts)
-		}
-	}
-}
-
 // writtenShards reads the shards that a batch writes, as a replica would.
 func writtenShards(t *testing.T, b *commit.Batch) map[storage.ShardID]*storage.Shard {
 	t.Helper()
@@ -248,36 +202,6 @@
 	}
 }
 
-// A lease has surely expired only if the worker has shown this owner's epoch,
-// counted from its last answered report: the machine's own part of the token
-// changes nothing of that, a takeover changes everything.
-func TestAgentLeaseExpired(t *testing.T) {
-	const epoch = 3 // as own writes it
-	for _, c := range []struct {
-		name      string
-		confirmed protocol.FencingToken
-		after     time.Duration
-		want      bool
-	}{
-		{"within the lease", storage.ShardEpoch(epoch).FencingToken(0), 13 * time.Second, false},
-		{"at its end, clocks may drift", storage.ShardEpoch(epoch).FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
-		{"behind it", storage.ShardEpoch(epoch).FencingToken(0), 16 * time.Second, true},
-		{"behind it, before the newest rise was shown", storage.ShardEpoch(epoch).FencingToken(1), 16 * time.Second, true},
-		{"the worker has shown an earlier owner's only", storage.ShardEpoch(epoch - 1).FencingToken(9), 16 * time.Second, false},
-	} {
-		core, advance := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
-		r := newHeartbeat(e, 1)
-		r.FencingToken = c.confirmed
-		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(r)})
-		advance(3*time.Second, step.Tick{}) // answered by now
-		advance(c.after-3*time.Second, step.RenewLeaseResult{LeaseID: 7})
-		if got := core.agents.Table.IsAgentLeaseExpired(m, &e.Record); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
-	}
-}
-
 // A controller that stood still reads, when it goes on, answers that lay in its
 // sockets, and nothing from workers that could not reach it: neither makes its
 // replica fresh, nor its machines silent.
@@ -482,45 +406,6 @@
 	}
 }
 
-// A machine that is merely slow is known by its tasks against others of their jobs.
-func TestSlowMachine(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		seconds []int // that its tasks run; others take 10
-		before  bool  // its tasks had begun when this run took it over
-		want    bool
-	}{
-		{"as others", []int{10, 11, 9, 10, 11, 10}, false, false},
-		{"one long task", []int{10, 40, 10, 10, 10, 10}, false, false},
-		{"all slow", []int{25, 24, 26, 25, 25, 26}, false, true},
-		{"slow, not seen to begin", []int{25, 24, 26, 25, 25, 26}, true, false},
-		{"was slow, has mended", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
-	} {
-		core, advance := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		j := core.agents.Jobs.JobState("j-1")
-		j.MeasuredTasks, j.MeasuredRuntime = 100, 1000*time.Second
-		sequence := protocol.Sequence(0)
-		heartbeat := func(after int, tasks ...protocol.TaskStatus) {
-			sequence++
-			advance(time.Duration(after)*time.Second, step.HeartbeatInput{RequestID: step.RequestID(sequence), Body: protocol.Encode(newHeartbeat(e, sequence, tasks...))})
-		}
-		heartbeat(0)
-		for i, s := range c.seconds {
-			if c.before {
-				m.Reset()
-			}
-			task := protocol.Task{Job: "j-1", Index: i}
-			heartbeat(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
-			heartbeat(s, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
-			core.agents.Jobs.RecordTaskRuntime(m, task)
-		}
-		if got := m.Slowdown.IsSlow(); got != c.want {
-			t.Errorf("%s: slow %v, %.2f times", c.name, got, m.Slowdown.Ratio)
-		}
-	}
-}
-
 // A controller that computes several times slower than the others falls behind, says
 // so, and gives pages away; a pause or a moment's peak is no reason.
 func TestOverloadedController(t *testing.T) {
