--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -67,7 +67,7 @@
 	if !isAssigned && l.isUpToDate || l.handler.cancellations.CancelRequested(status.Task.Job) {
 		return 0, true
 	}
-	if !l.machine.hasStopRequest(status.Task, status.Attempt) {
+	if !l.machine.HasStopRequest(status.Task, status.Attempt) {
 		return 0, false
 	}
 	seconds = l.machine.StopRequests[status.Task].graceSeconds
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -31,12 +31,23 @@
 	c.StopRequests = map[protocol.Task]StopRequest{}
 }
 
-// hasStopRequest tells whether this attempt of a task is to stop.
-func (c *commandsInFlight) hasStopRequest(task protocol.Task, attempt protocol.Attempt) bool {
+// HasStopRequest tells whether this attempt of a task is to stop.
+func (c *commandsInFlight) HasStopRequest(task protocol.Task, attempt protocol.Attempt) bool {
 	stop, ok := c.StopRequests[task]
 	return ok && stop.Attempt == attempt
 }
 
+// CountStopRequests counts the tasks of one attempt of a job that are to stop.
+func (c *commandsInFlight) CountStopRequests(job protocol.JobID, attempt protocol.Attempt) int {
+	n := 0
+	for task, stop := range c.StopRequests {
+		if task.Job == job && stop.Attempt == attempt {
+			n++
+		}
+	}
+	return n
+}
+
 // isWithheld tells whether an attempt of a task must not be started: it, or a later one, is being
 // taken back or has been asked to stop. A stop of an earlier attempt, which may have ended unseen
 // with its agent epoch, does not hold back the next one.
--- a/internal/coordination/agents/observed_tasks.go
+++ b/internal/coordination/agents/observed_tasks.go
@@ -85,6 +85,19 @@
 	return showsAll
 }
 
+// HasLiveTasks tells whether the latest heartbeat shows a task that has not exited.
+func (o *observedTasks) HasLiveTasks() bool {
+	if o.LatestHeartbeat == nil {
+		return false
+	}
+	for i := range o.LatestHeartbeat.Tasks {
+		if o.LatestHeartbeat.Tasks[i].State != protocol.TaskExited {
+			return true
+		}
+	}
+	return false
+}
+
 func (o *observedTasks) showsImagePull() bool {
 	for _, status := range o.taskStatuses {
 		if status.State == protocol.TaskPullingImage {
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -197,7 +197,7 @@
 	switch {
 	case job == nil || job.State.IsTerminal() || r.cancellations.CancelRequested(task.Job):
 		return true
-	case isGracefullyStopped(job, attempt) || m.hasStopRequest(task, attempt):
+	case isGracefullyStopped(job, attempt) || m.HasStopRequest(task, attempt):
 		return true
 	case job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt):
 		return true
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -44,6 +44,11 @@
 			show()(f, e, m)
 			m.InflightStarts[task] = attempt
 		}, false, ""},
+		{"not there, cancelled, a heartbeat after its start lacks it", func(f *fixture, e *storage.Machine, _ *MachineState) {
+			f.receive(newHeartbeat(e, 1)) // answered with the start
+			cancel(f)
+			f.receive(newHeartbeat(e, 2))
+		}, true, ""},
 		{"not there, cancelled, under an earlier owner's token", func(f *fixture, e *storage.Machine, _ *MachineState) {
 			cancel(f)
 			heartbeat := newHeartbeat(e, 1)
@@ -68,6 +73,13 @@
 			f.tick()
 			f.advance(leasePassed)
 		}, true, ""},
+		{"lease passed, a heartbeat is about to be answered", func(f *fixture, e *storage.Machine, m *MachineState) {
+			show(status(attempt, protocol.TaskRunning, ""))(f, e, m)
+			f.advance(3 * time.Second)
+			f.tick()
+			f.advance(leasePassed)
+			m.DeferredRequest = 9
+		}, false, ""},
 		{"lease passed, under an earlier owner's token", func(f *fixture, e *storage.Machine, _ *MachineState) {
 			heartbeat := newHeartbeat(e, 1, status(attempt, protocol.TaskRunning, ""))
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -129,7 +129,7 @@
 			request(spec.CheckpointSaveSeconds, "machine preemption")
 		}
 	}
-	if m.hasStopRequest(status.Task, status.Attempt) && status.State != protocol.TaskSaving {
+	if m.HasStopRequest(status.Task, status.Attempt) && status.State != protocol.TaskSaving {
 		isUrgent = true
 	}
 	return isUrgent
