--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -145,7 +145,7 @@
 		return
 	}
 	if alloc.Desc.IsGang() && alloc.Desc.TaskCount > 1 && alloc.Desc.CanCheckpoint() {
-		p.stopper.GracefulStops[alloc.Job] = alloc.Attempt // all its tasks must hear of it, not only those here
+		p.stopper.RequestGracefulStop(alloc.Job, alloc.Attempt) // all its tasks must hear of it, not only those here
 		return
 	}
 	grace := 0.0
@@ -158,14 +158,14 @@
 			continue
 		}
 		assigned.Tasks.Each(func(index int) bool {
-			if s, ok := state.StopRequests[protocol.Task{Job: assigned.Job, Index: index}]; ok && s.Attempt == assigned.Attempt {
+			if state.HasStopRequest(protocol.Task{Job: assigned.Job, Index: index}, assigned.Attempt) {
 				maxTasks--
 			}
 			return true
 		})
 		assigned.Tasks.Each(func(index int) bool {
 			task := protocol.Task{Job: assigned.Job, Index: index}
-			if s, ok := state.StopRequests[task]; maxTasks > 0 && (!ok || s.Attempt != assigned.Attempt) {
+			if maxTasks > 0 && !state.HasStopRequest(task, assigned.Attempt) {
 				p.stopper.RequestStop(state, task, assigned.Attempt, grace, "preempted for "+string(preemptor.ID))
 				maxTasks--
 			}
@@ -188,11 +188,5 @@
 	if machine.state == nil {
 		return 0
 	}
-	n := 0
-	for t, s := range machine.state.StopRequests {
-		if t.Job == alloc.Job && s.Attempt == alloc.Attempt {
-			n++
-		}
-	}
-	return n
+	return machine.state.CountStopRequests(alloc.Job, alloc.Attempt)
 }
