--- a/internal/coordination/ownership/ownership.go
+++ b/internal/coordination/ownership/ownership.go
@@ -267,12 +267,12 @@
 	for _, misdirected := range h.MisdirectedHeartbeats[:min(len(h.MisdirectedHeartbeats), step.MaxMisdirectedPerStatus)] {
 		if e := o.Replica.Machines[misdirected.Machine]; e != nil && o.lease.OwnsMachine(&e.Record) && o.Replica.IsAlive(h.Incarnation) {
 			m := o.agents.TrackOwnedMachine(e, misdirected.Machine)
-			if misdirected.AgentEpoch < m.LastAgentEpoch || misdirected.AgentEpoch == m.LastAgentEpoch && misdirected.Sequence <= m.LastSequence {
+			if m.IsOutOfOrder(misdirected.AgentEpoch, misdirected.Sequence) {
 				continue // a late copy of a report that has been here
 			}
 			// What was sent before and comes here late is no sign that the worker reaches
 			// this node.
-			m.LastAgentEpoch, m.LastSequence = misdirected.AgentEpoch, misdirected.Sequence
+			m.AdvanceTo(misdirected.AgentEpoch, misdirected.Sequence)
 			m.HandOffTarget, m.HandOffRequestedAt = h.Incarnation, o.Now.Monotonic
 			o.pendingHandOffs[misdirected.Machine] = true
 		}
