--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -199,7 +199,7 @@
 		}
 		return "cancelled task does not stop"
 	}
-	if len(rec.Assignments) > 0 || mt.plan.RetainsMachine(m.ID) || m.LatestHeartbeat != nil && mt.hasLiveTasks(m) {
+	if len(rec.Assignments) > 0 || mt.plan.RetainsMachine(m.ID) || m.HasLiveTasks() {
 		m.IdleSince = 0
 		return ""
 	}
@@ -220,12 +220,8 @@
 		return time.Minute
 	}
 	replacementSeconds := machineType.BootSeconds
-	if machineType.ImagePullGBPerSecond > 0 && len(m.CachedImages) > 0 {
-		totalGB := 0.0
-		for _, i := range m.CachedImages {
-			totalGB += i.SizeGB
-		}
-		replacementSeconds += totalGB / float64(len(m.CachedImages)) / machineType.ImagePullGBPerSecond
+	if machineType.ImagePullGBPerSecond > 0 {
+		replacementSeconds += m.MeanImageGB() / machineType.ImagePullGBPerSecond
 	}
 	factor := mt.Config.IdleTimeoutFactor
 	if !mt.scheduler.RetainsIdleMachine(m.ID) {
@@ -234,15 +230,6 @@
 	return time.Duration(replacementSeconds * factor * float64(time.Second))
 }
 
-func (mt *Terminator) hasLiveTasks(m *agents.MachineState) bool {
-	for i := range m.LatestHeartbeat.Tasks {
-		if m.LatestHeartbeat.Tasks[i].State != protocol.TaskExited {
-			return true
-		}
-	}
-	return false
-}
-
 // WriteTerminations marks the machines that are to go back.
 func (mt *Terminator) WriteTerminations(b *commit.Batch) {
 	for _, id := range mt.scaleInQueue {
