--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -131,7 +131,9 @@
 
 // sendCommands calls an agent, at most one call at a time. Without commands the call only shows
 // the fencing token and asks for the status, and counts against the bound.
-func (ac *Caller) sendCommands(entry *storage.Machine, m *MachineState, commands []protocol.Command, minInterval time.Duration) {
+func (ac *Caller) sendCommands(
+	entry *storage.Machine, m *MachineState, commands []protocol.Command, minInterval time.Duration,
+) {
 	switch {
 	case m.isCallInFlight, entry.Record.Address == "":
 		return
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -1,10 +1,6 @@
 package agents
 
 import (
-	"log/slog"
-	"net/http"
-	"time"
-
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
@@ -71,10 +67,6 @@
 	return m
 }
 
-// AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
-// It is not to be changed.
-func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
-
 // AssignedSince tells since when tasks of one attempt have been assigned to a machine, as far
 // as this process has seen.
 func (at *Table) AssignedSince(key AssignmentKey) (since protocol.Instant, known bool) {
@@ -156,101 +148,3 @@
 		delete(at.machineStates, id)
 	}
 }
-
-// IsAgentLeaseExpired tells whether the agent's lease has expired for sure, so that it has killed
-// all its tasks. It has shown this ownership's epoch, so only this incarnation's responses counted
-// since; and the last of them answered a heartbeat that was sent no later than it was received.
-func (at *Table) IsAgentLeaseExpired(m *MachineState, record *storage.MachineRecord) bool {
-	if m.LatestHeartbeat == nil || m.IsDeferred() {
-		return false
-	}
-	renewedAt, isKnown := m.latestRenewal(record.ShardEpoch)
-	return isKnown && at.Since(renewedAt) > at.agentLeaseExpiry()
-}
-
-// agentLeaseExpiry is the time after which an agent's lease has run out whatever its clock says.
-// Monotonic clocks drift by up to 0.05% each; the rest is margin.
-func (at *Table) agentLeaseExpiry() time.Duration {
-	const clockDriftDivisor, margin = 500, 500 * time.Millisecond
-	return at.Config.AgentLeaseTTL + at.Config.AgentLeaseTTL/clockDriftDivisor + margin
-}
-
-// HasMissedHeartbeat tells whether an agent has missed a heartbeat for sure.
-func (at *Table) HasMissedHeartbeat(m *MachineState) bool {
-	const networkMargin = 1500 * time.Millisecond
-	return !m.IsDeferred() && at.TimeSinceContact(m) > at.Config.HeartbeatInterval*5/4+networkMargin
-}
-
-// IsSilent tells whether an agent has missed several heartbeats.
-func (at *Table) IsSilent(m *MachineState) bool {
-	return !m.IsDeferred() && at.TimeSinceContact(m) > at.SilenceTimeout()
-}
-
-// SilenceTimeout is the time in which several heartbeats must have come from an agent that
-// reaches this controller.
-func (at *Table) SilenceTimeout() time.Duration {
-	return 2*at.Config.HeartbeatInterval + at.Config.HeartbeatInterval/2 + time.Second
-}
-
-// TimeSinceContact is for how long nothing has come from an agent while this process could
-// have received it: a process pause is not the agent's silence.
-func (at *Table) TimeSinceContact(m *MachineState) time.Duration {
-	return at.Since(max(m.LastContactAt, at.ResumedAt))
-}
-
-// heartbeatsLost tells whether an agent has sent no heartbeat for a while, whatever it says when
-// it is probed: starts go out in responses to heartbeats only, so what is placed there waits.
-func (at *Table) heartbeatsLost(m *MachineState) bool {
-	return !m.IsDeferred() && at.Since(max(m.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
-}
-
-// markSuspect notes that commands may not reach the agent.
-func (at *Table) markSuspect(m *MachineState) { m.suspect(at.Now.Monotonic) }
-
-// markReachable notes that something that was sent to the agent has arrived.
-func (at *Table) markReachable(m *MachineState) {
-	if m.CommandsLost() {
-		at.Log(slog.LevelInfo, "commands reach machine again", "machine", string(m.ID))
-	}
-	m.confirmDelivery()
-}
-
-// isSuspect tells whether it has been uncertain for a while that commands reach the agent.
-func (at *Table) isSuspect(m *MachineState) bool {
-	return m.suspectedAt != 0 && at.Since(m.suspectedAt) > suspectTimeout
-}
-
-// replyRedirect sends an agent to another controller, or to any if the owner is unknown.
-func (at *Table) replyRedirect(req step.RequestID, owner protocol.ControllerID) {
-	at.Reply(req, http.StatusMisdirectedRequest, protocol.Redirect{Controller: owner})
-}
-
-// deferResponse lets a heartbeat wait for its response.
-func (at *Table) deferResponse(m *MachineState, req step.RequestID, awaitsOwnership bool) {
-	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = req, at.Now.Monotonic, awaitsOwnership
-	at.deferredHeartbeats[m.ID] = true
-	if awaitsOwnership {
-		at.awaitingOwner[m.ID] = true
-	}
-}
-
-// popDeferredRequest gives the waiting heartbeat to whoever answers it now.
-func (at *Table) popDeferredRequest(m *MachineState) step.RequestID {
-	req := m.DeferredRequest
-	m.DeferredRequest = 0
-	delete(at.deferredHeartbeats, m.ID)
-	delete(at.awaitingOwner, m.ID)
-	return req
-}
-
-// redirectDeferred answers the waiting heartbeat with the name of the machine's owner.
-func (at *Table) redirectDeferred(m *MachineState, owner protocol.ControllerID) {
-	at.replyRedirect(at.popDeferredRequest(m), owner)
-}
-
-// dropDeferredRequest sends the agent whose heartbeat waits, if one does, to any controller.
-func (at *Table) dropDeferredRequest(m *MachineState) {
-	if m.IsDeferred() {
-		at.redirectDeferred(m, "")
-	}
-}
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -9,9 +9,9 @@
 	// InflightStarts are the starts in the last response that the agent may not have carried out
 	// yet. A heartbeat that lacks these tasks proves nothing.
 	InflightStarts map[protocol.Task]protocol.Attempt
-	// RevokedAttempts are the attempts that are being taken back. They are never started from
+	// revokedAttempts are the attempts that are being taken back. They are never started from
 	// then on: the transaction that takes them back may still be applied.
-	RevokedAttempts map[protocol.Task]protocol.Attempt
+	revokedAttempts map[protocol.Task]protocol.Attempt
 	// StopRequests are the tasks that are to stop.
 	StopRequests map[protocol.Task]StopRequest
 
@@ -27,7 +27,7 @@
 
 func (c *commandsInFlight) reset() {
 	c.InflightStarts = map[protocol.Task]protocol.Attempt{}
-	c.RevokedAttempts = map[protocol.Task]protocol.Attempt{}
+	c.revokedAttempts = map[protocol.Task]protocol.Attempt{}
 	c.StopRequests = map[protocol.Task]StopRequest{}
 }
 
@@ -52,7 +52,7 @@
 // taken back or has been asked to stop. A stop of an earlier attempt, which may have ended unseen
 // with its agent epoch, does not hold back the next one.
 func (c *commandsInFlight) isWithheld(task protocol.Task, attempt protocol.Attempt) bool {
-	if revoked, ok := c.RevokedAttempts[task]; ok && revoked >= attempt {
+	if revoked, ok := c.revokedAttempts[task]; ok && revoked >= attempt {
 		return true
 	}
 	stop, ok := c.StopRequests[task]
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -38,7 +38,7 @@
 				m.StopRequests[task] = StopRequest{Attempt: c.stopped}
 			}
 			if c.revoked > 0 {
-				m.RevokedAttempts[task] = c.revoked
+				m.revokedAttempts[task] = c.revoked
 			}
 			if c.commandsLost {
 				m.CommandsLostAt = f.Now.Monotonic
--- /dev/null
+++ b/internal/coordination/agents/deferred_response.go
@@ -0,0 +1,58 @@
+package agents
+
+import (
+	"net/http"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+)
+
+// deferredResponse is the request of an agent whose response waits.
+type deferredResponse struct {
+	DeferredRequest  step.RequestID // 0: none waits
+	deferredAt       protocol.Instant
+	awaitsOwnership  bool // it waits until this controller owns the machine
+	HasAnsweredProbe bool // the agent of a machine that is on no record has answered a probe from here
+}
+
+// IsDeferred tells whether a heartbeat waits for its response.
+func (d *deferredResponse) IsDeferred() bool { return d.DeferredRequest != 0 }
+
+// AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
+// It is not to be changed.
+func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
+
+// deferResponse lets a heartbeat wait for its response.
+func (at *Table) deferResponse(m *MachineState, req step.RequestID, awaitsOwnership bool) {
+	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = req, at.Now.Monotonic, awaitsOwnership
+	at.deferredHeartbeats[m.ID] = true
+	if awaitsOwnership {
+		at.awaitingOwner[m.ID] = true
+	}
+}
+
+// popDeferredRequest gives the waiting heartbeat to whoever answers it now.
+func (at *Table) popDeferredRequest(m *MachineState) step.RequestID {
+	req := m.DeferredRequest
+	m.DeferredRequest = 0
+	delete(at.deferredHeartbeats, m.ID)
+	delete(at.awaitingOwner, m.ID)
+	return req
+}
+
+// dropDeferredRequest sends the agent whose heartbeat waits, if one does, to any controller.
+func (at *Table) dropDeferredRequest(m *MachineState) {
+	if m.IsDeferred() {
+		at.redirectDeferred(m, "")
+	}
+}
+
+// redirectDeferred answers the waiting heartbeat with the name of the machine's owner.
+func (at *Table) redirectDeferred(m *MachineState, owner protocol.ControllerID) {
+	at.replyRedirect(at.popDeferredRequest(m), owner)
+}
+
+// replyRedirect sends an agent to another controller, or to any if the owner is unknown.
+func (at *Table) replyRedirect(req step.RequestID, owner protocol.ControllerID) {
+	at.Reply(req, http.StatusMisdirectedRequest, protocol.Redirect{Controller: owner})
+}
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -1,7 +1,6 @@
 package agents
 
 import (
-	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -110,14 +109,3 @@
 func (o *trackedOwnership) isOf(record *storage.MachineRecord) bool {
 	return o.ownerIncarnation == record.Owner && o.ownershipEpoch == record.ShardEpoch
 }
-
-// deferredResponse is the request of an agent whose response waits.
-type deferredResponse struct {
-	DeferredRequest  step.RequestID // 0: none waits
-	deferredAt       protocol.Instant
-	awaitsOwnership  bool // it waits until this controller owns the machine
-	HasAnsweredProbe bool // the agent of a machine that is on no record has answered a probe from here
-}
-
-// IsDeferred tells whether a heartbeat waits for its response.
-func (d *deferredResponse) IsDeferred() bool { return d.DeferredRequest != 0 }
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -149,7 +149,7 @@
 // revoke bars an attempt that is taken back from being started again, from now on: the write may
 // be applied even if its outcome is never known.
 func (r *Reconciler) revoke(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
-	m.RevokedAttempts[task] = attempt
+	m.revokedAttempts[task] = attempt
 	b.OnSend(func() { delete(m.StopRequests, task) })
 }
 
@@ -165,7 +165,9 @@
 
 // reconcileTask compares one assigned task with the current heartbeat. It returns false
 // once the transaction is full.
-func (r *Reconciler) reconcileTask(b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt) bool {
+func (r *Reconciler) reconcileTask(
+	b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
+) bool {
 	status := m.taskStatuses[task]
 	switch {
 	case status == nil:
@@ -189,7 +191,9 @@
 // mustRequeueAbsent tells whether an assigned task that the current heartbeat lacks is to be taken
 // back. That it does not run is proven, unless a start is in flight; that it should not be started
 // again is the question.
-func (r *Reconciler) mustRequeueAbsent(b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt) bool {
+func (r *Reconciler) mustRequeueAbsent(
+	b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
+) bool {
 	if _, inFlight := m.InflightStarts[task]; inFlight {
 		return false // the agent may carry it out yet: absence proves nothing
 	}
@@ -201,7 +205,7 @@
 		return true
 	case job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt):
 		return true
-	case m.RevokedAttempts[task] == attempt:
+	case m.revokedAttempts[task] == attempt:
 		return true // taken back already; that write was refused, or a later one assigned it anew
 	}
 	wasEverSeen := m.firstSeenAt[task] != 0
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -56,7 +56,7 @@
 			f.receive(heartbeat)
 		}, false, ""},
 		{"not there, taken back before", func(f *fixture, e *storage.Machine, m *MachineState) {
-			m.RevokedAttempts[task] = attempt
+			m.revokedAttempts[task] = attempt
 			show()(f, e, m)
 		}, true, ""},
 		{"done", show(status(attempt, protocol.TaskExited, protocol.ReasonDone)), true, "0"},
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -41,7 +41,9 @@
 }
 
 // RequestStop notes that a task is to stop. A request with a shorter grace period stays.
-func (ts *TaskStopper) RequestStop(m *MachineState, t protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string) {
+func (ts *TaskStopper) RequestStop(
+	m *MachineState, t protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
+) {
 	if s, ok := m.StopRequests[t]; ok && s.Attempt == attempt && s.graceSeconds <= graceSeconds {
 		return
 	}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// addOwnedMachine gives the core a page with one machine, and the state of that machine.
+// addOwnedMachine gives the core a shard with one machine, and the state of that machine.
 func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	key := storage.ShardKey("p")
@@ -202,45 +202,52 @@
 	}
 }
 
-// A controller that stood still reads, when it goes on, answers that lay in its
-// sockets, and nothing from workers that could not reach it: neither makes its
-// replica fresh, nor its machines silent.
+// A controller whose process was paused reads, when it resumes, answers that lay in its
+// sockets, and nothing from agents that could not reach it: neither makes its
+// replica up to date, nor its machines silent.
 func TestProcessPause(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		pause         time.Duration
-		fresh, silent bool
+		name               string
+		pause              time.Duration
+		isUpToDate, silent bool
 	}{
 		{"no pause", 100 * time.Millisecond, true, false},
 		{"within its lease", 5 * time.Second, false, false},
 		{"past all leases", 48 * time.Second, false, false},
 	} {
-		core, advance := newReadyCore(t)
-		e, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-		advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
-		for i := 0; i < 40; i++ { // all is asked for before the pause
-			advance(50*time.Millisecond, step.Tick{})
-		}
-		advance(c.pause, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
-		advance(0, step.RenewLeaseResult{LeaseID: 7})
-		advance(0, step.Tick{})
-		if core.commit.Replication.IsUpToDate() != c.fresh || core.agents.Table.IsSilent(m) != c.silent {
-			t.Errorf("%s: fresh %v, silent %v", c.name, core.commit.Replication.IsUpToDate(), core.agents.Table.IsSilent(m))
-		}
-		for i := 0; i < 4; i++ { // and what is asked for now is answered
-			advance(600*time.Millisecond, step.Tick{})
+		t.Run(c.name, func(t *testing.T) {
+			core, advance := newReadyCore(t)
+			watch := func(after time.Duration) {
+				revision := core.Replica.Revision
+				advance(after, step.WatchResult{AfterRevision: revision, Response: &protocol.WatchResponse{Revision: revision}})
+			}
+			entry, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(entry, 1))})
+			for range 40 { // all is requested before the pause
+				advance(50*time.Millisecond, step.Tick{})
+			}
+			watch(c.pause)
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: core.Replica.Revision}})
-		}
-		if !core.commit.Replication.IsUpToDate() {
-			t.Errorf("%s: not fresh again", c.name)
-		}
-		for i := 0; i < 10; i++ {
-			advance(time.Second, step.Tick{})
-		}
-		if !core.agents.Table.IsSilent(m) {
-			t.Errorf("%s: silence behind the pause is not noticed", c.name)
-		}
+			advance(0, step.Tick{})
+			isUpToDate, silent := core.commit.Replication.IsUpToDate(), core.agents.Table.IsSilent(m)
+			if isUpToDate != c.isUpToDate || silent != c.silent {
+				t.Errorf("up to date %v, silent %v", isUpToDate, silent)
+			}
+			for range 4 { // and what is requested now is answered
+				advance(600*time.Millisecond, step.Tick{})
+				advance(0, step.RenewLeaseResult{LeaseID: 7})
+				watch(0)
+			}
+			if !core.commit.Replication.IsUpToDate() {
+				t.Error("not up to date again")
+			}
+			for range 10 {
+				advance(time.Second, step.Tick{})
+			}
+			if !core.agents.Table.IsSilent(m) {
+				t.Error("silence behind the pause is not noticed")
+			}
+		})
 	}
 }
 
