--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -66,7 +66,7 @@
 			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
 		}
 	case m.awaitsOwnership:
-		if !m.IsOutOfOrder(result.Heartbeat.AgentEpoch, result.Heartbeat.Sequence) {
+		if !m.isOutOfOrder(result.Heartbeat.AgentEpoch, result.Heartbeat.Sequence) {
 			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
 			m.HasAnsweredProbe = true
 		}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -83,7 +83,7 @@
 	}
 	h.agents.dropDeferredRequest(m)
 	m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
-	m.AdvanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
+	m.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
 	h.agents.deferResponse(m, req, true)
 	if entry == nil {
 		// A copy of a heartbeat may outlive its machine. Only an agent that answers shows that
@@ -105,7 +105,7 @@
 		return
 	}
 	h.agents.dropDeferredRequest(m)
-	m.AdvanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
+	m.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
 	h.processDeliveryEvidence(m, heartbeat)
 	// An agent has one heartbeat in flight at a time: it has carried out the last response, or
 	// dropped it, before it sent this one. From here on what this heartbeat lacks is proof.
@@ -123,7 +123,7 @@
 // isLateCopy tells whether a heartbeat was delivered after one that its agent sent later, or the
 // same again. Its agent no longer waits for the response, so nothing may rest on it.
 func (h *HeartbeatHandler) isLateCopy(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) bool {
-	return m.IsOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence) ||
+	return m.isOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence) ||
 		entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch
 }
 
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -24,10 +24,6 @@
 	// IdleSince and ScaleInReason belong to package provisioning.
 	IdleSince     protocol.Instant
 	ScaleInReason string // why the machine is to be returned to the cloud
-
-	// HandOffTarget and HandOffRequestedAt belong to package ownership.
-	HandOffTarget      storage.Incarnation // the incarnation to which the agent reports instead
-	HandOffRequestedAt protocol.Instant
 }
 
 // newMachineState makes the state of a machine of which nothing is known but that it exists.
@@ -57,7 +53,6 @@
 	m.forgetAnswer()
 	m.LastContactAt, m.lastHeartbeatAt = now, now
 	m.IdleSince = 0
-	m.HandOffTarget = ""
 	m.awaitsDelivery = false
 	m.confirmDelivery()
 }
@@ -94,18 +89,3 @@
 func (m *MachineState) IsFetchingImage() bool {
 	return m != nil && m.observedTasks.showsImagePull()
 }
-
-// trackedOwnership is the ownership under which the rest of a machine's state was gathered.
-type trackedOwnership struct {
-	ownerIncarnation storage.Incarnation
-	ownershipEpoch   storage.ShardEpoch
-
-	// OwnershipRevision is what the replica must have reached before a heartbeat is answered:
-	// an older one lacks what the previous owner wrote, such as requests to cancel a job.
-	OwnershipRevision protocol.Revision
-}
-
-// isOf tells whether this is the ownership on record.
-func (o *trackedOwnership) isOf(record *storage.MachineRecord) bool {
-	return o.ownerIncarnation == record.Owner && o.ownershipEpoch == record.ShardEpoch
-}
--- a/internal/coordination/agents/reachability.go
+++ b/internal/coordination/agents/reachability.go
@@ -15,24 +15,35 @@
 // heartbeatOrder is the place of the last heartbeat that was processed in the order of all of
 // them. Older ones, and the same again, are late copies.
 type heartbeatOrder struct {
-	LastAgentEpoch protocol.AgentEpoch
-	LastSequence   protocol.Sequence
+	lastAgentEpoch protocol.AgentEpoch
+	lastSequence   protocol.Sequence
 }
 
-// IsOutOfOrder tells whether a heartbeat is no newer than the last one that was processed.
-func (o *heartbeatOrder) IsOutOfOrder(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
-	return agentEpoch < o.LastAgentEpoch || agentEpoch == o.LastAgentEpoch && sequence <= o.LastSequence
+// isOutOfOrder tells whether a heartbeat is no newer than the last one that was processed.
+func (o *heartbeatOrder) isOutOfOrder(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
+	return agentEpoch < o.lastAgentEpoch || agentEpoch == o.lastAgentEpoch && sequence <= o.lastSequence
 }
 
-// AdvanceTo records that a heartbeat is being processed.
-func (o *heartbeatOrder) AdvanceTo(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) {
-	o.LastAgentEpoch, o.LastSequence = agentEpoch, sequence
+// advanceTo records that a heartbeat is being processed.
+func (o *heartbeatOrder) advanceTo(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) {
+	o.lastAgentEpoch, o.lastSequence = agentEpoch, sequence
+}
+
+// RecordHeartbeatElsewhere notes the place of a heartbeat that another controller received, and
+// tells whether it is newer than all that were received here. What the agent sent here earlier
+// and arrives later is then stale: it is no sign that the agent reaches this controller.
+func (o *heartbeatOrder) RecordHeartbeatElsewhere(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) (isNewer bool) {
+	if o.isOutOfOrder(agentEpoch, sequence) {
+		return false
+	}
+	o.advanceTo(agentEpoch, sequence)
+	return true
 }
 
 // isStale tells whether a heartbeat is no newer than the given place in the order.
 func isStale(heartbeat *protocol.Heartbeat, agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
-	last := heartbeatOrder{LastAgentEpoch: agentEpoch, LastSequence: sequence}
-	return last.IsOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence)
+	last := heartbeatOrder{lastAgentEpoch: agentEpoch, lastSequence: sequence}
+	return last.isOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence)
 }
 
 // HasMissedHeartbeat tells whether an agent has missed a heartbeat for sure.
