--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -61,9 +61,9 @@
 	return protocol.Seconds(d.EstimatedRunSeconds)
 }
 
-// RecordTaskRuntime takes in how long a task ran that has completed on a machine, if it was seen
+// recordTaskRuntime takes in how long a task ran that has completed on a machine, if it was seen
 // to start there.
-func (jt *JobTable) RecordTaskRuntime(m *MachineState, task protocol.Task) {
+func (jt *JobTable) recordTaskRuntime(m *MachineState, task protocol.Task) {
 	startedAt := m.runningSince[task]
 	if startedAt == 0 || startedAt == startTimeUnknown {
 		return
--- a/internal/coordination/agents/job_table_test.go
+++ b/internal/coordination/agents/job_table_test.go
@@ -42,7 +42,7 @@
 				task := protocol.Task{Job: testJob, Index: i}
 				receive(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 				receive(seconds, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
-				f.Jobs.RecordTaskRuntime(m, task)
+				f.Jobs.recordTaskRuntime(m, task)
 			}
 			if got := m.Slowdown.IsSlow(); got != c.want {
 				t.Errorf("slow %v, %.2f times", got, m.Slowdown.ratio)
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -225,7 +225,7 @@
 	isDone := status.Reason == protocol.ReasonDone && !isService // replicas are never done
 	if isDone && job != nil && !job.State.IsTerminal() {
 		b.RecordTaskDone(m.ID, task)
-		b.OnSend(func() { r.jobs.RecordTaskRuntime(m, task) })
+		b.OnSend(func() { r.jobs.recordTaskRuntime(m, task) })
 		r.requeue(b, m, task, status.Attempt)
 		b.CompleteJobIfDone(task.Job)
 		clear(m.jobsWithErrors)
