--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -70,7 +70,7 @@
 	if !l.machine.HasStopRequest(status.Task, status.Attempt) {
 		return 0, false
 	}
-	seconds = l.machine.StopRequests[status.Task].graceSeconds
+	seconds = l.machine.stopRequests[status.Task].graceSeconds
 	if status.State == protocol.TaskSaving && seconds != 0 {
 		return 0, false // it is stopping already
 	}
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -12,15 +12,15 @@
 	// revokedAttempts are the attempts that are being taken back. They are never started from
 	// then on: the transaction that takes them back may still be applied.
 	revokedAttempts map[protocol.Task]protocol.Attempt
-	// StopRequests are the tasks that are to stop.
-	StopRequests map[protocol.Task]StopRequest
+	// stopRequests are the tasks that are to stop.
+	stopRequests map[protocol.Task]stopRequest
 
 	callStartedAt  protocol.Instant // of the last direct call
 	isCallInFlight bool
 }
 
-// StopRequest asks for one attempt of a task to stop within a grace period.
-type StopRequest struct {
+// stopRequest asks for one attempt of a task to stop within a grace period.
+type stopRequest struct {
 	Attempt      protocol.Attempt
 	graceSeconds float64
 }
@@ -28,19 +28,19 @@
 func (c *commandsInFlight) reset() {
 	c.InflightStarts = map[protocol.Task]protocol.Attempt{}
 	c.revokedAttempts = map[protocol.Task]protocol.Attempt{}
-	c.StopRequests = map[protocol.Task]StopRequest{}
+	c.stopRequests = map[protocol.Task]stopRequest{}
 }
 
 // HasStopRequest tells whether this attempt of a task is to stop.
 func (c *commandsInFlight) HasStopRequest(task protocol.Task, attempt protocol.Attempt) bool {
-	stop, ok := c.StopRequests[task]
+	stop, ok := c.stopRequests[task]
 	return ok && stop.Attempt == attempt
 }
 
 // CountStopRequests counts the tasks of one attempt of a job that are to stop.
 func (c *commandsInFlight) CountStopRequests(job protocol.JobID, attempt protocol.Attempt) int {
 	n := 0
-	for task, stop := range c.StopRequests {
+	for task, stop := range c.stopRequests {
 		if task.Job == job && stop.Attempt == attempt {
 			n++
 		}
@@ -55,15 +55,15 @@
 	if revoked, ok := c.revokedAttempts[task]; ok && revoked >= attempt {
 		return true
 	}
-	stop, ok := c.StopRequests[task]
+	stop, ok := c.stopRequests[task]
 	return ok && stop.Attempt >= attempt
 }
 
 // dropOutdatedStopRequests drops the stops of tasks that the agent shows with another attempt.
 func (c *commandsInFlight) dropOutdatedStopRequests(statuses map[protocol.Task]*protocol.TaskStatus) {
-	for task, stop := range c.StopRequests {
+	for task, stop := range c.stopRequests {
 		if status := statuses[task]; status != nil && status.Attempt != stop.Attempt {
-			delete(c.StopRequests, task)
+			delete(c.stopRequests, task)
 		}
 	}
 }
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -35,7 +35,7 @@
 			entry, m := f.addOwnedMachine(t, record)
 			m.RecordHeartbeat(newHeartbeat(entry, 1), f.Now.Monotonic)
 			if c.stopped > 0 {
-				m.StopRequests[task] = StopRequest{Attempt: c.stopped}
+				m.stopRequests[task] = stopRequest{Attempt: c.stopped}
 			}
 			if c.revoked > 0 {
 				m.revokedAttempts[task] = c.revoked
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -150,7 +150,7 @@
 // be applied even if its outcome is never known.
 func (r *Reconciler) revoke(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
 	m.revokedAttempts[task] = attempt
-	b.OnSend(func() { delete(m.StopRequests, task) })
+	b.OnSend(func() { delete(m.stopRequests, task) })
 }
 
 // reconcileTasks compares the assigned tasks with the current heartbeat.
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -30,13 +30,13 @@
 	heartbeats    *HeartbeatHandler
 	jobs          *JobTable
 
-	GracefulStops map[protocol.JobID]protocol.Attempt // attempts of gangs that are to stop gracefully
+	gracefulStops map[protocol.JobID]protocol.Attempt // attempts of gangs that are to stop gracefully
 }
 
 func newTaskStopper(ctx *step.Context) *TaskStopper {
 	return &TaskStopper{
 		Context:       ctx,
-		GracefulStops: map[protocol.JobID]protocol.Attempt{},
+		gracefulStops: map[protocol.JobID]protocol.Attempt{},
 	}
 }
 
@@ -44,31 +44,31 @@
 func (ts *TaskStopper) RequestStop(
 	m *MachineState, t protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
 ) {
-	if s, ok := m.StopRequests[t]; ok && s.Attempt == attempt && s.graceSeconds <= graceSeconds {
+	if s, ok := m.stopRequests[t]; ok && s.Attempt == attempt && s.graceSeconds <= graceSeconds {
 		return
 	}
-	m.StopRequests[t] = StopRequest{Attempt: attempt, graceSeconds: graceSeconds}
+	m.stopRequests[t] = stopRequest{Attempt: attempt, graceSeconds: graceSeconds}
 	ts.Log(slog.LevelInfo, "task stop requested", "task", t.String(), "attempt", uint64(attempt),
 		"machine", string(m.ID), "reason", reason)
 }
 
 // RequestGracefulStop notes that an attempt of a gang is to stop gracefully, on all its machines.
 func (ts *TaskStopper) RequestGracefulStop(id protocol.JobID, attempt protocol.Attempt) {
-	ts.GracefulStops[id] = attempt
+	ts.gracefulStops[id] = attempt
 }
 
 // HasGracefulStops tells whether gangs are to be stopped gracefully.
-func (ts *TaskStopper) HasGracefulStops() bool { return len(ts.GracefulStops) > 0 }
+func (ts *TaskStopper) HasGracefulStops() bool { return len(ts.gracefulStops) > 0 }
 
 // WriteGracefulStops puts the graceful stop of gangs on record. Every owner of a machine
 // with one of the tasks reads it there at once and sends the stop directly, so
 // that all tasks hear of it within gang_peer_s.
 func (ts *TaskStopper) WriteGracefulStops(b *commit.Batch) {
-	for _, id := range step.SortedKeys(ts.GracefulStops) {
-		attempt := ts.GracefulStops[id]
+	for _, id := range step.SortedKeys(ts.gracefulStops) {
+		attempt := ts.gracefulStops[id]
 		e := ts.Replica.Jobs[id]
 		if e == nil || e.Record.State.IsTerminal() || e.Record.GracefulStopAttempt >= attempt {
-			delete(ts.GracefulStops, id)
+			delete(ts.gracefulStops, id)
 		} else if b.HasCapacity(b.WritesNeeded("", id)) {
 			b.MutableJob(id).GracefulStopAttempt = attempt
 			b.Log(slog.LevelInfo, "gang graceful stop recorded", "job", string(id), "attempt", uint64(attempt))
