--- /dev/null
+++ b/internal/coordination/agents/image_cache.go
@@ -0,0 +1,52 @@
+package agents
+
+// imageCache is the images that a machine has, as far as its assignments tell.
+type imageCache struct {
+	images []cachedImage // most recently used last
+}
+
+// cachedImage is one image on a machine's local disk.
+type cachedImage struct {
+	name   string
+	sizeGB float64
+}
+
+func (c *imageCache) has(name string) bool {
+	for i := range c.images {
+		if c.images[i].name == name {
+			return true
+		}
+	}
+	return false
+}
+
+// MeanImageGB is the mean size of the images, 0 if there is none.
+func (c *imageCache) MeanImageGB() float64 {
+	if len(c.images) == 0 {
+		return 0
+	}
+	totalGB := 0.0
+	for _, image := range c.images {
+		totalGB += image.sizeGB
+	}
+	return totalGB / float64(len(c.images))
+}
+
+// use makes an image the most recently used one, and evicts the least recently used ones that
+// the disk does not hold beside it.
+func (c *imageCache) use(name string, sizeGB, diskGB float64) {
+	for i := range c.images {
+		if c.images[i].name == name {
+			c.images = append(c.images[:i], c.images[i+1:]...)
+			break
+		}
+	}
+	c.images = append(c.images, cachedImage{name: name, sizeGB: sizeGB})
+	totalGB := 0.0
+	for i := len(c.images) - 1; i >= 0; i-- {
+		if totalGB += c.images[i].sizeGB; totalGB > diskGB {
+			c.images = append([]cachedImage(nil), c.images[i+1:]...)
+			break
+		}
+	}
+}
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -173,7 +173,7 @@
 
 // isInUse tells whether a machine has tasks, or is about to have some.
 func (t *Terminator) isInUse(record *storage.MachineRecord, state *agents.MachineState) bool {
-	return len(record.Assignments) > 0 || t.plan.RetainsMachine(state.ID) || hasLiveTasks(state.LatestHeartbeat)
+	return len(record.Assignments) > 0 || t.plan.RetainsMachine(state.ID) || state.HasLiveTasks()
 }
 
 // isIdleTooLong tells whether a machine's idle period has lasted longer than its like is worth
@@ -192,12 +192,8 @@
 		return unknownTypeIdleTimeout
 	}
 	replacementSeconds := machineType.BootSeconds
-	if machineType.ImagePullGBPerSecond > 0 && len(state.CachedImages) > 0 {
-		totalGB := 0.0
-		for _, image := range state.CachedImages {
-			totalGB += image.SizeGB
-		}
-		replacementSeconds += totalGB / float64(len(state.CachedImages)) / machineType.ImagePullGBPerSecond
+	if machineType.ImagePullGBPerSecond > 0 {
+		replacementSeconds += state.MeanImageGB() / machineType.ImagePullGBPerSecond
 	}
 	factor := t.Config.IdleTimeoutFactor
 	if !t.scheduler.RetainsIdleMachine(state.ID) {
@@ -219,16 +215,3 @@
 func (t *Terminator) machineAge(record *storage.MachineRecord) time.Duration {
 	return step.MillisToDuration(t.Now.Wall - record.AddedAt)
 }
-
-// hasLiveTasks tells whether a heartbeat, if there is one, shows a task that has not exited.
-func hasLiveTasks(heartbeat *protocol.Heartbeat) bool {
-	if heartbeat == nil {
-		return false
-	}
-	for i := range heartbeat.Tasks {
-		if heartbeat.Tasks[i].State != protocol.TaskExited {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/coordination/scheduling/preemption_stops.go
+++ b/internal/coordination/scheduling/preemption_stops.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if stopsAsGang(victim.spec) {
-		p.stopper.GracefulStops[victim.job] = victim.attempt // all its tasks must learn of it, not only those here
+		p.stopper.RequestGracefulStop(victim.job, victim.attempt) // all its tasks must learn of it, not only those here
 		return
 	}
 	reason := "preempted for " + string(preemptedFor.id)
@@ -55,8 +55,7 @@
 ) (stopping int) {
 	taskAt := func(index int) protocol.Task { return protocol.Task{Job: assigned.Job, Index: index} }
 	isStopping := func(index int) bool {
-		request, ok := state.StopRequests[taskAt(index)]
-		return ok && request.Attempt == assigned.Attempt
+		return state.HasStopRequest(taskAt(index), assigned.Attempt)
 	}
 	assigned.Tasks.Each(func(index int) bool {
 		if isStopping(index) {
--- a/internal/coordination/scheduling/victims.go
+++ b/internal/coordination/scheduling/victims.go
@@ -47,13 +47,7 @@
 	if machine.state == nil {
 		return 0
 	}
-	count := 0
-	for task, request := range machine.state.StopRequests {
-		if task.Job == alloc.job && request.Attempt == alloc.attempt {
-			count++
-		}
-	}
-	return count
+	return machine.state.CountStopRequests(alloc.job, alloc.attempt)
 }
 
 // lostWork is the work, in core-seconds, that stopping the tasks would throw away.
