--- /dev/null
+++ b/internal/storage/keys_test.go
@@ -0,0 +1,125 @@
+package storage
+
+import (
+	"testing"
+
+	"tillerarch/internal/protocol"
+)
+
+// The replica keeps the revision of every key it knows, takes no older value in, and
+// forgets what is deleted; the registry, quotas and the format are never deleted by any
+// version, and a replica keeps them.
+func TestReplicaKeys(t *testing.T) {
+	transfer := string(MustMarshal(TransferRecord{Shard: "p", Source: "a#1", Target: "b#1", Phase: TransferProposed}))
+	for _, test := range []struct {
+		name             string
+		key              string
+		value            string
+		keptAfterDelete  bool
+		keptTombstone    bool
+		malformedAllowed bool // the value is never decoded
+	}{
+		{name: "job", key: JobKey("j-1"), value: `{"d":{"uid":"j-1","pieces":1}}`},
+		{name: "shard", key: ShardKey("a#1-1"), value: `{"o":"a#1","b":1,"m":[]}`, keptTombstone: true},
+		{name: "controller", key: ControllerKey("a"), value: `{"r":"a#1"}`},
+		{name: "quota", key: QuotaKey("team"), value: `{}`, keptAfterDelete: true, malformedAllowed: true},
+		{name: "transfer", key: TransferKey("b/0"), value: transfer},
+		{name: "drain", key: DrainKey("a"), value: `{"s":1}`},
+		{name: "registry", key: RegistryKey, value: `{}`, keptAfterDelete: true, malformedAllowed: true},
+		{name: "format", key: FormatKey, value: `{"w":2,"b":"a#1"}`, keptAfterDelete: true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			replica := NewReplica()
+			expectRevision := func(when string, want protocol.ModRevision) {
+				t.Helper()
+				if got := replica.ModRevision(test.key); got != want {
+					t.Errorf("%s: revision %d, want %d", when, got, want)
+				}
+			}
+			put := func(value string, revision protocol.ModRevision) bool {
+				t.Helper()
+				applied, err := replica.Put(test.key, []byte(value), revision)
+				if err != nil {
+					t.Fatal(err)
+				}
+				return applied
+			}
+			expectRevision("before anything", 0)
+			if !put(test.value, 5) || put(test.value, 5) || put(test.value, 4) {
+				t.Error("an equal or older value was applied, or a new one was not")
+			}
+			expectRevision("after a put", 5)
+			if _, err := replica.Put(test.key, []byte(`[`), 6); (err == nil) != test.malformedAllowed {
+				t.Errorf("malformed value: %v", err)
+			}
+			replica.Delete(test.key, 3)
+			if replica.ModRevision(test.key) == 0 {
+				t.Error("an older deletion was applied")
+			}
+			before := replica.ModRevision(test.key)
+			replica.Delete(test.key, 9)
+			if test.keptAfterDelete {
+				expectRevision("after a deletion", before)
+			} else {
+				expectRevision("after a deletion", 0)
+			}
+			if applied := put(test.value, 8); applied == test.keptTombstone {
+				t.Errorf("a value older than the deletion: applied %v", applied)
+			}
+		})
+	}
+}
+
+// Keys that this version does not know are taken in and change nothing.
+func TestReplicaUnknownKey(t *testing.T) {
+	for _, key := range []string{"", "t/", "t/j", "t/z/1", "t/rolls", RevisionProbeKey, "x/j/j-1"} {
+		replica := NewReplica()
+		if applied, err := replica.Put(key, []byte(`[`), 3); !applied || err != nil {
+			t.Errorf("%q: applied %v, %v", key, applied, err)
+		}
+		replica.Delete(key, 4)
+		if revision := replica.ModRevision(key); revision != 0 || len(replica.Jobs) != 0 {
+			t.Errorf("%q: revision %d, jobs %v", key, revision, replica.Jobs)
+		}
+	}
+}
+
+// The indexes of unfinished and cancelling jobs follow the jobs' records. What was found of
+// a job's completed tasks stays cached when the job is deleted.
+func TestReplicaJobIndexes(t *testing.T) {
+	for _, test := range []struct {
+		name                   string
+		value                  string
+		unfinished, cancelling bool
+	}{
+		{"pending", `{"d":{"uid":"j-1","pieces":3},"v":"0"}`, true, false},
+		{"cancel requested", `{"d":{"uid":"j-1","pieces":3},"v":"0","w":true}`, true, true},
+		{"cancelled", `{"d":{"uid":"j-1","pieces":3},"v":"0","s":"withdrawn"}`, false, false},
+		{"without a specification", `{"v":"0"}`, false, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			replica := NewReplica()
+			if _, err := replica.Put(JobKey("j-1"), []byte(`{"d":{"uid":"j-1","pieces":3},"w":true}`), 1); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := replica.Put(JobKey("j-1"), []byte(test.value), 2); err != nil {
+				t.Fatal(err)
+			}
+			_, unfinished := replica.UnfinishedJobs["j-1"]
+			_, cancelling := replica.CancellingJobs["j-1"]
+			if unfinished != test.unfinished || cancelling != test.cancelling {
+				t.Errorf("unfinished %v, cancelling %v", unfinished, cancelling)
+			}
+			if completed := replica.CompletedTasks("j-1").String(); completed != "0" {
+				t.Errorf("completed %q", completed)
+			}
+			replica.Delete(JobKey("j-1"), 3)
+			if len(replica.Jobs)+len(replica.UnfinishedJobs)+len(replica.CancellingJobs) != 0 {
+				t.Errorf("a deleted job stays in an index: %+v", replica)
+			}
+			if completed := replica.CompletedTasks("j-1").String(); completed != "0" {
+				t.Errorf("completed %q after the deletion", completed)
+			}
+		})
+	}
+}
