--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -14,11 +14,6 @@
 	FormatPacked Format = 2 // pages packed, large job records packed, done tasks compact
 )
 
-// FormatKey holds the format that may be written. It is raised once every controller of
-// the deployment has been seen to read that format, and never lowered. A version that
-// does not know the key ignores it.
-const FormatKey = KeyPrefix + "format"
-
 // FormatRecord is the value of FormatKey.
 type FormatRecord struct {
 	WriteFormat Format      `json:"w"`
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -9,43 +9,11 @@
 	"tillerarch/internal/protocol"
 )
 
-// KeyPrefix of all keys. One prefix, so that one /follow sees every change and
-// the replica's revision can reach the service's.
-const (
-	KeyPrefix        = "t/"
-	jobPrefix        = KeyPrefix + "j/"
-	shardPrefix      = KeyPrefix + "p/"
-	controllerPrefix = KeyPrefix + "n/"
-	quotaPrefix      = KeyPrefix + "q/"
-)
-
-// JobKey is the key of a job's record.
-func JobKey(id protocol.JobID) string { return jobPrefix + string(id) }
-
-// ShardKey is the key of a page of machines.
-func ShardKey(id ShardID) string { return shardPrefix + string(id) }
-
-// ControllerKey is the key of a controller's living run.
-func ControllerKey(controller protocol.ControllerID) string {
-	return controllerPrefix + string(controller)
-}
-
-// QuotaKey is the key that orders the placements of a team that has a limit.
-func QuotaKey(team string) string { return quotaPrefix + team }
-
-// RegistryKey is written by every transaction that puts a machine on record. It
-// stands for the key of its own that a machine does not have: without it two
-// controllers could put one machine on two pages.
-const RegistryKey = KeyPrefix + "roll"
-
 // RegistryRecord tells who did so last.
 type RegistryRecord struct {
 	UpdatedBy Incarnation `json:"b"`
 }
 
-// RevisionProbeKey is a key that never exists: reading it tells the revision.
-const RevisionProbeKey = KeyPrefix + "rev"
-
 // Incarnation names one run of one controller: "stall-0#7". It is the owner of
 // machines and the claimant of jobs, and never comes again.
 type Incarnation string
--- a/internal/storage/taskset.go
+++ b/internal/storage/taskset.go
@@ -1,5 +1,3 @@
-// Package storage keeps what must outlive a process: the records in the
-// state service, the client that reads and writes them, and their replica.
 package storage
 
 import (
--- a/internal/storage/transfers.go
+++ b/internal/storage/transfers.go
@@ -8,10 +8,6 @@
 	"tillerarch/internal/protocol"
 )
 
-// transferPrefix begins the keys of moves. A version that does not know them passes them
-// over: who owns a page is what the page says, with or without a move's record.
-const transferPrefix = KeyPrefix + "m/"
-
 // TransferSlotsPerController is how many moves to one controller are kept on record, open and ended. A
 // new move replaces an ended one, so that records need no other clean-up.
 const TransferSlotsPerController = 4
@@ -26,9 +22,6 @@
 	return TransferSlot(fmt.Sprintf("%s/%d", target, n))
 }
 
-// TransferKey is the key of a move's record.
-func TransferKey(slot TransferSlot) string { return transferPrefix + string(slot) }
-
 // TransferPhase is how far a move has come.
 type TransferPhase string
 
