--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"strings"
 	"testing"
 	"time"
 
@@ -22,39 +23,42 @@
 	return &transport.Response{Status: c.status, Body: []byte(c.body)}, nil
 }
 
-// A strange answer is never taken for an outcome: it is unknown, or an error.
+// An unexpected response is never taken for an outcome: it is unknown, or an error.
 func TestUnexpectedResponses(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		answer fakeCaller
-		commit Outcome
-		readOK bool // reading a revision takes the answer
+	for _, test := range []struct {
+		name           string
+		response       fakeCaller
+		outcome        Outcome
+		revisionIsRead bool
 	}{
 		{"applied", fakeCaller{200, `{"ledger_rev":432}`, nil}, OutcomeApplied, false},
 		{"conflict", fakeCaller{409, `{"failed":["a/b"],"ledger_rev":431}`, nil}, OutcomeConflict, false},
 		{"too many requests", fakeCaller{429, ``, nil}, OutcomeThrottled, false},
 		{"not executed", fakeCaller{503, `{}`, nil}, OutcomeUnavailable, false},
-		{"lease gone", fakeCaller{400, `{"error":"no such lease"}`, nil}, OutcomeLeaseExpired, false},
+		{"lease expired", fakeCaller{400, `{"error":"no such lease"}`, nil}, OutcomeLeaseExpired, false},
 		{"malformed", fakeCaller{400, `oops`, nil}, OutcomeInvalid, false},
 		{"200 without a revision", fakeCaller{200, `{}`, nil}, OutcomeUnknown, false},
 		{"200 that is not JSON", fakeCaller{200, `<html>`, nil}, OutcomeUnknown, false},
 		{"revision of another type", fakeCaller{200, `{"ledger_rev":"x"}`, nil}, OutcomeUnknown, false},
-		{"odd status", fakeCaller{302, `{"ledger_rev":1}`, nil}, OutcomeUnknown, false},
+		{"unexpected status", fakeCaller{302, `{"ledger_rev":1}`, nil}, OutcomeUnknown, false},
 		{"server error", fakeCaller{500, `{}`, nil}, OutcomeUnknown, false},
-		{"no answer", fakeCaller{err: errors.New("time out")}, OutcomeUnknown, false},
+		{"no response", fakeCaller{err: errors.New("time out")}, OutcomeUnknown, false},
 		{"never sent", fakeCaller{err: transport.ErrNotSent}, OutcomeUnavailable, false},
-		{"a missing key", fakeCaller{404, `{"ledger_rev":431}`, nil}, OutcomeUnknown, true},
+		{"missing key", fakeCaller{404, `{"ledger_rev":431}`, nil}, OutcomeUnknown, true},
 	} {
-		client := Client{RequestCaller: c.answer, WatchCaller: c.answer}
-		if got, _, _ := client.Commit(protocol.Transaction{}); got != c.commit {
-			t.Errorf("%s: %v, want %v", c.name, got, c.commit)
-		}
-		if revision, err := client.Revision(); (err == nil) != c.readOK || c.readOK && revision != 431 {
-			t.Errorf("%s: read %v, %v", c.name, revision, err)
-		}
-		if _, err := client.GrantLease(time.Second); err == nil {
-			t.Errorf("%s: taken as a lease", c.name)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			client := Client{RequestCaller: test.response, WatchCaller: test.response}
+			if got, _, _ := client.Commit(protocol.Transaction{}); got != test.outcome {
+				t.Errorf("%v, want %v", got, test.outcome)
+			}
+			revision, err := client.Revision()
+			if (err == nil) != test.revisionIsRead || test.revisionIsRead && revision != 431 {
+				t.Errorf("read %v, %v", revision, err)
+			}
+			if _, err := client.GrantLease(time.Second); err == nil {
+				t.Error("taken as a lease")
+			}
+		})
 	}
 	if _, err := (&Client{WatchCaller: fakeCaller{410, ``, nil}}).Watch(1, 0); !errors.Is(err, ErrRevisionTooOld) {
 		t.Error(err)
@@ -63,3 +67,73 @@
 		t.Error(err)
 	}
 }
+
+// Every error of the client says which request failed, with which status, and why.
+func TestRequestErrors(t *testing.T) {
+	commit := func(c *Client) error {
+		_, _, err := c.Commit(protocol.Transaction{})
+		return err
+	}
+	revision := func(c *Client) error {
+		_, err := c.Revision()
+		return err
+	}
+	grant := func(c *Client) error {
+		_, err := c.GrantLease(time.Second)
+		return err
+	}
+	renew := func(c *Client) error { return c.RenewLease(7) }
+	load := func(c *Client) error {
+		_, _, _, err := c.LoadRecords()
+		return err
+	}
+	watch := func(c *Client) error {
+		_, err := c.Watch(12, time.Second)
+		return err
+	}
+	timeout := errors.New("time out")
+	for _, test := range []struct {
+		name     string
+		call     func(*Client) error
+		response fakeCaller
+		path     string // how the path begins
+		status   int
+		cause    error  // found by errors.Is, if any
+		text     string // part of the text
+	}{
+		{"commit never sent", commit, fakeCaller{err: transport.ErrNotSent}, "/multi", 0, transport.ErrNotSent, "POST /multi: not sent"},
+		{"commit without response", commit, fakeCaller{err: timeout}, "/multi", 0, timeout, "time out"},
+		{"commit unavailable", commit, fakeCaller{503, ``, nil}, "/multi", 503, nil, "POST /multi: status 503"},
+		{"commit rejected", commit, fakeCaller{400, `{"error":"too large"}`, nil}, "/multi", 400, nil, "status 400: too large"},
+		{"commit rejected without a reason", commit, fakeCaller{400, `oops`, nil}, "/multi", 400, nil, "status 400"},
+		{"commit without revision", commit, fakeCaller{200, `{}`, nil}, "/multi", 200, errMalformedResponse, "malformed"},
+		{"commit that is not JSON", commit, fakeCaller{200, `<html>`, nil}, "/multi", 200, nil, "invalid character"},
+		{"commit with server error", commit, fakeCaller{500, `{}`, nil}, "/multi", 500, nil, "status 500"},
+		{"revision with server error", revision, fakeCaller{500, ``, nil}, "/keys/t/rev", 500, nil, "GET /keys/t/rev: status 500"},
+		{"revision that is not JSON", revision, fakeCaller{404, `x`, nil}, "/keys/t/rev", 404, nil, "invalid character"},
+		{"lease without an identifier", grant, fakeCaller{200, `{}`, nil}, "/holds", 200, errMalformedResponse, "POST /holds"},
+		{"lease not renewed", renew, fakeCaller{404, ``, nil}, "/holds/7", 404, ErrLeaseExpired, "lease has ended"},
+		{"renewal with server error", renew, fakeCaller{500, ``, nil}, "/holds/7", 500, nil, "POST /holds/7"},
+		{"records not loaded", load, fakeCaller{503, ``, nil}, "/keys?", 503, nil, "GET /keys?"},
+		{"records that are not JSON", load, fakeCaller{200, ``, nil}, "/keys?", 200, nil, "unexpected end"},
+		{"watch compacted", watch, fakeCaller{410, ``, nil}, "/follow?", 410, ErrRevisionTooOld, "revision too old"},
+		{"watch without response", watch, fakeCaller{err: timeout}, "/follow?", 0, timeout, "GET /follow?"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			err := test.call(&Client{RequestCaller: test.response, WatchCaller: test.response})
+			var failed *RequestError
+			if !errors.As(err, &failed) {
+				t.Fatalf("%v is no RequestError", err)
+			}
+			if !strings.HasPrefix(failed.Path, test.path) || failed.Status != test.status {
+				t.Errorf("path %q, status %d", failed.Path, failed.Status)
+			}
+			if test.cause != nil && !errors.Is(err, test.cause) {
+				t.Errorf("%v does not wrap %v", err, test.cause)
+			}
+			if !strings.Contains(err.Error(), test.text) {
+				t.Errorf("%q lacks %q", err, test.text)
+			}
+		})
+	}
+}
