--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -4,7 +4,8 @@
 //
 //   - keys.go: which keys there are, and which kind of record each holds.
 //   - records.go, shards.go, transfers.go, drains.go: the records.
-//   - format.go, shards_packed.go, taskset.go, taskset_compact.go: their encodings. Every
+//   - format.go, machine_line.go, shards_packed.go, taskset.go, taskset_compact.go: their
+//     encodings. Every
 //     version reads all formats up to its own; the names in JSON and in the machine lines
 //     are read by other versions and never change.
 //   - client.go: requests to the store, with the outcome of each.
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -1,17 +1,18 @@
 package storage
 
 import (
+	"bytes"
 	"encoding/json"
-	"strings"
 )
 
-// Format numbers the encodings of records. Every version reads all formats up to its own.
+// Format is the version of the records' encodings. Every version of this program reads all
+// formats up to its own.
 type Format int
 
-// Formats of records.
+// Formats of records. 1 is not in use.
 const (
 	FormatPlain  Format = 0 // all records in plain JSON
-	FormatPacked Format = 2 // pages packed, large job records packed, done tasks compact
+	FormatPacked Format = 2 // shards and large job records packed, completed tasks compact
 )
 
 // FormatRecord is the value of FormatKey.
@@ -20,13 +21,13 @@
 	UpdatedBy   Incarnation `json:"b"`
 }
 
-// jobCompressionThreshold is the size from which a job's record is packed as a whole.
+// jobCompressionThreshold is the size in bytes from which a job's record is packed as a whole.
 const jobCompressionThreshold = 1200
 
-// compactJobRecord is a job's record with its done tasks in compact form.
+// compactJobRecord is a job's record with its completed tasks in compact form.
 type compactJobRecord struct {
 	JobRecord
-	CompletedTasks compactTaskSet `json:"v,omitzero"` // stands in place of JobRecord.Done
+	CompletedTasks compactTaskSet `json:"v,omitzero"` // hides JobRecord.CompletedTasks
 }
 
 // packedJobRecord is a job's record that is compressed as a whole.
@@ -34,7 +35,10 @@
 	Packed string `json:"z"`
 }
 
-// EncodeJob gives a job record's written form.
+// packedJobPrefix begins the encoded form of a packedJobRecord, and of no other record.
+const packedJobPrefix = `{"z":`
+
+// EncodeJob encodes a job's record in a format.
 func EncodeJob(format Format, r *JobRecord) json.RawMessage {
 	if format < FormatPacked {
 		return MustMarshal(r)
@@ -46,9 +50,9 @@
 	return MustMarshal(packedJobRecord{deflate(plain)})
 }
 
-// decodeJob reads a job's record in any form.
+// decodeJob reads a job's record in any format.
 func decodeJob(data json.RawMessage) (r JobRecord, err error) {
-	if strings.HasPrefix(string(data), `{"z":`) {
+	if bytes.HasPrefix(data, []byte(packedJobPrefix)) {
 		var packed packedJobRecord
 		if err := json.Unmarshal(data, &packed); err != nil {
 			return r, err
--- a/internal/storage/replica_shards.go
+++ b/internal/storage/replica_shards.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"slices"
-	"strings"
 
 	"tillerarch/internal/protocol"
 )
@@ -133,9 +132,3 @@
 	}
 	return shard.packedSize
 }
-
-// machineIDOfLine is the identifier at the start of a machine's encoded line.
-func machineIDOfLine(line string) protocol.MachineID {
-	id, _, _ := strings.Cut(line, " ")
-	return protocol.MachineID(id)
-}
--- a/internal/storage/shards.go
+++ b/internal/storage/shards.go
@@ -2,29 +2,26 @@
 
 import (
 	"encoding/json"
-	"fmt"
-	"net/url"
-	"strconv"
-	"strings"
 
 	"tillerarch/internal/protocol"
 )
 
-// ShardID names a page: "stall-0#7-3".
+// ShardID names a shard of machines: "stall-0#7-3".
 type ShardID string
 
-// ShardEpoch counts the owners of a page. It is the high part of the tokens of all its
-// machines, so that one change of the page fences off all earlier owners.
+// ShardEpoch counts the owners of a shard. It is the high part of the fencing tokens of all
+// its machines, so that one write to the shard fences off all earlier owners.
 type ShardEpoch uint64
 
-// The low part of a token is the machine's own: a worker reports at once when
-// its token rises, so a machine that is to start something soon gets a higher one.
+// tokenCounterBits is the width of a fencing token's low part, which is the machine's own. An
+// agent sends a heartbeat at once when its token rises, so the owner raises the counter of a
+// machine on which it wants to start something soon.
 const tokenCounterBits = 20
 
-// MaxTokenCounter is the most that the low part holds.
+// MaxTokenCounter is the largest counter that the low part holds.
 const MaxTokenCounter = 1<<tokenCounterBits - 1
 
-// FencingToken is the token of a machine in this epoch.
+// FencingToken is the fencing token of a machine in this epoch.
 func (e ShardEpoch) FencingToken(counter uint64) protocol.FencingToken {
 	return protocol.FencingToken(uint64(e)<<tokenCounterBits | counter)
 }
@@ -34,42 +31,54 @@
 	return ShardEpoch(token >> tokenCounterBits)
 }
 
-// Machines are kept on pages, many to a key: where a thousand of them stand
-// against 40 changes a second, a change for each would be the whole budget.
-// One run owns all machines of a page, under one token, so that a takeover is
-// one change however many machines there are.
+// encodedShard is the value of a ShardKey in the plain format. Many machines share one key:
+// the store takes some 40 writes a second, and with a key for each of a thousand machines,
+// one change to each would use up that budget. One incarnation owns all machines of a shard
+// in one epoch, so a failover is one write however many machines there are.
 type encodedShard struct {
 	Owner    Incarnation `json:"o"`
 	Epoch    ShardEpoch  `json:"b"`
-	Machines []string    `json:"m"` // a line each, see Line
-	// Tasks that are done and that their jobs' records do not have yet: while
-	// an array runs, its own record need not be written with every page.
+	Machines []string    `json:"m"` // lines of MachineRecord.EncodeLine
+
+	// CompletedTasks are those that the records of their jobs do not list yet: while an array
+	// runs, its own record need not be written with every shard.
 	CompletedTasks map[protocol.JobID]TaskSet `json:"d,omitempty"`
 }
 
-// packedShard is a page in the packed encoding. Its machines are a string where the
-// plain form has a list, so that a version which knows the plain form only reports an
-// unreadable record instead of a page without machines.
+// packedShard is the value of a ShardKey in the packed format. Its machines are a string where
+// the plain form has a list, so that a version which knows the plain form only reports an
+// unreadable record instead of a shard without machines.
 type packedShard struct {
 	Owner  Incarnation `json:"o"`
 	Epoch  ShardEpoch  `json:"b"`
 	Packed string      `json:"m"`
 }
 
-// EncodePlainShard gives a page's plain written form.
-func EncodePlainShard(owner Incarnation, epoch ShardEpoch, lines []string, completed map[protocol.JobID]TaskSet) json.RawMessage {
+// EncodePlainShard encodes a shard's record in the plain format.
+func EncodePlainShard(
+	owner Incarnation,
+	epoch ShardEpoch,
+	lines []string,
+	completed map[protocol.JobID]TaskSet,
+) json.RawMessage {
 	return MustMarshal(encodedShard{owner, epoch, lines, completed})
 }
 
-// EncodeShard gives a page's written form in a format.
-func EncodeShard(format Format, owner Incarnation, epoch ShardEpoch, lines []string, completed map[protocol.JobID]TaskSet) json.RawMessage {
+// EncodeShard encodes a shard's record in a format.
+func EncodeShard(
+	format Format,
+	owner Incarnation,
+	epoch ShardEpoch,
+	lines []string,
+	completed map[protocol.JobID]TaskSet,
+) json.RawMessage {
 	if format >= FormatPacked {
 		return MustMarshal(packedShard{owner, epoch, packShard(lines, completed)})
 	}
 	return EncodePlainShard(owner, epoch, lines, completed)
 }
 
-// decodeShard reads a page in any form.
+// decodeShard reads a shard's record in any format.
 func decodeShard(data json.RawMessage) (shard encodedShard, format Format, err error) {
 	var decoded struct {
 		encodedShard
@@ -93,74 +102,22 @@
 	return shard, FormatPlain, err
 }
 
-// EncodeLine gives a machine's written form: fields with a blank between them.
-func (m *MachineRecord) EncodeLine(id protocol.MachineID) string {
-	var line strings.Builder
-	flags := ""
-	for _, flag := range []struct {
-		on   bool
-		name string
-	}{{m.Spot, "l"}, {m.Terminating, "r"}, {m.Cordoned, "x"}} {
-		if flag.on {
-			flags += flag.name
-		}
-	}
-	agentEpoch := strconv.FormatUint(uint64(m.AgentEpoch), 10)
-	if m.TokenCounter > 0 {
-		agentEpoch += "+" + strconv.FormatUint(m.TokenCounter, 10)
-	}
-	line.WriteString(string(id))
-	for _, field := range [...]string{url.QueryEscape(m.Address), url.QueryEscape(string(m.MachineType)), url.QueryEscape(string(m.Zone)),
-		strconv.FormatInt(int64(m.AddedAt), 36), agentEpoch, flags} {
-		line.WriteByte(' ')
-		if field == "" {
-			field = "-"
-		}
-		line.WriteString(field)
-	}
-	for i := range m.Assignments {
-		assignment := &m.Assignments[i]
-		fmt.Fprintf(&line, " %s.%d.%s", assignment.Job, assignment.Attempt, assignment.Tasks)
-	}
-	return line.String()
+// ShardSummary is a shard's owner, epoch and machines.
+type ShardSummary struct {
+	Owner    Incarnation
+	Epoch    ShardEpoch
+	Machines []protocol.MachineID
 }
 
-// parseMachineLine reads a machine's written form.
-func parseMachineLine(line string) (id protocol.MachineID, m MachineRecord, err error) {
-	fields := strings.Split(line, " ")
-	if len(fields) < 7 {
-		return "", m, fmt.Errorf("malformed machine %q", line)
+// DecodeShardSummary reads who owns which machines from a shard's record in any format.
+func DecodeShardSummary(data json.RawMessage) (ShardSummary, error) {
+	encoded, _, err := decodeShard(data)
+	if err != nil {
+		return ShardSummary{}, err
 	}
-	var text [3]string
-	for i := range text {
-		if fields[1+i] != "-" && err == nil {
-			text[i], err = url.QueryUnescape(fields[1+i])
-		}
-	}
-	addedAt, sinceErr := strconv.ParseInt(fields[4], 36, 64)
-	epochText, counterText, hasCounter := strings.Cut(fields[5], "+")
-	agentEpoch, epochErr := strconv.ParseUint(epochText, 10, 64)
-	counter := uint64(0)
-	if hasCounter && epochErr == nil {
-		counter, epochErr = strconv.ParseUint(counterText, 10, tokenCounterBits)
-	}
-	id = protocol.MachineID(fields[0])
-	if err != nil || sinceErr != nil || epochErr != nil || !id.IsValid() {
-		return "", m, fmt.Errorf("malformed machine %q", line)
-	}
-	m = MachineRecord{Address: text[0], MachineType: protocol.MachineTypeName(text[1]), Zone: protocol.Zone(text[2]), AddedAt: protocol.Millis(addedAt), AgentEpoch: protocol.AgentEpoch(agentEpoch), TokenCounter: counter,
-		Spot: strings.Contains(fields[6], "l"), Terminating: strings.Contains(fields[6], "r"), Cordoned: strings.Contains(fields[6], "x")}
-	for _, assignmentText := range fields[7:] {
-		parts := strings.Split(assignmentText, ".")
-		if len(parts) != 3 {
-			return "", m, fmt.Errorf("malformed assignment %q", assignmentText)
-		}
-		attempt, err := strconv.ParseUint(parts[1], 10, 64)
-		assignment := Assignment{Job: protocol.JobID(parts[0]), Attempt: protocol.Attempt(attempt)}
-		if err != nil || !assignment.Job.IsValid() || assignment.Tasks.UnmarshalText([]byte(parts[2])) != nil || assignment.Tasks.IsZero() {
-			return "", m, fmt.Errorf("malformed assignment %q", assignmentText)
-		}
-		m.Assignments = append(m.Assignments, assignment)
+	summary := ShardSummary{Owner: encoded.Owner, Epoch: encoded.Epoch}
+	for _, line := range encoded.Machines {
+		summary.Machines = append(summary.Machines, machineIDOfLine(line))
 	}
-	return id, m, nil
+	return summary, nil
 }
