--- a/internal/storage/shards_packed.go
+++ b/internal/storage/shards_packed.go
@@ -15,23 +15,28 @@
 	"tillerarch/internal/protocol"
 )
 
-// The packed encoding of a page holds the same machine lines as the plain one in a
-// fraction of the space: the lines are turned into columns, each value keeps only what
-// differs from the one before, and the whole is compressed. Versions before FormatPacked
-// can't read it, so it is written only once all controllers can.
+// The packed encoding of a shard holds the same machine lines as the plain one in a fraction
+// of the space: the lines are turned into columns, each value keeps only what differs from
+// the one before, and the whole is compressed. Versions before FormatPacked can't read it, so
+// it is written only once all controllers can.
 
-// maxUnpackedSize bounds what a packed value may expand to.
+// maxUnpackedSize bounds, in bytes, what a packed value may expand to, and each number in it.
 const maxUnpackedSize = 1 << 20
 
-// lineColumns is the number of columns; the assignments share the last one.
-const lineColumns = 8
+// lineColumns is the number of columns: the fields of a line, and its assignments as one.
+const lineColumns = lineFields + 1
+
+// minEncodedSize is the least that a value takes in a column: a byte each for the lengths of
+// its prefix and its suffix.
+const minEncodedSize = 2
 
 // errMalformedPacked is the cause of every failure to read a packed value.
 var errMalformedPacked = errors.New("malformed packed value")
 
-// encoding of packed values within JSON strings.
+// packedEncoding is the encoding of packed values within JSON strings.
 var packedEncoding = base64.RawStdEncoding
 
+// flateWriters keeps writers for reuse: each takes several hundred kilobytes.
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
@@ -46,7 +51,7 @@
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
 	w.Reset(&out)
-	w.Write(data) // a bytes.Buffer takes everything
+	w.Write(data) // neither call can fail: a bytes.Buffer takes everything
 	w.Close()
 	return packedEncoding.EncodeToString(out.Bytes())
 }
@@ -63,12 +68,12 @@
 		return nil, fmt.Errorf("%w: %w", errMalformedPacked, err)
 	}
 	if len(data) > maxUnpackedSize {
-		return nil, fmt.Errorf("%w: too long", errMalformedPacked)
+		return nil, fmt.Errorf("%w: more than %d bytes", errMalformedPacked, maxUnpackedSize)
 	}
 	return data, nil
 }
 
-// packShard encodes the machine lines and the done tasks of a page.
+// packShard encodes the machine lines and the completed tasks of a shard.
 func packShard(lines []string, completed map[protocol.JobID]TaskSet) string {
 	columns := make([][]string, lineColumns)
 	for _, line := range lines {
@@ -108,7 +113,7 @@
 	}
 	completedEntries := reader.readColumn(reader.readCount())
 	if reader.failed || len(reader.data) > 0 {
-		return nil, nil, errMalformedPacked
+		return nil, nil, fmt.Errorf("%w: damaged columns", errMalformedPacked)
 	}
 	for i := range count {
 		line := columns[0][i]
@@ -119,34 +124,46 @@
 		}
 		lines = append(lines, line)
 	}
-	for _, entry := range completedEntries {
+	if completed, err = parseCompletedEntries(completedEntries); err != nil {
+		return nil, nil, err
+	}
+	return lines, completed, nil
+}
+
+// parseCompletedEntries reads the completed tasks of a packed shard; nil if there are none.
+func parseCompletedEntries(entries []string) (map[protocol.JobID]TaskSet, error) {
+	var completed map[protocol.JobID]TaskSet
+	for _, entry := range entries {
 		job, tasksText, ok := strings.Cut(entry, "=")
+		if !ok {
+			return nil, fmt.Errorf("%w: completed tasks %q", errMalformedPacked, entry)
+		}
 		var tasks TaskSet
-		if !ok || tasks.UnmarshalText([]byte(tasksText)) != nil {
-			return nil, nil, errMalformedPacked
+		if err := tasks.UnmarshalText([]byte(tasksText)); err != nil {
+			return nil, fmt.Errorf("%w: completed tasks of %s: %w", errMalformedPacked, job, err)
 		}
 		if completed == nil {
 			completed = map[protocol.JobID]TaskSet{}
 		}
 		completed[protocol.JobID(job)] = tasks
 	}
-	return lines, completed, nil
+	return completed, nil
 }
 
-// appendColumn writes values as the lengths of their common prefixes with the one
-// before, the lengths of what differs, and what differs.
+// appendColumn writes values as the lengths of the prefixes that they share with the one
+// before, the lengths of the suffixes, and the suffixes.
 func appendColumn(data []byte, values []string) []byte {
 	var suffixes []byte
 	prefixes := make([]int, len(values))
 	previous := ""
 	for i, value := range values {
-		n := 0
-		for n < len(value) && n < len(previous) && value[n] == previous[n] {
-			n++
+		shared := 0
+		for shared < len(value) && shared < len(previous) && value[shared] == previous[shared] {
+			shared++
 		}
-		prefixes[i] = n
-		data = binary.AppendUvarint(data, uint64(n))
-		suffixes = append(suffixes, value[n:]...)
+		prefixes[i] = shared
+		data = binary.AppendUvarint(data, uint64(shared))
+		suffixes = append(suffixes, value[shared:]...)
 		previous = value
 	}
 	for i, value := range values {
@@ -163,23 +180,23 @@
 }
 
 func (r *columnReader) readUvarint() int {
-	v, n := binary.Uvarint(r.data)
-	if n <= 0 || v > maxUnpackedSize {
+	value, size := binary.Uvarint(r.data)
+	if size <= 0 || value > maxUnpackedSize {
 		r.failed = true
 		return 0
 	}
-	r.data = r.data[n:]
-	return int(v)
+	r.data = r.data[size:]
+	return int(value)
 }
 
-// readCount reads the number of values in a column: each takes two bytes at least.
+// readCount reads the number of values in a column. It bounds what readColumn allocates.
 func (r *columnReader) readCount() int {
-	n := r.readUvarint()
-	if 2*n > len(r.data) {
+	count := r.readUvarint()
+	if minEncodedSize*count > len(r.data) {
 		r.failed = true
 		return 0
 	}
-	return n
+	return count
 }
 
 func (r *columnReader) readColumn(count int) []string {
--- a/internal/storage/taskset.go
+++ b/internal/storage/taskset.go
@@ -1,53 +1,59 @@
 package storage
 
 import (
+	"errors"
 	"fmt"
 	"sort"
 	"strconv"
 	"strings"
 )
 
-type interval struct{ lo, hi int } // both within
+// errMalformedTaskSet is the cause of every failure to read a task set.
+var errMalformedTaskSet = errors.New("malformed task set")
 
-// TaskSet is a set of task numbers, written as "0-5,7".
+// interval is a range of task indexes; both ends are in it.
+type interval struct{ lo, hi int }
+
+// TaskSet is a set of task indexes, encoded as "0-5,7". Its intervals are sorted and
+// disjoint. Sets are values: no method but UnmarshalText changes its receiver.
 type TaskSet struct{ intervals []interval }
 
-// TaskRange is the set lo..hi.
+// TaskRange is the set of lo to hi, both included.
 func TaskRange(lo, hi int) TaskSet { return TaskSet{[]interval{{lo, hi}}} }
 
-// search gives the index of the first span that ends at or behind n.
-func (r TaskSet) search(n int) int {
-	return sort.Search(len(r.intervals), func(i int) bool { return r.intervals[i].hi >= n })
+// search is the index of the first interval that ends at n or behind it.
+func (s TaskSet) search(n int) int {
+	return sort.Search(len(s.intervals), func(i int) bool { return s.intervals[i].hi >= n })
 }
 
 // Has tells whether n is in the set.
-func (r TaskSet) Has(n int) bool {
-	i := r.search(n)
-	return i < len(r.intervals) && r.intervals[i].lo <= n
+func (s TaskSet) Has(n int) bool {
+	i := s.search(n)
+	return i < len(s.intervals) && s.intervals[i].lo <= n
 }
 
-// Len counts the numbers in the set.
-func (r TaskSet) Len() int {
+// Len is the number of indexes in the set.
+func (s TaskSet) Len() int {
 	n := 0
-	for _, s := range r.intervals {
-		n += s.hi - s.lo + 1
+	for _, iv := range s.intervals {
+		n += iv.hi - iv.lo + 1
 	}
 	return n
 }
 
-// IntervalCount counts the pieces of the set's written form.
-func (r TaskSet) IntervalCount() int { return len(r.intervals) }
+// IntervalCount is the number of intervals in the set.
+func (s TaskSet) IntervalCount() int { return len(s.intervals) }
 
-// Add gives the set with n. Sets are values: r stays as it is.
-func (r TaskSet) Add(n int) TaskSet {
-	if r.Has(n) {
-		return r
+// Add is the set with n.
+func (s TaskSet) Add(n int) TaskSet {
+	if s.Has(n) {
+		return s
 	}
-	i := r.search(n)
-	out := make([]interval, 0, len(r.intervals)+1)
-	out = append(out, r.intervals[:i]...)
+	i := s.search(n)
+	out := make([]interval, 0, len(s.intervals)+1)
+	out = append(out, s.intervals[:i]...)
 	out = append(out, interval{n, n})
-	out = append(out, r.intervals[i:]...)
+	out = append(out, s.intervals[i:]...)
 	if i+1 < len(out) && out[i+1].lo == n+1 {
 		out[i].hi = out[i+1].hi
 		out = append(out[:i+1], out[i+2:]...)
@@ -59,49 +65,51 @@
 	return TaskSet{out}
 }
 
-// Remove gives the set without n.
-func (r TaskSet) Remove(n int) TaskSet {
-	if !r.Has(n) {
-		return r
+// Remove is the set without n.
+func (s TaskSet) Remove(n int) TaskSet {
+	if !s.Has(n) {
+		return s
 	}
-	i := r.search(n)
-	out := make([]interval, 0, len(r.intervals)+1)
-	out = append(out, r.intervals[:i]...)
-	if s := r.intervals[i]; s.lo < n {
-		out = append(out, interval{s.lo, n - 1})
+	i := s.search(n)
+	out := make([]interval, 0, len(s.intervals)+1)
+	out = append(out, s.intervals[:i]...)
+	if iv := s.intervals[i]; iv.lo < n {
+		out = append(out, interval{iv.lo, n - 1})
 	}
-	if s := r.intervals[i]; s.hi > n {
-		out = append(out, interval{n + 1, s.hi})
+	if iv := s.intervals[i]; iv.hi > n {
+		out = append(out, interval{n + 1, iv.hi})
 	}
-	return TaskSet{append(out, r.intervals[i+1:]...)}
+	return TaskSet{append(out, s.intervals[i+1:]...)}
 }
 
-// Union gives the numbers of both.
-func (r TaskSet) Union(other TaskSet) TaskSet {
-	if len(r.intervals) == 0 {
+// Union is the set of what is in either set.
+func (s TaskSet) Union(other TaskSet) TaskSet {
+	if len(s.intervals) == 0 {
 		return other
 	}
 	if len(other.intervals) == 0 {
-		return r
+		return s
 	}
-	all := append(append(make([]interval, 0, len(r.intervals)+len(other.intervals)), r.intervals...), other.intervals...)
-	sort.Slice(all, func(i, k int) bool { return all[i].lo < all[k].lo })
+	all := make([]interval, 0, len(s.intervals)+len(other.intervals))
+	all = append(all, s.intervals...)
+	all = append(all, other.intervals...)
+	sort.Slice(all, func(i, j int) bool { return all[i].lo < all[j].lo })
 	out := all[:1]
-	for _, s := range all[1:] {
+	for _, iv := range all[1:] {
 		last := &out[len(out)-1]
-		if s.lo > last.hi+1 {
-			out = append(out, s)
-		} else if s.hi > last.hi {
-			last.hi = s.hi
+		if iv.lo > last.hi+1 {
+			out = append(out, iv)
+		} else if iv.hi > last.hi {
+			last.hi = iv.hi
 		}
 	}
 	return TaskSet{out}
 }
 
-// Each calls f for the numbers in order until it returns false.
-func (r TaskSet) Each(f func(n int) bool) {
-	for _, s := range r.intervals {
-		for n := s.lo; n <= s.hi; n++ {
+// Each calls f for the indexes in order until f returns false.
+func (s TaskSet) Each(f func(n int) bool) {
+	for _, iv := range s.intervals {
+		for n := iv.lo; n <= iv.hi; n++ {
 			if !f(n) {
 				return
 			}
@@ -109,60 +117,78 @@
 	}
 }
 
-// FirstMissing gives the first max numbers below n that are not in the set.
-func (r TaskSet) FirstMissing(end, count int) []int {
+// FirstMissing lists the first indexes below end that are not in the set, at most count.
+func (s TaskSet) FirstMissing(end, count int) []int {
 	var out []int
 	next := 0
-	for _, s := range append(r.intervals[:len(r.intervals):len(r.intervals)], interval{end, end}) {
-		for ; next < s.lo && next < end && len(out) < count; next++ {
+	shared := s.intervals[:len(s.intervals):len(s.intervals)] // append copies: the set stays as it is
+	for _, iv := range append(shared, interval{end, end}) {
+		for ; next < iv.lo && next < end && len(out) < count; next++ {
 			out = append(out, next)
 		}
-		next = s.hi + 1
+		next = iv.hi + 1
 	}
 	return out
 }
 
-func (r TaskSet) String() string {
+// String is the set's encoding as intervals: "0-5,7".
+func (s TaskSet) String() string {
 	var b []byte
-	for i, s := range r.intervals {
+	for i, iv := range s.intervals {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = strconv.AppendInt(b, int64(s.lo), 10)
-		if s.hi > s.lo {
+		b = strconv.AppendInt(b, int64(iv.lo), 10)
+		if iv.hi > iv.lo {
 			b = append(b, '-')
-			b = strconv.AppendInt(b, int64(s.hi), 10)
+			b = strconv.AppendInt(b, int64(iv.hi), 10)
 		}
 	}
 	return string(b)
 }
 
-// MarshalText writes the set's short form.
-func (r TaskSet) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
+// MarshalText encodes the set as intervals.
+func (s TaskSet) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // IsZero tells whether the set is empty.
-func (r TaskSet) IsZero() bool { return len(r.intervals) == 0 }
+func (s TaskSet) IsZero() bool { return len(s.intervals) == 0 }
 
-// UnmarshalText reads the set's short form, or its compact one.
-func (r *TaskSet) UnmarshalText(text []byte) error {
-	r.intervals = nil
+// UnmarshalText reads a set encoded as intervals, or in one of the compact forms.
+func (s *TaskSet) UnmarshalText(text []byte) error {
+	s.intervals = nil
 	if len(text) == 0 {
 		return nil
 	}
 	if text[0] == runLengthTag || text[0] == bitmapTag {
-		return r.parseCompact(text)
+		return s.parseCompact(text)
 	}
 	for _, part := range strings.Split(string(text), ",") {
-		first, last, isInterval := strings.Cut(part, "-")
-		lo, err := strconv.Atoi(first)
-		hi := lo
-		if isInterval && err == nil {
-			hi, err = strconv.Atoi(last)
+		iv, err := parseInterval(part)
+		if err != nil {
+			return fmt.Errorf("%w %q: %w", errMalformedTaskSet, text, err)
 		}
-		if err != nil || lo < 0 || hi < lo || len(r.intervals) > 0 && lo <= r.intervals[len(r.intervals)-1].hi {
-			return fmt.Errorf("malformed ranges %q", text)
+		if last := len(s.intervals) - 1; last >= 0 && iv.lo <= s.intervals[last].hi {
+			return fmt.Errorf("%w %q: %q is not behind the interval before it", errMalformedTaskSet, text, part)
 		}
-		r.intervals = append(r.intervals, interval{lo, hi})
+		s.intervals = append(s.intervals, iv)
 	}
 	return nil
 }
+
+// parseInterval reads "7" or "0-5".
+func parseInterval(text string) (iv interval, err error) {
+	first, last, isRange := strings.Cut(text, "-")
+	if iv.lo, err = strconv.Atoi(first); err != nil {
+		return iv, err
+	}
+	iv.hi = iv.lo
+	if isRange {
+		if iv.hi, err = strconv.Atoi(last); err != nil {
+			return iv, err
+		}
+	}
+	if iv.lo < 0 || iv.hi < iv.lo {
+		return iv, fmt.Errorf("%q is no interval", text)
+	}
+	return iv, nil
+}
--- a/internal/storage/taskset_compact.go
+++ b/internal/storage/taskset_compact.go
@@ -5,21 +5,20 @@
 	"fmt"
 )
 
-// The compact form of a set is for sets with many gaps, whose written ranges would
-// outgrow a value of the state service. The first byte names one of two codings, the
-// rest is base64.
+// The compact forms are for sets with many gaps, whose intervals would outgrow the size of a
+// value in the store. The first byte names one of two encodings, the rest is base64.
 const (
-	runLengthTag = '~' // lengths of gaps and spans in turn, as varints
-	bitmapTag    = '*' // a bit a number, from 0 on
+	runLengthTag = '~' // lengths of gaps and intervals in turn, as varints
+	bitmapTag    = '*' // one bit for each index, from 0 on
 )
 
-// maxCompactIndex bounds the numbers in a compact set that is read.
+// maxCompactIndex bounds the indexes in a run-length encoded set that is read.
 const maxCompactIndex = 1 << 20
 
-// compactText gives the shortest written form of the set.
-func (r TaskSet) compactText() string {
-	best := r.String()
-	for _, form := range []string{r.runLengthText(), r.bitmapText()} {
+// compactText is the shortest encoding of the set.
+func (s TaskSet) compactText() string {
+	best := s.String()
+	for _, form := range []string{s.runLengthText(), s.bitmapText()} {
 		if len(form) < len(best) {
 			best = form
 		}
@@ -27,23 +26,25 @@
 	return best
 }
 
-func (r TaskSet) runLengthText() string {
+// runLengthText encodes the set as the lengths of gaps and of intervals, the latter less one.
+func (s TaskSet) runLengthText() string {
 	var runs []byte
 	next := 0
-	for _, s := range r.intervals {
-		runs = binary.AppendUvarint(runs, uint64(s.lo-next))
-		runs = binary.AppendUvarint(runs, uint64(s.hi-s.lo))
-		next = s.hi + 1
+	for _, iv := range s.intervals {
+		runs = binary.AppendUvarint(runs, uint64(iv.lo-next))
+		runs = binary.AppendUvarint(runs, uint64(iv.hi-iv.lo))
+		next = iv.hi + 1
 	}
 	return string(runLengthTag) + packedEncoding.EncodeToString(runs)
 }
 
-func (r TaskSet) bitmapText() string {
-	if len(r.intervals) == 0 {
+// bitmapText encodes the set as a bitmap that ends with the byte of the last index.
+func (s TaskSet) bitmapText() string {
+	if len(s.intervals) == 0 {
 		return string(bitmapTag)
 	}
-	bitmap := make([]byte, r.intervals[len(r.intervals)-1].hi/8+1)
-	r.Each(func(n int) bool {
+	bitmap := make([]byte, s.intervals[len(s.intervals)-1].hi/8+1)
+	s.Each(func(n int) bool {
 		bitmap[n/8] |= 1 << (n % 8)
 		return true
 	})
@@ -51,51 +52,58 @@
 }
 
 // parseCompact reads either compact form.
-func (r *TaskSet) parseCompact(text []byte) error {
+func (s *TaskSet) parseCompact(text []byte) error {
 	data, err := packedEncoding.DecodeString(string(text[1:]))
 	if err != nil {
-		return fmt.Errorf("malformed ranges %q: %w", text, err)
+		return fmt.Errorf("%w %q: %w", errMalformedTaskSet, text, err)
 	}
 	if text[0] == runLengthTag {
-		return r.parseRunLengths(data)
+		return s.parseRunLengths(data)
 	}
-	r.parseBitmap(data)
+	s.parseBitmap(data)
 	return nil
 }
 
-func (r *TaskSet) parseBitmap(bitmap []byte) {
+func (s *TaskSet) parseBitmap(bitmap []byte) {
 	for n := range 8 * len(bitmap) {
-		switch last := len(r.intervals) - 1; {
+		switch last := len(s.intervals) - 1; {
 		case bitmap[n/8]&(1<<(n%8)) == 0:
-		case last >= 0 && r.intervals[last].hi == n-1:
-			r.intervals[last].hi = n
+		case last >= 0 && s.intervals[last].hi == n-1:
+			s.intervals[last].hi = n
 		default:
-			r.intervals = append(r.intervals, interval{n, n})
+			s.intervals = append(s.intervals, interval{n, n})
 		}
 	}
 }
 
-func (r *TaskSet) parseRunLengths(runs []byte) error {
+func (s *TaskSet) parseRunLengths(runs []byte) error {
 	next := uint64(0)
 	for len(runs) > 0 {
 		gap, gapBytes := binary.Uvarint(runs)
 		if gapBytes <= 0 {
-			return fmt.Errorf("malformed runs")
+			return fmt.Errorf("%w: truncated gap", errMalformedTaskSet)
 		}
 		length, lengthBytes := binary.Uvarint(runs[gapBytes:])
-		if lengthBytes <= 0 || gap > maxCompactIndex || length > maxCompactIndex || next+gap+length > maxCompactIndex || gap == 0 && next > 0 {
-			return fmt.Errorf("malformed runs")
+		if lengthBytes <= 0 {
+			return fmt.Errorf("%w: truncated interval", errMalformedTaskSet)
+		}
+		// Each by itself first: their sum could overflow.
+		if gap > maxCompactIndex || length > maxCompactIndex || next+gap+length > maxCompactIndex {
+			return fmt.Errorf("%w: indexes above %d", errMalformedTaskSet, maxCompactIndex)
+		}
+		if gap == 0 && next > 0 {
+			return fmt.Errorf("%w: intervals without a gap", errMalformedTaskSet)
 		}
 		low := next + gap
-		r.intervals = append(r.intervals, interval{int(low), int(low + length)})
+		s.intervals = append(s.intervals, interval{int(low), int(low + length)})
 		next = low + length + 1
 		runs = runs[gapBytes+lengthBytes:]
 	}
 	return nil
 }
 
-// compactTaskSet is a set that is written in its shortest form.
+// compactTaskSet is a set whose JSON form is the shortest one.
 type compactTaskSet struct{ TaskSet }
 
-// MarshalText writes the set's shortest form.
-func (r compactTaskSet) MarshalText() ([]byte, error) { return []byte(r.compactText()), nil }
+// MarshalText encodes the set in its shortest form.
+func (s compactTaskSet) MarshalText() ([]byte, error) { return []byte(s.compactText()), nil }
