--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -105,7 +105,7 @@
 		{"commit without response", commit, fakeCaller{err: timeout}, "/multi", 0, timeout, "time out"},
 		{"commit unavailable", commit, fakeCaller{503, ``, nil}, "/multi", 503, nil, "POST /multi: status 503"},
 		{"commit rejected", commit, fakeCaller{400, `{"error":"too large"}`, nil}, "/multi", 400, nil, "status 400: too large"},
-		{"commit rejected without a reason", commit, fakeCaller{400, `oops`, nil}, "/multi", 400, nil, "status 400"},
+		{"commit rejected, no reason", commit, fakeCaller{400, `oops`, nil}, "/multi", 400, nil, "status 400"},
 		{"commit without revision", commit, fakeCaller{200, `{}`, nil}, "/multi", 200, errMalformedResponse, "malformed"},
 		{"commit that is not JSON", commit, fakeCaller{200, `<html>`, nil}, "/multi", 200, nil, "invalid character"},
 		{"commit with server error", commit, fakeCaller{500, `{}`, nil}, "/multi", 500, nil, "status 500"},
--- /dev/null
+++ b/internal/storage/machine_line_test.go
@@ -0,0 +1,69 @@
+package storage
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// A machine's line is read as it was written, whatever its fields hold.
+func TestMachineLineRoundTrip(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		record MachineRecord
+	}{
+		{"empty", MachineRecord{}},
+		{"typical", MachineRecord{
+			Address:      "10.1.0.1:9000",
+			MachineType:  "g8",
+			Zone:         "a",
+			AgentEpoch:   3,
+			AddedAt:      1764633600123,
+			TokenCounter: MaxTokenCounter,
+		}},
+		{"separators in fields, all flags", MachineRecord{
+			Address:     "a b|c",
+			MachineType: "two words",
+			Zone:        "x%20y",
+			Spot:        true,
+			Terminating: true,
+			Cordoned:    true,
+			AgentEpoch:  1,
+		}},
+		{"assignments, a dash as zone", MachineRecord{
+			MachineType: "g8",
+			Zone:        "-",
+			Assignments: []Assignment{{"j-1", 1, TaskRange(0, 7)}, {"j-2", 9000, TaskRange(1, 1).Add(5)}},
+		}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			want := test.record
+			line := want.EncodeLine("m-000001")
+			id, got, err := parseMachineLine(line)
+			if want.Zone == "-" {
+				want.Zone = "" // an empty field and a dash are the same, and neither is a zone
+			}
+			if err != nil || id != "m-000001" || fmt.Sprint(got) != fmt.Sprint(want) {
+				t.Errorf("%q: %v, %v, want %v", line, err, got, want)
+			}
+		})
+	}
+	for _, test := range []struct{ name, line string }{
+		{"empty", ""},
+		{"too few fields", "m-1"},
+		{"malformed machine", "x a b c 1 1 -"},
+		{"malformed time", "m-1 a b c ? 1 -"},
+		{"malformed counter", "m-1 a b c 1 1+x -"},
+		{"malformed escape", "m-1 %zz b c 1 1 -"},
+		{"assignment without tasks", "m-1 a b c 1 1 - j-1.1"},
+		{"malformed attempt", "m-1 a b c 1 1 - j-1.x.0"},
+		{"assignment with empty tasks", "m-1 a b c 1 1 - j-1.1."},
+		{"malformed tasks", "m-1 a b c 1 1 - j-1.1.5-2"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if _, _, err := parseMachineLine(test.line); !errors.Is(err, errMalformedLine) {
+				t.Errorf("%q was accepted, or without a cause: %v", test.line, err)
+			}
+		})
+	}
+}
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -1,40 +1,19 @@
 package storage
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 
 	"tillerarch/internal/protocol"
 )
 
-// A machine's line is read as it was written, whatever its fields hold.
-func TestMachineLineRoundTrip(t *testing.T) {
-	for _, m := range []MachineRecord{
-		{},
-		{Address: "10.1.0.1:9000", MachineType: "g8", Zone: "a", AgentEpoch: 3, AddedAt: 1764633600123, TokenCounter: MaxTokenCounter},
-		{Address: "a b|c", MachineType: "two words", Zone: "x%20y", Spot: true, Terminating: true, Cordoned: true, AgentEpoch: 1},
-		{MachineType: "g8", Zone: "-", Assignments: []Assignment{{"j-1", 1, TaskRange(0, 7)}, {"j-2", 9000, TaskRange(1, 1).Add(5)}}},
-	} {
-		line := m.EncodeLine("m-000001")
-		id, got, err := parseMachineLine(line)
-		if m.Zone == "-" {
-			m.Zone = "" // a blank and a dash are the same, and neither is a zone
-		}
-		if err != nil || id != "m-000001" || fmt.Sprint(got) != fmt.Sprint(m) {
-			t.Errorf("%q: %v, %v, want %v", line, err, got, m)
-		}
-	}
-	for _, bad := range []string{"", "m-1", "x a b c 1 1 -", "m-1 a b c ? 1 -", "m-1 a b c 1 1+x -", "m-1 %zz b c 1 1 -",
-		"m-1 a b c 1 1 - j-1.1", "m-1 a b c 1 1 - j-1.x.0", "m-1 a b c 1 1 - j-1.1.", "m-1 a b c 1 1 - j-1.1.5-2"} {
-		if _, _, err := parseMachineLine(bad); err == nil {
-			t.Errorf("%q was taken", bad)
-		}
-	}
-}
-
-// encodeTestShard writes a page of machines "m-<n>", each with a task of a job if given.
-func encodeTestShard(owner Incarnation, epoch ShardEpoch, completed map[protocol.JobID]TaskSet, machines ...string) []byte {
+// encodeTestShard encodes a shard of machines "m-<n>"; "m-<n>/<job>" has a task of the job.
+func encodeTestShard(
+	owner Incarnation,
+	epoch ShardEpoch,
+	completed map[protocol.JobID]TaskSet,
+	machines ...string,
+) []byte {
 	var lines []string
 	for _, machine := range machines {
 		id, job, hasJob := strings.Cut(machine, "/")
@@ -47,8 +26,8 @@
 	return EncodePlainShard(owner, epoch, lines, completed)
 }
 
-// The indexes follow whatever happens to pages: machines that move, are taken
-// over or leave, and tasks that are done.
+// The indexes follow whatever happens to shards: machines that pass to another shard, get
+// another owner or are removed, and tasks that complete.
 func TestReplicaShards(t *testing.T) {
 	replica := NewReplica()
 	changes := 0
@@ -59,35 +38,49 @@
 			t.Fatal(err)
 		}
 	}
+	const job = protocol.JobID("j-1")
 	shardA, shardB := ShardKey("a"), ShardKey("b")
-	put(JobKey("j-1"), []byte(`{"d":{"uid":"j-1","pieces":9},"v":"0"}`), 1)
-	put(shardA, encodeTestShard("x#1", 1, map[protocol.JobID]TaskSet{"j-1": TaskRange(2, 3)}, "m-1/j-1", "m-2"), 2)
-	put(shardB, encodeTestShard("y#1", 4, map[protocol.JobID]TaskSet{"j-1": TaskRange(5, 5)}, "m-3/j-1"), 3)
-	if len(replica.MachinesWithJob("j-1")) != 2 || replica.CompletedTasks("j-1").String() != "0,2-3,5" || len(replica.SortedMachines()) != 3 || changes != 3 {
-		t.Fatalf("on %v, done %s, %v, %d changes", replica.MachinesWithJob("j-1"), replica.CompletedTasks("j-1"), len(replica.SortedMachines()), changes)
+	completedA := map[protocol.JobID]TaskSet{job: TaskRange(2, 3)}
+	completedB := map[protocol.JobID]TaskSet{job: TaskRange(5, 5)}
+	put(JobKey(job), []byte(`{"d":{"uid":"j-1","pieces":9},"v":"0"}`), 1)
+	put(shardA, encodeTestShard("x#1", 1, completedA, "m-1/j-1", "m-2"), 2)
+	put(shardB, encodeTestShard("y#1", 4, completedB, "m-3/j-1"), 3)
+	onMachines, completed := replica.MachinesWithJob(job), replica.CompletedTasks(job).String()
+	if machines := len(replica.SortedMachines()); len(onMachines) != 2 || completed != "0,2-3,5" || machines != 3 || changes != 3 {
+		t.Fatalf("on %v, completed %s, %v machines, %d changes", onMachines, completed, machines, changes)
 	}
-	// A takeover changes owner and token of all, and reads no machine again.
-	put(shardA, encodeTestShard("y#1", 2, map[protocol.JobID]TaskSet{"j-1": TaskRange(2, 3)}, "m-1/j-1", "m-2"), 4)
-	if record := replica.Machines["m-2"].Record; record.Owner != "y#1" || record.FencingToken != ShardEpoch(2).FencingToken(0) || changes != 3 {
-		t.Errorf("after the takeover %+v, %d changes", record, changes)
+
+	// A failover changes owner and token of all machines, and parses none of them again.
+	put(shardA, encodeTestShard("y#1", 2, completedA, "m-1/j-1", "m-2"), 4)
+	record := replica.Machines["m-2"].Record
+	if record.Owner != "y#1" || record.FencingToken != ShardEpoch(2).FencingToken(0) || changes != 3 {
+		t.Errorf("after the failover %+v, %d changes", record, changes)
 	}
-	// m-1 moves, in either order of the two keys; m-2 leaves.
+
+	// m-1 passes from one shard to the other, in either order of the two keys; m-2 is removed.
 	put(shardA, encodeTestShard("y#1", 2, nil), 5)
 	put(shardB, encodeTestShard("y#1", 4, nil, "m-3/j-1", "m-1/j-1"), 5)
-	if removed := replica.PopRemovedMachines(); len(removed) != 1 || removed[0] != "m-2" || replica.Machines["m-1"].Record.Shard != "b" || len(replica.MachinesWithJob("j-1")) != 2 {
-		t.Errorf("lost %v, m-1 on %q, on %v", removed, replica.Machines["m-1"].Record.Shard, replica.MachinesWithJob("j-1"))
+	removed, shard := replica.PopRemovedMachines(), replica.Machines["m-1"].Record.Shard
+	onMachines = replica.MachinesWithJob(job)
+	if len(removed) != 1 || removed[0] != "m-2" || shard != "b" || len(onMachines) != 2 {
+		t.Errorf("removed %v, m-1 on %q, on %v", removed, shard, onMachines)
 	}
-	if replica.CompletedTasks("j-1").String() != "0" {
-		t.Errorf("done %s after the pages dropped it", replica.CompletedTasks("j-1"))
+	if completed := replica.CompletedTasks(job).String(); completed != "0" {
+		t.Errorf("completed %s after the shards dropped it", completed)
 	}
-	// Changes that come late change nothing, deleted pages included.
+
+	// Changes that come late change nothing, those of deleted shards included.
 	replica.Delete(shardB, 7)
 	put(shardB, encodeTestShard("z#1", 9, nil, "m-9"), 6)
-	if len(replica.Machines) != 0 || len(replica.MachinesWithJob("j-1")) != 0 || replica.ModRevision(shardB) != 0 || len(replica.PopRemovedMachines()) != 2 {
-		t.Errorf("%v machines, on %v, stamp %d", len(replica.SortedMachines()), replica.MachinesWithJob("j-1"), replica.ModRevision(shardB))
+	onMachines, removed = replica.MachinesWithJob(job), replica.PopRemovedMachines()
+	revision := replica.ModRevision(shardB)
+	if len(replica.Machines) != 0 || len(onMachines) != 0 || revision != 0 || len(removed) != 2 {
+		t.Errorf("%v machines, on %v, revision %d, removed %v", len(replica.SortedMachines()), onMachines, revision, removed)
 	}
-	// A page that cannot be read is not taken in part.
-	if _, err := replica.Put(ShardKey("c"), []byte(`{"o":"x#1","b":1,"m":["m-5 a b c 1 1 -","nonsense"]}`), 9); err == nil || len(replica.Machines) != 0 {
+
+	// A shard with a malformed machine is rejected as a whole.
+	malformed := []byte(`{"o":"x#1","b":1,"m":["m-5 a b c 1 1 -","nonsense"]}`)
+	if _, err := replica.Put(ShardKey("c"), malformed, 9); err == nil || len(replica.Machines) != 0 {
 		t.Errorf("err %v, machines %v", err, len(replica.SortedMachines()))
 	}
 }
--- a/internal/storage/taskset_test.go
+++ b/internal/storage/taskset_test.go
@@ -1,50 +1,68 @@
 package storage
 
 import (
+	"errors"
 	"math/rand/v2"
 	"testing"
 )
 
-// Sets of task numbers must agree with plain maps whatever is done to them.
+// Task sets must agree with plain maps whatever is done to them.
 func TestTaskSetAgainstMap(t *testing.T) {
+	const indexes = 60
 	rng := rand.New(rand.NewPCG(1, 2))
-	var r TaskSet
+	var set TaskSet
 	want := map[int]bool{}
-	for i := 0; i < 3000; i++ {
-		n := rng.IntN(60)
+	for step := range 3000 {
+		n := rng.IntN(indexes)
 		if rng.IntN(2) == 0 {
-			r = r.Add(n)
+			set = set.Add(n)
 			want[n] = true
 		} else {
-			r = r.Remove(n)
+			set = set.Remove(n)
 			delete(want, n)
 		}
 		var back TaskSet
-		if err := back.UnmarshalText([]byte(r.String())); err != nil {
+		if err := back.UnmarshalText([]byte(set.String())); err != nil {
 			t.Fatal(err)
 		}
-		if r.Len() != len(want) || back.Len() != len(want) {
-			t.Fatalf("step %d: %s has %d, want %d", i, r, r.Len(), len(want))
+		if set.Len() != len(want) || back.Len() != len(want) {
+			t.Fatalf("step %d: %s has %d, want %d", step, set, set.Len(), len(want))
 		}
-		for n := 0; n < 60; n++ {
+		for n := range indexes {
 			if back.Has(n) != want[n] {
-				t.Fatalf("step %d: %s, %d is %v", i, r, n, back.Has(n))
+				t.Fatalf("step %d: %s, %d is %v", step, set, n, back.Has(n))
 			}
 		}
-		if g := len(r.FirstMissing(60, 60)); g != 60-len(want) {
-			t.Fatalf("%s has %d gaps", r, g)
+		if missing := len(set.FirstMissing(indexes, indexes)); missing != indexes-len(want) {
+			t.Fatalf("%s lacks %d indexes", set, missing)
 		}
 	}
 }
 
 func TestTaskSetText(t *testing.T) {
-	for _, c := range []struct {
-		in string
-		ok bool
-	}{{"", true}, {"0", true}, {"0-5,7", true}, {"5-3", false}, {"7,7", false}, {"-1", false}, {"x", false}, {"1,", false}} {
-		var r TaskSet
-		if err := r.UnmarshalText([]byte(c.in)); (err == nil) != c.ok {
-			t.Errorf("%q: %v", c.in, err)
-		}
+	for _, test := range []struct {
+		name  string
+		text  string
+		valid bool
+	}{
+		{"empty", "", true},
+		{"one index", "0", true},
+		{"interval and index", "0-5,7", true},
+		{"reversed interval", "5-3", false},
+		{"repeated index", "7,7", false},
+		{"negative index", "-1", false},
+		{"no number", "x", false},
+		{"trailing comma", "1,", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var set TaskSet
+			err := set.UnmarshalText([]byte(test.text))
+			if (err == nil) != test.valid {
+				t.Errorf("%q: %v", test.text, err)
+			}
+			if err != nil && !errors.Is(err, errMalformedTaskSet) {
+				t.Errorf("%q: %v has no cause", test.text, err)
+			}
+		})
 	}
 }
