--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -101,7 +101,8 @@
 		cause    error  // found by errors.Is, if any
 		text     string // part of the text
 	}{
-		{"commit never sent", commit, fakeCaller{err: transport.ErrNotSent}, "/multi", 0, transport.ErrNotSent, "POST /multi: not sent"},
+		{"commit never sent", commit, fakeCaller{err: transport.ErrNotSent}, "/multi", 0, transport.ErrNotSent,
+			"POST /multi: not sent"},
 		{"commit without response", commit, fakeCaller{err: timeout}, "/multi", 0, timeout, "time out"},
 		{"commit unavailable", commit, fakeCaller{503, ``, nil}, "/multi", 503, nil, "POST /multi: status 503"},
 		{"commit rejected", commit, fakeCaller{400, `{"error":"too large"}`, nil}, "/multi", 400, nil, "status 400: too large"},
@@ -109,7 +110,8 @@
 		{"commit without revision", commit, fakeCaller{200, `{}`, nil}, "/multi", 200, errMalformedResponse, "malformed"},
 		{"commit that is not JSON", commit, fakeCaller{200, `<html>`, nil}, "/multi", 200, nil, "invalid character"},
 		{"commit with server error", commit, fakeCaller{500, `{}`, nil}, "/multi", 500, nil, "status 500"},
-		{"revision with server error", revision, fakeCaller{500, ``, nil}, "/keys/t/rev", 500, nil, "GET /keys/t/rev: status 500"},
+		{"revision with server error", revision, fakeCaller{500, ``, nil}, "/keys/t/rev", 500, nil,
+			"GET /keys/t/rev: status 500"},
 		{"revision that is not JSON", revision, fakeCaller{404, `x`, nil}, "/keys/t/rev", 404, nil, "invalid character"},
 		{"lease without an identifier", grant, fakeCaller{200, `{}`, nil}, "/holds", 200, errMalformedResponse, "POST /holds"},
 		{"lease not renewed", renew, fakeCaller{404, ``, nil}, "/holds/7", 404, ErrLeaseExpired, "lease has ended"},
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -57,7 +57,7 @@
 		t.Errorf("after the failover %+v, %d changes", record, changes)
 	}
 
-	// m-1 passes from one shard to the other, in either order of the two keys; m-2 is removed.
+	// m-1 passes from one shard to the other; m-2 is removed.
 	put(shardA, encodeTestShard("y#1", 2, nil), 5)
 	put(shardB, encodeTestShard("y#1", 4, nil, "m-3/j-1", "m-1/j-1"), 5)
 	removed, shard := replica.PopRemovedMachines(), replica.Machines["m-1"].Record.Shard
@@ -84,3 +84,46 @@
 		t.Errorf("err %v, machines %v", err, len(replica.SortedMachines()))
 	}
 }
+
+// A machine that is on a newer shard stays there when an older change of its former one comes
+// late, and is not among the removed ones.
+func TestReplicaLateShard(t *testing.T) {
+	replica := NewReplica()
+	for _, change := range []struct {
+		shard    ShardID
+		revision protocol.ModRevision
+		machines []string
+	}{
+		{"a", 2, []string{"m-1", "m-2"}},
+		{"b", 6, []string{"m-1"}},
+		{"a", 5, []string{"m-1", "m-2"}},
+		{"a", 7, []string{"m-2"}},
+	} {
+		data := encodeTestShard("x#1", 1, nil, change.machines...)
+		if _, err := replica.Put(ShardKey(change.shard), data, change.revision); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if shard := replica.Machines["m-1"].Record.Shard; shard != "b" {
+		t.Errorf("m-1 is on %q", shard)
+	}
+	if removed := replica.PopRemovedMachines(); len(removed) != 0 {
+		t.Errorf("removed %v", removed)
+	}
+}
+
+// The completed tasks that only a shard lists go with the shard.
+func TestReplicaCompletedTasksOfDeletedShard(t *testing.T) {
+	replica := NewReplica()
+	completed := map[protocol.JobID]TaskSet{"j-1": TaskRange(2, 3)}
+	if _, err := replica.Put(ShardKey("a"), encodeTestShard("x#1", 1, completed, "m-1"), 2); err != nil {
+		t.Fatal(err)
+	}
+	if got := replica.CompletedTasks("j-1").String(); got != "2-3" {
+		t.Errorf("completed %q", got)
+	}
+	replica.Delete(ShardKey("a"), 3)
+	if got := replica.CompletedTasks("j-1").String(); got != "" {
+		t.Errorf("completed %q after the shard was deleted", got)
+	}
+}
