--- a/internal/sharding/failover_test.go
+++ b/internal/sharding/failover_test.go
@@ -10,27 +10,30 @@
 
 func TestIsFailoverDue(t *testing.T) {
 	for _, test := range []struct {
-		dead           time.Duration
-		heir, reported bool
-		want           bool
+		name                      string
+		expiredFor                time.Duration
+		isSuccessor, hasHeartbeat bool
+		want                      bool
 	}{
-		{900 * time.Millisecond, true, true, false},
-		{1100 * time.Millisecond, true, true, true},
-		{1100 * time.Millisecond, true, false, false},
-		{1500 * time.Millisecond, true, false, true},
-		{3900 * time.Millisecond, false, true, false},
-		{4100 * time.Millisecond, false, true, true},
-		{14 * time.Second, false, false, false},
-		{16 * time.Second, false, false, true},
+		{"successor with heartbeat, too early", 900 * time.Millisecond, true, true, false},
+		{"successor with heartbeat", 1100 * time.Millisecond, true, true, true},
+		{"successor, too early", 1100 * time.Millisecond, true, false, false},
+		{"successor", 1500 * time.Millisecond, true, false, true},
+		{"other with heartbeat, too early", 3900 * time.Millisecond, false, true, false},
+		{"other with heartbeat", 4100 * time.Millisecond, false, true, true},
+		{"other, too early", 14 * time.Second, false, false, false},
+		{"other", 16 * time.Second, false, false, true},
 	} {
-		if got := IsFailoverDue(test.dead, test.heir, test.reported); got != test.want {
-			t.Errorf("%+v: %v", test, got)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := IsFailoverDue(test.expiredFor, test.isSuccessor, test.hasHeartbeat); got != test.want {
+				t.Errorf("%+v: %v", test, got)
+			}
+		})
 	}
 }
 
-// A dead controller's keys are spread over the living ones, and those of the living stay
-// where they are.
+// A dead controller's keys are spread over the live ones, and those of the live ones keep
+// their successor.
 func TestSuccessor(t *testing.T) {
 	all := []protocol.ControllerID{"a", "b", "c", "d"}
 	inherited := map[protocol.ControllerID]int{}
@@ -50,17 +53,26 @@
 		}
 	}
 	if Successor(nil, "k") != "" {
-		t.Error("nobody lives, and somebody inherits")
+		t.Error("a successor although no controller is alive")
 	}
 }
 
 func TestShouldHandOffShard(t *testing.T) {
 	for _, test := range []struct {
-		machines, elsewhere, talking int
-		want                         bool
-	}{{10, 6, 0, true}, {10, 5, 0, false}, {10, 6, 3, false}, {2, 2, 0, false}, {3, 3, 1, true}} {
-		if got := ShouldHandOffShard(test.machines, test.elsewhere, test.talking); got != test.want {
-			t.Errorf("%+v: %v", test, got)
-		}
+		name                                string
+		machines, misdirected, heartbeating int
+		want                                bool
+	}{
+		{"most are misdirected", 10, 6, 0, true},
+		{"half are misdirected", 10, 5, 0, false},
+		{"too many still reach the owner", 10, 6, 3, false},
+		{"too few machines", 2, 2, 0, false},
+		{"few machines, one reaches the owner", 3, 3, 1, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := ShouldHandOffShard(test.machines, test.misdirected, test.heartbeating); got != test.want {
+				t.Errorf("%+v: %v", test, got)
+			}
+		})
 	}
 }
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -10,48 +10,48 @@
 // Controller is a controller as the planner sees it.
 type Controller struct {
 	Incarnation storage.Incarnation
-	// It may be given machines: its workers and the state service reach it, and it keeps
-	// up with its work.
-	Eligible bool
-	// It falls behind: whatever it has is better off elsewhere.
-	Overloaded bool
-	// An operator has it drained: it gives all it has, and gets none.
-	Draining    bool
-	DemandCores float64 // cores that the unfinished jobs it has claimed ask for
+	Eligible    bool    // may get shards: its agents and the store reach it, and it keeps up with its work
+	Overloaded  bool    // falls behind with its work: all it has is better off elsewhere
+	Draining    bool    // drained by an operator: transfers all it has, and gets nothing
+	DemandCores float64 // cores that its unfinished jobs ask for
 }
 
-// Shard is a page of machines as the planner sees it.
+// Shard is a shard of machines as the planner sees it.
 type Shard struct {
 	ID           storage.ShardID
-	Owner        storage.Incarnation // for a page on its way, the one that it goes to
+	Owner        storage.Incarnation // of a shard in transfer: the target
 	Load         float64
-	TransferCost float64 // what a move would hold up
-	Pinned       bool    // it stays: it is on its way, or a gang is about to be placed there
+	TransferCost float64 // what a transfer would hold up
+	Pinned       bool    // not to be transferred: it is in transfer, or a gang is about to be placed on it
 }
 
-// Snapshot is what a plan rests on.
+// Snapshot is what a plan is based on.
 type Snapshot struct {
-	Self              storage.Incarnation
+	Self              storage.Incarnation // who plans
 	Controllers       []Controller
 	Shards            []Shard
-	IncomingTransfers map[storage.Incarnation]int // open moves to each controller
+	IncomingTransfers map[storage.Incarnation]int // open transfers to each controller
 }
 
 // RebalancePolicy bounds what is planned.
 type RebalancePolicy struct {
 	MaxTransfers         int     // of one plan
-	MaxIncomingTransfers int     // open moves to one controller
-	DemandWeight         float64 // part of the share that follows demand; the rest is even
+	MaxIncomingTransfers int     // open transfers to one controller
+	DemandWeight         float64 // part of the fair share that follows demand, 0 to 1; the rest is even
 }
 
-// Transfer is a page that is to go from its owner to another controller.
+// maxTargetLoadRatio is the relative load that a target must lie below to get a shard, as a
+// part of the source's: small differences cause no transfers.
+const maxTargetLoadRatio = 0.75
+
+// Transfer is a shard that is to pass from its owner to another controller.
 type Transfer struct {
 	Shard  storage.ShardID
 	Source storage.Incarnation
 	Target storage.Incarnation
 }
 
-// controllerLoad is a controller's part of the load, and what it should be.
+// controllerLoad is what a controller has of the load, and what it should have.
 type controllerLoad struct {
 	Controller
 	current           float64
@@ -59,17 +59,18 @@
 	incomingTransfers int
 }
 
-// isEvacuating tells whether whatever the controller has is better off elsewhere.
+// isEvacuating tells whether all that the controller has is better off elsewhere.
 func (l *controllerLoad) isEvacuating() bool { return l.Overloaded || l.Draining }
 
-// relativeLoad is the load by what is wanted: the same for all in a balanced fleet.
+// relativeLoad is the load by the fair share: the same for all controllers of a balanced fleet.
 func (l *controllerLoad) relativeLoad() float64 { return l.current / l.fairShare }
 
-// PlanRebalance lists the moves that the snapshot's controller, as a giver, should begin. Every
-// controller plans for itself from the same records. A move must lower the level of the
-// giver below what it was and leave the taker under that, so that the sorted levels fall
-// with every move and a sequence of moves ends. A taker must lie a quarter below the
-// giver to begin with, so that small differences move nothing.
+// PlanRebalance lists the transfers that the snapshot's controller should begin as their
+// source. Every controller plans for itself from the same records.
+//
+// A transfer leaves both the source's and the target's relative load below what the source's
+// was, so that the sorted relative loads fall with every transfer and any sequence of
+// transfers ends. An evacuating source is the exception; it gets nothing back.
 func PlanRebalance(snapshot Snapshot, policy RebalancePolicy) []Transfer {
 	loads := computeLoads(snapshot, policy)
 	source := loads[snapshot.Self]
@@ -83,7 +84,9 @@
 		if target == nil {
 			break
 		}
-		i := slices.IndexFunc(transferable, func(shard Shard) bool { return improvesBalance(source, target, shard.Load) })
+		i := slices.IndexFunc(transferable, func(shard Shard) bool {
+			return improvesBalance(source, target, shard.Load)
+		})
 		if i < 0 {
 			break
 		}
@@ -92,26 +95,34 @@
 		source.current -= shard.Load
 		target.current += shard.Load
 		target.incomingTransfers++
-		transfers = append(transfers, Transfer{Shard: shard.ID, Source: source.Incarnation, Target: target.Incarnation})
+		transfers = append(transfers, Transfer{
+			Shard:  shard.ID,
+			Source: source.Incarnation,
+			Target: target.Incarnation,
+		})
 	}
 	return transfers
 }
 
-// computeLoads sums up what each controller has and should have.
+// computeLoads sums up the load that each controller has, and its fair share.
 func computeLoads(snapshot Snapshot, policy RebalancePolicy) map[storage.Incarnation]*controllerLoad {
 	loads := map[storage.Incarnation]*controllerLoad{}
 	demand, remaining := 0.0, 0
 	for _, controller := range snapshot.Controllers {
-		loads[controller.Incarnation] = &controllerLoad{Controller: controller, incomingTransfers: snapshot.IncomingTransfers[controller.Incarnation]}
+		loads[controller.Incarnation] = &controllerLoad{
+			Controller:        controller,
+			incomingTransfers: snapshot.IncomingTransfers[controller.Incarnation],
+		}
 		demand += controller.DemandCores
 		if !controller.Draining {
 			remaining++
 		}
 	}
+	evenShare := 1 / float64(max(remaining, 1))
 	for _, load := range loads {
-		load.fairShare = 1 / float64(max(remaining, 1))
+		load.fairShare = evenShare
 		if demand > 0 {
-			load.fairShare = (1-policy.DemandWeight)*load.fairShare + policy.DemandWeight*load.DemandCores/demand
+			load.fairShare = (1-policy.DemandWeight)*evenShare + policy.DemandWeight*load.DemandCores/demand
 		}
 	}
 	for _, shard := range snapshot.Shards {
@@ -122,7 +133,8 @@
 	return loads
 }
 
-// transferableShards lists the pages that the snapshot's controller may give, cheapest first.
+// transferableShards lists the shards that the snapshot's controller may transfer, cheapest
+// first. Among equal ones the order depends on the IDs only, not on that of the snapshot.
 func transferableShards(snapshot Snapshot) []Shard {
 	var transferable []Shard
 	for _, shard := range snapshot.Shards {
@@ -131,29 +143,51 @@
 		}
 	}
 	slices.SortFunc(transferable, func(a, b Shard) int {
-		return cmp.Or(cmp.Compare(a.TransferCost, b.TransferCost), cmp.Compare(RendezvousWeight(string(a.ID), ""), RendezvousWeight(string(b.ID), "")), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(
+			cmp.Compare(a.TransferCost, b.TransferCost),
+			cmp.Compare(RendezvousWeight(string(a.ID), ""), RendezvousWeight(string(b.ID), "")),
+			cmp.Compare(a.ID, b.ID),
+		)
 	})
 	return transferable
 }
 
-// selectTarget is the controller that should be given a page, if there is one.
-func selectTarget(loads map[storage.Incarnation]*controllerLoad, source *controllerLoad, maxIncoming int) *controllerLoad {
+// selectTarget is the controller of lowest relative load that may get a shard from the source,
+// or nil.
+func selectTarget(
+	loads map[storage.Incarnation]*controllerLoad,
+	source *controllerLoad,
+	maxIncoming int,
+) *controllerLoad {
 	var best *controllerLoad
 	for _, load := range loads {
-		if load == source || !load.Eligible || load.isEvacuating() || load.incomingTransfers >= maxIncoming || load.fairShare <= 0 {
+		if load == source || !load.mayReceive(maxIncoming) {
 			continue
 		}
-		if !source.isEvacuating() && 4*load.relativeLoad() >= 3*source.relativeLoad() {
+		if !source.isEvacuating() && load.relativeLoad() >= maxTargetLoadRatio*source.relativeLoad() {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(load.relativeLoad(), best.relativeLoad()), cmp.Compare(load.Incarnation, best.Incarnation)) < 0 {
+		if best == nil || load.precedes(best) {
 			best = load
 		}
 	}
 	return best
 }
 
-// improvesBalance tells whether the levels of both are better off with a move.
+// mayReceive tells whether the controller may get another shard, whatever the loads.
+func (l *controllerLoad) mayReceive(maxIncoming int) bool {
+	return l.Eligible && !l.isEvacuating() && l.incomingTransfers < maxIncoming && l.fairShare > 0
+}
+
+// precedes orders targets: by relative load, then by name.
+func (l *controllerLoad) precedes(other *controllerLoad) bool {
+	return cmp.Or(
+		cmp.Compare(l.relativeLoad(), other.relativeLoad()),
+		cmp.Compare(l.Incarnation, other.Incarnation),
+	) < 0
+}
+
+// improvesBalance tells whether a transfer leaves the target's relative load below the source's.
 func improvesBalance(source, target *controllerLoad, shardLoad float64) bool {
 	return source.isEvacuating() || (target.current+shardLoad)/target.fairShare < source.relativeLoad()
 }
--- a/internal/sharding/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -20,63 +20,90 @@
 }
 
 func TestPlanRebalance(t *testing.T) {
-	a, b, c := Controller{Incarnation: "a#1", Eligible: true}, Controller{Incarnation: "b#1", Eligible: true}, Controller{Incarnation: "c#1", Eligible: true}
-	overloaded := Controller{Incarnation: "a#1", Overloaded: true}
-	ineligible := Controller{Incarnation: "b#1"}
-	demanding := Controller{Incarnation: "b#1", Eligible: true, DemandCores: 100}
+	a := Controller{Incarnation: "a#1", Eligible: true}
+	b := Controller{Incarnation: "b#1", Eligible: true}
+	c := Controller{Incarnation: "c#1", Eligible: true}
+	overloadedA := Controller{Incarnation: "a#1", Overloaded: true}
+	drainingA := Controller{Incarnation: "a#1", Draining: true}
+	ineligibleB := Controller{Incarnation: "b#1"}
+	drainingB := Controller{Incarnation: "b#1", Eligible: true, Draining: true}
+	demandingB := Controller{Incarnation: "b#1", Eligible: true, DemandCores: 100}
+	shards := func(ofA, ofB int) []Shard { return append(shardsOf("a#1", ofA), shardsOf("b#1", ofB)...) }
+	byDemand := RebalancePolicy{MaxTransfers: 1, MaxIncomingTransfers: 2, DemandWeight: 0.5}
 	for _, test := range []struct {
 		name        string
 		controllers []Controller
-		pages       []Shard
-		arriving    map[storage.Incarnation]int
+		shards      []Shard
+		incoming    map[storage.Incarnation]int
 		policy      RebalancePolicy
-		to          storage.Incarnation // empty: nothing moves
+		target      storage.Incarnation // empty: no transfer
 	}{
-		{"far fewer", []Controller{a, b}, append(shardsOf("a#1", 8), shardsOf("b#1", 4)...), nil, testPolicy, "b#1"},
-		{"a little fewer", []Controller{a, b}, append(shardsOf("a#1", 8), shardsOf("b#1", 6)...), nil, testPolicy, ""},
-		{"one more is no reason", []Controller{a, b}, append(shardsOf("a#1", 2), shardsOf("b#1", 1)...), nil, testPolicy, ""},
-		{"the one with fewest", []Controller{a, b, c}, append(shardsOf("a#1", 8), shardsOf("b#1", 2)...), nil, testPolicy, "c#1"},
-		{"an unfit one gets none", []Controller{a, ineligible}, shardsOf("a#1", 8), nil, testPolicy, ""},
-		{"enough on their way", []Controller{a, b}, shardsOf("a#1", 8), map[storage.Incarnation]int{"b#1": 2}, testPolicy, ""},
-		{"a strained one gives its last", []Controller{overloaded, b}, append(shardsOf("a#1", 1), shardsOf("b#1", 6)...), nil, testPolicy, "b#1"},
-		{"a drained one gives its last", []Controller{{Incarnation: "a#1", Draining: true}, b}, append(shardsOf("a#1", 1), shardsOf("b#1", 6)...), nil, testPolicy, "b#1"},
-		{"a drained one gets none", []Controller{a, {Incarnation: "b#1", Eligible: true, Draining: true}}, shardsOf("a#1", 8), nil, testPolicy, ""},
-		{"nothing to give", []Controller{a, b}, shardsOf("b#1", 6), nil, testPolicy, ""},
-		{"fixed pages stay", []Controller{a, b}, []Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, ""},
-		{"demand draws machines", []Controller{a, demanding}, append(shardsOf("a#1", 6), shardsOf("b#1", 6)...), nil,
-			RebalancePolicy{MaxTransfers: 1, MaxIncomingTransfers: 2, DemandWeight: 0.5}, "b#1"},
-		{"demand that is not looked at", []Controller{a, demanding}, append(shardsOf("a#1", 6), shardsOf("b#1", 6)...), nil, testPolicy, ""},
+		{"target has far fewer", []Controller{a, b}, shards(8, 4), nil, testPolicy, "b#1"},
+		{"target has a little fewer", []Controller{a, b}, shards(8, 6), nil, testPolicy, ""},
+		{"difference of one shard", []Controller{a, b}, shards(2, 1), nil, testPolicy, ""},
+		{"target with the fewest", []Controller{a, b, c}, shards(8, 2), nil, testPolicy, "c#1"},
+		{"ineligible target", []Controller{a, ineligibleB}, shards(8, 0), nil, testPolicy, ""},
+		{"enough incoming transfers", []Controller{a, b}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, ""},
+		{"overloaded source transfers its last", []Controller{overloadedA, b}, shards(1, 6), nil, testPolicy, "b#1"},
+		{"draining source transfers its last", []Controller{drainingA, b}, shards(1, 6), nil, testPolicy, "b#1"},
+		{"draining target", []Controller{a, drainingB}, shards(8, 0), nil, testPolicy, ""},
+		{"nothing to transfer", []Controller{a, b}, shards(0, 6), nil, testPolicy, ""},
+		{"pinned shard", []Controller{a, b}, []Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, ""},
+		{"demand attracts machines", []Controller{a, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
+		{"demand without weight", []Controller{a, demandingB}, shards(6, 6), nil, testPolicy, ""},
 	} {
-		transfers := PlanRebalance(Snapshot{Self: "a#1", Controllers: test.controllers, Shards: test.pages, IncomingTransfers: test.arriving}, test.policy)
-		if test.to == "" && len(transfers) != 0 || test.to != "" && (len(transfers) != 1 || transfers[0].Target != test.to || transfers[0].Source != "a#1") {
-			t.Errorf("%s: %v", test.name, transfers)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			transfers := PlanRebalance(Snapshot{
+				Self:              "a#1",
+				Controllers:       test.controllers,
+				Shards:            test.shards,
+				IncomingTransfers: test.incoming,
+			}, test.policy)
+			if test.target == "" {
+				if len(transfers) != 0 {
+					t.Errorf("transfers %v", transfers)
+				}
+				return
+			}
+			if len(transfers) != 1 || transfers[0].Target != test.target || transfers[0].Source != "a#1" {
+				t.Errorf("transfers %v, want one to %s", transfers, test.target)
+			}
+		})
 	}
 }
 
-// The cheapest page goes first.
+// The cheapest shard is transferred first.
 func TestPlanRebalancePicksCheapestShard(t *testing.T) {
 	shards := shardsOf("a#1", 6)
 	for i := range shards {
 		shards[i].TransferCost = float64((i + 3) % 6)
 	}
-	s := Snapshot{Self: "a#1", Controllers: []Controller{{Incarnation: "a#1", Eligible: true}, {Incarnation: "b#1", Eligible: true}}, Shards: shards}
-	if transfers := PlanRebalance(s, testPolicy); len(transfers) != 1 || transfers[0].Shard != shards[3].ID {
+	snapshot := Snapshot{
+		Self:        "a#1",
+		Controllers: []Controller{{Incarnation: "a#1", Eligible: true}, {Incarnation: "b#1", Eligible: true}},
+		Shards:      shards,
+	}
+	if transfers := PlanRebalance(snapshot, testPolicy); len(transfers) != 1 || transfers[0].Shard != shards[3].ID {
 		t.Errorf("%v of %v", transfers, shards)
 	}
 }
 
-// Controllers that plan from the same snapshot, all in the same instant, come to rest: no
-// page moves back and forth, whatever the demand, and nobody is given what it may not have.
+// Controllers that plan from the same snapshot, all in the same instant or one after the other,
+// reach a state without transfers: no shard passes back and forth, whatever the demand, and no
+// controller gets what it may not have.
 func TestRebalanceConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
-		policy := RebalancePolicy{MaxTransfers: rapid.IntRange(1, 3).Draw(t, "most"), MaxIncomingTransfers: 2, DemandWeight: rapid.Float64Range(0, 0.9).Draw(t, "by demand")}
+		policy := RebalancePolicy{
+			MaxTransfers:         rapid.IntRange(1, 3).Draw(t, "transfers of a plan"),
+			MaxIncomingTransfers: 2,
+			DemandWeight:         rapid.Float64Range(0, 0.9).Draw(t, "demand weight"),
+		}
 		oneAtATime := rapid.Bool().Draw(t, "one after the other")
 		rounds := 4*len(snapshot.Shards) + 4
 		for round := 0; ; round++ {
 			if round == rounds {
-				t.Fatalf("still moving behind %d rounds: %+v", round, snapshot)
+				t.Fatalf("still transfers after %d rounds: %+v", round, snapshot)
 			}
 			var transfers []Transfer
 			for _, c := range snapshot.Controllers {
@@ -91,64 +118,83 @@
 			}
 			incoming := map[storage.Incarnation]int{}
 			for _, transfer := range transfers {
-				i := slices.IndexFunc(snapshot.Shards, func(p Shard) bool { return p.ID == transfer.Shard })
-				j := slices.IndexFunc(snapshot.Controllers, func(c Controller) bool { return c.Incarnation == transfer.Target })
+				shard := &snapshot.Shards[slices.IndexFunc(snapshot.Shards, func(shard Shard) bool {
+					return shard.ID == transfer.Shard
+				})]
+				target := snapshot.Controllers[slices.IndexFunc(snapshot.Controllers, func(c Controller) bool {
+					return c.Incarnation == transfer.Target
+				})]
 				incoming[transfer.Target]++
-				if snapshot.Shards[i].Owner != transfer.Source || snapshot.Shards[i].Pinned || !snapshot.Controllers[j].Eligible || snapshot.Controllers[j].Overloaded || snapshot.Controllers[j].Draining || transfer.Source == transfer.Target {
-					t.Fatalf("%+v must not move: %+v", transfer, snapshot)
+				if shard.Owner != transfer.Source || shard.Pinned || transfer.Source == transfer.Target ||
+					!target.Eligible || target.Overloaded || target.Draining {
+					t.Fatalf("%+v must not be planned: %+v", transfer, snapshot)
 				}
 				if incoming[transfer.Target] > policy.MaxIncomingTransfers {
-					continue // the stamps of the taker's slots let no more through
+					continue // the revisions of the target's slots let no more through
 				}
-				snapshot.Shards[i].Owner = transfer.Target
+				shard.Owner = transfer.Target
 			}
 		}
 	})
 }
 
 func drawSnapshot(t *rapid.T) Snapshot {
-	var s Snapshot
-	n := rapid.IntRange(1, 5).Draw(t, "controllers")
-	for i := range n {
-		c := Controller{Incarnation: storage.Incarnation(fmt.Sprintf("c%d#1", i)), DemandCores: rapid.Float64Range(0, 1000).Draw(t, "demand")}
+	var snapshot Snapshot
+	controllers := rapid.IntRange(1, 5).Draw(t, "controllers")
+	for i := range controllers {
+		controller := Controller{
+			Incarnation: storage.Incarnation(fmt.Sprintf("c%d#1", i)),
+			DemandCores: rapid.Float64Range(0, 1000).Draw(t, "demand"),
+		}
 		switch rapid.IntRange(0, 5).Draw(t, "state") {
-		case 0:
+		case 0: // not eligible
 		case 1:
-			c.Overloaded = true
+			controller.Overloaded = true
 		case 2:
-			c.Eligible, c.Draining = true, true
+			controller.Eligible, controller.Draining = true, true
 		default:
-			c.Eligible = true
+			controller.Eligible = true
 		}
-		s.Controllers = append(s.Controllers, c)
+		snapshot.Controllers = append(snapshot.Controllers, controller)
 	}
-	for i := range rapid.IntRange(0, 40).Draw(t, "pages") {
-		owner := s.Controllers[rapid.IntRange(0, n-1).Draw(t, "owner")].Incarnation
-		s.Shards = append(s.Shards, Shard{ID: storage.ShardID(fmt.Sprint(i)), Owner: owner, Load: 1, Pinned: rapid.IntRange(0, 9).Draw(t, "fixed") == 0})
+	for i := range rapid.IntRange(0, 40).Draw(t, "shards") {
+		owner := snapshot.Controllers[rapid.IntRange(0, controllers-1).Draw(t, "owner")].Incarnation
+		snapshot.Shards = append(snapshot.Shards, Shard{
+			ID:     storage.ShardID(fmt.Sprint(i)),
+			Owner:  owner,
+			Load:   1,
+			Pinned: rapid.IntRange(0, 9).Draw(t, "pinned") == 0,
+		})
 	}
-	return s
+	return snapshot
 }
 
 // The same snapshot gives the same plan, in whatever order it is listed.
 func TestPlanRebalanceIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := drawSnapshot(t)
-		s.Self = s.Controllers[0].Incarnation
+		snapshot := drawSnapshot(t)
+		snapshot.Self = snapshot.Controllers[0].Incarnation
 		policy := RebalancePolicy{MaxTransfers: 3, MaxIncomingTransfers: 2, DemandWeight: 0.5}
-		first := PlanRebalance(s, policy)
-		s.Shards = rapid.Permutation(s.Shards).Draw(t, "order")
-		s.Controllers = rapid.Permutation(s.Controllers).Draw(t, "controllers in order")
-		if second := PlanRebalance(s, policy); !slices.Equal(first, second) {
+		first := PlanRebalance(snapshot, policy)
+		snapshot.Shards = rapid.Permutation(snapshot.Shards).Draw(t, "order of shards")
+		snapshot.Controllers = rapid.Permutation(snapshot.Controllers).Draw(t, "order of controllers")
+		if second := PlanRebalance(snapshot, policy); !slices.Equal(first, second) {
 			t.Fatalf("%v, then %v", first, second)
 		}
 	})
 }
 
-// BenchmarkPlanRebalance is one plan over 4,000 machines on pages of 17.
+// BenchmarkPlanRebalance is one plan over 4,000 machines on shards of 17.
 func BenchmarkPlanRebalance(b *testing.B) {
-	s := Snapshot{Self: "a#1", Controllers: []Controller{{Incarnation: "a#1", Eligible: true}, {Incarnation: "b#1", Eligible: true}, {Incarnation: "c#1", Eligible: true}}}
-	s.Shards = append(append(shardsOf("a#1", 120), shardsOf("b#1", 80)...), shardsOf("c#1", 36)...)
+	snapshot := Snapshot{Self: "a#1"}
+	for _, owner := range []struct {
+		incarnation storage.Incarnation
+		shards      int
+	}{{"a#1", 120}, {"b#1", 80}, {"c#1", 36}} {
+		snapshot.Controllers = append(snapshot.Controllers, Controller{Incarnation: owner.incarnation, Eligible: true})
+		snapshot.Shards = append(snapshot.Shards, shardsOf(owner.incarnation, owner.shards)...)
+	}
 	for b.Loop() {
-		PlanRebalance(s, testPolicy)
+		PlanRebalance(snapshot, testPolicy)
 	}
 }
--- a/internal/sharding/transfer.go
+++ b/internal/sharding/transfer.go
@@ -6,36 +6,38 @@
 	"tillerarch/internal/storage"
 )
 
-// TransferStatus is a move on record as one controller sees it.
+// TransferStatus is a transfer on record as one controller sees it.
 type TransferStatus struct {
-	Transfer storage.TransferRecord
-	Self     storage.Incarnation
-	Owner    storage.Incarnation // of the page now; empty: there is no such page
-	// How long this controller has seen the move in its phase.
-	PhaseAge                 time.Duration
-	SourceAlive, TargetAlive bool
-	IsSuccessor              bool // the move falls to this controller if both ends are gone
-	Superseded               bool // an earlier move of the page is open
-	ReservedForGang          bool // machines of the page are kept for a gang
-	Quiesced                 bool // nothing that the giver has sent to the page's workers is on its way
-	TargetTokenObserved      bool // the page's workers have shown the taker's token
+	Transfer            storage.TransferRecord
+	Self                storage.Incarnation // who sees it
+	Owner               storage.Incarnation // of the shard now; empty: there is no such shard
+	PhaseAge            time.Duration       // since this controller first saw the transfer in its phase
+	SourceAlive         bool
+	TargetAlive         bool
+	IsSuccessor         bool // this controller acts if source and target are gone
+	Superseded          bool // an earlier transfer of the shard is open
+	ReservedForGang     bool // machines of the shard are reserved for a gang
+	Quiesced            bool // nothing that the source has sent to the shard's agents is in flight
+	TargetTokenObserved bool // the shard's agents have shown the target's fencing token
 }
 
-// TransferTimeouts bound how long a move may stay in a phase.
+// TransferTimeouts bound how long a transfer may stay in a phase.
 type TransferTimeouts struct {
-	GangPlacement    time.Duration // a proposal waits as long for a gang to be placed first
-	Proposal         time.Duration // a proposal that its giver does not take up is dropped
-	Quiesce          time.Duration // machines of a prepared page take no new task as long
-	TokenObservation time.Duration // and their workers are waited for as long behind the transfer
+	GangPlacement    time.Duration // how long a proposal waits for a gang to be placed first
+	Proposal         time.Duration // after it, a proposal that its source has not accepted is aborted
+	Quiesce          time.Duration // how long machines of a prepared shard get no new task
+	TokenObservation time.Duration // after the commit, how long agents may take to show the token
 }
 
-// TransferStep is what a controller has to write next for a move. Empty Phase: nothing.
+// TransferStep is what a controller has to write next for a transfer; nothing if Phase is
+// empty.
 type TransferStep struct {
 	Phase  storage.TransferPhase
 	Reason string // of an abort
 }
 
-// Reasons of aborted moves, as operators read them.
+// Reasons of transfers and of their aborts. They are stored and shown to operators, in the
+// words of the documentation: giver is the source, taker the target, page the shard.
 const (
 	ReasonShardGone             = "the page is gone"
 	ReasonOwnerChanged          = "the page has another owner"
@@ -52,8 +54,9 @@
 	ReasonMisdirectedHeartbeats = "the workers report there"
 )
 
-// NextStep tells what this controller has to write for an open move. Exactly one controller
-// acts while all see the same records; where they don't, the stamps decide.
+// NextStep tells what this controller has to write for an open transfer. Exactly one
+// controller acts while all see the same records; while they don't, the revisions that their
+// transactions are conditional on let one through.
 func NextStep(status TransferStatus, timeouts TransferTimeouts) TransferStep {
 	if !status.Transfer.Phase.IsOpen() || !isResponsible(status) {
 		return TransferStep{}
@@ -65,17 +68,19 @@
 		return TransferStep{storage.TransferAborted, reason}
 	}
 	if status.Self != status.Transfer.Source {
-		return TransferStep{} // the page's owner is dead: its heir takes the page over and ends the move
+		return TransferStep{} // the owner is dead: the shard's successor takes it over and ends the transfer
 	}
 	return stepBeforeCommit(status, timeouts)
 }
 
-// isResponsible tells whether it is for this controller to act: the giver until the
-// transfer, the taker behind it, and the heir of the move if that one is gone.
+// isResponsible tells whether it is for this controller to act: up to the commit the source,
+// behind it the target; the other one if that is gone, and the successor if both are.
 func isResponsible(status TransferStatus) bool {
-	primary, primaryAlive, fallback, fallbackAlive := status.Transfer.Source, status.SourceAlive, status.Transfer.Target, status.TargetAlive
+	primary, primaryAlive := status.Transfer.Source, status.SourceAlive
+	fallback, fallbackAlive := status.Transfer.Target, status.TargetAlive
 	if status.Transfer.Phase == storage.TransferCommitted {
-		primary, primaryAlive, fallback, fallbackAlive = fallback, fallbackAlive, primary, primaryAlive
+		primary, fallback = fallback, primary
+		primaryAlive, fallbackAlive = fallbackAlive, primaryAlive
 	}
 	switch {
 	case primaryAlive:
@@ -86,7 +91,7 @@
 	return status.IsSuccessor
 }
 
-// abortReason gives the reason why a move that is pending can't go on, if there is one.
+// abortReason is the reason why a pending transfer can't go on, if there is one.
 func abortReason(status TransferStatus) string {
 	switch {
 	case status.Owner == "":
@@ -103,7 +108,7 @@
 	return ""
 }
 
-// stepBeforeCommit is the giver's next step.
+// stepBeforeCommit is the source's next step for a transfer that can go on.
 func stepBeforeCommit(status TransferStatus, timeouts TransferTimeouts) TransferStep {
 	if status.Transfer.Phase == storage.TransferProposed {
 		switch {
@@ -123,10 +128,13 @@
 	return TransferStep{}
 }
 
-// stepAfterCommit closes a move once the workers know the taker, or the page has gone on to
-// somebody else.
+// stepAfterCommit closes a transfer once there is nothing left to wait for: the agents know
+// the target, or have had their time, or the target is dead or no longer the owner.
 func stepAfterCommit(status TransferStatus, timeouts TransferTimeouts) TransferStep {
-	if status.TargetTokenObserved || status.Owner != status.Transfer.Target || !status.TargetAlive || status.PhaseAge > timeouts.TokenObservation {
+	if status.TargetTokenObserved ||
+		status.Owner != status.Transfer.Target ||
+		!status.TargetAlive ||
+		status.PhaseAge > timeouts.TokenObservation {
 		return TransferStep{Phase: storage.TransferClosed}
 	}
 	return TransferStep{}
