--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -71,8 +71,8 @@
 		PlacementForecast:   fakePlan{},
 		Replication:         f.commit.Replication,
 		QuiesceChecker:      fakeTransfers{},
-		Commits:             f.commit.Commits,
-		Shards:              f.commit.Shards,
+		Committer:           f.commit.Committer,
+		ShardWriter:         f.commit.ShardWriter,
 		TerminationChecker:  f.termination,
 		ScaleInEvaluator:    fakeScaleIn{},
 	})
@@ -88,10 +88,10 @@
 	f.commit.Lease.TickLease()
 	f.commit.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: 7})
 	f.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	f.commit.Commits.ReadyForRecordBatch()
+	f.commit.Committer.ReadyForRecordBatch()
 	for _, effect := range f.Effects {
 		if transaction, ok := effect.(step.Commit); ok {
-			f.commit.Commits.OnCommitResult(step.CommitResult{
+			f.commit.Committer.OnCommitResult(step.CommitResult{
 				ID:      transaction.ID,
 				Outcome: storage.OutcomeApplied,
 				Result:  protocol.TransactionResult{Revision: 2},
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -49,11 +49,11 @@
 func (h *HeartbeatHandler) OnHeartbeat(input step.HeartbeatInput) {
 	heartbeat, err := protocol.ParseHeartbeat(input.Body)
 	if err != nil {
-		h.Reply(input.RequestID, http.StatusBadRequest, step.ErrorBody{Error: err.Error()})
+		h.Reply(input.RequestID, http.StatusBadRequest, step.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if !h.replication.IsLoaded() {
-		h.Reply(input.RequestID, http.StatusServiceUnavailable, step.ErrorBody{Error: "not ready"})
+		h.Reply(input.RequestID, http.StatusServiceUnavailable, step.ErrorResponse{Error: "not ready"})
 		return
 	}
 	entry := h.Replica.Machines[heartbeat.Machine]
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -58,8 +58,8 @@
 	PlacementForecast   PlacementForecast
 	Replication         *commit.Replication
 	QuiesceChecker      QuiesceChecker
-	Commits             *commit.Committer
-	Shards              *commit.ShardWriter
+	Committer           *commit.Committer
+	ShardWriter         *commit.ShardWriter
 	TerminationChecker  TerminationChecker
 	ScaleInEvaluator    ScaleInEvaluator
 }
@@ -75,11 +75,11 @@
 	p.Heartbeats.replication = d.Replication
 	p.Heartbeats.transfers = d.QuiesceChecker
 	p.Calls.lease = d.Lease
-	p.Reconciler.commits = d.Commits
+	p.Reconciler.commits = d.Committer
 	p.Reconciler.cancellations = d.CancellationChecker
-	p.Reconciler.shards = d.Shards
+	p.Reconciler.shards = d.ShardWriter
 	p.Reconciler.terminator = d.TerminationChecker
 	p.Stopper.cancellations = d.CancellationChecker
-	p.Monitor.shards = d.Shards
+	p.Monitor.shards = d.ShardWriter
 	p.Monitor.terminator = d.ScaleInEvaluator
 }
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -87,7 +87,7 @@
 // removeTerminated drops a machine from the records once the cloud has confirmed its termination:
 // only then are its tasks surely gone.
 func (r *Reconciler) removeTerminated(b *commit.Batch, id protocol.MachineID, record *storage.MachineRecord) {
-	if !r.terminator.IsTerminationConfirmed(id) || !b.HasCapacity(b.WritesNeeded(id)) {
+	if !r.terminator.IsTerminationConfirmed(id) || !b.HasCapacity(b.OpsNeeded(id)) {
 		return
 	}
 	b.RemoveMachine(id)
@@ -105,7 +105,7 @@
 // of an earlier epoch before it begins a new one.
 func (r *Reconciler) adoptAgentEpoch(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
 	isFirstEpoch := record.AgentEpoch == 0
-	if isFirstEpoch && len(record.Assignments) > 0 || !b.HasCapacity(b.WritesNeeded(m.ID)) {
+	if isFirstEpoch && len(record.Assignments) > 0 || !b.HasCapacity(b.OpsNeeded(m.ID)) {
 		return
 	}
 	heartbeat, updated := m.LatestHeartbeat, b.MutableMachine(m.ID)
@@ -119,7 +119,7 @@
 // requeueExpired takes all tasks back from a machine whose agent has killed them, as no response
 // renewed its lease.
 func (r *Reconciler) requeueExpired(b *commit.Batch, m *MachineState) {
-	if !b.HasCapacity(b.WritesNeeded(m.ID)) {
+	if !b.HasCapacity(b.OpsNeeded(m.ID)) {
 		return
 	}
 	updated := b.MutableMachine(m.ID)
@@ -177,7 +177,7 @@
 	case status.Attempt != attempt || status.State != protocol.TaskExited:
 		return true // running, or an old attempt that the next response has forgotten
 	}
-	if !b.HasCapacity(b.WritesNeeded(m.ID)) {
+	if !b.HasCapacity(b.OpsNeeded(m.ID)) {
 		return false
 	}
 	if status == nil {
@@ -270,7 +270,7 @@
 // updateDrain records whether the machine takes new tasks.
 func (r *Reconciler) updateDrain(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
 	drain := r.shouldDrain(m, record)
-	if drain == b.MachineRecord(m.ID).Cordoned || !b.HasCapacity(b.WritesNeeded(m.ID)) {
+	if drain == b.MachineRecord(m.ID).Cordoned || !b.HasCapacity(b.OpsNeeded(m.ID)) {
 		return
 	}
 	b.MutableMachine(m.ID).Cordoned = drain
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -100,7 +100,7 @@
 			record.Assign(task, attempt)
 			entry, m := f.addOwnedMachine(t, record)
 			c.arrange(f, entry, m)
-			b := f.commit.Shards.NewBatch(f.Config.TransactionOps)
+			b := f.commit.ShardWriter.NewBatch(f.Config.TransactionOps)
 			f.Reconciler.WriteMachines(b)
 			takenBack := b.RemovesMachine(testMachine) || len(b.MachineRecord(testMachine).Assignments) == 0
 			if takenBack != c.want {
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -69,7 +69,7 @@
 		e := ts.Replica.Jobs[id]
 		if e == nil || e.Record.State.IsTerminal() || e.Record.GracefulStopAttempt >= attempt {
 			delete(ts.gracefulStops, id)
-		} else if b.HasCapacity(b.WritesNeeded("", id)) {
+		} else if b.HasCapacity(b.OpsNeeded("", id)) {
 			b.MutableJob(id).GracefulStopAttempt = attempt
 			b.Log(slog.LevelInfo, "gang graceful stop recorded", "job", string(id), "attempt", uint64(attempt))
 		}
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -56,7 +56,7 @@
 		}, true},
 		{"termination confirmed", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
-			core.provisioning.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
+			core.provisioning.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
 		}, true},
 		{"termination not confirmed yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
@@ -69,7 +69,7 @@
 			rec.Assign(task, 5)
 			e, m := addOwnedMachine(t, core, rec)
 			c.setUp(core, e, m)
-			if pending := core.scheduling.Queue.ListPendingJobs(core.commit.Shards.NewBatch(8), nil); len(pending) != 0 {
+			if pending := core.scheduling.Queue.ListPendingJobs(core.commit.ShardWriter.NewBatch(8), nil); len(pending) != 0 {
 				t.Error("the job is still placed")
 			}
 			if got := core.cancellation.Canceller.IsMachineQuiescent("m-1", "j-1"); got != c.want {
--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -27,9 +27,9 @@
 	receivedAt protocol.Instant
 }
 
-// TickCancellations brings up to date which requests this controller acknowledges, and which of
+// Tick brings up to date which requests this controller acknowledges, and which of
 // them all controllers concerned know.
-func (c *Canceller) TickCancellations() {
+func (c *Canceller) Tick() {
 	if !c.replication.IsLoaded() {
 		return
 	}
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -63,7 +63,7 @@
 	cancellations.Connect(Dependencies{
 		Agents:           f.agents.Table,
 		Calls:            f.agents.Calls,
-		Commits:          f.commit.Commits,
+		Committer:        f.commit.Committer,
 		Lease:            f.commit.Lease,
 		Limits:           f.commit.Limits,
 		OwnerElection:    fakePeers{},
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -23,7 +23,7 @@
 type Dependencies struct {
 	Agents           *agents.Table
 	Calls            *agents.Caller
-	Commits          *commit.Committer
+	Committer        *commit.Committer
 	Lease            *commit.Lease
 	Limits           *commit.WriteLimiter
 	OwnerElection    OwnerElection
@@ -36,7 +36,7 @@
 func (p *Parts) Connect(d Dependencies) {
 	p.Canceller.agents = d.Agents
 	p.Canceller.calls = d.Calls
-	p.Canceller.commits = d.Commits
+	p.Canceller.commits = d.Committer
 	p.Canceller.lease = d.Lease
 	p.Canceller.limits = d.Limits
 	p.Canceller.ownership = d.OwnerElection
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -37,8 +37,8 @@
 	return ok
 }
 
-// WriteCancellations puts the next step of each cancellation into the batch.
-func (c *Canceller) WriteCancellations(b *commit.Batch) {
+// Write puts the next step of each cancellation into the batch.
+func (c *Canceller) Write(b *commit.Batch) {
 	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
 		switch {
@@ -112,8 +112,8 @@
 	record.CancelUpdatedAt = c.Now.Wall
 }
 
-// ExpireCancellations drops requests that could not be put on record for long.
-func (c *Canceller) ExpireCancellations() {
+// Expire drops requests that could not be put on record for long.
+func (c *Canceller) Expire() {
 	for id, requestedAt := range c.requestedAt {
 		if c.Replica.CancellingJobs[id] == nil && c.Since(requestedAt) > unwrittenRequestTimeout {
 			delete(c.requestedAt, id)
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -92,10 +92,10 @@
 			name: "assignment of the job under way",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, nil)
-				b := f.commit.Shards.NewBatch(8)
+				b := f.commit.ShardWriter.NewBatch(8)
 				b.MutableJob(testJob)
-				f.commit.Commits.SendBatch(b, 8)
-				if !f.commit.Commits.HasPendingConditionOn(storage.JobKey(testJob)) {
+				f.commit.Committer.SendBatch(b, 8)
+				if !f.commit.Committer.HasPendingConditionOn(storage.JobKey(testJob)) {
 					t.Fatal("no transaction is under way")
 				}
 			},
@@ -110,7 +110,7 @@
 			name: "request on record and acknowledged",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, cancelRequested)
-				f.canceller.TickCancellations()
+				f.canceller.Tick()
 			},
 			want: confirmation,
 		},
@@ -136,8 +136,8 @@
 			f := newFixture(t)
 			c.setUp(t, f)
 			f.canceller.RequestCancellation(testJob)
-			b := f.commit.Shards.NewBatch(8)
-			f.canceller.WriteCancellations(b)
+			b := f.commit.ShardWriter.NewBatch(8)
+			f.canceller.Write(b)
 
 			transaction := b.Transaction()
 			written := storage.NewReplica()
--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// OnMachineTypes takes in the list of machine types, or that there was no answer.
-func (c *Catalog) OnMachineTypes(result step.ListMachineTypesResult) {
+// OnListMachineTypesResult takes in the list of machine types, or that there was no answer.
+func (c *Catalog) OnListMachineTypesResult(result step.ListMachineTypesResult) {
 	c.isListing = false
 	if result.Err != nil {
 		c.nextListAt = c.Now.Monotonic.Add(c.Jitter(listRetryInterval))
--- a/internal/coordination/catalog/spot_test.go
+++ b/internal/coordination/catalog/spot_test.go
@@ -100,7 +100,7 @@
 	parts := New(ctx)
 	list := func(smallSpotPrice float64) {
 		ctx.Now.Monotonic = ctx.Now.Monotonic.Add(10 * time.Second)
-		parts.Catalog.OnMachineTypes(step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{
+		parts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{
 			{Name: "small", OnDemandPrice: 1, SpotPrice: smallSpotPrice, Zones: []protocol.Zone{"b", "a"}},
 			{Name: "large", OnDemandPrice: 4, SpotPrice: 1, Zones: []protocol.Zone{"b"}},
 		}})
--- a/internal/coordination/commit/batch_capacity.go
+++ b/internal/coordination/commit/batch_capacity.go
@@ -39,9 +39,9 @@
 // registry.
 func (b *Batch) CanAddMachine() bool { return b.HasCapacity(2) }
 
-// WritesNeeded counts the operations that a change of a machine, if one is named, and of jobs
+// OpsNeeded counts the operations that a change of a machine, if one is named, and of jobs
 // would add to the batch.
-func (b *Batch) WritesNeeded(machineID protocol.MachineID, jobs ...protocol.JobID) int {
+func (b *Batch) OpsNeeded(machineID protocol.MachineID, jobs ...protocol.JobID) int {
 	n := b.machineWritesNeeded(machineID)
 	for _, job := range jobs {
 		if b.jobs[job] == nil {
--- a/internal/coordination/commit/batch_changes.go
+++ b/internal/coordination/commit/batch_changes.go
@@ -59,7 +59,7 @@
 func (b *Batch) CompleteJobIfDone(id protocol.JobID) {
 	record := b.JobRecord(id)
 	isDone := !record.State.IsTerminal() && b.DoneTasks(id).Len() >= record.Spec.TaskCount
-	if !isDone || !b.HasCapacity(b.WritesNeeded("", id)) {
+	if !isDone || !b.HasCapacity(b.OpsNeeded("", id)) {
 		return
 	}
 	record = b.MutableJob(id)
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -13,9 +13,9 @@
 // sendJob sends a transaction that puts a job on record.
 func sendJob(c *testController) *step.Commit {
 	c.Effects = nil
-	b := c.Shards.NewBatch(c.Config.TransactionOps)
+	b := c.ShardWriter.NewBatch(c.Config.TransactionOps)
 	b.AddJob("j-1", &storage.JobRecord{Spec: &protocol.Job{ID: "j-1"}})
-	c.Commits.SendUserBatch(b)
+	c.Committer.SendUserBatch(b)
 	return sentTransaction(c.Effects)
 }
 
@@ -54,11 +54,11 @@
 			result := committedAt(sent.ID, 2)
 			result.Outcome = c.outcome
 			controller.advance(0, result)
-			if controller.Commits.pendingUser != nil {
+			if controller.Committer.pendingUser != nil {
 				t.Error("the transaction is still pending")
 			}
 			effects := controller.advance(time.Second, step.Tick{})
-			pending := controller.Commits.pending
+			pending := controller.Committer.pending
 			if got := pending != nil && pending.kind == writeBarrierTransaction; got != c.wantBarrier {
 				t.Errorf("write barrier: %v", got)
 			}
--- a/internal/coordination/commit/committest/register.go
+++ b/internal/coordination/commit/committest/register.go
@@ -25,10 +25,10 @@
 	parts.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: leaseID})
 	parts.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: loadedRevision, EndRevision: loadedRevision})
 	ctx.Effects = nil
-	if parts.Commits.ReadyForRecordBatch() {
+	if parts.Committer.ReadyForRecordBatch() {
 		t.Fatal("a batch of records may be sent before the registration")
 	}
-	parts.Commits.OnCommitResult(step.CommitResult{
+	parts.Committer.OnCommitResult(step.CommitResult{
 		ID:      sentTransaction(t, ctx.Effects),
 		Outcome: storage.OutcomeApplied,
 		Result:  protocol.TransactionResult{Revision: registeredRevision},
--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/done_tasks.go
@@ -49,7 +49,7 @@
 func (w *ShardWriter) consolidateShard(b *Batch, id storage.ShardID) {
 	draft := b.MutableShard(id)
 	for _, job := range step.SortedKeys(draft.doneTasks) {
-		if w.Replica.Jobs[job] == nil || !b.HasCapacity(b.WritesNeeded("", job)) {
+		if w.Replica.Jobs[job] == nil || !b.HasCapacity(b.OpsNeeded("", job)) {
 			continue
 		}
 		if record := b.MutableJob(job); !record.State.IsTerminal() {
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -93,7 +93,7 @@
 	c.Effects = nil
 	switch v := in.(type) {
 	case step.CommitResult:
-		c.Commits.OnCommitResult(v)
+		c.Committer.OnCommitResult(v)
 	case step.LoadRecordsResult:
 		c.Replication.OnLoadRecordsResult(v)
 	case step.WatchResult:
@@ -108,7 +108,7 @@
 	default:
 		panic(fmt.Sprintf("unknown input %T", in))
 	}
-	c.Commits.ReadyForRecordBatch()
+	c.Committer.ReadyForRecordBatch()
 	c.Replication.WatchRecords(false)
 	return c.Effects
 }
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -12,8 +12,8 @@
 	Replication *Replication
 	Limits      *WriteLimiter
 	Upgrade     *FormatUpgrade
-	Commits     *Committer
-	Shards      *ShardWriter
+	Committer   *Committer
+	ShardWriter *ShardWriter
 }
 
 // New creates the parts. They can be used once they are connected with those of other packages.
@@ -24,25 +24,25 @@
 		Replication: &Replication{Context: ctx},
 		Limits:      &WriteLimiter{Context: ctx},
 		Upgrade:     newFormatUpgrade(ctx),
-		Commits:     &Committer{Context: ctx},
-		Shards:      newShardWriter(ctx),
+		Committer:   &Committer{Context: ctx},
+		ShardWriter: newShardWriter(ctx),
 	}
 	p.Lease.store = p.Store
 	p.Replication.lease = p.Lease
 	p.Replication.limits = p.Limits
 	p.Replication.store = p.Store
-	p.Upgrade.commits = p.Commits
+	p.Upgrade.commits = p.Committer
 	p.Upgrade.lease = p.Lease
 	p.Upgrade.limits = p.Limits
-	p.Commits.lease = p.Lease
-	p.Commits.limits = p.Limits
-	p.Commits.replication = p.Replication
-	p.Commits.shards = p.Shards
-	p.Commits.store = p.Store
-	p.Commits.upgrade = p.Upgrade
-	p.Shards.commits = p.Commits
-	p.Shards.lease = p.Lease
-	p.Shards.limits = p.Limits
+	p.Committer.lease = p.Lease
+	p.Committer.limits = p.Limits
+	p.Committer.replication = p.Replication
+	p.Committer.shards = p.ShardWriter
+	p.Committer.store = p.Store
+	p.Committer.upgrade = p.Upgrade
+	p.ShardWriter.commits = p.Committer
+	p.ShardWriter.lease = p.Lease
+	p.ShardWriter.limits = p.Limits
 	return p
 }
 
@@ -60,7 +60,7 @@
 	p.Replication.agents = d.MachineTracker
 	p.Replication.peers = d.StoreReports
 	p.Upgrade.ownership = d.SuccessorElection
-	p.Commits.agents = d.MachineTracker
-	p.Shards.catalog = d.Catalog
-	p.Shards.transfers = d.TransferTracker
+	p.Committer.agents = d.MachineTracker
+	p.ShardWriter.catalog = d.Catalog
+	p.ShardWriter.transfers = d.TransferTracker
 }
--- a/internal/coordination/commit/shard_draft.go
+++ b/internal/coordination/commit/shard_draft.go
@@ -26,6 +26,13 @@
 
 func (d *ShardDraft) isEmpty() bool { return len(d.MachineIDs) == 0 && len(d.doneTasks) == 0 }
 
+// ChangeOwner gives the shard another owner. The epoch must be higher than before, so that the
+// fencing tokens of the shard's machines rise with it.
+func (d *ShardDraft) ChangeOwner(owner storage.Incarnation, epoch storage.ShardEpoch) {
+	d.Owner = owner
+	d.Epoch = epoch
+}
+
 // halves splits a shard. What is done stays with the first half.
 func (d *ShardDraft) halves() (first, second *ShardDraft) {
 	half := len(d.MachineIDs) / 2
--- a/internal/coordination/commit/shard_layout.go
+++ b/internal/coordination/commit/shard_layout.go
@@ -141,7 +141,7 @@
 		return entry.Record.Owner == w.lease.incarnation && entry.EncodedSize > maxValueBytes
 	})
 	for _, id := range jobs {
-		if b.HasCapacity(b.WritesNeeded("", id)) {
+		if b.HasCapacity(b.OpsNeeded("", id)) {
 			b.MutableJob(id)
 		}
 	}
--- a/internal/coordination/commit/shard_layout_test.go
+++ b/internal/coordination/commit/shard_layout_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller := newReadyController(t)
-			controller.catalog.OnMachineTypes(step.ListMachineTypesResult{
+			controller.catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 				MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
 			})
 			machineCount := 0
@@ -45,8 +45,8 @@
 			}
 			put("a", c.smallEpoch, c.smallCount, storage.TaskRange(0, 3))
 			put("b", c.largeEpoch, c.largeCount, storage.TaskRange(4, 5))
-			b := controller.Shards.NewBatch(8)
-			controller.Shards.MergeShards(b)
+			b := controller.ShardWriter.NewBatch(8)
+			controller.ShardWriter.MergeShards(b)
 			transaction := b.Transaction()
 			if merged := len(transaction.Operations) == 2; merged != c.want {
 				t.Errorf("merged %v", merged)
--- a/internal/coordination/commit_cycle.go
+++ b/internal/coordination/commit_cycle.go
@@ -9,10 +9,10 @@
 
 // commitBatches sends the next transactions if there is something to write.
 func (c *Core) commitBatches() {
-	if c.hasUserChanges() && c.commit.Commits.ReadyForUserBatch() {
+	if c.hasUserChanges() && c.commit.Committer.ReadyForUserBatch() {
 		c.commitUserBatch()
 	}
-	if c.commit.Commits.ReadyForRecordBatch() {
+	if c.commit.Committer.ReadyForRecordBatch() {
 		c.commitRecordBatch()
 	}
 }
@@ -25,9 +25,9 @@
 // commitUserBatch commits new and cancelled jobs.
 func (c *Core) commitUserBatch() {
 	_, maxOps := c.commit.Limits.Budget()
-	b := c.commit.Shards.NewBatch(maxOps)
-	c.requests.Users.WriteUserRequests(b)
-	c.commit.Commits.SendUserBatch(b)
+	b := c.commit.ShardWriter.NewBatch(maxOps)
+	c.requests.Users.WriteBatch(b)
+	c.commit.Committer.SendUserBatch(b)
 }
 
 // commitRecordBatch commits what there is to write of jobs and machines.
@@ -37,8 +37,8 @@
 	if maxOps < 1 || !isPlanDue && !c.hasUrgentChanges() {
 		return
 	}
-	b := c.commit.Shards.NewBatch(maxOps)
-	c.commit.Shards.ReencodeOversized(b)
+	b := c.commit.ShardWriter.NewBatch(maxOps)
+	c.commit.ShardWriter.ReencodeOversized(b)
 	c.agents.Stopper.WriteGracefulStops(b)
 	c.writeOwnershipChanges(b)
 	// What can wait does so until the write limit allows a batch of a fair size: a record is then
@@ -47,7 +47,7 @@
 		b.LimitOps(tokens - c.commit.Limits.ReservedUserTokens())
 		c.writePlan(b)
 	}
-	c.commit.Commits.SendBatch(b, tokens)
+	c.commit.Committer.SendBatch(b, tokens)
 }
 
 // hasUrgentChanges tells whether there are changes that do not wait for the next plan.
@@ -80,11 +80,11 @@
 	if gangFirst {
 		c.scheduling.Scheduler.PlacePendingJobs(b)
 	}
-	c.commit.Shards.SplitShards(b)
-	c.commit.Shards.MergeShards(b)
-	c.commit.Shards.ConsolidateDoneTasks(b)
+	c.commit.ShardWriter.SplitShards(b)
+	c.commit.ShardWriter.MergeShards(b)
+	c.commit.ShardWriter.ConsolidateDoneTasks(b)
 	reservedOps := 0
-	if c.scheduling.Plan.HasPendingRemotePlacements() && c.commit.Commits.IsPartial() {
+	if c.scheduling.Plan.HasPendingRemotePlacements() && c.commit.Committer.IsPartial() {
 		reservedOps = b.OpsLeft() / remoteOpsDivisor
 	}
 	b.ReserveOps(reservedOps)
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -113,7 +113,7 @@
 		c.agents.Calls.OnAgentResult(v)
 	// The key-value store.
 	case step.CommitResult:
-		c.commit.Commits.OnCommitResult(v)
+		c.commit.Committer.OnCommitResult(v)
 	case step.LoadRecordsResult:
 		c.commit.Replication.OnLoadRecordsResult(v)
 	case step.WatchResult:
@@ -126,13 +126,13 @@
 		c.commit.Lease.OnRenewLeaseResult(v)
 	// The cloud.
 	case step.ListMachineTypesResult:
-		c.catalog.Catalog.OnMachineTypes(v)
+		c.catalog.Catalog.OnListMachineTypesResult(v)
 	case step.ProvisionMachinesResult:
-		c.provisioning.Provisioner.OnProvisionResult(v)
+		c.provisioning.Provisioner.OnProvisionMachinesResult(v)
 	case step.TerminateMachinesResult:
-		c.provisioning.Terminator.OnTerminateResult(v)
+		c.provisioning.Terminator.OnTerminateMachinesResult(v)
 	case step.ListInstancesResult:
-		c.provisioning.Inventory.OnInstanceList(v)
+		c.provisioning.Inventory.OnListInstancesResult(v)
 	// Operators.
 	case requests.TransferRequest:
 		c.requests.Operators.OnTransferRequest(v)
@@ -172,13 +172,13 @@
 // tick does what time brings: what users and the lease wait for at each tick, the rest less
 // often.
 func (c *Core) tick() {
-	c.ownership.Overload.MeasureOverload()
+	c.ownership.Overload.RecordTick()
 	c.commit.Replication.TickLoad()
 	c.commit.Lease.TickLease()
-	c.cancellation.Canceller.TickCancellations()
-	c.ownership.Peers.TickPeerStatus()
+	c.cancellation.Canceller.Tick()
+	c.ownership.Peers.TickStatus()
 	c.requests.Users.ExpireUserRequests()
-	c.cancellation.Canceller.ExpireCancellations()
+	c.cancellation.Canceller.Expire()
 	if c.isDue(&c.nextSlowTickAt, slowTickInterval) {
 		c.slowTick()
 	}
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -78,7 +78,7 @@
 			}
 			raiseFormat(t, core)
 			machineCount := putOversizedShard(t, core, owner)
-			if ops := core.commit.Shards.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
+			if ops := core.commit.ShardWriter.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
 				t.Fatalf("%d operations for a shard of %d bytes", ops, core.ctx.Replica.Shards["crowded"].EncodedSize)
 			}
 			var sent *step.Commit
--- a/internal/coordination/ownership/failover.go
+++ b/internal/coordination/ownership/failover.go
@@ -66,7 +66,6 @@
 	}
 	b.Log(slog.LevelInfo, "shard failover",
 		"shard", string(id), "count", len(draft.MachineIDs), "source", string(draft.Owner), "epoch", uint64(draft.Epoch+1))
-	draft.Owner = mgr.lease.Incarnation()
-	draft.Epoch = max(draft.Epoch, storage.ShardEpochOf(observedToken)) + 1
+	draft.ChangeOwner(mgr.lease.Incarnation(), max(draft.Epoch, storage.ShardEpochOf(observedToken))+1)
 	mgr.transfers.endTransferOnFailover(b, id)
 }
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -79,7 +79,7 @@
 			slot := c.putTransfer(t, test.target(c))
 			c.Manager.TrackExpiredIncarnations()
 			written := func() *commit.Batch {
-				b := c.commit.Shards.NewBatch(8)
+				b := c.commit.ShardWriter.NewBatch(8)
 				c.Manager.WriteFailovers(b)
 				return b
 			}
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -154,7 +154,7 @@
 					c.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 5, lines, nil))
 				}
 			}
-			b := c.commit.Shards.NewBatch(24)
+			b := c.commit.ShardWriter.NewBatch(24)
 			c.Config.TransactionOps = 24
 			c.Manager.HandOffMachines(b)
 			transferredShards, movedMachines := 0, 0
--- a/internal/coordination/ownership/manager.go
+++ b/internal/coordination/ownership/manager.go
@@ -114,8 +114,7 @@
 func (mgr *Manager) transferShard(b *commit.Batch, id storage.ShardID, target storage.Incarnation, reason string) {
 	draft := b.MutableShard(id)
 	b.DependOn(storage.ControllerKey(target.Controller()))
-	draft.Owner = target
-	draft.Epoch++
+	draft.ChangeOwner(target, draft.Epoch+1)
 	b.Log(slog.LevelInfo, "shard ownership transferred",
 		"shard", string(id), "count", len(draft.MachineIDs), "target", string(target), "reason", reason)
 }
--- a/internal/coordination/ownership/overload.go
+++ b/internal/coordination/ownership/overload.go
@@ -30,8 +30,8 @@
 	overloadedSince  protocol.Instant // since when the mean has been too long; 0: it is not
 }
 
-// MeasureOverload takes the interval since the last tick into the mean.
-func (d *OverloadDetector) MeasureOverload() {
+// RecordTick takes the interval since the last tick into the mean.
+func (d *OverloadDetector) RecordTick() {
 	interval := min(d.Since(d.lastTickAt), maxTickSample)
 	if d.lastTickAt != 0 {
 		d.meanTickInterval += (interval - d.meanTickInterval) / tickSmoothing
--- a/internal/coordination/ownership/overload_test.go
+++ b/internal/coordination/ownership/overload_test.go
@@ -31,7 +31,7 @@
 			for _, phase := range test.phases {
 				for range phase.ticks {
 					d.Now.Monotonic = d.Now.Monotonic.Add(phase.interval)
-					d.MeasureOverload()
+					d.RecordTick()
 				}
 			}
 			if d.isFallingBehind() != test.wantFallsBehind || d.IsOverloaded() != test.wantOverloaded {
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -80,15 +80,15 @@
 		PlacementForecast:   provisioning,
 		Replication:         commitParts.Replication,
 		QuiesceChecker:      parts.Transfers,
-		Commits:             commitParts.Commits,
-		Shards:              commitParts.Shards,
+		Committer:           commitParts.Committer,
+		ShardWriter:         commitParts.ShardWriter,
 		TerminationChecker:  provisioning,
 		ScaleInEvaluator:    provisioning,
 	})
 	cancellationParts.Connect(cancellation.Dependencies{
 		Agents:           agentParts.Table,
 		Calls:            agentParts.Calls,
-		Commits:          commitParts.Commits,
+		Committer:        commitParts.Committer,
 		Lease:            commitParts.Lease,
 		Limits:           commitParts.Limits,
 		OwnerElection:    parts.Manager,
@@ -104,11 +104,11 @@
 		Store:         commitParts.Store,
 		Agents:        agentParts.Table,
 		Limits:        commitParts.Limits,
-		Shards:        commitParts.Shards,
+		ShardWriter:   commitParts.ShardWriter,
 	})
 	c := &testController{Context: ctx, Parts: parts, agents: agentParts, commit: commitParts}
 	c.register(t)
-	catalogParts.Catalog.OnMachineTypes(step.ListMachineTypesResult{
+	catalogParts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
 	})
 	return c
@@ -120,11 +120,11 @@
 	c.commit.Limits.UpdateWriteLimiter()
 	c.commit.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: testLeaseID})
 	c.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	c.commit.Commits.ReadyForRecordBatch()
+	c.commit.Committer.ReadyForRecordBatch()
 	for _, effect := range c.Effects {
 		if sent, ok := effect.(step.Commit); ok {
 			result := protocol.TransactionResult{Revision: 2}
-			c.commit.Commits.OnCommitResult(step.CommitResult{ID: sent.ID, Outcome: storage.OutcomeApplied, Result: result})
+			c.commit.Committer.OnCommitResult(step.CommitResult{ID: sent.ID, Outcome: storage.OutcomeApplied, Result: result})
 		}
 	}
 	c.commit.Replication.OnWatchResult(step.WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
--- a/internal/coordination/ownership/parts.go
+++ b/internal/coordination/ownership/parts.go
@@ -41,7 +41,7 @@
 	Store         *commit.StoreHealth
 	Agents        *agents.Table
 	Limits        *commit.WriteLimiter
-	Shards        *commit.ShardWriter
+	ShardWriter   *commit.ShardWriter
 }
 
 // Connect gives the parts what they need of other packages.
@@ -54,9 +54,9 @@
 	p.Manager.agents = d.Agents
 	p.Manager.lease = d.Lease
 	p.Manager.limits = d.Limits
-	p.Manager.shards = d.Shards
+	p.Manager.shards = d.ShardWriter
 	p.Transfers.agents = d.Agents
 	p.Transfers.cancellations = d.Cancellations
 	p.Transfers.lease = d.Lease
-	p.Transfers.shards = d.Shards
+	p.Transfers.shards = d.ShardWriter
 }
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -81,8 +81,8 @@
 // ExpediteStatus has the next status sent at the next tick.
 func (p *Peers) ExpediteStatus() { p.isStatusUrgent = true }
 
-// TickPeerStatus sends the status of this controller to the others when that is due.
-func (p *Peers) TickPeerStatus() {
+// TickStatus sends the status of this controller to the others when that is due.
+func (p *Peers) TickStatus() {
 	now := p.Now.Monotonic
 	if now < p.nextStatusAt && !p.isStatusUrgent {
 		return
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -44,7 +44,7 @@
 			if test.overloaded {
 				for range 100 {
 					c.advance(400 * time.Millisecond)
-					c.Overload.MeasureOverload()
+					c.Overload.RecordTick()
 				}
 			}
 			if c.Manager.acceptsShards() == test.overloaded {
@@ -53,7 +53,7 @@
 			c.Peers.RecordStatus(&step.PeerStatus{
 				ControllerID: otherController, Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true,
 			})
-			b := c.commit.Shards.NewBatch(8)
+			b := c.commit.ShardWriter.NewBatch(8)
 			c.Transfers.Rebalance(b)
 			c.Transfers.Rebalance(b) // is not due again
 			transferred, recorded := 0, 0
@@ -72,7 +72,7 @@
 			}
 			for range 100 { // the overload, if there was one, has passed
 				c.advance(50 * time.Millisecond)
-				c.Overload.MeasureOverload()
+				c.Overload.RecordTick()
 			}
 			if got := c.Manager.acceptsShards(); got != test.wantAccepts {
 				t.Errorf("accepts shards %v, want %v", got, test.wantAccepts)
--- a/internal/coordination/provisioning/demand.go
+++ b/internal/coordination/provisioning/demand.go
@@ -25,10 +25,10 @@
 // UnmetDemand is work that no machine, up or being provisioned, can take.
 type UnmetDemand struct {
 	Job         protocol.JobID
-	Desc        *protocol.Job
+	Spec        *protocol.Job
 	Tasks       int
 	Zone        protocol.Zone // the only zone the tasks may be in; empty: any
-	Order       int           // demands of a lower order are served first
+	Precedence  int           // demands of a lower order are served first
 	SubmittedAt protocol.Millis
 	// Urgent demand is requested from all pools at once; other demand from dearer pools only
 	// once cheaper ones are exhausted.
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// OnInstanceList handles the cloud's list of instances.
-func (inv *Inventory) OnInstanceList(result step.ListInstancesResult) {
+// OnListInstancesResult handles the cloud's list of instances.
+func (inv *Inventory) OnListInstancesResult(result step.ListInstancesResult) {
 	inv.isListing = false
 	if result.Err != nil {
 		inv.Log(slog.LevelDebug, "listing instances failed", "error", result.Err.Error())
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -81,7 +81,7 @@
 		Replica: storage.NewReplica(),
 	}
 	cloud, records, fleet, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
-	cloud.Catalog.OnMachineTypes(step.ListMachineTypesResult{
+	cloud.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
 	})
 	cancellations.Connect(cancellation.Dependencies{
--- a/internal/coordination/provisioning/pools.go
+++ b/internal/coordination/provisioning/pools.go
@@ -29,7 +29,7 @@
 	var pools []pricedPool
 	for i := range p.catalog.MachineTypes() {
 		machineType := &p.catalog.MachineTypes()[i]
-		tasksPerMachine := catalog.MachineTypeCapacity(machineType, demand.Desc)
+		tasksPerMachine := catalog.MachineTypeCapacity(machineType, demand.Spec)
 		if tasksPerMachine == 0 {
 			continue
 		}
@@ -43,7 +43,7 @@
 				tasksPerMachine: tasksPerMachine,
 				costPerTask:     machineType.OnDemandPrice / tasks,
 			})
-			if p.canRunOnSpot(demand.Desc, machineType, zone) {
+			if p.canRunOnSpot(demand.Spec, machineType, zone) {
 				pools = append(pools, pricedPool{
 					key:             PoolKey{MachineType: machineType.Name, Zone: zone, Spot: true},
 					tasksPerMachine: tasksPerMachine,
@@ -61,7 +61,7 @@
 
 // allowsPool tells whether the demand's tasks may be placed on machines of a type in a zone.
 func (d *UnmetDemand) allowsPool(machineType *protocol.MachineType, zone protocol.Zone) bool {
-	return d.Desc.AllowsPlacement(machineType.Name, zone) && (d.Zone == "" || zone == d.Zone)
+	return d.Spec.AllowsPlacement(machineType.Name, zone) && (d.Zone == "" || zone == d.Zone)
 }
 
 // canRunOnSpot tells whether spot machines of a type and zone may be provisioned for a job now.
--- a/internal/coordination/provisioning/provision_requests.go
+++ b/internal/coordination/provisioning/provision_requests.go
@@ -58,8 +58,8 @@
 	return pending
 }
 
-// OnProvisionResult handles the answer to a provision request.
-func (p *Provisioner) OnProvisionResult(result step.ProvisionMachinesResult) {
+// OnProvisionMachinesResult handles the answer to a provision request.
+func (p *Provisioner) OnProvisionMachinesResult(result step.ProvisionMachinesResult) {
 	r := p.requests[result.Request.RequestID]
 	if r == nil {
 		return
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -46,7 +46,7 @@
 		return
 	}
 	demands := p.plan.Demands()
-	slices.SortStableFunc(demands, func(a, z UnmetDemand) int { return cmp.Compare(a.Order, z.Order) })
+	slices.SortStableFunc(demands, func(a, z UnmetDemand) int { return cmp.Compare(a.Precedence, z.Precedence) })
 	pendingPools := p.pendingPools()
 	spotCount := p.countSpotMachines()
 	for _, demand := range demands {
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -49,7 +49,7 @@
 				Image:               "b",
 				EstimatedRunSeconds: 20,
 			}
-			demand := UnmetDemand{Job: "j-1", Desc: job, Tasks: 5000, Urgent: c.urgent}
+			demand := UnmetDemand{Job: "j-1", Spec: job, Tasks: 5000, Urgent: c.urgent}
 			parts.Provisioner.provisionForDemand(demand, map[PoolKey]bool{}, 0)
 			got := requestedPools(parts.ctx.Effects)
 			slices.Sort(c.want)
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -149,8 +149,8 @@
 	return t.lease.OwnsMachine(record) && record.Terminating
 }
 
-// OnTerminateResult handles the answer to a termination call.
-func (t *Terminator) OnTerminateResult(result step.TerminateMachinesResult) {
+// OnTerminateMachinesResult handles the answer to a termination call.
+func (t *Terminator) OnTerminateMachinesResult(result step.TerminateMachinesResult) {
 	t.isTerminating = false
 	for _, id := range result.Machines {
 		pending := t.terminations[id]
@@ -194,7 +194,7 @@
 	if !t.lease.OwnsMachine(&entry.Record) || entry.Record.Terminating {
 		return false
 	}
-	if !b.HasCapacity(b.WritesNeeded(id)) || b.RemovesMachine(id) {
+	if !b.HasCapacity(b.OpsNeeded(id)) || b.RemovesMachine(id) {
 		return false
 	}
 	isInUse := b.ChangesMachine(id) || len(entry.Record.Assignments) > 0
--- a/internal/coordination/provisioning/terminator_test.go
+++ b/internal/coordination/provisioning/terminator_test.go
@@ -49,7 +49,7 @@
 	if calls := parts.sentTerminations(); len(calls) != 0 {
 		t.Fatalf("calls with %v beside one that is under way", calls)
 	}
-	parts.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: first})
+	parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: first})
 	if calls := parts.sentTerminations(); len(calls) != 1 || !slices.Equal(calls[0], rest) {
 		t.Fatalf("calls with %v, want one with %v", calls, rest)
 	}
@@ -75,7 +75,7 @@
 			parts := newTestParts(t)
 			ids := parts.terminate(1)
 			parts.sentTerminations()
-			parts.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: ids, Err: c.result})
+			parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: ids, Err: c.result})
 			if got := parts.Terminator.IsTerminationConfirmed(ids[0]); got != c.wantConfirmed {
 				t.Errorf("confirmed: %v", got)
 			}
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -64,7 +64,7 @@
 	cancellations.Connect(cancellation.Dependencies{
 		Agents:        agentParts.Table,
 		Calls:         agentParts.Calls,
-		Commits:       f.commit.Commits,
+		Committer:     f.commit.Committer,
 		Lease:         f.commit.Lease,
 		Limits:        f.commit.Limits,
 		OwnerElection: owners.Manager,
@@ -79,7 +79,7 @@
 		Store:         f.commit.Store,
 		Agents:        agentParts.Table,
 		Limits:        f.commit.Limits,
-		Shards:        f.commit.Shards,
+		ShardWriter:   f.commit.ShardWriter,
 	})
 	f.Connect(Dependencies{
 		Lease:         f.commit.Lease,
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -130,7 +130,7 @@
 			f := newRegisteredFixture(t)
 			f.putControllers(t)
 			f.ask(c.request)
-			f.Operators.WriteOperatorRequests(f.commit.Shards.NewBatch(8))
+			f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 			f.wantRefusal(t, c.reason, c.transient)
 		})
 	}
@@ -168,7 +168,7 @@
 	f.putControllers(t)
 	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
 	for range 2 { // the first transaction may fail
-		b := f.commit.Shards.NewBatch(8)
+		b := f.commit.ShardWriter.NewBatch(8)
 		f.Operators.WriteOperatorRequests(b)
 		if !b.ChangesDrain("stall-1") {
 			t.Fatal("the drain is not offered to the batch")
@@ -178,7 +178,7 @@
 		}
 	}
 	f.put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
-	f.Operators.WriteOperatorRequests(f.commit.Shards.NewBatch(8))
+	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 	if isAnswered, err := f.operatorReply(t); err != nil || !isAnswered {
 		t.Errorf("answered %v with %v once on record", isAnswered, err)
 	}
@@ -223,7 +223,7 @@
 	f.putControllers(t)
 	f.put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
 	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
-	b := f.commit.Shards.NewBatch(8)
+	b := f.commit.ShardWriter.NewBatch(8)
 	f.Operators.WriteOperatorRequests(b)
 	conditions := b.Transaction().Conditions
 	for controller, modRevision := range map[protocol.ControllerID]protocol.ModRevision{"stall-0": 0, "stall-1": 0, "stall-2": 2} {
@@ -233,7 +233,7 @@
 		}
 	}
 	f.put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
-	f.Operators.WriteOperatorRequests(f.commit.Shards.NewBatch(8))
+	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 	f.wantRefusal(t, `no other controller is up that could take the machines of "stall-1"`, false)
 }
 
--- a/internal/coordination/requests/submissions.go
+++ b/internal/coordination/requests/submissions.go
@@ -30,9 +30,9 @@
 // HasSubmissions tells whether jobs wait to be put on record.
 func (h *UserRequests) HasSubmissions() bool { return len(h.submissions) > 0 }
 
-// WriteUserRequests puts new jobs and cancellations into the batch.
-func (h *UserRequests) WriteUserRequests(b *commit.Batch) {
-	h.cancellations.WriteCancellations(b)
+// WriteBatch puts new jobs and cancellations into the batch.
+func (h *UserRequests) WriteBatch(b *commit.Batch) {
+	h.cancellations.Write(b)
 	for _, id := range step.SortedKeys(h.submissions) {
 		if h.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
 			continue
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -147,7 +147,7 @@
 }
 
 func (h *UserRequests) replyError(requestID step.RequestID, status int, message string) {
-	h.Reply(requestID, status, step.ErrorBody{Error: message})
+	h.Reply(requestID, status, step.ErrorResponse{Error: message})
 }
 
 // rejectUnavailable tells a user to ask again.
@@ -156,7 +156,7 @@
 		RequestID:         requestID,
 		Status:            http.StatusServiceUnavailable,
 		RetryAfterSeconds: retryAfterSeconds,
-		Body:              protocol.Encode(step.ErrorBody{Error: messageUnavailable}),
+		Body:              protocol.Encode(step.ErrorResponse{Error: messageUnavailable}),
 	})
 }
 
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -32,7 +32,7 @@
 }
 
 func (f *fixture) listMachineTypes(types []protocol.MachineType) {
-	f.catalog.Catalog.OnMachineTypes(step.ListMachineTypesResult{MachineTypes: types})
+	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{MachineTypes: types})
 }
 
 func (f *fixture) putJob(t *testing.T, record storage.JobRecord, modRevision protocol.ModRevision) {
@@ -256,7 +256,7 @@
 			var statuses []int
 			for _, reply := range replies {
 				statuses = append(statuses, reply.Status)
-				if reply.RetryAfterSeconds != 1 || string(reply.Body) != string(protocol.Encode(step.ErrorBody{Error: "cannot decide now"})) {
+				if reply.RetryAfterSeconds != 1 || string(reply.Body) != string(protocol.Encode(step.ErrorResponse{Error: "cannot decide now"})) {
 					t.Errorf("told %q, to come back after %d s", reply.Body, reply.RetryAfterSeconds)
 				}
 			}
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	f := wireParts(newStepContext())
 	committest.Register(t, f.Context, f.commit)
-	f.catalog.Catalog.OnMachineTypes(step.ListMachineTypesResult{
+	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
 	})
 	return f
@@ -98,8 +98,8 @@
 		PlacementForecast:  parts.Plan,
 		Replication:        records.Replication,
 		QuiesceChecker:     owners.Transfers,
-		Commits:            records.Commits,
-		Shards:             records.Shards,
+		Committer:          records.Committer,
+		ShardWriter:        records.ShardWriter,
 		TerminationChecker: cloud.Terminator,
 		ScaleInEvaluator:   cloud.Terminator,
 	})
@@ -110,7 +110,7 @@
 		Store:       records.Store,
 		Agents:      machines.Table,
 		Limits:      records.Limits,
-		Shards:      records.Shards,
+		ShardWriter: records.ShardWriter,
 	})
 	cloud.Connect(provisioning.Dependencies{
 		Ownership:    owners.Manager,
@@ -134,7 +134,7 @@
 		Jobs:        machines.Jobs,
 		Limits:      records.Limits,
 		Ownership:   owners.Manager,
-		Commits:     records.Commits,
+		Committer:   records.Committer,
 		Stopper:     machines.Stopper,
 	})
 	return &fixture{
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -181,7 +181,7 @@
 		p.addDemand()
 		return nil
 	}
-	if p.batch.HasCapacity(p.batch.WritesNeeded("", p.job.id)) {
+	if p.batch.HasCapacity(p.batch.OpsNeeded("", p.job.id)) {
 		recordReservation(p.batch, p.job.id, placements, "preemption planned for gang")
 	}
 	return placements
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -44,7 +44,7 @@
 	} else if !ja.mayAcquire(job) {
 		return
 	}
-	if !b.HasCapacity(b.WritesNeeded("", job.id)) {
+	if !b.HasCapacity(b.OpsNeeded("", job.id)) {
 		return
 	}
 	record := b.MutableJob(job.id)
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -77,7 +77,7 @@
 	Jobs        *agents.JobTable
 	Limits      *commit.WriteLimiter
 	Ownership   *ownership.Manager
-	Commits     *commit.Committer
+	Committer   *commit.Committer
 	Stopper     *agents.TaskStopper
 }
 
@@ -104,7 +104,7 @@
 	p.Scheduler.catalog = d.Catalog
 	p.Scheduler.jobs = d.Jobs
 	p.Scheduler.lease = d.Lease
-	p.Scheduler.commits = d.Commits
+	p.Scheduler.commits = d.Committer
 	p.gangs.catalog = d.Catalog
 	p.gangs.jobs = d.Jobs
 	p.gangs.limits = d.Limits
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -81,7 +81,7 @@
 			f := newCoreWithTwoMachineTypes(t)
 			job := f.newPendingJob(newArrayJob(4, 20), time.Minute)
 			job.record.Owner = owner
-			b := f.commit.Shards.NewBatch(8)
+			b := f.commit.ShardWriter.NewBatch(8)
 			better := f.Scheduler.score(b, job, newMachine(c.better))
 			worse := f.Scheduler.score(b, job, newMachine(c.worse))
 			if better >= worse {
@@ -124,7 +124,7 @@
 			shard := storage.EncodePlainShard(f.commit.Lease.Incarnation(), 1, []string{c.machine.EncodeLine("m-1")}, nil)
 			f.put(t, storage.ShardKey("p"), shard, 2)
 
-			b := f.commit.Shards.NewBatch(8)
+			b := f.commit.ShardWriter.NewBatch(8)
 			f.Scheduler.PlacePendingJobs(b)
 
 			written := 0
--- a/internal/coordination/scheduling/placement_writes.go
+++ b/internal/coordination/scheduling/placement_writes.go
@@ -59,7 +59,7 @@
 
 // fitsTransaction tells whether a placement on the machine fits the transaction.
 func (s *Scheduler) fitsTransaction(b *commit.Batch, machine *Candidate, spec *protocol.Job) bool {
-	writes := b.WritesNeeded(machine.id)
+	writes := b.OpsNeeded(machine.id)
 	if s.mustLockQuota(b, spec.Team) {
 		writes++
 		if s.Replica.Revision < protocol.Revision(s.Replica.QuotaRevisions[spec.Team]) {
--- a/internal/coordination/scheduling/plan.go
+++ b/internal/coordination/scheduling/plan.go
@@ -103,10 +103,10 @@
 func (plan *Plan) addDemand(job *PendingJob, tasks int, zone protocol.Zone, isUrgent bool) {
 	plan.unmetDemands = append(plan.unmetDemands, provisioning.UnmetDemand{
 		Job:         job.id,
-		Desc:        job.record.Spec,
+		Spec:        job.record.Spec,
 		Tasks:       tasks,
 		Zone:        zone,
-		Order:       job.precedence,
+		Precedence:  job.precedence,
 		SubmittedAt: job.record.SubmittedAt,
 		Urgent:      isUrgent,
 	})
--- a/internal/coordination/scheduling/replica_placer.go
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -142,7 +142,7 @@
 	for _, machine := range chosen {
 		reservedReplicas += min(p.preemptionHeadroomOn(machine), p.unusedReservation(p.job.record, machine))
 	}
-	canRecord := p.canWrite && p.batch.HasCapacity(p.batch.WritesNeeded("", p.job.id))
+	canRecord := p.canWrite && p.batch.HasCapacity(p.batch.OpsNeeded("", p.job.id))
 	if canRecord && reservedReplicas < p.remaining {
 		if better := p.reserveMachines(isEligible, reservedReplicas); better != nil {
 			chosen = better
--- a/internal/coordination/scheduling/reservations.go
+++ b/internal/coordination/scheduling/reservations.go
@@ -23,7 +23,7 @@
 	capacity := func(machine *Candidate) int { return capacityWhenDrained(machine, job) }
 	placements := g.distributeInZones(job, job.reservedCandidates(candidates), zones, tasks, capacity)
 	if placements == nil {
-		if !g.acquirer.canWritePlacements(b, job) || !b.HasCapacity(b.WritesNeeded("", job.id)) {
+		if !g.acquirer.canWritePlacements(b, job) || !b.HasCapacity(b.OpsNeeded("", job.id)) {
 			return false
 		}
 		placements = g.distributeInZones(job, g.soonestDrained(candidates), zones, tasks, capacity)
--- a/internal/coordination/step/effects.go
+++ b/internal/coordination/step/effects.go
@@ -72,7 +72,7 @@
 	ListInstances struct{}
 )
 
-// ErrorBody is the body of a Reply that refuses a request.
-type ErrorBody struct {
+// ErrorResponse is the body of a Reply that refuses a request.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -27,15 +27,15 @@
 		PlacementForecast:   c.scheduling.Plan,
 		Replication:         c.commit.Replication,
 		QuiesceChecker:      c.ownership.Transfers,
-		Commits:             c.commit.Commits,
-		Shards:              c.commit.Shards,
+		Committer:           c.commit.Committer,
+		ShardWriter:         c.commit.ShardWriter,
 		TerminationChecker:  c.provisioning.Terminator,
 		ScaleInEvaluator:    c.provisioning.Terminator,
 	})
 	c.cancellation.Connect(cancellation.Dependencies{
 		Agents:           c.agents.Table,
 		Calls:            c.agents.Calls,
-		Commits:          c.commit.Commits,
+		Committer:        c.commit.Committer,
 		Lease:            c.commit.Lease,
 		Limits:           c.commit.Limits,
 		OwnerElection:    c.ownership.Manager,
@@ -51,7 +51,7 @@
 		Store:         c.commit.Store,
 		Agents:        c.agents.Table,
 		Limits:        c.commit.Limits,
-		Shards:        c.commit.Shards,
+		ShardWriter:   c.commit.ShardWriter,
 	})
 	c.provisioning.Connect(provisioning.Dependencies{
 		Ownership:     c.ownership.Manager,
@@ -76,7 +76,7 @@
 		Jobs:        c.agents.Jobs,
 		Limits:      c.commit.Limits,
 		Ownership:   c.ownership.Manager,
-		Commits:     c.commit.Commits,
+		Committer:   c.commit.Committer,
 		Stopper:     c.agents.Stopper,
 	})
 	c.requests.Connect(requests.Dependencies{
