--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -17,9 +17,9 @@
 	maxPeerIntents       = 2000
 )
 
-// requesterTakeoverDelay is the age at which a request is driven by the successor of the job's key,
+// requesterFailoverDelay is the age at which a request is driven by the successor of the job's key,
 // unless it does so already: the controller that began it may have ended.
-const requesterTakeoverDelay = 4 * time.Second
+const requesterFailoverDelay = 4 * time.Second
 
 // peerIntent is a cancellation request that another controller has told of.
 type peerIntent struct {
@@ -36,7 +36,7 @@
 	c.dropEnded()
 	c.updateLocalAcks()
 	for id := range c.Replica.CancellingJobs {
-		if c.mustTakeOver(id) {
+		if c.shouldFailOverRequest(id) {
 			c.RequestCancellation(id)
 		}
 		c.updateAcknowledged(id)
@@ -66,7 +66,7 @@
 		}
 		c.localAcks[id] = true
 		if !previousAcks[id] {
-			c.peers.ExpediteStatus()
+			c.peerNotifier.ExpediteStatus()
 		}
 	}
 	for id := range c.peerIntents {
@@ -77,11 +77,11 @@
 	}
 }
 
-// mustTakeOver tells whether this controller goes on with a request that another one began.
-func (c *Canceller) mustTakeOver(id protocol.JobID) bool {
+// shouldFailOverRequest tells whether this controller goes on with a request that another one began.
+func (c *Canceller) shouldFailOverRequest(id protocol.JobID) bool {
 	return !c.isRequester(id) &&
-		c.timeSinceCancelRequest(id) > requesterTakeoverDelay &&
-		c.ownership.IsSuccessor(storage.JobKey(id))
+		c.timeSinceCancelRequest(id) > requesterFailoverDelay &&
+		c.ownerElection.IsSuccessor(storage.JobKey(id))
 }
 
 // updateAcknowledged notes whether all controllers concerned know a request by now. If not, the
@@ -93,7 +93,7 @@
 	c.fullyAcknowledged[id] = c.IsCancelFullyAcknowledged(id)
 	_, isSent := c.intentSentAt[id]
 	if !c.fullyAcknowledged[id] && !isSent && c.isRequester(id) {
-		c.peers.ExpediteStatus()
+		c.peerNotifier.ExpediteStatus()
 	}
 }
 
@@ -118,7 +118,7 @@
 	if c.lease.OwnsMachine(record) {
 		return c.IsMachineQuiescent(machineID, id)
 	}
-	if c.terminator.IsTerminationConfirmed(machineID) {
+	if c.forcedTerminator.IsTerminationConfirmed(machineID) {
 		return true
 	}
 	// An acknowledgement covers the machines that its sender knew to own, and ends with the
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -36,13 +36,13 @@
 
 	agents      *agents.Table
 	calls       *agents.Caller
-	commits     *commit.Committer
+	committer     *commit.Committer
 	lease       *commit.Lease
 	limits      *commit.WriteLimiter
-	ownership   OwnerElection
-	peers       PeerNotifier
+	ownerElection   OwnerElection
+	peerNotifier       PeerNotifier
 	replication *commit.Replication
-	terminator  ForcedTerminator
+	forcedTerminator  ForcedTerminator
 
 	requestedAt map[protocol.JobID]protocol.Instant // since when this controller drives them
 
--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -24,12 +24,12 @@
 // MustForceScaleIn tells whether an owned machine must be terminated because a task of a cancelled
 // job is stuck there, or the machine cannot be reached. Silence proves nothing of the machine if
 // this controller is the one that is isolated.
-func (c *Canceller) MustForceScaleIn(m *agents.MachineState, record *storage.MachineRecord, isIsolated bool) bool {
-	pendingFor, isPending := c.longestPendingCancel(m, record)
+func (c *Canceller) MustForceScaleIn(state *agents.MachineState, record *storage.MachineRecord, isIsolated bool) bool {
+	pendingFor, isPending := c.longestPendingCancel(state, record)
 	if !isPending || pendingFor <= c.silentScaleInAge() {
 		return false
 	}
-	return pendingFor > c.stuckScaleInAge() || c.agents.IsSilent(m) && !isIsolated
+	return pendingFor > c.stuckScaleInAge() || c.agents.IsSilent(state) && !isIsolated
 }
 
 // ForceScaleIn looks after machines whose owner is not heard from while the store is down for all,
@@ -44,17 +44,17 @@
 	})
 	for _, id := range ids {
 		entry := c.Replica.Machines[id]
-		if c.peers.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
+		if c.peerNotifier.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
 			continue // its owner is alive and does the same
 		}
-		m := c.agents.MachineState(id)
-		pendingFor, isPending := c.longestPendingCancel(m, &entry.Record)
+		state := c.agents.MachineState(id)
+		pendingFor, isPending := c.longestPendingCancel(state, &entry.Record)
 		switch {
 		case !isPending || pendingFor < c.silentScaleInAge():
 		case pendingFor > c.stuckScaleInAge():
-			c.terminator.TerminateUnrecorded(id)
+			c.forcedTerminator.TerminateUnrecorded(id)
 		default:
-			c.calls.ProbeUnownedAgent(m, entry.Record.Address)
+			c.calls.ProbeUnownedAgent(state, entry.Record.Address)
 		}
 	}
 }
@@ -62,9 +62,9 @@
 // longestPendingCancel tells whether a task of a job with a requested cancellation may still be on
 // the machine, and for how long the longest such request has stood.
 func (c *Canceller) longestPendingCancel(
-	m *agents.MachineState, record *storage.MachineRecord,
+	state *agents.MachineState, record *storage.MachineRecord,
 ) (longest time.Duration, isPending bool) {
-	heartbeat := m.LatestHeartbeat
+	heartbeat := state.LatestHeartbeat
 	if heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch {
 		return 0, false // the agent has killed its tasks
 	}
@@ -76,7 +76,7 @@
 		if !c.CancelRequested(assignment.Job) {
 			continue
 		}
-		if isCurrent && m.AllTasksSatisfy(assignment, hasExited) {
+		if isCurrent && state.AllTasksSatisfy(assignment, hasExited) {
 			continue
 		}
 		longest, isPending = max(longest, c.timeSinceCancelRequest(assignment.Job)), true
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -36,11 +36,11 @@
 func (p *Parts) Connect(d Dependencies) {
 	p.Canceller.agents = d.Agents
 	p.Canceller.calls = d.Calls
-	p.Canceller.commits = d.Committer
+	p.Canceller.committer = d.Committer
 	p.Canceller.lease = d.Lease
 	p.Canceller.limits = d.Limits
-	p.Canceller.ownership = d.OwnerElection
-	p.Canceller.peers = d.PeerNotifier
+	p.Canceller.ownerElection = d.OwnerElection
+	p.Canceller.peerNotifier = d.PeerNotifier
 	p.Canceller.replication = d.Replication
-	p.Canceller.terminator = d.ForcedTerminator
+	p.Canceller.forcedTerminator = d.ForcedTerminator
 }
--- a/internal/coordination/cancellation/quiescence.go
+++ b/internal/coordination/cancellation/quiescence.go
@@ -10,21 +10,21 @@
 // the fencing token of this ownership, and by its newest heartbeat the job's tasks there have
 // started already, or are gone. One that still pulls its image would start after the confirmation.
 func (c *Canceller) IsMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
-	if c.terminator.IsTerminationConfirmed(id) {
+	if c.forcedTerminator.IsTerminationConfirmed(id) {
 		return true
 	}
-	record, m := &c.Replica.Machines[id].Record, c.agents.Lookup(id)
-	if m == nil || m.LatestHeartbeat == nil || storage.ShardEpochOf(m.ConfirmedToken) < record.ShardEpoch {
+	record, state := &c.Replica.Machines[id].Record, c.agents.Lookup(id)
+	if state == nil || state.LatestHeartbeat == nil || storage.ShardEpochOf(state.ConfirmedToken) < record.ShardEpoch {
 		return false
 	}
-	if m.LatestHeartbeat.AgentEpoch > record.AgentEpoch || c.agents.IsAgentLeaseExpired(m, record) {
+	if state.LatestHeartbeat.AgentEpoch > record.AgentEpoch || c.agents.IsAgentLeaseExpired(state, record) {
 		return true // the agent has killed its tasks
 	}
-	if m.CurrentHeartbeat(record) == nil {
+	if state.CurrentHeartbeat(record) == nil {
 		return false
 	}
 	for assignment := range record.AssignmentsOf(job) {
-		if !m.AllTasksSatisfy(assignment, hasPulledImage) {
+		if !state.AllTasksSatisfy(assignment, hasPulledImage) {
 			return false
 		}
 	}
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -37,8 +37,8 @@
 	return ok
 }
 
-// Write puts the next step of each cancellation into the batch.
-func (c *Canceller) Write(b *commit.Batch) {
+// WriteCancellations puts the next step of each cancellation into the batch.
+func (c *Canceller) WriteCancellations(b *commit.Batch) {
 	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
 		switch {
@@ -73,7 +73,7 @@
 	entry := c.Replica.Jobs[id]
 	if entry.Record.Owner != c.lease.Incarnation() ||
 		c.Replica.Revision < protocol.Revision(entry.ModRevision) ||
-		c.commits.HasPendingConditionOn(storage.JobKey(id)) {
+		c.committer.HasPendingConditionOn(storage.JobKey(id)) {
 		return false
 	}
 	maxConditions := directCancelConditionsPerOp * c.limits.WriteLimits().TransactionOps
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -137,7 +137,7 @@
 			c.setUp(t, f)
 			f.canceller.RequestCancellation(testJob)
 			b := f.commit.ShardWriter.NewBatch(8)
-			f.canceller.Write(b)
+			f.canceller.WriteCancellations(b)
 
 			transaction := b.Transaction()
 			written := storage.NewReplica()
--- a/internal/coordination/commit_cycle.go
+++ b/internal/coordination/commit_cycle.go
@@ -26,7 +26,7 @@
 func (c *Core) commitUserBatch() {
 	_, maxOps := c.commit.Limits.Budget()
 	b := c.commit.ShardWriter.NewBatch(maxOps)
-	c.requests.Users.WriteBatch(b)
+	c.requests.Users.WriteUserRequests(b)
 	c.commit.Committer.SendUserBatch(b)
 }
 
--- a/internal/coordination/ownership/adoption.go
+++ b/internal/coordination/ownership/adoption.go
@@ -14,28 +14,28 @@
 // on no record are added, and the shards of the others are taken over when that is due.
 func (mgr *Manager) WriteAdoptions(b *commit.Batch) {
 	for _, id := range step.SortedKeys(mgr.agents.AwaitingOwner()) {
-		machine := mgr.agents.Lookup(id)
+		state := mgr.agents.Lookup(id)
 		if !b.CanAddMachine() {
 			break
 		}
 		entry := mgr.Replica.Machines[id]
 		if entry == nil {
-			mgr.adoptMachine(b, id, machine)
+			mgr.adoptMachine(b, id, state)
 		} else if mgr.shouldFailOver(b, entry.Record.Shard, true) {
 			// Not by whoever hears from it first: after an outage of all controllers, the first
 			// to come back would take over the whole fleet.
-			mgr.failOverShard(b, entry.Record.Shard, machine.LatestHeartbeat.FencingToken)
+			mgr.failOverShard(b, entry.Record.Shard, state.LatestHeartbeat.FencingToken)
 		}
 	}
 }
 
 // adoptMachine adds a machine that is on no record. Its agent must have answered a probe: the
 // heartbeat may be a late copy that outlived its machine.
-func (mgr *Manager) adoptMachine(b *commit.Batch, id protocol.MachineID, machine *agents.MachineState) {
-	if !machine.HasAnsweredProbe {
+func (mgr *Manager) adoptMachine(b *commit.Batch, id protocol.MachineID, state *agents.MachineState) {
+	if !state.HasAnsweredProbe {
 		return
 	}
-	heartbeat := machine.LatestHeartbeat
+	heartbeat := state.LatestHeartbeat
 	record := &storage.MachineRecord{
 		AgentEpoch:  heartbeat.AgentEpoch,
 		Address:     heartbeat.Addr,
--- a/internal/coordination/ownership/failover.go
+++ b/internal/coordination/ownership/failover.go
@@ -49,7 +49,7 @@
 
 // failoverOps is how many operations it takes to take over a shard and end its transfer.
 func (mgr *Manager) failoverOps(id storage.ShardID) int {
-	ops := mgr.shards.ShardWriteOps(id)
+	ops := mgr.shardWriter.ShardWriteOps(id)
 	if mgr.pendingTransferOf(id) != nil {
 		ops++
 	}
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -55,14 +55,14 @@
 		if !mgr.ownsRecorded(entry) || !mgr.Replica.IsAlive(status.Incarnation) {
 			continue
 		}
-		machine := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
-		if !machine.RecordHeartbeatElsewhere(heartbeat.AgentEpoch, heartbeat.Sequence) {
+		state := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
+		if !state.RecordHeartbeatElsewhere(heartbeat.AgentEpoch, heartbeat.Sequence) {
 			continue // a late copy of a heartbeat that was received here
 		}
 		mgr.pendingHandOffs[heartbeat.Machine] = handOff{
 			target:      status.Incarnation,
 			requestedAt: mgr.Now.Monotonic,
-			ownership:   machine.Ownership(),
+			ownership:   state.Ownership(),
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		target, misdirected := countsByShard[id].mostFrequent()
 		shard := mgr.Replica.Shards[id]
 		if sharding.ShouldHandOffShard(len(shard.Machines), misdirected, mgr.countResponsive(shard)) &&
-			b.HasCapacity(mgr.shards.ShardWriteOps(id)) && !b.ChangesShard(id) {
+			b.HasCapacity(mgr.shardWriter.ShardWriteOps(id)) && !b.ChangesShard(id) {
 			mgr.recordShedding()
 			mgr.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
 		}
@@ -108,13 +108,13 @@
 			continue
 		}
 		// This begins a new period of ownership where the record has changed hands.
-		machine := mgr.agents.TrackOwnedMachine(entry, id)
+		state := mgr.agents.TrackOwnedMachine(entry, id)
 		request := mgr.pendingHandOffs[id]
-		if request.ownership != machine.Ownership() || mgr.isHandOffOutdated(request) {
+		if request.ownership != state.Ownership() || mgr.isHandOffOutdated(request) {
 			delete(mgr.pendingHandOffs, id)
 			continue
 		}
-		if mgr.agents.HasMissedHeartbeat(machine) && mgr.Replica.IsAlive(request.target) && !entry.Record.Terminating {
+		if mgr.agents.HasMissedHeartbeat(state) && mgr.Replica.IsAlive(request.target) && !entry.Record.Terminating {
 			machines = append(machines, misdirectedMachine{id: id, entry: entry, target: request.target})
 		}
 	}
@@ -169,6 +169,6 @@
 // wouldOverflow tells whether a shard would take more than three quarters of a value with a machine
 // more. The rest is for the tasks that are assigned to its machines later.
 func (mgr *Manager) wouldOverflow(draft *commit.ShardDraft, id protocol.MachineID) bool {
-	machineSize := mgr.shards.EstimateEncodedSize(len(mgr.Replica.EncodedLine(id)))
+	machineSize := mgr.shardWriter.EstimateEncodedSize(len(mgr.Replica.EncodedLine(id)))
 	return draft.EstimatedSize+machineSize > mgr.limits.WriteLimits().ValueBytes*3/4
 }
--- a/internal/coordination/ownership/manager.go
+++ b/internal/coordination/ownership/manager.go
@@ -20,7 +20,7 @@
 	lease     *commit.Lease
 	limits    *commit.WriteLimiter
 	overload  *OverloadDetector
-	shards    *commit.ShardWriter
+	shardWriter    *commit.ShardWriter
 	transfers *Transfers
 
 	expiredAt       map[storage.Incarnation]protocol.Instant // when this process first saw that it had ended
--- a/internal/coordination/ownership/parts.go
+++ b/internal/coordination/ownership/parts.go
@@ -54,9 +54,9 @@
 	p.Manager.agents = d.Agents
 	p.Manager.lease = d.Lease
 	p.Manager.limits = d.Limits
-	p.Manager.shards = d.ShardWriter
+	p.Manager.shardWriter = d.ShardWriter
 	p.Transfers.agents = d.Agents
 	p.Transfers.cancellations = d.Cancellations
 	p.Transfers.lease = d.Lease
-	p.Transfers.shards = d.ShardWriter
+	p.Transfers.shardWriter = d.ShardWriter
 }
--- a/internal/coordination/ownership/quiescence.go
+++ b/internal/coordination/ownership/quiescence.go
@@ -9,8 +9,8 @@
 // way, and whether they have done what cancellations ask for. A silent agent is not waited for: it
 // drops a response that it has not carried out within seconds.
 func (t *Transfers) isShardQuiescent(shard *storage.Shard) bool {
-	return t.allResponsive(shard, func(entry *storage.Machine, machine *agents.MachineState) bool {
-		return len(machine.InflightStarts) == 0 && t.areCancellationsResolved(entry)
+	return t.allResponsive(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
+		return len(state.InflightStarts) == 0 && t.areCancellationsResolved(entry)
 	})
 }
 
@@ -29,8 +29,8 @@
 // isShardTokenConfirmed tells whether the agents of an owned shard know its owner: they have shown a
 // fencing token of its epoch, so that an earlier owner commands nothing.
 func (t *Transfers) isShardTokenConfirmed(shard *storage.Shard) bool {
-	return t.allResponsive(shard, func(entry *storage.Machine, machine *agents.MachineState) bool {
-		return storage.ShardEpochOf(machine.ConfirmedToken) == entry.Record.ShardEpoch
+	return t.allResponsive(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
+		return storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
 	})
 }
 
@@ -44,8 +44,8 @@
 		if entry == nil || !t.isInService(&entry.Record) {
 			continue
 		}
-		machine := t.agents.TrackOwnedMachine(entry, id)
-		if !t.agents.IsSilent(machine) && !holds(entry, machine) {
+		state := t.agents.TrackOwnedMachine(entry, id)
+		if !t.agents.IsSilent(state) && !holds(entry, state) {
 			return false
 		}
 	}
--- a/internal/coordination/ownership/rebalance.go
+++ b/internal/coordination/ownership/rebalance.go
@@ -33,7 +33,7 @@
 		DemandWeight:         t.Config.RebalanceDemandWeight,
 	}
 	for _, transfer := range sharding.PlanRebalance(t.ShardingSnapshot(overloaded), policy) {
-		if b.ChangesShard(transfer.Shard) || !b.HasCapacity(t.shards.ShardWriteOps(transfer.Shard)) {
+		if b.ChangesShard(transfer.Shard) || !b.HasCapacity(t.shardWriter.ShardWriteOps(transfer.Shard)) {
 			continue
 		}
 		t.lastRebalanceAt = t.Now.Monotonic
@@ -136,8 +136,8 @@
 		if reserved[id] {
 			return 0, true
 		}
-		if machine := t.agents.Lookup(id); machine != nil && t.Replica.Machines[id] != nil {
-			cost += float64(len(machine.InflightStarts))
+		if state := t.agents.Lookup(id); state != nil && t.Replica.Machines[id] != nil {
+			cost += float64(len(state.InflightStarts))
 		}
 	}
 	return cost, false
--- a/internal/coordination/ownership/transfer_steps.go
+++ b/internal/coordination/ownership/transfer_steps.go
@@ -77,7 +77,7 @@
 		if b.ChangesShard(record.Shard) {
 			return
 		}
-		ops += t.shards.ShardWriteOps(record.Shard)
+		ops += t.shardWriter.ShardWriteOps(record.Shard)
 	}
 	if !b.HasCapacity(ops) {
 		return
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -30,7 +30,7 @@
 	overload      *OverloadDetector
 	ownership     *Manager
 	peers         *Peers
-	shards        *commit.ShardWriter
+	shardWriter        *commit.ShardWriter
 
 	observations       map[storage.TransferSlot]transferObservation
 	lastRebalanceAt    protocol.Instant // when a transfer was last planned and written
--- a/internal/coordination/provisioning/parts.go
+++ b/internal/coordination/provisioning/parts.go
@@ -50,14 +50,14 @@
 	p.Inventory.replication = d.Replication
 	p.Provisioner.catalog = d.Catalog
 	p.Provisioner.lease = d.Lease
-	p.Provisioner.plan = d.DemandSource
+	p.Provisioner.demandSource = d.DemandSource
 	p.Provisioner.replication = d.Replication
 	p.Provisioner.spot = d.Spot
 	p.Terminator.agents = d.Agents
 	p.Terminator.cancellations = d.Cancellations
 	p.Terminator.catalog = d.Catalog
 	p.Terminator.lease = d.Lease
-	p.Terminator.plan = d.PlanUse
+	p.Terminator.planUse = d.PlanUse
 	p.Terminator.replication = d.Replication
-	p.Terminator.scheduler = d.IdlePolicy
+	p.Terminator.idlePolicy = d.IdlePolicy
 }
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -20,7 +20,7 @@
 
 	catalog     *catalog.Catalog
 	lease       *commit.Lease
-	plan        DemandSource
+	demandSource        DemandSource
 	replication *commit.Replication
 	spot        *catalog.SpotPricing
 	terminator  *Terminator
@@ -42,11 +42,11 @@
 // being provisioned, can take.
 func (p *Provisioner) ScaleOut() {
 	p.retryRequests()
-	if p.replication.StoreUnavailable() || p.plan.Age() > maxPlanAge {
+	if p.replication.StoreUnavailable() || p.demandSource.Age() > maxPlanAge {
 		return
 	}
-	demands := p.plan.Demands()
-	slices.SortStableFunc(demands, func(a, z UnmetDemand) int { return cmp.Compare(a.Precedence, z.Precedence) })
+	demands := p.demandSource.Demands()
+	slices.SortStableFunc(demands, func(left, right UnmetDemand) int { return cmp.Compare(left.Precedence, right.Precedence) })
 	pendingPools := p.pendingPools()
 	spotCount := p.countSpotMachines()
 	for _, demand := range demands {
@@ -54,7 +54,7 @@
 			p.provisionForDemand(demand, pendingPools, spotCount)
 		}
 	}
-	p.plan.ClearDemands()
+	p.demandSource.ClearDemands()
 }
 
 func (p *Provisioner) countSpotMachines() int {
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -173,7 +173,7 @@
 
 // isInUse tells whether a machine has tasks, or is about to have some.
 func (t *Terminator) isInUse(record *storage.MachineRecord, state *agents.MachineState) bool {
-	return len(record.Assignments) > 0 || t.plan.RetainsMachine(state.ID) || state.HasLiveTasks()
+	return len(record.Assignments) > 0 || t.planUse.RetainsMachine(state.ID) || state.HasLiveTasks()
 }
 
 // isIdleTooLong tells whether a machine's idle period has lasted longer than its like is worth
@@ -196,7 +196,7 @@
 		replacementSeconds += state.MeanImageGB() / machineType.ImagePullGBPerSecond
 	}
 	factor := t.Config.IdleTimeoutFactor
-	if !t.scheduler.RetainsIdleMachine(state.ID) {
+	if !t.idlePolicy.RetainsIdleMachine(state.ID) {
 		factor *= surplusIdleFactor
 	}
 	return time.Duration(replacementSeconds * factor * float64(time.Second))
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -37,9 +37,9 @@
 	catalog       *catalog.Catalog
 	inventory     *Inventory
 	lease         *commit.Lease
-	plan          PlanUse
+	planUse          PlanUse
 	replication   *commit.Replication
-	scheduler     IdlePolicy
+	idlePolicy     IdlePolicy
 
 	scaleInQueue []scaleInDecision // of the last review of the owned machines
 	idlePeriods  map[protocol.MachineID]idlePeriod
--- a/internal/coordination/requests/deferred_requests.go
+++ b/internal/coordination/requests/deferred_requests.go
@@ -38,31 +38,31 @@
 }
 
 // HasDeferred tells whether requests wait for a newer replica.
-func (h *UserRequests) HasDeferred() bool { return len(h.deferred) > 0 }
+func (u *UserRequests) HasDeferred() bool { return len(u.deferred) > 0 }
 
 // OnReadRevisionResult takes in the store's revision, for all requests that wait for it.
-func (h *UserRequests) OnReadRevisionResult(v step.ReadRevisionResult) {
-	h.revisionRead.isInFlight = false
-	isAnswered := h.store.RecordContact(h.revisionRead.requestedAt, v.Err)
-	h.deferred = slices.DeleteFunc(h.deferred, func(request *deferredRequest) bool {
+func (u *UserRequests) OnReadRevisionResult(result step.ReadRevisionResult) {
+	u.revisionRead.isInFlight = false
+	isAnswered := u.store.RecordContact(u.revisionRead.requestedAt, result.Err)
+	u.deferred = slices.DeleteFunc(u.deferred, func(request *deferredRequest) bool {
 		if request.state != awaitsRevision {
 			return false
 		}
 		if !isAnswered {
-			h.rejectUnavailable(request.requestID)
+			u.rejectUnavailable(request.requestID)
 			return true
 		}
 		// Revision 0 is that of a store which nothing has been written to; it says nothing of
 		// what the replica must have, and the request waits for the next read.
-		if v.Revision != 0 {
-			request.state, request.minRevision = awaitsReplica, v.Revision
+		if result.Revision != 0 {
+			request.state, request.minRevision = awaitsReplica, result.Revision
 		}
 		return false
 	})
 }
 
-func (h *UserRequests) deferSubmission(requestID step.RequestID, job *protocol.Job, receivedAt protocol.Instant) {
-	h.deferRequest(&deferredRequest{
+func (u *UserRequests) deferSubmission(requestID step.RequestID, job *protocol.Job, receivedAt protocol.Instant) {
+	u.deferRequest(&deferredRequest{
 		requestID:   requestID,
 		requestType: protocol.RequestSubmit,
 		jobID:       job.ID,
@@ -71,23 +71,23 @@
 	})
 }
 
-func (h *UserRequests) deferRequest(request *deferredRequest) {
-	if h.replication.StoreUnavailable() || len(h.deferred) >= maxWaitingRequests {
-		h.rejectUnavailable(request.requestID)
+func (u *UserRequests) deferRequest(request *deferredRequest) {
+	if u.replication.StoreUnavailable() || len(u.deferred) >= maxWaitingRequests {
+		u.rejectUnavailable(request.requestID)
 		return
 	}
-	h.deferred = append(h.deferred, request)
-	h.requestRevision()
+	u.deferred = append(u.deferred, request)
+	u.requestRevision()
 }
 
 // requestRevision reads the store's revision once for all requests that have come since the last
 // read began.
-func (h *UserRequests) requestRevision() {
-	if h.revisionRead.isInFlight {
+func (u *UserRequests) requestRevision() {
+	if u.revisionRead.isInFlight {
 		return
 	}
 	isNeeded := false
-	for _, request := range h.deferred {
+	for _, request := range u.deferred {
 		if request.state == awaitsRead {
 			request.state, isNeeded = awaitsRevision, true
 		}
@@ -95,63 +95,63 @@
 	if !isNeeded {
 		return
 	}
-	h.revisionRead = revisionRead{isInFlight: true, requestedAt: h.Now.Monotonic}
-	h.Emit(step.ReadRevision{})
+	u.revisionRead = revisionRead{isInFlight: true, requestedAt: u.Now.Monotonic}
+	u.Emit(step.ReadRevision{})
 }
 
 // replyToDeferred answers the deferred requests that can be answered now.
-func (h *UserRequests) replyToDeferred() {
-	h.deferred = slices.DeleteFunc(h.deferred, h.tryReply)
-	h.requestRevision()
+func (u *UserRequests) replyToDeferred() {
+	u.deferred = slices.DeleteFunc(u.deferred, u.tryReply)
+	u.requestRevision()
 }
 
 // tryReply answers a deferred request if that can be done now. It must not defer another one, as
 // the list is being filtered.
-func (h *UserRequests) tryReply(request *deferredRequest) (isAnswered bool) {
-	if h.replyIfFinal(request.requestID, request.requestType, request.jobID) {
+func (u *UserRequests) tryReply(request *deferredRequest) (isAnswered bool) {
+	if u.replyIfFinal(request.requestID, request.requestType, request.jobID) {
 		return true
 	}
-	if !h.isReplicaNewEnough(request) {
+	if !u.isReplicaNewEnough(request) {
 		return false
 	}
-	e := h.Replica.Jobs[request.jobID]
+	entry := u.Replica.Jobs[request.jobID]
 	switch {
-	case e == nil && request.requestType == protocol.RequestSubmit:
-		h.replyToUnrecorded(request)
-	case e == nil:
-		h.replyError(request.requestID, http.StatusNotFound, messageNoSuchJob)
+	case entry == nil && request.requestType == protocol.RequestSubmit:
+		u.replyToUnrecorded(request)
+	case entry == nil:
+		u.replyError(request.requestID, http.StatusNotFound, messageNoSuchJob)
 	case request.requestType == protocol.RequestCancel:
-		h.cancellations.RequestCancellation(request.jobID)
+		u.cancellations.RequestCancellation(request.jobID)
 		request.state = awaitsCancellation
 		return false
 	default:
-		h.Reply(request.requestID, http.StatusOK, h.jobStatus(request.jobID, &e.Record, request.requestType))
+		u.Reply(request.requestID, http.StatusOK, u.jobStatus(request.jobID, &entry.Record, request.requestType))
 	}
 	return true
 }
 
 // isReplicaNewEnough tells whether the replica has reached the revision that a request waits for.
-func (h *UserRequests) isReplicaNewEnough(request *deferredRequest) bool {
-	return request.state == awaitsReplica && h.Replica.Revision >= request.minRevision && h.replication.IsLoaded()
+func (u *UserRequests) isReplicaNewEnough(request *deferredRequest) bool {
+	return request.state == awaitsReplica && u.Replica.Revision >= request.minRevision && u.replication.IsLoaded()
 }
 
 // replyToUnrecorded goes on with a deferred submission that no controller has put on record.
-func (h *UserRequests) replyToUnrecorded(request *deferredRequest) {
+func (u *UserRequests) replyToUnrecorded(request *deferredRequest) {
 	switch {
-	case !h.knowsMachineTypes():
-		h.rejectUnavailable(request.requestID)
-	case !h.canEverRun(request.job):
-		h.Log(slog.LevelInfo, "job rejected, requirements cannot be met", "job", string(request.jobID), "team", request.job.Team)
-		h.replyError(request.requestID, http.StatusUnprocessableEntity, messageNeverRuns)
-	case !h.canTakeSubmission():
-		h.rejectUnavailable(request.requestID)
+	case !u.knowsMachineTypes():
+		u.rejectUnavailable(request.requestID)
+	case !u.canEverRun(request.job):
+		u.Log(slog.LevelInfo, "job rejected, requirements cannot be met", "job", string(request.jobID), "team", request.job.Team)
+		u.replyError(request.requestID, http.StatusUnprocessableEntity, messageNeverRuns)
+	case !u.canTakeSubmission():
+		u.rejectUnavailable(request.requestID)
 	default:
-		h.addSubmission(request.requestID, request.job)
+		u.addSubmission(request.requestID, request.job)
 	}
 }
 
-func (h *UserRequests) expireDeferred(isExpired func(receivedAt protocol.Instant) bool) {
-	h.deferred = expire(h.deferred,
+func (u *UserRequests) expireDeferred(isExpired func(receivedAt protocol.Instant) bool) {
+	u.deferred = expire(u.deferred,
 		func(request *deferredRequest) bool { return isExpired(request.receivedAt) },
-		func(request *deferredRequest) { h.rejectUnavailable(request.requestID) })
+		func(request *deferredRequest) { u.rejectUnavailable(request.requestID) })
 }
--- a/internal/coordination/requests/drains.go
+++ b/internal/coordination/requests/drains.go
@@ -25,51 +25,51 @@
 }
 
 // OnDrainRequest takes a request in.
-func (o *OperatorRequests) OnDrainRequest(v DrainRequest) {
+func (o *OperatorRequests) OnDrainRequest(request DrainRequest) {
 	o.enqueue(&operatorRequest{
-		rejection: func(err *RequestError) step.Effect { return DrainReply{Req: v.Req, Err: err} },
-		tryWrite:  func(b *commit.Batch) (step.Effect, *RequestError) { return o.writeDrain(b, &v) },
-	}, o.checkDrain(&v))
+		rejection: func(err *RequestError) step.Effect { return DrainReply{Req: request.Req, Err: err} },
+		tryWrite:  func(b *commit.Batch) (step.Effect, *RequestError) { return o.writeDrain(b, &request) },
+	}, o.checkDrain(&request))
 }
 
 // checkDrain refuses to drain a controller that is not registered, and the last one that could own
 // machines.
-func (o *OperatorRequests) checkDrain(v *DrainRequest) *RequestError {
-	if !v.Drain || o.Replica.IsDraining(v.Controller) {
+func (o *OperatorRequests) checkDrain(request *DrainRequest) *RequestError {
+	if !request.Drain || o.Replica.IsDraining(request.Controller) {
 		return nil
 	}
-	if o.Replica.Controllers[v.Controller] == nil {
-		return newUnknownControllerError(v.Controller)
+	if o.Replica.Controllers[request.Controller] == nil {
+		return newUnknownControllerError(request.Controller)
 	}
 	for controller := range o.Replica.Controllers {
-		if controller != v.Controller && !o.Replica.IsDraining(controller) {
+		if controller != request.Controller && !o.Replica.IsDraining(controller) {
 			return nil
 		}
 	}
-	return newPermanentError("no other controller is up that could take the machines of %q", v.Controller)
+	return newPermanentError("no other controller is up that could take the machines of %q", request.Controller)
 }
 
 // writeDrain puts a request into the batch, or answers it if it is on record. The write depends on
 // the drain keys of all controllers, so that two requests of the same instant do not drain the
 // last two.
-func (o *OperatorRequests) writeDrain(b *commit.Batch, v *DrainRequest) (step.Effect, *RequestError) {
-	if v.Drain == o.Replica.IsDraining(v.Controller) {
-		return DrainReply{Req: v.Req, Status: o.controllerStatus(v.Controller)}, nil
+func (o *OperatorRequests) writeDrain(b *commit.Batch, request *DrainRequest) (step.Effect, *RequestError) {
+	if request.Drain == o.Replica.IsDraining(request.Controller) {
+		return DrainReply{Req: request.Req, Status: o.controllerStatus(request.Controller)}, nil
 	}
-	if err := o.checkDrain(v); err != nil {
+	if err := o.checkDrain(request); err != nil {
 		return nil, err
 	}
-	if !b.HasCapacity(1) || b.ChangesDrain(v.Controller) {
+	if !b.HasCapacity(1) || b.ChangesDrain(request.Controller) {
 		return nil, nil
 	}
 	change := &commit.DrainChange{}
-	if v.Drain {
+	if request.Drain {
 		change.Record = &storage.DrainRecord{Since: o.Now.Wall}
 	}
-	b.SetDrain(v.Controller, change)
+	b.SetDrain(request.Controller, change)
 	for controller := range o.Replica.Controllers {
 		b.DependOn(storage.DrainKey(controller))
 	}
-	b.Log(slog.LevelInfo, "controller drain changed", "controller", string(v.Controller), "draining", v.Drain)
+	b.Log(slog.LevelInfo, "controller drain changed", "controller", string(request.Controller), "draining", request.Drain)
 	return nil, nil
 }
--- a/internal/coordination/requests/sharding_status.go
+++ b/internal/coordination/requests/sharding_status.go
@@ -45,8 +45,8 @@
 const maxPlannedTransfers = 2 * ownership.MaxIncomingTransfers
 
 // OnShardingStatusRequest tells who owns what, as of the replica's revision.
-func (o *OperatorRequests) OnShardingStatusRequest(v ShardingStatusRequest) {
-	reply := ShardingStatusReply{Req: v.Req, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
+func (o *OperatorRequests) OnShardingStatusRequest(request ShardingStatusRequest) {
+	reply := ShardingStatusReply{Req: request.Req, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
 	for _, id := range step.SortedKeys(o.Replica.Shards) {
 		reply.Shards = append(reply.Shards, o.shardStatus(id))
 	}
@@ -66,12 +66,12 @@
 	shard := o.Replica.Shards[id]
 	status := ShardStatus{ID: id, Owner: shard.Owner, Epoch: shard.Epoch, Machines: len(shard.Machines)}
 	for _, machineID := range shard.Machines {
-		e := o.Replica.Machines[machineID]
-		if e == nil {
+		entry := o.Replica.Machines[machineID]
+		if entry == nil {
 			continue
 		}
-		for i := range e.Record.Assignments {
-			status.Tasks += e.Record.Assignments[i].Tasks.Len()
+		for i := range entry.Record.Assignments {
+			status.Tasks += entry.Record.Assignments[i].Tasks.Len()
 		}
 	}
 	return status
@@ -79,9 +79,9 @@
 
 func (o *OperatorRequests) controllerStatus(controller protocol.ControllerID) ControllerStatus {
 	status := ControllerStatus{ID: controller, Draining: o.Replica.IsDraining(controller)}
-	if e := o.Replica.Controllers[controller]; e != nil {
-		status.Incarnation = e.Record.Incarnation
-		status.RecordsTransfers = e.Record.SupportsTransfers
+	if entry := o.Replica.Controllers[controller]; entry != nil {
+		status.Incarnation = entry.Record.Incarnation
+		status.RecordsTransfers = entry.Record.SupportsTransfers
 	}
 	for _, shard := range o.Replica.Shards {
 		if status.Incarnation != "" && shard.Owner == status.Incarnation {
--- a/internal/coordination/requests/submissions.go
+++ b/internal/coordination/requests/submissions.go
@@ -28,24 +28,24 @@
 }
 
 // HasSubmissions tells whether jobs wait to be put on record.
-func (h *UserRequests) HasSubmissions() bool { return len(h.submissions) > 0 }
+func (u *UserRequests) HasSubmissions() bool { return len(u.submissions) > 0 }
 
-// WriteBatch puts new jobs and cancellations into the batch.
-func (h *UserRequests) WriteBatch(b *commit.Batch) {
-	h.cancellations.Write(b)
-	for _, id := range step.SortedKeys(h.submissions) {
-		if h.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
+// WriteUserRequests puts new jobs and cancellations into the batch.
+func (u *UserRequests) WriteUserRequests(b *commit.Batch) {
+	u.cancellations.WriteCancellations(b)
+	for _, id := range step.SortedKeys(u.submissions) {
+		if u.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
 			continue
 		}
-		pending := h.submissions[id]
-		b.AddJob(id, h.newJobRecord(pending.job, pending.submittedAt))
+		pending := u.submissions[id]
+		b.AddJob(id, u.newJobRecord(pending.job, pending.submittedAt))
 	}
 }
 
-func (h *UserRequests) newJobRecord(job *protocol.Job, submittedAt protocol.Millis) *storage.JobRecord {
+func (u *UserRequests) newJobRecord(job *protocol.Job, submittedAt protocol.Millis) *storage.JobRecord {
 	return &storage.JobRecord{
 		Spec:        job,
-		Owner:       h.lease.Incarnation(),
+		Owner:       u.lease.Incarnation(),
 		NextAttempt: step.AttemptBlockSize,
 		SubmittedAt: submittedAt,
 	}
@@ -53,54 +53,54 @@
 
 // JobRecordFits tells whether a job's record stays within a value of the store, whatever is noted of
 // it later, also under limits that are announced.
-func (h *UserRequests) JobRecordFits(job *protocol.Job) bool {
+func (u *UserRequests) JobRecordFits(job *protocol.Job) bool {
 	format := storage.FormatPlain
-	if h.Config.AnnouncedLimits != nil {
+	if u.Config.AnnouncedLimits != nil {
 		format = storage.FormatPacked
 	}
-	size := len(storage.EncodeJob(format, h.newJobRecord(job, h.Now.Wall)))
-	return size <= h.limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
+	size := len(storage.EncodeJob(format, u.newJobRecord(job, u.Now.Wall)))
+	return size <= u.limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
 // onSubmit takes a valid job in.
-func (h *UserRequests) onSubmit(requestID step.RequestID, job *protocol.Job) {
+func (u *UserRequests) onSubmit(requestID step.RequestID, job *protocol.Job) {
 	switch {
-	case h.replyIfFinal(requestID, protocol.RequestSubmit, job.ID):
-	case h.Replica.Jobs[job.ID] != nil:
-		h.deferSubmission(requestID, job, h.Now.Monotonic)
-	case !h.canTakeSubmission():
-		h.rejectUnavailable(requestID)
-	case !h.canEverRun(job):
+	case u.replyIfFinal(requestID, protocol.RequestSubmit, job.ID):
+	case u.Replica.Jobs[job.ID] != nil:
+		u.deferSubmission(requestID, job, u.Now.Monotonic)
+	case !u.canTakeSubmission():
+		u.rejectUnavailable(requestID)
+	case !u.canEverRun(job):
 		// It may be rejected only once it is certain that no other controller has accepted it.
-		h.deferSubmission(requestID, job, h.Now.Monotonic)
+		u.deferSubmission(requestID, job, u.Now.Monotonic)
 	default:
-		h.addSubmission(requestID, job)
+		u.addSubmission(requestID, job)
 	}
 }
 
 // canTakeSubmission tells whether one more job can wait to be put on record.
-func (h *UserRequests) canTakeSubmission() bool {
-	return !h.replication.StoreUnavailable() && h.knowsMachineTypes() && len(h.submissions) < maxWaitingRequests
+func (u *UserRequests) canTakeSubmission() bool {
+	return !u.replication.StoreUnavailable() && u.knowsMachineTypes() && len(u.submissions) < maxWaitingRequests
 }
 
 // knowsMachineTypes tells whether the cloud's machine types have been read, without which nobody
 // can say what can run.
-func (h *UserRequests) knowsMachineTypes() bool { return len(h.catalog.MachineTypes()) > 0 }
+func (u *UserRequests) knowsMachineTypes() bool { return len(u.catalog.MachineTypes()) > 0 }
 
 // addSubmission lets a job wait to be put on record.
-func (h *UserRequests) addSubmission(requestID step.RequestID, job *protocol.Job) {
-	pending := h.submissions[job.ID]
+func (u *UserRequests) addSubmission(requestID step.RequestID, job *protocol.Job) {
+	pending := u.submissions[job.ID]
 	if pending == nil {
-		pending = &submission{job: job, receivedAt: h.Now.Monotonic, submittedAt: h.Now.Wall}
-		h.submissions[job.ID] = pending
+		pending = &submission{job: job, receivedAt: u.Now.Monotonic, submittedAt: u.Now.Wall}
+		u.submissions[job.ID] = pending
 	}
 	pending.requestIDs = append(pending.requestIDs, requestID)
 }
 
 // canEverRun tells whether the team's quota and the cloud's machine types allow the job at all.
-func (h *UserRequests) canEverRun(job *protocol.Job) bool {
-	quota, ok := h.Config.Quotas[job.Team]
-	return ok && fitsQuota(job, quota) && h.fitsAnyMachineType(job)
+func (u *UserRequests) canEverRun(job *protocol.Job) bool {
+	quota, ok := u.Config.Quotas[job.Team]
+	return ok && fitsQuota(job, quota) && u.fitsAnyMachineType(job)
 }
 
 // fitsQuota tells whether the tasks of a job that must run at the same time stay within a quota.
@@ -117,8 +117,8 @@
 func isWithin(amount, limit float64) bool { return limit <= 0 || amount <= limit+quotaTolerance }
 
 // fitsAnyMachineType tells whether one task of a job fits a machine that it may be placed on.
-func (h *UserRequests) fitsAnyMachineType(job *protocol.Job) bool {
-	machineTypes := h.catalog.MachineTypes()
+func (u *UserRequests) fitsAnyMachineType(job *protocol.Job) bool {
+	machineTypes := u.catalog.MachineTypes()
 	for i := range machineTypes {
 		machineType := &machineTypes[i]
 		for _, zone := range machineType.Zones {
@@ -131,43 +131,43 @@
 }
 
 // replyToSubmissions answers for the jobs that are on record by now.
-func (h *UserRequests) replyToSubmissions() {
-	for _, id := range step.SortedKeys(h.submissions) {
-		pending, e := h.submissions[id], h.Replica.Jobs[id]
-		if e == nil {
+func (u *UserRequests) replyToSubmissions() {
+	for _, id := range step.SortedKeys(u.submissions) {
+		pending, entry := u.submissions[id], u.Replica.Jobs[id]
+		if entry == nil {
 			continue
 		}
-		delete(h.submissions, id)
+		delete(u.submissions, id)
 		for _, requestID := range pending.requestIDs {
-			h.replyToSubmission(requestID, pending, e)
+			u.replyToSubmission(requestID, pending, entry)
 		}
 	}
 }
 
 // replyToSubmission answers for a job that is on record. One that another controller has put there
 // may have come further than this replica says.
-func (h *UserRequests) replyToSubmission(requestID step.RequestID, pending *submission, e *storage.Versioned[storage.JobRecord]) {
+func (u *UserRequests) replyToSubmission(requestID step.RequestID, pending *submission, entry *storage.Versioned[storage.JobRecord]) {
 	id := pending.job.ID
 	switch {
-	case e.Record.State.IsTerminal():
-		h.Reply(requestID, http.StatusOK, h.jobStatus(id, &e.Record, protocol.RequestSubmit))
-	case e.Record.Owner == h.lease.Incarnation():
-		h.Log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
-		h.Reply(requestID, http.StatusCreated, h.jobStatus(id, &e.Record, protocol.RequestSubmit))
+	case entry.Record.State.IsTerminal():
+		u.Reply(requestID, http.StatusOK, u.jobStatus(id, &entry.Record, protocol.RequestSubmit))
+	case entry.Record.Owner == u.lease.Incarnation():
+		u.Log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
+		u.Reply(requestID, http.StatusCreated, u.jobStatus(id, &entry.Record, protocol.RequestSubmit))
 	default:
-		h.deferSubmission(requestID, pending.job, pending.receivedAt)
+		u.deferSubmission(requestID, pending.job, pending.receivedAt)
 	}
 }
 
-func (h *UserRequests) expireSubmissions(isExpired func(receivedAt protocol.Instant) bool) {
-	for _, id := range step.SortedKeys(h.submissions) {
-		pending := h.submissions[id]
+func (u *UserRequests) expireSubmissions(isExpired func(receivedAt protocol.Instant) bool) {
+	for _, id := range step.SortedKeys(u.submissions) {
+		pending := u.submissions[id]
 		if !isExpired(pending.receivedAt) {
 			continue
 		}
-		delete(h.submissions, id)
+		delete(u.submissions, id)
 		for _, requestID := range pending.requestIDs {
-			h.rejectUnavailable(requestID)
+			u.rejectUnavailable(requestID)
 		}
 	}
 }
--- a/internal/coordination/requests/transfers.go
+++ b/internal/coordination/requests/transfers.go
@@ -34,38 +34,38 @@
 const operatorTransferReason = "asked for by the operator"
 
 // OnTransferRequest takes a request in.
-func (o *OperatorRequests) OnTransferRequest(v TransferRequest) {
+func (o *OperatorRequests) OnTransferRequest(request TransferRequest) {
 	o.enqueue(&operatorRequest{
-		rejection: func(err *RequestError) step.Effect { return TransferReply{Req: v.Req, Err: err} },
+		rejection: func(err *RequestError) step.Effect { return TransferReply{Req: request.Req, Err: err} },
 		tryWrite: func(b *commit.Batch) (step.Effect, *RequestError) {
-			transfer, err := o.writeTransferRequest(b, &v)
+			transfer, err := o.writeTransferRequest(b, &request)
 			if transfer == nil || err != nil {
 				return nil, err
 			}
-			return TransferReply{Req: v.Req, Transfer: *transfer}, nil
+			return TransferReply{Req: request.Req, Transfer: *transfer}, nil
 		},
-	}, o.checkTransferRequest(&v))
+	}, o.checkTransferRequest(&request))
 }
 
 // checkTransferRequest refuses what can be refused from the records at once.
-func (o *OperatorRequests) checkTransferRequest(v *TransferRequest) *RequestError {
-	if v.Name == "" || len(v.Name) > maxTransferNameBytes {
+func (o *OperatorRequests) checkTransferRequest(request *TransferRequest) *RequestError {
+	if request.Name == "" || len(request.Name) > maxTransferNameBytes {
 		return newPermanentError("a move needs a name of 1 to %d bytes", maxTransferNameBytes)
 	}
-	if v.Abort || o.findTransfer(v.Name) != nil {
+	if request.Abort || o.findTransfer(request.Name) != nil {
 		return nil
 	}
 	if !o.Config.RecordTransfers {
 		return newPermanentError("moves are not on record here: moves.recorded is off")
 	}
 	switch {
-	case v.Source != "" && o.Replica.Controllers[v.Source] == nil:
-		return newUnknownControllerError(v.Source)
-	case o.Replica.Controllers[v.Target] == nil:
-		return newUnknownControllerError(v.Target)
-	case v.Shard != "" && o.Replica.Shards[v.Shard] == nil:
-		return newUnknownShardError(v.Shard)
-	case v.Shard == "" && v.Source == "":
+	case request.Source != "" && o.Replica.Controllers[request.Source] == nil:
+		return newUnknownControllerError(request.Source)
+	case o.Replica.Controllers[request.Target] == nil:
+		return newUnknownControllerError(request.Target)
+	case request.Shard != "" && o.Replica.Shards[request.Shard] == nil:
+		return newUnknownShardError(request.Shard)
+	case request.Shard == "" && request.Source == "":
 		return newPermanentError("neither a page nor a controller to take one from is named")
 	}
 	return nil
@@ -74,9 +74,9 @@
 // findTransfer gives the newest transfer of a name, nil for none.
 func (o *OperatorRequests) findTransfer(name string) *storage.Versioned[storage.TransferRecord] {
 	var newest *storage.Versioned[storage.TransferRecord]
-	for _, e := range o.Replica.Transfers {
-		if e.Record.Name == name && (newest == nil || e.ModRevision > newest.ModRevision) {
-			newest = e
+	for _, entry := range o.Replica.Transfers {
+		if entry.Record.Name == name && (newest == nil || entry.ModRevision > newest.ModRevision) {
+			newest = entry
 		}
 	}
 	return newest
@@ -84,41 +84,41 @@
 
 // writeTransferRequest puts a request into the batch, or gives the transfer if what was asked for
 // is on record.
-func (o *OperatorRequests) writeTransferRequest(b *commit.Batch, r *TransferRequest) (*storage.TransferRecord, *RequestError) {
-	e := o.findTransfer(r.Name)
+func (o *OperatorRequests) writeTransferRequest(b *commit.Batch, request *TransferRequest) (*storage.TransferRecord, *RequestError) {
+	entry := o.findTransfer(request.Name)
 	switch {
-	case e == nil && r.Abort:
-		return nil, newPermanentError("no move %q", r.Name)
-	case e == nil:
-		return nil, o.proposeTransfer(b, r)
-	case !r.Abort || e.Record.Phase == storage.TransferAborted:
-		return &e.Record, nil
-	case !e.Record.Phase.IsPending():
-		return nil, newPermanentError("the move is %s already", e.Record.Phase)
-	}
-	o.abortTransfer(b, r.Name)
+	case entry == nil && request.Abort:
+		return nil, newPermanentError("no move %q", request.Name)
+	case entry == nil:
+		return nil, o.proposeTransfer(b, request)
+	case !request.Abort || entry.Record.Phase == storage.TransferAborted:
+		return &entry.Record, nil
+	case !entry.Record.Phase.IsPending():
+		return nil, newPermanentError("the move is %s already", entry.Record.Phase)
+	}
+	o.abortTransfer(b, request.Name)
 	return nil, nil
 }
 
 // proposeTransfer puts the record of a new transfer into the batch, if there is room for it.
-func (o *OperatorRequests) proposeTransfer(b *commit.Batch, r *TransferRequest) *RequestError {
-	shard, err := o.requestedShard(r)
+func (o *OperatorRequests) proposeTransfer(b *commit.Batch, request *TransferRequest) *RequestError {
+	shard, err := o.requestedShard(request)
 	if err != nil {
 		return err
 	}
-	target := o.Replica.Controllers[r.Target]
+	target := o.Replica.Controllers[request.Target]
 	if target == nil {
-		return newPermanentError("controller %q has ended", r.Target)
+		return newPermanentError("controller %q has ended", request.Target)
 	}
 	source := o.Replica.Shards[shard].Owner
-	for _, controller := range []protocol.ControllerID{source.Controller(), r.Target} {
+	for _, controller := range []protocol.ControllerID{source.Controller(), request.Target} {
 		if !o.Replica.Controllers[controller].Record.SupportsTransfers {
 			return newUnsupportedTransferError(controller)
 		}
 	}
 	if b.HasCapacity(1) {
 		transfer := sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}
-		o.transfers.OpenTransfer(b, transfer, storage.TransferProposed, operatorTransferReason, r.Name)
+		o.transfers.OpenTransfer(b, transfer, storage.TransferProposed, operatorTransferReason, request.Name)
 	}
 	return nil
 }
@@ -132,8 +132,8 @@
 // abortTransfer puts the end of the pending transfers of a name into the batch.
 func (o *OperatorRequests) abortTransfer(b *commit.Batch, name string) {
 	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
-		e := o.Replica.Transfers[slot]
-		if e.Record.Name == name && e.Record.Phase.IsPending() && !b.ChangesTransfer(slot) {
+		entry := o.Replica.Transfers[slot]
+		if entry.Record.Name == name && entry.Record.Phase.IsPending() && !b.ChangesTransfer(slot) {
 			o.transfers.WriteTransferStep(b, slot, sharding.TransferStep{
 				Phase:  storage.TransferAborted,
 				Reason: sharding.ReasonOperatorAbort,
@@ -143,33 +143,33 @@
 }
 
 // requestedShard is the shard that a request means: the one it names, or one of the source.
-func (o *OperatorRequests) requestedShard(r *TransferRequest) (storage.ShardID, *RequestError) {
-	if r.Shard == "" {
-		return o.smallestTransferableShard(r)
+func (o *OperatorRequests) requestedShard(request *TransferRequest) (storage.ShardID, *RequestError) {
+	if request.Shard == "" {
+		return o.smallestTransferableShard(request)
 	}
-	shard := o.Replica.Shards[r.Shard]
+	shard := o.Replica.Shards[request.Shard]
 	switch {
 	case shard == nil:
-		return "", newUnknownShardError(r.Shard)
+		return "", newUnknownShardError(request.Shard)
 	case !o.Replica.IsAlive(shard.Owner):
 		return "", newTransientError("the page's owner has ended; another controller takes it over")
-	case shard.Owner.Controller() == r.Target:
-		return "", newPermanentError("the page is %q's already", r.Target)
+	case shard.Owner.Controller() == request.Target:
+		return "", newPermanentError("the page is %q's already", request.Target)
 	}
-	if _, transfer := o.Replica.OpenTransferOf(r.Shard); transfer != nil {
+	if _, transfer := o.Replica.OpenTransferOf(request.Shard); transfer != nil {
 		return "", newTransientError("the page is on its way with move %q", transfer.Record.Name)
 	}
-	return r.Shard, nil
+	return request.Shard, nil
 }
 
 // smallestTransferableShard is the shard of the source with the fewest machines, of those that are
 // not being transferred.
-func (o *OperatorRequests) smallestTransferableShard(r *TransferRequest) (smallest storage.ShardID, err *RequestError) {
-	if r.Source == r.Target {
+func (o *OperatorRequests) smallestTransferableShard(request *TransferRequest) (smallest storage.ShardID, err *RequestError) {
+	if request.Source == request.Target {
 		return "", newPermanentError("giver and taker are the same")
 	}
 	for _, id := range step.SortedKeys(o.Replica.Shards) {
-		if !o.isTransferableFrom(r.Source, id) {
+		if !o.isTransferableFrom(request.Source, id) {
 			continue
 		}
 		if smallest == "" || len(o.Replica.Shards[id].Machines) < len(o.Replica.Shards[smallest].Machines) {
@@ -177,7 +177,7 @@
 		}
 	}
 	if smallest == "" {
-		return "", newTransientError("%q has no page that could move", r.Source)
+		return "", newTransientError("%q has no page that could move", request.Source)
 	}
 	return smallest, nil
 }
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -58,75 +58,75 @@
 }
 
 // OnUserInput takes a request in, and answers it if that can be done at once.
-func (h *UserRequests) OnUserInput(v step.UserInput) {
+func (u *UserRequests) OnUserInput(input step.UserInput) {
 	switch {
-	case v.Type == protocol.RequestSubmit:
-		h.onSubmitInput(v)
-	case !v.Job.IsValid():
-		h.replyError(v.RequestID, http.StatusNotFound, messageNoSuchJob)
-	case h.replyIfFinal(v.RequestID, v.Type, v.Job):
+	case input.Type == protocol.RequestSubmit:
+		u.onSubmitInput(input)
+	case !input.Job.IsValid():
+		u.replyError(input.RequestID, http.StatusNotFound, messageNoSuchJob)
+	case u.replyIfFinal(input.RequestID, input.Type, input.Job):
 	default:
-		h.onJobInput(v)
+		u.onJobInput(input)
 	}
 }
 
 // onSubmitInput checks the description of a submitted job.
-func (h *UserRequests) onSubmitInput(v step.UserInput) {
-	job, err := protocol.ParseJob(v.Body)
+func (u *UserRequests) onSubmitInput(input step.UserInput) {
+	job, err := protocol.ParseJob(input.Body)
 	if err != nil {
-		body := v.Body[:min(len(v.Body), maxLoggedBodyBytes)]
-		h.Log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(body))
-		h.replyError(v.RequestID, http.StatusBadRequest, err.Error())
+		body := input.Body[:min(len(input.Body), maxLoggedBodyBytes)]
+		u.Log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(body))
+		u.replyError(input.RequestID, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !h.JobRecordFits(job) {
-		h.replyError(v.RequestID, http.StatusBadRequest, messageJobTooLarge)
+	if !u.JobRecordFits(job) {
+		u.replyError(input.RequestID, http.StatusBadRequest, messageJobTooLarge)
 		return
 	}
-	h.onSubmit(v.RequestID, job)
+	u.onSubmit(input.RequestID, job)
 }
 
 // onJobInput takes in a request for a job that is not final here. A cancellation of a job that is
 // known to exist begins at once; the answer waits for its confirmation either way.
-func (h *UserRequests) onJobInput(v step.UserInput) {
-	isKnown := h.Replica.Jobs[v.Job] != nil
-	if v.Type == protocol.RequestCancel && isKnown && !h.replication.StoreUnavailable() {
-		h.cancellations.RequestCancellation(v.Job)
+func (u *UserRequests) onJobInput(input step.UserInput) {
+	isKnown := u.Replica.Jobs[input.Job] != nil
+	if input.Type == protocol.RequestCancel && isKnown && !u.replication.StoreUnavailable() {
+		u.cancellations.RequestCancellation(input.Job)
 	}
-	h.deferRequest(&deferredRequest{
-		requestID:   v.RequestID,
-		requestType: v.Type,
-		jobID:       v.Job,
-		receivedAt:  h.Now.Monotonic,
+	u.deferRequest(&deferredRequest{
+		requestID:   input.RequestID,
+		requestType: input.Type,
+		jobID:       input.Job,
+		receivedAt:  u.Now.Monotonic,
 	})
 }
 
 // replyIfFinal answers a request from the replica alone if the job is in a final state, which never
 // changes.
-func (h *UserRequests) replyIfFinal(requestID step.RequestID, requestType protocol.RequestType, id protocol.JobID) bool {
-	e := h.Replica.Jobs[id]
-	if e == nil || !e.Record.State.IsTerminal() {
+func (u *UserRequests) replyIfFinal(requestID step.RequestID, requestType protocol.RequestType, id protocol.JobID) bool {
+	entry := u.Replica.Jobs[id]
+	if entry == nil || !entry.Record.State.IsTerminal() {
 		return false
 	}
-	h.Reply(requestID, http.StatusOK, h.jobStatus(id, &e.Record, requestType))
+	u.Reply(requestID, http.StatusOK, u.jobStatus(id, &entry.Record, requestType))
 	return true
 }
 
 // jobStatus is what the replica says of a job, as the answer to a type of request.
-func (h *UserRequests) jobStatus(
+func (u *UserRequests) jobStatus(
 	id protocol.JobID, record *storage.JobRecord, requestType protocol.RequestType,
 ) protocol.JobStatus {
 	status := protocol.JobStatus{ID: id, State: record.State}
 	running := 0
 	if !record.State.IsTerminal() {
-		running = h.runningTasks(id)
+		running = u.runningTasks(id)
 		status.State = protocol.JobQueued
 		if running > 0 {
 			status.State = protocol.JobRunning
 		}
 	}
 	if requestType == protocol.RequestQuery {
-		done := h.Replica.CompletedTasks(id).Len()
+		done := u.Replica.CompletedTasks(id).Len()
 		if record.State == protocol.JobDone {
 			done = record.TaskCount
 		}
@@ -136,23 +136,23 @@
 }
 
 // runningTasks counts the tasks of a job that are assigned to machines.
-func (h *UserRequests) runningTasks(id protocol.JobID) int {
+func (u *UserRequests) runningTasks(id protocol.JobID) int {
 	running := 0
-	for machineID := range h.Replica.MachinesWithJob(id) {
-		for assignment := range h.Replica.Machines[machineID].Record.AssignmentsOf(id) {
+	for machineID := range u.Replica.MachinesWithJob(id) {
+		for assignment := range u.Replica.Machines[machineID].Record.AssignmentsOf(id) {
 			running += assignment.Tasks.Len()
 		}
 	}
 	return running
 }
 
-func (h *UserRequests) replyError(requestID step.RequestID, status int, message string) {
-	h.Reply(requestID, status, step.ErrorResponse{Error: message})
+func (u *UserRequests) replyError(requestID step.RequestID, status int, message string) {
+	u.Reply(requestID, status, step.ErrorResponse{Error: message})
 }
 
 // rejectUnavailable tells a user to ask again.
-func (h *UserRequests) rejectUnavailable(requestID step.RequestID) {
-	h.Emit(step.Reply{
+func (u *UserRequests) rejectUnavailable(requestID step.RequestID) {
+	u.Emit(step.Reply{
 		RequestID:         requestID,
 		Status:            http.StatusServiceUnavailable,
 		RetryAfterSeconds: retryAfterSeconds,
@@ -161,18 +161,18 @@
 }
 
 // ReplyPending answers every request that can be answered now.
-func (h *UserRequests) ReplyPending() {
-	h.replyToSubmissions()
-	h.replyToDeferred()
+func (u *UserRequests) ReplyPending() {
+	u.replyToSubmissions()
+	u.replyToDeferred()
 }
 
 // ExpireUserRequests gives up on requests that have waited too long. While the store is unavailable
 // none is kept: the user is better off asking another controller at once.
-func (h *UserRequests) ExpireUserRequests() {
-	unavailable := h.replication.StoreUnavailable()
+func (u *UserRequests) ExpireUserRequests() {
+	unavailable := u.replication.StoreUnavailable()
 	isExpired := func(receivedAt protocol.Instant) bool {
-		return unavailable || h.Since(receivedAt) > h.Config.UserRequestTimeout
+		return unavailable || u.Since(receivedAt) > u.Config.UserRequestTimeout
 	}
-	h.expireSubmissions(isExpired)
-	h.expireDeferred(isExpired)
+	u.expireSubmissions(isExpired)
+	u.expireDeferred(isExpired)
 }
--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -51,7 +51,7 @@
 	}
 	if job.isStarved && job.placedTasks == 0 && p.allowance > 0 {
 		// Its tasks fit into no gap that others leave: some machines are emptied.
-		s.gangs.reserveMachines(b, job, candidates, anyZone, min(p.allowance, maxReservedTasks))
+		s.gangs.reserveForStarvedJob(b, job, candidates, anyZone, min(p.allowance, maxReservedTasks))
 	}
 	if isUnbounded := maxTasks == protocol.MaxTasks; isUnbounded {
 		p.recordUnplaced()
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -153,7 +153,7 @@
 	canWrite := g.acquirer.canWritePlacements(p.batch, job)
 	placements := g.preemption.currentReservation(job, p.candidates, p.tasks)
 	if placements == nil && job.isStarved {
-		if g.reserveMachines(p.batch, job, p.candidates, p.zones, p.tasks) && canWrite {
+		if g.reserveForStarvedJob(p.batch, job, p.candidates, p.zones, p.tasks) && canWrite {
 			p.addDemand()
 		}
 		if g.plan.pass.reservedPrecedences[job.precedence] {
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -37,7 +37,7 @@
 	self := ja.lease.Incarnation()
 	attempts := attemptsOf(ja.jobs, job.id)
 	if job.record.Owner == self {
-		attempts.adoptBlock(self, job.record)
+		attempts.loadBlock(self, job.record)
 		if attempts.hasSpare() {
 			return
 		}
--- a/internal/coordination/scheduling/job_attempts.go
+++ b/internal/coordination/scheduling/job_attempts.go
@@ -55,9 +55,9 @@
 	return jobAttempts{jobs: jobs, id: id}
 }
 
-// adoptBlock takes over the last block that the job's record reserves for owner, unless its
+// loadBlock takes over the last block that the job's record reserves for owner, unless its
 // numbers are in use already.
-func (a jobAttempts) adoptBlock(owner storage.Incarnation, record *storage.JobRecord) {
+func (a jobAttempts) loadBlock(owner storage.Incarnation, record *storage.JobRecord) {
 	state := a.jobs.JobState(a.id)
 	if state.AttemptsOwner == owner && record.NextAttempt <= state.AttemptsEnd {
 		return
--- a/internal/coordination/scheduling/job_attempts_test.go
+++ b/internal/coordination/scheduling/job_attempts_test.go
@@ -49,7 +49,7 @@
 	if attempts.canUse("own") {
 		t.Error("an attempt can be used before a block is adopted")
 	}
-	attempts.adoptBlock("own", record)
+	attempts.loadBlock("own", record)
 	if first := attempts.next(); first != step.AttemptBlockSize+1 {
 		t.Errorf("the block begins with %d", first)
 	}
@@ -57,7 +57,7 @@
 		t.Error("the block is not its owner's alone")
 	}
 	attempts.recordPlacement(newArrayJob(4, 20), 1, attempts.next(), f.Now.Monotonic)
-	attempts.adoptBlock("own", record)
+	attempts.loadBlock("own", record)
 	if next := attempts.next(); next != step.AttemptBlockSize+2 {
 		t.Errorf("the next attempt is %d", next)
 	}
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -104,7 +104,7 @@
 	p.Scheduler.catalog = d.Catalog
 	p.Scheduler.jobs = d.Jobs
 	p.Scheduler.lease = d.Lease
-	p.Scheduler.commits = d.Committer
+	p.Scheduler.committer = d.Committer
 	p.gangs.catalog = d.Catalog
 	p.gangs.jobs = d.Jobs
 	p.gangs.limits = d.Limits
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// longRunningShare: one in so many of the fleet's cores goes to long-running arrays.
-	longRunningShare = 4
+	// longRunningDivisor: one in so many of the fleet's cores goes to long-running arrays.
+	longRunningDivisor = 4
 	// minCoresPerTask is what a task counts as at least, so that tasks that ask for no core are
 	// bounded too.
 	minCoresPerTask = 0.01
@@ -34,7 +34,7 @@
 	lease      *commit.Lease
 	plan       *Plan
 	queue      *Queue
-	commits    *commit.Committer
+	committer    *commit.Committer
 	services   *ServiceScheduler
 
 	warmPool warmPool
@@ -93,7 +93,7 @@
 // time, whereas one of another controller is an operation more, which comes late while the
 // capacity waits for it. Elsewhere the order of due times alone serves better.
 func (s *Scheduler) placeSamePrecedence(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
-	ownerShardsFirst := len(jobs) > 1 && s.commits.IsPartial()
+	ownerShardsFirst := len(jobs) > 1 && s.committer.IsPartial()
 	for _, job := range jobs {
 		s.acquirer.acquireJob(b, job)
 		switch {
@@ -128,7 +128,7 @@
 	remainingCores := 0.0
 	for _, machine := range candidates {
 		if !machine.isProvisioning {
-			remainingCores += machine.machineType.Cores / longRunningShare
+			remainingCores += machine.machineType.Cores / longRunningDivisor
 		}
 	}
 	slices.SortStableFunc(longRunning, func(left, right *PendingJob) int {
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -20,9 +20,9 @@
 	// defaultDueAfter is the due time, counted from the submission, of a job that has no
 	// objective or has missed all of them.
 	defaultDueAfter protocol.Millis = 600_000
-	// promotionFraction: a job of low priority is served like the priority above for the last
-	// 1/promotionFraction of the time within which its tasks should start.
-	promotionFraction = 3
+	// promotionDivisor: a job of low priority is served like the priority above for the last
+	// 1/promotionDivisor of the time within which its tasks should start.
+	promotionDivisor = 3
 	// longRunningFactor is how many times the aging threshold an array must have been here
 	// before a part of the fleet goes to it first.
 	longRunningFactor = 2
@@ -36,30 +36,30 @@
 }
 
 // ListPendingJobs lists the unfinished jobs in the order in which they are served.
-func (jq *Queue) ListPendingJobs(b *commit.Batch, candidates []*Candidate) []*PendingJob {
+func (q *Queue) ListPendingJobs(b *commit.Batch, candidates []*Candidate) []*PendingJob {
 	byID := map[protocol.JobID]*PendingJob{}
 	var jobs []*PendingJob
-	for id := range jq.Replica.UnfinishedJobs {
-		if job := jq.newPendingJob(b, id); job != nil {
+	for id := range q.Replica.UnfinishedJobs {
+		if job := q.newPendingJob(b, id); job != nil {
 			byID[id] = job
 			jobs = append(jobs, job)
 		}
 	}
 	countPlacedTasks(byID, candidates)
 	for _, job := range jobs {
-		jq.recordAge(job)
+		q.recordAge(job)
 	}
 	sort.Slice(jobs, func(i, k int) bool { return jobs[i].servedBefore(jobs[k]) })
 	return jobs
 }
 
 // newPendingJob makes the queue's entry of a job; nil: no task of it is to be placed.
-func (jq *Queue) newPendingJob(b *commit.Batch, id protocol.JobID) *PendingJob {
+func (q *Queue) newPendingJob(b *commit.Batch, id protocol.JobID) *PendingJob {
 	record := b.JobRecord(id)
 	if record.State.IsTerminal() || record.CancelRequested || record.Spec == nil {
 		return nil
 	}
-	precedence := jq.precedenceOf(record.Spec)
+	precedence := q.precedenceOf(record.Spec)
 	job := &PendingJob{
 		id:            id,
 		record:        record,
@@ -69,8 +69,8 @@
 			tasksByZone: map[protocol.Zone]int{},
 		},
 	}
-	jq.computeDeadlines(job)
-	job.isUrgent = jq.needsWarmCapacity(job)
+	q.computeDeadlines(job)
+	job.isUrgent = q.needsWarmCapacity(job)
 	return job
 }
 
@@ -88,18 +88,18 @@
 }
 
 // recordAge finds jobs that have waited too long.
-func (jq *Queue) recordAge(job *PendingJob) {
-	waited := step.MillisToDuration(jq.Now.Wall - job.record.SubmittedAt)
+func (q *Queue) recordAge(job *PendingJob) {
+	waited := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
 	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
-	job.isStarved = waited > jq.Config.AgingThreshold && !hasBegun
+	job.isStarved = waited > q.Config.AgingThreshold && !hasBegun
 	isArray := job.record.Spec.Kind == protocol.KindArray
-	job.isLongRunning = waited > longRunningFactor*jq.Config.AgingThreshold && !job.isStarved && isArray
+	job.isLongRunning = waited > longRunningFactor*q.Config.AgingThreshold && !job.isStarved && isArray
 }
 
 // precedenceOf ranks jobs: a smaller value goes first and may preempt a larger one. A team within
 // its guarantee goes before all others.
-func (jq *Queue) precedenceOf(spec *protocol.Job) int {
-	if jq.isWithinGuarantee(spec.Team) {
+func (q *Queue) precedenceOf(spec *protocol.Job) int {
+	if q.isWithinGuarantee(spec.Team) {
 		return guaranteedPrecedence
 	}
 	return spec.Priority.Precedence()
@@ -107,16 +107,16 @@
 
 // isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee. With one team
 // only there is nobody to guarantee anything against.
-func (jq *Queue) isWithinGuarantee(team string) bool {
-	quota := jq.Config.Quotas[team]
+func (q *Queue) isWithinGuarantee(team string) bool {
+	quota := q.Config.Quotas[team]
 	hasGuarantee := quota.GuaranteedCores > 0 || quota.GuaranteedAccelerators > 0
-	if !hasGuarantee || len(jq.Config.Quotas) < 2 {
+	if !hasGuarantee || len(q.Config.Quotas) < 2 {
 		return false
 	}
 	cores, accelerators := 0.0, 0.0
-	for id, entry := range jq.Replica.UnfinishedJobs {
+	for id, entry := range q.Replica.UnfinishedJobs {
 		if spec := entry.Record.Spec; spec.Team == team {
-			remaining := float64(spec.TaskCount - jq.Replica.CompletedTasks(id).Len())
+			remaining := float64(spec.TaskCount - q.Replica.CompletedTasks(id).Len())
 			cores += remaining * spec.Cores
 			accelerators += remaining * spec.Accelerators
 		}
@@ -128,28 +128,28 @@
 // its own deadline, that can still be met. A job that has missed all of them goes last within
 // its precedence. A job of low priority whose tasks should start soon is served like the
 // priority above: it preempts nobody for that, but gets some of what becomes free.
-func (jq *Queue) computeDeadlines(job *PendingJob) {
+func (q *Queue) computeDeadlines(job *PendingJob) {
 	spec, submittedAt := job.record.Spec, job.record.SubmittedAt
 	if spec.IsService() {
 		// No replica can wait, whether the objectives of the first ones were met or not.
-		job.dueAt, job.latestStart, job.initialLatestStart = submittedAt, jq.Now.Wall, submittedAt
+		job.dueAt, job.latestStart, job.initialLatestStart = submittedAt, q.Now.Wall, submittedAt
 		return
 	}
-	objectives := jq.Config.Objectives[spec.Class]
+	objectives := q.Config.Objectives[spec.Class]
 	job.dueAt, job.isLate = submittedAt+defaultDueAfter, true
 	job.latestStart, job.initialLatestStart = job.dueAt, job.dueAt
 	for _, target := range objectives.StartWithin {
-		jq.applyObjective(job, target, 0)
-		jq.promoteNearStart(job, target)
+		q.applyObjective(job, target, 0)
+		q.promoteNearStart(job, target)
 	}
 	minRuntime := protocol.Seconds(spec.EstimatedRunSeconds / 2) // estimates are often wrong by half
 	for _, target := range objectives.FinishWithin {
-		jq.applyObjective(job, target, minRuntime)
+		q.applyObjective(job, target, minRuntime)
 	}
 	if spec.DeadlineSeconds != nil {
-		jq.applyObjective(job, protocol.Seconds(*spec.DeadlineSeconds), minRuntime)
+		q.applyObjective(job, protocol.Seconds(*spec.DeadlineSeconds), minRuntime)
 		for _, multiple := range objectives.DeadlineFactors {
-			jq.applyObjective(job, protocol.Seconds(*spec.DeadlineSeconds*multiple), minRuntime)
+			q.applyObjective(job, protocol.Seconds(*spec.DeadlineSeconds*multiple), minRuntime)
 		}
 	}
 	hasObjective := len(objectives.StartWithin)+len(objectives.FinishWithin) > 0 || spec.DeadlineSeconds != nil
@@ -160,15 +160,15 @@
 
 // applyObjective takes in an objective: the job has to be through within target, its tasks
 // running for leadTime before that.
-func (jq *Queue) applyObjective(job *PendingJob, target, leadTime time.Duration) {
+func (q *Queue) applyObjective(job *PendingJob, target, leadTime time.Duration) {
 	lead := protocol.Millis(leadTime.Milliseconds())
 	dueAt := job.record.SubmittedAt + protocol.Millis(target.Milliseconds())
 	start := dueAt - startLeadFactor*lead
 	job.initialLatestStart = min(job.initialLatestStart, start)
-	if jq.Now.Wall < start {
+	if q.Now.Wall < start {
 		job.latestStart = min(job.latestStart, start)
 	}
-	canBeMet := jq.Now.Wall+lead <= dueAt
+	canBeMet := q.Now.Wall+lead <= dueAt
 	if canBeMet && (job.isLate || dueAt < job.dueAt) {
 		job.dueAt, job.isLate = dueAt, false
 	}
@@ -176,31 +176,31 @@
 
 // promoteNearStart serves a job like the priority above while little of the time is left within
 // which its tasks should start. None is promoted to the highest priority, 0.
-func (jq *Queue) promoteNearStart(job *PendingJob, target time.Duration) {
+func (q *Queue) promoteNearStart(job *PendingJob, target time.Duration) {
 	startWithin := protocol.Millis(target.Milliseconds())
-	remaining := job.record.SubmittedAt + startWithin - jq.Now.Wall
-	if job.queuePrecedence > 1 && remaining > 0 && promotionFraction*remaining < startWithin {
+	remaining := job.record.SubmittedAt + startWithin - q.Now.Wall
+	if job.queuePrecedence > 1 && remaining > 0 && promotionDivisor*remaining < startWithin {
 		job.queuePrecedence--
 	}
 }
 
 // shouldExpedite tells whether a job's tasks have to start sooner than all machines send a
 // heartbeat by themselves.
-func (jq *Queue) shouldExpedite(job *PendingJob) bool {
-	return !job.isLate && job.slack(jq.Now) < 2*jq.Config.HeartbeatInterval
+func (q *Queue) shouldExpedite(job *PendingJob) bool {
+	return !job.isLate && job.slack(q.Now) < 2*q.Config.HeartbeatInterval
 }
 
 // needsWarmCapacity tells whether a job's tasks have to start sooner than machines that are
 // provisioned for them can be relied on.
-func (jq *Queue) needsWarmCapacity(job *PendingJob) bool {
+func (q *Queue) needsWarmCapacity(job *PendingJob) bool {
 	slack := step.MillisToDuration(job.initialLatestStart - job.record.SubmittedAt)
-	provisioningTime := jq.catalog.ProvisioningTime(job.record.Spec)
-	return slack < time.Duration(jq.Config.IdleTimeoutFactor*float64(provisioningTime))
+	provisioningTime := q.catalog.ProvisioningTime(job.record.Spec)
+	return slack < time.Duration(q.Config.IdleTimeoutFactor*float64(provisioningTime))
 }
 
 // quotaHeadroom tells how many more tasks of the job its team's limit allows.
-func (jq *Queue) quotaHeadroom(candidates []*Candidate, spec *protocol.Job) int {
-	quota := jq.Config.Quotas[spec.Team]
+func (q *Queue) quotaHeadroom(candidates []*Candidate, spec *protocol.Job) int {
+	quota := q.Config.Quotas[spec.Team]
 	if !quota.HasLimit() {
 		return protocol.MaxTasks
 	}
--- a/internal/coordination/scheduling/replica_placer.go
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -144,7 +144,7 @@
 	}
 	canRecord := p.canWrite && p.batch.HasCapacity(p.batch.OpsNeeded("", p.job.id))
 	if canRecord && reservedReplicas < p.remaining {
-		if better := p.reserveMachines(isEligible, reservedReplicas); better != nil {
+		if better := p.reserveForPreemption(isEligible, reservedReplicas); better != nil {
 			chosen = better
 		}
 	}
@@ -176,9 +176,9 @@
 	return unused
 }
 
-// reserveMachines records machines to preempt on, if that is for more replicas than the recorded
+// reserveForPreemption records machines to preempt on, if that is for more replicas than the recorded
 // reservation is; nil: it is not.
-func (p *replicaPlacer) reserveMachines(isEligible machineFilter, reservedReplicas int) []*Candidate {
+func (p *replicaPlacer) reserveForPreemption(isEligible machineFilter, reservedReplicas int) []*Candidate {
 	var placements []placement
 	remaining := p.remaining
 	for _, machine := range p.cheapestToPreempt(isEligible) {
--- a/internal/coordination/scheduling/reservations.go
+++ b/internal/coordination/scheduling/reservations.go
@@ -9,12 +9,12 @@
 	"tillerarch/internal/protocol"
 )
 
-// reserveMachines keeps machines for a job that has waited too long and fits nowhere, until what
+// reserveForStarvedJob keeps machines for a job that has waited too long and fits nowhere, until what
 // runs there has ended: nothing more is placed on them. Without it a stream of smaller jobs of
 // its own precedence would take each gap as it opens. One job of a precedence at a time, so
 // that few machines run empty; it tells whether the job is the one. The choice is on record,
 // so that all controllers keep to it.
-func (g *gangScheduler) reserveMachines(
+func (g *gangScheduler) reserveForStarvedJob(
 	b *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int,
 ) bool {
 	if g.plan.pass.reservedPrecedences[job.precedence] {
