--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -9,26 +9,25 @@
 	"tillerarch/internal/storage"
 )
 
-// Bounds of what controllers tell each other of cancellations in one status, and of what is kept
-// of it.
+// Bounds of the cancellation data in one peer status, and of what is kept of it.
 const (
 	maxIntentsPerMessage = 150
 	maxAcksPerMessage    = 200
 	maxPeerIntents       = 2000
 )
 
-// requesterFailoverDelay is the age at which a request is driven by the successor of the job's key,
-// unless it does so already: the controller that began it may have ended.
+// requesterFailoverDelay is the age at which the successor of the job's key drives a request, too: the
+// controller that began it may have ended.
 const requesterFailoverDelay = 4 * time.Second
 
-// peerIntent is a cancellation request that another controller has told of.
+// peerIntent is a cancellation request known from another controller's status only.
 type peerIntent struct {
 	revision   protocol.Revision // at which it is on record
 	receivedAt protocol.Instant
 }
 
-// Tick brings up to date which requests this controller acknowledges, and which of
-// them all controllers concerned know.
+// Tick updates which requests this controller acknowledges and which are acknowledged by all
+// controllers concerned, and takes over the requests that are due.
 func (c *Canceller) Tick() {
 	if !c.replication.IsLoaded() {
 		return
@@ -43,7 +42,8 @@
 	}
 }
 
-// dropEnded drops what was exchanged on requests that the replica has by now, or that are over.
+// dropEnded drops intents that the replica has by now, and the acknowledgements of requests that have
+// been confirmed or whose job has ended.
 func (c *Canceller) dropEnded() {
 	maps.DeleteFunc(c.peerIntents, func(_ protocol.JobID, intent peerIntent) bool {
 		return c.Replica.Revision >= intent.revision
@@ -77,15 +77,15 @@
 	}
 }
 
-// shouldFailOverRequest tells whether this controller goes on with a request that another one began.
+// shouldFailOverRequest tells whether this controller takes over a request that another one began.
 func (c *Canceller) shouldFailOverRequest(id protocol.JobID) bool {
 	return !c.isRequester(id) &&
 		c.timeSinceCancelRequest(id) > requesterFailoverDelay &&
 		c.ownerElection.IsSuccessor(storage.JobKey(id))
 }
 
-// updateAcknowledged notes whether all controllers concerned know a request by now. If not, the
-// controller that drives it tells them at once; the others have nothing new to send.
+// updateAcknowledged records whether all controllers concerned know a request by now. If not, the
+// controller that drives it sends it at once; the others have nothing new to send.
 func (c *Canceller) updateAcknowledged(id protocol.JobID) {
 	if c.fullyAcknowledged[id] {
 		return
@@ -128,9 +128,9 @@
 	return ok && c.Replica.IsAlive(record.Owner) && revision >= ownedSince
 }
 
-// AddCancellationStatus adds to the status for the other controllers the requests that some of them
-// do not seem to know, and those that this one acknowledges. Both are repeated until they are over;
-// if there are too many for one status, they take turns.
+// AddCancellationStatus adds to this controller's status the requests that it drives and that are not
+// acknowledged by all, and those that it acknowledges itself. Both are repeated until the request is
+// confirmed; those that do not fit one status are sent in rotation.
 func (c *Canceller) AddCancellationStatus(status *step.PeerStatus) {
 	status.Revision = c.Replica.Revision
 	var unacknowledged []protocol.JobID
@@ -150,7 +150,7 @@
 	status.CancelAcks = c.ackRotation.nextChunk(step.SortedKeys(c.localAcks), maxAcksPerMessage)
 }
 
-// OnPeerCancellations takes in what another controller says of cancellations.
+// OnPeerCancellations records the intents and acknowledgements in another controller's status.
 func (c *Canceller) OnPeerCancellations(status *step.PeerStatus) {
 	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
 		c.recordPeerIntent(intent)
@@ -166,7 +166,8 @@
 // recordPeerIntent keeps a request that the replica lacks; from then on it binds this controller.
 func (c *Canceller) recordPeerIntent(intent step.CancelIntent) {
 	_, isKnown := c.peerIntents[intent.Job]
-	if isKnown || !intent.Job.IsValid() || c.Replica.Revision >= intent.Revision || len(c.peerIntents) >= maxPeerIntents {
+	isOnRecord := c.Replica.Revision >= intent.Revision
+	if isKnown || isOnRecord || !intent.Job.IsValid() || len(c.peerIntents) >= maxPeerIntents {
 		return
 	}
 	c.peerIntents[intent.Job] = peerIntent{revision: intent.Revision, receivedAt: c.Now.Monotonic}
@@ -187,8 +188,8 @@
 	acks[status.Incarnation] = max(acks[status.Incarnation], status.Revision)
 }
 
-// rotation takes chunks of a list in turn, so that each entry comes within as many takes as the
-// list has chunks.
+// rotation cuts a list into chunks in turn, so that each entry is in one of as many consecutive chunks
+// as the list has.
 type rotation struct{ offset int }
 
 // nextChunk gives the next entries; the following call continues after them.
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -20,9 +20,15 @@
 	}{
 		{"owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-1")}, true},
 		{"owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-2")}, false},
-		{"replica older than the ownership", step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acks("j-1")}, false},
+		{
+			"replica older than the ownership",
+			step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acks("j-1")}, false,
+		},
 		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acks("j-1")}, false},
-		{"ended incarnation of the owner", step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acks("j-1")}, false},
+		{
+			"ended incarnation of the owner",
+			step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acks("j-1")}, false,
+		},
 		{"unknown incarnation", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: acks("j-1")}, false},
 		{"controller that has not registered", step.PeerStatus{Revision: 6, CancelAcks: acks("j-1")}, false},
 	} {
@@ -32,7 +38,8 @@
 			f.put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(protocol.Task{Job: "j-1"}, 5)
-			f.put(t, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil), 5)
+			shard := storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil)
+			f.put(t, storage.ShardKey("p"), shard, 5)
 			job := `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`
 			f.put(t, storage.JobKey("j-1"), []byte(job), 6)
 			f.Replica.Revision = 6
@@ -50,15 +57,15 @@
 	}
 }
 
-// Whatever the length of the list, each entry comes in its turn.
+// Whatever the length of the list, each entry is in one of its chunks.
 func TestRotationCoversAll(t *testing.T) {
 	ids := make([]protocol.JobID, 1000)
 	for i := range ids {
 		ids[i] = protocol.JobID(fmt.Sprintf("j-%04d", i))
 	}
 	for _, c := range []struct {
-		name                 string
-		length, limit, takes int
+		name                  string
+		length, limit, chunks int
 	}{
 		{"shorter than a chunk", 10, 200, 1},
 		{"exactly one chunk", 200, 200, 1},
@@ -68,7 +75,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var r rotation
 			seen := map[protocol.JobID]bool{}
-			for range c.takes {
+			for range c.chunks {
 				chunk := r.nextChunk(ids[:c.length], c.limit)
 				if len(chunk) != min(c.length, c.limit) {
 					t.Errorf("%d entries at once, want %d", len(chunk), min(c.length, c.limit))
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -10,13 +10,13 @@
 	"tillerarch/internal/storage"
 )
 
-// OwnerElection names the one controller to which a key falls.
+// OwnerElection tells whether this controller is the successor for a key: exactly one controller is.
 type OwnerElection interface {
 	IsSuccessor(key string) bool
 }
 
-// PeerNotifier sends the next status to the other controllers ahead of time, and knows when they
-// were last heard from.
+// PeerNotifier sends the next status to the other controllers ahead of time, and knows which of them
+// have sent theirs lately.
 type PeerNotifier interface {
 	ExpediteStatus()
 	HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool
@@ -28,32 +28,39 @@
 	TerminateUnrecorded(id protocol.MachineID)
 }
 
-// Canceller takes jobs through the two steps of a cancellation, the request and its confirmation;
-// the package comment says why there are two. Several controllers may drive the cancellation of
+// Canceller drives the two steps of a cancellation, the request and its confirmation; the package
+// comment says why there are two. Several controllers may drive the cancellation of
 // one job at the same time: the writes depend on the revision of the job's record.
 type Canceller struct {
 	*step.Context
 
-	agents      *agents.Table
-	calls       *agents.Caller
-	committer     *commit.Committer
-	lease       *commit.Lease
-	limits      *commit.WriteLimiter
-	ownerElection   OwnerElection
-	peerNotifier       PeerNotifier
-	replication *commit.Replication
-	forcedTerminator  ForcedTerminator
+	agents           *agents.Table
+	calls            *agents.Caller
+	committer        *commit.Committer
+	lease            *commit.Lease
+	limits           *commit.WriteLimiter
+	ownerElection    OwnerElection
+	peerNotifier     PeerNotifier
+	replication      *commit.Replication
+	forcedTerminator ForcedTerminator
 
-	requestedAt map[protocol.JobID]protocol.Instant // since when this controller drives them
+	// Since when this controller drives the cancellation of a job.
+	requestedAt map[protocol.JobID]protocol.Instant
 
-	// What controllers tell each other of cancellations that are not confirmed yet.
-	peerIntents       map[protocol.JobID]peerIntent                                // requests that the replica lacks so far
-	peerAcks          map[protocol.JobID]map[storage.Incarnation]protocol.Revision // by sender, with its replica's revision
-	localAcks         map[protocol.JobID]bool                                      // requests that this incarnation acknowledges
-	fullyAcknowledged map[protocol.JobID]bool                                      // requests that every controller concerned knows
-	intentSentAt      map[protocol.JobID]protocol.Instant                          // requests in the last status that was sent
+	// The fields below are exchanged with the other controllers until a cancellation is confirmed.
 
-	intentRotation, ackRotation rotation // what the next status begins with
+	// Requests that the replica lacks so far.
+	peerIntents map[protocol.JobID]peerIntent
+	// By sender, the newest revision of its replica at which it acknowledged the request.
+	peerAcks map[protocol.JobID]map[storage.Incarnation]protocol.Revision
+	// Requests that this incarnation acknowledges.
+	localAcks map[protocol.JobID]bool
+	// Requests that every controller concerned knows.
+	fullyAcknowledged map[protocol.JobID]bool
+	// Requests in the last status that was sent.
+	intentSentAt map[protocol.JobID]protocol.Instant
+
+	intentRotation, ackRotation rotation // where the next status begins
 }
 
 // newCanceller makes a canceller that knows of no cancellation.
@@ -83,7 +90,7 @@
 	return entry != nil && entry.Record.IsCancelledOrPending()
 }
 
-// timeSinceCancelRequest is for how long CancelRequested has held. Once the confirmation is on
+// timeSinceCancelRequest is for how long CancelRequested has been true. Once the confirmation is on
 // record it counts from there, as the time limit for stopping the tasks does.
 func (c *Canceller) timeSinceCancelRequest(id protocol.JobID) time.Duration {
 	elapsed := time.Duration(0)
--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -9,17 +9,29 @@
 	"tillerarch/internal/storage"
 )
 
-// ownerContactTimeout is how long an owner counts as alive after its last status while the
-// store is down for all.
+// ownerContactTimeout is how long an owner counts as alive after its last status while the store is
+// unavailable to all controllers.
 const ownerContactTimeout = 5 * time.Second
 
+// The ages of a cancellation from which machines are terminated for it, as fractions of CancelTimeout
+// (numerator and denominator, so that the products are exact).
+const (
+	silentScaleInFifths = 2
+	stuckScaleInFifths  = 3
+	fifths              = 5
+)
+
 // silentScaleInAge is the age of a cancellation at which a machine is terminated that may still run
-// a task of the job and is silent. It is early enough for a slow cloud to end the task in time.
-func (c *Canceller) silentScaleInAge() time.Duration { return c.Config.CancelTimeout * 2 / 5 }
+// a task of the job and is silent. It leaves a slow cloud enough time to terminate the machine before CancelTimeout.
+func (c *Canceller) silentScaleInAge() time.Duration {
+	return c.Config.CancelTimeout * silentScaleInFifths / fifths
+}
 
 // stuckScaleInAge is the age of a cancellation at which a machine is terminated that may still run
-// a task of the job, whether it is silent or not. It is late enough for what only needs a moment.
-func (c *Canceller) stuckScaleInAge() time.Duration { return c.Config.CancelTimeout * 3 / 5 }
+// a task of the job, whether it is silent or not. It leaves the agent time to stop a task that is merely slow.
+func (c *Canceller) stuckScaleInAge() time.Duration {
+	return c.Config.CancelTimeout * stuckScaleInFifths / fifths
+}
 
 // MustForceScaleIn tells whether an owned machine must be terminated because a task of a cancelled
 // job is stuck there, or the machine cannot be reached. Silence proves nothing of the machine if
@@ -32,8 +44,8 @@
 	return pendingFor > c.stuckScaleInAge() || c.agents.IsSilent(state) && !isIsolated
 }
 
-// ForceScaleIn looks after machines whose owner is not heard from while the store is down for all,
-// so that no other controller can take them over. If a task of a cancelled job may run there, the
+// ForceScaleIn handles machines whose owner has sent no status lately while the store is unavailable to
+// all controllers, so that no other one can take them over. If a task of a cancelled job may run there, the
 // agent is probed; if that does not help in time, the machine is terminated.
 func (c *Canceller) ForceScaleIn() {
 	if !c.replication.IsLoaded() || !c.replication.StoreUnavailableEverywhere() {
@@ -60,7 +72,7 @@
 }
 
 // longestPendingCancel tells whether a task of a job with a requested cancellation may still be on
-// the machine, and for how long the longest such request has stood.
+// the machine, and the age of the oldest such request.
 func (c *Canceller) longestPendingCancel(
 	state *agents.MachineState, record *storage.MachineRecord,
 ) (longest time.Duration, isPending bool) {
@@ -84,4 +96,5 @@
 	return longest, isPending
 }
 
+// hasExited tells whether a task has exited.
 func hasExited(status *protocol.TaskStatus) bool { return status.State == protocol.TaskExited }
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -13,10 +13,7 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
-		Canceller: newCanceller(ctx),
-	}
-	return p
+	return &Parts{Canceller: newCanceller(ctx)}
 }
 
 // Dependencies are what the parts need of other packages.
--- a/internal/coordination/cancellation/quiescence.go
+++ b/internal/coordination/cancellation/quiescence.go
@@ -31,6 +31,7 @@
 	return true
 }
 
+// hasPulledImage tells whether a task is past pulling its image: it has started, or has ended.
 func hasPulledImage(status *protocol.TaskStatus) bool {
 	return status.State != protocol.TaskPullingImage
 }
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -11,7 +11,7 @@
 
 const (
 	// unwrittenRequestTimeout is how long a request is kept that could not be put on record. The
-	// user has been told to ask again long before, but did ask for the cancellation.
+	// user's call has been rejected long before, but the cancellation was asked for.
 	unwrittenRequestTimeout = 30 * time.Second
 
 	// directCancelConditionsPerOp bounds the conditions of a batch with a direct cancellation, as
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -163,7 +163,8 @@
 			if got != c.want {
 				t.Errorf("write %v, want %v", got, c.want)
 			}
-			dependsOnShard := slices.Contains(transaction.Conditions, protocol.Condition{Key: storage.ShardKey("p"), ModRevision: 2})
+			shardUnchanged := protocol.Condition{Key: storage.ShardKey("p"), ModRevision: 2}
+			dependsOnShard := slices.Contains(transaction.Conditions, shardUnchanged)
 			if dependsOnShard != c.dependsOnShard {
 				t.Errorf("depends on the shard: %v, want %v", dependsOnShard, c.dependsOnShard)
 			}
--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/protocol"
 )
 
-// listRetryInterval is the mean interval at which a list that failed is asked for again.
+// listRetryInterval is the mean time after which a failed list request is retried.
 const listRetryInterval = 2 * time.Second
 
 // Catalog holds the machine types that the cloud offers.
@@ -23,7 +23,7 @@
 	nextListAt   protocol.Instant
 }
 
-// PollMachineTypes asks for the machine types and their prices again when that is due.
+// PollMachineTypes requests the machine types and their prices again when that is due.
 func (c *Catalog) PollMachineTypes() {
 	if !c.isListing && c.Now.Monotonic >= c.nextListAt {
 		c.isListing = true
@@ -31,7 +31,8 @@
 	}
 }
 
-// OnListMachineTypesResult takes in the list of machine types, or that there was no answer.
+// OnListMachineTypesResult replaces the list of machine types, or schedules a retry if the cloud did
+// not answer.
 func (c *Catalog) OnListMachineTypesResult(result step.ListMachineTypesResult) {
 	c.isListing = false
 	if result.Err != nil {
@@ -46,8 +47,8 @@
 	}
 }
 
-// MachineTypes lists what the cloud offers, empty before its first answer. It is not to be
-// changed.
+// MachineTypes lists what the cloud offers, empty before its first answer. Callers must not change
+// the list.
 func (c *Catalog) MachineTypes() []protocol.MachineType { return c.machineTypes }
 
 // MachineType is the machine type of a name, nil if the cloud does not offer it.
--- a/internal/coordination/catalog/resources.go
+++ b/internal/coordination/catalog/resources.go
@@ -10,8 +10,8 @@
 // requests are decimal fractions.
 const Epsilon = 1e-6
 
-// Resources are amounts of what a machine offers and a task takes. Amounts may be negative
-// where more is reserved than is free.
+// Resources are amounts of what a machine offers and a task needs. Amounts may be negative where
+// more is allocated than the machine has.
 type Resources struct{ Cores, accelerators, MemoryGB float64 }
 
 // CapacityOf is what an empty machine of a type offers.
@@ -42,14 +42,14 @@
 	return max(tasks, 0)
 }
 
-// Allocate takes what a number of tasks of a job need; a negative number gives it back.
+// Allocate subtracts what a number of tasks of a job need; a negative number releases it.
 func (r *Resources) Allocate(job *protocol.Job, tasks int) {
 	r.Cores -= float64(tasks) * job.Cores
 	r.accelerators -= float64(tasks) * job.Accelerators
 	r.MemoryGB -= float64(tasks) * job.MemoryGB
 }
 
-// Without is what is left of the resources beside others.
+// Without is what is left of the resources once others are subtracted.
 func (r Resources) Without(other Resources) Resources {
 	return Resources{
 		Cores:        r.Cores - other.Cores,
--- a/internal/coordination/catalog/spot_pricing.go
+++ b/internal/coordination/catalog/spot_pricing.go
@@ -32,12 +32,12 @@
 // Threshold is the price threshold of a machine type in a zone, nil while no price is known.
 func (sp *SpotPricing) Threshold(key PriceKey) *SpotPriceThreshold { return sp.thresholds[key] }
 
-// Thresholds lists all price thresholds. It is not to be changed.
+// Thresholds gives all price thresholds. Callers must not change the map.
 func (sp *SpotPricing) Thresholds() map[PriceKey]*SpotPriceThreshold { return sp.thresholds }
 
-// CanUseSpot tells whether a job may use spot machines of a type. The users' DESIGN page gives them
-// to jobs that keep checkpoints. The exception: tasks that are so short that what preemptions are
-// expected to cost is less than what spot saves (docs/design.md).
+// CanUseSpot tells whether a job may use spot machines of a type. By the users' DESIGN document
+// these are jobs that save checkpoints. The exception: tasks so short that the expected cost of
+// preemptions is less than what spot saves (docs/design.md).
 func (sp *SpotPricing) CanUseSpot(job *protocol.Job, machineType *protocol.MachineType) bool {
 	if !job.AllowSpot {
 		return false
@@ -56,7 +56,7 @@
 	return expectedPreemptions < 1-machineType.SpotPrice/machineType.OnDemandPrice
 }
 
-// observePrices takes the prices of a machine type into the thresholds of its zones.
+// observePrices updates the thresholds of a machine type's zones with its current prices.
 func (sp *SpotPricing) observePrices(machineType *protocol.MachineType) {
 	now := sp.Now.Monotonic
 	for _, zone := range machineType.Zones {
@@ -76,7 +76,7 @@
 }
 
 // IsNearPeriodBoundary tells whether a machine of an age is within a margin of the end of its
-// period (paper, Algorithm 1; the users' DESIGN page: it takes no new task). Machines provisioned in
+// period (paper, Algorithm 1; the users' DESIGN document: it takes no new task). Machines provisioned in
 // one burst would get there together, so each one's period is shifted by an offset from its name.
 func IsNearPeriodBoundary(id protocol.MachineID, age, period, margin time.Duration) bool {
 	if period <= 0 || margin <= 0 || age < 0 {
--- a/internal/coordination/catalog/spot_threshold.go
+++ b/internal/coordination/catalog/spot_threshold.go
@@ -7,7 +7,7 @@
 )
 
 // SpotPriceThreshold is the THRESHOLD rule (paper, 3.3.1) for one machine type in one zone, as the
-// users' DESIGN page adapts it: the on-demand price stands for the paper's bid, and where the paper
+// users' DESIGN document adapts it: the on-demand price stands for the paper's bid, and where the paper
 // takes a checkpoint, new placements on spot machines and their provisioning are suspended until
 // the threshold is recomputed. It is not kept across restarts.
 type SpotPriceThreshold struct {
@@ -41,7 +41,7 @@
 // and for the price that triggered a checkpoint.
 func thresholdFor(price, onDemandPrice float64) float64 { return (price + onDemandPrice) / 2 }
 
-// observe takes in the current prices. It tells whether a suspension begins with them.
+// observe applies the rule to the current prices. It tells whether they begin a suspension.
 func (t *SpotPriceThreshold) observe(now protocol.Instant, spotPrice, onDemandPrice float64) (newlySuspended bool) {
 	t.SpotPrice, t.onDemandPrice = spotPrice, onDemandPrice
 	if now >= t.windowEnd {
--- a/internal/coordination/ownership/adoption.go
+++ b/internal/coordination/ownership/adoption.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// WriteAdoptions finds an owner for the machines whose heartbeats wait here for one: those that are
-// on no record are added, and the shards of the others are taken over when that is due.
+// WriteAdoptions handles the machines without a living owner whose heartbeats are deferred here: those
+// that are on no record are adopted, and the shards of the others fail over when that is due.
 func (mgr *Manager) WriteAdoptions(b *commit.Batch) {
 	for _, id := range step.SortedKeys(mgr.agents.AwaitingOwner()) {
 		state := mgr.agents.Lookup(id)
@@ -22,8 +22,8 @@
 		if entry == nil {
 			mgr.adoptMachine(b, id, state)
 		} else if mgr.shouldFailOver(b, entry.Record.Shard, true) {
-			// Not by whoever hears from it first: after an outage of all controllers, the first
-			// to come back would take over the whole fleet.
+			// The rules of failover hold here, too: if the first controller to receive a heartbeat took
+			// the shard, the first to restart after an outage of all would own the whole fleet.
 			mgr.failOverShard(b, entry.Record.Shard, state.LatestHeartbeat.FencingToken)
 		}
 	}
--- a/internal/coordination/ownership/failover.go
+++ b/internal/coordination/ownership/failover.go
@@ -11,7 +11,7 @@
 )
 
 // WriteFailovers takes over the shards of ended incarnations whose successor this controller is, or
-// that nobody else has taken over in time.
+// that the successor has not taken over in time.
 func (mgr *Manager) WriteFailovers(b *commit.Batch) {
 	for _, id := range step.SortedKeys(mgr.Replica.Shards) {
 		if !b.ChangesShard(id) && mgr.shouldFailOver(b, id, false) {
@@ -62,10 +62,11 @@
 func (mgr *Manager) failOverShard(b *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	draft := b.MutableShard(id)
 	if draft.Owner == mgr.lease.Incarnation() {
-		return // a machine of it has come earlier in this batch
+		return // for another of its machines, earlier in this batch
 	}
 	b.Log(slog.LevelInfo, "shard failover",
-		"shard", string(id), "count", len(draft.MachineIDs), "source", string(draft.Owner), "epoch", uint64(draft.Epoch+1))
+		"shard", string(id), "count", len(draft.MachineIDs),
+		"source", string(draft.Owner), "epoch", uint64(draft.Epoch+1))
 	draft.ChangeOwner(mgr.lease.Incarnation(), max(draft.Epoch, storage.ShardEpochOf(observedToken))+1)
 	mgr.transfers.endTransferOnFailover(b, id)
 }
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -12,12 +12,11 @@
 	"tillerarch/internal/storage"
 )
 
-// handOff is a request of another controller to hand off an owned machine, as its agent sends
-// heartbeats there.
+// handOff is a request of another controller for an owned machine whose agent sends heartbeats there.
 type handOff struct {
 	target      storage.Incarnation
 	requestedAt protocol.Instant
-	ownership   agents.Ownership // under which it was requested; it means nothing under a later one
+	ownership   agents.Ownership // under which it was requested; it is void under a later one
 }
 
 // misdirectedMachine is an owned machine that is to be handed off.
@@ -72,9 +71,9 @@
 	return entry != nil && mgr.lease.OwnsMachine(&entry.Record)
 }
 
-// HandOffMachines gives machines whose agents send heartbeats to another controller to that one. A
-// shard most of whose machines do so goes as a whole: one operation, where a controller that has
-// lost its agents has hundreds of machines to hand off. There is nothing to quiesce, as what this
+// HandOffMachines hands machines off to the controllers that their agents send heartbeats to. A shard
+// most of whose machines are misdirected is transferred whole: that is one operation, and a controller
+// that has lost its agents has hundreds of machines to hand off. There is nothing to quiesce, as what this
 // controller sends does not reach those agents.
 func (mgr *Manager) HandOffMachines(b *commit.Batch) {
 	machines := mgr.misdirectedMachines()
@@ -99,7 +98,7 @@
 }
 
 // misdirectedMachines lists the owned machines whose agents send heartbeats to another controller
-// and not here, and forgets the requests that no longer hold.
+// and not here, and drops the requests that are no longer valid.
 func (mgr *Manager) misdirectedMachines() (machines []misdirectedMachine) {
 	for _, id := range step.SortedKeys(mgr.pendingHandOffs) {
 		entry := mgr.Replica.Machines[id]
@@ -107,7 +106,7 @@
 			delete(mgr.pendingHandOffs, id)
 			continue
 		}
-		// This begins a new period of ownership where the record has changed hands.
+		// This begins a new ownership if the shard has had another owner since the last call.
 		state := mgr.agents.TrackOwnedMachine(entry, id)
 		request := mgr.pendingHandOffs[id]
 		if request.ownership != state.Ownership() || mgr.isHandOffOutdated(request) {
@@ -121,27 +120,32 @@
 	return machines
 }
 
-// isHandOffOutdated tells whether a request would have been repeated if it still held.
+// isHandOffOutdated tells whether a request would have been repeated by now if it were still valid.
 func (mgr *Manager) isHandOffOutdated(request handOff) bool {
 	return mgr.Since(request.requestedAt) > mgr.Config.HeartbeatInterval+handOffMargin
 }
 
-// countResponsive counts the machines of an owned shard whose agents have been heard from lately.
-func (mgr *Manager) countResponsive(shard *storage.Shard) (n int) {
+// countResponsive counts the machines of an owned shard whose agents send their heartbeats here.
+func (mgr *Manager) countResponsive(shard *storage.Shard) (responsive int) {
 	for _, id := range shard.Machines {
 		entry := mgr.Replica.Machines[id]
 		if entry == nil || entry.Record.AgentEpoch == 0 {
 			continue
 		}
 		if !mgr.agents.HasMissedHeartbeat(mgr.agents.TrackOwnedMachine(entry, id)) {
-			n++
+			responsive++
 		}
 	}
-	return n
+	return responsive
 }
 
-// machineHandOffOps is how many operations moving a machine between shards takes.
-const machineHandOffOps = 2
+const (
+	// machineHandOffOps is how many operations moving a machine between shards takes.
+	machineHandOffOps = 2
+	// maxNewShardPercent is the part of a stored value, in hundredths, that a new shard may fill: the
+	// rest is for the tasks that are assigned to its machines later.
+	maxNewShardPercent = 75
+)
 
 // handOffIndividually moves machines to new shards of the controllers that their agents reach.
 func (mgr *Manager) handOffIndividually(b *commit.Batch, machines []misdirectedMachine) {
@@ -166,9 +170,8 @@
 	}
 }
 
-// wouldOverflow tells whether a shard would take more than three quarters of a value with a machine
-// more. The rest is for the tasks that are assigned to its machines later.
+// wouldOverflow tells whether a new shard would fill too much of a stored value with a machine more.
 func (mgr *Manager) wouldOverflow(draft *commit.ShardDraft, id protocol.MachineID) bool {
 	machineSize := mgr.shardWriter.EstimateEncodedSize(len(mgr.Replica.EncodedLine(id)))
-	return draft.EstimatedSize+machineSize > mgr.limits.WriteLimits().ValueBytes*3/4
+	return draft.EstimatedSize+machineSize > mgr.limits.WriteLimits().ValueBytes*maxNewShardPercent/100
 }
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// A controller that has lost its agents transfers their shards whole, and what it must move machine
-// by machine goes to shards that a value can hold. (Six hundred moved to one shard were refused as
-// malformed again and again.)
+// A controller that has lost its agents transfers their shards whole, and machines that it hands off one
+// by one go to shards that a stored value can hold. (Six hundred machines in one shard were rejected by
+// the store as malformed again and again.)
 func TestHandOffManyMachines(t *testing.T) {
 	const machinesPerShard = 60
 	for _, test := range []struct {
--- a/internal/coordination/ownership/manager.go
+++ b/internal/coordination/ownership/manager.go
@@ -12,20 +12,21 @@
 	"tillerarch/internal/storage"
 )
 
-// Manager decides when this controller takes over or hands off shards, and writes the change.
+// Manager decides when this controller takes over the shards of ended ones, adopts machines, and hands
+// off machines that it cannot serve, and writes the change. Planned transfers are the part of Transfers.
 type Manager struct {
 	*step.Context
 
-	agents    *agents.Table
-	lease     *commit.Lease
-	limits    *commit.WriteLimiter
-	overload  *OverloadDetector
-	shardWriter    *commit.ShardWriter
-	transfers *Transfers
+	agents      *agents.Table
+	lease       *commit.Lease
+	limits      *commit.WriteLimiter
+	overload    *OverloadDetector
+	shardWriter *commit.ShardWriter
+	transfers   *Transfers
 
 	expiredAt       map[storage.Incarnation]protocol.Instant // when this process first saw that it had ended
 	pendingHandOffs map[protocol.MachineID]handOff
-	lastShedAt      protocol.Instant // when machines last left this controller as it could not serve them
+	lastShedAt      protocol.Instant // when this controller last shed machines (recordShedding)
 }
 
 func newManager(ctx *step.Context) *Manager {
@@ -53,7 +54,7 @@
 		if mgr.Replica.IsAlive(owner) {
 			return
 		}
-		// That includes the empty owner: what nobody owns is taken over by the same rules.
+		// That includes the empty owner: a shard without one fails over by the same rules.
 		expired[owner] = true
 		if _, known := mgr.expiredAt[owner]; !known {
 			mgr.expiredAt[owner] = mgr.Now.Monotonic
@@ -77,8 +78,8 @@
 	return mgr.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
 }
 
-// isSuccessorAmong tells the same where the others are successors only if none of the preferred
-// controllers is alive.
+// isSuccessorAmong tells the same where only preferred controllers can be successors, as long as one of
+// them is alive.
 func (mgr *Manager) isSuccessorAmong(key string, isPreferred func(protocol.ControllerID) bool) bool {
 	var alive, preferred []protocol.ControllerID
 	for controller, entry := range mgr.Replica.Controllers {
@@ -96,11 +97,11 @@
 	return sharding.Successor(alive, key) == mgr.Config.ControllerID
 }
 
-// sheddingCooldown is how long a controller that could not serve its machines accepts no others.
+// sheddingCooldown is how long a controller accepts no shards after it has shed machines.
 const sheddingCooldown = time.Minute
 
-// recordShedding notes that machines leave this controller as it cannot serve them: its agents do
-// not reach it, or it is overloaded.
+// recordShedding records that this controller sheds machines: it hands them off or transfers them as it
+// cannot serve them, because their agents do not reach it or it is overloaded.
 func (mgr *Manager) recordShedding() { mgr.lastShedAt = mgr.Now.Monotonic }
 
 // acceptsShards tells whether other controllers may transfer shards to this one.
--- a/internal/coordination/ownership/overload.go
+++ b/internal/coordination/ownership/overload.go
@@ -19,9 +19,9 @@
 	overloadDuration = 3 * time.Second
 )
 
-// OverloadDetector notices that this process falls behind. Its ticks are due every 50 ms; one that
-// computes several times slower than the other controllers has them late for seconds on end, and
-// transfers its shards before its agents lose patience and their leases.
+// OverloadDetector detects that this process falls behind. Its ticks are due every 50 ms. A process that
+// is several times slower than the other controllers has them late for seconds on end, and transfers
+// its shards before the leases of its agents expire.
 type OverloadDetector struct {
 	*step.Context
 
@@ -30,7 +30,7 @@
 	overloadedSince  protocol.Instant // since when the mean has been too long; 0: it is not
 }
 
-// RecordTick takes the interval since the last tick into the mean.
+// RecordTick updates the mean with the interval since the last tick.
 func (d *OverloadDetector) RecordTick() {
 	interval := min(d.Since(d.lastTickAt), maxTickSample)
 	if d.lastTickAt != 0 {
@@ -44,10 +44,10 @@
 	}
 }
 
-// isFallingBehind tells whether ticks are late now, be it for a moment only.
+// isFallingBehind tells whether ticks are late now, even if only for a moment.
 func (d *OverloadDetector) isFallingBehind() bool { return d.overloadedSince != 0 }
 
-// IsOverloaded tells whether ticks have been late for so long that it is no passing peak.
+// IsOverloaded tells whether ticks have been late for longer than a passing peak lasts.
 func (d *OverloadDetector) IsOverloaded() bool {
 	return d.isFallingBehind() && d.Since(d.overloadedSince) > overloadDuration
 }
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -14,16 +14,16 @@
 const (
 	// peerStatusInterval is the mean interval of the statuses that this controller sends.
 	peerStatusInterval = time.Second
-	// peerStatusBacklogInterval is the same while there is more to tell than one status holds.
+	// peerStatusBacklogInterval is the same while there are more misdirected heartbeats than fit one status.
 	peerStatusBacklogInterval = 200 * time.Millisecond
-	// peerStatusLifetime is how long a status is a reason to transfer shards to its sender.
+	// peerStatusLifetime is the age up to which a status allows transferring shards to its sender.
 	peerStatusLifetime = 3 * time.Second
 	// storeContactTimeout is how long after its last answer the store counts as reachable.
 	storeContactTimeout = 2 * time.Second
 )
 
-// Peers holds the last status of each other controller, and tells them the status of this one.
-// Statuses may be lost or late: no decision may rest on one that the records do not bear out.
+// Peers holds the last status of each other controller, and sends them the status of this one.
+// Statuses may be lost or late: no write may rely on one alone, without the records confirming it.
 type Peers struct {
 	*step.Context
 
@@ -36,9 +36,10 @@
 
 	lastStatuses   map[protocol.ControllerID]receivedStatus
 	nextStatusAt   protocol.Instant
-	isStatusUrgent bool // there is something that the others should know at once
+	isStatusUrgent bool // the next status is due at the next tick
 }
 
+// receivedStatus is a status of another controller, and when it came.
 type receivedStatus struct {
 	step.PeerStatus
 	receivedAt protocol.Instant
@@ -51,7 +52,7 @@
 	}
 }
 
-// RecordStatus takes in the status of another controller.
+// RecordStatus replaces the last status of another controller.
 func (p *Peers) RecordStatus(status *step.PeerStatus) {
 	p.lastStatuses[status.ControllerID] = receivedStatus{PeerStatus: *status, receivedAt: p.Now.Monotonic}
 }
@@ -63,9 +64,9 @@
 }
 
 // PeersReportStoreUnavailable tells whether other controllers have sent a status within a time, and
-// all of those say that they do not reach the store. It is true of a controller without others.
+// none of these reaches the store. It is true of a controller without others.
 func (p *Peers) PeersReportStoreUnavailable(within time.Duration) bool {
-	anyHeard := p.Config.PeerCount == 0
+	isReported := p.Config.PeerCount == 0
 	for _, status := range p.lastStatuses {
 		if p.Since(status.receivedAt) >= within {
 			continue
@@ -73,9 +74,9 @@
 		if status.StoreReachable {
 			return false
 		}
-		anyHeard = true
+		isReported = true
 	}
-	return anyHeard
+	return isReported
 }
 
 // ExpediteStatus has the next status sent at the next tick.
--- a/internal/coordination/ownership/peers_test.go
+++ b/internal/coordination/ownership/peers_test.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// The store counts as down for all if some other controller says so and none that was heard of
-// lately reaches it.
+// The store counts as unavailable to all if some other controller reports so and none of those that
+// have sent a status lately reaches it.
 func TestPeersReportStoreUnavailable(t *testing.T) {
 	type report struct {
 		from      protocol.ControllerID
@@ -23,8 +23,8 @@
 		want      bool
 	}{
 		{"no other controllers", 0, nil, true},
-		{"nobody is heard of", 2, nil, false},
-		{"all say so", 2, []report{{"a", false, 0}, {"b", false, time.Second}}, true},
+		{"no status received", 2, nil, false},
+		{"all report it", 2, []report{{"a", false, 0}, {"b", false, time.Second}}, true},
 		{"one reaches it", 2, []report{{"a", false, 0}, {"b", true, time.Second}}, false},
 		{"one reached it earlier", 2, []report{{"a", false, 0}, {"b", true, 4 * time.Second}}, true},
 		{"all are silent by now", 2, []report{{"a", false, 4 * time.Second}, {"b", false, 3 * time.Second}}, false},
--- a/internal/coordination/ownership/quiescence.go
+++ b/internal/coordination/ownership/quiescence.go
@@ -5,9 +5,9 @@
 	"tillerarch/internal/storage"
 )
 
-// isShardQuiescent tells whether nothing that this owner has sent to the shard's agents is on its
-// way, and whether they have done what cancellations ask for. A silent agent is not waited for: it
-// drops a response that it has not carried out within seconds.
+// isShardQuiescent tells whether no start that this owner has sent to the shard's agents is in flight,
+// and no cancellation is unresolved there. A silent agent is not waited for: it drops a response that
+// it has not carried out within seconds.
 func (t *Transfers) isShardQuiescent(shard *storage.Shard) bool {
 	return t.allResponsive(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return len(state.InflightStarts) == 0 && t.areCancellationsResolved(entry)
@@ -27,17 +27,17 @@
 }
 
 // isShardTokenConfirmed tells whether the agents of an owned shard know its owner: they have shown a
-// fencing token of its epoch, so that an earlier owner commands nothing.
+// fencing token of its epoch, and so obey no earlier owner.
 func (t *Transfers) isShardTokenConfirmed(shard *storage.Shard) bool {
 	return t.allResponsive(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
 	})
 }
 
-// allResponsive tells whether something holds for all machines of an owned shard that have started
-// and are not silent or about to be terminated.
+// allResponsive tells whether a condition is true of all machines of an owned shard that are in service
+// and not silent.
 func (t *Transfers) allResponsive(
-	shard *storage.Shard, holds func(*storage.Machine, *agents.MachineState) bool,
+	shard *storage.Shard, condition func(*storage.Machine, *agents.MachineState) bool,
 ) bool {
 	for _, id := range shard.Machines {
 		entry := t.Replica.Machines[id]
@@ -45,7 +45,7 @@
 			continue
 		}
 		state := t.agents.TrackOwnedMachine(entry, id)
-		if !t.agents.IsSilent(state) && !holds(entry, state) {
+		if !t.agents.IsSilent(state) && !condition(entry, state) {
 			return false
 		}
 	}
--- a/internal/coordination/ownership/rebalance.go
+++ b/internal/coordination/ownership/rebalance.go
@@ -9,15 +9,18 @@
 	"tillerarch/internal/storage"
 )
 
-// MaxIncomingTransfers is how many transfers to one controller may be open. Each source sees to it.
+// MaxIncomingTransfers is how many transfers to one controller may be open. Each source checks it before
+// it begins one.
 const MaxIncomingTransfers = 2
 
 const (
-	// maxTransfersPerPlan is one, as writing what starts and ends is the owner's work and each
-	// controller may write only so much.
+	// maxTransfersPerPlan is one: the new owner writes all that starts and ends on the shard, and the
+	// write rate of each controller is limited.
 	maxTransfersPerPlan = 1
 	// evacuationSpeedup is how much faster an overloaded or draining controller transfers shards.
 	evacuationSpeedup = 3
+	// loadPerShard is the same for all shards: they are split and merged to a similar size.
+	loadPerShard = 1
 )
 
 // Rebalance begins the transfers that package sharding plans for the present load.
@@ -60,7 +63,7 @@
 	return interval, sharding.ReasonLoadImbalance
 }
 
-// ShardingSnapshot is what transfers are planned from.
+// ShardingSnapshot is the state of shards and controllers from which transfers are planned.
 func (t *Transfers) ShardingSnapshot(overloaded bool) sharding.Snapshot {
 	incoming, targets := t.openTransferTargets()
 	return sharding.Snapshot{
@@ -86,7 +89,7 @@
 	return incoming, targets
 }
 
-// controllersToBalance lists this controller, and the others that may be given shards.
+// controllersToBalance lists this controller, and the others that accept shards.
 func (t *Transfers) controllersToBalance(overloaded bool) []sharding.Controller {
 	demand := t.demandByOwner()
 	self := t.lease.Incarnation()
@@ -107,13 +110,13 @@
 	return controllers
 }
 
-// shardsToBalance lists all shards. One in transfer counts as its target's.
+// shardsToBalance lists all shards. One in transfer counts as owned by the target.
 func (t *Transfers) shardsToBalance(transferTargets map[storage.ShardID]storage.Incarnation) []sharding.Shard {
 	var shards []sharding.Shard
 	reserved := t.machinesReservedForGangs()
 	for id, recorded := range t.Replica.Shards {
-		// All shards count as one: they are split and merged to a similar size.
-		shard := sharding.Shard{ID: id, Owner: recorded.Owner, Load: 1, Pinned: len(recorded.Machines) == 0}
+		isEmpty := len(recorded.Machines) == 0
+		shard := sharding.Shard{ID: id, Owner: recorded.Owner, Load: loadPerShard, Pinned: isEmpty}
 		if target, inTransfer := transferTargets[id]; inTransfer {
 			shard.Owner, shard.Pinned = target, true
 		} else if recorded.Owner == t.lease.Incarnation() && !shard.Pinned {
@@ -124,13 +127,13 @@
 	return shards
 }
 
-// transferCost is what a transfer of an owned shard would hold up: the starts that are in flight.
-// pinned: machines in it are reserved for a gang.
+// transferCost is the number of starts in flight that a transfer of an owned shard would delay. pinned:
+// machines in it are reserved for a gang.
 func (t *Transfers) transferCost(
 	shard *storage.Shard, reserved map[protocol.MachineID]bool,
 ) (cost float64, pinned bool) {
 	if !t.Config.RecordTransfers {
-		return 0, false // the owner changes in one write, which holds up nothing
+		return 0, false // the owner changes in one write, which delays nothing
 	}
 	for _, id := range shard.Machines {
 		if reserved[id] {
@@ -143,8 +146,8 @@
 	return cost, false
 }
 
-// demandByOwner is how many cores the unfinished jobs of each controller ask for, empty if the plan
-// does not follow demand.
+// demandByOwner is how many cores the unfinished jobs of each controller ask for, empty if demand has no
+// weight in the plan.
 func (t *Transfers) demandByOwner() map[storage.Incarnation]float64 {
 	demand := map[storage.Incarnation]float64{}
 	if t.Config.RebalanceDemandWeight == 0 {
--- a/internal/coordination/ownership/transfer_steps.go
+++ b/internal/coordination/ownership/transfer_steps.go
@@ -11,8 +11,8 @@
 	"tillerarch/internal/storage"
 )
 
-// AdvanceTransfers writes the steps of recorded transfers that package sharding leaves to this
-// controller.
+// AdvanceTransfers writes the steps of recorded transfers that fall to this controller by the rules of
+// package sharding.
 func (t *Transfers) AdvanceTransfers(b *commit.Batch) {
 	if len(t.Replica.Transfers) == 0 {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// observe gives since when this process has seen the transfer in a slot as it is on record.
+// observe tells since when this process has seen the transfer in a slot at its present revision.
 func (t *Transfers) observe(slot storage.TransferSlot) transferObservation {
 	observation := t.observations[slot]
 	if modRevision := t.Replica.Transfers[slot].ModRevision; observation.modRevision != modRevision {
@@ -41,7 +41,7 @@
 	return observation
 }
 
-// transferStatus is how this controller sees a transfer, but for the age of its phase.
+// transferStatus is a transfer as this controller sees it, without the age of its phase.
 func (t *Transfers) transferStatus(
 	slot storage.TransferSlot, reserved map[protocol.MachineID]bool,
 ) sharding.TransferStatus {
@@ -57,10 +57,11 @@
 	}
 	shard := t.Replica.Shards[transfer.Shard]
 	if shard == nil || len(shard.Machines) == 0 {
-		return status // one without machines is about to be deleted
+		return status // a shard without machines is about to be deleted
 	}
 	status.Owner = shard.Owner
-	status.ReservedForGang = slices.ContainsFunc(shard.Machines, func(id protocol.MachineID) bool { return reserved[id] })
+	isReserved := func(id protocol.MachineID) bool { return reserved[id] }
+	status.ReservedForGang = slices.ContainsFunc(shard.Machines, isReserved)
 	if shard.Owner == t.lease.Incarnation() {
 		status.Quiesced = transfer.Phase == storage.TransferPrepared && t.isShardQuiescent(shard)
 		status.TargetTokenObserved = transfer.Phase == storage.TransferCommitted && t.isShardTokenConfirmed(shard)
@@ -68,8 +69,8 @@
 	return status
 }
 
-// WriteTransferStep writes the next phase of a transfer, unless there is no capacity for it or the
-// batch changes its shard already: the next batch writes it then.
+// WriteTransferStep writes the next phase of a transfer. If the batch has no capacity for it or changes
+// the shard already, nothing is written, and a later batch does it.
 func (t *Transfers) WriteTransferStep(b *commit.Batch, slot storage.TransferSlot, next sharding.TransferStep) {
 	record := t.Replica.Transfers[slot].Record
 	ops := 1
@@ -107,7 +108,8 @@
 		level = slog.LevelInfo
 	}
 	b.Log(level, "shard transfer phase changed",
-		"transfer", record.Name, "shard", string(record.Shard), "phase", string(record.Phase), "reason", record.Reason,
+		"transfer", record.Name, "shard", string(record.Shard),
+		"phase", string(record.Phase), "reason", record.Reason,
 		"quiesced_ms", int64(max(record.CommittedAt-record.PreparedAt, 0)),
 		"duration_ms", int64(max(record.EndedAt-record.ProposedAt, 0)))
 }
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -16,11 +16,11 @@
 
 // Transfers rebalances shards between controllers and advances recorded transfers.
 //
-// A shard goes to another controller while jobs run on its machines. Where transfers are recorded
-// (setting `moves.recorded`), the source first quiesces the shard: nothing new is placed there, no
-// start is sent, and it waits until its agents have sent a heartbeat after the last one. Else, and
-// where there is no time for that, the owner changes in one write; what was on its way is then
-// resolved by the target, on the usual proofs.
+// Jobs go on running on the machines of a shard in transfer. Where transfers are recorded (setting
+// `moves.recorded`), the source first quiesces the shard: nothing new is placed there, no start is
+// sent, and it waits for a heartbeat of each agent after the last start. Else, and where there is no
+// time for that, the owner changes in one write; the target resolves the commands that were in flight
+// from what the agents report.
 type Transfers struct {
 	*step.Context
 
@@ -30,7 +30,7 @@
 	overload      *OverloadDetector
 	ownership     *Manager
 	peers         *Peers
-	shardWriter        *commit.ShardWriter
+	shardWriter   *commit.ShardWriter
 
 	observations       map[storage.TransferSlot]transferObservation
 	lastRebalanceAt    protocol.Instant // when a transfer was last planned and written
@@ -50,7 +50,7 @@
 	}
 }
 
-// OpenTransfer records a transfer in a slot of its target that no open transfer has. An empty name
+// OpenTransfer records a transfer in a slot of its target that has no open transfer. An empty name
 // is replaced by a new one. The transaction depends on the keys of both incarnations and the shard.
 func (t *Transfers) OpenTransfer(
 	b *commit.Batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string,
@@ -81,10 +81,11 @@
 	b.DependOn(storage.ControllerKey(transfer.Target.Controller()))
 	b.Log(slog.LevelInfo, "shard transfer started",
 		"transfer", name, "shard", string(transfer.Shard), "count", record.MachineCount,
-		"source", string(transfer.Source), "target", string(transfer.Target), "phase", string(phase), "reason", reason)
+		"source", string(transfer.Source), "target", string(transfer.Target),
+		"phase", string(phase), "reason", reason)
 }
 
-// ShardsInTransfer lists the shards that have a transfer in one of the phases.
+// ShardsInTransfer lists the shards that have a transfer in a phase that matches.
 func (t *Transfers) ShardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool {
 	shards := map[storage.ShardID]bool{}
 	for _, transfer := range t.Replica.Transfers {
@@ -95,11 +96,11 @@
 	return shards
 }
 
-// IsPrepared tells whether nothing new may begin in a shard with a transfer in this phase.
+// IsPrepared tells whether a shard with a transfer in this phase is quiesced: nothing new may begin in it.
 func IsPrepared(phase storage.TransferPhase) bool { return phase == storage.TransferPrepared }
 
-// IsQuiesced tells whether nothing new may begin in a shard. It is asked for each heartbeat, so it
-// does not list all shards in transfer.
+// IsQuiesced tells whether nothing new may begin in a shard. It is called for each heartbeat, so it
+// does not build the set of ShardsInTransfer.
 func (t *Transfers) IsQuiesced(id storage.ShardID) bool {
 	for _, transfer := range t.Replica.Transfers {
 		if transfer.Record.Shard == id && IsPrepared(transfer.Record.Phase) {
@@ -109,7 +110,7 @@
 	return false
 }
 
-// nextTransferName gives a name that no transfer has had.
+// nextTransferName gives a name that no other transfer has or had.
 func (t *Transfers) nextTransferName() string {
 	t.lastTransferNumber++
 	return fmt.Sprintf("%s-%d", t.lease.Incarnation(), t.lastTransferNumber)
--- a/internal/coordination/provisioning/demand.go
+++ b/internal/coordination/provisioning/demand.go
@@ -15,7 +15,7 @@
 	maxPlanAge = 2 * time.Second
 )
 
-// DemandSource holds the demand that no machine can take, as of the last plan.
+// DemandSource gives the demand that no machine can take, as of the last plan.
 type DemandSource interface {
 	Age() time.Duration
 	Demands() []UnmetDemand
@@ -28,7 +28,7 @@
 	Spec        *protocol.Job
 	Tasks       int
 	Zone        protocol.Zone // the only zone the tasks may be in; empty: any
-	Precedence  int           // demands of a lower order are served first
+	Precedence  int           // demands of a smaller precedence are served first
 	SubmittedAt protocol.Millis
 	// Urgent demand is requested from all pools at once; other demand from dearer pools only
 	// once cheaper ones are exhausted.
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -12,20 +12,23 @@
 )
 
 const (
-	// missedListsUntilMissing is the number of lists in a row that lack a machine, all asked for
+	// missedListsUntilMissing is the number of lists in a row that lack a machine, all requested
 	// after one that had it, after which the machine counts as gone.
 	missedListsUntilMissing = 2
 
 	// missedListsUntilForgotten is the number of such lists after which it is forgotten.
 	missedListsUntilForgotten = 6
 
-	// A machine must have been listed once it is as old as some times the list's lag, and a margin.
+	// A machine must have been listed by the age of unlistedLagFactor times the list's lag plus
+	// unlistedMargin.
 	unlistedLagFactor = 3
 	unlistedMargin    = 5 * time.Second
 
-	// minOrphanAgeSeconds is the age of a listed machine from which on whoever requested it must
+	// minOrphanAgeSeconds is the age by which the controller that requested a listed machine must
 	// have put it on record.
 	minOrphanAgeSeconds = 20
+
+	millisPerSecond = 1000
 )
 
 // Inventory holds the cloud's list of instances and adopts those that are on no record.
@@ -39,7 +42,7 @@
 
 	isListing       bool
 	nextListAt      protocol.Instant
-	lastListAt      protocol.Instant // when the last list was asked for
+	lastListAt      protocol.Instant // when the last list was requested
 	silentMachines  int              // owned machines that are silent
 	listedInstances map[protocol.MachineID]*listedInstance
 }
@@ -47,7 +50,7 @@
 // listedInstance is what the cloud's lists say of a machine.
 type listedInstance struct {
 	instance    protocol.Instance
-	listedAt    protocol.Instant // when the last list that had it was asked for
+	listedAt    protocol.Instant // when the last list that had it was requested
 	missedLists int              // later lists in a row without it
 }
 
@@ -58,7 +61,7 @@
 	}
 }
 
-// PollInstances asks for the cloud's list of instances when that is due, more often while owned
+// PollInstances requests the cloud's list of instances when that is due, more often while owned
 // machines are silent.
 func (inv *Inventory) PollInstances() {
 	now := inv.Now.Monotonic
@@ -88,7 +91,7 @@
 	inv.recordNeverListed(listed, result.RequestedAt)
 }
 
-// recordListed keeps what a list says of the machines that it has. It gives their set.
+// recordListed records the instances of a list, and gives the set of their IDs.
 func (inv *Inventory) recordListed(result step.ListInstancesResult) map[protocol.MachineID]bool {
 	listed := map[protocol.MachineID]bool{}
 	for _, instance := range result.Instances {
@@ -102,7 +105,7 @@
 }
 
 // recordMissed counts the lists that lack machines which earlier ones had. Lists come late and
-// out of order: one counts only if it was asked for after the last one that had the machine.
+// out of order: one counts only if it was requested after the last one that had the machine.
 func (inv *Inventory) recordMissed(listed map[protocol.MachineID]bool, requestedAt protocol.Instant) {
 	for id, known := range inv.listedInstances {
 		if listed[id] || requestedAt <= known.listedAt {
@@ -114,8 +117,8 @@
 	}
 }
 
-// recordNeverListed enters the machines that are on record and were never listed, once they must
-// have been: from then on the lists that lack them count.
+// recordNeverListed adds the machines on record that no list has had although one must have: from then
+// on the lists that lack them count.
 func (inv *Inventory) recordNeverListed(listed map[protocol.MachineID]bool, requestedAt protocol.Instant) {
 	listedByAge := unlistedLagFactor*inv.Config.InstanceListLag + unlistedMargin
 	for id, entry := range inv.Replica.Machines {
@@ -128,8 +131,8 @@
 	}
 }
 
-// AdoptOrphanedInstances puts listed machines on record that are on none: late grants, or ones
-// whose controller ended before it recorded them. They are then used or scaled in.
+// AdoptOrphanedInstances adopts listed machines that are on no record: those of late grants, or whose
+// controller ended before it recorded them. They are then used or scaled in.
 func (inv *Inventory) AdoptOrphanedInstances(b *commit.Batch) {
 	orphaned := step.SelectKeys(inv.listedInstances, func(known *listedInstance) bool {
 		return inv.Replica.Machines[known.instance.ID] == nil
@@ -147,9 +150,10 @@
 	}
 }
 
-// isAdoptable tells whether an unrecorded machine surely exists and nobody is about to record it.
+// isAdoptable tells whether an unrecorded machine surely exists and no controller is about to record it.
 func (known *listedInstance) isAdoptable() bool {
-	return known.missedLists == 0 && known.instance.AgeSeconds >= minOrphanAgeSeconds && known.instance.Type != ""
+	instance := &known.instance
+	return known.missedLists == 0 && instance.AgeSeconds >= minOrphanAgeSeconds && instance.Type != ""
 }
 
 // newMachineRecord is the record of an adopted instance.
@@ -159,11 +163,11 @@
 		MachineType: instance.Type,
 		Zone:        instance.Zone,
 		Spot:        instance.Spot,
-		AddedAt:     inv.Now.Wall - protocol.Millis(instance.AgeSeconds*1000),
+		AddedAt:     inv.Now.Wall - protocol.Millis(instance.AgeSeconds*millisPerSecond),
 	}
 }
 
-// recordSilentMachines keeps how many owned machines are silent.
+// recordSilentMachines records how many owned machines are silent.
 func (inv *Inventory) recordSilentMachines(count int) { inv.silentMachines = count }
 
 // hasFailed tells whether the cloud lists a machine as failed.
--- a/internal/coordination/provisioning/instance_inventory_test.go
+++ b/internal/coordination/provisioning/instance_inventory_test.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
-// A machine is missing once two lists lack it that were asked for after the last one that had it.
+// A machine is missing once two lists lack it that were requested after the last one that had it.
 // Lists may come out of order.
 func TestMissingInstances(t *testing.T) {
 	type list struct {
@@ -27,7 +27,9 @@
 		{"two lists lack it", []list{{1, true}, {2, false}, {3, false}}, true, true},
 		{"an earlier list comes late", []list{{3, true}, {1, false}, {2, false}}, false, true},
 		{"listed again", []list{{1, true}, {2, false}, {3, false}, {4, true}}, false, true},
-		{"forgotten", []list{{1, true}, {2, false}, {3, false}, {4, false}, {5, false}, {6, false}, {7, false}}, false, false},
+		{"forgotten", []list{
+			{1, true}, {2, false}, {3, false}, {4, false}, {5, false}, {6, false}, {7, false},
+		}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inventory := newTestParts(t).Inventory
@@ -62,7 +64,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			parts.ctx.Config.InstanceListLag = 4 * time.Second // and the margin: 17 s
-			parts.ctx.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: storage.MachineRecord{AddedAt: parts.ctx.Now.Wall}}
+			record := storage.MachineRecord{AddedAt: parts.ctx.Now.Wall}
+			parts.ctx.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: record}
 			parts.advance(c.age)
 			for requestedAt := protocol.Instant(1); requestedAt <= 3; requestedAt++ {
 				listed := parts.Inventory.recordListed(step.ListInstancesResult{RequestedAt: requestedAt})
@@ -76,8 +79,8 @@
 	}
 }
 
-// Only machines that surely exist are adopted, and only when whoever requested them has had the
-// time to record them.
+// Only machines that surely exist are adopted, and only when the controller that requested them has had
+// the time to record them.
 func TestAdoptableInstances(t *testing.T) {
 	old := protocol.Instance{ID: "m-1", Type: "small", AgeSeconds: 20}
 	young, nameless := old, old
--- a/internal/coordination/provisioning/pools.go
+++ b/internal/coordination/provisioning/pools.go
@@ -54,7 +54,9 @@
 	}
 	slices.SortStableFunc(pools, func(left, right pricedPool) int {
 		// Controllers differ in the zone that they try first.
-		return cmp.Or(cmp.Compare(left.costPerTask, right.costPerTask), cmp.Compare(p.zonePreference(right), p.zonePreference(left)))
+		return cmp.Or(
+			cmp.Compare(left.costPerTask, right.costPerTask),
+			cmp.Compare(p.zonePreference(right), p.zonePreference(left)))
 	})
 	return pools
 }
--- a/internal/coordination/provisioning/provision_requests.go
+++ b/internal/coordination/provisioning/provision_requests.go
@@ -12,8 +12,7 @@
 	"tillerarch/internal/storage"
 )
 
-// retryDelay is the pause, give or take the jitter, before a call to the cloud that failed is
-// repeated.
+// retryDelay is the mean time after which a failed call to the cloud is retried.
 const retryDelay = time.Second
 
 // ProvisionRequest is a request for machines whose outcome is not known yet, or whose machines
@@ -35,7 +34,7 @@
 }
 
 // MachinesToCome is how many machines of the request are on no record yet: as many as were
-// granted or, while there is no answer, as were asked for.
+// granted or, while there is no answer, as were requested.
 func (r *ProvisionRequest) MachinesToCome(replica *storage.Replica) int {
 	if r.granted == nil {
 		return r.request.Count
@@ -85,7 +84,7 @@
 	}
 }
 
-// recordGrant keeps the machines that a request was answered with, until they are on record.
+// recordGrant remembers the granted machines of a request until they are on record.
 func (p *Provisioner) recordGrant(r *ProvisionRequest, machines []protocol.MachineID) {
 	if len(machines) < r.request.Count {
 		p.MarkPoolExhausted(r.Pool())
@@ -131,7 +130,7 @@
 	}
 }
 
-// sendRequest asks the cloud for machines of a pool under a new name.
+// sendRequest requests machines of a pool from the cloud, under a new name.
 func (p *Provisioner) sendRequest(pool PoolKey, count int, job protocol.JobID) {
 	p.sequence++
 	request := protocol.ProvisionRequest{
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -11,23 +11,23 @@
 )
 
 // maxPoolCostRatio bounds the cost per task, relative to the cheapest pool, of the further pools
-// that are asked at the same time for work that is not urgent.
+// that machines are requested from at the same time for work that is not urgent.
 const maxPoolCostRatio = 1.05
 
 // Provisioner scales out: it requests machines for demand that no machine can take.
 type Provisioner struct {
 	*step.Context
 
-	catalog     *catalog.Catalog
-	lease       *commit.Lease
-	demandSource        DemandSource
-	replication *commit.Replication
-	spot        *catalog.SpotPricing
-	terminator  *Terminator
+	catalog      *catalog.Catalog
+	lease        *commit.Lease
+	demandSource DemandSource
+	replication  *commit.Replication
+	spot         *catalog.SpotPricing
+	terminator   *Terminator
 
 	requests    map[string]*ProvisionRequest // under way, by their names
 	sequence    int                          // of the last request of this process
-	exhaustedAt map[PoolKey]protocol.Instant // when a pool last had fewer machines than asked for
+	exhaustedAt map[PoolKey]protocol.Instant // when a pool last had fewer machines than requested
 }
 
 func newProvisioner(ctx *step.Context) *Provisioner {
@@ -46,7 +46,9 @@
 		return
 	}
 	demands := p.demandSource.Demands()
-	slices.SortStableFunc(demands, func(left, right UnmetDemand) int { return cmp.Compare(left.Precedence, right.Precedence) })
+	slices.SortStableFunc(demands, func(left, right UnmetDemand) int {
+		return cmp.Compare(left.Precedence, right.Precedence)
+	})
 	pendingPools := p.pendingPools()
 	spotCount := p.countSpotMachines()
 	for _, demand := range demands {
@@ -94,7 +96,7 @@
 	}
 }
 
-// requestSize is the number of machines to ask a pool for, within the limits of one request and
+// requestSize is the number of machines to request from a pool, within the limits of one request and
 // of the spot machines of the fleet.
 func (p *Provisioner) requestSize(pool pricedPool, tasks, spotCount int) int {
 	needed := (tasks + pool.tasksPerMachine - 1) / pool.tasksPerMachine
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -23,7 +23,9 @@
 		want      []string // type and kind of the requests
 	}{
 		{"deferrable work takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
-		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{smallSpotPool, inOtherZone(smallSpotPool)}, []string{"large spot", "large spot"}},
+		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{
+			smallSpotPool, inOtherZone(smallSpotPool),
+		}, []string{"large spot", "large spot"}},
 		{"one zone is left", 4, false, []PoolKey{smallSpotPool}, []string{"small spot"}},
 		{"urgent work takes all", 4, true, nil, []string{
 			"small spot", "small spot", "large spot", "large spot",
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -15,15 +15,15 @@
 	surplusIdleFactor = 0.25
 
 	// isolatedTimeoutFactor is how many times as long silent machines are waited for where nearly
-	// all are silent, so that it may be this controller that is cut off. Their agents would have
-	// reached another controller by then, which would have been handed them: nobody reaches them.
+	// all are silent, so that it may be this controller that is partitioned. If their agents reached
+	// another controller, they would have been handed off to it by then: so no controller reaches them.
 	isolatedTimeoutFactor = 2
 
 	// unknownTypeIdleTimeout is how long an idle machine is kept whose type the cloud no longer lists.
 	unknownTypeIdleTimeout = time.Minute
 )
 
-// scaleInReason is why a machine is returned to the cloud, in the words of the log.
+// scaleInReason is why a machine is terminated. Operators see the texts in the log.
 type scaleInReason string
 
 const (
@@ -45,8 +45,8 @@
 	reason scaleInReason        // scaleInNone once it has been acted on
 }
 
-// idlePeriod is the time since which a machine has had nothing to do. It ends with the ownership
-// that it was seen under.
+// idlePeriod is since when a machine has been idle. It ends with the ownership under which it was
+// observed.
 type idlePeriod struct {
 	ownership agents.Ownership
 	since     protocol.Instant
@@ -95,7 +95,7 @@
 	return scaleInNone
 }
 
-// bootFailure is why a machine whose agent has never reported is to be terminated.
+// bootFailure is why a machine whose agent has never sent a heartbeat is to be terminated.
 func (t *Terminator) bootFailure(record *storage.MachineRecord, state *agents.MachineState) scaleInReason {
 	machineType := t.catalog.MachineType(record.MachineType)
 	if machineType == nil {
@@ -103,8 +103,8 @@
 	}
 	bootTime := protocol.Seconds(machineType.BootSeconds)
 	bootTimeout := time.Duration(float64(bootTime)*t.Config.BootTimeoutFactor) + t.Config.BootTimeoutMargin
-	// Its age alone says nothing of a machine that this controller has just found in the list or
-	// become the owner of: its agent gets the time to report.
+	// Age alone is no proof: the agent of a machine that this controller has just adopted or become
+	// the owner of gets the time to send a heartbeat.
 	if t.machineAge(record) > bootTimeout && t.Since(state.LastContactAt) > bootTime {
 		return scaleInNeverBooted
 	}
@@ -116,7 +116,7 @@
 
 // defectOf is why a machine that has come up is to be terminated although it is not idle.
 func (t *Terminator) defectOf(record *storage.MachineRecord, state *agents.MachineState, isolated bool) scaleInReason {
-	// The list does not come by way of the agents' network: what it no longer has is gone, even
+	// The list does not depend on the network to the agents: a machine that it lacks is gone, even
 	// where most machines of this controller are silent.
 	if t.agents.IsSilent(state) {
 		if t.inventory.hasFailed(state.ID) {
@@ -134,14 +134,13 @@
 	case state.IsFaulty && len(record.Assignments) == 0:
 		return scaleInFaulty
 	case t.cancellations.MustForceScaleIn(state, record, isolated):
-		// A cancelled task that does not stop takes its machine with it.
 		return scaleInTaskDoesNotStop
 	}
 	return scaleInNone
 }
 
-// isSilentTooLong tells whether nothing has come from a machine's agent for so long that it has
-// to be replaced.
+// isSilentTooLong tells whether a machine's agent has sent nothing for so long that the machine has to
+// be replaced.
 func (t *Terminator) isSilentTooLong(state *agents.MachineState, isolated bool) bool {
 	if state.DeferredRequest != 0 {
 		return false
@@ -159,8 +158,7 @@
 	return t.Config.AgentLeaseTTL + t.Config.SilentScaleInDelay
 }
 
-// trackIdlePeriod begins a machine's idle period where it has nothing to do, and ends it where
-// it has.
+// trackIdlePeriod begins a machine's idle period when it is not in use, and ends it when it is.
 func (t *Terminator) trackIdlePeriod(record *storage.MachineRecord, state *agents.MachineState) {
 	if t.isInUse(record, state) {
 		delete(t.idlePeriods, state.ID)
@@ -176,8 +174,7 @@
 	return len(record.Assignments) > 0 || t.planUse.RetainsMachine(state.ID) || state.HasLiveTasks()
 }
 
-// isIdleTooLong tells whether a machine's idle period has lasted longer than its like is worth
-// keeping.
+// isIdleTooLong tells whether a machine has been idle for longer than idleTimeout.
 func (t *Terminator) isIdleTooLong(record *storage.MachineRecord, state *agents.MachineState) bool {
 	idle, isIdle := t.idlePeriods[state.ID]
 	return isIdle &&
@@ -185,8 +182,8 @@
 		t.machineAge(record) > t.Config.MinMachineAge
 }
 
-// idleTimeout is how long an idle machine is kept: about as long as it would take to have another
-// one of its type up, with its images.
+// idleTimeout is how long an idle machine is kept, in proportion to the time that it takes to provision
+// one of its type and fetch its images.
 func (t *Terminator) idleTimeout(state *agents.MachineState, machineType *protocol.MachineType) time.Duration {
 	if machineType == nil {
 		return unknownTypeIdleTimeout
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -13,22 +13,22 @@
 	"tillerarch/internal/storage"
 )
 
-// terminatedRetention is how long a machine that has left the records is remembered: the cloud's
-// list may show it for as long.
+// terminatedRetention is how long a machine that has left the records is remembered: the cloud may
+// list it for as long.
 const terminatedRetention = 90 * time.Second
 
-// PlanUse knows the machines that the plan uses.
+// PlanUse tells which machines the scheduler's plan uses.
 type PlanUse interface {
 	RetainsMachine(id protocol.MachineID) bool
 }
 
-// IdlePolicy knows the idle machines that are kept in reserve.
+// IdlePolicy tells which idle machines are kept in reserve.
 type IdlePolicy interface {
 	RetainsIdleMachine(id protocol.MachineID) bool
 }
 
-// Terminator scales in: it decides which owned machines are returned to the cloud
-// (scale_in.go), and terminates them.
+// Terminator scales in: it decides which owned machines are to be terminated (scale_in.go), and has
+// the cloud terminate them.
 type Terminator struct {
 	*step.Context
 
@@ -37,19 +37,19 @@
 	catalog       *catalog.Catalog
 	inventory     *Inventory
 	lease         *commit.Lease
-	planUse          PlanUse
+	planUse       PlanUse
 	replication   *commit.Replication
-	idlePolicy     IdlePolicy
+	idlePolicy    IdlePolicy
 
 	scaleInQueue []scaleInDecision // of the last review of the owned machines
 	idlePeriods  map[protocol.MachineID]idlePeriod
 
 	terminations  map[protocol.MachineID]*termination
-	isTerminating bool // a call to the cloud is under way
-	terminatedAt  map[protocol.MachineID]protocol.Instant
+	isTerminating bool                                    // a call to the cloud is under way
+	terminatedAt  map[protocol.MachineID]protocol.Instant // when machines left the records
 }
 
-// termination is a machine that is being returned to the cloud.
+// termination is the progress of terminating a machine.
 type termination struct {
 	retryAt    protocol.Instant
 	inFlight   bool
@@ -57,7 +57,7 @@
 	unrecorded bool // the machine's record does not say so
 }
 
-// isDue tells whether the cloud is to be asked for the termination now.
+// isDue tells whether the termination is to be requested from the cloud now.
 func (t *termination) isDue(now protocol.Instant) bool {
 	return !t.confirmed && !t.inFlight && now >= t.retryAt
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// IsTerminating tells whether a machine is being returned to the cloud.
+// IsTerminating tells whether a machine is being terminated.
 func (t *Terminator) IsTerminating(id protocol.MachineID) bool { return t.terminations[id] != nil }
 
 // IsTerminationConfirmed tells whether the cloud has confirmed that the machine is terminated.
@@ -81,19 +81,20 @@
 }
 
 // TerminateUnrecorded terminates a machine without a mark on its record: while the store is
-// unavailable to all controllers none can be written, and the task that is still there would
-// break its job's guarantee meanwhile. To other controllers the machine has died, which they
-// handle anyway; the mark only keeps them from placing tasks there, so its lack costs time.
+// unavailable to all controllers none can be written, and the task that still runs there would
+// outlive the time limit of its cancellation meanwhile. To other controllers the machine has failed,
+// which they handle anyway; the mark only keeps them from placing tasks there, so its lack costs time.
 func (t *Terminator) TerminateUnrecorded(id protocol.MachineID) {
 	if t.IsTerminating(id) {
 		return
 	}
 	t.terminations[id] = &termination{unrecorded: true}
-	t.Log(slog.LevelWarn, "unrecorded machine termination", "machine", string(id), "reason", "withdrawn task would not go")
+	t.Log(slog.LevelWarn, "unrecorded machine termination",
+		"machine", string(id), "reason", "withdrawn task would not go")
 }
 
-// RecordRemoval remembers that a machine has left the records, so that a stale list of the
-// cloud does not bring it back.
+// RecordRemoval remembers that a machine has left the records, so that it is not adopted again from a
+// stale list of the cloud.
 func (t *Terminator) RecordRemoval(id protocol.MachineID) {
 	t.terminatedAt[id] = t.Now.Monotonic
 }
@@ -104,7 +105,8 @@
 	return known
 }
 
-// ForgetTerminated drops what is remembered of machines that are long gone.
+// ForgetTerminated drops the removals that the cloud's list cannot lag behind any more, and the idle
+// periods of forgotten machines.
 func (t *Terminator) ForgetTerminated() {
 	for id, at := range t.terminatedAt {
 		if t.Since(at) > terminatedRetention {
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -34,7 +34,7 @@
 	lease      *commit.Lease
 	plan       *Plan
 	queue      *Queue
-	committer    *commit.Committer
+	committer  *commit.Committer
 	services   *ServiceScheduler
 
 	warmPool warmPool
