--- a/internal/coordination/requests/deferred_requests.go
+++ b/internal/coordination/requests/deferred_requests.go
@@ -19,8 +19,8 @@
 	awaitsCancellation                      // the confirmation of the job's cancellation
 )
 
-// deferredRequest is a request whose answer needs the replica at least as new as a revision of the
-// store that was read after the request came.
+// deferredRequest is a request whose answer needs a replica at least as new as a revision of the store
+// that was read after the request came.
 type deferredRequest struct {
 	requestID   step.RequestID
 	requestType protocol.RequestType
@@ -40,7 +40,7 @@
 // HasDeferred tells whether requests wait for a newer replica.
 func (u *UserRequests) HasDeferred() bool { return len(u.deferred) > 0 }
 
-// OnReadRevisionResult takes in the store's revision, for all requests that wait for it.
+// OnReadRevisionResult records the store's revision for all requests that wait for it.
 func (u *UserRequests) OnReadRevisionResult(result step.ReadRevisionResult) {
 	u.revisionRead.isInFlight = false
 	isAnswered := u.store.RecordContact(u.revisionRead.requestedAt, result.Err)
@@ -52,8 +52,8 @@
 			u.rejectUnavailable(request.requestID)
 			return true
 		}
-		// Revision 0 is that of a store which nothing has been written to; it says nothing of
-		// what the replica must have, and the request waits for the next read.
+		// Revision 0 is that of a store to which nothing has been written. It sets no bound for the
+		// replica, and the request waits for the next read.
 		if result.Revision != 0 {
 			request.state, request.minRevision = awaitsReplica, result.Revision
 		}
@@ -61,6 +61,7 @@
 	})
 }
 
+// deferSubmission defers the answer to a submission that came at receivedAt.
 func (u *UserRequests) deferSubmission(requestID step.RequestID, job *protocol.Job, receivedAt protocol.Instant) {
 	u.deferRequest(&deferredRequest{
 		requestID:   requestID,
@@ -71,6 +72,7 @@
 	})
 }
 
+// deferRequest adds a request to the deferred ones, unless it has to be rejected.
 func (u *UserRequests) deferRequest(request *deferredRequest) {
 	if u.replication.StoreUnavailable() || len(u.deferred) >= maxWaitingRequests {
 		u.rejectUnavailable(request.requestID)
@@ -132,16 +134,19 @@
 
 // isReplicaNewEnough tells whether the replica has reached the revision that a request waits for.
 func (u *UserRequests) isReplicaNewEnough(request *deferredRequest) bool {
-	return request.state == awaitsReplica && u.Replica.Revision >= request.minRevision && u.replication.IsLoaded()
+	return request.state == awaitsReplica &&
+		u.Replica.Revision >= request.minRevision &&
+		u.replication.IsLoaded()
 }
 
-// replyToUnrecorded goes on with a deferred submission that no controller has put on record.
+// replyToUnrecorded handles a deferred submission of a job that no controller has put on record.
 func (u *UserRequests) replyToUnrecorded(request *deferredRequest) {
 	switch {
 	case !u.knowsMachineTypes():
 		u.rejectUnavailable(request.requestID)
 	case !u.canEverRun(request.job):
-		u.Log(slog.LevelInfo, "job rejected, requirements cannot be met", "job", string(request.jobID), "team", request.job.Team)
+		u.Log(slog.LevelInfo, "job rejected, requirements cannot be met",
+			"job", string(request.jobID), "team", request.job.Team)
 		u.replyError(request.requestID, http.StatusUnprocessableEntity, messageNeverRuns)
 	case !u.canTakeSubmission():
 		u.rejectUnavailable(request.requestID)
--- a/internal/coordination/requests/drains.go
+++ b/internal/coordination/requests/drains.go
@@ -9,8 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// DrainRequest asks for a controller to be drained, or its drain to be ended. It is answered once
-// that is on record; asked again it does nothing more.
+// DrainRequest begins or ends the drain of a controller. It is answered once that is on record; a
+// repeated request has no further effect.
 type DrainRequest struct {
 	Req        step.RequestID
 	Controller protocol.ControllerID
@@ -24,7 +24,7 @@
 	Err    error
 }
 
-// OnDrainRequest takes a request in.
+// OnDrainRequest queues a request, or refuses it.
 func (o *OperatorRequests) OnDrainRequest(request DrainRequest) {
 	o.enqueue(&operatorRequest{
 		rejection: func(err *RequestError) step.Effect { return DrainReply{Req: request.Req, Err: err} },
--- a/internal/coordination/requests/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -12,14 +12,14 @@
 
 // Bounds of operators' requests.
 const (
-	maxOperatorRequests    = 16 // that wait to be on record
+	maxOperatorRequests    = 16 // that are pending at once
 	operatorRequestTimeout = 5 * time.Second
 )
 
 // OperatorRequests answers operators' requests. Those that change something wait until the change
 // is on record: each is offered to every batch until it sees its change in the replica. A request
-// that could not be written in time is given up; what was sent for it may still come on record, so
-// it must be safe to ask again.
+// that could not be written in time is given up; its transaction may still succeed, so it must be safe
+// to repeat the request.
 type OperatorRequests struct {
 	*step.Context
 
@@ -28,7 +28,7 @@
 	replication *commit.Replication
 	transfers   *ownership.Transfers
 
-	pending []*operatorRequest // that are not on record yet
+	pending []*operatorRequest // not on record yet
 }
 
 // operatorRequest is a request that is not on record yet.
@@ -40,8 +40,9 @@
 	rejection func(err *RequestError) step.Effect
 }
 
-// enqueue takes a request in, unless it is refused: by the check of its kind, or by what holds for
-// all. That the store is unavailable comes first, as the check may rest on an old replica.
+// enqueue adds a request to the pending ones, unless it is refused: by the check of its kind (err), or
+// for a reason that holds for all kinds. An unavailable store comes first, as the check may have read
+// an old replica.
 func (o *OperatorRequests) enqueue(request *operatorRequest, err *RequestError) {
 	switch {
 	case o.replication.StoreUnavailable() || !o.lease.IsRegistered():
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -32,7 +32,7 @@
 	return answers == 1, err
 }
 
-// wantRefusal checks that the last request is refused with these words.
+// wantRefusal checks that the last request is refused with this reason.
 func (f *fixture) wantRefusal(t *testing.T, reason string, transient bool) {
 	t.Helper()
 	_, err := f.operatorReply(t)
@@ -226,7 +226,8 @@
 	b := f.commit.ShardWriter.NewBatch(8)
 	f.Operators.WriteOperatorRequests(b)
 	conditions := b.Transaction().Conditions
-	for controller, modRevision := range map[protocol.ControllerID]protocol.ModRevision{"stall-0": 0, "stall-1": 0, "stall-2": 2} {
+	drainRevisions := map[protocol.ControllerID]protocol.ModRevision{"stall-0": 0, "stall-1": 0, "stall-2": 2}
+	for controller, modRevision := range drainRevisions {
 		want := protocol.Condition{Key: storage.DrainKey(controller), ModRevision: modRevision}
 		if !slices.Contains(conditions, want) {
 			t.Errorf("the write does not depend on %+v", want)
--- a/internal/coordination/requests/parts.go
+++ b/internal/coordination/requests/parts.go
@@ -16,11 +16,10 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
+	return &Parts{
 		Operators: &OperatorRequests{Context: ctx},
 		Users:     newUserRequests(ctx),
 	}
-	return p
 }
 
 // Dependencies are what the parts need of other packages.
--- a/internal/coordination/requests/request_error.go
+++ b/internal/coordination/requests/request_error.go
@@ -11,7 +11,7 @@
 // is, so the texts keep their words, "page" for a shard and "move" for a transfer, as the commands do.
 type RequestError struct {
 	Reason    string
-	Transient bool // it may be asked again as it is
+	Transient bool // the same request may succeed later
 }
 
 // Error gives the reason.
--- a/internal/coordination/requests/sharding_status.go
+++ b/internal/coordination/requests/sharding_status.go
@@ -8,7 +8,7 @@
 	"tillerarch/internal/storage"
 )
 
-// ShardingStatusRequest asks who owns which machines, and which transfers there are.
+// ShardingStatusRequest queries who owns which machines, and which transfers there are.
 type ShardingStatusRequest struct{ Req step.RequestID }
 
 // ShardingStatusReply answers a ShardingStatusRequest from one revision of the records.
@@ -41,10 +41,11 @@
 	Tasks    int
 }
 
-// maxPlannedTransfers bounds the planned transfers in a reply: what two targets may receive at once.
+// maxPlannedTransfers bounds the planned transfers in a reply: as many as two targets may receive at
+// once.
 const maxPlannedTransfers = 2 * ownership.MaxIncomingTransfers
 
-// OnShardingStatusRequest tells who owns what, as of the replica's revision.
+// OnShardingStatusRequest answers with the ownership and the transfers as of the replica's revision.
 func (o *OperatorRequests) OnShardingStatusRequest(request ShardingStatusRequest) {
 	reply := ShardingStatusReply{Req: request.Req, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
 	for _, id := range step.SortedKeys(o.Replica.Shards) {
--- a/internal/coordination/requests/submissions.go
+++ b/internal/coordination/requests/submissions.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxJobRecordPercent is the part of a stored value, in hundredths, that a new job's record
-	// may take; the rest is left for what is noted of the job later.
+	// may take; the rest is for the done tasks and reservations that are recorded in it later.
 	maxJobRecordPercent = 85
 
 	// quotaTolerance absorbs rounding where resources are summed up and compared with a quota.
@@ -30,7 +30,7 @@
 // HasSubmissions tells whether jobs wait to be put on record.
 func (u *UserRequests) HasSubmissions() bool { return len(u.submissions) > 0 }
 
-// WriteUserRequests puts new jobs and cancellations into the batch.
+// WriteUserRequests puts new jobs and the steps of cancellations into the batch.
 func (u *UserRequests) WriteUserRequests(b *commit.Batch) {
 	u.cancellations.WriteCancellations(b)
 	for _, id := range step.SortedKeys(u.submissions) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// JobRecordFits tells whether a job's record stays within a value of the store, whatever is noted of
-// it later, also under limits that are announced.
+// JobRecordFits tells whether a job's record stays within a stored value, whatever is recorded in it
+// later, also under limits that are announced.
 func (u *UserRequests) JobRecordFits(job *protocol.Job) bool {
 	format := storage.FormatPlain
 	if u.Config.AnnouncedLimits != nil {
@@ -62,7 +62,7 @@
 	return size <= u.limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
-// onSubmit takes a valid job in.
+// onSubmit handles the submission of a valid job.
 func (u *UserRequests) onSubmit(requestID step.RequestID, job *protocol.Job) {
 	switch {
 	case u.replyIfFinal(requestID, protocol.RequestSubmit, job.ID):
@@ -83,11 +83,11 @@
 	return !u.replication.StoreUnavailable() && u.knowsMachineTypes() && len(u.submissions) < maxWaitingRequests
 }
 
-// knowsMachineTypes tells whether the cloud's machine types have been read, without which nobody
-// can say what can run.
+// knowsMachineTypes tells whether the cloud's machine types have been read: without them it is unknown
+// which jobs can run.
 func (u *UserRequests) knowsMachineTypes() bool { return len(u.catalog.MachineTypes()) > 0 }
 
-// addSubmission lets a job wait to be put on record.
+// addSubmission queues a job to be put on record.
 func (u *UserRequests) addSubmission(requestID step.RequestID, job *protocol.Job) {
 	pending := u.submissions[job.ID]
 	if pending == nil {
@@ -144,15 +144,18 @@
 	}
 }
 
-// replyToSubmission answers for a job that is on record. One that another controller has put there
-// may have come further than this replica says.
-func (u *UserRequests) replyToSubmission(requestID step.RequestID, pending *submission, entry *storage.Versioned[storage.JobRecord]) {
+// replyToSubmission answers for a job that is on record. If another controller has recorded it, its
+// state may be newer than this replica.
+func (u *UserRequests) replyToSubmission(
+	requestID step.RequestID, pending *submission, entry *storage.Versioned[storage.JobRecord],
+) {
 	id := pending.job.ID
 	switch {
 	case entry.Record.State.IsTerminal():
 		u.Reply(requestID, http.StatusOK, u.jobStatus(id, &entry.Record, protocol.RequestSubmit))
 	case entry.Record.Owner == u.lease.Incarnation():
-		u.Log(slog.LevelDebug, "job accepted", "job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
+		u.Log(slog.LevelDebug, "job accepted",
+			"job", string(id), "class", pending.job.Class, "tasks", pending.job.TaskCount)
 		u.Reply(requestID, http.StatusCreated, u.jobStatus(id, &entry.Record, protocol.RequestSubmit))
 	default:
 		u.deferSubmission(requestID, pending.job, pending.receivedAt)
--- a/internal/coordination/requests/submissions_test.go
+++ b/internal/coordination/requests/submissions_test.go
@@ -21,9 +21,18 @@
 		{"task over the limit", step.Quota{MaxCores: 3.5}, protocol.Job{Cores: 4}, false},
 		{"tasks of an array over the limit together", step.Quota{MaxCores: 4}, protocol.Job{Cores: 2, TaskCount: 3}, true},
 		{"gang at the limit", step.Quota{MaxCores: 6}, protocol.Job{Kind: protocol.KindGang, Cores: 2, TaskCount: 3}, true},
-		{"gang over the limit", step.Quota{MaxCores: 5}, protocol.Job{Kind: protocol.KindGang, Cores: 2, TaskCount: 3}, false},
-		{"service over the limit", step.Quota{MaxCores: 5}, protocol.Job{Kind: protocol.KindService, Cores: 2, TaskCount: 3}, false},
-		{"rounding at the limit", step.Quota{MaxCores: 0.3}, protocol.Job{Kind: protocol.KindGang, Cores: 0.1, TaskCount: 3}, true},
+		{
+			"gang over the limit", step.Quota{MaxCores: 5},
+			protocol.Job{Kind: protocol.KindGang, Cores: 2, TaskCount: 3}, false,
+		},
+		{
+			"service over the limit", step.Quota{MaxCores: 5},
+			protocol.Job{Kind: protocol.KindService, Cores: 2, TaskCount: 3}, false,
+		},
+		{
+			"rounding at the limit", step.Quota{MaxCores: 0.3},
+			protocol.Job{Kind: protocol.KindGang, Cores: 0.1, TaskCount: 3}, true,
+		},
 		{"accelerators over the limit", step.Quota{MaxAccelerators: 1}, protocol.Job{Accelerators: 2}, false},
 		{"task larger than any machine", step.Quota{}, protocol.Job{Cores: 5}, false},
 		{"unknown team", step.Quota{}, protocol.Job{Team: "nobody", Cores: 1}, false},
--- a/internal/coordination/requests/transfers.go
+++ b/internal/coordination/requests/transfers.go
@@ -8,13 +8,12 @@
 	"tillerarch/internal/storage"
 )
 
-// TransferRequest asks for a shard transfer, or for one to be aborted. It is answered once it is
-// on record, with the transfer as it is there; asked again under the same name it does nothing
-// more.
+// TransferRequest begins a shard transfer, or aborts one. It is answered once that is on record, with
+// the transfer as it is there; a repeated request of the same name has no further effect.
 type TransferRequest struct {
 	Req    step.RequestID
 	Name   string                // of the transfer
-	Abort  bool                  // end the transfer of that name instead
+	Abort  bool                  // abort the transfer of that name instead
 	Shard  storage.ShardID       // the shard to transfer; or
 	Source protocol.ControllerID // any one of this controller's
 	Target protocol.ControllerID
@@ -33,7 +32,7 @@
 // operatorTransferReason is the reason on record of a transfer that an operator asked for.
 const operatorTransferReason = "asked for by the operator"
 
-// OnTransferRequest takes a request in.
+// OnTransferRequest queues a request, or refuses it.
 func (o *OperatorRequests) OnTransferRequest(request TransferRequest) {
 	o.enqueue(&operatorRequest{
 		rejection: func(err *RequestError) step.Effect { return TransferReply{Req: request.Req, Err: err} },
@@ -47,7 +46,7 @@
 	}, o.checkTransferRequest(&request))
 }
 
-// checkTransferRequest refuses what can be refused from the records at once.
+// checkTransferRequest refuses at once what the records show to be impossible.
 func (o *OperatorRequests) checkTransferRequest(request *TransferRequest) *RequestError {
 	if request.Name == "" || len(request.Name) > maxTransferNameBytes {
 		return newPermanentError("a move needs a name of 1 to %d bytes", maxTransferNameBytes)
@@ -82,9 +81,11 @@
 	return newest
 }
 
-// writeTransferRequest puts a request into the batch, or gives the transfer if what was asked for
-// is on record.
-func (o *OperatorRequests) writeTransferRequest(b *commit.Batch, request *TransferRequest) (*storage.TransferRecord, *RequestError) {
+// writeTransferRequest puts a request into the batch, or gives the transfer if what was requested is on
+// record.
+func (o *OperatorRequests) writeTransferRequest(
+	b *commit.Batch, request *TransferRequest,
+) (*storage.TransferRecord, *RequestError) {
 	entry := o.findTransfer(request.Name)
 	switch {
 	case entry == nil && request.Abort:
@@ -100,7 +101,7 @@
 	return nil, nil
 }
 
-// proposeTransfer puts the record of a new transfer into the batch, if there is room for it.
+// proposeTransfer puts the record of a new transfer into the batch, if that has capacity for it.
 func (o *OperatorRequests) proposeTransfer(b *commit.Batch, request *TransferRequest) *RequestError {
 	shard, err := o.requestedShard(request)
 	if err != nil {
@@ -126,7 +127,8 @@
 // newUnsupportedTransferError refuses a transfer from or to a controller that would not act on its
 // record.
 func newUnsupportedTransferError(controller protocol.ControllerID) *RequestError {
-	return newPermanentError("controller %q runs a version, or with settings, that take no part in moves on record", controller)
+	return newPermanentError(
+		"controller %q runs a version, or with settings, that take no part in moves on record", controller)
 }
 
 // abortTransfer puts the end of the pending transfers of a name into the batch.
@@ -142,7 +144,7 @@
 	}
 }
 
-// requestedShard is the shard that a request means: the one it names, or one of the source.
+// requestedShard is the shard to transfer: the one that a request names, or one of the source.
 func (o *OperatorRequests) requestedShard(request *TransferRequest) (storage.ShardID, *RequestError) {
 	if request.Shard == "" {
 		return o.smallestTransferableShard(request)
@@ -164,7 +166,9 @@
 
 // smallestTransferableShard is the shard of the source with the fewest machines, of those that are
 // not being transferred.
-func (o *OperatorRequests) smallestTransferableShard(request *TransferRequest) (smallest storage.ShardID, err *RequestError) {
+func (o *OperatorRequests) smallestTransferableShard(
+	request *TransferRequest,
+) (smallest storage.ShardID, err *RequestError) {
 	if request.Source == request.Target {
 		return "", newPermanentError("giver and taker are the same")
 	}
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// maxWaitingRequests bounds the jobs that wait to be put on record, and the requests that are
-	// deferred. Users beyond that are told to ask again.
+	// maxWaitingRequests bounds the submissions that are not on record yet, and the deferred requests.
+	// Requests beyond that are rejected, and the user is to retry.
 	maxWaitingRequests = 2000
 
-	// retryAfterSeconds is when a user who is told to ask again should do so.
+	// retryAfterSeconds is the Retry-After of a rejected request.
 	retryAfterSeconds = 1
 
 	// maxLoggedBodyBytes is how much of an invalid submission goes into the log.
 	maxLoggedBodyBytes = 600
 )
 
-// What users are told.
+// Texts of errors that users see.
 const (
 	messageUnavailable = "cannot decide now"
 	messageNoSuchJob   = "no such job"
@@ -57,7 +57,7 @@
 	}
 }
 
-// OnUserInput takes a request in, and answers it if that can be done at once.
+// OnUserInput handles a request, and answers it if that can be done at once.
 func (u *UserRequests) OnUserInput(input step.UserInput) {
 	switch {
 	case input.Type == protocol.RequestSubmit:
@@ -86,7 +86,7 @@
 	u.onSubmit(input.RequestID, job)
 }
 
-// onJobInput takes in a request for a job that is not final here. A cancellation of a job that is
+// onJobInput handles a request for a job that is not in a final state here. A cancellation of a job that is
 // known to exist begins at once; the answer waits for its confirmation either way.
 func (u *UserRequests) onJobInput(input step.UserInput) {
 	isKnown := u.Replica.Jobs[input.Job] != nil
@@ -103,7 +103,9 @@
 
 // replyIfFinal answers a request from the replica alone if the job is in a final state, which never
 // changes.
-func (u *UserRequests) replyIfFinal(requestID step.RequestID, requestType protocol.RequestType, id protocol.JobID) bool {
+func (u *UserRequests) replyIfFinal(
+	requestID step.RequestID, requestType protocol.RequestType, id protocol.JobID,
+) bool {
 	entry := u.Replica.Jobs[id]
 	if entry == nil || !entry.Record.State.IsTerminal() {
 		return false
@@ -150,7 +152,7 @@
 	u.Reply(requestID, status, step.ErrorResponse{Error: message})
 }
 
-// rejectUnavailable tells a user to ask again.
+// rejectUnavailable answers that the request cannot be decided now and is to be retried.
 func (u *UserRequests) rejectUnavailable(requestID step.RequestID) {
 	u.Emit(step.Reply{
 		RequestID:         requestID,
@@ -167,7 +169,7 @@
 }
 
 // ExpireUserRequests gives up on requests that have waited too long. While the store is unavailable
-// none is kept: the user is better off asking another controller at once.
+// none is kept: the user is better off retrying at another controller at once.
 func (u *UserRequests) ExpireUserRequests() {
 	unavailable := u.replication.StoreUnavailable()
 	isExpired := func(receivedAt protocol.Instant) bool {
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -92,7 +92,7 @@
 			want:    []int{http.StatusNotFound},
 		},
 		{
-			name:              "cancel of a job that comes to light",
+			name:              "cancel of a job that the replica lacked",
 			request:           cancel,
 			after:             &storage.JobRecord{Owner: "stall-1#1"},
 			want:              []int{},
@@ -221,7 +221,7 @@
 	}
 }
 
-// Users who would wait too long, or for a store that is unavailable, are told to ask again.
+// Requests that would wait too long, or for a store that is unavailable, are rejected for a retry.
 func TestExpireUserRequests(t *testing.T) {
 	allRejected := slices.Repeat([]int{http.StatusServiceUnavailable}, 3)
 	for _, c := range []struct {
@@ -256,15 +256,17 @@
 			var statuses []int
 			for _, reply := range replies {
 				statuses = append(statuses, reply.Status)
-				if reply.RetryAfterSeconds != 1 || string(reply.Body) != string(protocol.Encode(step.ErrorResponse{Error: "cannot decide now"})) {
-					t.Errorf("told %q, to come back after %d s", reply.Body, reply.RetryAfterSeconds)
+				want := string(protocol.Encode(step.ErrorResponse{Error: "cannot decide now"}))
+				if reply.RetryAfterSeconds != 1 || string(reply.Body) != want {
+					t.Errorf("answered %q, to be retried after %d s", reply.Body, reply.RetryAfterSeconds)
 				}
 			}
 			if !slices.Equal(statuses, c.want) {
 				t.Errorf("answered %v, want %v", statuses, c.want)
 			}
 			if isLeft := len(c.want) == 0; f.Users.HasSubmissions() != isLeft || f.Users.HasDeferred() != isLeft {
-				t.Errorf("submissions left %v, deferred requests left %v, want %v", f.Users.HasSubmissions(), f.Users.HasDeferred(), isLeft)
+				t.Errorf("submissions left %v, deferred requests left %v, want %v",
+					f.Users.HasSubmissions(), f.Users.HasDeferred(), isLeft)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -8,7 +8,7 @@
 const (
 	// maxTasksPerWrite bounds the tasks of an array that one write assigns to a machine.
 	maxTasksPerWrite = 200
-	// maxReservedTasks is for how many tasks of a starved array machines are emptied: the first
+	// maxReservedTasks is for how many tasks of a starved array machines are reserved: the first
 	// task that is placed ends the starvation.
 	maxReservedTasks = 4
 )
@@ -24,7 +24,7 @@
 	candidates []*Candidate
 	unplaced   int   // tasks that have no machine
 	allowance  int   // how many of them may be placed now
-	canWrite   bool  // this incarnation writes the job's placements
+	canWrite   bool  // this incarnation writes the job's placements now
 	pending    []int // indices of the tasks to place, if canWrite
 }
 
@@ -50,7 +50,7 @@
 		return
 	}
 	if job.isStarved && job.placedTasks == 0 && p.allowance > 0 {
-		// Its tasks fit into no gap that others leave: some machines are emptied.
+		// Its tasks fit nowhere while others take all capacity as it becomes free.
 		s.gangs.reserveForStarvedJob(b, job, candidates, anyZone, min(p.allowance, maxReservedTasks))
 	}
 	if isUnbounded := maxTasks == protocol.MaxTasks; isUnbounded {
@@ -68,8 +68,7 @@
 	// tasks in progress.
 	recordHeadroom := max(s.acquirer.maxTasksInProgress(spec.TaskCount)-job.placedTasks, 0)
 	p.allowance = min(p.unplaced, maxTasks, quota, recordHeadroom)
-	isBackingOff := attemptsOf(s.jobs, job.id).isBackingOff(s.Now.Monotonic)
-	p.canWrite = s.acquirer.canWritePlacements(b, job) && !isBackingOff
+	p.canWrite = s.acquirer.canPlaceNow(b, job)
 	if p.canWrite {
 		p.pending = s.acquirer.pendingTasks(b, job, p.allowance)
 		p.allowance = min(p.allowance, len(p.pending))
@@ -77,7 +76,7 @@
 	return p
 }
 
-// placeOn places as many tasks of the array on the machine as it takes.
+// placeOn places as many tasks of the array on the machine as fit.
 func (p *arrayPlacer) placeOn(machine *Candidate) {
 	spec := p.job.record.Spec
 	count := min(machine.free.CapacityFor(spec), p.allowance, p.job.zoneHeadroom(machine.record.Zone))
@@ -97,8 +96,8 @@
 	p.allowance -= count
 }
 
-// recordUnplaced takes in that tasks which may be placed have found no machine. What can wait for
-// machines in use does so; the rest is demand, reported by the job's owner.
+// recordUnplaced handles tasks that may be placed and have found no machine. Those that can wait for
+// machines in use get a backfill reservation; the rest is demand, reported by the job's owner.
 func (p *arrayPlacer) recordUnplaced() {
 	tasks := min(p.unplaced, p.allowance)
 	if tasks <= 0 {
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -9,8 +9,7 @@
 	"tillerarch/internal/protocol"
 )
 
-// Tasks that can wait need no machine of their own where one that is in use will be free in time.
-// The forecast tells where that is; no machines are provisioned for such tasks.
+// No machines are provisioned for tasks that can wait until a machine in use is predicted to be free.
 const (
 	// backfillSlackFraction is the part of a job's slack that may be spent on waiting for
 	// machines in use. Run times are estimates, so the rest stays in reserve.
@@ -21,6 +20,9 @@
 	// overrunFraction is the part of a task's estimated run time that one which has run longer
 	// than estimated is expected to need still.
 	overrunFraction = 0.25
+	// endDetectionDivisor: a task's end is known here 1/endDetectionDivisor of a heartbeat interval
+	// later.
+	endDetectionDivisor = 4
 )
 
 // backfillPlanner predicts which busy machines will be free soon enough for waiting tasks.
@@ -33,8 +35,8 @@
 	jobs    *agents.JobTable
 }
 
-// reserveBackfill sets aside what will be free soon enough for up to that many tasks of a job, and
-// tells for how many it has done so.
+// reserveBackfill reserves what will be free soon enough for up to that many tasks of a job, and tells
+// for how many it has done so.
 func (bp *backfillPlanner) reserveBackfill(job *PendingJob, candidates []*Candidate, tasks int) int {
 	spec := job.record.Spec
 	if spec.Zone != "" || spec.SingleZone || spec.SpreadZones {
@@ -57,7 +59,7 @@
 	return reserved
 }
 
-// canFollowOn tells whether tasks of the job could run on the machine if it were empty.
+// canFollowOn tells whether tasks of the job could run on the machine once others there have ended.
 func (bp *backfillPlanner) canFollowOn(job *PendingJob, machine *Candidate) bool {
 	if machine.isProvisioning || machine.isUnschedulable || job.avoidedTypes[machine.record.MachineType] {
 		return false
@@ -80,8 +82,8 @@
 	return max(slackWait, bootWait)
 }
 
-// capacityBy tells how many tasks of a job could start on a machine by the deadline, besides
-// those that are to follow what runs there already.
+// capacityBy tells how many tasks of a job could start on a machine by the deadline, besides those that
+// have a backfill reservation there.
 func (bp *backfillPlanner) capacityBy(machine *Candidate, spec *protocol.Job, deadline protocol.Instant) int {
 	free := machine.free.Without(machine.backfillReservation)
 	for i := range machine.allocations {
@@ -103,8 +105,8 @@
 		startedAt = now
 	}
 	runtime := bp.jobs.EstimatedRuntime(alloc.job, alloc.spec)
-	heartbeatDelay := bp.Config.HeartbeatInterval / 4 // allowance until the end is known here
-	endAt := startedAt.Add(runtime + heartbeatDelay)
+	detectionDelay := bp.Config.HeartbeatInterval / endDetectionDivisor
+	endAt := startedAt.Add(runtime + detectionDelay)
 	leastRemaining := time.Duration(overrunFraction * float64(runtime))
 	return max(endAt, now.Add(leastRemaining))
 }
--- a/internal/coordination/scheduling/backfill_test.go
+++ b/internal/coordination/scheduling/backfill_test.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// No machine is provisioned for tasks that can follow those which run, as far as the job's slack
-// and the run times tell; a machine is counted once.
+// Tasks get a backfill reservation where running ones end early enough, by their estimates, for the
+// job's slack; each machine is reserved once.
 func TestBackfillReservations(t *testing.T) {
 	for _, c := range []struct {
 		name            string
--- a/internal/coordination/scheduling/candidate.go
+++ b/internal/coordination/scheduling/candidate.go
@@ -27,15 +27,19 @@
 }
 
 // plannedUse starts with what the records assign to the machine; placing a task adds to it.
-// A "what if" simulation works on a copy of free and leaves the rest alone.
+// What a preemption would free is computed on a copy of free.
 type plannedUse struct {
 	free            catalog.Resources
-	isUnschedulable bool // takes no new task, or is reserved for a starved job
+	isUnschedulable bool // takes no new task: closed, or reserved for a starved job
 	allocations     []allocation
-	// Resources set aside for tasks that start when running ones end.
+	// Resources for tasks that are to start when running ones end.
 	backfillReservation catalog.Resources
 }
 
+// concurrentFetches is how many fetches share a machine's rate if one more image is fetched while one is
+// under way already.
+const concurrentFetches = 2
+
 // allocation is what the tasks of one attempt of a job take of a machine.
 type allocation struct {
 	job        protocol.JobID
@@ -55,7 +59,7 @@
 	}
 	fetch := protocol.Seconds(catalog.ImageFetchSeconds(c.machineType, spec))
 	if c.state.IsFetchingImage() {
-		fetch *= 2 // two fetches share the rate
+		fetch *= concurrentFetches
 	}
 	return fetch
 }
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -35,8 +35,8 @@
 	nextFleetLogAt protocol.Instant
 }
 
-// listCandidates lists all machines as the batch leaves them, by ID, and behind them those that
-// are being provisioned.
+// listCandidates lists all machines as the batch leaves them, by ID, followed by those that are
+// being provisioned.
 func (l *candidateLister) listCandidates(b *commit.Batch) []*Candidate {
 	machines := l.Replica.SortedMachines()
 	listing := l.newListing(b)
@@ -64,14 +64,14 @@
 	return !machine.record.Spot || l.spot.CanUseSpot(spec, machine.machineType)
 }
 
-// awaitsHeartbeat tells whether what is recorded for an own machine reaches it with its next
-// heartbeat only: no heartbeat is deferred here that could be answered now.
+// awaitsHeartbeat tells whether a placement on an owned machine reaches its agent only with the answer
+// to its next heartbeat: none is deferred here that could be answered now.
 func (l *candidateLister) awaitsHeartbeat(machine *Candidate) bool {
 	state := l.agents.Lookup(machine.id)
 	return machine.record.Owner == l.lease.Incarnation() && state != nil && state.DeferredRequest == 0
 }
 
-// candidateListing is what one listing looks up once for all machines.
+// candidateListing holds the lookups that one listing shares among all machines.
 type candidateListing struct {
 	lister         *candidateLister
 	batch          *commit.Batch
@@ -151,6 +151,7 @@
 	}
 }
 
+// precedenceOf is Queue.precedenceOf, computed once for each job.
 func (c *candidateListing) precedenceOf(spec *protocol.Job) int {
 	precedence, ok := c.precedences[spec]
 	if !ok {
--- a/internal/coordination/scheduling/contention.go
+++ b/internal/coordination/scheduling/contention.go
@@ -11,9 +11,9 @@
 	"tillerarch/internal/protocol"
 )
 
-// Some machine types are the only ones that certain tasks fit. While such tasks wait, jobs that
-// can have a cheaper type in time leave those machines to them: else small tasks of higher
-// priority fill them, and dearer large machines are provisioned instead.
+// Some tasks fit only certain machine types. While such tasks wait, jobs for which a cheaper type can
+// be provisioned in time avoid these types: else small tasks of higher priority fill the machines, and
+// dearer large ones are provisioned.
 const (
 	// bootTimeFactor is how many times its usual boot time a machine is assumed to take.
 	bootTimeFactor = 1.2
@@ -22,7 +22,7 @@
 	contentionWindow = 2 * time.Second
 )
 
-// contentionTracker keeps machine types that are in short supply for the jobs that need them.
+// contentionTracker records for which machine types tasks wait, and which jobs are to avoid them.
 type contentionTracker struct {
 	*step.Context
 
@@ -41,7 +41,7 @@
 	}
 }
 
-// recordContention notes that tasks of a job have found no machine.
+// recordContention records that tasks of a job have found no machine.
 func (ct *contentionTracker) recordContention(job *PendingJob) {
 	types, _ := ct.preferredTypes(job)
 	for _, name := range types {
@@ -49,7 +49,7 @@
 	}
 }
 
-// contendedTypes lists the types that tasks have waited for of late.
+// contendedTypes lists the types that tasks have waited for within contentionWindow.
 func (ct *contentionTracker) contendedTypes() map[protocol.MachineTypeName]bool {
 	contended := map[protocol.MachineTypeName]bool{}
 	for name, at := range ct.lastContendedAt {
--- a/internal/coordination/scheduling/fleet_log.go
+++ b/internal/coordination/scheduling/fleet_log.go
@@ -7,7 +7,7 @@
 	"tillerarch/internal/coordination/provisioning"
 )
 
-// fleetLogInterval is the time between two reports of the fleet's utilization.
+// fleetLogInterval is the time between two log entries on the fleet's utilization.
 const fleetLogInterval = 10 * time.Second
 
 // poolUtilization sums up the machines of one type, spot or on demand.
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -21,8 +21,7 @@
 	tasks      int
 }
 
-// place writes a placement of the gang, plans one that cannot be written now, or starts a
-// preemption for it.
+// place writes a placement of the gang, plans one that cannot be written now, or preempts for it.
 func (p *gangPlacer) place() {
 	chosen := p.choose()
 	switch {
@@ -38,8 +37,8 @@
 // choose chooses where the tasks of the gang go; nil: tasks are to be preempted for them first.
 func (p *gangPlacer) choose() []placement {
 	onFree := p.cheapestOnFree()
-	preemption := p.gangs.preemption
-	if reservation := preemption.currentReservation(p.job, p.candidates, p.tasks); reservation != nil {
+	preemptor := p.gangs.preemptor
+	if reservation := preemptor.currentReservation(p.job, p.candidates, p.tasks); reservation != nil {
 		if !hasFreeCapacity(reservation, p.job.record.Spec) {
 			return nil // until what runs there has been stopped
 		}
@@ -67,7 +66,7 @@
 // stopped: that is quicker than to wait for a machine that boots, or for an image where others
 // have it.
 func (p *gangPlacer) isPreemptionQuicker(placements []placement) bool {
-	if !p.gangs.preemption.fitsJobRecord(placements) {
+	if !p.gangs.preemptor.fitsJobRecord(placements) {
 		return false
 	}
 	mustBoot := waitsForBoot(placements)
@@ -97,8 +96,7 @@
 // transaction is written in several; no task of it starts before the last one is written.
 func (p *gangPlacer) canWrite(placements []placement) bool {
 	g := p.gangs
-	isBackingOff := attemptsOf(g.jobs, p.job.id).isBackingOff(g.Now.Monotonic)
-	if waitsForBoot(placements) || isBackingOff || !g.acquirer.canWritePlacements(p.batch, p.job) {
+	if waitsForBoot(placements) || !g.acquirer.canPlaceNow(p.batch, p.job) {
 		return false
 	}
 	machines := make([]protocol.MachineID, 0, len(placements))
@@ -136,7 +134,7 @@
 	}
 }
 
-// plan notes a placement that is not written in this pass.
+// plan records in the plan a placement that is not written in this pass.
 func (p *gangPlacer) plan(placements []placement) {
 	for _, chosen := range placements {
 		p.job.recordAllocation(chosen.machine, chosen.count, 0)
@@ -145,13 +143,13 @@
 	}
 }
 
-// preempt keeps machines for a gang that fits nowhere, while their owners stop tasks of lower
-// priority there. The job's owner chooses them and records its choice: if every owner chose for
-// itself, two could preempt for one gang.
+// preempt reserves machines for a gang that fits nowhere, while their owners stop tasks of lower
+// priority there. The job's owner chooses the machines and records its choice: if each owner of
+// machines chose for itself, two could preempt for one gang.
 func (p *gangPlacer) preempt() {
 	g, job := p.gangs, p.job
 	canWrite := g.acquirer.canWritePlacements(p.batch, job)
-	placements := g.preemption.currentReservation(job, p.candidates, p.tasks)
+	placements := g.preemptor.currentReservation(job, p.candidates, p.tasks)
 	if placements == nil && job.isStarved {
 		if g.reserveForStarvedJob(p.batch, job, p.candidates, p.zones, p.tasks) && canWrite {
 			p.addDemand()
@@ -177,7 +175,7 @@
 	if placements == nil {
 		placements = p.cheapestPreemption(false)
 	}
-	if placements == nil || !p.gangs.preemption.fitsJobRecord(placements) {
+	if placements == nil || !p.gangs.preemptor.fitsJobRecord(placements) {
 		p.addDemand()
 		return nil
 	}
@@ -190,28 +188,28 @@
 // cheapestPreemption chooses the machines on which the least work is lost; with requireImage,
 // among those that have the image. nil: there are not enough.
 func (p *gangPlacer) cheapestPreemption(requireImage bool) []placement {
-	return p.gangs.preemption.cheapestPreemption(p.job, p.candidates, p.zones, p.tasks, requireImage)
+	return p.gangs.preemptor.cheapestPreemption(p.job, p.candidates, p.zones, p.tasks, requireImage)
 }
 
-// preemptOn stops as much on a reserved machine as the gang's tasks there need. The choice must
+// preemptOn stops as many tasks on a reserved machine as the gang's tasks there need. The choice must
 // be on record before anything is stopped for it.
 func (p *gangPlacer) preemptOn(chosen placement) {
 	recorded := p.gangs.Replica.Jobs[p.job.id].Record.ReservedMachines
 	isReserved := slices.Contains(recorded, chosen.machine.id)
 	free := chosen.machine.free
-	for _, victim := range p.gangs.preemption.victims(chosen.machine, p.job) {
+	for _, victim := range p.gangs.preemptor.victims(chosen.machine, p.job) {
 		if free.CapacityFor(p.job.record.Spec) >= chosen.count {
 			return
 		}
 		free.Allocate(victim.spec, -victim.count)
 		isWritten := victim.attempt > 0
 		if isWritten && isReserved {
-			p.gangs.preemption.preemptTasks(chosen.machine, victim, p.job, victim.count)
+			p.gangs.preemptor.preemptTasks(chosen.machine, victim, p.job, victim.count)
 		}
 	}
 }
 
-// addDemand notes that no machines can take the gang.
+// addDemand records the gang as unmet demand.
 func (p *gangPlacer) addDemand() {
 	p.gangs.plan.addDemand(p.job, p.tasks, p.job.record.Spec.Zone, true)
 }
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -12,15 +12,15 @@
 type gangScheduler struct {
 	*step.Context
 
-	acquirer   *jobAcquirer
-	lister     *candidateLister
-	catalog    *catalog.Catalog
-	jobs       *agents.JobTable
-	limits     *commit.WriteLimiter
-	plan       *Plan
-	preemption *preemptor
-	queue      *Queue
-	scheduler  *Scheduler
+	acquirer  *jobAcquirer
+	lister    *candidateLister
+	catalog   *catalog.Catalog
+	jobs      *agents.JobTable
+	limits    *commit.WriteLimiter
+	plan      *Plan
+	preemptor *preemptor
+	queue     *Queue
+	scheduler *Scheduler
 }
 
 // placeGang places all tasks of a gang that are not done, or none.
@@ -54,7 +54,7 @@
 }
 
 // completeGang writes what is missing of a gang that did not fit one transaction. An attempt that
-// has lost a task is not mended: its other tasks end, and the gang starts anew as a whole.
+// has lost a task is not completed: its other tasks end, and the gang restarts as a whole.
 func (g *gangScheduler) completeGang(b *commit.Batch, job *PendingJob) {
 	unplaced := job.unplacedTasks()
 	attempts := attemptsOf(g.jobs, job.id)
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -31,8 +31,8 @@
 	ownership *ownership.Manager
 }
 
-// acquireJob acquires a job whose owner has expired, and reserves attempt numbers for an own one
-// that runs out of them.
+// acquireJob acquires a job whose owner has expired, and reserves a further block of attempt numbers for
+// an owned one that has few left.
 func (ja *jobAcquirer) acquireJob(b *commit.Batch, job *PendingJob) {
 	self := ja.lease.Incarnation()
 	attempts := attemptsOf(ja.jobs, job.id)
@@ -78,6 +78,13 @@
 	return isReplicaUpToDate && b.JobRecord(job.id).Owner == self
 }
 
+// canPlaceNow tells whether this incarnation may write placements of the job now, and the job is not
+// backing off.
+func (ja *jobAcquirer) canPlaceNow(b *commit.Batch, job *PendingJob) bool {
+	isBackingOff := attemptsOf(ja.jobs, job.id).isBackingOff(ja.Now.Monotonic)
+	return ja.canWritePlacements(b, job) && !isBackingOff
+}
+
 // pendingTasks lists up to limit tasks that are neither done nor assigned, in order.
 func (ja *jobAcquirer) pendingTasks(b *commit.Batch, job *PendingJob, limit int) []int {
 	covered := b.DoneTasks(job.id)
@@ -107,7 +114,7 @@
 		tasksPerBase64Byte  = 6 // the packed format may write a bit for each task, as base64
 		packedIntervalBytes = 6 // two varints of two bytes at most, for most intervals, as base64
 		separatorBytes      = 2 // of an interval in the plain format: "lo-hi,"
-		// The shortest interval that is written as one has two tasks, and a gap behind it.
+		// The shortest interval that is written as one has two tasks, and a gap after it.
 		tasksPerInterval = 3
 	)
 	intervalBytes := 2*len(strconv.Itoa(tasks)) + separatorBytes
--- a/internal/coordination/scheduling/job_attempts.go
+++ b/internal/coordination/scheduling/job_attempts.go
@@ -55,8 +55,8 @@
 	return jobAttempts{jobs: jobs, id: id}
 }
 
-// loadBlock takes over the last block that the job's record reserves for owner, unless its
-// numbers are in use already.
+// loadBlock loads the last block that the job's record reserves for owner, unless its numbers are in
+// use already.
 func (a jobAttempts) loadBlock(owner storage.Incarnation, record *storage.JobRecord) {
 	state := a.jobs.JobState(a.id)
 	if state.AttemptsOwner == owner && record.NextAttempt <= state.AttemptsEnd {
@@ -87,8 +87,8 @@
 	return now < a.jobs.JobState(a.id).NotBefore
 }
 
-// recordPlacement notes placed tasks. A job whose tasks come back again and again is placed ever
-// less often; replicas have a backoff of their own.
+// recordPlacement counts placed tasks. A job whose tasks have to be placed again and again is delayed
+// ever more; replicas have a backoff of their own.
 func (a jobAttempts) recordPlacement(spec *protocol.Job, tasks int, attempt protocol.Attempt, now protocol.Instant) {
 	state := a.jobs.JobState(a.id)
 	state.NextAttempt = max(state.NextAttempt, attempt+1)
@@ -101,7 +101,7 @@
 	state.NotBefore = now.Add(min(backoff, maxPlacementBackoff))
 }
 
-// recordEarlyExit notes that a replica failed soon after its start, and returns the delay before
+// recordEarlyExit records that a replica failed soon after its start, and returns the delay before
 // the next one.
 func (a jobAttempts) recordEarlyExit(now protocol.Instant) (backoff time.Duration) {
 	state := a.jobs.JobState(a.id)
@@ -111,19 +111,19 @@
 	return backoff
 }
 
-// resetFailures notes that a replica ran long enough to count as healthy.
+// resetFailures ends the backoff once a replica has run long enough to count as healthy.
 func (a jobAttempts) resetFailures() {
 	state := a.jobs.JobState(a.id)
 	state.EarlyExits, state.NotBefore = 0, 0
 	clear(state.FailedMachines)
 }
 
-// beginGang notes that an attempt of a gang is being written.
+// beginGang records that an attempt of a gang is being written.
 func (a jobAttempts) beginGang(attempt protocol.Attempt) {
 	a.jobs.JobState(a.id).GangAttemptInProgress = attempt
 }
 
-// finishGang notes that all tasks of the gang are placed.
+// finishGang records that all tasks of the gang are placed.
 func (a jobAttempts) finishGang() { a.jobs.JobState(a.id).GangAttemptInProgress = 0 }
 
 // isWritingGang tells whether an attempt of a gang is still being written. One that has lost a
--- a/internal/coordination/scheduling/job_attempts_test.go
+++ b/internal/coordination/scheduling/job_attempts_test.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
-// A job whose tasks come back again and again is placed ever less often.
+// A job whose tasks have to be placed again and again is placed ever less often.
 func TestPlacementBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -47,7 +47,7 @@
 	attempts := attemptsOf(f.agents.Jobs, "j-1")
 	record := &storage.JobRecord{NextAttempt: 2 * step.AttemptBlockSize}
 	if attempts.canUse("own") {
-		t.Error("an attempt can be used before a block is adopted")
+		t.Error("an attempt can be used before a block is loaded")
 	}
 	attempts.loadBlock("own", record)
 	if first := attempts.next(); first != step.AttemptBlockSize+1 {
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -21,7 +21,7 @@
 	backfill   *backfillPlanner
 	acquirer   *jobAcquirer
 	gangs      *gangScheduler
-	preemption *preemptor
+	preemptor  *preemptor
 }
 
 // New makes the parts. They can be used once they are connected with those of other packages.
@@ -36,7 +36,7 @@
 		backfill:   &backfillPlanner{Context: ctx},
 		acquirer:   &jobAcquirer{Context: ctx},
 		gangs:      &gangScheduler{Context: ctx},
-		preemption: &preemptor{Context: ctx},
+		preemptor:  &preemptor{Context: ctx},
 	}
 	p.lister.queue = p.Queue
 	p.contention.plan = p.Plan
@@ -52,16 +52,16 @@
 	p.gangs.acquirer = p.acquirer
 	p.gangs.lister = p.lister
 	p.gangs.plan = p.Plan
-	p.gangs.preemption = p.preemption
+	p.gangs.preemptor = p.preemptor
 	p.gangs.queue = p.Queue
 	p.gangs.scheduler = p.Scheduler
 	p.Services.acquirer = p.acquirer
 	p.Services.lister = p.lister
 	p.Services.plan = p.Plan
-	p.Services.preemption = p.preemption
+	p.Services.preemptor = p.preemptor
 	p.Services.queue = p.Queue
 	p.Services.scheduler = p.Scheduler
-	p.preemption.gangs = p.gangs
+	p.preemptor.gangs = p.gangs
 	return p
 }
 
@@ -112,8 +112,8 @@
 	p.Services.catalog = d.Catalog
 	p.Services.jobs = d.Jobs
 	p.Services.lease = d.Lease
-	p.preemption.agents = d.Agents
-	p.preemption.lease = d.Lease
-	p.preemption.limits = d.Limits
-	p.preemption.stopper = d.Stopper
+	p.preemptor.agents = d.Agents
+	p.preemptor.lease = d.Lease
+	p.preemptor.limits = d.Limits
+	p.preemptor.stopper = d.Stopper
 }
--- a/internal/coordination/scheduling/pending_job.go
+++ b/internal/coordination/scheduling/pending_job.go
@@ -20,12 +20,12 @@
 
 // queuePosition decides in which order jobs are served. It is fixed once the queue is sorted.
 type queuePosition struct {
-	precedence      int             // of the job's priority: a smaller one may preempt a larger one
-	queuePrecedence int             // by which it is served: precedence, or better for a while
+	precedence      int             // Queue.precedenceOf: a smaller one may preempt a larger one
+	queuePrecedence int             // by which it is served: precedence, or less if promoted
 	dueAt           protocol.Millis // the first objective that can still be met
 	isLate          bool            // no objective can be met any more
 	isStarved       bool            // has waited so long without a start that it goes before all others
-	isLongRunning   bool            // has been here so long that a part of the fleet goes to it first
+	isLongRunning   bool            // has been unfinished for so long that it gets a part of the fleet first
 }
 
 // startDeadline is when the job's tasks have to start.
@@ -40,7 +40,7 @@
 	doneTasks    int
 	placedTasks  int // on record and planned in this pass
 	tasksByZone  map[protocol.Zone]int
-	avoidedTypes map[protocol.MachineTypeName]bool // machine types that it leaves to others; nil: not decided yet
+	avoidedTypes map[protocol.MachineTypeName]bool // nil: not decided yet
 }
 
 // servedBefore orders the queue: starved jobs by age, then all others by precedence, lateness
@@ -88,11 +88,14 @@
 		}
 	}
 	if spec.SpreadZones {
-		return max((spec.TaskCount+1)/2-j.tasksByZone[zone], 0)
+		return max(halfOf(spec.TaskCount)-j.tasksByZone[zone], 0)
 	}
 	return protocol.MaxTasks
 }
 
+// halfOf is half of a number of tasks, rounded up.
+func halfOf(tasks int) int { return (tasks + 1) / 2 }
+
 // pinnedZone is the zone that the job is bound to by its placed tasks, empty if it is free.
 func (j *PendingJob) pinnedZone() protocol.Zone {
 	if j.record.Spec.SingleZone {
@@ -105,8 +108,8 @@
 	return ""
 }
 
-// recordAllocation notes tasks of the job that are planned on the machine; attempt is 0 unless
-// they are written with it.
+// recordAllocation allocates tasks of the job on the machine; attempt is 0 unless they are written
+// under that number.
 func (j *PendingJob) recordAllocation(machine *Candidate, count int, attempt protocol.Attempt) {
 	machine.free.Allocate(j.record.Spec, count)
 	machine.allocations = append(machine.allocations, allocation{
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// longRunningDivisor: one in so many of the fleet's cores goes to long-running arrays.
+	// longRunningDivisor: 1/longRunningDivisor of the fleet's cores goes to long-running arrays first.
 	longRunningDivisor = 4
 	// minCoresPerTask is what a task counts as at least, so that tasks that ask for no core are
 	// bounded too.
@@ -55,7 +55,7 @@
 
 // PlacePendingJobs plans where all pending tasks go, in queue order, and writes those placements
 // that belong to jobs of this incarnation. Jobs of other owners are planned just the same, so
-// that all controllers keep the same capacity for them.
+// that all controllers leave the same capacity to them.
 func (s *Scheduler) PlacePendingJobs(b *commit.Batch) {
 	s.plan.reset()
 	if len(s.catalog.MachineTypes()) == 0 {
@@ -84,14 +84,15 @@
 
 // schedulable lists the candidates that take new tasks, in a slice of its own.
 func schedulable(candidates []*Candidate) []*Candidate {
-	return slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool { return machine.isUnschedulable })
+	isUnschedulable := func(machine *Candidate) bool { return machine.isUnschedulable }
+	return slices.DeleteFunc(slices.Clone(candidates), isUnschedulable)
 }
 
-// placeSamePrecedence places jobs that differ in their due times only. Where the changes of own
-// shards are more than a transaction takes, the capacity of a shard goes first to arrays whose
-// owner owns it, and then to those of others: a controller writes its own shards all the
-// time, whereas one of another controller is an operation more, which comes late while the
-// capacity waits for it. Elsewhere the order of due times alone serves better.
+// placeSamePrecedence places jobs that differ in their due times only. Where the last transaction could
+// not hold all changes, the capacity of a shard goes first to arrays of the shard's owner, and then to
+// those of others: a controller writes its own shards all the time, whereas a shard of another
+// controller takes one operation more, which may come late while the capacity is idle. Otherwise the
+// order of due times alone serves better.
 func (s *Scheduler) placeSamePrecedence(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	ownerShardsFirst := len(jobs) > 1 && s.committer.IsPartial()
 	for _, job := range jobs {
@@ -112,9 +113,9 @@
 	}
 }
 
-// placeLongRunningArrays gives a quarter of the fleet's cores to arrays that have been here very
-// long, oldest first. By due time they would come last, behind a stream of newer ones for
-// ever; with all they ask for they would make those late too.
+// placeLongRunningArrays gives a part of the fleet's cores to arrays that have been unfinished for very
+// long, oldest first. By due time they would always come after newer ones; if they got all that they
+// ask for, the newer ones would be late, too.
 func (s *Scheduler) placeLongRunningArrays(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	var longRunning []*PendingJob
 	for _, job := range jobs {
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -91,21 +91,21 @@
 	}
 }
 
-// A pass writes what fits of an own array; of the rest, what can follow on machines in use waits,
-// and the others are demand. Another owner's job is planned but neither written nor reported as
+// A pass writes what fits of an owned array; of the rest, what can follow on machines in use waits, and
+// the others are demand. Another owner's job is planned but neither written nor reported as
 // demand.
 func TestPlacePendingJobs(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		machine    storage.MachineRecord
-		isOwnJob   bool
+		isOwned    bool
 		wantTasks  int // written on the machine
 		wantDemand int
 		wantExpect bool // a placement that is not written
 	}{
-		{"own job, free machine that four more can follow on", storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
-		{"own job, machine not up yet", storage.MachineRecord{}, true, 0, 6, true},
-		{"own job, cordoned machine", storage.MachineRecord{AgentEpoch: 1, Cordoned: true}, true, 0, 10, false},
+		{"owned job, free machine that four more can follow on", storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
+		{"owned job, machine not up yet", storage.MachineRecord{}, true, 0, 6, true},
+		{"owned job, cordoned machine", storage.MachineRecord{AgentEpoch: 1, Cordoned: true}, true, 0, 10, false},
 		{"another owner's job", storage.MachineRecord{AgentEpoch: 1}, false, 0, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 				NextAttempt: step.AttemptBlockSize,
 				SubmittedAt: f.Now.Wall,
 			}
-			if c.isOwnJob {
+			if c.isOwned {
 				job.Owner = f.commit.Lease.Incarnation()
 			}
 			c.machine.MachineType, c.machine.Zone = "small", "a"
--- a/internal/coordination/scheduling/placement_writes.go
+++ b/internal/coordination/scheduling/placement_writes.go
@@ -21,8 +21,7 @@
 	if writeNow {
 		s.writeTasks(b, job, machine, count, tasks)
 	} else {
-		isRemote := machine.record.Owner != s.lease.Incarnation()
-		if tasks != nil && isRemote && !machine.isProvisioning {
+		if tasks != nil && s.isRemote(machine) && !machine.isProvisioning {
 			s.plan.hasPendingRemotePlacements = true
 		}
 		s.plan.expectPlacement(machine)
@@ -31,6 +30,12 @@
 	s.plan.retainMachine(machine)
 }
 
+// isRemote tells whether another controller owns the machine.
+func (s *Scheduler) isRemote(machine *Candidate) bool {
+	return machine.record.Owner != s.lease.Incarnation()
+}
+
+// writeTasks assigns tasks to a machine, and expedites its next heartbeat if they cannot wait for it.
 func (s *Scheduler) writeTasks(b *commit.Batch, job *PendingJob, machine *Candidate, count int, tasks []int) {
 	attempt := attemptsOf(s.jobs, job.id).next()
 	b.AssignTasks(machine.id, job.id, tasks, attempt)
@@ -40,12 +45,11 @@
 	}
 }
 
-// needsExpedite tells whether the machine may not learn of its tasks before its next heartbeat.
-// Whether another owner has a heartbeat of it deferred is not known here; a replica can't take
-// the chance.
+// needsExpedite tells whether the machine's agent may not receive its tasks before its next heartbeat.
+// Whether another owner has deferred a heartbeat of it is not known here; for a replica it is taken
+// not to have.
 func (s *Scheduler) needsExpedite(job *PendingJob, machine *Candidate) bool {
-	isRemote := machine.record.Owner != s.lease.Incarnation()
-	return s.lister.awaitsHeartbeat(machine) || job.record.Spec.IsService() && isRemote
+	return s.lister.awaitsHeartbeat(machine) || job.record.Spec.IsService() && s.isRemote(machine)
 }
 
 // expedite makes the machine's agent send a heartbeat as soon as the placement is on record. A
@@ -70,13 +74,13 @@
 }
 
 // mustLockQuota tells whether a placement needs the team's quota lock and the batch has it not
-// yet: two controllers must not fill one limit at the same time.
+// yet: two controllers must not use up one limit at the same time.
 func (s *Scheduler) mustLockQuota(b *commit.Batch, team string) bool {
 	return s.Config.Quotas[team].HasLimit() && !b.LocksQuota(team)
 }
 
-// recordPlacement notes a written placement: it depends on the revision of the job, and on that
-// of the team's quota where the team has a limit.
+// recordPlacement makes the batch with a written placement depend on the revision of the job, and on
+// that of the team's quota where the team has a limit.
 func (s *Scheduler) recordPlacement(
 	b *commit.Batch, job *PendingJob, machine *Candidate, count int, attempt protocol.Attempt,
 ) {
--- a/internal/coordination/scheduling/plan.go
+++ b/internal/coordination/scheduling/plan.go
@@ -12,17 +12,20 @@
 //
 // Scheduler.PlacePendingJobs starts it anew with reset. The schedulers of arrays, gangs and
 // services fill the outcome during the pass; it outlives the pass and is read until the next
-// one by the commit cycle, by provisioning (demand, machines to keep) and by the agents'
-// heartbeats (machines that tasks are coming for). Demand and pending gang operations end
-// sooner, when their reader takes them. What is in pass is of no use behind the pass.
+// one by the commit cycle, by provisioning (demand, machines to retain) and by the handling of
+// heartbeats (machines with pending placements). Demand and pending gang operations are reset
+// earlier, by their reader. The field pass is used during the pass only.
 type Plan struct {
 	*step.Context
 
-	computedAt                 protocol.Instant
-	unmetDemands               []provisioning.UnmetDemand
-	retainedMachines           map[protocol.MachineID]bool // the plan has a use for them
-	pendingPlacements          map[protocol.MachineID]bool // tasks are planned on them that are not written
-	hasPendingRemotePlacements bool                        // tasks of own jobs wait to be written to others' shards
+	computedAt   protocol.Instant
+	unmetDemands []provisioning.UnmetDemand
+	// Machines that the plan uses.
+	retainedMachines map[protocol.MachineID]bool
+	// Machines on which tasks are planned that are not written.
+	pendingPlacements map[protocol.MachineID]bool
+	// Tasks of owned jobs are to be written to other controllers' shards.
+	hasPendingRemotePlacements bool
 	// Operations that a gang needs and that the last batch had no capacity for; kept
 	// across passes until TakePendingGangOps.
 	pendingGangOps int
@@ -34,7 +37,7 @@
 type planningPass struct {
 	// Schedulable machines; those that are full are dropped as the pass finds them.
 	availableCandidates []*Candidate
-	// Types that tasks have waited for of late, as at the start of the pass.
+	// Types that tasks have waited for lately, as at the start of the pass.
 	contendedTypes map[protocol.MachineTypeName]bool
 	// Precedences in which a job has machines reserved: at most one job of each.
 	reservedPrecedences map[int]bool
@@ -75,7 +78,7 @@
 	return ops
 }
 
-// HasPendingRemotePlacements tells whether tasks of own jobs wait to be recorded on shards of
+// HasPendingRemotePlacements tells whether tasks of owned jobs are still to be recorded on shards of
 // other controllers.
 func (plan *Plan) HasPendingRemotePlacements() bool { return plan.hasPendingRemotePlacements }
 
@@ -88,17 +91,17 @@
 	plan.ClearDemands()
 }
 
-// retainMachine notes that the plan has a use for the machine.
+// retainMachine records that the plan uses the machine.
 func (plan *Plan) retainMachine(machine *Candidate) {
 	plan.retainedMachines[machine.id] = true
 }
 
-// expectPlacement notes tasks planned on the machine that are not written in this pass.
+// expectPlacement records that tasks are planned on the machine that are not written in this pass.
 func (plan *Plan) expectPlacement(machine *Candidate) {
 	plan.pendingPlacements[machine.id] = true
 }
 
-// addDemand notes tasks that no machine can take; zone is the only one they may be in, if not
+// addDemand records tasks that no machine can take; zone is the only one they may be in, if not
 // empty.
 func (plan *Plan) addDemand(job *PendingJob, tasks int, zone protocol.Zone, isUrgent bool) {
 	plan.unmetDemands = append(plan.unmetDemands, provisioning.UnmetDemand{
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -25,7 +25,7 @@
 	stopper *agents.TaskStopper
 }
 
-// currentReservation is the reservation on record, as long as it still serves; nil: it does not.
+// currentReservation is the reservation on record, as long as the tasks fit it; nil: they do not.
 func (p *preemptor) currentReservation(job *PendingJob, candidates []*Candidate, tasks int) []placement {
 	if len(job.record.ReservedMachines) == 0 {
 		return nil
@@ -53,7 +53,7 @@
 	return p.gangs.distributeInZones(job, machines, zones, tasks, capacity)
 }
 
-// canPreemptOn tells whether a machine comes into question for a preemption.
+// canPreemptOn tells whether tasks may be preempted on a machine for the job.
 func canPreemptOn(machine *Candidate, spec *protocol.Job, requireImage bool) bool {
 	if machine.isUnschedulable || machine.isProvisioning || !machine.machineType.CanFitTask(spec) {
 		return false
@@ -61,8 +61,8 @@
 	return !requireImage || machine.state.HasImage(spec.Image)
 }
 
-// fitsJobRecord tells whether a reservation fits the job's record. One that does not would be
-// refused by the store with all else that is in its transaction.
+// fitsJobRecord tells whether a reservation fits the job's record. The store would
+// reject one that does not, with all else that is in its transaction.
 func (p *preemptor) fitsJobRecord(placements []placement) bool {
 	return len(placements) <= p.limits.JobRecordBudget()/reservedMachineBytes
 }
--- a/internal/coordination/scheduling/preemption_stops.go
+++ b/internal/coordination/scheduling/preemption_stops.go
@@ -13,8 +13,9 @@
 	checkpointMarginSeconds = 0.5
 )
 
-// preemptTasks stops up to maxTasks tasks of an allocation on an own machine for a job of higher
-// priority; those that are being stopped already count among them.
+// preemptTasks stops up to maxTasks tasks of an allocation on an owned machine for a job of higher
+// priority; those that are being stopped already are included. A gang with a common checkpoint is
+// stopped as a whole, on all its machines.
 func (p *preemptor) preemptTasks(machine *Candidate, victim *allocation, preemptedFor *PendingJob, maxTasks int) {
 	if !p.lease.OwnsMachine(machine.record) || p.Now.Wall-preemptedFor.record.SubmittedAt < minPreemptorAge {
 		return
@@ -24,7 +25,7 @@
 		return
 	}
 	if stopsAsGang(victim.spec) {
-		p.stopper.RequestGracefulStop(victim.job, victim.attempt) // all its tasks must learn of it, not only those here
+		p.stopper.RequestGracefulStop(victim.job, victim.attempt)
 		return
 	}
 	reason := "preempted for " + string(preemptedFor.id)
--- a/internal/coordination/scheduling/preemption_test.go
+++ b/internal/coordination/scheduling/preemption_test.go
@@ -34,13 +34,13 @@
 		f.addTasks(machine, spec, alloc, running.runningFor)
 	}
 	var got []protocol.JobID
-	for _, victim := range f.preemption.victims(machine, job) {
+	for _, victim := range f.preemptor.victims(machine, job) {
 		got = append(got, victim.job)
 	}
 	if want := []protocol.JobID{"j-short", "j-checkpoint", "j-long"}; !slices.Equal(got, want) {
 		t.Errorf("victims %v; wanted %v", got, want)
 	}
-	if got := f.preemption.capacityAfterPreemption(machine, job); got != 14 {
+	if got := f.preemptor.capacityAfterPreemption(machine, job); got != 14 {
 		t.Errorf("%d tasks fit after the preemption; wanted 14", got)
 	}
 	if machine.free.Cores != 11 {
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -23,9 +23,14 @@
 	// promotionDivisor: a job of low priority is served like the priority above for the last
 	// 1/promotionDivisor of the time within which its tasks should start.
 	promotionDivisor = 3
-	// longRunningFactor is how many times the aging threshold an array must have been here
+	// longRunningFactor is how many times the aging threshold an array must have been unfinished
 	// before a part of the fleet goes to it first.
 	longRunningFactor = 2
+	// estimateErrorFactor is the factor by which estimated run times are often too long.
+	estimateErrorFactor = 2
+	// expediteIntervals is the slack, in heartbeat intervals, below which a job's tasks cannot wait
+	// for the next heartbeat of their machines.
+	expediteIntervals = 2
 )
 
 // Queue orders unfinished jobs by the precedence in which they are served.
@@ -87,7 +92,7 @@
 	}
 }
 
-// recordAge finds jobs that have waited too long.
+// recordAge marks a job that is starved or long-running.
 func (q *Queue) recordAge(job *PendingJob) {
 	waited := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
 	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
@@ -96,8 +101,8 @@
 	job.isLongRunning = waited > longRunningFactor*q.Config.AgingThreshold && !job.isStarved && isArray
 }
 
-// precedenceOf ranks jobs: a smaller value goes first and may preempt a larger one. A team within
-// its guarantee goes before all others.
+// precedenceOf is the rank of a job by its priority and its team's guarantee: a smaller one goes first
+// and may preempt a larger one. Jobs of a team within its guarantee go before all others.
 func (q *Queue) precedenceOf(spec *protocol.Job) int {
 	if q.isWithinGuarantee(spec.Team) {
 		return guaranteedPrecedence
@@ -105,8 +110,8 @@
 	return spec.Priority.Precedence()
 }
 
-// isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee. With one team
-// only there is nobody to guarantee anything against.
+// isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee. With one team only,
+// a guarantee has no effect.
 func (q *Queue) isWithinGuarantee(team string) bool {
 	quota := q.Config.Quotas[team]
 	hasGuarantee := quota.GuaranteedCores > 0 || quota.GuaranteedAccelerators > 0
@@ -121,13 +126,14 @@
 			accelerators += remaining * spec.Accelerators
 		}
 	}
-	return cores <= quota.GuaranteedCores+catalog.Epsilon && accelerators <= quota.GuaranteedAccelerators+catalog.Epsilon
+	return cores <= quota.GuaranteedCores+catalog.Epsilon &&
+		accelerators <= quota.GuaranteedAccelerators+catalog.Epsilon
 }
 
 // computeDeadlines finds by when a job is to be served: the first objective of its class, or of
 // its own deadline, that can still be met. A job that has missed all of them goes last within
 // its precedence. A job of low priority whose tasks should start soon is served like the
-// priority above: it preempts nobody for that, but gets some of what becomes free.
+// priority above: it preempts no task for that, but gets some of what becomes free.
 func (q *Queue) computeDeadlines(job *PendingJob) {
 	spec, submittedAt := job.record.Spec, job.record.SubmittedAt
 	if spec.IsService() {
@@ -142,7 +148,7 @@
 		q.applyObjective(job, target, 0)
 		q.promoteNearStart(job, target)
 	}
-	minRuntime := protocol.Seconds(spec.EstimatedRunSeconds / 2) // estimates are often wrong by half
+	minRuntime := protocol.Seconds(spec.EstimatedRunSeconds / estimateErrorFactor)
 	for _, target := range objectives.FinishWithin {
 		q.applyObjective(job, target, minRuntime)
 	}
@@ -158,8 +164,8 @@
 	}
 }
 
-// applyObjective takes in an objective: the job has to be through within target, its tasks
-// running for leadTime before that.
+// applyObjective applies an objective: the job has to meet it within target of its submission, and its
+// tasks have to run for leadTime before that.
 func (q *Queue) applyObjective(job *PendingJob, target, leadTime time.Duration) {
 	lead := protocol.Millis(leadTime.Milliseconds())
 	dueAt := job.record.SubmittedAt + protocol.Millis(target.Milliseconds())
@@ -187,7 +193,7 @@
 // shouldExpedite tells whether a job's tasks have to start sooner than all machines send a
 // heartbeat by themselves.
 func (q *Queue) shouldExpedite(job *PendingJob) bool {
-	return !job.isLate && job.slack(q.Now) < 2*q.Config.HeartbeatInterval
+	return !job.isLate && job.slack(q.Now) < expediteIntervals*q.Config.HeartbeatInterval
 }
 
 // needsWarmCapacity tells whether a job's tasks have to start sooner than machines that are
--- a/internal/coordination/scheduling/replica_placer.go
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -27,7 +27,7 @@
 	job               *PendingJob
 	candidates        []*Candidate
 	limit             replicaLimit
-	canWrite          bool  // this incarnation writes the job's placements
+	canWrite          bool  // this incarnation writes the job's placements now
 	pending           []int // indices of the replicas to place, if canWrite
 	remaining         int
 	replicasByMachine map[protocol.MachineID]int // of the job, on record and planned
@@ -49,8 +49,7 @@
 		replicasByMachine: map[protocol.MachineID]int{},
 		reservationUsed:   map[protocol.MachineID]int{},
 	}
-	isBackingOff := attemptsOf(s.jobs, job.id).isBackingOff(s.Now.Monotonic)
-	p.canWrite = s.acquirer.canWritePlacements(b, job) && !isBackingOff && !b.HasFailedReplica(job.id)
+	p.canWrite = s.acquirer.canPlaceNow(b, job) && !b.HasFailedReplica(job.id)
 	if p.canWrite {
 		p.pending = s.acquirer.pendingTasks(b, job, p.remaining)
 		p.remaining = min(p.remaining, len(p.pending))
@@ -68,7 +67,7 @@
 	replicas := p.job.record.Spec.TaskCount
 	switch p.limit {
 	case halfOfReplicas:
-		replicas = (replicas + 1) / 2
+		replicas = halfOf(replicas)
 	case oneReplica:
 		replicas = 1
 	case allReplicas:
@@ -77,9 +76,9 @@
 	return min(headroom, p.remaining, p.job.zoneHeadroom(machine.record.Zone))
 }
 
-// preemptionHeadroomOn is headroomOn, as far as a preemption gains the capacity for it.
+// preemptionHeadroomOn is headroomOn, as far as a preemption frees the capacity for it.
 func (p *replicaPlacer) preemptionHeadroomOn(machine *Candidate) int {
-	return min(p.services.preemption.capacityAfterPreemption(machine, p.job), p.headroomOn(machine))
+	return min(p.services.preemptor.capacityAfterPreemption(machine, p.job), p.headroomOn(machine))
 }
 
 // placeOnFree places replicas where there is free capacity.
@@ -115,24 +114,24 @@
 	return next
 }
 
-// placeByPreemption preempts tasks of lower priority on own machines. The owner of the job chooses
-// among its own machines only: no other controller preempts for the same replicas then, and
-// nothing has to be written before.
+// placeByPreemption preempts tasks of lower priority on owned machines. The owner of the job chooses
+// among its own machines only: so no other controller preempts for the same replicas, and the choice
+// need not be recorded first.
 func (p *replicaPlacer) placeByPreemption(isEligible machineFilter) {
 	if p.remaining <= 0 || !p.canWrite {
 		return
 	}
-	isOwnAndEligible := func(machine *Candidate) bool {
+	isOwnedAndEligible := func(machine *Candidate) bool {
 		return p.services.lease.OwnsMachine(machine.record) && isEligible(machine)
 	}
-	for _, machine := range p.cheapestToPreempt(isOwnAndEligible) {
+	for _, machine := range p.cheapestToPreempt(isOwnedAndEligible) {
 		p.preemptOn(machine, p.remaining, true)
 	}
 }
 
-// placeByReservation preempts on machines of other controllers too, where own machines do not
-// suffice: the job's owner records its choice, a machine once for each replica, and the
-// machines' owners stop tasks there.
+// placeByReservation preempts on machines of other controllers, too, where owned machines do not
+// suffice: the job's owner records its choice, a machine once for each replica, and the machines'
+// owners stop tasks there.
 func (p *replicaPlacer) placeByReservation(isEligible machineFilter) {
 	if p.remaining <= 0 {
 		return
@@ -176,8 +175,8 @@
 	return unused
 }
 
-// reserveForPreemption records machines to preempt on, if that is for more replicas than the recorded
-// reservation is; nil: it is not.
+// reserveForPreemption records machines to preempt on, if they are for more replicas than the recorded
+// reservation; nil: they are not.
 func (p *replicaPlacer) reserveForPreemption(isEligible machineFilter, reservedReplicas int) []*Candidate {
 	var placements []placement
 	remaining := p.remaining
@@ -187,7 +186,7 @@
 			remaining--
 		}
 	}
-	if len(placements) <= reservedReplicas || !p.services.preemption.fitsJobRecord(placements) {
+	if len(placements) <= reservedReplicas || !p.services.preemptor.fitsJobRecord(placements) {
 		return nil
 	}
 	recordReservation(p.batch, p.job.id, placements, "preemption planned for service replicas")
@@ -201,15 +200,15 @@
 // cheapestToPreempt lists machines on which tasks of lower priority can be stopped for replicas,
 // those first where that costs least.
 func (p *replicaPlacer) cheapestToPreempt(isEligible machineFilter) []*Candidate {
-	preemption := p.services.preemption
+	preemptor := p.services.preemptor
 	cost := map[*Candidate]float64{}
 	var machines []*Candidate
 	for _, machine := range p.candidates {
 		if !p.mayPreemptOn(machine) || !isEligible(machine) {
 			continue
 		}
-		if preemption.capacityAfterPreemption(machine, p.job) > 0 {
-			cost[machine] = preemption.replicaStartCost(machine, p.job)
+		if preemptor.capacityAfterPreemption(machine, p.job) > 0 {
+			cost[machine] = preemptor.replicaStartCost(machine, p.job)
 			machines = append(machines, machine)
 		}
 	}
@@ -217,6 +216,7 @@
 	return machines
 }
 
+// mayPreemptOn tells whether tasks may be preempted on a machine for the replicas.
 func (p *replicaPlacer) mayPreemptOn(machine *Candidate) bool {
 	if machine.isProvisioning || machine.isUnschedulable || p.job.avoidedTypes[machine.record.MachineType] {
 		return false
@@ -224,8 +224,8 @@
 	return p.services.lister.isMachineAllowed(p.job.record.Spec, machine)
 }
 
-// preemptOn keeps capacity of a machine for up to limit replicas, and stops tasks of lower
-// priority there if that is decided and the machine is this incarnation's.
+// preemptOn plans up to limit replicas on a machine, and stops tasks of lower priority there if the
+// choice is decided and this incarnation owns the machine.
 func (p *replicaPlacer) preemptOn(machine *Candidate, limit int, isDecided bool) {
 	count := min(p.preemptionHeadroomOn(machine), limit)
 	if count <= 0 {
@@ -233,7 +233,7 @@
 	}
 	services := p.services
 	if isDecided && services.lease.OwnsMachine(machine.record) && machine.state != nil {
-		services.preemption.preemptForReplicas(machine, p.job, count)
+		services.preemptor.preemptForReplicas(machine, p.job, count)
 	}
 	p.job.recordAllocation(machine, count, 0)
 	services.plan.retainMachine(machine)
--- a/internal/coordination/scheduling/replica_preemption.go
+++ b/internal/coordination/scheduling/replica_preemption.go
@@ -3,7 +3,7 @@
 // replicaSecondCost is what a second until a replica runs is worth, in core-seconds of other work.
 const replicaSecondCost = 10
 
-// preemptForReplicas stops as few tasks of lower priority on an own machine as the replicas need.
+// preemptForReplicas stops as few tasks of lower priority on an owned machine as the replicas need.
 func (p *preemptor) preemptForReplicas(machine *Candidate, job *PendingJob, replicas int) {
 	free := machine.free
 	for _, victim := range p.stoppingFirst(machine, job) {
@@ -19,8 +19,8 @@
 }
 
 // replicaStartCost is what it takes until one replica runs on a machine, in core-seconds: work
-// lost, and time. Tasks that are being stopped cost nothing more, so that a choice stays what
-// it was.
+// lost, and time. Tasks that are being stopped cost nothing more, so that later passes make the
+// same choice.
 func (p *preemptor) replicaStartCost(machine *Candidate, job *PendingJob) float64 {
 	free, cost, waitSeconds := machine.free, 0.0, 0.0
 	for _, victim := range p.stoppingFirst(machine, job) {
--- a/internal/coordination/scheduling/reservations.go
+++ b/internal/coordination/scheduling/reservations.go
@@ -9,11 +9,11 @@
 	"tillerarch/internal/protocol"
 )
 
-// reserveForStarvedJob keeps machines for a job that has waited too long and fits nowhere, until what
-// runs there has ended: nothing more is placed on them. Without it a stream of smaller jobs of
-// its own precedence would take each gap as it opens. One job of a precedence at a time, so
-// that few machines run empty; it tells whether the job is the one. The choice is on record,
-// so that all controllers keep to it.
+// reserveForStarvedJob reserves machines for a job that has waited too long and fits nowhere, until what
+// runs there has ended: nothing more is placed on them. Without it smaller jobs of the same precedence
+// would take all capacity as it becomes free. Only one job of a precedence has a reservation, so that
+// few machines are left empty; the result tells whether it is this one. The choice is on record, so that
+// all controllers leave these machines alone.
 func (g *gangScheduler) reserveForStarvedJob(
 	b *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int,
 ) bool {
@@ -27,7 +27,7 @@
 			return false
 		}
 		placements = g.distributeInZones(job, g.soonestDrained(candidates), zones, tasks, capacity)
-		if placements == nil || !g.preemption.fitsJobRecord(placements) {
+		if placements == nil || !g.preemptor.fitsJobRecord(placements) {
 			return false
 		}
 		recordReservation(b, job.id, placements, "machines reserved for starved job")
@@ -42,7 +42,7 @@
 }
 
 // capacityWhenDrained tells how many tasks of the job a machine takes once all tasks have ended
-// that do not go before the job.
+// that the job may preempt or that have its precedence.
 func capacityWhenDrained(machine *Candidate, job *PendingJob) int {
 	if machine.isProvisioning {
 		return 0
@@ -64,7 +64,7 @@
 		for i := range machine.allocations {
 			alloc := &machine.allocations[i]
 			usedFraction := alloc.cores() / machine.machineType.Cores
-			remaining[machine] += usedFraction * g.preemption.expectedRemainingSeconds(machine, alloc)
+			remaining[machine] += usedFraction * g.preemptor.expectedRemainingSeconds(machine, alloc)
 		}
 	}
 	machines := slices.Clone(candidates)
@@ -74,8 +74,8 @@
 	return machines
 }
 
-// recordReservation records the machines that are reserved for a job; the caller has made sure
-// that the batch has capacity for it.
+// recordReservation records the machines that are reserved for a job. The batch must have capacity for
+// it.
 func recordReservation(b *commit.Batch, id protocol.JobID, placements []placement, message string) {
 	record := b.MutableJob(id)
 	record.ReservedMachines = nil
--- a/internal/coordination/scheduling/scoring.go
+++ b/internal/coordination/scheduling/scoring.go
@@ -8,24 +8,24 @@
 	"tillerarch/internal/coordination/commit"
 )
 
-// A candidate's score is in seconds of delay: what it takes until the task runs there, and what
-// it costs other tasks, as a delay that would be as bad. The lowest score is the best.
+// A candidate's score is in seconds of delay: the time until the task runs there, and what the placement
+// costs others, converted to an equally bad delay. The lowest score is the best.
 const (
 	// sizePenaltyPerCore and sizePenaltyPerAccelerator put small machine types first, so that
 	// large ones stay free for what fits nowhere else: a core more is as bad as ten seconds.
 	sizePenaltyPerCore        = 10
 	sizePenaltyPerAccelerator = 1000
-	// provisioningPenalty puts machines that are not up yet behind all that are.
+	// provisioningPenalty puts machines that are not up yet after all that are.
 	provisioningPenalty = 1e6
 	// maxImagePenalty bounds the delay of an image's fetch: the longest counts like six cores.
 	maxImagePenalty = 60
 	// spotBonus prefers spot machines, which are cheaper, to on-demand ones of the same size.
 	spotBonus = 5
-	// spotReplicaPenalty puts spot machines behind all others for replicas: as these never end,
+	// spotReplicaPenalty puts spot machines after all others for replicas: as these never end,
 	// every preemption of a machine hits them.
 	spotReplicaPenalty = 400
-	// slowMachinePenalty puts slow machines behind all others of their size: they still serve
-	// when there is nothing else, and as they idle first they are scaled in first.
+	// slowMachinePenalty puts slow machines after all others of their size: they are still used
+	// when there is no other, and as they are idle first they are scaled in first.
 	slowMachinePenalty = 120
 	// remoteShardPenalty prefers shards of the job's owner: writing another controller's shard
 	// conflicts with its owner, which writes it all the time.
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -33,21 +33,21 @@
 type ServiceScheduler struct {
 	*step.Context
 
-	lister     *candidateLister
-	acquirer   *jobAcquirer
-	agents     *agents.Table
-	catalog    *catalog.Catalog
-	jobs       *agents.JobTable
-	lease      *commit.Lease
-	plan       *Plan
-	preemption *preemptor
-	queue      *Queue
-	scheduler  *Scheduler
+	lister    *candidateLister
+	acquirer  *jobAcquirer
+	agents    *agents.Table
+	catalog   *catalog.Catalog
+	jobs      *agents.JobTable
+	lease     *commit.Lease
+	plan      *Plan
+	preemptor *preemptor
+	queue     *Queue
+	scheduler *Scheduler
 }
 
 // RecordExitedReplicas finds replicas that have left a machine's record while the machine and its
 // agent epoch go on: they have ended by themselves, or were stopped. All controllers see it,
-// so whoever places the next ones knows how the last ones fared.
+// so the one that places the next ones knows for how long the last ones ran.
 func (s *ServiceScheduler) RecordExitedReplicas(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if after.AgentEpoch != before.AgentEpoch {
 		return
@@ -84,9 +84,8 @@
 	return remaining
 }
 
-// onReplicasExited takes in that replicas have ended some time after they were placed. Those that
-// do so soon are placed ever less often, so that they neither use up the write rate nor hide
-// others.
+// onReplicasExited handles replicas that have ended some time after they were placed. A service whose
+// replicas end soon is placed ever less often, so that it does not use up the write rate.
 func (s *ServiceScheduler) onReplicasExited(id protocol.JobID, runtime time.Duration) {
 	attempts := attemptsOf(s.jobs, id)
 	if runtime > EarlyExitWindow {
@@ -113,8 +112,8 @@
 	p.placeOnFree(fetchesQuickly)
 	p.placeByPreemption(fetchesQuickly)
 	p.placeByReservation(fetchesQuickly)
-	// One on each machine that has to fetch the image: the more machines have it, the more of
-	// the next replicas start at once.
+	// One on each machine that has to fetch the image: the more machines have it, the more of the
+	// next replicas can start at once.
 	p.limit = oneReplica
 	p.placeOnFree(anyMachine)
 	p.limit = halfOfReplicas
@@ -131,7 +130,7 @@
 	}
 }
 
-// largeMachineTypes lists the machine types that replicas leave to others as long as they can.
+// largeMachineTypes lists the machine types that replicas avoid as long as others have capacity.
 func (s *ServiceScheduler) largeMachineTypes(spec *protocol.Job) map[protocol.MachineTypeName]bool {
 	types := s.catalog.MachineTypes()
 	smallest := 0.0
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -13,7 +13,7 @@
 // peakDecayPeriod is how long a peak is remembered.
 const peakDecayPeriod = 5 * time.Minute
 
-// warmPool says which idle machines are kept for work that cannot wait until a machine is
+// warmPool decides which idle machines are kept for work that cannot wait until a machine is
 // provisioned for it: as many as such work had in use at its peak. All others are scaled in
 // early. Every controller computes the same from the same records.
 type warmPool struct {
@@ -33,7 +33,7 @@
 
 func newWarmPool() warmPool { return warmPool{classes: map[string]*urgentClass{}} }
 
-// observe takes in the unfinished jobs.
+// observe updates the peaks with the unfinished jobs.
 func (w *warmPool) observe(now protocol.Instant, jobs []*PendingJob) {
 	decay := 1 - min(float64(now.Sub(w.observedAt))/float64(peakDecayPeriod), 1)
 	w.observedAt = now
@@ -66,6 +66,7 @@
 	return tasks
 }
 
+// addUrgent adds tasks of an urgent job to the current tasks of its class.
 func (w *warmPool) addUrgent(spec *protocol.Job, tasks float64) {
 	class := w.classes[spec.Class]
 	if class == nil {
