--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -81,7 +81,7 @@
 func (c *Canceller) shouldFailOverRequest(id protocol.JobID) bool {
 	return !c.isRequester(id) &&
 		c.timeSinceCancelRequest(id) > requesterFailoverDelay &&
-		c.ownerElection.IsSuccessor(storage.JobKey(id))
+		c.successorElection.IsSuccessor(storage.JobKey(id))
 }
 
 // updateAcknowledged records whether all controllers concerned know a request by now. If not, the
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// OwnerElection tells whether this controller is the successor for a key: exactly one controller is.
-type OwnerElection interface {
+// SuccessorElection tells whether this controller is the successor for a key: exactly one controller is.
+type SuccessorElection interface {
 	IsSuccessor(key string) bool
 }
 
@@ -34,15 +34,15 @@
 type Canceller struct {
 	*step.Context
 
-	agents           *agents.Table
-	calls            *agents.Caller
-	committer        *commit.Committer
-	lease            *commit.Lease
-	limits           *commit.WriteLimiter
-	ownerElection    OwnerElection
-	peerNotifier     PeerNotifier
-	replication      *commit.Replication
-	forcedTerminator ForcedTerminator
+	agents            *agents.Table
+	calls             *agents.Caller
+	committer         *commit.Committer
+	lease             *commit.Lease
+	limits            *commit.WriteLimiter
+	successorElection SuccessorElection
+	peerNotifier      PeerNotifier
+	replication       *commit.Replication
+	forcedTerminator  ForcedTerminator
 
 	// Since when this controller drives the cancellation of a job.
 	requestedAt map[protocol.JobID]protocol.Instant
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -61,15 +61,15 @@
 		SuccessorElection: fakePeers{},
 	})
 	cancellations.Connect(Dependencies{
-		Agents:           f.agents.Table,
-		Calls:            f.agents.Calls,
-		Committer:        f.commit.Committer,
-		Lease:            f.commit.Lease,
-		Limits:           f.commit.Limits,
-		OwnerElection:    fakePeers{},
-		PeerNotifier:     fakePeers{},
-		Replication:      f.commit.Replication,
-		ForcedTerminator: fakePeers{},
+		Agents:            f.agents.Table,
+		Calls:             f.agents.Calls,
+		Committer:         f.commit.Committer,
+		Lease:             f.commit.Lease,
+		Limits:            f.commit.Limits,
+		SuccessorElection: fakePeers{},
+		PeerNotifier:      fakePeers{},
+		Replication:       f.commit.Replication,
+		ForcedTerminator:  fakePeers{},
 	})
 	f.register(t)
 	return f
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -18,15 +18,15 @@
 
 // Dependencies are what the parts need of other packages.
 type Dependencies struct {
-	Agents           *agents.Table
-	Calls            *agents.Caller
-	Committer        *commit.Committer
-	Lease            *commit.Lease
-	Limits           *commit.WriteLimiter
-	OwnerElection    OwnerElection
-	PeerNotifier     PeerNotifier
-	Replication      *commit.Replication
-	ForcedTerminator ForcedTerminator
+	Agents            *agents.Table
+	Calls             *agents.Caller
+	Committer         *commit.Committer
+	Lease             *commit.Lease
+	Limits            *commit.WriteLimiter
+	SuccessorElection SuccessorElection
+	PeerNotifier      PeerNotifier
+	Replication       *commit.Replication
+	ForcedTerminator  ForcedTerminator
 }
 
 // Connect gives the parts what they need of other packages.
@@ -36,7 +36,7 @@
 	p.Canceller.committer = d.Committer
 	p.Canceller.lease = d.Lease
 	p.Canceller.limits = d.Limits
-	p.Canceller.ownerElection = d.OwnerElection
+	p.Canceller.successorElection = d.SuccessorElection
 	p.Canceller.peerNotifier = d.PeerNotifier
 	p.Canceller.replication = d.Replication
 	p.Canceller.forcedTerminator = d.ForcedTerminator
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -103,11 +103,50 @@
 	}
 }
 
+// putLargeShards puts owned shards of 60 machines on record. It gives heartbeats of the first machines of
+// each, as another controller would report them.
+func (c *testController) putLargeShards(t *testing.T, shards, misdirectedPerShard int) []step.MisdirectedHeartbeat {
+	t.Helper()
+	const machinesPerShard, tasksPerMachine = 60, 4
+	var misdirected []step.MisdirectedHeartbeat
+	for s := range shards {
+		var lines []string
+		for i := range machinesPerShard {
+			id := protocol.MachineID(fmt.Sprintf("m-%06d", s*machinesPerShard+i))
+			record := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
+			for k := range tasksPerMachine {
+				record.Assign(protocol.Task{Job: "j-000001", Index: tasksPerMachine*i + k}, protocol.Attempt(1000+k))
+			}
+			lines = append(lines, record.EncodeLine(id))
+			if i < misdirectedPerShard {
+				misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
+			}
+		}
+		key := storage.ShardKey(storage.ShardID(fmt.Sprint("p-", s)))
+		c.put(t, key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, lines, nil))
+	}
+	for _, entry := range c.Replica.SortedMachines() {
+		c.agents.Table.TrackOwnedMachine(entry, entry.ID)
+	}
+	return misdirected
+}
+
+// putShardsAtEpoch puts all shards on record again, as if their ownership had begun anew.
+func (c *testController) putShardsAtEpoch(t *testing.T, epoch storage.ShardEpoch) {
+	t.Helper()
+	for id, shard := range c.Replica.Shards {
+		var lines []string
+		for _, machine := range shard.Machines {
+			lines = append(lines, c.Replica.EncodedLine(machine))
+		}
+		c.put(t, storage.ShardKey(id), storage.EncodePlainShard(c.commit.Lease.Incarnation(), epoch, lines, nil))
+	}
+}
+
 // A controller that has lost its agents transfers their shards whole, and machines that it hands off one
 // by one go to shards that a stored value can hold. (Six hundred machines in one shard were rejected by
 // the store as malformed again and again.)
 func TestHandOffManyMachines(t *testing.T) {
-	const machinesPerShard = 60
 	for _, test := range []struct {
 		name                string
 		shards              int
@@ -124,35 +163,11 @@
 			c := newTestController(t)
 			c.registerOther(t)
 			self := c.commit.Lease.Incarnation()
-			var misdirected []step.MisdirectedHeartbeat
-			for s := 0; s < test.shards; s++ {
-				var lines []string
-				for i := 0; i < machinesPerShard; i++ {
-					id := protocol.MachineID(fmt.Sprintf("m-%06d", s*machinesPerShard+i))
-					record := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
-					for k := 0; k < 4; k++ {
-						record.Assign(protocol.Task{Job: "j-000001", Index: 4*i + k}, protocol.Attempt(1000+k))
-					}
-					lines = append(lines, record.EncodeLine(id))
-					if i < test.misdirectedPerShard {
-						misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
-					}
-				}
-				c.put(t, storage.ShardKey(storage.ShardID(fmt.Sprint("p-", s))), storage.EncodePlainShard(self, 3, lines, nil))
-			}
-			for _, entry := range c.Replica.SortedMachines() {
-				c.agents.Table.TrackOwnedMachine(entry, entry.ID)
-			}
+			misdirected := c.putLargeShards(t, test.shards, test.misdirectedPerShard)
 			c.advance(6 * time.Second) // no agent has sent a heartbeat here
 			c.reportElsewhere(misdirected...)
 			if test.ownershipChanges {
-				for id, shard := range c.Replica.Shards {
-					var lines []string
-					for _, machine := range shard.Machines {
-						lines = append(lines, c.Replica.EncodedLine(machine))
-					}
-					c.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 5, lines, nil))
-				}
+				c.putShardsAtEpoch(t, 5)
 			}
 			b := c.commit.ShardWriter.NewBatch(24)
 			c.Config.TransactionOps = 24
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -86,15 +86,15 @@
 		ScaleInEvaluator:    provisioning,
 	})
 	cancellationParts.Connect(cancellation.Dependencies{
-		Agents:           agentParts.Table,
-		Calls:            agentParts.Calls,
-		Committer:        commitParts.Committer,
-		Lease:            commitParts.Lease,
-		Limits:           commitParts.Limits,
-		OwnerElection:    parts.Manager,
-		PeerNotifier:     parts.Peers,
-		Replication:      commitParts.Replication,
-		ForcedTerminator: provisioning,
+		Agents:            agentParts.Table,
+		Calls:             agentParts.Calls,
+		Committer:         commitParts.Committer,
+		Lease:             commitParts.Lease,
+		Limits:            commitParts.Limits,
+		SuccessorElection: parts.Manager,
+		PeerNotifier:      parts.Peers,
+		Replication:       commitParts.Replication,
+		ForcedTerminator:  provisioning,
 	})
 	parts.Connect(Dependencies{
 		Cancellations: cancellationParts.Canceller,
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -114,7 +114,7 @@
 	return scaleInNone
 }
 
-// defectOf is why a machine that has come up is to be terminated although it is not idle.
+// defectOf is why a machine that has booted is to be terminated although it is not idle.
 func (t *Terminator) defectOf(record *storage.MachineRecord, state *agents.MachineState, isolated bool) scaleInReason {
 	// The list does not depend on the network to the agents: a machine that it lacks is gone, even
 	// where most machines of this controller are silent.
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -172,7 +172,7 @@
 }
 
 // WriteTerminations marks the records of the machines that are to be scaled in. The termination
-// is sent once the mark is durable, so that nobody places anything there meanwhile.
+// is sent once the mark is durable, so that no controller places a task there meanwhile.
 func (t *Terminator) WriteTerminations(b *commit.Batch) {
 	for i := range t.scaleInQueue {
 		decision := &t.scaleInQueue[i]
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -62,14 +62,14 @@
 		TransferTracker:   owners.Transfers,
 	})
 	cancellations.Connect(cancellation.Dependencies{
-		Agents:        agentParts.Table,
-		Calls:         agentParts.Calls,
-		Committer:     f.commit.Committer,
-		Lease:         f.commit.Lease,
-		Limits:        f.commit.Limits,
-		OwnerElection: owners.Manager,
-		PeerNotifier:  owners.Peers,
-		Replication:   f.commit.Replication,
+		Agents:            agentParts.Table,
+		Calls:             agentParts.Calls,
+		Committer:         f.commit.Committer,
+		Lease:             f.commit.Lease,
+		Limits:            f.commit.Limits,
+		SuccessorElection: owners.Manager,
+		PeerNotifier:      owners.Peers,
+		Replication:       f.commit.Replication,
 	})
 	owners.Connect(ownership.Dependencies{
 		Cancellations: cancellations.Canceller,
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -191,7 +191,7 @@
 	return candidates
 }
 
-// newProvisioningCandidate stands for a machine that a provision request has yet to bring.
+// newProvisioningCandidate makes the candidate of a machine that has been requested and is not on record.
 func newProvisioningCandidate(request string, pool provisioning.PoolKey, machineType *protocol.MachineType) *Candidate {
 	record := &storage.MachineRecord{MachineType: pool.MachineType, Zone: pool.Zone, Spot: pool.Spot}
 	return &Candidate{
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -56,7 +56,8 @@
 	job.record = record
 }
 
-// mayAcquire tells whether the job's owner has expired, and this controller's turn has come.
+// mayAcquire tells whether the job's owner has expired for so long that this controller may acquire the
+// job.
 func (ja *jobAcquirer) mayAcquire(job *PendingJob) bool {
 	expiredAt, isExpired := ja.ownership.ExpiredSince(job.record.Owner)
 	if !isExpired || ja.Since(expiredAt) < successorDelay {
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -103,7 +103,8 @@
 		wantDemand int
 		wantExpect bool // a placement that is not written
 	}{
-		{"owned job, free machine that four more can follow on", storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
+		{"owned job, free machine that four more can follow on",
+			storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
 		{"owned job, machine not up yet", storage.MachineRecord{}, true, 0, 6, true},
 		{"owned job, cordoned machine", storage.MachineRecord{AgentEpoch: 1, Cordoned: true}, true, 0, 10, false},
 		{"another owner's job", storage.MachineRecord{AgentEpoch: 1}, false, 0, 0, true},
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -18,9 +18,9 @@
 	slowImageFetch = 3 * time.Second
 	// largeTypeFactor is how many times the cores of the smallest type that fits a machine type
 	// may have to take replicas before all others are full: a replica never ends, and would
-	// keep gangs off a large machine for good.
+	// keep gangs off a large machine permanently.
 	largeTypeFactor = 4
-	// unboundedRuntime stands for the run time of tasks that do not end.
+	// unboundedRuntime is the run time that is assumed for tasks that do not end.
 	unboundedRuntime = 24 * time.Hour
 )
 
@@ -96,8 +96,8 @@
 	s.Log(slog.LevelInfo, "replica exited early", "job", string(id), "backoff_seconds", backoff.Seconds())
 }
 
-// placeReplicas places the replicas of a service that do not run: where they start soonest, then
-// where that takes longer, and last beside each other, which is better than not to run.
+// placeReplicas places the replicas of a service that do not run: first where they start soonest, then
+// where that takes longer, and at last several on one machine, which is better than not to run.
 func (s *ServiceScheduler) placeReplicas(b *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	spec := job.record.Spec
 	replicas := min(spec.TaskCount-job.placedTasks, s.queue.quotaHeadroom(candidates, spec))
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -33,15 +33,15 @@
 		ScaleInEvaluator:    c.provisioning.Terminator,
 	})
 	c.cancellation.Connect(cancellation.Dependencies{
-		Agents:           c.agents.Table,
-		Calls:            c.agents.Calls,
-		Committer:        c.commit.Committer,
-		Lease:            c.commit.Lease,
-		Limits:           c.commit.Limits,
-		OwnerElection:    c.ownership.Manager,
-		PeerNotifier:     c.ownership.Peers,
-		Replication:      c.commit.Replication,
-		ForcedTerminator: c.provisioning.Terminator,
+		Agents:            c.agents.Table,
+		Calls:             c.agents.Calls,
+		Committer:         c.commit.Committer,
+		Lease:             c.commit.Lease,
+		Limits:            c.commit.Limits,
+		SuccessorElection: c.ownership.Manager,
+		PeerNotifier:      c.ownership.Peers,
+		Replication:       c.commit.Replication,
+		ForcedTerminator:  c.provisioning.Terminator,
 	})
 	c.ownership.Connect(ownership.Dependencies{
 		Cancellations: c.cancellation.Canceller,
