--- /dev/null
+++ b/internal/coordination/scheduling/job_acquisition_test.go
@@ -0,0 +1,60 @@
+package scheduling
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// A job is acquired only once its owner has ended: by its successor after a short delay, and by any
+// other controller after a long one.
+func TestMayAcquire(t *testing.T) {
+	const endedOwner, livingOwner storage.Incarnation = "stall-9#1", "stall-1#1"
+	for _, c := range []struct {
+		name         string
+		owner        storage.Incarnation
+		isSuccessor  bool
+		expiredSince time.Duration
+		want         bool
+	}{
+		{"owner alive", livingOwner, true, time.Minute, false},
+		{"successor before its delay", endedOwner, true, successorDelay - 1, false},
+		{"successor after its delay", endedOwner, true, successorDelay, true},
+		{"other controller after the successor's delay", endedOwner, false, successorDelay, false},
+		{"other controller before its delay", endedOwner, false, anyControllerDelay - 1, false},
+		{"other controller after its delay", endedOwner, false, anyControllerDelay, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newCoreWithTwoMachineTypes(t)
+			controller := storage.ControllerRecord{Incarnation: livingOwner}
+			f.put(t, storage.ControllerKey(livingOwner.Controller()), storage.MustMarshal(controller), 1)
+			spec := newArrayJob(4, 20)
+			spec.ID = f.jobWithSuccessor(t, c.isSuccessor)
+			job := f.newPendingJob(spec, time.Minute)
+			job.record.Owner = c.owner
+			f.put(t, storage.JobKey(spec.ID), storage.MustMarshal(job.record), 2)
+
+			f.acquirer.ownership.TrackExpiredIncarnations()
+			f.Now.Monotonic = f.Now.Monotonic.Add(c.expiredSince)
+			if got := f.acquirer.mayAcquire(job); got != c.want {
+				t.Errorf("may acquire: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// jobWithSuccessor gives a job of which this controller is the successor, or is not.
+func (f *fixture) jobWithSuccessor(t *testing.T, isSuccessor bool) protocol.JobID {
+	t.Helper()
+	for number := range 100 {
+		id := protocol.JobID(fmt.Sprint("j-", number))
+		if f.acquirer.ownership.IsSuccessor(storage.JobKey(id)) == isSuccessor {
+			return id
+		}
+	}
+	t.Fatalf("this controller is the successor of all jobs or of none, want one with %v", isSuccessor)
+	return ""
+}
