--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -90,7 +90,7 @@
 	}
 	t.terminations[id] = &termination{unrecorded: true}
 	t.Log(slog.LevelWarn, "unrecorded machine termination",
-		"machine", string(id), "reason", "withdrawn task would not go")
+		"machine", string(id), "reason", string(scaleInTaskDoesNotStop))
 }
 
 // RecordRemoval remembers that a machine has left the records, so that it is not adopted again from a
