--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -17,13 +17,6 @@
 		[]byte(`{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`), modRevision)
 }
 
-func putRecord(t *testing.T, c *Core, key string, value []byte, modRevision protocol.ModRevision) {
-	t.Helper()
-	if _, err := c.Replica.Put(key, value, modRevision); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // What makes an owned machine quiescent: no task of a cancelled job can start there, and no other
 // owner keeps one running. A task that has been started but still pulls its image would begin
 // after the confirmation.
@@ -39,31 +32,31 @@
 	}{
 		{"no heartbeat yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
 		{"task never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 		}, true},
 		{"task running", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.ctx.Now.Monotonic)
 		}, true},
 		{"task pulling its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.ctx.Now.Monotonic)
 		}, false},
 		{"start command in flight", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
 			m.InflightStarts[task] = 5
 		}, false},
 		{"fencing token of an earlier ownership", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
-			m.RecordHeartbeat(r, core.Now.Monotonic)
+			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, false},
 		{"newer agent epoch", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			r := newHeartbeat(e, 1)
 			r.AgentEpoch++
-			m.RecordHeartbeat(r, core.Now.Monotonic)
+			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, true},
 		{"termination confirmed", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
-			core.provisioning.Terminator.OnTerminateResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
+			core.provisioning.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
 		}, true},
 		{"termination not confirmed yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
@@ -76,7 +69,7 @@
 			rec.Assign(task, 5)
 			e, m := addOwnedMachine(t, core, rec)
 			c.setUp(core, e, m)
-			if pending := core.scheduling.Queue.ListPendingJobs(core.commit.Shards.NewBatch(8), nil); len(pending) != 0 {
+			if pending := core.scheduling.Queue.ListPendingJobs(core.commit.ShardWriter.NewBatch(8), nil); len(pending) != 0 {
 				t.Error("the job is still placed")
 			}
 			if got := core.cancellation.Canceller.IsMachineQuiescent("m-1", "j-1"); got != c.want {
@@ -109,7 +102,7 @@
 			rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 			e, m := addOwnedMachine(t, core, rec)
 			running := protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}
-			m.RecordHeartbeat(newHeartbeat(e, 1, running), core.Now.Monotonic)
+			m.RecordHeartbeat(newHeartbeat(e, 1, running), core.ctx.Now.Monotonic)
 			advance(0, step.PeerStatusInput{Status: step.PeerStatus{
 				ControllerID:  "stall-1",
 				CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.revision}},
@@ -133,7 +126,7 @@
 				t.Errorf("%d starts, %d stops, acknowledged %v", starts, stops, acknowledged)
 			}
 
-			advance(0, step.WatchResult{AfterRevision: core.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
 			advance(60*time.Millisecond, step.Tick{})
 			if core.cancellation.Canceller.CancelRequested("j-1") {
 				t.Error("still bound though its replica has gone past the request")
@@ -155,7 +148,7 @@
 	core, advance := newReadyCore(t)
 	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	e, _ := addOwnedMachine(t, core, rec) // its shard is newer than the replica: an own write that was applied
-	if core.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
+	if core.ctx.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
 		t.Fatal("the ownership has no revision")
 	}
 	replyStatus := func(effects []step.Effect) int {
@@ -173,7 +166,7 @@
 		t.Errorf("answered %d at last, the agent should look for another controller", status)
 	}
 	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
-	core.Replica.Revision = 9
+	core.ctx.Replica.Revision = 9
 	if status := replyStatus(advance(2600*time.Millisecond, step.Tick{})); status != 200 {
 		t.Errorf("answered %d with a replica that has caught up", status)
 	}
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
-			if _, err := core.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
+			if _, err := core.ctx.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
 				t.Fatal(err)
 			}
 			addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
@@ -33,7 +33,7 @@
 			for i := 0; i < 400; i++ {
 				interval := test.tickIntervals[min(i, len(test.tickIntervals)-1)]
 				advance(0, step.RenewLeaseResult{LeaseID: 7})
-				revision := core.Replica.Revision
+				revision := core.ctx.Replica.Revision
 				advance(0, step.WatchResult{AfterRevision: revision, Response: &protocol.WatchResponse{Revision: revision}})
 				advance(0, step.PeerStatusInput{Status: step.PeerStatus{
 					ControllerID: "stall-1", Incarnation: target, StoreReachable: true, AcceptsShards: true,
@@ -47,7 +47,7 @@
 						goesToTarget := strings.Contains(string(operation.Value), string(target))
 						transferred = transferred || operation.PutKey == storage.ShardKey("p") && goesToTarget
 					}
-					result := protocol.TransactionResult{Revision: core.Replica.Revision + 10}
+					result := protocol.TransactionResult{Revision: core.ctx.Replica.Revision + 10}
 					advance(0, step.CommitResult{ID: sent.ID, Outcome: storage.OutcomeApplied, Result: result})
 				}
 			}
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -79,11 +79,11 @@
 			slot := c.putTransfer(t, test.target(c))
 			c.Manager.TrackExpiredIncarnations()
 			written := func() *commit.Batch {
-				b := c.commit.Shards.NewBatch(8)
+				b := c.commit.ShardWriter.NewBatch(8)
 				c.Manager.WriteFailovers(b)
 				return b
 			}
-			if !written().IsEmpty() {
+			if len(written().Transaction().Operations) > 0 {
 				t.Error("taken over before the delay")
 			}
 			c.advance(1600 * time.Millisecond)
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -9,6 +9,7 @@
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/commit/committest"
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
@@ -63,7 +64,7 @@
 	cancellations.Connect(cancellation.Dependencies{
 		Agents:        agentParts.Table,
 		Calls:         agentParts.Calls,
-		Commits:       f.commit.Commits,
+		Committer:     f.commit.Committer,
 		Lease:         f.commit.Lease,
 		Limits:        f.commit.Limits,
 		OwnerElection: owners.Manager,
@@ -78,7 +79,7 @@
 		Store:         f.commit.Store,
 		Agents:        agentParts.Table,
 		Limits:        f.commit.Limits,
-		Shards:        f.commit.Shards,
+		ShardWriter:   f.commit.ShardWriter,
 	})
 	f.Connect(Dependencies{
 		Lease:         f.commit.Lease,
@@ -99,18 +100,10 @@
 func newRegisteredFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixture(t)
-	f.commit.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: 7})
-	f.commit.Commits.ReadyForRecordBatch() // registers first
-	f.commit.Commits.OnCommitResult(step.CommitResult{
-		ID:      f.commit.Commits.PendingTransaction.ID,
-		Outcome: storage.OutcomeApplied,
-		Result:  protocol.TransactionResult{Revision: 2},
-	})
-	f.Replica.Revision = 2
+	committest.Register(t, f.Context, f.commit)
 	if got := f.commit.Lease.Incarnation(); got != owner {
 		t.Fatalf("registered as %q, want %q", got, owner)
 	}
-	f.Effects = nil
 	return f
 }
 
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -81,7 +81,7 @@
 			f := newCoreWithTwoMachineTypes(t)
 			job := f.newPendingJob(newArrayJob(4, 20), time.Minute)
 			job.record.Owner = owner
-			b := f.commit.Shards.NewBatch(8)
+			b := f.commit.ShardWriter.NewBatch(8)
 			better := f.Scheduler.score(b, job, newMachine(c.better))
 			worse := f.Scheduler.score(b, job, newMachine(c.worse))
 			if better >= worse {
@@ -120,11 +120,11 @@
 				job.Owner = f.commit.Lease.Incarnation()
 			}
 			c.machine.MachineType, c.machine.Zone = "small", "a"
-			f.commit.Replication.PutInReplica(storage.JobKey("j-1"), storage.MustMarshal(job), 1)
+			f.put(t, storage.JobKey("j-1"), storage.MustMarshal(job), 1)
 			shard := storage.EncodePlainShard(f.commit.Lease.Incarnation(), 1, []string{c.machine.EncodeLine("m-1")}, nil)
-			f.commit.Replication.PutInReplica(storage.ShardKey("p"), shard, 2)
+			f.put(t, storage.ShardKey("p"), shard, 2)
 
-			b := f.commit.Shards.NewBatch(8)
+			b := f.commit.ShardWriter.NewBatch(8)
 			f.Scheduler.PlacePendingJobs(b)
 
 			written := 0
