--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -33,7 +33,7 @@
 	scaleInFailed          scaleInReason = "failed"
 	scaleInNotListed       scaleInReason = "no longer listed"
 	scaleInSilent          scaleInReason = "silent"
-	scaleInCommandsLost    scaleInReason = "answers do not reach it"
+	scaleInCommandsLost    scaleInReason = "commands do not reach machine"
 	scaleInFaulty          scaleInReason = "faulty"
 	scaleInTaskDoesNotStop scaleInReason = "cancelled task does not stop"
 	scaleInIdle            scaleInReason = "idle"
