--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -62,7 +62,7 @@
 // ParseHeartbeat reads and checks a heartbeat.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
-	if err := DecodeObject(body, &heartbeat); err != nil {
+	if err := decodeObject(body, &heartbeat); err != nil {
 		return nil, err
 	}
 	if !heartbeat.Machine.IsValid() || heartbeat.AgentEpoch == 0 || heartbeat.Type == "" || heartbeat.Zone == "" {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -18,7 +18,7 @@
 const (
 	MaxProvisionCount = 50  // machines of a provision request
 	MaxTerminateCount = 100 // names of a termination request
-	InstancePageSize  = 500 // machines of one page of the list
+	instancePageSize  = 500 // machines of one page of the list
 )
 
 // MachineType is what the cloud says of a machine type.
@@ -74,7 +74,7 @@
 	var list struct {
 		Types []MachineType `json:"builds"`
 	}
-	if err := DecodeObject(body, &list); err != nil {
+	if err := decodeObject(body, &list); err != nil {
 		return nil, err
 	}
 	if len(list.Types) == 0 {
@@ -132,7 +132,7 @@
 // ListInstancesPath returns the target of the page that begins after a machine; empty:
 // the first page.
 func ListInstancesPath(after MachineID) string {
-	path := fmt.Sprintf("%s?page=%d", PathInstances, InstancePageSize)
+	path := fmt.Sprintf("%s?page=%d", PathInstances, instancePageSize)
 	if after != "" {
 		path += "&from=" + url.QueryEscape(string(after))
 	}
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -14,9 +14,9 @@
 // malformed names the field, in the words of the wire, or the message that is at fault.
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
 
-// DecodeObject reads one JSON object with nothing behind it. Unknown fields are ignored,
+// decodeObject reads one JSON object with nothing after it. Unknown fields are ignored,
 // as the protocol demands.
-func DecodeObject(body []byte, v any) error {
+func decodeObject(body []byte, v any) error {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
 		return malformed("not a JSON object")
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -7,11 +7,8 @@
 	"strings"
 )
 
-// Limits of the users' interface.
-const (
-	MaxTasks     = 100_000  // tasks of a job
-	MaxBodyBytes = 64 << 10 // of a request
-)
+// MaxTasks is the most tasks that the users' interface allows a job.
+const MaxTasks = 100_000
 
 // Paths that controllers serve to users, to the load balancer and to agents.
 const (
@@ -34,7 +31,7 @@
 // Priority is a job's priority, by the name that users give it.
 type Priority string
 
-// precedences lists all priorities, the highest first.
+// precedences are all priorities; 0 is the highest.
 var precedences = map[Priority]int{"critical": 0, "high": 1, "standard": 2, "low": 3}
 
 // Precedence returns 0 for the highest priority and more for each lower one.
@@ -137,7 +134,7 @@
 // ParseJob reads and checks a submission.
 func ParseJob(body []byte) (*Job, error) {
 	var parsed submission
-	if err := DecodeObject(body, &parsed); err != nil {
+	if err := decodeObject(body, &parsed); err != nil {
 		return nil, err
 	}
 	for _, check := range []func() error{
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -37,11 +37,15 @@
 
 // Client is the client of the key-value store. Its errors are *RequestError.
 type Client struct {
-	RequestCaller Caller // requests that are answered at once
-	WatchCaller   Caller // watches, on a connection of their own: each keeps its one busy
-	Timeout       time.Duration
+	RequestCaller Caller        // requests that are answered at once
+	WatchCaller   Caller        // watches: each occupies a connection until it is answered
+	Timeout       time.Duration // of a request that is answered at once
 }
 
+// listTimeoutFactor is how much longer a page of a listing may take than another request: it is
+// large.
+const listTimeoutFactor = 2
+
 // ErrRevisionTooOld says that the store has compacted the changes that a watch asked for.
 var ErrRevisionTooOld = errors.New("revision too old")
 
@@ -156,7 +160,7 @@
 
 // Revision reads the store's revision, from the answer to a read of a missing key.
 func (c *Client) Revision() (protocol.Revision, error) {
-	req := request{method: http.MethodGet, path: protocol.GetKeyPath(RevisionProbeKey)}
+	req := request{method: http.MethodGet, path: protocol.GetKeyPath(revisionProbeKey)}
 	response, err := req.send(c.RequestCaller, c.Timeout)
 	if err != nil {
 		return 0, err
@@ -222,11 +226,10 @@
 	}
 }
 
-// listEntries reads the page of records behind a key. A page is large: it may take twice as
-// long as another request.
+// listEntries reads the page of records that begins after a key.
 func (c *Client) listEntries(after string) (page protocol.EntryPage, err error) {
 	req := request{method: http.MethodGet, path: protocol.ListKeysPath(KeyPrefix, after)}
-	response, err := req.send(c.RequestCaller, 2*c.Timeout)
+	response, err := req.send(c.RequestCaller, listTimeoutFactor*c.Timeout)
 	if err != nil {
 		return page, err
 	}
@@ -234,7 +237,7 @@
 	return page, err
 }
 
-// Watch waits for changes behind a revision. An error that wraps ErrRevisionTooOld says that
+// Watch waits for changes after a revision. An error that wraps ErrRevisionTooOld says that
 // the store no longer has them.
 func (c *Client) Watch(after protocol.Revision, wait time.Duration) (*protocol.WatchResponse, error) {
 	path := protocol.WatchKeysPath(KeyPrefix, after, int(wait.Milliseconds()))
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -27,8 +27,8 @@
 // does not know the key ignores it.
 const FormatKey = KeyPrefix + "format"
 
-// RevisionProbeKey never exists: reading it returns the store's revision.
-const RevisionProbeKey = KeyPrefix + "rev"
+// revisionProbeKey never exists: reading it returns the store's revision.
+const revisionProbeKey = KeyPrefix + "rev"
 
 // JobKey is the key of a job's record.
 func JobKey(id protocol.JobID) string { return jobPrefix + string(id) }
@@ -68,7 +68,7 @@
 )
 
 // recordKey is a parsed key: the kind of its record and, for kinds that have more than one
-// key, the part behind the prefix.
+// key, the part after the prefix.
 type recordKey struct {
 	kind recordKind
 	name string
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -72,7 +72,7 @@
 
 // Keys that this version does not know are taken in and change nothing.
 func TestReplicaUnknownKey(t *testing.T) {
-	for _, key := range []string{"", "t/", "t/j", "t/z/1", "t/rolls", RevisionProbeKey, "x/j/j-1"} {
+	for _, key := range []string{"", "t/", "t/j", "t/z/1", "t/rolls", revisionProbeKey, "x/j/j-1"} {
 		replica := NewReplica()
 		if applied, err := replica.Put(key, []byte(`[`), 3); !applied || err != nil {
 			t.Errorf("%q: applied %v, %v", key, applied, err)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -63,7 +63,7 @@
 		return nil, c.notSent(method, target, err)
 	}
 	head := make([]byte, 0, requestHeadBytes+len(body))
-	response, err := pooled.roundTrip(AppendRequest(head, method, c.addr, target, body), deadline)
+	response, err := pooled.roundTrip(appendRequest(head, method, c.addr, target, body), deadline)
 	if err != nil {
 		pooled.conn.Close()
 		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
@@ -118,7 +118,7 @@
 	if _, err := p.conn.Write(request); err != nil {
 		return nil, err
 	}
-	return ReadResponse(p.reader)
+	return readResponse(p.reader)
 }
 
 // popIdleConn takes the connection that was used last; nil if none is usable.
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -9,10 +9,10 @@
 
 // Limits of what is taken from the other side.
 const (
-	MaxHeaderBytes  = 8 << 10  // start line and header lines together
-	MaxHeaderCount  = 64       // header lines
-	MaxRequestBody  = 64 << 10 // bytes; the protocol allows no more
-	MaxResponseBody = 32 << 20 // bytes; a watch of the store has no limit of its own
+	maxHeaderBytes  = 8 << 10  // start line and header lines together
+	maxHeaderCount  = 64       // header lines
+	maxRequestBody  = 64 << 10 // bytes; the protocol allows no more
+	maxResponseBody = 32 << 20 // bytes; a watch of the store has no limit of its own
 )
 
 const (
@@ -22,20 +22,20 @@
 	version0 = "HTTP/1.0"
 )
 
-// HTTPError refuses a request. The server sends Status and Message and closes the
+// httpError refuses a request. The server sends Status and Message and closes the
 // connection, as what follows on it cannot be told apart.
-type HTTPError struct {
+type httpError struct {
 	Status  int
 	Message string
 }
 
-func (e *HTTPError) Error() string { return fmt.Sprintf("%d %s", e.Status, e.Message) }
+func (e *httpError) Error() string { return fmt.Sprintf("%d %s", e.Status, e.Message) }
 
-func newHTTPError(status int, message string) *HTTPError {
-	return &HTTPError{Status: status, Message: message}
+func newHTTPError(status int, message string) *httpError {
+	return &httpError{Status: status, Message: message}
 }
 
-func badRequest(message string) *HTTPError { return newHTTPError(http.StatusBadRequest, message) }
+func badRequest(message string) *httpError { return newHTTPError(http.StatusBadRequest, message) }
 
 // isToken tells whether s is a token of RFC 9110, as methods and header names are.
 func isToken(s string) bool {
@@ -76,9 +76,9 @@
 	retryAfterSeconds int
 }
 
-func parseHeader(lines []string) (header, *HTTPError) {
+func parseHeader(lines []string) (header, *httpError) {
 	h := header{contentLength: noContentLength}
-	if len(lines) > MaxHeaderCount {
+	if len(lines) > maxHeaderCount {
 		return h, newHTTPError(http.StatusRequestHeaderFieldsTooLarge, "too many headers")
 	}
 	for _, line := range lines {
@@ -102,7 +102,7 @@
 }
 
 // set records one header line; lines that do not matter are skipped.
-func (h *header) set(lowerName, value string) *HTTPError {
+func (h *header) set(lowerName, value string) *httpError {
 	switch lowerName {
 	case "content-length":
 		return h.setContentLength(value)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (h *header) setContentLength(value string) *HTTPError {
+func (h *header) setContentLength(value string) *httpError {
 	digits, err := strconv.ParseUint(value, 10, 63)
 	if err != nil || len(value) > maxContentLengthDigits {
 		return badRequest("malformed content-length")
--- a/internal/transport/http_request.go
+++ b/internal/transport/http_request.go
@@ -14,14 +14,14 @@
 	Close               bool // the connection ends with the response
 }
 
-// ParseRequest takes one request from the front of buf and returns how many bytes it
+// parseRequest takes one request from the front of buf and returns how many bytes it
 // took. While the request is not yet whole it returns nil without an error.
-func ParseRequest(buf []byte) (*Request, int, *HTTPError) {
+func parseRequest(buf []byte) (*Request, int, *httpError) {
 	headLength := bytes.Index(buf, []byte(headEnd))
 	if headLength < 0 {
 		return nil, 0, checkPartialHead(buf)
 	}
-	if headLength > MaxHeaderBytes {
+	if headLength > maxHeaderBytes {
 		return nil, 0, errHeadTooLong()
 	}
 	lines := strings.Split(string(buf[:headLength]), crlf)
@@ -48,13 +48,13 @@
 	return request, bodyEnd, nil
 }
 
-func errHeadTooLong() *HTTPError {
+func errHeadTooLong() *httpError {
 	return newHTTPError(http.StatusRequestHeaderFieldsTooLarge, "head too long")
 }
 
 // checkPartialHead refuses a head whose end would not make it a request.
-func checkPartialHead(buf []byte) *HTTPError {
-	if len(buf) > MaxHeaderBytes {
+func checkPartialHead(buf []byte) *httpError {
+	if len(buf) > maxHeaderBytes {
 		return errHeadTooLong()
 	}
 	if i := bytes.IndexByte(buf, '\n'); i == 0 || i > 0 && buf[i-1] != '\r' {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func parseRequestLine(line string) (request *Request, isVersion0 bool, err *HTTPError) {
+func parseRequestLine(line string) (request *Request, isVersion0 bool, err *httpError) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
 		return nil, false, badRequest("malformed request line")
@@ -86,19 +86,19 @@
 }
 
 // checkRequestBody takes only bodies whose length is known in advance and within bounds.
-func checkRequestBody(method string, h *header) *HTTPError {
+func checkRequestBody(method string, h *header) *httpError {
 	needsBody := method == http.MethodPost || method == http.MethodPut
 	switch {
 	case h.chunked, h.contentLength == noContentLength && needsBody:
 		return newHTTPError(http.StatusLengthRequired, "length required")
-	case h.contentLength > MaxRequestBody:
+	case h.contentLength > maxRequestBody:
 		return newHTTPError(http.StatusRequestEntityTooLarge, "body too large")
 	}
 	return nil
 }
 
-// AppendRequest appends an HTTP request to b. A nil body is sent without a length.
-func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
+// appendRequest appends an HTTP request to b. A nil body is sent without a length.
+func appendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
 	b = append(b, target...)
--- a/internal/transport/http_response.go
+++ b/internal/transport/http_response.go
@@ -30,8 +30,8 @@
 	http.StatusServiceUnavailable:          "Service Unavailable",
 }
 
-// AppendResponse appends an HTTP response to b. Retry-After is sent if it is above 0.
-func AppendResponse(b []byte, status, retryAfterSeconds int, body []byte, closeConn bool) []byte {
+// appendResponse appends an HTTP response to b. Retry-After is sent if it is above 0.
+func appendResponse(b []byte, status, retryAfterSeconds int, body []byte, closeConn bool) []byte {
 	b = append(b, version1+" "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -69,9 +69,9 @@
 	maxChunkSizeBits = 31
 )
 
-// ReadResponse reads one response, as strictly as requests are read.
-func ReadResponse(r *bufio.Reader) (*Response, error) {
-	remaining := MaxHeaderBytes
+// readResponse reads one response, as strictly as requests are read.
+func readResponse(r *bufio.Reader) (*Response, error) {
+	remaining := maxHeaderBytes
 	statusLine, err := readLine(r, &remaining)
 	if err != nil {
 		return nil, err
@@ -157,13 +157,13 @@
 		response.Body, err = readSizedBody(r, h.contentLength)
 	default:
 		response.Close = true
-		response.Body, err = io.ReadAll(io.LimitReader(r, MaxResponseBody))
+		response.Body, err = io.ReadAll(io.LimitReader(r, maxResponseBody))
 	}
 	return err
 }
 
 func readSizedBody(r *bufio.Reader, length int64) ([]byte, error) {
-	if length > MaxResponseBody {
+	if length > maxResponseBody {
 		return nil, errBodyTooLarge()
 	}
 	var body bytes.Buffer
@@ -175,7 +175,7 @@
 }
 
 func errBodyTooLarge() error {
-	return fmt.Errorf("%w: body over %d bytes", ErrMalformedResponse, MaxResponseBody)
+	return fmt.Errorf("%w: body over %d bytes", ErrMalformedResponse, maxResponseBody)
 }
 
 func readChunkedBody(r *bufio.Reader) ([]byte, error) {
@@ -185,12 +185,12 @@
 		if err != nil {
 			return nil, err
 		}
-		remaining := MaxHeaderBytes
+		remaining := maxHeaderBytes
 		if size == 0 {
 			_, err := readHeaderLines(r, &remaining) // trailers
 			return body.Bytes(), err
 		}
-		if body.Len()+size > MaxResponseBody {
+		if body.Len()+size > maxResponseBody {
 			return nil, errBodyTooLarge()
 		}
 		if _, err := io.CopyN(&body, r, int64(size)); err != nil {
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -38,13 +38,13 @@
 		{"header without colon", "GET / HTTP/1.1\r\nHost\r\n\r\n", 400},
 		{"folded header", "GET / HTTP/1.1\r\nA: x\r\n y\r\n\r\n", 400},
 		{"bare line feed", "GET / HTTP/1.1\nHost: x\n\n", 400},
-		{"long head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeaderBytes) + "\r\n\r\n", 431},
-		{"long head, no end", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeaderBytes), 431},
-		{"many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: x\r\n", MaxHeaderCount+1) + "\r\n", 431},
+		{"long head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes) + "\r\n\r\n", 431},
+		{"long head, no end", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes), 431},
+		{"many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: x\r\n", maxHeaderCount+1) + "\r\n", 431},
 		{"no bytes", "", partial},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			request, consumed, err := ParseRequest([]byte(c.input))
+			request, consumed, err := parseRequest([]byte(c.input))
 			got := whole
 			switch {
 			case err != nil:
@@ -79,7 +79,7 @@
 		{"both", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", "", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			response, err := ReadResponse(bufio.NewReader(strings.NewReader(c.input)))
+			response, err := readResponse(bufio.NewReader(strings.NewReader(c.input)))
 			if c.status == 0 {
 				if err == nil {
 					t.Errorf("taken as %d %q", response.Status, response.Body)
@@ -93,14 +93,14 @@
 	}
 }
 
-// What AppendRequest writes, ParseRequest must read back, however it is cut; and no input
+// What appendRequest writes, parseRequest must read back, however it is cut; and no input
 // may crash it or be taken for more bytes than it has.
 func FuzzParseRequest(f *testing.F) {
-	f.Add(AppendRequest(nil, "POST", "h", "/work", []byte("{}")))
+	f.Add(appendRequest(nil, "POST", "h", "/work", []byte("{}")))
 	f.Add([]byte("GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\nGET"))
 	f.Add([]byte("GET / HTTP/1.1\n\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
-		request, consumed, err := ParseRequest(input)
+		request, consumed, err := parseRequest(input)
 		isOddError := err != nil && (err.Status < 400 || err.Status > 431)
 		if isOddError || consumed > len(input) || request != nil && consumed == 0 {
 			t.Fatalf("%v, %d of %d bytes, %v", request, consumed, len(input), err)
@@ -109,11 +109,11 @@
 			return
 		}
 		for cut := 0; cut < consumed; cut += 1 + consumed/8 {
-			if part, _, err := ParseRequest(input[:cut]); part != nil && err == nil {
+			if part, _, err := parseRequest(input[:cut]); part != nil && err == nil {
 				t.Fatalf("whole with %d of %d bytes", cut, consumed)
 			}
 		}
-		again, _, err := ParseRequest(AppendRequest(nil, request.Method, "h", request.Path, request.Body))
+		again, _, err := parseRequest(appendRequest(nil, request.Method, "h", request.Path, request.Body))
 		if err != nil && err.Status != 411 { // a POST with an empty body is written without a length
 			t.Fatal(err)
 		}
@@ -123,12 +123,12 @@
 	})
 }
 
-// No input may crash ReadResponse or become a body longer than it.
+// No input may crash readResponse or become a body longer than it.
 func FuzzReadResponse(f *testing.F) {
-	f.Add(AppendResponse(nil, 200, 3, []byte("{}"), true))
+	f.Add(appendResponse(nil, 200, 3, []byte("{}"), true))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
-		response, err := ReadResponse(bufio.NewReader(bytes.NewReader(input)))
+		response, err := readResponse(bufio.NewReader(bytes.NewReader(input)))
 		if err == nil && (response.Status < 200 || len(response.Body) > len(input)) {
 			t.Fatalf("%+v", response)
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -187,11 +187,11 @@
 		c.lastActivity = time.Now()
 	}
 	c.input = append(c.input, input...)
-	request, consumed, err := ParseRequest(c.input)
+	request, consumed, err := parseRequest(c.input)
 	if err != nil {
 		c.closing = true
 		body := []byte(`{"error":"` + err.Message + `"}`)
-		return nil, AppendResponse(nil, err.Status, 0, body, true), evio.Close
+		return nil, appendResponse(nil, err.Status, 0, body, true), evio.Close
 	}
 	if request == nil {
 		return nil, nil, evio.None
@@ -210,7 +210,7 @@
 // keepEarlyInput takes what a peer sends before it has its response. Pipelining does not
 // occur, so the input is never served: it ends the connection after the response.
 func (c *conn) keepEarlyInput(input []byte) evio.Action {
-	if len(c.input)+len(input) > MaxRequestBody {
+	if len(c.input)+len(input) > maxRequestBody {
 		return evio.Close
 	}
 	c.input = append(c.input, input...)
@@ -284,7 +284,7 @@
 		return
 	}
 	buf := make([]byte, 0, responseHeadBytes+len(body))
-	c.pendingResponse = AppendResponse(buf, status, retryAfterSeconds, body, x.Request.Close)
+	c.pendingResponse = appendResponse(buf, status, retryAfterSeconds, body, x.Request.Close)
 	c.closing = c.closing || x.Request.Close
 	if !c.inHandler {
 		c.evioConn.Wake()
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -91,7 +91,7 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(8 * time.Second))
 	io.WriteString(conn, request)
-	response, err := ReadResponse(bufio.NewReader(conn))
+	response, err := readResponse(bufio.NewReader(conn))
 	if err != nil {
 		return "", false
 	}
@@ -159,7 +159,7 @@
 		defer conn.Close()
 		conns = append(conns, conn)
 		io.WriteString(conn, "GET /x HTTP/1.1\r\n\r\n")
-		if _, err := ReadResponse(bufio.NewReader(conn)); err != nil {
+		if _, err := readResponse(bufio.NewReader(conn)); err != nil {
 			t.Fatal(err)
 		}
 	}
