--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -35,11 +35,13 @@
 	}
 }
 
-// callCore hands the core a request of an operator, made for the number that it gets, and waits
-// for the reply.
-func (d *daemon) callCore(ctx context.Context, request func(step.RequestID) step.Input) (step.Effect, error) {
+// inputFactory makes the input of an operator's request for the number that the request gets.
+type inputFactory func(step.RequestID) step.Input
+
+// callCore hands the core a request of an operator and waits for the reply.
+func (d *daemon) callCore(ctx context.Context, makeInput inputFactory) (step.Effect, error) {
 	reply := make(chan step.Effect, 1)
-	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{makeInput: request, reply: reply}}) {
+	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{makeInput: makeInput, reply: reply}}) {
 		return nil, &admin.RequestError{Reason: "the controller is overloaded", Retryable: true}
 	}
 	select {
@@ -51,8 +53,12 @@
 }
 
 // callCoreFor hands the core a request and wants a reply of a type.
-func callCoreFor[Reply step.Effect](ctx context.Context, d *daemon, request func(step.RequestID) step.Input) (reply Reply, err error) {
-	effect, err := d.callCore(ctx, request)
+func callCoreFor[Reply step.Effect](
+	ctx context.Context,
+	d *daemon,
+	makeInput inputFactory,
+) (reply Reply, err error) {
+	effect, err := d.callCore(ctx, makeInput)
 	if err != nil {
 		return reply, err
 	}
@@ -64,7 +70,10 @@
 }
 
 // GetShardingStatus tells who owns which machines.
-func (b adminBackend) GetShardingStatus(ctx context.Context, _ *admin.ShardingStatusRequest) (*admin.ShardingStatus, error) {
+func (b adminBackend) GetShardingStatus(
+	ctx context.Context,
+	_ *admin.ShardingStatusRequest,
+) (*admin.ShardingStatus, error) {
 	reply, err := callCoreFor[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input {
 		return requests.ShardingStatusRequest{Req: id}
 	})
@@ -99,7 +108,7 @@
 	return &controller, nil
 }
 
-// toRequestError turns the core's refusal of a request into what tools are told.
+// toRequestError turns the core's refusal of a request into the error of the admin service.
 func toRequestError(err error) error {
 	var requestErr *requests.RequestError
 	if errors.As(err, &requestErr) {
--- a/cmd/tillerarch/calls.go
+++ b/cmd/tillerarch/calls.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"time"
 
 	"tillerarch/internal/coordination/step"
@@ -67,10 +68,10 @@
 		instances, err := d.listInstances()
 		return step.ListInstancesResult{RequestedAt: requestedAt, Instances: instances, Err: err}
 	case step.ProbeAgent:
-		heartbeat, err := d.agents.call("GET", v.Addr, protocol.PathAgentStatus, nil)
+		heartbeat, err := d.agents.call(http.MethodGet, v.Addr, protocol.PathAgentStatus, nil)
 		return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
 	case step.SendCommands:
-		heartbeat, err := d.agents.call("POST", v.Addr, protocol.PathAgentCommands, v.Commands.Encode())
+		heartbeat, err := d.agents.call(http.MethodPost, v.Addr, protocol.PathAgentCommands, v.Commands.Encode())
 		return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
 	}
 	return nil
--- a/cmd/tillerarch/cloud_calls.go
+++ b/cmd/tillerarch/cloud_calls.go
@@ -32,7 +32,7 @@
 }
 
 func (d *daemon) listMachineTypes() ([]protocol.MachineType, error) {
-	body, err := d.callCloud("GET", protocol.PathMachineTypes, nil)
+	body, err := d.callCloud(http.MethodGet, protocol.PathMachineTypes, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 }
 
 func (d *daemon) terminateMachines(machines []protocol.MachineID) error {
-	_, err := d.callCloud("POST", protocol.PathTerminate, protocol.MachineList{Machines: machines})
+	_, err := d.callCloud(http.MethodPost, protocol.PathTerminate, protocol.MachineList{Machines: machines})
 	return err
 }
 
@@ -52,7 +52,7 @@
 // refuses the request, or leaves open whether it has carried it out.
 func (d *daemon) provisionMachines(request protocol.ProvisionRequest) step.ProvisionMachinesResult {
 	result := step.ProvisionMachinesResult{Request: request}
-	response, err := d.cloud.Call("POST", protocol.PathInstances, protocol.Encode(request), cloudTimeout)
+	response, err := d.cloud.Call(http.MethodPost, protocol.PathInstances, protocol.Encode(request), cloudTimeout)
 	if err != nil {
 		result.Err = fmt.Errorf("POST %s: %w", protocol.PathInstances, err)
 		return result
@@ -93,7 +93,7 @@
 	var instances []protocol.Instance
 	after := protocol.MachineID("")
 	for {
-		body, err := d.callCloud("GET", protocol.ListInstancesPath(after), nil)
+		body, err := d.callCloud(http.MethodGet, protocol.ListInstancesPath(after), nil)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/tillerarch/doc.go
+++ b/cmd/tillerarch/doc.go
@@ -1,5 +1,5 @@
 // Command tillerarch is one controller of the tillerarch cluster scheduler, and the operators'
-// tool for its shares.
+// tool that shows and changes which controller owns which machines (`tillerarch shares`).
 //
 // The daemon ties the core (internal/coordination) to the world: its event loop hands the core
 // one input at a time and carries out the effects (event_loop.go), with one file for each of its
--- a/cmd/tillerarch/event_loop.go
+++ b/cmd/tillerarch/event_loop.go
@@ -28,7 +28,7 @@
 // adminRequest is a request of an operator's tool: its input is made once it has a number, and
 // the reply is sent to whoever waits for it.
 type adminRequest struct {
-	makeInput func(step.RequestID) step.Input
+	makeInput inputFactory
 	reply     chan<- step.Effect
 }
 
--- a/cmd/tillerarch/main.go
+++ b/cmd/tillerarch/main.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// newRootCommand is `tillerarch`: it runs a controller, and has the operators' commands below it.
+// newRootCommand is `tillerarch`: it runs a controller; the operators' commands are its subcommands.
 func newRootCommand() *cobra.Command {
 	var configFile, propertiesFile string
 	root := &cobra.Command{
--- a/cmd/tillerarch/sharding_commands.go
+++ b/cmd/tillerarch/sharding_commands.go
@@ -20,7 +20,8 @@
 	t := &adminTool{}
 	command := &cobra.Command{Use: "shares", Short: "Which controller owns which machines, and their moves"}
 	flags := command.PersistentFlags()
-	flags.StringVar(&t.address, "admin", defaultAdminAddress, "admin service of a controller (admin.listen in its properties)")
+	flags.StringVar(&t.address, "admin", defaultAdminAddress,
+		"admin service of a controller (admin.listen in its properties)")
 	flags.BoolVar(&t.asJSON, "json", false, "answer as JSON")
 	command.AddCommand(
 		t.newListCommand(),
@@ -62,7 +63,8 @@
 // warnIfStale tells the operator that the status may be out of date.
 func warnIfStale(status *admin.ShardingStatus) {
 	if status.Stale {
-		fmt.Fprintf(os.Stderr, "this controller does not reach the state service: as of revision %d, may be out of date\n", status.Revision)
+		fmt.Fprintf(os.Stderr,
+			"this controller does not reach the state service: as of revision %d, may be out of date\n", status.Revision)
 	}
 }
 
--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -8,8 +8,8 @@
 // ShardingStatus is who owns which machines, as of one revision of the records.
 type ShardingStatus struct {
 	Revision uint64 `json:"revision"`
-	// Stale says that the answering controller does not reach the store and may be
-	// behind it.
+	// Stale says that the answering controller does not reach the store and may lack its
+	// latest changes.
 	Stale            bool              `json:"stale"`
 	Controllers      []Controller      `json:"controllers"`
 	Shards           []Shard           `json:"pages"`
--- a/internal/sharding/failover.go
+++ b/internal/sharding/failover.go
@@ -44,8 +44,8 @@
 	return best
 }
 
-// Parameters of the 64-bit FNV-1a hash, and an odd multiplier (2^64 divided by the golden ratio) that
-// spreads its low bits: FNV alone leaves names that differ in their last byte close together.
+// Parameters of the 64-bit FNV-1a hash, and an odd multiplier (2^64 divided by the golden ratio)
+// that spreads its low bits: FNV alone leaves names that differ in their last byte close together.
 const (
 	fnvOffset       = 14695981039346656037
 	fnvPrime        = 1099511628211
--- a/internal/sharding/transfer.go
+++ b/internal/sharding/transfer.go
@@ -74,7 +74,7 @@
 }
 
 // isResponsible tells whether it is for this controller to act: up to the commit the source,
-// behind it the target; the other one if that is gone, and the successor if both are.
+// after it the target; the other one if that is gone, and the successor if both are.
 func isResponsible(status TransferStatus) bool {
 	primary, primaryAlive := status.Transfer.Source, status.SourceAlive
 	fallback, fallbackAlive := status.Transfer.Target, status.TargetAlive
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -5,9 +5,8 @@
 //   - keys.go: which keys there are, and which kind of record each holds.
 //   - records.go, shards.go, transfers.go, drains.go: the records.
 //   - format.go, machine_line.go, shards_packed.go, taskset.go, taskset_compact.go: their
-//     encodings. Every
-//     version reads all formats up to its own; the names in JSON and in the machine lines
-//     are read by other versions and never change.
+//     encodings. Every version reads all formats up to its own; the names in JSON and in the
+//     machine lines are read by other versions and never change.
 //   - client.go: requests to the store, with the outcome of each.
 //   - replica.go: records by key; replica_shards.go: shards and their machines;
 //     machine_index.go and completed_index.go: what is asked of them often.
--- a/internal/storage/replica_shards.go
+++ b/internal/storage/replica_shards.go
@@ -80,7 +80,7 @@
 }
 
 // isOnNewerShard tells whether a machine has moved from a shard to another one in a change
-// behind the revision.
+// after the revision.
 func (r *Replica) isOnNewerShard(machineID protocol.MachineID, id ShardID, revision protocol.ModRevision) bool {
 	machine := r.Machines[machineID]
 	if machine == nil || machine.Record.Shard == id {
--- a/internal/storage/taskset.go
+++ b/internal/storage/taskset.go
@@ -21,7 +21,7 @@
 // TaskRange is the set of lo to hi, both included.
 func TaskRange(lo, hi int) TaskSet { return TaskSet{[]interval{{lo, hi}}} }
 
-// search is the index of the first interval that ends at n or behind it.
+// search is the index of the first interval that ends at n or later.
 func (s TaskSet) search(n int) int {
 	return sort.Search(len(s.intervals), func(i int) bool { return s.intervals[i].hi >= n })
 }
