--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -36,7 +36,7 @@
 	c.isListing = false
 	if result.Err != nil {
 		c.nextListAt = c.Now.Monotonic.Add(c.Jitter(listRetryInterval))
-		c.Log(slog.LevelWarn, "listing machine types failed", "error", result.Err.Error())
+		c.Log(slog.LevelWarn, "listing machine types failed", "error", result.Err)
 		return
 	}
 	c.machineTypes = result.MachineTypes
--- a/internal/coordination/commit/outcomes.go
+++ b/internal/coordination/commit/outcomes.go
@@ -79,12 +79,12 @@
 	case storage.OutcomeUnavailable:
 		delay = c.Jitter(unavailableDelay)
 	case storage.OutcomeInvalid:
-		c.Log(slog.LevelError, "transaction rejected as invalid", "error", errorText(v.Err))
+		c.Log(slog.LevelError, "transaction rejected as invalid", "error", v.Err)
 		// Whatever made it too large, a smaller one passes.
 		c.upgrade.onTransactionTooLarge(&pending.transaction)
 		delay = invalidDelay
 	case storage.OutcomeUnknown:
-		c.Log(slog.LevelWarn, "transaction outcome unknown", "error", errorText(v.Err))
+		c.Log(slog.LevelWarn, "transaction outcome unknown", "error", v.Err)
 		c.onUnknownOutcome(pending)
 		delay = c.Jitter(unknownOutcomeDelay)
 	}
@@ -122,10 +122,3 @@
 		c.replication.requireRevision(revision)
 	}
 }
-
-func errorText(err error) string {
-	if err == nil {
-		return ""
-	}
-	return err.Error()
-}
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -200,7 +200,7 @@
 func (r *Replication) putInReplica(key string, data json.RawMessage, modRevision protocol.ModRevision) {
 	formatBefore := r.limits.StorageFormat()
 	if _, err := r.Replica.Put(key, data, modRevision); err != nil {
-		r.Log(slog.LevelError, "unreadable record ignored", "key", key, "error", err.Error())
+		r.Log(slog.LevelError, "unreadable record ignored", "key", key, "error", err)
 	}
 	if r.limits.StorageFormat() != formatBefore {
 		r.limits.UpdateWriteLimiter()
--- a/internal/coordination/commit/store_health.go
+++ b/internal/coordination/commit/store_health.go
@@ -49,7 +49,7 @@
 	}
 	if h.consecutiveFailures == 0 {
 		h.firstFailureAt = h.Now.Monotonic
-		h.Log(slog.LevelWarn, "store unavailable", "error", err.Error())
+		h.Log(slog.LevelWarn, "store unavailable", "error", err)
 	}
 	h.consecutiveFailures++
 	return false
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -77,7 +77,7 @@
 func (inv *Inventory) OnListInstancesResult(result step.ListInstancesResult) {
 	inv.isListing = false
 	if result.Err != nil {
-		inv.Log(slog.LevelDebug, "listing instances failed", "error", result.Err.Error())
+		inv.Log(slog.LevelDebug, "listing instances failed", "error", result.Err)
 		return
 	}
 	if !inv.replication.IsLoaded() {
--- a/internal/coordination/provisioning/provision_requests.go
+++ b/internal/coordination/provisioning/provision_requests.go
@@ -79,7 +79,7 @@
 	case result.Err != nil:
 		// The cloud may have carried it out: it is repeated under the same name.
 		r.retryAt = p.Now.Monotonic.Add(p.Jitter(retryDelay))
-		p.Log(slog.LevelWarn, "provision request failed, will retry", "request", r.Name(), "error", result.Err.Error())
+		p.Log(slog.LevelWarn, "provision request failed, will retry", "request", r.Name(), "error", result.Err)
 	default:
 		p.recordGrant(r, result.Machines)
 	}
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -165,7 +165,7 @@
 		pending.confirmed = true
 	}
 	if result.Err != nil {
-		t.Log(slog.LevelWarn, "machine termination failed", "count", len(result.Machines), "error", result.Err.Error())
+		t.Log(slog.LevelWarn, "machine termination failed", "count", len(result.Machines), "error", result.Err)
 	}
 }
 
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -75,7 +75,7 @@
 	job, err := protocol.ParseJob(v.Body)
 	if err != nil {
 		body := v.Body[:min(len(v.Body), maxLoggedBodyBytes)]
-		h.Log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(body))
+		h.Log(slog.LevelInfo, "job submission invalid", "error", err, "body", string(body))
 		h.replyError(v.RequestID, http.StatusBadRequest, err.Error())
 		return
 	}
