--- a/test.sh
+++ b/test.sh
@@ -11,9 +11,13 @@
 for tags in "" golden; do
   go vet -tags="$tags" ./...
   go tool -modfile=tools/go.mod staticcheck -tags="$tags" ./...
+  GOFLAGS="${GOFLAGS:-} -tags=$tags" go tool -modfile=tools/go.mod go-errorlint ./... # its own -tags does nothing
 done
-go tool -modfile=tools/go.mod go-errorlint ./...
 go test -race -count=1 -timeout 30m ./...
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)
+if [ -z "$build" ]; then
+  echo "deploy/service.toml names no build" >&2
+  exit 1
+fi
 bash -c "$build"
 target/tillerarch --version
