--- a/cmd/tillerarch/daemon_test.go
+++ b/cmd/tillerarch/daemon_test.go
@@ -40,12 +40,22 @@
 		invalid    bool
 		err        string // part of the error's text; empty: none
 	}{
-		{name: "granted", status: http.StatusOK, body: `{"stalls":["m-1","m-2"]}`, machines: []protocol.MachineID{"m-1", "m-2"}},
+		{
+			name:     "granted",
+			status:   http.StatusOK,
+			body:     `{"stalls":["m-1","m-2"]}`,
+			machines: []protocol.MachineID{"m-1", "m-2"},
+		},
 		{name: "granted none", status: http.StatusOK, body: `{"stalls":[]}`},
 		{name: "invalid name of a machine", status: http.StatusOK, body: `{"stalls":["m-1",""]}`, err: "invalid name"},
 		{name: "malformed grant", status: http.StatusOK, body: `{`, err: "parse granted machines"},
 		{name: "no capacity", status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`, noCapacity: true},
-		{name: "unavailable", status: http.StatusServiceUnavailable, body: `{"error":"busy"}`, err: "cloud answered 503 busy"},
+		{
+			name:   "unavailable",
+			status: http.StatusServiceUnavailable,
+			body:   `{"error":"busy"}`,
+			err:    "cloud answered 503 busy",
+		},
 		{name: "invalid request", status: http.StatusBadRequest, body: `{}`, invalid: true},
 		{name: "too many requests", status: http.StatusTooManyRequests, body: `{}`, err: "cloud answered 429"},
 	} {
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -68,14 +68,21 @@
 		{"NaN", `list_lag_s = 5.0`, `list_lag_s = nan`, "params.cloud.list_lag_s"},
 		{"wrong type", `txn_ops = 24`, `txn_ops = "24"`, "txn_ops"},
 		{"bad limit", `cpus_max = 40.0`, `cpus_max = -1.0`, "params.teams"},
-		{"announced limit too small", `[params.cloud]`, "[params.state.next]\nvalue_kb = 0.5\n[params.cloud]", "params.state.next.value_kb"},
-		{"announced limit of a wrong type", `[params.cloud]`, "[params.state.next]\ntxn_ops = 1.5\n[params.cloud]", "txn_ops"},
+		{
+			"announced limit too small",
+			`[params.cloud]`, "[params.state.next]\nvalue_kb = 0.5\n[params.cloud]", "params.state.next.value_kb",
+		},
+		{
+			"announced limit of a wrong type",
+			`[params.cloud]`, "[params.state.next]\ntxn_ops = 1.5\n[params.cloud]", "txn_ops",
+		},
 		{"not TOML", `[outside]`, `[outside`, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, c.old, c.new, 1)), "")
 			if c.name == "good" {
-				if err != nil || s.core.Quotas["core"].MaxCores != 40 || len(s.peerAddrs) != 1 || s.core.AgentLeaseTTL != 42*time.Second {
+				if err != nil || s.core.Quotas["core"].MaxCores != 40 || len(s.peerAddrs) != 1 ||
+					s.core.AgentLeaseTTL != 42*time.Second {
 					t.Errorf("%+v, %v", s, err)
 				}
 				return
@@ -90,7 +97,12 @@
 func TestProperties(t *testing.T) {
 	good := writeFile(t, "s.toml", goodSettings)
 	for _, c := range []struct{ name, text, key string }{
-		{"good", "spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\nmoves.recorded = true\nmoves.by-demand = 0.5\nadmin.listen = 127.0.0.1:8090\n", ""},
+		{
+			"good",
+			"spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\n" +
+				"moves.recorded = true\nmoves.by-demand = 0.5\nadmin.listen = 127.0.0.1:8090\n",
+			"",
+		},
 		{"duration without a unit", "spot.window = 90", "spot.window"},
 		{"negative duration", "spot.window = -1s", "spot.window"},
 		{"zero duration", "spot.window = 0s", "spot.window"},
@@ -107,7 +119,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			s, err := loadSettings(good, writeFile(t, "p.properties", c.text))
 			if c.key == "" {
-				if err != nil || s.core.SpotPriceWindow != 90*time.Second || s.core.MaxSpotMachines != 3 || s.core.WriteBudgetShare != 0.5 ||
+				if err != nil || s.core.SpotPriceWindow != 90*time.Second ||
+					s.core.MaxSpotMachines != 3 || s.core.WriteBudgetShare != 0.5 ||
 					!s.core.RecordTransfers || s.core.RebalanceDemandWeight != 0.5 || s.adminListen != "127.0.0.1:8090" {
 					t.Errorf("%+v, %v", s, err)
 				}
--- a/cmd/tillerarch/sharding_commands_test.go
+++ b/cmd/tillerarch/sharding_commands_test.go
@@ -104,26 +104,61 @@
 		{"plan", []string{"plan"}, nil, 0, []string{"stall-0#7-2"}},
 		{"history", []string{"history"}, nil, 0, []string{"m-1", "closed", "2s", "5s"}},
 		{"transfer", []string{"move", "--from", "stall-0", "--to", "stall-1"}, nil, 0, []string{"m-1", "17"}},
-		{"transfer with wait", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "2s"}, nil, 0, []string{"closed"}},
-		{"transfer that is aborted", []string{"move", "--page", "p", "--to", "stall-1"}, func(f *fakeBackend) { f.transfer = aborted }, exitAborted, []string{"the taker has ended"}},
+		{
+			"transfer with wait",
+			[]string{"move", "--page", "p", "--to", "stall-1", "--wait", "2s"},
+			nil, 0, []string{"closed"},
+		},
+		{
+			"transfer that is aborted",
+			[]string{"move", "--page", "p", "--to", "stall-1"},
+			func(f *fakeBackend) { f.transfer = aborted }, exitAborted, []string{"the taker has ended"},
+		},
 		{"abort", []string{"abort", "m-1"}, func(f *fakeBackend) { f.transfer = aborted }, 0, []string{"aborted"}},
 		{"drain", []string{"drain", "stall-0"}, nil, 0, []string{"DRAINING", "true", "51"}},
-		{"drain with wait that times out", []string{"drain", "stall-0", "--wait", "400ms"}, nil, exitUnavailable, []string{"51 machines"}},
-		{"drain with wait", []string{"drain", "stall-0", "--wait", "2s"}, func(f *fakeBackend) { f.status.Controllers[0].Machines = 0 }, 0, []string{"stall-0"}},
+		{
+			"drain with wait that times out",
+			[]string{"drain", "stall-0", "--wait", "400ms"},
+			nil, exitUnavailable, []string{"51 machines"},
+		},
+		{
+			"drain with wait",
+			[]string{"drain", "stall-0", "--wait", "2s"},
+			func(f *fakeBackend) { f.status.Controllers[0].Machines = 0 }, 0, []string{"stall-0"},
+		},
 		{"undrain", []string{"undrain", "stall-0"}, nil, 0, []string{"false"}},
 		{"drain without a controller", []string{"drain"}, nil, exitUsage, []string{"1 arg"}},
 		{"transfer without a target", []string{"move", "--from", "stall-0"}, nil, exitUsage, []string{"--to"}},
-		{"transfer with both a shard and a source", []string{"move", "--from", "stall-0", "--page", "p", "--to", "x"}, nil, exitUsage, []string{"one of"}},
+		{
+			"transfer with both a shard and a source",
+			[]string{"move", "--from", "stall-0", "--page", "p", "--to", "x"},
+			nil, exitUsage, []string{"one of"},
+		},
 		{"abort without a transfer", []string{"abort"}, nil, exitUsage, []string{"1 arg"}},
 		{"unknown flag", []string{"list", "--machines"}, nil, exitUsage, []string{"unknown flag"}},
-		{"rejected", []string{"move", "--from", "stall-0", "--to", "x"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: `no controller "x" is up`} }, exitRejected, []string{`"x"`}},
-		{"unavailable", []string{"list"}, func(f *fakeBackend) { f.err = &admin.RequestError{Reason: "overloaded", Retryable: true} }, exitUnavailable, []string{"overloaded"}},
+		{
+			"rejected",
+			[]string{"move", "--from", "stall-0", "--to", "x"},
+			func(f *fakeBackend) { f.err = &admin.RequestError{Reason: `no controller "x" is up`} },
+			exitRejected, []string{`"x"`},
+		},
+		{
+			"unavailable",
+			[]string{"list"},
+			func(f *fakeBackend) { f.err = &admin.RequestError{Reason: "overloaded", Retryable: true} },
+			exitUnavailable, []string{"overloaded"},
+		},
 		{"malformed address", []string{"list", "--admin", "nowhere"}, nil, exitUsage, []string{"--admin"}},
 		{"connection refused", []string{"list", "--admin", "127.0.0.1:1"}, nil, exitUnavailable, []string{"refused"}},
-		{"transfer with wait that times out", []string{"move", "--page", "p", "--to", "stall-1", "--wait", "400ms"}, func(f *fakeBackend) {
-			f.transfer.Phase = "prepared"
-			f.status.Transfers = []admin.Transfer{f.transfer}
-		}, exitUnavailable, []string{"goes on"}},
+		{
+			"transfer with wait that times out",
+			[]string{"move", "--page", "p", "--to", "stall-1", "--wait", "400ms"},
+			func(f *fakeBackend) {
+				f.transfer.Phase = "prepared"
+				f.status.Transfers = []admin.Transfer{f.transfer}
+			},
+			exitUnavailable, []string{"goes on"},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			backend := newBackend()
@@ -148,7 +183,8 @@
 	backend := &fakeBackend{status: admin.ShardingStatus{Revision: 9, Controllers: []admin.Controller{{ID: "stall-0"}}}}
 	out, code := runShares(t, backend, "list", "--json")
 	var status admin.ShardingStatus
-	if err := json.Unmarshal([]byte(out), &status); err != nil || code != 0 || status.Revision != 9 || len(status.Controllers) != 1 {
+	err := json.Unmarshal([]byte(out), &status)
+	if err != nil || code != 0 || status.Revision != 9 || len(status.Controllers) != 1 {
 		t.Errorf("exit code %d, output %q: %v", code, out, err)
 	}
 	runShares(t, backend, "move", "--from", "stall-0", "--to", "stall-1")
--- a/internal/sharding/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -43,7 +43,10 @@
 		{"difference of one shard", []Controller{a, b}, shards(2, 1), nil, testPolicy, ""},
 		{"target with the fewest", []Controller{a, b, c}, shards(8, 2), nil, testPolicy, "c#1"},
 		{"ineligible target", []Controller{a, ineligibleB}, shards(8, 0), nil, testPolicy, ""},
-		{"enough incoming transfers", []Controller{a, b}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, ""},
+		{
+			"enough incoming transfers",
+			[]Controller{a, b}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, "",
+		},
 		{"overloaded source transfers its last", []Controller{overloadedA, b}, shards(1, 6), nil, testPolicy, "b#1"},
 		{"draining source transfers its last", []Controller{drainingA, b}, shards(1, 6), nil, testPolicy, "b#1"},
 		{"draining target", []Controller{a, drainingB}, shards(8, 0), nil, testPolicy, ""},
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -46,7 +46,8 @@
 	put(shardA, encodeTestShard("x#1", 1, completedA, "m-1/j-1", "m-2"), 2)
 	put(shardB, encodeTestShard("y#1", 4, completedB, "m-3/j-1"), 3)
 	onMachines, completed := replica.MachinesWithJob(job), replica.CompletedTasks(job).String()
-	if machines := len(replica.SortedMachines()); len(onMachines) != 2 || completed != "0,2-3,5" || machines != 3 || changes != 3 {
+	machines := len(replica.SortedMachines())
+	if len(onMachines) != 2 || completed != "0,2-3,5" || machines != 3 || changes != 3 {
 		t.Fatalf("on %v, completed %s, %v machines, %d changes", onMachines, completed, machines, changes)
 	}
 
