--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -26,7 +26,15 @@
 )
 
 func (o Outcome) String() string {
-	return [...]string{"applied", "conflict", "busy", "refused", "no lease", "invalid", "unknown"}[o]
+	return [...]string{
+		OutcomeApplied:      "applied",
+		OutcomeConflict:     "conflict",
+		OutcomeThrottled:    "throttled",
+		OutcomeUnavailable:  "unavailable",
+		OutcomeLeaseExpired: "lease expired",
+		OutcomeInvalid:      "invalid",
+		OutcomeUnknown:      "unknown",
+	}[o]
 }
 
 // Caller sends one HTTP request. An error that wraps transport.ErrNotSent says that the
