--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -75,7 +75,7 @@
 	job, err := protocol.ParseJob(input.Body)
 	if err != nil {
 		body := input.Body[:min(len(input.Body), maxLoggedBodyBytes)]
-		u.Log(slog.LevelInfo, "job submission invalid", "error", err.Error(), "body", string(body))
+		u.Log(slog.LevelInfo, "job submission invalid", "error", err, "body", string(body))
 		u.replyError(input.RequestID, http.StatusBadRequest, err.Error())
 		return
 	}
