--- a/internal/simulation/compatibility.go
+++ b/internal/simulation/compatibility.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"strings"
-	"time"
 
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
@@ -132,13 +131,3 @@
 	}
 	return out
 }
-
-// Upgrade ends the controller at a time and starts it again with the new version after
-// a while.
-func (c *Controller) Upgrade(at, downtime time.Duration) {
-	c.world.After(at, func() {
-		c.Kill()
-		c.RunsProductionVersion = false
-	})
-	c.world.After(at+downtime, c.Start)
-}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -176,10 +176,10 @@
 		submitMixedJobs(w, 30)
 		w.sendUnusualRequests(seconds(10), seconds(100))
 		for i := 1; i < 7; i++ {
-			w.restartController(w.Controllers[i%3], seconds(10*float64(i)), seconds([]float64{0.2, 5}[i%2]))
+			w.Controllers[i%3].ScheduleRestart(seconds(10*float64(i)), seconds([]float64{0.2, 5}[i%2]))
 		}
 		for i, n := range w.Controllers {
-			w.restartController(n, seconds(85), seconds(4+float64(i)))
+			n.ScheduleRestart(seconds(85), seconds(4+float64(i)))
 		}
 	}, busy: seconds(110), calm: seconds(60)},
 	{name: "refused-and-outage", world: newMixedWorld, play: func(t *testing.T, w *World) {
@@ -200,7 +200,7 @@
 		submitMixedJobs(w, 24)
 		w.submitLongJobs(6, "core", 40)
 		for i := range 5 {
-			w.restartController(w.Controllers[i%3], seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
+			w.Controllers[i%3].ScheduleRestart(seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
 			w.After(seconds(24+15*float64(i)), func() { w.cancelRunningJobs(2) })
 		}
 	}, busy: seconds(105), calm: seconds(70)},
@@ -224,7 +224,7 @@
 				}
 			})
 		}
-		w.restartController(w.Controllers[1], seconds(45), seconds(1))
+		w.Controllers[1].ScheduleRestart(seconds(45), seconds(1))
 	}, busy: seconds(110), calm: seconds(60)},
 	{name: "zone-cut", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 24)
@@ -239,7 +239,7 @@
 			w.After(seconds(at+3), func() { w.cancelRunningJobs(3) })
 			w.After(seconds(at+20), func() { w.cancelRunningJobs(2) })
 		}
-		w.restartController(w.Controllers[0], seconds(30), seconds(0.4))
+		w.Controllers[0].ScheduleRestart(seconds(30), seconds(0.4))
 	}, busy: seconds(110), calm: seconds(60)},
 	{name: "cancelled-in-outage", world: func(t *testing.T, seed uint64) *World {
 		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
@@ -266,7 +266,7 @@
 		w.holds(&w.Controllers[1].RefusedByStore, 25, 14)
 		w.holds(&w.Controllers[2].PeersUnreachable, 26, 20)
 		w.holds(&w.Store.Unavailable, 29, 50)
-		w.restartController(w.Controllers[1], seconds(33), seconds(0.3))
+		w.Controllers[1].ScheduleRestart(seconds(33), seconds(0.3))
 		w.After(seconds(31), func() {
 			for _, m := range w.randomMachines(0.4) {
 				m.Hang(seconds(30))
@@ -327,7 +327,7 @@
 				}
 			})
 		}
-		w.restartController(w.Controllers[2], seconds(50), seconds(2))
+		w.Controllers[2].ScheduleRestart(seconds(50), seconds(2))
 		w.After(seconds(90), func() { w.cancelRunningJobs(6) })
 	}, busy: seconds(110), calm: seconds(60)},
 	{name: "moves-with-failures", world: newTransferWorld, play: func(t *testing.T, w *World) {
@@ -346,16 +346,16 @@
 				}, func(step.Effect) {})
 			}
 			if moves%9 == 0 {
-				w.restartIfAlive(r.Source, 3*time.Second)
+				w.controllerOf(r.Source).restartIfAlive(3 * time.Second)
 			}
 		})
 		prepared := 0
 		w.onTransferPhase(storage.TransferPrepared, func(r storage.TransferRecord) {
 			switch prepared++; prepared % 24 {
 			case 4:
-				w.restartIfAlive(r.Source, 200*time.Millisecond)
+				w.controllerOf(r.Source).restartIfAlive(200 * time.Millisecond)
 			case 9:
-				w.restartIfAlive(r.Target, 4*time.Second)
+				w.controllerOf(r.Target).restartIfAlive(4 * time.Second)
 			case 13:
 				w.controllerOf(r.Source).Pause(12 * time.Second)
 			case 18:
@@ -369,7 +369,7 @@
 		w.onTransferPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
 			switch passed++; passed % 16 {
 			case 6:
-				w.restartIfAlive(r.Target, 12*time.Second)
+				w.controllerOf(r.Target).restartIfAlive(12 * time.Second)
 			case 14:
 				w.controllerOf(r.Target).Pause(10 * time.Second)
 			}
@@ -396,7 +396,7 @@
 		}
 		drain(12, 1, "stall-0", true)
 		drain(14, 1, "stall-0", true)
-		w.restartController(w.Controllers[0], seconds(35), seconds(1))
+		w.Controllers[0].ScheduleRestart(seconds(35), seconds(1))
 		drain(45, 1, "stall-1", true)
 		drain(46, 1, "stall-2", true)
 		drain(47, 0, "stall-9", true)
@@ -404,7 +404,7 @@
 		drain(52, 2, "stall-0", false)
 		drain(65, 2, "stall-0", false)
 		drain(80, 2, "stall-1", false)
-		w.restartController(w.Controllers[2], seconds(85), seconds(6))
+		w.Controllers[2].ScheduleRestart(seconds(85), seconds(6))
 	}, busy: seconds(100), calm: seconds(60)},
 	{name: "upgrade-with-announced-limits", world: newUpgradeWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate, w.DuplicateHeartbeatRate = 0.01, 0.1
@@ -425,7 +425,7 @@
 			})
 		}
 		w.holds(&w.Store.Unavailable, 60, 7)
-		w.restartController(w.Controllers[0], seconds(69), seconds(0.3))
+		w.Controllers[0].ScheduleRestart(seconds(69), seconds(0.3))
 		w.After(seconds(75), func() { w.cancelRunningJobs(3) })
 	}, busy: seconds(110), calm: seconds(50)},
 	{name: "upgrade-and-moves", world: newTransferWorld, play: func(t *testing.T, w *World) {
@@ -461,7 +461,7 @@
 			})
 		}
 		for i := range 6 {
-			w.restartController(w.Controllers[i%3], seconds(24+13*float64(i)), seconds(0.1+0.7*float64(i)))
+			w.Controllers[i%3].ScheduleRestart(seconds(24+13*float64(i)), seconds(0.1+0.7*float64(i)))
 		}
 	}, busy: seconds(110), calm: seconds(60)},
 	{name: "spot-prices", world: func(t *testing.T, seed uint64) *World {
@@ -489,7 +489,7 @@
 			}
 		})
 		w.holds(&w.CloudUnreachable, 70, 15)
-		w.restartController(w.Controllers[1], seconds(60), seconds(2))
+		w.Controllers[1].ScheduleRestart(seconds(60), seconds(2))
 	}, busy: seconds(120), calm: seconds(60)},
 	{name: "alone-and-frozen", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.DuplicateHeartbeatRate = 0.1
--- /dev/null
+++ b/internal/simulation/effects.go
@@ -0,0 +1,288 @@
+package simulation
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"tillerarch/internal/coordination/requests"
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// How long a controller waits for each outside system before it gives a call up.
+const (
+	storeTimeout = 1500 * time.Millisecond
+	agentTimeout = 2 * time.Second
+	cloudTimeout = 10 * time.Second
+	watchTimeout = 3 * time.Second // of one request of a watch, which is repeated
+)
+
+// perform carries one effect of the core out.
+func (c *Controller) perform(e step.Effect) {
+	w := c.world
+	if w.Observe != nil {
+		w.Observe(w.Now, c.ID, e)
+	}
+	switch v := e.(type) {
+	case step.Reply:
+		c.reply(v)
+	case requests.TransferReply:
+		c.replyToOperator(v.Req, v)
+	case requests.DrainReply:
+		c.replyToOperator(v.Req, v)
+	case requests.ShardingStatusReply:
+		c.replyToOperator(v.Req, v)
+	case step.Log:
+		c.trace(v)
+	case step.SendPeerStatus:
+		c.sendPeerStatus(v)
+	case step.Commit:
+		c.commit(v)
+	case step.LoadRecords:
+		c.loadRecords()
+	case step.Watch:
+		c.watchStore(c.generation, v.AfterRevision, w.Now+watchTimeout)
+	case step.ReadRevision:
+		c.readRevision()
+	case step.GrantLease:
+		c.grantLease(v.TTL)
+	case step.RenewLease:
+		c.renewLease(v.LeaseID)
+	case step.ProbeAgent:
+		c.probeAgent(v)
+	case step.SendCommands:
+		c.sendCommands(v)
+	case step.ListMachineTypes:
+		c.listMachineTypes()
+	case step.ProvisionMachines:
+		c.provisionMachines(v.Request)
+	case step.TerminateMachines:
+		c.terminateMachines(v.Machines)
+	case step.ListInstances:
+		c.listInstances()
+	default:
+		panic(fmt.Sprintf("simulation: unhandled effect %T", e))
+	}
+}
+
+func (c *Controller) reply(v step.Reply) {
+	reply := c.pendingReplies[v.RequestID]
+	delete(c.pendingReplies, v.RequestID)
+	if reply != nil {
+		reply(v.Status, v.Body)
+	}
+}
+
+// replyToOperator hands a reply to the operator who waits for it.
+func (c *Controller) replyToOperator(id step.RequestID, e step.Effect) {
+	if reply := c.pendingOperatorReplies[id]; reply != nil {
+		delete(c.pendingOperatorReplies, id)
+		reply(e)
+	}
+}
+
+func (c *Controller) trace(v step.Log) {
+	if c.world.Trace != nil {
+		c.world.Trace(fmt.Sprintf("%8.3f %s %s %v", c.world.Now.Seconds(), c.ID, v.Message, v.Args))
+	}
+}
+
+func (c *Controller) sendPeerStatus(v step.SendPeerStatus) {
+	for _, peer := range c.world.Controllers {
+		if peer == c || c.PeersUnreachable || peer.PeersUnreachable {
+			continue
+		}
+		generation := peer.generation
+		c.world.After(c.world.messageDelay(), func() { peer.stepIfAlive(generation, step.PeerStatusInput(v)) })
+	}
+}
+
+func (c *Controller) commit(v step.Commit) {
+	execute := func() step.Input {
+		status, result := c.world.Store.Commit(c.transactionForVersion(v.Transaction))
+		return step.CommitResult{ID: v.ID, Outcome: commitOutcome(status, result), Result: result}
+	}
+	c.callStore(execute,
+		step.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errNoReply},
+		step.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
+}
+
+// commitOutcome is how a controller's store client reads a reply to a transaction.
+func commitOutcome(status int, result protocol.TransactionResult) storage.Outcome {
+	switch {
+	case result.Error == errorTooLarge:
+		return storage.OutcomeInvalid
+	case status == http.StatusOK:
+		return storage.OutcomeApplied
+	case status == http.StatusConflict:
+		return storage.OutcomeConflict
+	case status == http.StatusTooManyRequests:
+		return storage.OutcomeThrottled
+	case status == http.StatusServiceUnavailable:
+		return storage.OutcomeUnavailable
+	case status == http.StatusBadRequest:
+		return storage.OutcomeLeaseExpired
+	}
+	panic(fmt.Sprintf("simulation: the store replies %d", status))
+}
+
+// readStore calls the store for something that changes nothing but leases. Whatever goes
+// wrong, the controller learns only that there was no reply.
+func (c *Controller) readStore(execute func() step.Input, failed step.Input) {
+	c.callStore(func() step.Input {
+		if c.world.Store.Unavailable {
+			return failed
+		}
+		return execute()
+	}, failed, failed)
+}
+
+func (c *Controller) loadRecords() {
+	store := c.world.Store
+	c.readStore(func() step.Input {
+		entries := c.readableEntries(store.List(storage.KeyPrefix))
+		return step.LoadRecordsResult{Entries: entries, StartRevision: store.revision, EndRevision: store.revision}
+	}, step.LoadRecordsResult{Err: errNoReply})
+}
+
+func (c *Controller) readRevision() {
+	c.readStore(func() step.Input {
+		return step.ReadRevisionResult{Revision: c.world.Store.revision}
+	}, step.ReadRevisionResult{Err: errNoReply})
+}
+
+func (c *Controller) grantLease(ttl time.Duration) {
+	c.readStore(func() step.Input {
+		return step.GrantLeaseResult{LeaseID: c.world.Store.GrantLease(c.world.Now, ttl)}
+	}, step.GrantLeaseResult{Err: errNoReply})
+}
+
+func (c *Controller) renewLease(id protocol.LeaseID) {
+	c.readStore(func() step.Input {
+		if !c.world.Store.RenewLease(c.world.Now, id) {
+			return step.RenewLeaseResult{LeaseID: id, Err: storage.ErrLeaseExpired}
+		}
+		return step.RenewLeaseResult{LeaseID: id}
+	}, step.RenewLeaseResult{LeaseID: id, Err: errNoReply})
+}
+
+// watchStore asks the store for changes every few milliseconds until there are some or the
+// request's time is up. While the store cannot be reached an open request hangs for a while
+// longer.
+func (c *Controller) watchStore(generation int, from protocol.Revision, until time.Duration) {
+	const unreachableGrace = 2 * time.Second
+	w := c.world
+	w.After(time.Duration(2+w.Rand.IntN(20))*time.Millisecond, func() {
+		if !c.Alive || c.generation != generation {
+			return
+		}
+		if c.StoreUnreachable || c.RefusedByStore || w.Store.Unavailable {
+			if w.Now > until+unreachableGrace {
+				c.step(step.WatchResult{AfterRevision: from, Err: errNoReply})
+				return
+			}
+			c.watchStore(generation, from, until)
+			return
+		}
+		response, compacted := w.Store.Watch(storage.KeyPrefix, from)
+		switch {
+		case compacted:
+			c.step(step.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
+		case len(response.Events) > 0 || w.Now > until:
+			response.Events = c.readableEvents(response.Events)
+			c.step(step.WatchResult{AfterRevision: from, Response: &response})
+		default:
+			c.watchStore(generation, from, until)
+		}
+	})
+}
+
+func (c *Controller) probeAgent(v step.ProbeAgent) {
+	c.callService(c.AgentsUnreachable, agentTimeout, func() step.Input {
+		m := c.reachableMachine(v.Machine)
+		if m == nil || m.Partitioned || m.hung {
+			return nil
+		}
+		heartbeat, err := protocol.ParseHeartbeat(m.nextHeartbeat())
+		return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
+	}, step.AgentResult{Machine: v.Machine, Err: errNoReply})
+}
+
+// sendCommands sends direct commands to an agent. One on a hung machine executes them when the
+// machine resumes, if token and agent epoch still match; of a machine that loses the network
+// only the reply is lost.
+func (c *Controller) sendCommands(v step.SendCommands) {
+	if rate := c.world.DelayedCommandRate; rate > 0 && c.world.Rand.Float64() < rate {
+		c.delayCommands(v)
+		return
+	}
+	c.callService(c.AgentsUnreachable, agentTimeout, func() step.Input {
+		m := c.reachableMachine(v.Machine)
+		if m == nil {
+			return nil
+		}
+		if m.hung {
+			m.deferredCommands = append(m.deferredCommands, func() { m.ExecuteCommands(v.Commands) })
+			return nil
+		}
+		_, body := m.ExecuteCommands(v.Commands)
+		if m.Partitioned {
+			return nil
+		}
+		heartbeat, err := protocol.ParseHeartbeat(body)
+		return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
+	}, step.AgentResult{Machine: v.Machine, Err: errNoReply})
+}
+
+// delayCommands executes direct commands seconds late, whatever their sender has become
+// meanwhile. Nobody replies.
+func (c *Controller) delayCommands(command step.SendCommands) {
+	w := c.world
+	c.executeWithoutReply(time.Duration(2000+w.Rand.IntN(14000))*time.Millisecond, agentTimeout, func() {
+		if m := w.Machines[command.Machine]; m != nil && !m.Terminated {
+			m.ExecuteCommands(command.Commands)
+		}
+	}, step.AgentResult{Machine: command.Machine, Err: errNoReply})
+}
+
+// reachableMachine is a machine that the controller's calls reach; nil if they do not.
+func (c *Controller) reachableMachine(id protocol.MachineID) *Machine {
+	m := c.world.Machines[id]
+	if m == nil || c.world.isPartitioned(c, m) || m.Terminated || m.CommandsLost {
+		return nil
+	}
+	return m
+}
+
+func (c *Controller) listMachineTypes() {
+	c.callCloud(func() step.Input {
+		return step.ListMachineTypesResult{MachineTypes: c.world.MachineTypes}
+	}, step.ListMachineTypesResult{Err: errNoReply})
+}
+
+func (c *Controller) provisionMachines(request protocol.ProvisionRequest) {
+	c.callCloud(func() step.Input {
+		if c.world.CloudOutOfCapacity {
+			return step.ProvisionMachinesResult{Request: request, NoCapacity: true}
+		}
+		return step.ProvisionMachinesResult{Request: request, Machines: c.world.Provision(request)}
+	}, step.ProvisionMachinesResult{Request: request, Err: errNoReply})
+}
+
+func (c *Controller) terminateMachines(ids []protocol.MachineID) {
+	c.callCloud(func() step.Input {
+		for _, id := range ids {
+			c.world.TerminateMachine(id)
+		}
+		return step.TerminateMachinesResult{Machines: ids}
+	}, step.TerminateMachinesResult{Machines: ids, Err: errNoReply})
+}
+
+func (c *Controller) listInstances() {
+	requestedAt := c.now().Monotonic
+	c.callCloud(func() step.Input {
+		return step.ListInstancesResult{RequestedAt: requestedAt, Instances: c.world.Instances()}
+	}, step.ListInstancesResult{Err: errNoReply})
+}
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -43,11 +43,6 @@
 	return out
 }
 
-func (w *World) restartController(controller *Controller, at, duration time.Duration) {
-	w.After(at, controller.Kill)
-	w.After(at+duration, controller.Start)
-}
-
 // submitLongJobs sends jobs of few tasks that end far apart.
 func (w *World) submitLongJobs(n int, team string, runSeconds float64) {
 	for i := range n {
@@ -111,7 +106,7 @@
 					}
 				})
 			}
-			w.restartController(w.Controllers[1], seconds(50), seconds(0.3))
+			w.Controllers[1].ScheduleRestart(seconds(50), seconds(0.3))
 		}},
 		{number: 10, name: "jobs bound to one zone, arrays too, lose machines", inject: func(w *World) {
 			for i := range 8 {
@@ -137,7 +132,7 @@
 					}
 				})
 			}
-			w.restartController(w.Controllers[0], seconds(40), seconds(2))
+			w.Controllers[0].ScheduleRestart(seconds(40), seconds(2))
 		}},
 		{number: 13, name: "leaders change ten times in two minutes, also inside an outage", inject: func(w *World) {
 			w.submitLongJobs(6, "core", 40)
@@ -160,7 +155,7 @@
 					w.cancelRunningJobs(1)
 				})
 			}
-			w.restartController(w.Controllers[2], seconds(60), seconds(1))
+			w.Controllers[2].ScheduleRestart(seconds(60), seconds(1))
 		}},
 		{number: 8, name: "transactions without an answer are carried out late, after newer ones", inject: func(w *World) {
 			// Few machines on a page: what is planned anew does not touch the same records.
@@ -170,7 +165,7 @@
 			}
 			w.After(seconds(105), func() { w.DelayedWriteRate = 0 })
 			for i := range 5 {
-				w.restartController(w.Controllers[i%3], seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
+				w.Controllers[i%3].ScheduleRestart(seconds(20+15*float64(i)), seconds([]float64{0.3, 4}[i%2]))
 				w.After(seconds(24+15*float64(i)), func() { w.cancelRunningJobs(2) })
 			}
 		}},
@@ -253,7 +248,7 @@
 			for _, at := range []float64{20, 70} {
 				w.After(seconds(at-0.2), func() { w.cancelRunningJobs(3) })
 				for i, controller := range w.Controllers {
-					w.restartController(controller, seconds(at), seconds(18+float64(i)))
+					controller.ScheduleRestart(seconds(at), seconds(18+float64(i)))
 				}
 			}
 		}},
@@ -306,7 +301,7 @@
 					delete(w.PartitionedZones, z)
 				})
 			}
-			w.restartController(w.Controllers[0], seconds(30), seconds(0.4))
+			w.Controllers[0].ScheduleRestart(seconds(30), seconds(0.4))
 		}},
 	} {
 		t.Run(fmt.Sprintf("%d %s", m.number, m.name), func(t *testing.T) { runFaultCombination(t, m) })
--- /dev/null
+++ b/internal/simulation/free_capacity.go
@@ -0,0 +1,98 @@
+package simulation
+
+import (
+	"maps"
+	"slices"
+
+	"tillerarch/internal/protocol"
+)
+
+// capacityTolerance is the slack of comparisons of cores and GB, which are sums of fractions.
+const capacityTolerance = 1e-9
+
+// freeCapacity is what is free on a machine.
+type freeCapacity struct {
+	machine         *Machine
+	cores, memoryGB float64
+}
+
+// tasksThatFit counts the tasks of a job that a machine has room for. Spot machines do not
+// count: whether they may be used depends on their price too.
+func (f freeCapacity) tasksThatFit(job *protocol.Job) int {
+	cores, memoryGB := f.cores+capacityTolerance, f.memoryGB+capacityTolerance
+	if f.machine.Spot || !job.AllowsPlacement(f.machine.Type, f.machine.Zone) || cores < job.Cores || memoryGB < job.MemoryGB {
+		return 0
+	}
+	return int(min(cores/job.Cores, memoryGB/job.MemoryGB))
+}
+
+// clusterUsage is what the tasks on all machines use, and what is free for more.
+type clusterUsage struct {
+	free        []freeCapacity
+	coresByTeam map[string]float64
+	placed      map[protocol.Task]bool
+}
+
+func (w *World) usage() clusterUsage {
+	usage := clusterUsage{coresByTeam: map[string]float64{}, placed: map[protocol.Task]bool{}}
+	for _, id := range slices.Sorted(maps.Keys(w.Machines)) {
+		m := w.Machines[id]
+		if m.Terminated || m.sequence == 0 {
+			continue
+		}
+		free := freeCapacity{machine: m}
+		for i := range w.MachineTypes {
+			if w.MachineTypes[i].Name == m.Type {
+				free.cores, free.memoryGB = w.MachineTypes[i].Cores, w.MachineTypes[i].MemoryGB
+			}
+		}
+		for t, execution := range m.tasks {
+			if execution.state == protocol.TaskExited {
+				continue
+			}
+			job := w.Jobs[t.Job]
+			free.cores -= job.Cores
+			free.memoryGB -= job.MemoryGB
+			usage.coresByTeam[job.Team] += job.Cores
+			usage.placed[t] = true
+		}
+		if m.preemptAt == 0 && !m.Faulty {
+			usage.free = append(usage.free, free)
+		}
+	}
+	return usage
+}
+
+// checkPlaceableJobs tells the rules which jobs are pending although machines have room.
+func (w *World) checkPlaceableJobs() {
+	usage := w.usage()
+	for _, id := range slices.Sorted(maps.Keys(w.Jobs)) {
+		w.Rules.RecordPlaceable(w.Now, id, w.isPlaceable(w.Jobs[id], usage))
+	}
+}
+
+// isPlaceable reports whether some of a job's pending tasks, or all of a gang's, could be
+// placed now. Constraints that several tasks together put on zones are not solved here: such
+// jobs count as not placeable.
+func (w *World) isPlaceable(job *protocol.Job, usage clusterUsage) bool {
+	const maxCountedTasks = 500
+	completed := w.Rules.job(job.ID).completedTasks
+	pending := 0
+	for index := range min(job.TaskCount, maxCountedTasks) {
+		if !completed[index] && !usage.placed[protocol.Task{Job: job.ID, Index: index}] {
+			pending++
+		}
+	}
+	need := 1
+	if job.IsGang() {
+		need = pending
+	}
+	limit := w.Rules.QuotaLimits[job.Team]
+	withinQuota := limit == 0 || usage.coresByTeam[job.Team]+float64(need)*job.Cores <= limit+capacityTolerance
+	capacity := 0
+	for _, free := range usage.free {
+		capacity += free.tasksThatFit(job)
+	}
+	zonesAreSimple := (need == 1 || !job.SingleZone && !job.SpreadZones) && (!job.SpreadZones || job.TaskCount == 1)
+	return pending > 0 && withinQuota && capacity >= need && zonesAreSimple
+}
--- /dev/null
+++ b/internal/simulation/gangs.go
@@ -0,0 +1,70 @@
+package simulation
+
+import (
+	"maps"
+	"slices"
+
+	"tillerarch/internal/protocol"
+)
+
+// gangMember is a task of a gang on its machine.
+type gangMember struct {
+	machine   *Machine
+	task      protocol.Task
+	execution *taskExecution
+}
+
+// updateGangs starts gangs all of whose tasks are ready, and ends tasks whose gang has lost
+// one.
+func (m *Machine) updateGangs() {
+	for _, t := range m.sortedTasks() {
+		execution, job := m.tasks[t], m.world.Jobs[t.Job]
+		if job == nil || !job.IsGang() {
+			continue
+		}
+		switch execution.state {
+		case protocol.TaskAwaitingGang:
+			members := m.world.gangMembers(t.Job, execution.attempt)
+			if len(members) == job.TaskCount && allAwaitGang(members) {
+				m.world.startGang(job, members)
+			}
+		case protocol.TaskRunning:
+			if len(m.world.gangMembers(t.Job, execution.attempt)) < job.TaskCount {
+				m.endTask(t, execution, "mates_gone")
+			}
+		}
+	}
+}
+
+func allAwaitGang(members []gangMember) bool {
+	return !slices.ContainsFunc(members, func(member gangMember) bool {
+		return member.execution.state != protocol.TaskAwaitingGang
+	})
+}
+
+func (w *World) startGang(job *protocol.Job, members []gangMember) {
+	end := w.Now + protocol.Seconds(job.EstimatedRunSeconds)
+	for _, member := range members {
+		member.execution.stateEndsAt = end
+		member.machine.setState(member.task, member.execution, protocol.TaskRunning)
+	}
+}
+
+// gangMembers lists the tasks of an attempt that are on machines, or done there, in the order
+// of their machines.
+func (w *World) gangMembers(id protocol.JobID, attempt protocol.Attempt) (members []gangMember) {
+	for _, machine := range slices.Sorted(maps.Keys(w.Machines)) {
+		m := w.Machines[machine]
+		if m.Terminated {
+			continue
+		}
+		for _, t := range m.sortedTasks() {
+			execution := m.tasks[t]
+			gone := execution.state == protocol.TaskExited && execution.reason != protocol.ReasonDone
+			if t.Job == id && execution.attempt == attempt && !gone {
+				members = append(members, gangMember{machine: m, task: t, execution: execution})
+			}
+		}
+	}
+	return members
+}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -22,6 +22,9 @@
 	classExits = "ends"
 )
 
+// machineStepInterval is how often a machine looks at its tasks and timers.
+const machineStepInterval = 100 * time.Millisecond
+
 // never is when the stage of a task ends that has no end of its own.
 const never = time.Duration(1<<63 - 1)
 
@@ -56,6 +59,16 @@
 	preemptAt        time.Duration // when the cloud takes it; 0: not known
 }
 
+// loop plays the machine until it is terminated.
+func (m *Machine) loop() {
+	if m.Terminated {
+		return
+	}
+	m.advance()
+	m.updateGangs()
+	m.world.After(machineStepInterval, m.loop)
+}
+
 func (m *Machine) nextHeartbeat() []byte {
 	m.sequence++
 	heartbeat := protocol.Heartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
@@ -91,7 +104,7 @@
 	if wasRunning && !isRunning {
 		m.world.Rules.RecordTaskEnd(t, execution.reason == protocol.ReasonDone)
 		if execution.reason == protocol.ReasonDone {
-			m.world.handleJobEnd(t.Job)
+			m.world.handleTaskDone(t.Job)
 		}
 		if job := m.world.Jobs[t.Job]; job.IsGang() && execution.reason == protocol.ReasonDone {
 			for p := range job.TaskCount { // if one task of a gang is done, all are
--- /dev/null
+++ b/internal/simulation/network.go
@@ -0,0 +1,152 @@
+package simulation
+
+import (
+	"time"
+
+	"tillerarch/internal/coordination/step"
+)
+
+// messageDelay is what a message takes. One in fifty takes up to 0.3 s longer.
+func (w *World) messageDelay() time.Duration {
+	d := time.Duration(1+w.Rand.IntN(8)) * time.Millisecond
+	if w.MaxNetworkDelay > 0 {
+		d += time.Duration(w.Rand.Int64N(int64(w.MaxNetworkDelay)))
+	}
+	if w.Rand.Float64() < 0.02 {
+		d += time.Duration(w.Rand.IntN(300)) * time.Millisecond
+	}
+	return d
+}
+
+// isPartitioned reports whether the border of a cut-off zone lies between a controller and a
+// machine.
+func (w *World) isPartitioned(controller *Controller, m *Machine) bool {
+	for zone, inside := range w.PartitionedZones {
+		if (m.Zone == zone) != (controller == inside) {
+			return true
+		}
+	}
+	return false
+}
+
+// callService sends a request to an outside system and brings the reply back. Either way may
+// be lost, or the request may be executed late; the controller then gets timeoutInput. It
+// gets one input in all, unless its process has ended. execute returns nil for no reply.
+func (c *Controller) callService(unreachable bool, timeout time.Duration, execute func() step.Input, timeoutInput step.Input) {
+	w, generation := c.world, c.generation
+	answered := false
+	deliver := func(input step.Input) {
+		if !answered && c.Alive && c.generation == generation {
+			answered = true
+			c.step(input)
+		}
+	}
+	w.After(timeout, func() { deliver(timeoutInput) })
+	d := w.messageDelay()
+	if unreachable || w.Rand.Float64() < w.MessageLossRate {
+		if w.Rand.IntN(2) == 0 {
+			return // never arrives
+		}
+		d = timeout + time.Duration(w.Rand.IntN(8000))*time.Millisecond // arrives when nobody waits any more
+	}
+	w.After(d, func() {
+		input := execute()
+		if input != nil && !unreachable && w.Rand.Float64() >= w.MessageLossRate {
+			w.After(w.messageDelay(), func() { deliver(input) })
+		}
+	})
+}
+
+// executeWithoutReply executes a request after a while; its controller gets timeoutInput.
+func (c *Controller) executeWithoutReply(delay, timeout time.Duration, execute func(), timeoutInput step.Input) {
+	generation := c.generation
+	c.world.After(delay, execute)
+	c.world.After(timeout, func() { c.stepIfAlive(generation, timeoutInput) })
+}
+
+// callStore sends a request to the store, which may be unreachable, refuse this controller
+// alone (refusedInput), be slow, or apply a transaction late or without a reply.
+func (c *Controller) callStore(execute func() step.Input, timeoutInput, refusedInput step.Input) {
+	w := c.world
+	if c.RefusedByStore {
+		c.callService(false, storeTimeout, func() step.Input { return refusedInput }, timeoutInput)
+		return
+	}
+	_, isCommit := timeoutInput.(step.CommitResult)
+	if isCommit && w.Rand.Float64() < w.DelayedWriteRate {
+		delay := time.Duration(2000+w.Rand.IntN(10000)) * time.Millisecond
+		c.executeWithoutReply(delay, storeTimeout, func() { execute() }, timeoutInput)
+		return
+	}
+	if isCommit && w.LostWriteReplyRate > 0 && w.Rand.Float64() < w.LostWriteReplyRate {
+		c.executeWithoutReply(w.messageDelay(), storeTimeout, func() { execute() }, timeoutInput)
+		return
+	}
+	if w.MaxStoreDelay > 0 {
+		generation, d := c.generation, time.Duration(w.Rand.Int64N(int64(w.MaxStoreDelay)))
+		w.After(d, func() {
+			if c.Alive && c.generation == generation {
+				c.callService(c.StoreUnreachable, storeTimeout-d, execute, timeoutInput)
+			}
+		})
+		return
+	}
+	c.callService(c.StoreUnreachable, storeTimeout, execute, timeoutInput)
+}
+
+func (c *Controller) callCloud(execute func() step.Input, timeoutInput step.Input) {
+	c.callService(c.world.CloudUnreachable, cloudTimeout, execute, timeoutInput)
+}
+
+// heartbeatReply is a controller's reply to a heartbeat.
+type heartbeatReply struct {
+	status int
+	body   []byte
+	sender string // the process that replied
+}
+
+// transmitHeartbeat brings an agent's heartbeat to a controller and the reply back. No reply
+// at all is the agent's to notice; status 0 says that the connection was refused.
+func (w *World) transmitHeartbeat(controller *Controller, m *Machine, body []byte, reply func(heartbeatReply)) {
+	w.duplicateHeartbeat(body)
+	d := w.messageDelay()
+	if m.HeartbeatsLost {
+		return // it cannot even connect
+	}
+	unreachable := func() bool {
+		return m.Partitioned || controller.AgentsUnreachable || w.isPartitioned(controller, m)
+	}
+	if unreachable() || w.Rand.Float64() < w.MessageLossRate {
+		if w.Rand.IntN(2) == 0 {
+			return
+		}
+		d = 5*time.Second + time.Duration(w.Rand.IntN(20000))*time.Millisecond // arrives when the agent has gone on
+	}
+	w.After(d, func() {
+		if !controller.Alive {
+			w.After(w.messageDelay(), func() { reply(heartbeatReply{}) })
+			return
+		}
+		controller.DeliverHeartbeat(body, func(status int, b []byte) {
+			if m.HeartbeatsLost || m.CommandsLost || unreachable() || w.Rand.Float64() < w.MessageLossRate {
+				return
+			}
+			response := heartbeatReply{status: status, body: b, sender: controller.processName()}
+			w.After(w.messageDelay(), func() { reply(response) })
+		})
+	})
+}
+
+// duplicateHeartbeat lets a copy of a heartbeat arrive at any controller now and then, from
+// half a second to well over an agent's lease later.
+func (w *World) duplicateHeartbeat(body []byte) {
+	if w.DuplicateHeartbeatRate == 0 || w.Rand.Float64() >= w.DuplicateHeartbeatRate {
+		return
+	}
+	receiver := w.Controllers[w.Rand.IntN(len(w.Controllers))]
+	w.After(time.Duration(500+w.Rand.IntN(40000))*time.Millisecond, func() {
+		if receiver.Alive {
+			receiver.DeliverHeartbeat(body, func(int, []byte) {})
+		}
+	})
+}
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -71,7 +71,7 @@
 		{"all controllers end", 4, nil, func(w *World) {
 			w.TerminateMachine(w.machinesOfJob("j-1")[0].ID)
 			for _, controller := range w.Controllers {
-				w.restartController(controller, 0, 3*time.Second)
+				controller.ScheduleRestart(0, 3*time.Second)
 			}
 		}, 50},
 		{"the state service is down as its machine dies", 4, nil, func(w *World) {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -1,6 +1,3 @@
-// Package simulation plays the outside systems in tests: state service, cloud,
-// workers and users, by their protocol, in simulated time; and it checks the
-// Rules of PROTOCOL from outside the controllers.
 package simulation
 
 import (
@@ -14,6 +11,9 @@
 	"tillerarch/internal/protocol"
 )
 
+// errorTooLarge is the store's error for a transaction beyond its limits.
+const errorTooLarge = "too large"
+
 type storedEntry struct {
 	data        json.RawMessage
 	modRevision protocol.ModRevision
@@ -46,7 +46,7 @@
 
 // NewStore makes an empty store that keeps the given number of changes.
 func NewStore(maxEvents int) *Store {
-	return &Store{MaxValueBytes: 8192, MaxOperations: 8, entries: map[string]storedEntry{}, leaseExpiry: map[protocol.LeaseID]time.Duration{}, leaseTTL: map[protocol.LeaseID]time.Duration{}, maxEvents: maxEvents}
+	return &Store{MaxValueBytes: maxValueBytes, MaxOperations: maxTransactionOps, entries: map[string]storedEntry{}, leaseExpiry: map[protocol.LeaseID]time.Duration{}, leaseTTL: map[protocol.LeaseID]time.Duration{}, maxEvents: maxEvents}
 }
 
 // SetMaxEvents sets how many changes are kept for who follows.
@@ -111,7 +111,7 @@
 	}
 	if len(transaction.Operations) > s.MaxOperations || len(transaction.Conditions) > 4*s.MaxOperations || size > 64<<10 {
 		s.RejectedTooLarge++
-		return 400, protocol.TransactionResult{Error: "too large"}
+		return 400, protocol.TransactionResult{Error: errorTooLarge}
 	}
 	if s.WriteRate > 0 && s.writeBudget < float64(len(transaction.Operations)) {
 		s.RejectedThrottled++
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -195,7 +195,7 @@
 	if left := w.MachinesOwnedBy(a); left > 0 {
 		t.Errorf("%d machines are left", left)
 	}
-	w.restartIfAlive(w.History.liveIncarnations[storage.ControllerKey(a.ID)], time.Second)
+	a.restartIfAlive(time.Second)
 	w.Advance(30 * time.Second)
 	if left := w.MachinesOwnedBy(a); left > 0 {
 		t.Errorf("%d machines were given to the next process", left)
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -58,16 +58,6 @@
 	return nil
 }
 
-// restartIfAlive ends the controller of a run and brings it back, unless it is away already.
-func (w *World) restartIfAlive(incarnation storage.Incarnation, downtime time.Duration) {
-	controller := w.controllerOf(incarnation)
-	if controller == nil || !controller.Alive {
-		return
-	}
-	controller.Kill()
-	w.After(downtime, controller.Start)
-}
-
 // requestRandomTransfers asks for moves of pages at random, from one controller to the next, until a
 // time.
 func (w *World) requestRandomTransfers(every, until time.Duration) {
@@ -109,30 +99,30 @@
 	}{
 		{"nothing fails", 25, func(w *World) {}},
 		{"the giver ends with a move proposed", 5, func(w *World) {
-			w.onTransferPhase(storage.TransferProposed, each(4, func(r storage.TransferRecord) { w.restartIfAlive(r.Source, 3*time.Second) }))
+			w.onTransferPhase(storage.TransferProposed, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Source).restartIfAlive(3 * time.Second) }))
 		}},
 		{"the giver ends with a move prepared, and is back at once", 5, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.restartIfAlive(r.Source, 200*time.Millisecond) }))
+			w.onTransferPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Source).restartIfAlive(200 * time.Millisecond) }))
 		}},
 		{"the giver ends with a move prepared, and stays away", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(5, func(r storage.TransferRecord) { w.restartIfAlive(r.Source, 20*time.Second) }))
+			w.onTransferPhase(storage.TransferPrepared, each(5, func(r storage.TransferRecord) { w.controllerOf(r.Source).restartIfAlive(20 * time.Second) }))
 		}},
 		{"the taker ends with a move prepared", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.restartIfAlive(r.Target, 4*time.Second) }))
+			w.onTransferPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Target).restartIfAlive(4 * time.Second) }))
 		}},
 		{"the taker ends as it has the page", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferCommitted, each(4, func(r storage.TransferRecord) { w.restartIfAlive(r.Target, 12*time.Second) }))
+			w.onTransferPhase(storage.TransferCommitted, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Target).restartIfAlive(12 * time.Second) }))
 		}},
 		{"both ends are gone with a move prepared", 3, func(w *World) {
 			w.onTransferPhase(storage.TransferPrepared, each(6, func(r storage.TransferRecord) {
-				w.restartIfAlive(r.Source, 15*time.Second)
-				w.restartIfAlive(r.Target, 18*time.Second)
+				w.controllerOf(r.Source).restartIfAlive(15 * time.Second)
+				w.controllerOf(r.Target).restartIfAlive(18 * time.Second)
 			}))
 		}},
 		{"both ends are gone behind the transfer", 3, func(w *World) {
 			w.onTransferPhase(storage.TransferCommitted, each(6, func(r storage.TransferRecord) {
-				w.restartIfAlive(r.Source, 15*time.Second)
-				w.restartIfAlive(r.Target, 18*time.Second)
+				w.controllerOf(r.Source).restartIfAlive(15 * time.Second)
+				w.controllerOf(r.Target).restartIfAlive(18 * time.Second)
 			}))
 		}},
 		{"the giver is frozen past its lease, and goes on", 3, func(w *World) {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -74,19 +74,19 @@
 		}},
 		{"a lossy network", 60, 0.03, inTurn},
 		{"one crashes before its turn and comes back old", 60, 0, func(w *World) {
-			w.restartController(w.Controllers[2], seconds(24), seconds(2))
+			w.Controllers[2].ScheduleRestart(seconds(24), seconds(2))
 			inTurn(w)
 		}},
 		{"the upgrade stops half-way for a minute", 110, 0, func(w *World) {
 			w.Controllers[0].Upgrade(seconds(15), seconds(3))
-			w.restartController(w.Controllers[1], seconds(40), seconds(2))
+			w.Controllers[1].ScheduleRestart(seconds(40), seconds(2))
 			w.Controllers[1].Upgrade(seconds(75), seconds(3))
 			w.Controllers[2].Upgrade(seconds(85), seconds(3))
 		}},
 		{"all end as the limits tighten", 52, 0, func(w *World) {
 			inTurn(w)
 			for i, controller := range w.Controllers {
-				w.restartController(controller, seconds(51.5+0.3*float64(i)), seconds(1+float64(i)))
+				controller.ScheduleRestart(seconds(51.5+0.3*float64(i)), seconds(1+float64(i)))
 			}
 		}},
 		{"an outage during the upgrade, and the limits tighten in the next", 64, 0.01, func(w *World) {
@@ -116,7 +116,7 @@
 			}
 			w.After(seconds(57), func() { w.Store.Unavailable = true })
 			w.After(seconds(64), func() { w.Store.Unavailable = false })
-			w.restartController(w.Controllers[0], seconds(66), seconds(0.3))
+			w.Controllers[0].ScheduleRestart(seconds(66), seconds(0.3))
 		}},
 	} {
 		t.Run(day.name, func(t *testing.T) {
