--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -2,61 +2,77 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"sort"
 	"time"
 
 	"tillerarch/internal/protocol"
 )
 
-type taskExecution struct {
-	attempt       protocol.Attempt
-	state         protocol.TaskState
-	reason        protocol.Reason
-	progressSaved bool
-	stateEndsAt   time.Duration // when its stage ends
-}
-
-// Classes whose tasks fail everywhere, and whose replicas end by themselves at once.
+// Classes whose tasks fail on every machine, and whose replicas exit by themselves at once.
 const (
 	classFails = "bad"
 	classExits = "ends"
 )
 
-// machineStepInterval is how often a machine looks at its tasks and timers.
-const machineStepInterval = 100 * time.Millisecond
+// Timers of an agent.
+const (
+	machineStepInterval  = 100 * time.Millisecond // how often a machine looks at its tasks and timers
+	replyTimeout         = 4 * time.Second        // after which an agent drops a reply
+	minHeartbeatGap      = 500 * time.Millisecond // between heartbeats that report a change
+	nextControllerDelay  = time.Second            // before the next controller is tried
+	maxRedirectDelay     = 500 * time.Millisecond // before the controller named by a redirect is tried
+	droppedReplyInterval = time.Second            // before the next heartbeat after a dropped reply
+)
 
-// never is when the stage of a task ends that has no end of its own.
+// never is when a state ends that has no end of its own.
 const never = time.Duration(1<<63 - 1)
 
-// Machine is a machine with its worker.
+// taskExecution is an attempt of a task on a machine.
+type taskExecution struct {
+	attempt       protocol.Attempt
+	state         protocol.TaskState
+	reason        protocol.Reason
+	progressSaved bool
+	stateEndsAt   time.Duration
+}
+
+// isOnMachine reports whether a state counts as running for the rules: the task's program has
+// been started and has not ended.
+func isOnMachine(state protocol.TaskState) bool {
+	return state != protocol.TaskPullingImage && state != protocol.TaskExited
+}
+
+// Machine is a machine with its agent.
 type Machine struct {
+	ID             protocol.MachineID
+	Addr           string
+	Type           protocol.MachineTypeName
+	Zone           protocol.Zone
+	Spot           bool
+	Terminated     bool
+	Faulty         bool // every task fails here
+	Partitioned    bool // nothing passes between it and the controllers but what is on its way
+	HeartbeatsLost bool // it reaches no controller, while direct commands reach it
+	CommandsLost   bool // its heartbeats arrive, while replies and commands do not reach it
+
 	world            *World
-	ID               protocol.MachineID
-	Addr             string
-	Type             protocol.MachineTypeName
-	Zone             protocol.Zone
-	Spot             bool
-	Terminated       bool
-	Faulty           bool // every task fails here
-	Partitioned      bool // reaches no controller
-	HeartbeatsLost   bool // reaches no controller, while direct commands reach it
-	CommandsLost     bool // its reports arrive, answers and commands do not reach it
-	hung             bool // it stands still, and may go on
+	hung             bool // it stands still and may resume
 	deferredCommands []func()
 	epoch            protocol.AgentEpoch
 	sequence         protocol.Sequence
 	fencingToken     protocol.FencingToken
 	tasks            map[protocol.Task]*taskExecution
-	leaseRenewedAt   time.Duration // when the last answered report was sent
-	controllerIndex  int
 	cachedImages     map[string]bool
-	lastStartAt      time.Duration // when it last took a start
-	heartbeatID      int           // of the report that waits for its answer
+	lastStartAt      time.Duration // when it last accepted a start command
+	leaseRenewedAt   time.Duration // when the last heartbeat with a reply was sent
+	controllerIndex  int           // of the controller that its heartbeats go to
+	heartbeatID      int           // of the heartbeat that awaits its reply
 	awaitingReply    bool
 	heartbeatSentAt  time.Duration
 	nextHeartbeatAt  time.Duration
-	changed          bool
-	preemptAt        time.Duration // when the cloud takes it; 0: not known
+	changed          bool          // something is to be reported soon
+	preemptAt        time.Duration // when the cloud takes it; 0: not announced
 }
 
 // loop plays the machine until it is terminated.
@@ -71,15 +87,30 @@
 
 func (m *Machine) nextHeartbeat() []byte {
 	m.sequence++
-	heartbeat := protocol.Heartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		AgentEpoch: m.epoch, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []protocol.TaskStatus{}}
+	heartbeat := protocol.Heartbeat{
+		Machine:      m.ID,
+		Addr:         m.Addr,
+		Type:         m.Type,
+		Zone:         m.Zone,
+		Spot:         m.Spot,
+		AgentEpoch:   m.epoch,
+		Sequence:     m.sequence,
+		FencingToken: m.fencingToken,
+		Tasks:        []protocol.TaskStatus{},
+	}
 	if m.preemptAt > 0 {
 		left := (m.preemptAt - m.world.Now).Seconds()
 		heartbeat.PreemptionNoticeSeconds = &left
 	}
 	for _, t := range m.sortedTasks() {
 		execution := m.tasks[t]
-		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: t, Attempt: execution.attempt, State: execution.state, Reason: execution.reason, ProgressSaved: execution.progressSaved})
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
+			Task:          t,
+			Attempt:       execution.attempt,
+			State:         execution.state,
+			Reason:        execution.reason,
+			ProgressSaved: execution.progressSaved,
+		})
 	}
 	return protocol.Encode(heartbeat)
 }
@@ -93,23 +124,28 @@
 	return out
 }
 
+// setState changes a task's state and tells the rules when it begins or ends to run.
 func (m *Machine) setState(t protocol.Task, execution *taskExecution, state protocol.TaskState) {
-	wasRunning := execution.state != protocol.TaskPullingImage && execution.state != protocol.TaskExited
+	wasRunning, isRunning := isOnMachine(execution.state), isOnMachine(state)
 	execution.state = state
 	m.changed = true
-	isRunning := state != protocol.TaskPullingImage && state != protocol.TaskExited
-	if isRunning && !wasRunning {
+	switch {
+	case isRunning && !wasRunning:
 		m.world.Rules.RecordTaskStart(m.world.Now, t, m.ID, m.Type, m.Zone, m.Spot)
+	case wasRunning && !isRunning:
+		m.recordTaskEnd(t, execution.reason == protocol.ReasonDone)
 	}
-	if wasRunning && !isRunning {
-		m.world.Rules.RecordTaskEnd(t, execution.reason == protocol.ReasonDone)
-		if execution.reason == protocol.ReasonDone {
-			m.world.handleTaskDone(t.Job)
-		}
-		if job := m.world.Jobs[t.Job]; job.IsGang() && execution.reason == protocol.ReasonDone {
-			for p := range job.TaskCount { // if one task of a gang is done, all are
-				m.world.Rules.job(t.Job).completedTasks[p] = true
-			}
+}
+
+func (m *Machine) recordTaskEnd(t protocol.Task, done bool) {
+	m.world.Rules.RecordTaskEnd(t, done)
+	if !done {
+		return
+	}
+	m.world.handleTaskDone(t.Job)
+	if job := m.world.Jobs[t.Job]; job.IsGang() { // if one task of a gang is done, all are
+		for index := range job.TaskCount {
+			m.world.Rules.job(t.Job).completedTasks[index] = true
 		}
 	}
 }
@@ -130,7 +166,7 @@
 	m.tasks = map[protocol.Task]*taskExecution{}
 }
 
-// Reboot ends all that is on the machine; it is back at once with a new session.
+// Reboot kills all tasks and restarts the agent at once, with a new epoch.
 func (m *Machine) Reboot() {
 	m.killTasks()
 	m.epoch++
@@ -138,37 +174,37 @@
 	m.awaitingReply, m.changed = false, true
 }
 
-// recordLingeringTasks notes which tasks are killed while the machine hangs. Whether they count as gone
-// before it goes on is not for the worker to say: for moving them they do, for a
-// cancellation they do not.
+// recordLingeringTasks notes which tasks are killed while the machine hangs. Until it resumes
+// nobody has seen them end: for placing them elsewhere they have ended, since they cannot go
+// on; for a confirmed cancellation they have not.
 func (m *Machine) recordLingeringTasks() {
 	for t, execution := range m.tasks {
-		if execution.state != protocol.TaskPullingImage && execution.state != protocol.TaskExited {
+		if isOnMachine(execution.state) {
 			m.world.Rules.lingering[t] = location{machine: m.ID, zone: m.Zone}
 		}
 	}
 }
 
-// clearLingeringTasks ends what haunt noted: the machine goes on, or is gone.
+// clearLingeringTasks ends what recordLingeringTasks noted: the machine resumes or is gone.
 func (m *Machine) clearLingeringTasks() {
-	for t, p := range m.world.Rules.lingering {
-		if p.machine == m.ID {
+	for t, place := range m.world.Rules.lingering {
+		if place.machine == m.ID {
 			delete(m.world.Rules.lingering, t)
 		}
 	}
 }
 
-// Hang lets the machine stand still for a while: nothing on it goes on, what is
-// sent to it waits. Its lease runs out all the same.
+// Hang lets the machine stand still for a while: its tasks and its agent do nothing, commands
+// to it wait. Its lease expires all the same.
 func (m *Machine) Hang(d time.Duration) {
 	m.hung = true
 	m.world.After(d, func() {
 		m.hung = false
 		m.clearLingeringTasks()
-		late := m.deferredCommands
+		deferred := m.deferredCommands
 		m.deferredCommands = nil
-		for _, f := range late {
-			f()
+		for _, execute := range deferred {
+			execute()
 		}
 	})
 }
@@ -180,61 +216,74 @@
 		return
 	}
 	if now-m.leaseRenewedAt > m.world.AgentLeaseTTL {
-		if m.hung {
-			m.recordLingeringTasks()
-		}
-		m.killTasks()
-		m.epoch++
-		m.leaseRenewedAt = now
-		m.awaitingReply = false
-		m.changed = true
+		m.expireLease()
+	}
+	if m.hung {
+		return
 	}
 	for _, t := range m.sortedTasks() {
 		execution := m.tasks[t]
-		job := m.world.Jobs[t.Job]
-		if m.hung || execution.state == protocol.TaskExited || now < execution.stateEndsAt {
-			continue
-		}
-		switch execution.state {
-		case protocol.TaskPullingImage:
-			m.cachedImages[job.Image] = true
-			if m.world.Rules.job(t.Job).completedTasks[t.Index] {
-				m.endTask(t, execution, protocol.ReasonDone) // the result is kept
-			} else if job.IsGang() {
-				execution.stateEndsAt = now + m.world.GangStartTimeout
-				m.setState(t, execution, protocol.TaskAwaitingGang)
-			} else {
-				m.startTask(t, execution, job)
-			}
-		case protocol.TaskAwaitingGang:
-			m.endTask(t, execution, "alone")
-		case protocol.TaskRunning:
-			if m.Faulty || job.Class == classFails {
-				m.endTask(t, execution, protocol.ReasonError)
-			} else {
-				m.endTask(t, execution, protocol.ReasonDone)
-			}
-		case protocol.TaskSaving:
-			execution.progressSaved = true
-			m.world.SavedTasks[job.ID]++
-			m.endTask(t, execution, "stopped")
+		if execution.state != protocol.TaskExited && now >= execution.stateEndsAt {
+			m.leaveState(t, execution)
 		}
 	}
-	if m.hung {
-		return
-	}
-	if m.awaitingReply && now-m.heartbeatSentAt > 4*time.Second {
+	if m.awaitingReply && now-m.heartbeatSentAt > replyTimeout {
 		m.awaitingReply = false
-		m.controllerIndex++
-		m.nextHeartbeatAt = now + time.Second
+		m.tryNextController()
 	}
-	if !m.awaitingReply && (now >= m.nextHeartbeatAt || m.changed && now-m.heartbeatSentAt >= 500*time.Millisecond) {
+	changeIsDue := m.changed && now-m.heartbeatSentAt >= minHeartbeatGap
+	if !m.awaitingReply && (now >= m.nextHeartbeatAt || changeIsDue) {
 		m.sendHeartbeat()
 	}
 }
 
+// expireLease kills all tasks: another owner may place them elsewhere from now on.
+func (m *Machine) expireLease() {
+	if m.hung {
+		m.recordLingeringTasks()
+	}
+	m.killTasks()
+	m.epoch++
+	m.leaseRenewedAt = m.world.Now
+	m.awaitingReply = false
+	m.changed = true
+}
+
+// leaveState takes a task whose state has lasted its time to the next one.
+func (m *Machine) leaveState(t protocol.Task, execution *taskExecution) {
+	job := m.world.Jobs[t.Job]
+	switch execution.state {
+	case protocol.TaskPullingImage:
+		m.cachedImages[job.Image] = true
+		switch {
+		case m.world.Rules.job(t.Job).completedTasks[t.Index]: // its result is there from an earlier attempt
+			m.endTask(t, execution, protocol.ReasonDone)
+		case job.IsGang():
+			execution.stateEndsAt = m.world.Now + m.world.GangStartTimeout
+			m.setState(t, execution, protocol.TaskAwaitingGang)
+		default:
+			m.startTask(t, execution, job)
+		}
+	case protocol.TaskAwaitingGang:
+		m.endTask(t, execution, "alone")
+	case protocol.TaskRunning:
+		if m.Faulty || job.Class == classFails {
+			m.endTask(t, execution, protocol.ReasonError)
+		} else {
+			m.endTask(t, execution, protocol.ReasonDone)
+		}
+	case protocol.TaskSaving:
+		execution.progressSaved = true
+		m.world.SavedTasks[job.ID]++
+		m.endTask(t, execution, "stopped")
+	}
+}
+
+// startTask lets a task run for half to one and a half times its estimate; a replica that
+// does not fail runs until it is stopped.
 func (m *Machine) startTask(t protocol.Task, execution *taskExecution, job *protocol.Job) {
-	execution.stateEndsAt = m.world.Now + time.Duration(job.EstimatedRunSeconds*(0.5+m.world.Rand.Float64())*float64(time.Second))
+	runTime := job.EstimatedRunSeconds * (0.5 + m.world.Rand.Float64())
+	execution.stateEndsAt = m.world.Now + time.Duration(runTime*float64(time.Second))
 	if job.IsService() && job.Class != classFails && job.Class != classExits && !m.Faulty {
 		execution.stateEndsAt = never
 	}
@@ -247,49 +296,66 @@
 	m.awaitingReply, m.heartbeatSentAt = true, w.Now
 	m.nextHeartbeatAt = w.Now + time.Duration((0.75+w.Rand.Float64()/2)*float64(w.HeartbeatInterval))
 	m.heartbeatID++
-	seq, sentAt, epoch := m.heartbeatID, w.Now, m.epoch
+	heartbeatID, sentAt, epoch := m.heartbeatID, w.Now, m.epoch
 	controller := w.Controllers[m.controllerIndex%len(w.Controllers)]
 	body := m.nextHeartbeat()
-	w.transmitHeartbeat(controller, m, body, func(response heartbeatReply) {
-		if m.hung && w.Now-sentAt < 4*time.Second {
-			m.nextHeartbeatAt = w.Now + time.Second // a worker drops what it reads too late
+	w.transmitHeartbeat(controller, m, body, func(reply heartbeatReply) {
+		if m.hung && w.Now-sentAt < replyTimeout { // read when it resumes, and dropped as too late
+			m.nextHeartbeatAt = w.Now + droppedReplyInterval
 		}
-		if m.Terminated || m.hung || !m.awaitingReply || m.heartbeatID != seq || m.epoch != epoch {
+		if m.Terminated || m.hung || !m.awaitingReply || m.heartbeatID != heartbeatID || m.epoch != epoch {
 			return
 		}
 		m.awaitingReply = false
-		m.handleReply(controller, sentAt, response)
+		m.handleReply(controller, sentAt, reply)
 	})
 }
 
-func (m *Machine) handleReply(controller *Controller, sentAt time.Duration, response heartbeatReply) {
-	w := m.world
-	switch response.status {
-	case 200:
-		var o protocol.Commands
-		if json.Unmarshal(response.body, &o) != nil || o.FencingToken == 0 || o.FencingToken < m.fencingToken {
-			return
-		}
-		w.Rules.RecordCommand(m.ID, o.FencingToken, response.sender)
-		w.History.CheckCommand(m.ID, o.FencingToken, controller.ID)
-		m.raiseToken(o.FencingToken)
-		m.leaseRenewedAt = max(m.leaseRenewedAt, sentAt)
-		m.applyCommands(o.Commands)
-	case 421:
+func (m *Machine) handleReply(controller *Controller, sentAt time.Duration, reply heartbeatReply) {
+	switch reply.status {
+	case http.StatusOK:
+		m.handleCommands(controller, sentAt, reply)
+	case http.StatusMisdirectedRequest:
 		var redirect protocol.Redirect
-		json.Unmarshal(response.body, &redirect)
-		for i, o := range w.Controllers {
-			if o.ID == redirect.Controller && o != controller {
-				m.controllerIndex = i
-				m.nextHeartbeatAt = w.Now + time.Duration(w.Rand.IntN(500))*time.Millisecond
-				return
-			}
+		json.Unmarshal(reply.body, &redirect)
+		if !m.followRedirect(controller, redirect.Controller) {
+			m.tryNextController()
 		}
-		fallthrough
 	default:
-		m.controllerIndex++
-		m.nextHeartbeatAt = w.Now + time.Second
+		m.tryNextController()
+	}
+}
+
+// handleCommands executes what a controller replies, unless it is of an earlier owner.
+func (m *Machine) handleCommands(controller *Controller, sentAt time.Duration, reply heartbeatReply) {
+	var commands protocol.Commands
+	if json.Unmarshal(reply.body, &commands) != nil || commands.FencingToken == 0 || commands.FencingToken < m.fencingToken {
+		return
+	}
+	m.world.Rules.RecordCommand(m.ID, commands.FencingToken, reply.sender)
+	m.world.History.CheckCommand(m.ID, commands.FencingToken, controller.ID)
+	m.raiseToken(commands.FencingToken)
+	m.leaseRenewedAt = max(m.leaseRenewedAt, sentAt)
+	m.applyCommands(commands.Commands)
+}
+
+// followRedirect sends the next heartbeats to the controller that another one names, if it
+// knows that and it is not the same.
+func (m *Machine) followRedirect(from *Controller, to protocol.ControllerID) bool {
+	w := m.world
+	for i, controller := range w.Controllers {
+		if controller.ID == to && controller != from {
+			m.controllerIndex = i
+			m.nextHeartbeatAt = w.Now + time.Duration(w.Rand.IntN(int(maxRedirectDelay.Milliseconds())))*time.Millisecond
+			return true
+		}
 	}
+	return false
+}
+
+func (m *Machine) tryNextController() {
+	m.controllerIndex++
+	m.nextHeartbeatAt = m.world.Now + nextControllerDelay
 }
 
 func (m *Machine) raiseToken(token protocol.FencingToken) {
@@ -299,66 +365,86 @@
 	}
 }
 
-// Probe is the worker's report when it is asked for it.
+// Probe is the agent's reply to a probe: its heartbeat.
 func (m *Machine) Probe() []byte { return m.nextHeartbeat() }
 
-// ExecuteCommands carries out a direct command.
+// ExecuteCommands executes direct commands, unless they are of an earlier owner or for an
+// earlier epoch of the agent. It returns the status and the agent's heartbeat.
 func (m *Machine) ExecuteCommands(commands protocol.Commands) (int, []byte) {
 	if commands.FencingToken < m.fencingToken || commands.AgentEpoch != m.epoch {
-		return 409, m.nextHeartbeat()
+		return http.StatusConflict, m.nextHeartbeat()
 	}
 	m.raiseToken(commands.FencingToken)
 	m.applyCommands(commands.Commands)
-	return 200, m.nextHeartbeat()
+	return http.StatusOK, m.nextHeartbeat()
 }
 
 func (m *Machine) applyCommands(commands []protocol.Command) {
-	w := m.world
 	for _, command := range commands {
-		execution := m.tasks[command.Task]
-		job := w.Jobs[command.Task.Job]
 		switch command.Type {
 		case protocol.CommandStart:
-			if execution != nil && execution.attempt == command.Attempt {
-				continue
-			}
-			if execution != nil && execution.state != protocol.TaskExited {
-				continue // busy
-			}
-			m.changed = true
-			newExecution := &taskExecution{attempt: command.Attempt, state: protocol.TaskPullingImage}
-			m.tasks[command.Task] = newExecution
-			w.StartCommands++
-			m.lastStartAt = w.Now
-			switch coresInUse := m.coresInUse(command.Task); {
-			case job == nil:
-				newExecution.state, newExecution.reason = protocol.TaskExited, protocol.ReasonNotFound
-			case coresInUse+job.Cores > w.CoresOf(m.Type)+1e-9:
-				newExecution.state, newExecution.reason = protocol.TaskExited, protocol.ReasonInsufficientResources
-			case !m.cachedImages[job.Image]:
-				newExecution.stateEndsAt = w.Now + w.ImagePullTime
-			default:
-				newExecution.stateEndsAt = w.Now
-			}
+			m.applyStart(command)
 		case protocol.CommandStop:
-			if execution == nil || execution.attempt != command.Attempt || execution.state == protocol.TaskExited {
-				continue
-			}
-			if command.GracePeriodSeconds != nil && job.CanCheckpoint() && *command.GracePeriodSeconds >= job.CheckpointSaveSeconds && execution.state == protocol.TaskRunning {
-				execution.stateEndsAt = w.Now + protocol.Seconds(job.CheckpointSaveSeconds)
-				m.setState(command.Task, execution, protocol.TaskSaving)
-			} else if execution.state != protocol.TaskSaving || command.GracePeriodSeconds != nil && *command.GracePeriodSeconds == 0 {
-				m.endTask(command.Task, execution, "stopped")
-			}
+			m.applyStop(command)
 		case protocol.CommandForget:
-			if execution != nil && execution.attempt == command.Attempt && execution.state == protocol.TaskExited {
-				delete(m.tasks, command.Task)
-				m.changed = true
-			}
+			m.applyForget(command)
 		}
 	}
 }
 
+// applyStart begins an attempt, unless it is known or the task's last one has not exited.
+func (m *Machine) applyStart(command protocol.Command) {
+	w := m.world
+	old := m.tasks[command.Task]
+	if old != nil && (old.attempt == command.Attempt || old.state != protocol.TaskExited) {
+		return
+	}
+	m.changed = true
+	execution := &taskExecution{attempt: command.Attempt, state: protocol.TaskPullingImage}
+	m.tasks[command.Task] = execution
+	w.StartCommands++
+	m.lastStartAt = w.Now
+	job := w.Jobs[command.Task.Job]
+	coresInUse := m.coresInUse(command.Task)
+	switch {
+	case job == nil:
+		execution.state, execution.reason = protocol.TaskExited, protocol.ReasonNotFound
+	case coresInUse+job.Cores > w.CoresOf(m.Type)+capacityTolerance:
+		execution.state, execution.reason = protocol.TaskExited, protocol.ReasonInsufficientResources
+	case !m.cachedImages[job.Image]:
+		execution.stateEndsAt = w.Now + w.ImagePullTime
+	default:
+		execution.stateEndsAt = w.Now
+	}
+}
+
+// applyStop stops an attempt: one that can save its progress within the grace period does so
+// first, and a stop without a grace period ends that too.
+func (m *Machine) applyStop(command protocol.Command) {
+	execution := m.tasks[command.Task]
+	if execution == nil || execution.attempt != command.Attempt || execution.state == protocol.TaskExited {
+		return
+	}
+	job, grace := m.world.Jobs[command.Task.Job], command.GracePeriodSeconds
+	canSave := grace != nil && job.CanCheckpoint() && *grace >= job.CheckpointSaveSeconds
+	isImmediate := grace != nil && *grace == 0
+	switch {
+	case canSave && execution.state == protocol.TaskRunning:
+		execution.stateEndsAt = m.world.Now + protocol.Seconds(job.CheckpointSaveSeconds)
+		m.setState(command.Task, execution, protocol.TaskSaving)
+	case execution.state != protocol.TaskSaving || isImmediate:
+		m.endTask(command.Task, execution, "stopped")
+	}
+}
+
+func (m *Machine) applyForget(command protocol.Command) {
+	execution := m.tasks[command.Task]
+	if execution != nil && execution.attempt == command.Attempt && execution.state == protocol.TaskExited {
+		delete(m.tasks, command.Task)
+		m.changed = true
+	}
+}
+
 func (m *Machine) coresInUse(except protocol.Task) float64 {
 	sum := 0.0
 	for t, execution := range m.tasks {
