--- a/internal/simulation/compatibility.go
+++ b/internal/simulation/compatibility.go
@@ -11,10 +11,10 @@
 )
 
 // Controllers of the version in production are played by cores of this one that are told
-// nothing of new limits, and whose records are stripped of what that version does not
-// write. What they are given to read is checked against the formats of that version.
+// nothing of new limits and whose records are stripped of what that version does not write.
+// What they are given to read is checked against the formats of that version.
 
-// productionShard and productionJob are the records as the version in production reads them.
+// The records as the version in production reads them.
 type (
 	productionShard struct {
 		Owner          string            `json:"o"`
@@ -41,8 +41,8 @@
 	}
 )
 
-// checkProductionFormat reads a record as the version in production does, strictly: a field that it
-// does not know would be lost when it writes the record again.
+// checkProductionFormat reads a record as the version in production does, but strictly: a
+// field that it does not know would be lost when it writes the record again.
 func checkProductionFormat(key string, data json.RawMessage) error {
 	strict := func(v any) error {
 		d := json.NewDecoder(bytes.NewReader(data))
@@ -51,35 +51,43 @@
 	}
 	switch {
 	case strings.HasPrefix(key, storage.ShardKey("")):
-		var p productionShard
-		if err := strict(&p); err != nil {
+		var shard productionShard
+		if err := strict(&shard); err != nil {
 			return err
 		}
-		for _, line := range p.Machines {
-			if len(strings.Split(line, " ")) < 7 {
-				return fmt.Errorf("machine %q", line)
-			}
-		}
-		for _, ranges := range p.CompletedTasks {
-			if strings.Trim(ranges, "0123456789,-") != "" {
-				return fmt.Errorf("done tasks %q", ranges)
-			}
-		}
-		return nil
+		return shard.check()
 	case strings.HasPrefix(key, storage.JobKey("")):
-		var j productionJob
-		if err := strict(&j); err != nil {
+		var job productionJob
+		if err := strict(&job); err != nil {
 			return err
 		}
-		if strings.Trim(j.CompletedTasks, "0123456789,-") != "" || j.State == "" && len(j.Spec) == 0 {
+		if !isIntervalList(job.CompletedTasks) || job.State == "" && len(job.Spec) == 0 {
 			return fmt.Errorf("job %s", data)
 		}
-		return nil
 	}
 	return nil
 }
 
-// transactionForVersion is a transaction as the controller's version writes it.
+// check looks at the fields that the version in production reads as text.
+func (s *productionShard) check() error {
+	const machineFields = 7
+	for _, line := range s.Machines {
+		if len(strings.Split(line, " ")) < machineFields {
+			return fmt.Errorf("machine %q", line)
+		}
+	}
+	for _, intervals := range s.CompletedTasks {
+		if !isIntervalList(intervals) {
+			return fmt.Errorf("completed tasks %q", intervals)
+		}
+	}
+	return nil
+}
+
+// isIntervalList reports whether a text has only what lists of task intervals are made of.
+func isIntervalList(text string) bool { return strings.Trim(text, "0123456789,-") == "" }
+
+// transactionForVersion is the transaction as the controller's version writes it.
 func (c *Controller) transactionForVersion(transaction protocol.Transaction) protocol.Transaction {
 	if !c.RunsProductionVersion {
 		return transaction
@@ -99,20 +107,21 @@
 	return transaction
 }
 
-// acceptsRecord checks a record that a controller of the version in production is given, and
-// tells whether that version takes it in.
+// acceptsRecord checks a record that a controller of the version in production is given. It
+// reports whether that version reads it.
 func (c *Controller) acceptsRecord(key string, data json.RawMessage) bool {
 	if !c.RunsProductionVersion {
 		return true
 	}
 	if err := checkProductionFormat(key, data); err != nil {
-		c.world.Rules.recordViolation("unreadable", "%s for %s of the version in production: %v", key, c.ID, err)
+		c.world.Rules.recordViolation("unreadable", "%s for %s running the production version: %v", key, c.ID, err)
 		return false
 	}
-	return key != storage.FormatKey && !strings.HasPrefix(key, storage.TransferKey("")) && !strings.HasPrefix(key, storage.DrainKey(""))
+	isNew := key == storage.FormatKey || strings.HasPrefix(key, storage.TransferKey("")) || strings.HasPrefix(key, storage.DrainKey(""))
+	return !isNew
 }
 
-// readableEntries is what the controller's version takes in of all records.
+// readableEntries are the entries that the controller's version reads.
 func (c *Controller) readableEntries(items []protocol.Entry) (out []protocol.Entry) {
 	for _, i := range items {
 		if c.acceptsRecord(i.Key, i.Value) {
@@ -122,7 +131,7 @@
 	return out
 }
 
-// readableEvents is what the controller's version takes in of changes.
+// readableEvents are the events that the controller's version reads.
 func (c *Controller) readableEvents(events []protocol.Event) (out []protocol.Event) {
 	for _, event := range events {
 		if event.PutKey == "" || c.acceptsRecord(event.PutKey, event.Value) {
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
@@ -10,41 +12,49 @@
 	"tillerarch/internal/storage"
 )
 
-// HistoryChecker checks, at every revision of the state service, that each machine on record is
-// on one page with one owner, that a new owner lives and has a token above all before it,
-// and that moves take their phases in order. It reads the records by themselves, not by
-// way of a controller's replica.
+// HistoryChecker checks, at every revision of the store, that each machine on record is in one
+// shard with one owner, that a new owner is alive and has a token above all before it, and that
+// transfers take their phases in order. It reads the records themselves, not by way of a
+// controller's replica.
 type HistoryChecker struct {
-	OnViolation         func(string) // is told of what is wrong
+	OnViolation         func(string)
 	Revisions           int
-	ShardsTransferred   int // pages that went from one living owner to another by a move
-	TransfersClosed     int // moves that came to their end
+	ShardsTransferred   int // from one living owner to another, by a transfer on record
+	TransfersClosed     int
 	AbortedByReason     map[string]int
-	QuiesceTimes        []time.Duration // how long pages took no new task
-	TransferTimes       []time.Duration // how long moves took from their begin to their end
-	TransferWrites      int             // writes of moves' records
-	MachinesTransferred int             // that were moved, each time counted
-	MachineIdleTime     time.Duration   // how long moving machines took no new task, all together
+	QuiesceTimes        []time.Duration // how long shards took no new task, by transfer
+	TransferTimes       []time.Duration // from the proposal to the end
+	TransferWrites      int             // of transfers' records
+	MachinesTransferred int             // each transfer of a machine counts
+	MachineIdleTime     time.Duration   // sum over machines of the time in which they took no new task
 
 	shards           map[storage.ShardID]storage.ShardSummary
 	shardsByMachine  map[protocol.MachineID]map[storage.ShardID]bool
-	lastOwners       map[protocol.MachineID]storage.ShardSummary // of each machine: its newest owner and epoch
+	lastOwners       map[protocol.MachineID]storage.ShardSummary // newest owner and epoch
 	transfers        map[string]storage.TransferRecord
-	liveIncarnations map[string]storage.Incarnation       // by the key of the controller
-	ownersByEpoch    map[machineEpoch]storage.Incarnation // of each machine in each of its epochs
+	liveIncarnations map[string]storage.Incarnation // by the controller's key
+	ownersByEpoch    map[machineEpoch]storage.Incarnation
 }
 
 // NewHistoryChecker makes a checker of a store that is empty.
 func NewHistoryChecker(onViolation func(string)) *HistoryChecker {
-	return &HistoryChecker{OnViolation: onViolation, AbortedByReason: map[string]int{}, shards: map[storage.ShardID]storage.ShardSummary{}, shardsByMachine: map[protocol.MachineID]map[storage.ShardID]bool{},
-		lastOwners: map[protocol.MachineID]storage.ShardSummary{}, transfers: map[string]storage.TransferRecord{}, liveIncarnations: map[string]storage.Incarnation{}, ownersByEpoch: map[machineEpoch]storage.Incarnation{}}
+	return &HistoryChecker{
+		OnViolation:      onViolation,
+		AbortedByReason:  map[string]int{},
+		shards:           map[storage.ShardID]storage.ShardSummary{},
+		shardsByMachine:  map[protocol.MachineID]map[storage.ShardID]bool{},
+		lastOwners:       map[protocol.MachineID]storage.ShardSummary{},
+		transfers:        map[string]storage.TransferRecord{},
+		liveIncarnations: map[string]storage.Incarnation{},
+		ownersByEpoch:    map[machineEpoch]storage.Incarnation{},
+	}
 }
 
 func (h *HistoryChecker) recordViolation(revision protocol.Revision, format string, args ...any) {
 	h.OnViolation(fmt.Sprintf("revision %d: ", revision) + fmt.Sprintf(format, args...))
 }
 
-// Apply takes in all changes of one revision.
+// Apply applies all changes of one revision and checks what they lead to.
 func (h *HistoryChecker) Apply(revision protocol.Revision, changes []protocol.Event) {
 	h.Revisions++
 	before := map[storage.ShardID]storage.ShardSummary{}
@@ -63,7 +73,7 @@
 			}
 		}
 	}
-	for id := range changedMachines {
+	for _, id := range slices.Sorted(maps.Keys(changedMachines)) {
 		h.checkMachineOwner(revision, id)
 	}
 	for _, record := range transfers {
@@ -71,7 +81,8 @@
 	}
 }
 
-// applyController notes which run of a controller lives; data is empty where its lease has ended.
+// applyController notes which incarnation of a controller is alive; data is empty if its lease
+// has expired.
 func (h *HistoryChecker) applyController(revision protocol.Revision, key string, data json.RawMessage) {
 	delete(h.liveIncarnations, key)
 	if len(data) == 0 {
@@ -85,7 +96,7 @@
 	h.liveIncarnations[key] = record.Incarnation
 }
 
-// applyShard replaces what a page lists; data is empty where it is deleted.
+// applyShard replaces what a shard lists; data is empty if it is deleted.
 func (h *HistoryChecker) applyShard(revision protocol.Revision, id storage.ShardID, data json.RawMessage, changedMachines map[protocol.MachineID]bool) {
 	for _, m := range h.shards[id].Machines {
 		changedMachines[m] = true
@@ -97,7 +108,7 @@
 	}
 	shard, err := storage.DecodeShardSummary(data)
 	if err != nil {
-		h.recordViolation(revision, "page %s can't be read: %v", id, err)
+		h.recordViolation(revision, "shard %s can't be read: %v", id, err)
 		return
 	}
 	h.shards[id] = shard
@@ -110,22 +121,23 @@
 	}
 }
 
-// checkMachineOwner checks who owns a machine behind a revision.
+// checkMachineOwner checks who owns a machine as of a revision.
 func (h *HistoryChecker) checkMachineOwner(revision protocol.Revision, id protocol.MachineID) {
 	if len(h.shardsByMachine[id]) > 1 {
-		h.recordViolation(revision, "machine %s is on %d pages", id, len(h.shardsByMachine[id]))
+		h.recordViolation(revision, "machine %s is on %d shards", id, len(h.shardsByMachine[id]))
 		return
 	}
 	for shard := range h.shardsByMachine[id] {
 		current, last := h.shards[shard], h.lastOwners[id]
 		switch {
-		case current.Owner != last.Owner && h.liveIncarnations[storage.ControllerKey(current.Owner.Controller())] != current.Owner:
-			h.recordViolation(revision, "machine %s goes to %s, which has ended", id, current.Owner)
+		case current.Owner != last.Owner && !h.isAlive(current.Owner):
+			h.recordViolation(revision, "machine %s is assigned to %s, which is not alive", id, current.Owner)
 		case last.Owner == "":
 		case current.Owner != last.Owner && current.Epoch <= last.Epoch:
-			h.recordViolation(revision, "machine %s goes from %s to %s without a higher token: %d, %d", id, last.Owner, current.Owner, last.Epoch, current.Epoch)
+			h.recordViolation(revision, "machine %s changes owner from %s to %s without a higher token: %d, %d",
+				id, last.Owner, current.Owner, last.Epoch, current.Epoch)
 		case current.Epoch < last.Epoch:
-			h.recordViolation(revision, "the token of machine %s falls from %d to %d", id, last.Epoch, current.Epoch)
+			h.recordViolation(revision, "the token of machine %s decreases from %d to %d", id, last.Epoch, current.Epoch)
 		}
 		h.lastOwners[id] = storage.ShardSummary{Owner: current.Owner, Epoch: current.Epoch}
 		epoch := machineEpoch{machine: id, epoch: current.Epoch}
@@ -136,19 +148,25 @@
 	}
 }
 
-// CheckCommand checks that who commands a machine under a token has owned it in that epoch.
+// isAlive reports whether an incarnation holds its controller's key.
+func (h *HistoryChecker) isAlive(incarnation storage.Incarnation) bool {
+	return h.liveIncarnations[storage.ControllerKey(incarnation.Controller())] == incarnation
+}
+
+// CheckCommand checks that the controller whose commands a machine accepts under a token has
+// owned it in that epoch.
 func (h *HistoryChecker) CheckCommand(id protocol.MachineID, token protocol.FencingToken, controller protocol.ControllerID) {
 	epoch := storage.ShardEpochOf(token)
 	if owner := h.ownersByEpoch[machineEpoch{machine: id, epoch: epoch}]; owner.Controller() != controller {
-		h.OnViolation(fmt.Sprintf("machine %s takes commands of %s in epoch %d, which is %q's", id, controller, epoch, owner))
+		h.OnViolation(fmt.Sprintf("machine %s accepts commands from %s in epoch %d, which belongs to %q", id, controller, epoch, owner))
 	}
 }
 
-// applyTransfer takes in a move's record, and checks the order of its phases.
+// applyTransfer applies a transfer's record and checks the order of its phases.
 func (h *HistoryChecker) applyTransfer(revision protocol.Revision, key string, data json.RawMessage) (record storage.TransferRecord, ok bool) {
 	h.TransferWrites++
 	if err := json.Unmarshal(data, &record); err != nil {
-		h.recordViolation(revision, "move %s can't be read: %v", key, err)
+		h.recordViolation(revision, "transfer %s can't be read: %v", key, err)
 		return record, false
 	}
 	last, known := h.transfers[key]
@@ -157,13 +175,13 @@
 	}
 	h.transfers[key] = record
 	if !record.Phase.CanFollow(last.Phase) || record.Name != last.Name && last.Phase.IsOpen() {
-		h.recordViolation(revision, "move %s %q goes from %s to %s", key, record.Name, last.Phase, record.Phase)
+		h.recordViolation(revision, "transfer %s %q goes from %s to %s", key, record.Name, last.Phase, record.Phase)
 	}
 	switch record.Phase {
 	case storage.TransferClosed:
 		h.TransfersClosed++
 		h.TransferTimes = append(h.TransferTimes, time.Duration(record.EndedAt-record.ProposedAt)*time.Millisecond)
-		quiesced := time.Duration(0) // one that was taken over as proposed never came to rest
+		quiesced := time.Duration(0) // of one whose source failed before the preparation
 		if record.PreparedAt > 0 {
 			quiesced = time.Duration(record.CommittedAt-record.PreparedAt) * time.Millisecond
 		}
@@ -176,19 +194,20 @@
 	return record, true
 }
 
-// checkOwnershipChange checks that a move and its page change together.
+// checkOwnershipChange checks that a transfer is committed together with its shard's new owner.
 func (h *HistoryChecker) checkOwnershipChange(revision protocol.Revision, record storage.TransferRecord, before map[storage.ShardID]storage.ShardSummary) {
 	if record.Phase != storage.TransferCommitted {
 		return
 	}
 	old, changed := before[record.Shard]
 	if !changed || old.Owner != record.Source || h.shards[record.Shard].Owner != record.Target {
-		h.recordViolation(revision, "move %q is transferred, its page went from %q to %q", record.Name, old.Owner, h.shards[record.Shard].Owner)
+		h.recordViolation(revision, "transfer %q is committed, its shard went from %q to %q",
+			record.Name, old.Owner, h.shards[record.Shard].Owner)
 		return
 	}
 	for _, m := range old.Machines {
 		if len(h.shardsByMachine[m]) == 0 {
-			h.recordViolation(revision, "machine %s left the records with move %q", m, record.Name)
+			h.recordViolation(revision, "machine %s left the records with transfer %q", m, record.Name)
 		}
 	}
 	h.ShardsTransferred++
@@ -204,12 +223,13 @@
 	return machines
 }
 
-// OpenTransfers lists the moves that are not at their end.
+// OpenTransfers lists the transfers that have not ended, in order.
 func (h *HistoryChecker) OpenTransfers() (names []string) {
 	for _, record := range h.transfers {
 		if record.Phase.IsOpen() {
 			names = append(names, fmt.Sprintf("%s %s %s", record.Name, record.Shard, record.Phase))
 		}
 	}
+	slices.Sort(names)
 	return names
 }
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,52 +11,61 @@
 	"tillerarch/internal/storage"
 )
 
-// RuleChecker checks the Rules of PROTOCOL by what users are told and what is on the
-// machines. It knows nothing of how controllers work.
+// RuleChecker checks the Rules of PROTOCOL, and some of its own, by what users are told and
+// what is on the machines. It knows nothing of how controllers work.
 type RuleChecker struct {
-	CancelTimeout time.Duration
+	CancelTimeout time.Duration      // within it tasks of a cancelled job must be gone
 	QuotaLimits   map[string]float64 // cores a team may use; 0: no limit
-	FaultsEndedAt time.Duration      // since when all troubles are over; 0: they are not
+	FaultsEndedAt time.Duration      // 0: faults go on, and rules of calm times do not apply
 	Violations    []string
 	TasksStarted  int
 
 	jobs       map[protocol.JobID]*observedJob
-	locations  map[protocol.Task]location // one of the places where a task is
-	runCounts  map[protocol.Task]int      // and at how many
-	commanders map[machineEpoch]string    // who commanded a machine under an epoch
-	lingering  map[protocol.Task]location // tasks that their leases ended on machines that hang: they may no longer go on, and nobody has seen them go
+	locations  map[protocol.Task]location // where a task was started last
+	runCounts  map[protocol.Task]int      // on how many machines it runs
+	commanders map[machineEpoch]string    // process whose commands a machine has accepted
+	lingering  map[protocol.Task]location // see Machine.recordLingeringTasks
 }
 
-// machineEpoch is the time of a machine under one epoch of its owner.
+// machineEpoch is a machine under one epoch of its shard.
 type machineEpoch struct {
 	machine protocol.MachineID
 	epoch   storage.ShardEpoch
 }
 
+// location is where a task runs.
 type location struct {
 	machine protocol.MachineID
 	zone    protocol.Zone
 }
 
+// observedJob is what users and machines have seen of a job. Times of 0 mean never, or not now.
 type observedJob struct {
-	spec            *protocol.Job
-	accepted        bool
+	spec            *protocol.Job // nil if it was submitted as invalid only
 	submitted       bool
-	cancelRequested bool // its user asked to cancel it
+	submittedAt     time.Duration
+	isInvalid       bool // it can never run or lacks a field
+	accepted        bool
+	cancelRequested bool // by its user
 	reportedState   protocol.JobState
 	reportedAt      time.Duration
 	completedTasks  map[int]bool
-	submittedAt     time.Duration
-	isInvalid       bool          // it can't run, or lacks a field
-	placeableSince  time.Duration // since when there has been room for what waits of it; 0: there is none
-	firstTaskAt     time.Duration // when its first task was on a machine; 0: none was
-	unansweredSince time.Duration // of the first question since the last answer; 0: all are answered
+	firstTaskAt     time.Duration // when its first task ran
+	placeableSince  time.Duration // since when there has been capacity for pending tasks
+	unansweredSince time.Duration // of the first request since the last reply
 }
 
-// NewRuleChecker makes a checker.
-func NewRuleChecker(cancel time.Duration) *RuleChecker {
-	return &RuleChecker{CancelTimeout: cancel, QuotaLimits: map[string]float64{}, jobs: map[protocol.JobID]*observedJob{},
-		locations: map[protocol.Task]location{}, runCounts: map[protocol.Task]int{}, lingering: map[protocol.Task]location{}, commanders: map[machineEpoch]string{}}
+// NewRuleChecker makes a checker of an empty deployment.
+func NewRuleChecker(cancelTimeout time.Duration) *RuleChecker {
+	return &RuleChecker{
+		CancelTimeout: cancelTimeout,
+		QuotaLimits:   map[string]float64{},
+		jobs:          map[protocol.JobID]*observedJob{},
+		locations:     map[protocol.Task]location{},
+		runCounts:     map[protocol.Task]int{},
+		commanders:    map[machineEpoch]string{},
+		lingering:     map[protocol.Task]location{},
+	}
 }
 
 func (r *RuleChecker) recordViolation(rule, format string, args ...any) {
@@ -71,23 +81,23 @@
 	return observed
 }
 
-// RecordCommand notes whose answer a worker has taken under a token: nobody else's may come
-// under the same epoch.
+// RecordCommand notes from which process an agent has accepted commands under a token: in one
+// epoch there may be only one.
 func (r *RuleChecker) RecordCommand(m protocol.MachineID, token protocol.FencingToken, controller string) {
 	epoch := machineEpoch{machine: m, epoch: storage.ShardEpochOf(token)}
 	if other, ok := r.commanders[epoch]; ok && other != controller {
-		r.recordViolation("two_commanders", "%s takes commands of %s and of %s in epoch %d", m, other, controller, epoch.epoch)
+		r.recordViolation("two_commanders", "%s accepts commands from %s and from %s in epoch %d", m, other, controller, epoch.epoch)
 	}
 	r.commanders[epoch] = controller
 }
 
-// RecordSubmission notes that a user sends a job.
+// RecordSubmission notes that a user submits a job.
 func (r *RuleChecker) RecordSubmission(now time.Duration, job *protocol.Job) {
 	observed := r.job(job.ID)
 	observed.spec, observed.submitted, observed.submittedAt = job, true, now
 }
 
-// RecordRequest notes that a user asks about a job.
+// RecordRequest notes that a user sends a request about a job.
 func (r *RuleChecker) RecordRequest(now time.Duration, id protocol.JobID) {
 	if observed := r.job(id); observed.unansweredSince == 0 {
 		observed.unansweredSince = max(now, 1)
@@ -97,40 +107,45 @@
 // RecordCancelRequest notes that a user asks to cancel a job.
 func (r *RuleChecker) RecordCancelRequest(id protocol.JobID) { r.job(id).cancelRequested = true }
 
-// RecordReply notes an answer to a user, and when its request was sent: one that was under way
-// when another was answered may be answered as of before.
+// RecordReply notes a reply to a user, and when its request was sent: a request that was in
+// flight when another got its reply may get the older state.
 func (r *RuleChecker) RecordReply(now, sentAt time.Duration, requestType protocol.RequestType, id protocol.JobID, status int, state protocol.JobState) {
 	observed := r.job(id)
 	switch {
-	case observed.accepted && (status == 404 || requestType == protocol.RequestSubmit && (status == 400 || status == 422)):
+	case observed.accepted && (status == http.StatusNotFound || requestType == protocol.RequestSubmit && isRejection(status)):
 		r.recordViolation("forgotten", "%s is answered %d", id, status)
-	case status != 200 && status != 201:
+	case status != http.StatusOK && status != http.StatusCreated:
 		return
 	case !observed.submitted:
 		r.recordViolation("invented", "%s", id)
 	}
 	if observed.isInvalid {
-		r.recordViolation("accepted", "%s, which can't run or lacks a field", id)
+		r.recordViolation("accepted", "%s, which is invalid or can never run", id)
 	}
 	observed.accepted = true
 	observed.unansweredSince = 0
-	if state == protocol.JobDone {
-		if observed.spec == nil || observed.spec.IsService() || len(observed.completedTasks) < observed.spec.TaskCount {
-			r.recordViolation("not_done", "%s with %d tasks done", id, len(observed.completedTasks))
-		}
+	r.checkReportedState(id, observed, sentAt, state)
+	if state.IsTerminal() && !observed.reportedState.IsTerminal() {
+		observed.reportedState, observed.reportedAt = state, now
 	}
-	if observed.reportedState.IsTerminal() && state != observed.reportedState && (sentAt >= observed.reportedAt || state.IsTerminal()) {
-		r.recordViolation("went_back", "%s was %s, is called %s", id, observed.reportedState, state)
+}
+
+// checkReportedState checks a state that a user is told against the states told before.
+func (r *RuleChecker) checkReportedState(id protocol.JobID, observed *observedJob, sentAt time.Duration, state protocol.JobState) {
+	canBeDone := observed.spec != nil && !observed.spec.IsService() && len(observed.completedTasks) >= observed.spec.TaskCount
+	if state == protocol.JobDone && !canBeDone {
+		r.recordViolation("not_done", "%s with %d tasks done", id, len(observed.completedTasks))
 	}
-	if state == protocol.JobCancelled && !observed.cancelRequested {
-		r.recordViolation("went_back", "%s is called withdrawn, which nobody asked for", id)
+	wasInFlight := sentAt < observed.reportedAt
+	if observed.reportedState.IsTerminal() && state != observed.reportedState && (!wasInFlight || state.IsTerminal()) {
+		r.recordViolation("went_back", "%s was reported %s, now %s", id, observed.reportedState, state)
 	}
-	if state.IsTerminal() && !observed.reportedState.IsTerminal() {
-		observed.reportedState, observed.reportedAt = state, now
+	if state == protocol.JobCancelled && !observed.cancelRequested {
+		r.recordViolation("went_back", "%s is reported cancelled, which nobody requested", id)
 	}
 }
 
-// RecordTaskStart notes that a task is on a machine from now on.
+// RecordTaskStart notes that a task runs on a machine from now on.
 func (r *RuleChecker) RecordTaskStart(now time.Duration, t protocol.Task, m protocol.MachineID, machineType protocol.MachineTypeName, z protocol.Zone, spot bool) {
 	r.TasksStarted++
 	observed := r.job(t.Job)
@@ -149,6 +164,14 @@
 	if !observed.spec.AllowsPlacement(machineType, z) || spot && !observed.spec.AllowSpot {
 		r.recordViolation("wrong_place", "%s on %s in %s, spot %v", t, machineType, z, spot)
 	}
+	r.checkZonesAndQuota(t, observed.spec, z)
+	if observed.reportedState == protocol.JobCancelled {
+		r.recordViolation("ran_cancelled", "%s starts on %s %v after its job was reported cancelled", t, m, now-observed.reportedAt)
+	}
+}
+
+// checkZonesAndQuota checks a task that has just started together with all others that run.
+func (r *RuleChecker) checkZonesAndQuota(t protocol.Task, spec *protocol.Job, z protocol.Zone) {
 	sameZone, otherZones, cores := 0, 0, 0.0
 	for o, p := range r.locations {
 		if r.runCounts[o] == 0 {
@@ -161,25 +184,22 @@
 				otherZones++
 			}
 		}
-		if job := r.job(o.Job).spec; job != nil && job.Team == observed.spec.Team {
+		if job := r.job(o.Job).spec; job != nil && job.Team == spec.Team {
 			cores += job.Cores
 		}
 	}
-	if observed.spec.SingleZone && otherZones > 0 {
+	if spec.SingleZone && otherZones > 0 {
 		r.recordViolation("wrong_place", "%s in %s, others are elsewhere", t, z)
 	}
-	if observed.spec.SpreadZones && sameZone > (observed.spec.TaskCount+1)/2 {
+	if spec.SpreadZones && sameZone > (spec.TaskCount+1)/2 {
 		r.recordViolation("wrong_place", "%d tasks of %s in %s", sameZone, t.Job, z)
 	}
-	if l := r.QuotaLimits[observed.spec.Team]; l > 0 && cores > l+1e-6 {
-		r.recordViolation("quota", "%s uses %v of %v cores", observed.spec.Team, cores, l)
-	}
-	if observed.reportedState == protocol.JobCancelled {
-		r.recordViolation("ran_cancelled", "%s starts on %s %v after its job was called withdrawn", t, m, now-observed.reportedAt)
+	if limit := r.QuotaLimits[spec.Team]; limit > 0 && cores > limit+1e-6 {
+		r.recordViolation("quota", "%s uses %v of %v cores", spec.Team, cores, limit)
 	}
 }
 
-// RecordTaskEnd notes that a task is on a machine no more; done tells how it ended.
+// RecordTaskEnd notes that a task no longer runs on a machine.
 func (r *RuleChecker) RecordTaskEnd(t protocol.Task, done bool) {
 	r.runCounts[t]--
 	if done {
@@ -187,13 +207,13 @@
 	}
 }
 
-// CheckTimeouts checks what only time shows.
+// CheckTimeouts checks the rules that are broken by nothing happening.
 func (r *RuleChecker) CheckTimeouts(now time.Duration) {
 	for t, n := range r.runCounts {
 		observed := r.job(t.Job)
 		if n > 0 && observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
 			r.recordViolation("ran_cancelled", "%s is still on %s", t, r.locations[t].machine)
-			observed.reportedAt = now // once each time
+			observed.reportedAt = now // counts once for each timeout
 		}
 	}
 	for t, p := range r.lingering {
@@ -203,14 +223,15 @@
 		}
 	}
 	for id, observed := range r.jobs {
-		if r.FaultsEndedAt > 0 && observed.accepted && !observed.cancelRequested && observed.unansweredSince > 0 && now-max(observed.unansweredSince, r.FaultsEndedAt) > maxUnanswered {
-			r.recordViolation("forgotten", "no question about %s is answered for %v", id, maxUnanswered)
+		mustBeAnswered := r.FaultsEndedAt > 0 && observed.accepted && !observed.cancelRequested && observed.unansweredSince > 0
+		if mustBeAnswered && now-max(observed.unansweredSince, r.FaultsEndedAt) > maxUnanswered {
+			r.recordViolation("forgotten", "no request about %s was answered for %v", id, maxUnanswered)
 			observed.unansweredSince = now
 		}
 	}
 }
 
-// runningReplicas counts the replicas of a daemon that are on a machine.
+// runningReplicas counts the replicas of a service that run.
 func (r *RuleChecker) runningReplicas(id protocol.JobID, job *protocol.Job) (n int) {
 	for index := range job.TaskCount {
 		if r.runCounts[protocol.Task{Job: id, Index: index}] > 0 {
@@ -220,8 +241,8 @@
 	return n
 }
 
-// WaitTimes lists how long the jobs that began waited for their first task, of those that keep
-// says to count.
+// WaitTimes lists how long jobs waited for their first task, of those that have started and
+// that include selects. It is sorted.
 func (r *RuleChecker) WaitTimes(include func(*protocol.Job) bool) (waits []time.Duration) {
 	for _, observed := range r.jobs {
 		if observed.spec != nil && observed.firstTaskAt > 0 && include(observed.spec) {
@@ -232,7 +253,7 @@
 	return waits
 }
 
-// RecordPlaceable notes whether there is room, now, for some of what waits of a job.
+// RecordPlaceable notes whether there is capacity, now, for some of a job's pending tasks.
 func (r *RuleChecker) RecordPlaceable(now time.Duration, id protocol.JobID, placeable bool) {
 	observed := r.job(id)
 	switch {
@@ -241,58 +262,85 @@
 	case observed.placeableSince == 0:
 		observed.placeableSince = now
 	case r.FaultsEndedAt > 0 && now-max(observed.placeableSince, r.FaultsEndedAt) > maxWait:
-		r.recordViolation("left_waiting", "%s has waited %v though there is room", id, now-observed.placeableSince)
+		r.recordViolation("left_waiting", "%s has been pending %v though capacity is free", id, now-observed.placeableSince)
 		observed.placeableSince = now
 	}
 }
 
-// Bounds of the added rules.
+// Bounds of the rules that PROTOCOL does not have.
 const (
-	maxWait       = 90 * time.Second // so long may a job wait in calm times while a machine that fits has room
-	maxUnanswered = 75 * time.Second // so long may all questions about a job go unanswered in calm times
-	maxStartDelay = 4 * time.Minute  // by then the largest jobs of a class have begun
+	maxWait       = 90 * time.Second // for a job to be pending in calm times though capacity is free
+	maxUnanswered = 75 * time.Second // for all requests about a job to get no reply in calm times
+	maxStartDelay = 4 * time.Minute  // for the largest jobs of a class to start
 )
 
-// CheckFinal checks the whole day.
+// serviceCount is how many jobs of a group there are, and how many were served.
+type serviceCount struct{ all, served int }
+
+// jobSize is what a job asks for in all. It is never 0.
+func jobSize(job *protocol.Job) float64 {
+	return float64(job.TaskCount) * max(job.Cores, 1e-9)
+}
+
+// mustBeServed reports whether a job counts for the rules on starvation.
+func (j *observedJob) mustBeServed() bool {
+	return j.accepted && j.spec != nil && !j.cancelRequested
+}
+
+// isServed reports whether all of a job's tasks are done, or all replicas run.
+func (r *RuleChecker) isServed(id protocol.JobID, observed *observedJob) bool {
+	if len(observed.completedTasks) >= observed.spec.TaskCount {
+		return true
+	}
+	return observed.spec.IsService() && r.runningReplicas(id, observed.spec) == observed.spec.TaskCount
+}
+
+// CheckFinal checks what can be said at the end only: that anything ran at all, that the
+// largest jobs of each class started in time, and that at least half of the jobs of each
+// class, of each team and of the largest of each class were served.
 func (r *RuleChecker) CheckFinal(now time.Duration) {
 	if r.TasksStarted == 0 {
 		r.recordViolation("nothing_ran", "no task was started")
 	}
-	size := func(observed *observedJob) float64 {
-		return float64(observed.spec.TaskCount) * max(observed.spec.Cores, 1e-9)
-	}
 	largest := map[string]float64{}
 	for _, observed := range r.jobs {
-		if observed.accepted && observed.spec != nil && !observed.cancelRequested {
-			largest[observed.spec.Class] = max(largest[observed.spec.Class], size(observed))
+		if observed.mustBeServed() {
+			class := observed.spec.Class
+			largest[class] = max(largest[class], jobSize(observed.spec))
 		}
 	}
-	type serviceCount struct{ all, served int }
 	groups := map[string]*serviceCount{}
-	for id, observed := range r.jobs {
-		if !observed.accepted || observed.spec == nil || observed.cancelRequested {
+	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
+		observed := r.jobs[id]
+		if !observed.mustBeServed() {
 			continue
 		}
 		names := []string{"class " + observed.spec.Class, "team " + observed.spec.Team}
-		if size(observed) >= largest[observed.spec.Class] {
+		if jobSize(observed.spec) >= largest[observed.spec.Class] {
 			names = append(names, "the largest of class "+observed.spec.Class)
-			if late := observed.firstTaskAt == 0 || observed.firstTaskAt-observed.submittedAt > maxStartDelay; late && now-observed.submittedAt > maxStartDelay {
-				r.recordViolation("unserved", "%s is among the largest of its class and had not begun after %v", id, maxStartDelay)
-			}
+			r.checkStartDelay(now, id, observed)
 		}
-		for _, n := range names {
-			if groups[n] == nil {
-				groups[n] = &serviceCount{}
+		served := r.isServed(id, observed)
+		for _, name := range names {
+			if groups[name] == nil {
+				groups[name] = &serviceCount{}
 			}
-			groups[n].all++
-			if len(observed.completedTasks) >= observed.spec.TaskCount || observed.spec.IsService() && r.runningReplicas(id, observed.spec) == observed.spec.TaskCount {
-				groups[n].served++
+			groups[name].all++
+			if served {
+				groups[name].served++
 			}
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(groups)) {
-		if g := groups[n]; 2*g.served < g.all {
-			r.recordViolation("unserved", "%s: %d of %d jobs", n, g.served, g.all)
+	for _, name := range slices.Sorted(maps.Keys(groups)) {
+		if group := groups[name]; 2*group.served < group.all {
+			r.recordViolation("unserved", "%s: %d of %d jobs", name, group.served, group.all)
 		}
 	}
 }
+
+func (r *RuleChecker) checkStartDelay(now time.Duration, id protocol.JobID, observed *observedJob) {
+	startedInTime := observed.firstTaskAt != 0 && observed.firstTaskAt-observed.submittedAt <= maxStartDelay
+	if !startedInTime && now-observed.submittedAt > maxStartDelay {
+		r.recordViolation("unserved", "%s is among the largest of its class and had not started after %v", id, maxStartDelay)
+	}
+}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"maps"
+	"net/http"
 	"slices"
 	"sort"
 	"strings"
@@ -14,50 +15,59 @@
 // errorTooLarge is the store's error for a transaction beyond its limits.
 const errorTooLarge = "too large"
 
+// storedEntry is the value of a key.
 type storedEntry struct {
 	data        json.RawMessage
 	modRevision protocol.ModRevision
 	lease       protocol.LeaseID
 }
 
-// Store is the state service.
+// Store is the key-value store.
 type Store struct {
-	Unavailable      bool // outage: everything is answered with 503
-	RejectedTooLarge int  // transactions refused for their size
-	MaxValueBytes    int  // the largest value it takes
-	MaxOperations    int  // the most changes of a transaction
-	LargestValue     int  // the largest value that was written
-
-	WriteRate         float64 // changes a second that it takes, in bursts of a second's worth; 0: any
-	RejectedThrottled int     // transactions refused for that
-	writeBudget       float64 // changes that it takes at once
+	Unavailable      bool // outage: every request gets 503
+	RejectedTooLarge int  // transactions
+	MaxValueBytes    int
+	MaxOperations    int // of a transaction; it may have four conditions for each
+	LargestValue     int // that a transaction had, in bytes
+
+	WriteRate         float64 // operations a second, in bursts of a second's worth; 0: no limit
+	RejectedThrottled int     // transactions
+	writeBudget       float64 // operations that are accepted at once
 	writeBudgetAt     time.Duration
 
 	revision    protocol.Revision
 	entries     map[string]storedEntry
-	leaseExpiry map[protocol.LeaseID]time.Duration // when they end
+	leaseExpiry map[protocol.LeaseID]time.Duration
 	leaseTTL    map[protocol.LeaseID]time.Duration
 	nextLeaseID protocol.LeaseID
 	events      []protocol.Event
-	maxEvents   int // changes that /follow still has
+	maxEvents   int // that a watch can still ask for
 
-	OnRevision func(protocol.Revision, []protocol.Event) // is told of each revision, if it is not nil
+	OnRevision func(protocol.Revision, []protocol.Event) // is told of each revision; may be nil
 }
 
-// NewStore makes an empty store that keeps the given number of changes.
+// NewStore makes an empty store that keeps the given number of events.
 func NewStore(maxEvents int) *Store {
-	return &Store{MaxValueBytes: maxValueBytes, MaxOperations: maxTransactionOps, entries: map[string]storedEntry{}, leaseExpiry: map[protocol.LeaseID]time.Duration{}, leaseTTL: map[protocol.LeaseID]time.Duration{}, maxEvents: maxEvents}
+	return &Store{
+		MaxValueBytes: maxValueBytes,
+		MaxOperations: maxTransactionOps,
+		entries:       map[string]storedEntry{},
+		leaseExpiry:   map[protocol.LeaseID]time.Duration{},
+		leaseTTL:      map[protocol.LeaseID]time.Duration{},
+		maxEvents:     maxEvents,
+	}
 }
 
-// SetMaxEvents sets how many changes are kept for who follows.
+// SetMaxEvents sets how many events are kept for watches.
 func (s *Store) SetMaxEvents(limit int) { s.maxEvents = limit }
 
-// Revision is the service's revision.
+// Revision is the store's revision.
 func (s *Store) Revision() protocol.Revision { return s.revision }
 
 func (s *Store) modRevision(key string) protocol.ModRevision { return s.entries[key].modRevision }
 
-// ExpireLeases ends the leases that are over and removes their keys.
+// ExpireLeases deletes the keys of leases that have expired. Leases that expire in an outage
+// get their full time again, and the write budget is refilled.
 func (s *Store) ExpireLeases(now time.Duration) {
 	s.writeBudget = min(s.writeBudget+s.WriteRate*(now-s.writeBudgetAt).Seconds(), s.WriteRate)
 	s.writeBudgetAt = now
@@ -67,7 +77,7 @@
 			continue
 		}
 		if s.Unavailable {
-			s.leaseExpiry[id] = now + s.leaseTTL[id] // they have their full time after an outage
+			s.leaseExpiry[id] = now + s.leaseTTL[id]
 			continue
 		}
 		delete(s.leaseExpiry, id)
@@ -96,68 +106,81 @@
 	}
 }
 
-// Commit carries out a transaction: status and answer.
+// Commit applies a transaction: all of it or nothing. It returns the HTTP status and the body.
 func (s *Store) Commit(transaction protocol.Transaction) (int, protocol.TransactionResult) {
 	if s.Unavailable {
-		return 503, protocol.TransactionResult{}
-	}
-	size := 0
-	for _, operation := range transaction.Operations {
-		size += len(operation.Value) + len(operation.PutKey)
-		s.LargestValue = max(s.LargestValue, len(operation.Value))
-		if len(operation.Value) > s.MaxValueBytes {
-			size = 1 << 20
-		}
+		return http.StatusServiceUnavailable, protocol.TransactionResult{}
 	}
-	if len(transaction.Operations) > s.MaxOperations || len(transaction.Conditions) > 4*s.MaxOperations || size > 64<<10 {
+	if s.isTooLarge(transaction) {
 		s.RejectedTooLarge++
-		return 400, protocol.TransactionResult{Error: errorTooLarge}
+		return http.StatusBadRequest, protocol.TransactionResult{Error: errorTooLarge}
 	}
-	if s.WriteRate > 0 && s.writeBudget < float64(len(transaction.Operations)) {
+	writes := float64(len(transaction.Operations))
+	if s.WriteRate > 0 && s.writeBudget < writes {
 		s.RejectedThrottled++
-		return 429, protocol.TransactionResult{}
+		return http.StatusTooManyRequests, protocol.TransactionResult{}
 	}
-	s.writeBudget -= float64(len(transaction.Operations))
+	s.writeBudget -= writes
 	for _, operation := range transaction.Operations {
-		if operation.Lease != 0 {
-			if _, ok := s.leaseExpiry[operation.Lease]; !ok {
-				return 400, protocol.TransactionResult{Error: "no such lease"}
-			}
+		if _, alive := s.leaseExpiry[operation.Lease]; operation.Lease != 0 && !alive {
+			return http.StatusBadRequest, protocol.TransactionResult{Error: "no such lease"}
 		}
 	}
-	var failed []string
-	for _, condition := range transaction.Conditions {
-		if s.modRevision(condition.Key) != condition.ModRevision {
-			failed = append(failed, condition.Key)
-		}
-	}
-	if failed != nil {
-		return 409, protocol.TransactionResult{FailedKeys: failed, Revision: s.revision}
+	if failed := s.failedConditions(transaction); failed != nil {
+		return http.StatusConflict, protocol.TransactionResult{FailedKeys: failed, Revision: s.revision}
 	}
 	s.revision++
 	var events []protocol.Event
 	for _, operation := range transaction.Operations {
-		change := protocol.Event{PutKey: operation.PutKey, DeleteKey: operation.DeleteKey, Value: operation.Value, ModRevision: protocol.ModRevision(s.revision)}
-		if operation.PutKey != "" {
-			s.entries[operation.PutKey] = storedEntry{data: operation.Value, modRevision: protocol.ModRevision(s.revision), lease: operation.Lease}
-		} else {
-			delete(s.entries, operation.DeleteKey)
-		}
-		s.appendEvent(change)
-		events = append(events, change)
+		event := s.apply(operation)
+		s.appendEvent(event)
+		events = append(events, event)
 	}
 	s.notifyObserver(events)
-	return 200, protocol.TransactionResult{Revision: s.revision}
+	return http.StatusOK, protocol.TransactionResult{Revision: s.revision}
+}
+
+// isTooLarge reports whether a transaction is beyond the store's limits.
+func (s *Store) isTooLarge(transaction protocol.Transaction) bool {
+	const maxTransactionBytes, conditionsPerOperation = 64 << 10, 4
+	size, valueTooLarge := 0, false
+	for _, operation := range transaction.Operations {
+		size += len(operation.Value) + len(operation.PutKey)
+		s.LargestValue = max(s.LargestValue, len(operation.Value))
+		valueTooLarge = valueTooLarge || len(operation.Value) > s.MaxValueBytes
+	}
+	return valueTooLarge || size > maxTransactionBytes ||
+		len(transaction.Operations) > s.MaxOperations || len(transaction.Conditions) > conditionsPerOperation*s.MaxOperations
+}
+
+// failedConditions lists the keys of conditions that do not hold; nil if all hold.
+func (s *Store) failedConditions(transaction protocol.Transaction) (failed []string) {
+	for _, condition := range transaction.Conditions {
+		if s.modRevision(condition.Key) != condition.ModRevision {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+func (s *Store) apply(operation protocol.Operation) protocol.Event {
+	modRevision := protocol.ModRevision(s.revision)
+	if operation.PutKey != "" {
+		s.entries[operation.PutKey] = storedEntry{data: operation.Value, modRevision: modRevision, lease: operation.Lease}
+	} else {
+		delete(s.entries, operation.DeleteKey)
+	}
+	return protocol.Event{PutKey: operation.PutKey, DeleteKey: operation.DeleteKey, Value: operation.Value, ModRevision: modRevision}
 }
 
-// GrantLease gives a lease.
+// GrantLease makes a lease.
 func (s *Store) GrantLease(now, ttl time.Duration) protocol.LeaseID {
 	s.nextLeaseID++
 	s.leaseExpiry[s.nextLeaseID], s.leaseTTL[s.nextLeaseID] = now+ttl, ttl
 	return s.nextLeaseID
 }
 
-// RenewLease renews a lease if it still lives.
+// RenewLease renews a lease. It reports false if the lease has expired.
 func (s *Store) RenewLease(now time.Duration, id protocol.LeaseID) bool {
 	if _, ok := s.leaseExpiry[id]; !ok {
 		return false
@@ -166,7 +189,7 @@
 	return true
 }
 
-// List lists all keys with the prefix.
+// List lists all entries with a prefix, ordered by key.
 func (s *Store) List(prefix string) []protocol.Entry {
 	var out []protocol.Entry
 	for k, i := range s.entries {
@@ -178,7 +201,7 @@
 	return out
 }
 
-// Watch gives the changes behind a revision; old tells that it lacks some.
+// Watch lists the events after a revision; compacted says that some of them are gone.
 func (s *Store) Watch(prefix string, from protocol.Revision) (response protocol.WatchResponse, compacted bool) {
 	if len(s.events) == s.maxEvents && protocol.Revision(s.events[0].ModRevision) > from+1 {
 		return response, true
