--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"os"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -11,273 +11,294 @@
 	"tillerarch/internal/storage"
 )
 
-// busiestController is the controller to which most machines with tasks report.
-func (w *World) busiestController() *Controller {
-	taskCounts := map[int]int{}
-	best := 0
-	for _, m := range w.Machines {
-		if !m.Terminated && len(m.tasks) > 0 {
-			if taskCounts[m.controllerIndex%len(w.Controllers)]++; taskCounts[m.controllerIndex%len(w.Controllers)] > taskCounts[best] {
-				best = m.controllerIndex % len(w.Controllers)
+// cancellationReport is when users must be told that jobs are cancelled.
+type cancellationReport int
+
+const (
+	reportedEitherWay cancellationReport = iota
+	reportedDuringFault
+	reportedAfterFault // or some of them, at least
+)
+
+// cancelledJobs is how many of the jobs of TestCancellationDuringOutage are cancelled; one more
+// is not.
+const cancelledJobs = 6
+
+// Jobs are cancelled while the controller that commands their machines does not learn of it
+// from the store, which then fails for everybody, for longer than cancel_s. The tasks of what
+// is reported cancelled are gone in time; queries and repeated submissions at every controller
+// never go back, and are not all refused after the faults. Each row breaks a rule without the
+// part of the mechanism that it is named after.
+func TestCancellationDuringOutage(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		report cancellationReport
+		inject func(w *World) // begins in the 25th second, over by the 90th
+		// Nobody repeats the requests: a cancellation that was begun goes on, others need not.
+		requestedOnce bool
+	}{
+		{"the leader alone is refused, then everybody", reportedDuringFault, leaderRefusedThenOutage, false},
+		{"the same, connections between controllers cut", reportedAfterFault, leaderRefusedThenOutageWithoutPeers, false},
+		{"the one that has acknowledged fails and is back at once", reportedDuringFault, acknowledgingControllerRestarts, false},
+		{"shards change owners between the steps", reportedEitherWay, shardsChangeOwnersBetweenSteps, false},
+		{"their machines hang", reportedDuringFault, machinesHangInOutage, false},
+		{"their machines hang, and the controller fails that commands them", reportedDuringFault, machinesHangAndCommanderFails, false},
+		{"their machines hang while they pull the image", reportedEitherWay, machinesHangPullingImage, false},
+		{"the controller that has begun the cancellation ends", reportedEitherWay, beginningControllerFails, true},
+		{"more of them is pending than runs", reportedEitherWay, mostTasksPending, false},
+		{"a zone with its controller is partitioned, and the cloud is unreachable", reportedAfterFault, zoneAndCloudUnreachable, false},
+		{"a zone with its controller is partitioned", reportedEitherWay, zonePartitionedInOutage, false},
+		{"the leader alone with its agents", reportedEitherWay, leaderAloneWithAgents, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			for seed := uint64(1); seed <= seedCount(); seed++ {
+				w, ids := newCancellationWorld(t, seed)
+				c.inject(w)
+				w.requestEverywhere(ids)
+				w.Advance(seconds(60))
+				checkCancellationReport(t, w, seed, c.report, ids)
+				w.Advance(seconds(30))
+				w.Rules.FaultsEndedAt = w.Now
+				w.Advance(seconds(130))
+				w.Rules.CheckFinal(w.Now)
+				checkCancelled(t, w, seed, ids[:cancelledJobs], c.requestedOnce)
+				if last := ids[cancelledJobs]; !w.FinishedJobs[last] {
+					t.Errorf("seed %d: %s has not ended", seed, last)
+				}
+				checkRules(t, w, seed)
 			}
-		}
+		})
 	}
-	return w.Controllers[best]
 }
 
-// otherControllers are all controllers but one.
-func (w *World) otherControllers(controller *Controller) (result []*Controller) {
-	for _, other := range w.Controllers {
-		if other != controller {
-			result = append(result, other)
+// newCancellationWorld is a deployment on which all tasks of seven jobs run: six that would run
+// for long, and one that ends.
+func newCancellationWorld(t *testing.T, seed uint64) (*World, []protocol.JobID) {
+	t.Helper()
+	const tasksOfJob = 4
+	w := newFixedWorld(seed, 3, 0)
+	w.traceTo(t)
+	w.addSmallMachines(14, testZones...)
+	var ids []protocol.JobID
+	for i := range cancelledJobs + 1 {
+		job := newLongJob(i)
+		if i == cancelledJobs {
+			job.EstimatedRunSeconds = 60
 		}
+		ids = append(ids, job.ID)
+		w.After(seconds(5+i), func() { w.Submit(job) })
+	}
+	w.Advance(seconds(25))
+	if tasks := tasksOfJob * len(ids); w.Rules.TasksStarted != tasks {
+		t.Fatalf("seed %d: %d of %d tasks started", seed, w.Rules.TasksStarted, tasks)
 	}
-	return result
+	return w, ids
 }
 
-// Jobs are called off while the controller that commands their machines does not hear
-// of it from the state service, which is then out for all, for longer than cancel_s.
-// What is called withdrawn is gone in time; questions and repeated submissions at every
-// controller never go back, and are not all refused behind the troubles. Each case breaks
-// a rule without the part of the mechanism that it is named after.
-func TestCancellationDuringOutage(t *testing.T) {
-	s := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-	outage := func(w *World, from, to float64) {
-		w.After(s(from), func() { w.Store.Unavailable = true })
-		w.After(s(to), func() { w.Store.Unavailable = false })
+func jobNumber(i int) protocol.JobID { return protocol.JobID(fmt.Sprintf("j-%d", i)) }
+
+func newLongJob(i int) *protocol.Job { return newArray(jobNumber(i), "l", "standard", 4, 1, 250) }
+
+// requestEverywhere lets users query all jobs and repeat their submissions, at one controller
+// after the other, all the time.
+func (w *World) requestEverywhere(ids []protocol.JobID) {
+	count := 0
+	w.Every(300*time.Millisecond, func() {
+		count++
+		id, controller := ids[count%len(ids)], w.Controllers[count/len(ids)%len(w.Controllers)]
+		if count%2 == 0 {
+			w.SendUserRequestTo(controller, protocol.RequestQuery, id, nil, func(int, protocol.JobState) {})
+		} else {
+			w.SendUserRequestTo(controller, protocol.RequestSubmit, id, protocol.Encode(w.Jobs[id]), func(int, protocol.JobState) {})
+		}
+	})
+}
+
+func checkCancellationReport(t *testing.T, w *World, seed uint64, want cancellationReport, ids []protocol.JobID) {
+	t.Helper()
+	reported := 0
+	for _, id := range ids {
+		if w.Rules.job(id).reportedState == protocol.JobCancelled {
+			reported++
+		}
 	}
-	refuseByStore := func(w *World, from, to float64) *Controller {
-		n := w.busiestController()
-		w.After(s(from), func() { n.RefusedByStore = true })
-		w.After(s(to), func() { n.RefusedByStore = false })
-		return n
+	if want == reportedDuringFault && reported < cancelledJobs || want == reportedAfterFault && reported == cancelledJobs {
+		t.Errorf("seed %d: %d of %d jobs are reported cancelled during the fault", seed, reported, cancelledJobs)
 	}
-	cancel := func(w *World, at float64) {
-		for i := 0; i < 6; i++ {
-			id := protocol.JobID(fmt.Sprintf("j-%d", i))
-			w.After(s(at)+time.Duration(i)*100*time.Millisecond, func() { w.Cancel(id) })
+}
+
+// checkCancelled checks that jobs are cancelled on record. If their cancellation was requested
+// once, it is enough that none is still under way.
+func checkCancelled(t *testing.T, w *World, seed uint64, ids []protocol.JobID, requestedOnce bool) {
+	t.Helper()
+	records := map[string]string{}
+	for _, entry := range w.Store.List(storage.JobKey("")) {
+		records[entry.Key] = string(entry.Value)
+	}
+	for _, id := range ids {
+		record := records[storage.JobKey(id)]
+		isCancelled := strings.Contains(record, `"s":"withdrawn"`)
+		if !isCancelled && (!requestedOnce || isCancelRequestRecorded(record)) {
+			t.Errorf("seed %d: %s is never cancelled", seed, id)
 		}
 	}
-	for _, c := range []struct {
-		name string
-		// Withdrawn is told in the trouble (1), behind it (-1), or either way (0).
-		told    int
-		trouble func(w *World) // from the 25th second, over by the 90th
-		once    bool           // nobody asks again: what was begun goes on, what was not does not
-	}{
-		{"the leader alone is refused, then everybody", 1, func(w *World) {
-			refuseByStore(w, 0, 14)
-			cancel(w, 0.2)
-			outage(w, 4, 60)
-		}, false},
-		{"the same, connections between controllers cut", -1, func(w *World) {
-			for _, n := range w.Controllers {
-				n.PeersUnreachable = true
-				w.After(s(60), func() { n.PeersUnreachable = false })
-			}
-			refuseByStore(w, 0, 14)
-			cancel(w, 0.2)
-			outage(w, 4, 60)
-		}, false},
-		{"the one that has acknowledged ends and is back at once", 1, func(w *World) {
-			n := refuseByStore(w, 0, 14)
-			cancel(w, 0.2)
-			outage(w, 4, 60)
-			w.After(s(5), n.Kill)
-			w.After(s(5.3), n.Start)
-		}, false},
-		{"pages change hands between the steps", 0, func(w *World) {
-			n := w.busiestController()
-			for _, other := range w.Controllers {
-				other.PeersUnreachable = true // nobody acknowledges
-				w.After(s(60), func() { other.PeersUnreachable = false })
-			}
-			w.After(0, func() { n.StoreUnreachable = true })
-			w.After(s(60), func() { n.StoreUnreachable = false })
-			cancel(w, 0.2)
-			outage(w, 12, 60)
-		}, false},
-		{"their machines hang", 1, func(w *World) {
-			refuseByStore(w, 0, 14)
-			cancel(w, 0.2)
-			outage(w, 4, 60)
-			w.After(s(1.2), func() {
-				k := 0
-				for _, m := range w.Machines {
-					if len(m.tasks) > 0 && k < 8 {
-						m.Hang(s(50))
-						k++
-					}
-				}
-			})
-		}, false},
-		{"their machines hang, and the controller ends that commands them", 1, func(w *World) {
-			n := w.busiestController()
-			cancel(w, 0.2)
-			outage(w, 4, 60)
-			w.After(s(0.1), func() {
-				for _, m := range w.Machines {
-					if len(m.tasks) > 0 && w.Controllers[m.controllerIndex%3] == n {
-						m.Hang(s(50))
-					}
-				}
-			})
-			w.After(s(3), n.Kill)
-			w.After(s(4), n.Start)
-		}, false},
-		{"their machines hang while they fetch the image", 0, func(w *World) {
-			w.ImagePullTime = s(2)
-			for _, m := range w.Machines {
-				clear(m.cachedImages)
-			}
-			for i := 0; i < 6; i++ {
-				job := newArray(protocol.JobID(fmt.Sprintf("j-%d", 10+i)), "l", "standard", 4, 1, 250)
-				w.Submit(job)
-				w.After(s(2), func() { w.Cancel(job.ID) })
-			}
-			w.After(s(2)-10*time.Millisecond, func() {
-				for _, m := range w.Machines {
-					m.Hang(s(4))
-				}
-			})
-			cancel(w, 9)
-		}, false},
-		{"the one that has begun to withdraw ends", 0, func(w *World) {
-			for _, n := range w.Controllers {
-				n.PeersUnreachable = true
-				w.After(s(20), func() { n.PeersUnreachable = false })
-			}
-			// Each is asked once, and nobody asks again.
-			for i := 0; i < 6; i++ {
-				id := protocol.JobID(fmt.Sprintf("j-%d", i))
-				w.Rules.RecordCancelRequest(id)
-				w.After(s(0.2), func() {
-					w.SendUserRequestTo(w.Controllers[i%2], protocol.RequestCancel, id, nil, func(int, protocol.JobState) {})
-				})
-			}
-			isCancelRecorded := func() bool {
-				for _, i := range w.Store.List(storage.JobKey("")) {
-					if strings.Contains(string(i.Value), `"w":true`) {
-						return true
-					}
-				}
-				return false
-			}
-			for k := range 200 { // at the moment at which the first intent is on record
-				w.After(s(0.2)+time.Duration(k)*time.Millisecond, func() {
-					for _, n := range w.Controllers[:2] {
-						if n.Alive && isCancelRecorded() && n.generation == 2 {
-							n.Kill()
-							w.After(s(4), n.Start)
-						}
-					}
-				})
+}
+
+// isCancelRequestRecorded reports whether a job's record says that its cancellation has begun.
+func isCancelRequestRecorded(record string) bool { return strings.Contains(record, `"w":true`) }
+
+// cancelFirstJobs lets users cancel the jobs that are to be cancelled, one after the other.
+func (w *World) cancelFirstJobs(at float64) {
+	for i := range cancelledJobs {
+		w.After(seconds(at)+time.Duration(i)*100*time.Millisecond, func() { w.Cancel(jobNumber(i)) })
+	}
+}
+
+// refuseLeaderNow lets the store refuse the controller that is the busiest now, for a while.
+func (w *World) refuseLeaderNow() *Controller {
+	controller := w.busiestController()
+	w.setBetween(0, seconds(14), &controller.RefusedByStore)
+	return controller
+}
+
+func leaderRefusedThenOutage(w *World) {
+	w.refuseLeaderNow()
+	w.cancelFirstJobs(0.2)
+	w.outage(4, 56)
+}
+
+func leaderRefusedThenOutageWithoutPeers(w *World) {
+	for _, controller := range w.Controllers {
+		w.setFor(seconds(60), &controller.PeersUnreachable)
+	}
+	leaderRefusedThenOutage(w)
+}
+
+func acknowledgingControllerRestarts(w *World) {
+	leader := w.refuseLeaderNow()
+	w.cancelFirstJobs(0.2)
+	w.outage(4, 56)
+	leader.ScheduleRestart(seconds(5), seconds(0.3))
+}
+
+// Nobody acknowledges the intent: controllers do not reach each other, and the leader not the
+// store.
+func shardsChangeOwnersBetweenSteps(w *World) {
+	leader := w.busiestController()
+	for _, controller := range w.Controllers {
+		w.setFor(seconds(60), &controller.PeersUnreachable)
+	}
+	w.setBetween(0, seconds(60), &leader.StoreUnreachable)
+	w.cancelFirstJobs(0.2)
+	w.outage(12, 48)
+}
+
+func machinesHangInOutage(w *World) {
+	const hanging = 8
+	leaderRefusedThenOutage(w)
+	w.After(seconds(1.2), func() {
+		count := 0
+		for _, m := range w.sortedMachines() {
+			if len(m.tasks) > 0 && count < hanging {
+				m.Hang(seconds(50))
+				count++
 			}
-		}, true},
-		{"more of them waits than runs", 0, func(w *World) {
-			for i := 0; i < 6; i++ {
-				job := newArray(protocol.JobID(fmt.Sprintf("j-%d", 10+i)), "l", "high", 30, 1, 6)
-				w.Submit(job)
-				w.After(s(2.5)+time.Duration(i)*500*time.Millisecond, func() { w.Cancel(job.ID) })
+		}
+	})
+}
+
+func machinesHangAndCommanderFails(w *World) {
+	leader := w.busiestController()
+	w.cancelFirstJobs(0.2)
+	w.outage(4, 56)
+	w.After(seconds(0.1), func() {
+		for _, m := range w.sortedMachines() {
+			if len(m.tasks) > 0 && w.Controllers[m.controllerIndex%len(w.Controllers)] == leader {
+				m.Hang(seconds(50))
 			}
-			cancel(w, 9)
-		}, false},
-		{"a zone with its controller is cut off, and the cloud is away", -1, func(w *World) {
-			n := w.busiestController()
-			n.StoreUnreachable, n.PeersUnreachable, n.UsersUnreachable, w.CloudUnreachable = true, true, true, true
-			w.PartitionedZones["b"] = n
-			cancel(w, 0.2)
-			w.After(s(62), func() {
-				n.StoreUnreachable, n.PeersUnreachable, n.UsersUnreachable, w.CloudUnreachable = false, false, false, false
-				delete(w.PartitionedZones, "b")
-			})
-		}, false},
-		{"a zone with its controller is cut off", 0, func(w *World) {
-			n := w.busiestController()
-			n.StoreUnreachable, n.PeersUnreachable, n.UsersUnreachable = true, true, true
-			w.PartitionedZones["b"] = n
-			cancel(w, 0.2)
-			outage(w, 12, 60)
-			w.After(s(62), func() {
-				n.StoreUnreachable, n.PeersUnreachable, n.UsersUnreachable = false, false, false
-				delete(w.PartitionedZones, "b")
-			})
-		}, false},
-		{"the leader alone with its workers", 0, func(w *World) {
-			n := w.busiestController()
-			n.StoreUnreachable, n.PeersUnreachable = true, true
-			cancel(w, 0.2)
-			outage(w, 5, 60)
-			w.After(s(62), func() { n.StoreUnreachable, n.PeersUnreachable = false, false })
-		}, false},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			t.Parallel()
-			for seed := uint64(1); seed <= seedCount(); seed++ {
-				w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
-				w.CloudOutOfCapacity = true
-				w.Config.IdleTimeoutFactor = 100
-				for _, n := range w.Controllers {
-					n.Start()
-				}
-				if os.Getenv("TRACE") != "" {
-					w.Trace = func(l string) { t.Log(l) }
-				}
-				for i := 0; i < 14; i++ {
-					w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
-				}
-				ids := []protocol.JobID{}
-				for i := 0; i < 7; i++ {
-					job := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 4, 1, 250)
-					if i == 6 {
-						job.EstimatedRunSeconds = 60
-					}
-					ids = append(ids, job.ID)
-					w.After(s(5)+time.Duration(i)*time.Second, func() { w.Submit(job) })
-				}
-				w.Advance(s(25))
-				if w.Rules.TasksStarted != 28 {
-					t.Fatalf("seed %d: %d of 28 tasks started", seed, w.Rules.TasksStarted)
-				}
-				c.trouble(w)
-				// Everybody is asked about everything all the time.
-				k := 0
-				w.Every(300*time.Millisecond, func() {
-					k++
-					id, n := ids[k%7], w.Controllers[k/7%3]
-					if k%2 == 0 {
-						w.SendUserRequestTo(n, protocol.RequestQuery, id, nil, func(int, protocol.JobState) {})
-					} else {
-						w.SendUserRequestTo(n, protocol.RequestSubmit, id, protocol.Encode(w.Jobs[id]), func(int, protocol.JobState) {})
-					}
-				})
-				w.Advance(s(60))
-				reported := 0
-				for _, id := range ids {
-					if w.Rules.job(id).reportedState == protocol.JobCancelled {
-						reported++
-					}
-				}
-				if c.told > 0 && reported < 6 || c.told < 0 && reported == 6 {
-					t.Errorf("seed %d: %d of 6 jobs are called withdrawn in the trouble", seed, reported)
-				}
-				w.Advance(s(30))
-				w.Rules.FaultsEndedAt = w.Now
-				w.Advance(s(130))
-				w.Rules.CheckFinal(w.Now)
-				records := map[string]string{}
-				for _, i := range w.Store.List(storage.JobKey("")) {
-					records[i.Key] = string(i.Value)
-				}
-				for _, id := range ids[:6] {
-					if r := records[storage.JobKey(id)]; !strings.Contains(r, `"s":"withdrawn"`) && (!c.once || strings.Contains(r, `"w":true`)) {
-						t.Errorf("seed %d: %s is never called withdrawn", seed, id)
-					}
-				}
-				if len(w.Rules.Violations) > 0 || !w.FinishedJobs["j-6"] {
-					t.Errorf("seed %d: done %v, %d rules broken:\n%s", seed, w.FinishedJobs["j-6"], len(w.Rules.Violations), strings.Join(w.Rules.Violations[:min(5, len(w.Rules.Violations))], "\n"))
+		}
+	})
+	leader.ScheduleRestart(seconds(3), seconds(1))
+}
+
+func machinesHangPullingImage(w *World) {
+	w.ImagePullTime = seconds(2)
+	for _, m := range w.Machines {
+		clear(m.cachedImages)
+	}
+	for i := range 6 {
+		job := newLongJob(10 + i)
+		w.Submit(job)
+		w.After(seconds(2), func() { w.Cancel(job.ID) })
+	}
+	w.After(seconds(2)-10*time.Millisecond, func() {
+		for _, m := range w.sortedMachines() {
+			m.Hang(seconds(4))
+		}
+	})
+	w.cancelFirstJobs(9)
+}
+
+// Each cancellation is requested once, at one of two controllers; both fail at the moment at
+// which the first intent is on record.
+func beginningControllerFails(w *World) {
+	for _, controller := range w.Controllers {
+		w.setFor(seconds(20), &controller.PeersUnreachable)
+	}
+	for i := range cancelledJobs {
+		id := jobNumber(i)
+		w.Rules.RecordCancelRequest(id)
+		w.After(seconds(0.2), func() {
+			w.SendUserRequestTo(w.Controllers[i%2], protocol.RequestCancel, id, nil, func(int, protocol.JobState) {})
+		})
+	}
+	isAnyRecorded := func() bool {
+		return slices.ContainsFunc(w.Store.List(storage.JobKey("")), func(entry protocol.Entry) bool {
+			return isCancelRequestRecorded(string(entry.Value))
+		})
+	}
+	generation := w.Controllers[0].generation
+	for k := range 200 {
+		w.After(seconds(0.2)+time.Duration(k)*time.Millisecond, func() {
+			for _, controller := range w.Controllers[:2] {
+				if controller.Alive && isAnyRecorded() && controller.generation == generation {
+					controller.restartIfAlive(seconds(4))
 				}
 			}
 		})
 	}
 }
+
+func mostTasksPending(w *World) {
+	for i := range 6 {
+		job := newArray(jobNumber(10+i), "l", "high", 30, 1, 6)
+		w.Submit(job)
+		w.After(seconds(2.5)+time.Duration(i)*500*time.Millisecond, func() { w.Cancel(job.ID) })
+	}
+	w.cancelFirstJobs(9)
+}
+
+func zoneAndCloudUnreachable(w *World) {
+	w.partitionZone("b", w.busiestController())
+	w.CloudUnreachable = true
+	w.cancelFirstJobs(0.2)
+	w.After(seconds(62), func() {
+		w.healZone("b")
+		w.CloudUnreachable = false
+	})
+}
+
+func zonePartitionedInOutage(w *World) {
+	w.partitionZone("b", w.busiestController())
+	w.cancelFirstJobs(0.2)
+	w.outage(12, 48)
+	w.After(seconds(62), func() { w.healZone("b") })
+}
+
+func leaderAloneWithAgents(w *World) {
+	leader := w.busiestController()
+	w.setFor(seconds(62), &leader.StoreUnreachable, &leader.PeersUnreachable)
+	w.cancelFirstJobs(0.2)
+	w.outage(5, 55)
+}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"hash"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -19,9 +20,9 @@
 	"tillerarch/internal/transport"
 )
 
-// productionPeerMessage is what controllers tell each other, with the names by which gob
-// finds the fields in the version in production, and with plain types. A field that is
-// encoded under another name is not read by that version; it is empty here.
+// productionPeerMessage is what controllers tell each other, with the names by which gob finds
+// the fields in the version in production, and with plain types. A field that is encoded under
+// another name is not read by that version; it is empty here.
 type productionPeerMessage struct {
 	Member  string
 	StateOK bool
@@ -52,7 +53,7 @@
 	}
 	frame, rest, err := transport.SplitFrame(stream)
 	if err != nil || len(rest) > 0 {
-		return nil, fmt.Errorf("cut: %v, %d bytes left", err, len(rest))
+		return nil, fmt.Errorf("split: %v, %d bytes left", err, len(rest))
 	}
 	var m productionPeerMessage
 	if err := transport.DecodeFrame(frame, &m); err != nil {
@@ -73,16 +74,17 @@
 	return fmt.Sprintf("%q", err)
 }
 
-// canonical is an effect in a form in which no identifier of the Go sources occurs: a code
-// of one letter and the wire form, or else the values in a fixed order. This is the one
-// place that follows a renaming of the types of effects.
+// canonical is an effect in a form in which no identifier of the Go sources occurs: a code of one
+// letter and the wire form, or else the values in a fixed order. This is the one place that
+// follows a renaming of the types of effects.
 func canonical(e step.Effect) (code byte, form string, err error) {
-	share := func(s *requests.ControllerStatus) string {
+	status := func(s *requests.ControllerStatus) string {
 		return fmt.Sprintf("%q %q %d %d %t %t;", string(s.ID), string(s.Incarnation), s.Shards, s.Machines, s.RecordsTransfers, s.Draining)
 	}
-	move := func(m *storage.TransferRecord) string {
-		return fmt.Sprintf("%q %q %q %q %q %q %d %d %d %d %d;", m.Name, string(m.Shard), string(m.Source), string(m.Target), string(m.Phase), m.Reason, m.MachineCount,
-			int64(m.ProposedAt), int64(m.PreparedAt), int64(m.CommittedAt), int64(m.EndedAt))
+	transfer := func(r *storage.TransferRecord) string {
+		return fmt.Sprintf("%q %q %q %q %q %q %d %d %d %d %d;",
+			r.Name, string(r.Shard), string(r.Source), string(r.Target), string(r.Phase), r.Reason, r.MachineCount,
+			int64(r.ProposedAt), int64(r.PreparedAt), int64(r.CommittedAt), int64(r.EndedAt))
 	}
 	switch v := e.(type) {
 	case step.Reply:
@@ -108,33 +110,32 @@
 	case step.ListInstances:
 		return 'I', "", nil
 	case step.SendCommands:
-		orders := v.Commands
-		return 'D', fmt.Sprintf("%q %q %s", v.Addr, string(v.Machine), orders.Encode()), nil
+		return 'D', fmt.Sprintf("%q %q %s", v.Addr, string(v.Machine), v.Commands.Encode()), nil
 	case step.ProbeAgent:
 		return 'W', fmt.Sprintf("%q %q", v.Addr, string(v.Machine)), nil
 	case step.SendPeerStatus:
 		form, err := asProductionReads(v.Status.Wire())
 		return 'P', string(form), err
 	case requests.TransferReply:
-		return 'M', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), move(&v.Transfer)), nil
+		return 'M', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), transfer(&v.Transfer)), nil
 	case requests.DrainReply:
-		return 'N', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), share(&v.Status)), nil
+		return 'N', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), status(&v.Status)), nil
 	case requests.ShardingStatusReply:
 		form := fmt.Sprintf("%d %d %t\n", v.Req, uint64(v.Revision), v.Stale)
 		for i := range v.Controllers {
-			form += share(&v.Controllers[i])
+			form += status(&v.Controllers[i])
 		}
 		form += "\n"
-		for _, p := range v.Shards {
-			form += fmt.Sprintf("%q %q %d %d %d;", string(p.ID), string(p.Owner), uint64(p.Epoch), p.Machines, p.Tasks)
+		for _, shard := range v.Shards {
+			form += fmt.Sprintf("%q %q %d %d %d;", string(shard.ID), string(shard.Owner), uint64(shard.Epoch), shard.Machines, shard.Tasks)
 		}
 		form += "\n"
 		for i := range v.Transfers {
-			form += move(&v.Transfers[i])
+			form += transfer(&v.Transfers[i])
 		}
 		form += "\n"
-		for _, m := range v.PlannedTransfers {
-			form += fmt.Sprintf("%q %q %q;", string(m.Shard), string(m.Source), string(m.Target))
+		for _, planned := range v.PlannedTransfers {
+			form += fmt.Sprintf("%q %q %q;", string(planned.Shard), string(planned.Source), string(planned.Target))
 		}
 		return 'S', form, nil
 	default:
@@ -142,34 +143,61 @@
 	}
 }
 
+// effectDigest is a digest of the effects of all cores of a world.
+type effectDigest struct {
+	sum     hash.Hash
+	effects int
+	kinds   map[byte]int // by the code of their canonical form
+}
+
+// digestEffects lets a world's effects be digested from now on, but for log lines.
+func (w *World) digestEffects(t *testing.T) *effectDigest {
+	t.Helper()
+	digest := &effectDigest{sum: sha256.New(), kinds: map[byte]int{}}
+	w.Observe = func(at time.Duration, member protocol.ControllerID, e step.Effect) {
+		if _, isLog := e.(step.Log); isLog {
+			return
+		}
+		code, form, err := canonical(e)
+		if err != nil {
+			t.Errorf("%v %s: %v", at, member, err)
+		}
+		digest.effects++
+		digest.kinds[code]++
+		fmt.Fprintf(digest.sum, "%d %s %c %d %s\n", int64(at), string(member), code, len(form), form)
+	}
+	return digest
+}
+
 // digestDay is a scenario of TestEffectDigest.
 type digestDay struct {
 	name  string
 	world func(t *testing.T, seed uint64) *World
-	play  func(t *testing.T, w *World) // plans the day; troubles are over by busy
+	play  func(t *testing.T, w *World) // plans the day; faults are over by busy
 	busy  time.Duration
 	calm  time.Duration
 }
 
-// holds lets a trouble last from one time to another.
-func (w *World) holds(flag *bool, from, lasts float64) {
-	w.After(seconds(from), func() { *flag = true })
-	w.After(seconds(from+lasts), func() { *flag = false })
+// holds sets a flag from a time on, for a while; both in seconds.
+func (w *World) holds(flag *bool, from, duration float64) {
+	w.setBetween(seconds(from), seconds(from+duration), flag)
 }
 
-// tellsShares lets an operator ask for the shares again and again, at one controller after
-// the other.
-func (w *World) tellsShares(every float64) {
-	k := 0
-	w.Every(seconds(every), func() {
-		k++
-		w.Controllers[k%len(w.Controllers)].DeliverOperatorRequest(func(id step.RequestID) step.Input { return requests.ShardingStatusRequest{Req: id} },
-			func(step.Effect) {})
+// requestShardingStatus lets an operator ask for the sharding status again and again, at one
+// controller after the other.
+func (w *World) requestShardingStatus(interval float64) {
+	count := 0
+	w.Every(seconds(interval), func() {
+		count++
+		controller := w.Controllers[count%len(w.Controllers)]
+		controller.DeliverOperatorRequest(func(id step.RequestID) step.Input {
+			return requests.ShardingStatusRequest{Req: id}
+		}, func(step.Effect) {})
 	})
 }
 
-// The leader of other tests depends on the order of a map if two are equal: the days
-// below name the controllers that fail.
+// digestDays are the days of TestEffectDigest. Their names, seeds and draws stay as they are: the
+// digests of earlier versions are compared with them.
 var digestDays = []digestDay{
 	{name: "crashes", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate = 0.02
@@ -230,7 +258,7 @@
 		submitMixedJobs(w, 24)
 		w.submitLongJobs(10, "core", 50)
 		for i := range 2 {
-			n, z, at := w.Controllers[2-i], []protocol.Zone{"a", "b"}[i], 20+45*float64(i)
+			n, z, at := w.Controllers[2-i], testZones[i], 20+45*float64(i)
 			for _, flag := range []*bool{&n.StoreUnreachable, &n.PeersUnreachable, &n.UsersUnreachable} {
 				w.holds(flag, at, 38)
 			}
@@ -249,18 +277,18 @@
 			n.Start()
 		}
 		for i := range 14 {
-			w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+			w.AddMachine("small", testZones[i%2], false, 0)
 		}
 		return w
 	}, play: func(t *testing.T, w *World) {
 		w.CancelAtEndRate = 0.5
 		var ids []protocol.JobID
 		for i := range 9 {
-			d := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 4, 1, []float64{250, 250, 30}[i%3])
-			ids = append(ids, d.ID)
-			w.After(seconds(5+float64(i)), func() { w.Submit(d) })
+			job := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 4, 1, []float64{250, 250, 30}[i%3])
+			ids = append(ids, job.ID)
+			w.After(seconds(5+float64(i)), func() { w.Submit(job) })
 			if i%3 < 2 {
-				w.After(seconds(25.2+0.1*float64(i)), func() { w.Cancel(d.ID) })
+				w.After(seconds(25.2+0.1*float64(i)), func() { w.Cancel(job.ID) })
 			}
 		}
 		w.holds(&w.Controllers[1].RefusedByStore, 25, 14)
@@ -286,11 +314,11 @@
 		})
 	}, busy: seconds(90), calm: seconds(80)},
 	{name: "gangs-arrays-services-limits", world: func(t *testing.T, seed uint64) *World {
-		flavors := append(slices.Clone(testMachineTypes), testMachineTypes[0])
-		flavors[2].Name, flavors[2].Accelerators = "gpu", 2
-		w := NewWorld(seed, 3, flavors, testTeams())
+		machineTypes := append(slices.Clone(testMachineTypes), testMachineTypes[0])
+		machineTypes[2].Name, machineTypes[2].Accelerators = "gpu", 2
+		w := NewWorld(seed, 3, machineTypes, testTeams())
 		for i := range 8 {
-			w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+			w.AddMachine("small", testZones[i%2], false, 0)
 		}
 		w.Config.Quotas["promised"] = step.Quota{GuaranteedCores: 12, MaxCores: 40}
 		w.Config.Objectives = map[string]step.Objectives{"l": {StartWithin: []time.Duration{seconds(5), seconds(20)}, FinishWithin: []time.Duration{seconds(60)}, DeadlineFactors: []float64{1, 2}}}
@@ -301,22 +329,22 @@
 		due := 40.0
 		for i := range 18 {
 			id := protocol.JobID(fmt.Sprintf("j-7%03d", i))
-			d := newArray(id, "l", []protocol.Priority{"high", "low", "standard", "critical"}[i%4], 3+i%5, 2, 12)
+			job := newArray(id, "l", []protocol.Priority{"high", "low", "standard", "critical"}[i%4], 3+i%5, 2, 12)
 			switch i % 6 {
 			case 0:
-				d = newService(id, 2+i%4)
-				d.Team, d.SpreadZones = []string{"tight", "core"}[i%2], i%4 == 0
+				job = newService(id, 2+i%4)
+				job.Team, job.SpreadZones = []string{"tight", "core"}[i%2], i%4 == 0
 			case 1:
-				d = newGang(id, "l", "high", 2+i%3, 3, 10)
-				d.Team = "promised"
+				job = newGang(id, "l", "high", 2+i%3, 3, 10)
+				job.Team = "promised"
 			case 2:
-				d.Team, d.DeadlineSeconds = "promised", &due
+				job.Team, job.DeadlineSeconds = "promised", &due
 			case 3:
-				d.Accelerators, d.Cores = 1, 0.5
+				job.Accelerators, job.Cores = 1, 0.5
 			case 4:
-				d.Class = []string{classFails, classExits}[i/6%2]
+				job.Class = []string{classFails, classExits}[i/6%2]
 			}
-			w.After(seconds(4+4*float64(i)), func() { w.Submit(d) })
+			w.After(seconds(4+4*float64(i)), func() { w.Submit(job) })
 		}
 		w.holds(&w.CloudOutOfCapacity, 30, 25)
 		w.holds(&w.CloudUnreachable, 70, 12)
@@ -337,7 +365,7 @@
 		}
 		submitMixedJobs(w, 40)
 		w.requestRandomTransfers(1200*time.Millisecond, seconds(90))
-		w.tellsShares(5)
+		w.requestShardingStatus(5)
 		moves := 0
 		w.onTransferPhase(storage.TransferProposed, func(r storage.TransferRecord) {
 			if moves++; moves%5 == 0 {
@@ -379,14 +407,14 @@
 		w.DelayedWriteRate, w.LostWriteReplyRate, w.DuplicateHeartbeatRate = 0.05, 0.1, 0.1
 		submitMixedJobs(w, 30)
 		w.requestRandomTransfers(1500*time.Millisecond, seconds(90))
-		w.tellsShares(9)
+		w.requestShardingStatus(9)
 		w.holds(&w.Controllers[0].PeersUnreachable, 20, 15)
 		w.holds(&w.Controllers[1].StoreUnreachable, 40, 12)
 		w.holds(&w.Controllers[2].AgentsUnreachable, 60, 20)
 	}, busy: seconds(90), calm: seconds(80)},
 	{name: "drains", world: newTransferWorld, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 24)
-		w.tellsShares(4)
+		w.requestShardingStatus(4)
 		drain := func(at float64, asked int, member protocol.ControllerID, on bool) {
 			w.After(seconds(at), func() {
 				w.Controllers[asked].DeliverOperatorRequest(func(id step.RequestID) step.Input {
@@ -415,9 +443,9 @@
 		}
 		w.After(seconds(55), w.tightenLimits)
 		for i := range 6 {
-			d := newService(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
-			d.SpreadZones = i%2 == 0
-			w.After(seconds(57+2*float64(i)), func() { w.Submit(d) })
+			job := newService(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
+			job.SpreadZones = i%2 == 0
+			w.After(seconds(57+2*float64(i)), func() { w.Submit(job) })
 			w.After(seconds(24+6*float64(i)), func() {
 				for _, m := range w.randomMachines(0.03) {
 					w.TerminateMachine(m.ID)
@@ -436,7 +464,7 @@
 		}
 		submitMixedJobs(w, 30)
 		w.requestRandomTransfers(1500*time.Millisecond, seconds(100))
-		w.tellsShares(9)
+		w.requestShardingStatus(9)
 		for i, n := range w.Controllers {
 			n.Upgrade(seconds(20+10*float64(i)), seconds(2))
 		}
@@ -468,13 +496,13 @@
 		return NewWorld(seed, 3, slices.Clone(testMachineTypes), testTeams())
 	}, play: func(t *testing.T, w *World) {
 		for i := range 16 {
-			d := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 8, 4, 10)
-			d.AllowSpot, d.CheckpointIntervalSeconds, d.CheckpointSaveSeconds = true, 5, 1
-			w.After(seconds(2+6*float64(i)), func() { w.Submit(d) })
+			job := newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 8, 4, 10)
+			job.AllowSpot, job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = true, 5, 1
+			w.After(seconds(2+6*float64(i)), func() { w.Submit(job) })
 		}
 		for i, part := range []float64{0.9, 0.3, 0.95, 0.1, 0.6} {
 			w.After(seconds(25+18*float64(i)), func() {
-				dearer := slices.Clone(w.MachineTypes) // what was answered before stays as it was
+				dearer := slices.Clone(w.MachineTypes) // earlier replies keep their prices
 				for k := range dearer {
 					dearer[k].SpotPrice = part * dearer[k].OnDemandPrice * (1 + 0.1*w.Rand.Float64())
 				}
@@ -515,15 +543,15 @@
 	}, busy: seconds(40), calm: seconds(10)},
 }
 
-// TestEffectDigest prints a line for each day and seed: a digest of everything that leaves
-// the cores, in order, with its time and controller. It is for the comparison of two
-// versions of the sources, one of them renamed or arranged anew, and has nothing to say of
-// one version alone; so it is skipped unless DIGEST is set:
+// TestEffectDigest prints a line for each day and seed: a digest of everything that leaves the
+// cores, in order, with its time and controller. It is for the comparison of two versions of the
+// sources, one of them renamed or arranged anew, and has nothing to say of one version alone; so
+// it is skipped unless DIGEST is set:
 //
 //	DIGEST=1 go test -count=1 -v -run TestEffectDigest ./internal/simulation | grep ' seed='
 //
-// Log lines are left out. Whatever else differs in a byte, an instant or its order changes
-// the digest, and a different message leads to another day from there on.
+// Log lines are left out. Whatever else differs in a byte, an instant or its order changes the
+// digest, and a different message leads to another day from there on.
 func TestEffectDigest(t *testing.T) {
 	if os.Getenv("DIGEST") == "" {
 		t.Skip("DIGEST is not set: this is for comparing two versions of the sources")
@@ -549,20 +577,8 @@
 		for seed := uint64(1); seed <= 3; seed++ {
 			t.Run(fmt.Sprintf("%s/%d", day.name, seed), func(t *testing.T) {
 				t.Parallel()
-				sum, effects, seen := sha256.New(), 0, map[byte]int{}
 				w := day.world(t, seed)
-				w.Observe = func(at time.Duration, member protocol.ControllerID, e step.Effect) {
-					if _, log := e.(step.Log); log {
-						return
-					}
-					code, form, err := canonical(e)
-					if err != nil {
-						t.Errorf("%v %s: %v", at, member, err)
-					}
-					effects++
-					seen[code]++
-					fmt.Fprintf(sum, "%d %s %c %d %s\n", int64(at), string(member), code, len(form), form)
-				}
+				digest := w.digestEffects(t)
 				day.play(t, w)
 				w.Advance(day.busy)
 				w.endFaults()
@@ -570,10 +586,10 @@
 				w.Advance(day.calm)
 				mu.Lock()
 				defer mu.Unlock()
-				for code, n := range seen {
+				for code, n := range digest.kinds {
 					kinds[code] += n
 				}
-				lines = append(lines, fmt.Sprintf("%s seed=%d %x effects=%d", day.name, seed, sum.Sum(nil)[:8], effects))
+				lines = append(lines, fmt.Sprintf("%s seed=%d %x effects=%d", day.name, seed, digest.sum.Sum(nil)[:8], digest.effects))
 				t.Logf("broken rules: %d %v", len(w.Rules.Violations), w.Rules.Violations[:min(1, len(w.Rules.Violations))])
 			})
 		}
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -13,7 +13,8 @@
 	"tillerarch/internal/transport"
 )
 
-// readGoldenRecords reads what the production version wrote; TestWriteGolden made it.
+// readGoldenRecords reads the records that the production version wrote; TestWriteGolden made
+// them.
 func readGoldenRecords(t *testing.T) (items []protocol.Entry) {
 	t.Helper()
 	data, err := os.ReadFile("testdata/production/records.json")
@@ -26,7 +27,8 @@
 	return items
 }
 
-// reencode gives a record that a replica holds in a format.
+// reencode encodes a record that a replica holds in a format. It reports false for records that
+// are neither jobs nor shards.
 func reencode(r *storage.Replica, format storage.Format, key string) (json.RawMessage, bool) {
 	if id, ok := strings.CutPrefix(key, storage.JobKey("")); ok {
 		return storage.EncodeJob(format, &r.Jobs[protocol.JobID(id)].Record), true
@@ -42,8 +44,8 @@
 	return nil, false
 }
 
-// What the production version wrote is read without loss: written again in its format
-// it is the same to the byte, by way of the packed format too.
+// What the production version wrote is read without loss: encoded again in its format it is the
+// same to the byte, by way of the packed format too.
 func TestReadProductionRecords(t *testing.T) {
 	plain, packed := storage.NewReplica(), storage.NewReplica()
 	kinds := map[string]int{}
@@ -63,7 +65,7 @@
 		}
 		kinds[item.Key[:3]]++
 		if !bytes.Equal(again, original.Bytes()) {
-			t.Errorf("%s:\n%s is written again as\n%s", item.Key, original.Bytes(), again)
+			t.Errorf("%s:\n%s is encoded again as\n%s", item.Key, original.Bytes(), again)
 		}
 		data, _ := reencode(plain, storage.FormatPacked, item.Key)
 		if _, err := packed.Put(item.Key, data, item.ModRevision); err != nil {
@@ -74,16 +76,16 @@
 		}
 	}
 	if len(plain.Controllers) != 3 || len(plain.QuotaRevisions) == 0 || plain.RegistryRevision == 0 || kinds["t/j"] < 10 || kinds["t/p"] < 5 || len(plain.CancellingJobs) == 0 {
-		t.Errorf("too little is covered: %v, %d members, %d withdrawing", kinds, len(plain.Controllers), len(plain.CancellingJobs))
+		t.Errorf("too little is covered: %v, %d controllers, %d cancellations", kinds, len(plain.Controllers), len(plain.CancellingJobs))
 	}
 	for _, e := range plain.Controllers {
 		if e.Record.ReadableFormat != storage.FormatPlain {
-			t.Errorf("%s is taken for one that reads newer formats", e.Record.Incarnation)
+			t.Errorf("%s counts as one that reads newer formats", e.Record.Incarnation)
 		}
 	}
 }
 
-// A message of the production version between controllers is read.
+// A message between controllers that the production version wrote is read.
 func TestReadProductionFrame(t *testing.T) {
 	stream, err := os.ReadFile("testdata/production/hint.gob")
 	if err != nil {
@@ -97,9 +99,12 @@
 	if err := transport.DecodeFrame(frame, &wire); err != nil {
 		t.Fatal(err)
 	}
-	h := wire.Status()
-	if h.Incarnation != "stall-1#7" || !h.AcceptsShards || h.Revision != 41 || len(h.MisdirectedHeartbeats) != 1 || h.MisdirectedHeartbeats[0].AgentEpoch != 2 || len(h.CancelIntents) != 1 ||
-		h.CancelIntents[0].Revision != 40 || len(h.CancelAcks) != 1 || h.CancelAcks[0] != "j-000413" {
-		t.Errorf("%+v", h)
+	status := wire.Status()
+	isRead := status.Incarnation == "stall-1#7" && status.AcceptsShards && status.Revision == 41 &&
+		len(status.MisdirectedHeartbeats) == 1 && status.MisdirectedHeartbeats[0].AgentEpoch == 2 &&
+		len(status.CancelIntents) == 1 && status.CancelIntents[0].Revision == 40 &&
+		len(status.CancelAcks) == 1 && status.CancelAcks[0] == "j-000413"
+	if !isRead {
+		t.Errorf("%+v", status)
 	}
 }
--- a/internal/simulation/golden_write_test.go
+++ b/internal/simulation/golden_write_test.go
@@ -16,15 +16,15 @@
 	"tillerarch/internal/transport"
 )
 
-// TestWriteGolden writes the records of a busy day, and a frame between controllers, as
-// the version that it is built with writes them. testdata/production was made by running
-// it at the commit that deploy/service.toml names as production:
+// TestWriteGolden writes the records of a busy day, and a frame between controllers, as the
+// version that it is built with writes them. testdata/production was made by running it at the
+// commit that deploy/service.toml names as production:
 //
 //	GOLDEN=DIR go test -tags golden -run TestWriteGolden ./internal/simulation
 func TestWriteGolden(t *testing.T) {
 	w := NewWorld(42, 3, testMachineTypes, testTeams())
 	for i := range 70 {
-		w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), i%5 == 4, 0)
+		w.AddMachine("small", testZones[i%2], i%5 == 4, 0)
 	}
 	submitMixedJobs(w, 30)
 	for i := range 4 {
@@ -41,10 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hint := step.PeerStatus{ControllerID: "stall-1", StoreReachable: true, Incarnation: "stall-1#7", AcceptsShards: true, Revision: 41,
+	status := step.PeerStatus{ControllerID: "stall-1", StoreReachable: true, Incarnation: "stall-1#7", AcceptsShards: true, Revision: 41,
 		MisdirectedHeartbeats: []step.MisdirectedHeartbeat{{Machine: "m-000231", AgentEpoch: 2, Sequence: 9}},
 		CancelIntents:         []step.CancelIntent{{Job: "j-000412", Revision: 40}}, CancelAcks: []protocol.JobID{"j-000413"}}
-	frame, err := transport.AppendFrame(nil, hint.Wire())
+	frame, err := transport.AppendFrame(nil, status.Wire())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -233,3 +233,18 @@
 	slices.Sort(names)
 	return names
 }
+
+// OnTransferRecord calls a callback for each record of a transfer that is written, within the
+// write and after the checker. Setting Store.OnRevision to the checker alone ends that.
+func (w *World) OnTransferRecord(callback func(storage.TransferRecord)) {
+	before := w.Store.OnRevision
+	w.Store.OnRevision = func(revision protocol.Revision, events []protocol.Event) {
+		before(revision, events)
+		for _, event := range events {
+			var record storage.TransferRecord
+			if strings.HasPrefix(event.PutKey, storage.TransferKey("")) && json.Unmarshal(event.Value, &record) == nil {
+				callback(record)
+			}
+		}
+	}
+}
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// One of three controllers of 4,000 machines loses its workers. The others are told of each
-// machine, and all are handed over before a lease has run out: no bound of what controllers
-// tell each other, or ask workers, stands in the way.
+// One of three controllers of 4,000 machines loses its agents. The others learn of each machine,
+// and all are handed off before a lease expires: no bound of what controllers tell each other or
+// ask agents stands in the way.
 func TestLargeFleetHandOff(t *testing.T) {
 	t.Parallel()
 	const machines = 4000
@@ -26,9 +26,9 @@
 			expiredLeases++
 		}
 	}
-	t.Logf("%d machines handed over in %v", owned-w.MachinesOwnedBy(isolated), w.Now-isolatedAt)
+	t.Logf("%d machines handed off in %v", owned-w.MachinesOwnedBy(isolated), w.Now-isolatedAt)
 	if owned < machines/5 || w.MachinesOwnedBy(isolated) > 0 || expiredLeases > 0 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d of %d machines are still with a controller that lost its workers %v ago; %d leases ran out; broken %v",
+		t.Errorf("%d of %d machines are still with a controller that lost its agents %v ago; %d leases expired; broken %v",
 			w.MachinesOwnedBy(isolated), owned, w.Now-isolatedAt, expiredLeases, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/machine_faults_test.go
+++ b/internal/simulation/machine_faults_test.go
@@ -3,115 +3,86 @@
 import (
 	"encoding/json"
 	"fmt"
-	"maps"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-func newArray(id protocol.JobID, class string, priority protocol.Priority, tasks int, cores, runSeconds float64) *protocol.Job {
-	return &protocol.Job{ID: id, Class: class, Team: "core", Kind: protocol.KindArray, Priority: priority, TaskCount: tasks, Cores: cores, MemoryGB: 1, Image: "b", EstimatedRunSeconds: runSeconds}
-}
-
-func newGang(id protocol.JobID, class string, priority protocol.Priority, tasks int, cores, runSeconds float64) *protocol.Job {
-	job := newArray(id, class, priority, tasks, cores, runSeconds)
-	job.Kind = protocol.KindGang
-	return job
-}
-
-// logsScaleIn tells whether a log line says that a machine is returned to the cloud, on
-// record or not.
-func logsScaleIn(line string) bool {
-	return strings.Contains(line, "machine scale-in") || strings.Contains(line, "unrecorded machine termination")
-}
-
-// A machine whose reports arrive while answers and commands do not reach it
-// takes no more work, its tasks move on proof, and it is replaced if it stays
-// so; one that hears again is used again.
+// A machine whose heartbeats arrive while replies and commands do not reach it gets no more
+// tasks, its own are placed elsewhere once they are proven gone, and it is scaled in if that
+// lasts. One that commands reach again is used again.
 func TestMachineCommandsLost(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		heals bool
-	}{{"stays deaf", false}, {"hears again", true}} {
-		w := NewWorld(21, 3, testMachineTypes[:1], testTeams())
-		w.CloudOutOfCapacity = true
-		w.Config.IdleTimeoutFactor = 100
-		for _, controller := range w.Controllers {
-			controller.Start()
-		}
-		var ids []protocol.MachineID
-		for i := 0; i < 3; i++ {
-			ids = append(ids, w.AddMachine("small", "a", false, 0))
-		}
-		m := w.Machines[ids[0]]
-		// Small tasks all the time: whoever has room gets some.
-		for i := 0; i < 60; i++ {
-			w.After(time.Duration(3+i)*time.Second, func() { w.Submit(newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 2, 2, 3)) })
-		}
-		drained, released, placedAfterDrain := 0, 0, 0
-		w.Trace = func(l string) {
-			if strings.Contains(l, "machine drain changed") && strings.Contains(l, string(ids[0])+" enabled true") {
-				drained++
-			}
-			if logsScaleIn(l) && strings.Contains(l, string(ids[0])) {
-				released++
-			}
-			if strings.Contains(l, "tasks placed") && strings.Contains(l, string(ids[0])) && m.CommandsLost && drained > 0 {
-				placedAfterDrain++
-			}
+	}{{"commands stay lost", false}, {"commands arrive again", true}} {
+		t.Run(c.name, func(t *testing.T) { playCommandsLost(t, c.heals) })
+	}
+}
+
+func playCommandsLost(t *testing.T, heals bool) {
+	t.Helper()
+	const jobs = 60 // small ones all the time: every machine with free capacity gets some
+	w := newFixedWorld(21, 3, 3)
+	m := w.Machines[machineID(1)]
+	for i := range jobs {
+		w.After(seconds(3+i), func() { w.Submit(newArray(jobNumber(i), "l", "standard", 2, 2, 3)) })
+	}
+	drains, scaleIns, placedAfterDrain := 0, 0, 0
+	w.Trace = func(line string) {
+		if logDrainChanged.isIn(line) && strings.Contains(line, string(m.ID)+" enabled true") {
+			drains++
 		}
-		w.Advance(15 * time.Second)
-		m.CommandsLost = true
-		w.Advance(12 * time.Second)
-		if drained != 1 || placedAfterDrain > 0 {
-			t.Errorf("%s: drained %d times within 12 s, %d placements behind that", c.name, drained, placedAfterDrain)
+		if scaleInMessages.areIn(line) && strings.Contains(line, string(m.ID)) {
+			scaleIns++
 		}
-		if c.heals {
-			m.CommandsLost = false
-			w.Advance(13 * time.Second)
-			if len(m.tasks) == 0 {
-				t.Errorf("%s: the machine is not used again", c.name)
-			}
+		if logTasksPlaced.isIn(line) && strings.Contains(line, string(m.ID)) && m.CommandsLost && drains > 0 {
+			placedAfterDrain++
 		}
-		w.Advance(100 * time.Second)
-		w.Rules.CheckFinal(w.Now)
-		if (released == 1) != !c.heals || len(w.Rules.Violations) > 0 || len(w.FinishedJobs) != 60 {
-			t.Errorf("%s: went back %d times, %d of 60 done, broken %v", c.name, released, len(w.FinishedJobs), w.Rules.Violations)
+	}
+	w.Advance(seconds(15))
+	m.CommandsLost = true
+	w.Advance(seconds(12))
+	if drains != 1 || placedAfterDrain > 0 {
+		t.Errorf("drained %d times within 12 s, %d placements after that", drains, placedAfterDrain)
+	}
+	if heals {
+		m.CommandsLost = false
+		w.Advance(seconds(13))
+		if len(m.tasks) == 0 {
+			t.Error("the machine is not used again")
 		}
 	}
+	w.Advance(seconds(100))
+	w.Rules.CheckFinal(w.Now)
+	if (scaleIns == 1) != !heals || len(w.Rules.Violations) > 0 || len(w.FinishedJobs) != jobs {
+		t.Errorf("scaled in %d times, %d of %d jobs done, broken %v", scaleIns, len(w.FinishedJobs), jobs, w.Rules.Violations)
+	}
 }
 
-// A worker that reaches no controller, while direct commands reach it, gets no work, also
-// right behind a command that it has answered: starts go out in answers to its reports only.
+// An agent that reaches no controller, while direct commands reach it, gets no tasks, also right
+// after a command that it has replied to: starts are sent in replies to heartbeats only.
 func TestMachineHeartbeatsLost(t *testing.T) {
-	w := NewWorld(23, 3, testMachineTypes[:1], testTeams())
-	w.CloudOutOfCapacity = true
-	w.Config.IdleTimeoutFactor = 100
-	for _, controller := range w.Controllers {
-		controller.Start()
-	}
-	for i := 0; i < 4; i++ {
-		w.AddMachine("small", "a", false, 0)
-	}
-	for i := 0; i < 4; i++ {
+	w := newFixedWorld(23, 3, 4)
+	for i := range 4 {
 		w.After(5*time.Second, func() { w.Submit(newArray(protocol.JobID(fmt.Sprintf("j-9%d", i)), "l", "low", 4, 1, 300)) })
 	}
 	w.Advance(15 * time.Second)
 	var m *Machine
-	for _, id := range slices.Sorted(maps.Keys(w.Machines)) {
-		if len(w.Machines[id].tasks) == 4 {
-			m = w.Machines[id]
+	for _, full := range w.sortedMachines() {
+		if len(full.tasks) == 4 {
+			m = full
 		}
 	}
 	m.HeartbeatsLost = true
 	w.Advance(7 * time.Second)
 	placed := 0
-	w.Trace = func(l string) {
-		if strings.Contains(l, "tasks placed") && strings.Contains(l, string(m.ID)) && m.HeartbeatsLost {
+	w.Trace = func(line string) {
+		if logTasksPlaced.isIn(line) && strings.Contains(line, string(m.ID)) && m.HeartbeatsLost {
 			placed++
 		}
 	}
@@ -123,7 +94,7 @@
 	}
 	w.Advance(7 * time.Second)
 	if placed > 0 {
-		t.Errorf("%d placements on a machine that does not report", placed)
+		t.Errorf("%d placements on a machine whose heartbeats are lost", placed)
 	}
 	m.HeartbeatsLost = false
 	w.Rules.FaultsEndedAt = w.Now
@@ -144,27 +115,22 @@
 	}
 }
 
-// A report that outlived its machine, or comes to where it does not belong,
-// brings nothing back and makes no new owner.
+// A heartbeat that outlived its machine, or that reaches a controller which does not own it,
+// brings no machine back and makes no new owner.
 func TestLateDuplicateHeartbeats(t *testing.T) {
 	w := NewWorld(22, 3, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
-	for i := 0; i < 6; i++ {
-		w.AddMachine("small", "a", false, 0)
-	}
+	w.addSmallMachines(6, "a")
 	w.After(3*time.Second, func() { w.Submit(newArray("j-1", "l", "standard", 12, 2, 60)) })
 	w.Advance(15 * time.Second)
-	id := slices.Sorted(maps.Keys(w.Machines))[0]
-	m := w.Machines[id]
+	m := w.sortedMachines()[0]
 	heartbeat, lateHeartbeat := m.nextHeartbeat(), m.nextHeartbeat() // one more than any controller has seen
 	m.sequence--
 	started := w.Rules.TasksStarted
 	changes := 0
-	w.Trace = func(l string) {
-		for _, what := range []string{"adopted", "handed off", "ownership transferred", "shard failover", "requeued", "task ended"} {
-			if strings.Contains(l, what) {
-				changes++
-			}
+	w.Trace = func(line string) {
+		if ownershipMessages.areIn(line) {
+			changes++
 		}
 	}
 	// To all controllers while the machine lives: its tasks stay where they are.
@@ -173,10 +139,10 @@
 	}
 	w.Advance(14 * time.Second)
 	if changes != 0 || w.Rules.TasksStarted != started {
-		t.Errorf("%d changes by copies, %d starts after %d", changes, w.Rules.TasksStarted, started)
+		t.Errorf("%d changes by duplicate heartbeats, %d starts after %d", changes, w.Rules.TasksStarted, started)
 	}
 	// And once it is gone and off the records.
-	w.TerminateMachine(id)
+	w.TerminateMachine(m.ID)
 	w.Advance(40 * time.Second)
 	changes = 0
 	for i := 0; i < 20; i++ {
@@ -184,7 +150,7 @@
 	}
 	w.Advance(25 * time.Second)
 	if changes != 0 {
-		t.Errorf("%d changes by copies of a machine that is gone", changes)
+		t.Errorf("%d changes by duplicate heartbeats of a machine that is gone", changes)
 	}
 	w.Advance(150 * time.Second)
 	w.Rules.CheckFinal(w.Now)
@@ -193,16 +159,13 @@
 	}
 }
 
-// A controller that hears neither the state service nor other controllers goes
-// on answering its workers until its successors have them: no task is lost.
-// Users get 503 from it at once.
+// A controller that reaches neither the store nor other controllers goes on replying to its
+// agents until its successors have them: no task is lost. Users get 503 from it at once.
 func TestControllerIsolatedWithAgents(t *testing.T) {
 	for seed := uint64(31); seed < 34; seed++ {
 		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
 		w.CloudOutOfCapacity = true
-		for i := 0; i < 9; i++ {
-			w.AddMachine("small", "a", false, 0)
-		}
+		w.addSmallMachines(9, "a")
 		w.After(3*time.Second, func() { w.Submit(newArray("j-1", "l", "standard", 18, 2, 60)) })
 		w.After(6*time.Second, func() { w.Submit(newArray("j-2", "l", "standard", 4, 2, 10)) })
 		w.Advance(14 * time.Second)
@@ -210,7 +173,7 @@
 		controller.StoreUnreachable, controller.PeersUnreachable = true, true
 		w.Advance(9 * time.Second)
 		if controller.Core.Healthy() {
-			t.Errorf("seed %d: it is healthy", seed)
+			t.Errorf("seed %d: it reports that it is healthy", seed)
 		}
 		askedAt := w.Now
 		status, after := 0, time.Duration(0)
@@ -224,7 +187,7 @@
 		w.Advance(60 * time.Second)
 		for id, m := range w.Machines {
 			if !m.Terminated && m.controllerIndex%3 == 0 {
-				t.Errorf("seed %d: %s still reports to it", seed, id)
+				t.Errorf("seed %d: %s still sends its heartbeats to it", seed, id)
 			}
 		}
 		controller.StoreUnreachable, controller.PeersUnreachable = false, false
@@ -237,9 +200,32 @@
 	}
 }
 
-// Nothing starves: the largest jobs of a class begin within four minutes, and
-// half of each class is served, whatever stream they stand against. Without
-// aging each of these days breaks that rule, which shows that it is the guard.
+// An owner that its agents no longer reach hands their machines off to the controller that gets
+// their heartbeats, before their leases expire: the tasks go on.
+func TestHandOff(t *testing.T) {
+	w := NewWorld(7, 3, testMachineTypes, testTeams())
+	w.addSmallMachines(6, "a")
+	job := newArray("j-1", "l", "standard", 12, 2, 90)
+	w.After(3*time.Second, func() { w.Submit(job) })
+	w.Advance(12 * time.Second)
+	owners := map[int]int{}
+	for _, m := range w.Machines {
+		owners[m.controllerIndex%3]++
+	}
+	if w.Rules.TasksStarted != 12 || owners[0] == 0 {
+		t.Fatalf("%d started, owners %v", w.Rules.TasksStarted, owners)
+	}
+	w.Controllers[0].AgentsUnreachable = true
+	w.Advance(200 * time.Second)
+	w.Rules.CheckFinal(w.Now)
+	if w.Rules.TasksStarted != 12 || !w.FinishedJobs["j-1"] || len(w.Rules.Violations) > 0 {
+		t.Errorf("%d starts for 12 tasks, done %v, broken %v", w.Rules.TasksStarted, w.FinishedJobs["j-1"], w.Rules.Violations)
+	}
+}
+
+// Nothing starves: the largest jobs of a class start within four minutes, and half of each class
+// is served, whatever stream of jobs they compete with. Without aging each of these days breaks
+// that rule, which shows that aging is the guard.
 func TestNoStarvation(t *testing.T) {
 	withDeadline := func(job *protocol.Job, s float64) *protocol.Job {
 		job.DeadlineSeconds = &s
@@ -248,179 +234,193 @@
 	for _, c := range []struct {
 		name  string
 		first *protocol.Job
-		// The stream: a job every so often.
-		every  time.Duration
-		stream func(id protocol.JobID, i int) *protocol.Job
+		// The stream that it competes with.
+		interval time.Duration
+		next     func(id protocol.JobID) *protocol.Job
 	}{
 		{"a large array without a deadline among small ones", newArray("j-1", "l", "standard", 300, 2, 4), 780 * time.Millisecond,
-			func(id protocol.JobID, i int) *protocol.Job {
+			func(id protocol.JobID) *protocol.Job {
 				return withDeadline(newArray(id, "l", "standard", 8, 2, 6), 30)
 			}},
 		{"a gang of whole machines among smaller ones", newGang("j-1", "g", "high", 4, 30, 10), 3300 * time.Millisecond,
-			func(id protocol.JobID, i int) *protocol.Job {
+			func(id protocol.JobID) *protocol.Job {
 				return withDeadline(newGang(id, "g", "high", 1, 30, 12), 20)
 			}},
-		{"low rank in a long burst", newArray("j-1", "night", "low", 12, 4, 10), 800 * time.Millisecond,
-			func(id protocol.JobID, i int) *protocol.Job { return newArray(id, "l", "standard", 8, 2, 6) }},
+		{"low priority in a long burst", newArray("j-1", "night", "low", 12, 4, 10), 800 * time.Millisecond,
+			func(id protocol.JobID) *protocol.Job { return newArray(id, "l", "standard", 8, 2, 6) }},
 	} {
-		for _, try := range []struct {
-			aging bool
-			nodes int
-		}{{true, 3}, {true, 1}, {false, 1}} { // several share the room between their jobs
-			aging := try.aging
-			w := NewWorld(41, try.nodes, testMachineTypes[1:], testTeams())
-			w.CloudOutOfCapacity = true
-			w.Config.IdleTimeoutFactor = 100
-			if !aging {
-				w.Config.AgingThreshold = time.Hour
-			}
-			for _, n := range w.Controllers {
-				n.Start()
-			}
-			for i := 0; i < 4; i++ {
-				w.AddMachine("large", "a", false, 0)
-			}
-			n := 0
-			w.Every(c.every, func() {
-				if n++; w.Now < 390*time.Second {
-					w.Submit(c.stream(protocol.JobID(fmt.Sprintf("j-%d", 100+n)), n))
-				}
+		for _, variant := range []struct {
+			aging       bool
+			controllers int // several divide the capacity between their jobs
+		}{{true, 3}, {true, 1}, {false, 1}} {
+			t.Run(fmt.Sprintf("%s, aging %v, %d controllers", c.name, variant.aging, variant.controllers), func(t *testing.T) {
+				w := newStarvationWorld(variant.controllers, variant.aging)
+				count := 0
+				w.Every(c.interval, func() {
+					if count++; w.Now < seconds(390) {
+						w.Submit(c.next(jobNumber(100 + count)))
+					}
+				})
+				w.After(seconds(20), func() { w.Submit(c.first) })
+				w.Advance(seconds(400))
+				w.Rules.CheckFinal(w.Now)
+				checkStarvation(t, w, !variant.aging)
 			})
-			w.After(20*time.Second, func() { w.Submit(c.first) })
-			w.Advance(400 * time.Second)
-			w.Rules.CheckFinal(w.Now)
-			starved := 0
-			for _, b := range w.Rules.Violations {
-				if strings.HasPrefix(b, "unserved") && (strings.Contains(b, "j-1 ") || strings.Contains(b, "largest") || strings.Contains(b, "night")) {
-					starved++
-				} else if !strings.HasPrefix(b, "unserved") {
-					t.Errorf("%s: %s", c.name, b)
-				}
-			}
-			began := w.Rules.job("j-1").firstTaskAt
-			if (starved > 0) == aging {
-				t.Errorf("%s, aging %v: begins at %v, broken %v", c.name, aging, began, w.Rules.Violations)
-			}
 		}
 	}
 }
 
-// A machine that reports to two controllers at the same moment, both of which
-// may put it on record, stands on one page only.
+// newStarvationWorld is a deployment of four large machines.
+func newStarvationWorld(controllers int, aging bool) *World {
+	w := NewWorld(41, controllers, testMachineTypes[1:], testTeams())
+	w.CloudOutOfCapacity = true
+	w.reconfigure(func(config *step.Config) {
+		config.IdleTimeoutFactor = 100
+		if !aging {
+			config.AgingThreshold = time.Hour
+		}
+	})
+	for range 4 {
+		w.AddMachine("large", "a", false, 0)
+	}
+	return w
+}
+
+// checkStarvation checks whether the first job or its class starved, and that nothing else was
+// wrong.
+func checkStarvation(t *testing.T, w *World, wantStarved bool) {
+	t.Helper()
+	starved := 0
+	for _, violation := range w.Rules.Violations {
+		isStarvation := strings.HasPrefix(violation, "unserved")
+		concernsFirst := strings.Contains(violation, "j-1 ") || strings.Contains(violation, "largest") || strings.Contains(violation, "night")
+		switch {
+		case isStarvation && concernsFirst:
+			starved++
+		case !isStarvation:
+			t.Error(violation)
+		}
+	}
+	if (starved > 0) != wantStarved {
+		t.Errorf("starved %v, want %v; started at %v, broken %v", starved > 0, wantStarved, w.Rules.job("j-1").firstTaskAt, w.Rules.Violations)
+	}
+}
+
+// A machine whose heartbeats reach several controllers at the same moment, each of which may
+// adopt it, is in one shard only.
 func TestMachineOnOneShard(t *testing.T) {
 	for seed := uint64(51); seed < 56; seed++ {
 		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
 		w.CloudOutOfCapacity = true
 		w.Advance(2 * time.Second)
-		for i := 0; i < 8; i++ {
-			m := w.Machines[w.AddMachine("small", "a", false, time.Hour)] // reports when it is told to
+		for i := range 8 {
+			m := w.Machines[w.AddMachine("small", "a", false, time.Hour)] // sends no heartbeat by itself
 			w.After(time.Duration(i)*400*time.Millisecond, func() {
-				for _, n := range w.Controllers {
-					n.DeliverHeartbeat(m.nextHeartbeat(), func(int, []byte) {})
+				for _, controller := range w.Controllers {
+					controller.DeliverHeartbeat(m.nextHeartbeat(), func(int, []byte) {})
 				}
 			})
 		}
-		refused := 0
-		w.Trace = func(l string) {
-			if strings.Contains(l, "transaction conflict") {
-				refused++
+		conflicts := 0
+		w.Trace = func(line string) {
+			if logTransactionConflict.isIn(line) {
+				conflicts++
 			}
 		}
 		w.Advance(6 * time.Second)
-		on := map[string]int{}
-		for _, i := range w.Store.List(storage.ShardKey("")) {
+		shardCounts := map[string]int{}
+		for _, entry := range w.Store.List(storage.ShardKey("")) {
 			var shard struct {
-				M []string `json:"m"`
+				Machines []string `json:"m"`
 			}
-			if err := json.Unmarshal(i.Value, &shard); err != nil {
+			if err := json.Unmarshal(entry.Value, &shard); err != nil {
 				t.Fatal(err)
 			}
-			for _, line := range shard.M {
+			for _, line := range shard.Machines {
 				id, _, _ := strings.Cut(line, " ")
-				on[id]++
+				shardCounts[id]++
 			}
 		}
-		for id, n := range on {
+		for id, n := range shardCounts {
 			if n != 1 {
-				t.Errorf("seed %d: %s stands on %d pages", seed, id, n)
+				t.Errorf("seed %d: %s is in %d shards", seed, id, n)
 			}
 		}
-		if len(on) != 8 || refused == 0 {
-			t.Errorf("seed %d: %d of 8 machines on record, %d transactions refused", seed, len(on), refused)
+		if len(shardCounts) != 8 || conflicts == 0 {
+			t.Errorf("seed %d: %d of 8 machines on record, %d transaction conflicts", seed, len(shardCounts), conflicts)
 		}
 	}
 }
 
-// When all controllers come back at once, the pages of their earlier runs are
-// spread over them, and one that has far fewer later is given some.
+// When all controllers come back at once, the shards of their earlier incarnations are spread
+// over them; one that comes back later and has far fewer is given some.
 func TestShardsAreSpread(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		gap    time.Duration // between pages that are given away
-		events func(w *World)
+		name        string
+		minInterval time.Duration // between transfers for balance
+		restart     func(w *World)
 	}{
 		{"all crash and are back one after the other", time.Hour, func(w *World) {
 			for i, controller := range w.Controllers {
-				controller.Kill()
-				w.After(5*time.Second+time.Duration(i)*500*time.Millisecond, controller.Start)
+				controller.ScheduleRestart(0, seconds(5+0.5*float64(i)))
 			}
-			w.Advance(25 * time.Second)
+			w.Advance(seconds(25))
 		}},
-		{"one is back after the others have taken over", 3 * time.Second, func(w *World) {
+		{"one is back after the others have taken over", seconds(3), func(w *World) {
 			w.Controllers[0].Kill()
-			w.Advance(25 * time.Second)
+			w.Advance(seconds(25))
 			w.Controllers[0].Start()
-			w.Advance(60 * time.Second)
+			w.Advance(seconds(60))
 		}},
 	} {
-		w := NewWorld(61, 3, testMachineTypes[:1], testTeams())
-		w.CloudOutOfCapacity = true
-		w.Config.IdleTimeoutFactor = 1000
-		w.Config.ValueBytes = 1024 // few machines on a page
-		w.Config.MinRebalanceInterval = c.gap
-		for _, controller := range w.Controllers {
-			controller.Start()
-		}
-		for i := 0; i < 60; i++ {
-			w.AddMachine("small", "a", false, 0)
-		}
-		w.Advance(20 * time.Second)
-		c.events(w)
-		on := map[string]int{}
-		for _, i := range w.Store.List(storage.ShardKey("")) {
-			var shard struct{ O string }
-			if err := json.Unmarshal(i.Value, &shard); err != nil {
-				t.Fatal(err)
+		t.Run(c.name, func(t *testing.T) {
+			w := NewWorld(61, 3, testMachineTypes[:1], testTeams())
+			w.CloudOutOfCapacity = true
+			w.reconfigure(func(config *step.Config) {
+				config.IdleTimeoutFactor = 1000
+				config.ValueBytes = 1024 // few machines in a shard
+				config.MinRebalanceInterval = c.minInterval
+			})
+			w.addSmallMachines(60, "a")
+			w.Advance(seconds(20))
+			c.restart(w)
+			shardCounts := map[string]int{}
+			for _, entry := range w.Store.List(storage.ShardKey("")) {
+				var shard struct {
+					Owner string `json:"o"`
+				}
+				if err := json.Unmarshal(entry.Value, &shard); err != nil {
+					t.Fatal(err)
+				}
+				owner, _, _ := strings.Cut(shard.Owner, "#")
+				shardCounts[owner]++
 			}
-			controllerID, _, _ := strings.Cut(shard.O, "#")
-			on[controllerID]++
-		}
-		least, most := 1000, 0
-		for _, controller := range w.Controllers {
-			least = min(least, on[string(controller.ID)])
-			most = max(most, on[string(controller.ID)])
-		}
-		if most < 4 || 3*least < most || len(w.Rules.Violations) > 0 {
-			t.Errorf("%s: %v, broken %v", c.name, on, w.Rules.Violations)
-		}
+			least, most := 1000, 0
+			for _, controller := range w.Controllers {
+				least = min(least, shardCounts[string(controller.ID)])
+				most = max(most, shardCounts[string(controller.ID)])
+			}
+			if most < 4 || 3*least < most || len(w.Rules.Violations) > 0 {
+				t.Errorf("%v, broken %v", shardCounts, w.Rules.Violations)
+			}
+		})
 	}
 }
 
-// A gang of more machines than a value could list neither blocks what else is to
-// be written nor is it forgotten.
+// A gang on more machines than a value can list neither blocks other writes nor is forgotten.
 func TestGangTooLargeForRecord(t *testing.T) {
 	w := NewWorld(71, 1, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
-	w.Store.MaxValueBytes, w.Config.ValueBytes = 2048, 2048
-	w.Config.IdleTimeoutFactor = 100
-	w.Controllers[0].Start()
-	for i := 0; i < 200; i++ {
-		w.AddMachine("small", "a", false, 0)
-	}
-	w.After(6*time.Second, func() { w.Submit(newArray("j-1", "l", "low", 200, 4, 15)) })
-	w.After(16*time.Second, func() { w.Submit(newGang("j-2", "g", "high", 190, 4, 5)) })
-	w.After(18*time.Second, func() { w.Submit(newArray("j-3", "l", "low", 4, 4, 5)) })
-	w.Advance(150 * time.Second)
+	w.Store.MaxValueBytes = 2048
+	w.reconfigure(func(config *step.Config) {
+		config.ValueBytes = 2048
+		config.IdleTimeoutFactor = 100
+	})
+	w.addSmallMachines(200, "a")
+	w.After(seconds(6), func() { w.Submit(newArray("j-1", "l", "low", 200, 4, 15)) })
+	w.After(seconds(16), func() { w.Submit(newGang("j-2", "g", "high", 190, 4, 5)) })
+	w.After(seconds(18), func() { w.Submit(newArray("j-3", "l", "low", 4, 4, 5)) })
+	w.Advance(seconds(150))
 	w.Rules.CheckFinal(w.Now)
 	if w.Store.RejectedTooLarge > 0 || len(w.FinishedJobs) != 3 || len(w.Rules.Violations) > 0 {
 		t.Errorf("%d transactions too large, done %v, broken %v", w.Store.RejectedTooLarge, w.FinishedJobs, w.Rules.Violations)
--- a/internal/simulation/scale_bench_test.go
+++ b/internal/simulation/scale_bench_test.go
@@ -6,28 +6,33 @@
 	"testing"
 	"time"
 
+	"tillerarch/internal/coordination/step"
 	"tillerarch/internal/protocol"
 )
 
 // newLargeWorld is a deployment of n machines that all stay.
 func newLargeWorld(n int) *World {
 	w := NewWorld(77, 3, testMachineTypes, testTeams())
-	w.Config.IdleTimeoutFactor = 1000
-	w.Config.WritesPerSecond, w.Config.TransactionOps, w.Store.MaxOperations = 90, 24, 24
-	w.HeartbeatInterval, w.AgentLeaseTTL = 8*time.Second, 42*time.Second
-	w.Config.HeartbeatInterval, w.Config.AgentLeaseTTL = w.HeartbeatInterval, w.AgentLeaseTTL
 	w.CloudOutOfCapacity = true
-	for _, c := range w.Controllers {
-		c.Start()
-	}
-	for i := 0; i < n; i++ {
-		w.AddMachine([]protocol.MachineTypeName{"small", "small", "small", "small", "large"}[i%5], protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
+	w.HeartbeatInterval, w.AgentLeaseTTL = 8*time.Second, 42*time.Second
+	w.Store.MaxOperations = 24
+	w.reconfigure(func(config *step.Config) {
+		config.IdleTimeoutFactor = 1000
+		config.WritesPerSecond, config.TransactionOps = 90, w.Store.MaxOperations
+		config.HeartbeatInterval, config.AgentLeaseTTL = w.HeartbeatInterval, w.AgentLeaseTTL
+	})
+	for i := range n {
+		machineType := protocol.MachineTypeName("small")
+		if i%5 == 4 {
+			machineType = "large"
+		}
+		w.AddMachine(machineType, testZones[i%2], false, 0)
 	}
 	return w
 }
 
-// newBusyLargeWorld makes a deployment of n machines on which tasks begin and end all the
-// time, the more the more machines there are.
+// newBusyLargeWorld is a deployment of n machines on which tasks start and end all the time, the
+// more the more machines there are.
 func newBusyLargeWorld(n int) *World {
 	w := newLargeWorld(n)
 	k := 0
@@ -38,7 +43,7 @@
 	return w
 }
 
-// What an input costs the core as the fleet grows: the figures stand in
+// BenchmarkInputs measures what an input costs the core as the fleet grows; the figures stand in
 // docs/limits.md. Run with -bench Inputs -benchtime 1x.
 func BenchmarkInputs(b *testing.B) {
 	for _, n := range []int{100, 1000, 2300} {
@@ -57,14 +62,14 @@
 	}
 }
 
-// What moves cost those who wait: gangs and arrays that come while pages move all the time,
-// and the same without moves. The figures stand in docs/shares.md. Run with
-// -bench MovesAndWaits -benchtime 1x.
+// BenchmarkTransfersAndWaitTimes measures what transfers cost pending jobs: gangs and arrays that
+// come while shards are transferred all the time, and the same without transfers. The figures
+// stand in docs/sharding.md. Run with -bench TransfersAndWaitTimes -benchtime 1x.
 func BenchmarkTransfersAndWaitTimes(b *testing.B) {
 	for _, every := range []time.Duration{0, 3 * time.Second, time.Second} {
-		name := "no moves"
+		name := "no transfers"
 		if every > 0 {
-			name = fmt.Sprintf("one asked for every %v", every)
+			name = fmt.Sprintf("one requested every %v", every)
 		}
 		b.Run(name, func(b *testing.B) {
 			for range b.N {
@@ -100,23 +105,20 @@
 // newBusyWorld is a deployment of 24 machines that is half full of arrays and gangs.
 func newBusyWorld(seed uint64) *World {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
-	w.Config.RecordTransfers = true
-	w.Config.ValueBytes = 2500
-	w.Config.IdleTimeoutFactor = 1000
 	w.CloudOutOfCapacity = true
-	for _, n := range w.Controllers {
-		n.Start()
-	}
-	for i := range 24 {
-		w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
-	}
-	n := 0
+	w.reconfigure(func(config *step.Config) {
+		config.RecordTransfers = true
+		config.ValueBytes = 2500
+		config.IdleTimeoutFactor = 1000
+	})
+	w.addSmallMachines(24, testZones...)
+	count := 0
 	w.Every(2*time.Second, func() {
-		if n++; w.Now > 120*time.Second {
+		if count++; w.Now > 120*time.Second {
 			return
 		}
-		id := protocol.JobID(fmt.Sprintf("j-%06d", n))
-		if n%3 == 0 {
+		id := protocol.JobID(fmt.Sprintf("j-%06d", count))
+		if count%3 == 0 {
 			w.Submit(newGang(id, "l", "high", 2+w.Rand.IntN(4), 3, 8))
 		} else {
 			w.Submit(newArray(id, "l", "standard", 1+w.Rand.IntN(12), 1, 8))
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -1,8 +1,6 @@
 package simulation
 
 import (
-	"maps"
-	"slices"
 	"testing"
 	"time"
 
@@ -10,7 +8,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// runningReplicas counts the replicas of a daemon that run now.
+// runningReplicas counts the replicas of a service that run on machines that work and can be
+// reached.
 func (w *World) runningReplicas(id protocol.JobID) (n int) {
 	for _, m := range w.Machines {
 		for t, execution := range m.tasks {
@@ -22,7 +21,7 @@
 	return n
 }
 
-// placedTasks counts the tasks of a job that are on machines or on their way to run there.
+// placedTasks counts the tasks of a job that are on machines, whether they run yet or not.
 func (w *World) placedTasks(id protocol.JobID) (n int) {
 	for _, m := range w.Machines {
 		for t, execution := range m.tasks {
@@ -36,8 +35,7 @@
 
 // machinesOfJob lists the machines on which a job has tasks, in order.
 func (w *World) machinesOfJob(id protocol.JobID) (out []*Machine) {
-	for _, name := range slices.Sorted(maps.Keys(w.Machines)) {
-		m := w.Machines[name]
+	for _, m := range w.sortedMachines() {
 		for t, execution := range m.tasks {
 			if t.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
 				out = append(out, m)
@@ -48,45 +46,42 @@
 	return out
 }
 
-// A daemon's replicas come back whatever becomes of their machines and of the
-// controllers, and only a cancellation ends them.
+// A service's replicas come back whatever becomes of their machines and of the controllers, and
+// only a cancellation ends them.
 func TestServices(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		pieces  int
-		change  func(job *protocol.Job)
-		trouble func(w *World)
-		back    float64 // seconds until all replicas are up again
+		name     string
+		replicas int
+		change   func(job *protocol.Job) // may be nil
+		inject   func(w *World)
+		recovery float64 // seconds until all replicas run again
 	}{
-		{"quiet", 4, nil, func(*World) {}, 0},
-		{"its machine dies", 3, nil, func(w *World) { w.TerminateMachine(w.machinesOfJob("j-1")[0].ID) }, 30},
+		{"quiet", 4, nil, noFault, 0},
+		{"its machine dies", 3, nil, terminateServiceMachine, 30},
 		{"its machine loses the network for good", 3, nil, func(w *World) { w.machinesOfJob("j-1")[0].Partitioned = true }, 60},
-		{"its machine begins a new session", 3, nil, func(w *World) { w.machinesOfJob("j-1")[0].Reboot() }, 8},
-		{"its machines begin new sessions again and again", 1, nil, func(w *World) {
+		{"its agent begins a new epoch", 3, nil, func(w *World) { w.machinesOfJob("j-1")[0].Reboot() }, 8},
+		{"its agents begin new epochs again and again", 1, nil, func(w *World) {
 			for range 8 {
 				w.machinesOfJob("j-1")[0].Reboot()
 				w.Advance(seconds(7))
 			}
 		}, 0},
-		{"all controllers end", 4, nil, func(w *World) {
-			w.TerminateMachine(w.machinesOfJob("j-1")[0].ID)
+		{"all controllers fail", 4, nil, func(w *World) {
+			terminateServiceMachine(w)
 			for _, controller := range w.Controllers {
 				controller.ScheduleRestart(0, 3*time.Second)
 			}
 		}, 50},
-		{"the state service is down as its machine dies", 4, nil, func(w *World) {
-			w.Store.Unavailable = true
-			w.TerminateMachine(w.machinesOfJob("j-1")[0].ID)
-			w.After(10*time.Second, func() { w.Store.Unavailable = false })
+		{"the store is down as its machine dies", 4, nil, func(w *World) {
+			w.setFor(seconds(10), &w.Store.Unavailable)
+			terminateServiceMachine(w)
 		}, 50},
 		{"a leader is refused", 4, nil, func(w *World) {
-			controller := w.busiestController()
-			controller.RefusedByStore = true
-			w.After(20*time.Second, func() { controller.RefusedByStore = false })
-			w.TerminateMachine(w.machinesOfJob("j-1")[0].ID)
+			w.setFor(seconds(20), &w.busiestController().RefusedByStore)
+			terminateServiceMachine(w)
 		}, 50},
-		{"scattered over zones", 5, func(job *protocol.Job) { job.SpreadZones = true }, func(w *World) { w.TerminateMachine(w.machinesOfJob("j-1")[0].ID) }, 30},
-		{"its spot machine is taken with notice", 2, func(job *protocol.Job) { job.AllowSpot, job.Cores = true, 3 }, func(w *World) {
+		{"spread over zones", 5, func(job *protocol.Job) { job.SpreadZones = true }, terminateServiceMachine, 30},
+		{"its spot machine is preempted with notice", 2, func(job *protocol.Job) { job.AllowSpot, job.Cores = true, 3 }, func(w *World) {
 			for _, m := range w.machinesOfJob("j-1") {
 				w.PreemptMachine(m.ID, 9*time.Second)
 			}
@@ -96,19 +91,19 @@
 			t.Parallel()
 			for seed := uint64(1); seed <= seedCount(); seed++ {
 				w := newMixedWorld(t, seed)
-				job := newService("j-1", c.pieces)
+				job := newService("j-1", c.replicas)
 				if c.change != nil {
 					c.change(job)
 				}
 				w.After(seconds(4), func() { w.Submit(job) })
 				w.Advance(seconds(20))
-				if w.runningReplicas("j-1") != c.pieces {
-					t.Fatalf("seed %d: %d of %d replicas are up", seed, w.runningReplicas("j-1"), c.pieces)
+				if w.runningReplicas("j-1") != c.replicas {
+					t.Fatalf("seed %d: %d of %d replicas run", seed, w.runningReplicas("j-1"), c.replicas)
 				}
-				c.trouble(w)
-				w.Advance(seconds(c.back + 0.1))
-				if w.runningReplicas("j-1") != c.pieces {
-					t.Errorf("seed %d: %d of %d replicas are up again", seed, w.runningReplicas("j-1"), c.pieces)
+				c.inject(w)
+				w.Advance(seconds(c.recovery + 0.1))
+				if w.runningReplicas("j-1") != c.replicas {
+					t.Errorf("seed %d: %d of %d replicas run again", seed, w.runningReplicas("j-1"), c.replicas)
 				}
 				for _, m := range w.Machines {
 					m.Partitioned = false
@@ -121,23 +116,25 @@
 				w.Cancel("j-1")
 				w.Advance(seconds(8))
 				if w.runningReplicas("j-1") != 0 || w.Rules.job("j-1").reportedState != protocol.JobCancelled {
-					t.Errorf("seed %d: %d replicas are up after the cancellation, it is called %q", seed, w.runningReplicas("j-1"), w.Rules.job("j-1").reportedState)
+					t.Errorf("seed %d: %d replicas run after the cancellation, it is reported %q", seed, w.runningReplicas("j-1"), w.Rules.job("j-1").reportedState)
 				}
 				w.Advance(seconds(40))
 				if w.runningReplicas("j-1") != 0 || len(w.Rules.Violations) > 0 {
-					t.Errorf("seed %d: %d replicas are up, broken %v", seed, w.runningReplicas("j-1"), w.Rules.Violations)
+					t.Errorf("seed %d: %d replicas run, broken %v", seed, w.runningReplicas("j-1"), w.Rules.Violations)
 				}
 			}
 		})
 	}
 }
 
-// Replicas of high rank take the place of lower ranked tasks on full machines, and no
-// more of them than they need; replicas of low rank do not.
+func terminateServiceMachine(w *World) { w.TerminateMachine(w.machinesOfJob("j-1")[0].ID) }
+
+// Replicas of high priority preempt tasks of lower priority on full machines, and no more of them
+// than they need; replicas of low priority preempt none.
 func TestReplicasPreempt(t *testing.T) {
 	for _, c := range []struct {
-		rank protocol.Priority
-		up   int
+		priority protocol.Priority
+		running  int
 	}{{"critical", 3}, {"low", 0}} {
 		w := newMixedWorld(t, 4)
 		w.CloudOutOfCapacity = true
@@ -145,31 +142,29 @@
 		w.Advance(seconds(15))
 		before, starts := w.placedTasks("j-2"), w.StartCommands
 		job := newService("j-1", 3)
-		job.Priority = c.rank
+		job.Priority = c.priority
 		w.Submit(job)
 		w.Advance(seconds(10))
 		after := w.placedTasks("j-2")
-		// One that is stopped without need would find its room again, and start anew.
-		if before != 32 || w.runningReplicas("j-1") != c.up || before-after != c.up || w.StartCommands-starts != c.up || len(w.Rules.Violations) > 0 {
-			t.Errorf("%s: %d replicas are up, %d of %d other tasks left, %d starts, broken %v", c.rank, w.runningReplicas("j-1"), after, before,
-				w.StartCommands-starts, w.Rules.Violations)
+		// One that is stopped without need would be placed again, and start anew.
+		if before != 32 || w.runningReplicas("j-1") != c.running || before-after != c.running || w.StartCommands-starts != c.running || len(w.Rules.Violations) > 0 {
+			t.Errorf("%s: %d replicas run, %d of %d other tasks left, %d starts, broken %v",
+				c.priority, w.runningReplicas("j-1"), after, before, w.StartCommands-starts, w.Rules.Violations)
 		}
 	}
 }
 
-// Replicas share a machine if there is no other; as soon as there are others, half of
-// them at most stand on one.
+// Replicas share a machine if there is no other; if there are others, at most half of them are
+// on one.
 func TestReplicasShareOnlyMachine(t *testing.T) {
 	for _, machines := range []int{1, 4} {
 		w := NewWorld(3, 3, testMachineTypes, testTeams())
 		w.CloudOutOfCapacity = true
-		for range machines {
-			w.AddMachine("small", "a", false, 0)
-		}
+		w.addSmallMachines(machines, "a")
 		w.After(seconds(4), func() { w.Submit(newService("j-1", 4)) })
 		w.Advance(seconds(15))
 		if hosts := len(w.machinesOfJob("j-1")); w.runningReplicas("j-1") != 4 || hosts < min(machines, 2) {
-			t.Errorf("%d machines: %d replicas are up on %d", machines, w.runningReplicas("j-1"), hosts)
+			t.Errorf("%d machines: %d replicas run on %d", machines, w.runningReplicas("j-1"), hosts)
 		}
 		w.Rules.FaultsEndedAt = w.Now
 		w.Advance(seconds(100))
@@ -179,8 +174,8 @@
 	}
 }
 
-// A replica that ends as soon as it starts is tried ever less often, and keeps nothing
-// else from running.
+// A replica that exits as soon as it starts is tried ever less often, and keeps nothing else from
+// running.
 func TestReplicaExitsImmediately(t *testing.T) {
 	for _, class := range []string{classExits, classFails} {
 		w := newMixedWorld(t, 6)
@@ -193,7 +188,7 @@
 		early := w.StartCommands
 		w.Advance(seconds(120))
 		if late := w.StartCommands - early; w.runningReplicas("j-2") != 4 || late < 4 || late > 2*120/20 || w.FinishedJobs["j-1"] {
-			t.Errorf("%s: %d starts in two minutes, %d good replicas are up, done %v", class, late, w.runningReplicas("j-2"), w.FinishedJobs["j-1"])
+			t.Errorf("%s: %d starts in two minutes, %d good replicas run, done %v", class, late, w.runningReplicas("j-2"), w.FinishedJobs["j-1"])
 		}
 		if len(w.Rules.Violations) > 0 {
 			t.Errorf("%s: %v", class, w.Rules.Violations)
@@ -201,8 +196,8 @@
 	}
 }
 
-// A daemon all of whose replicas together need more than its team's limit can never
-// run; one that fits keeps the limit with others of its team.
+// A service whose replicas together need more than its team's quota is rejected; one that fits
+// keeps within the quota together with others of its team.
 func TestServicesWithinQuota(t *testing.T) {
 	w := newMixedWorld(t, 2)
 	w.Config.Quotas = map[string]step.Quota{"tight": {MaxCores: 10}}
@@ -216,6 +211,6 @@
 	}
 	w.Advance(seconds(30))
 	if n := w.runningReplicas("j-2") + w.runningReplicas("j-3"); n != 10 || len(w.Rules.Violations) > 0 || w.Rules.job("j-1").accepted {
-		t.Errorf("%d replicas of 10 cores are up, broken %v", n, w.Rules.Violations)
+		t.Errorf("%d replicas run on a quota of 10 cores, broken %v", n, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -13,7 +13,7 @@
 	"tillerarch/internal/storage"
 )
 
-// sendOperatorRequest is what an operator hears of a request; it waits for the answer.
+// sendOperatorRequest sends an operator's request and waits for the reply.
 func sendOperatorRequest(t *testing.T, w *World, controller *Controller, request func(step.RequestID) step.Input) step.Effect {
 	t.Helper()
 	var reply step.Effect
@@ -22,12 +22,12 @@
 		w.Advance(50 * time.Millisecond)
 	}
 	if reply == nil {
-		t.Fatal("no answer to an operator's request")
+		t.Fatal("no reply to an operator's request")
 	}
 	return reply
 }
 
-// requestTransfer is what an operator hears who asks for a move.
+// requestTransfer requests a transfer as an operator and returns the reply.
 func (w *World) requestTransfer(t *testing.T, controller *Controller, request requests.TransferRequest) requests.TransferReply {
 	t.Helper()
 	return sendOperatorRequest(t, w, controller, func(id step.RequestID) step.Input {
@@ -36,126 +36,126 @@
 	}).(requests.TransferReply)
 }
 
-// shardsOf lists the pages of a controller.
-func (w *World) shardsOf(controller *Controller) (ids []storage.ShardID) {
-	for id, shard := range w.History.shards {
-		if shard.Owner.Controller() == controller.ID && len(shard.Machines) > 0 {
-			ids = append(ids, id)
+// transferRequestWorld is a deployment with two controllers that take part in transfers.
+type transferRequestWorld struct {
+	*World
+	source, target *Controller
+	shard          storage.ShardID // one of source's
+}
+
+func newTransferRequestWorld(t *testing.T) transferRequestWorld {
+	t.Helper()
+	w := newTransferWorld(t, 3)
+	w.reconfigure(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
+	w.Advance(12 * time.Second)
+	cluster := transferRequestWorld{World: w}
+	for _, controller := range w.Controllers {
+		if shards := w.shardsOf(controller); len(shards) > 0 && cluster.source == nil {
+			cluster.source, cluster.shard = controller, shards[0]
+		} else if cluster.target == nil {
+			cluster.target = controller
 		}
 	}
-	return ids
+	return cluster
+}
+
+// byName requests a transfer of the shard to the target.
+func (w transferRequestWorld) byName(name string) requests.TransferRequest {
+	return requests.TransferRequest{Name: name, Shard: w.shard, Target: w.target.ID}
 }
 
-// What an operator asks for is accepted once it is on record, and only once; what can't be
-// done is refused with the reason.
+// A transfer is accepted once its proposal is on record, and only once for each name; what
+// cannot be done is refused with the reason.
 func TestTransferRequests(t *testing.T) {
-	type world struct {
-		*World
-		a, b *Controller
-		page storage.ShardID // one of a's
-	}
 	for _, c := range []struct {
 		name      string
-		prepare   func(w world)
-		request   func(w world) requests.TransferRequest
+		prepare   func(w transferRequestWorld) // may be nil
+		request   func(w transferRequestWorld) requests.TransferRequest
 		refused   string // part of the reason; empty: accepted
 		transient bool
-		phase     storage.TransferPhase // it is answered with
+		phase     storage.TransferPhase // in the reply, if it is accepted
 	}{
-		{"a page by name", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		{"a shard by name", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return w.byName("m")
 		}, "", false, storage.TransferProposed},
-		{"any page of a controller", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Source: w.a.ID, Target: w.b.ID}
+		{"any shard of a controller", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: w.source.ID, Target: w.target.ID}
 		}, "", false, storage.TransferProposed},
-		{"no name", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Shard: w.page, Target: w.b.ID}
+		{"no name", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return w.byName("")
 		}, "needs a name", false, ""},
-		{"neither page nor controller", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Target: w.b.ID}
+		{"neither shard nor controller", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Target: w.target.ID}
 		}, "neither", false, ""},
-		{"an unknown page", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: "nowhere", Target: w.b.ID}
+		{"an unknown shard", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: "nowhere", Target: w.target.ID}
 		}, `no page "nowhere"`, false, ""},
-		{"an unknown taker", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: "stall-9"}
+		{"an unknown target", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.shard, Target: "stall-9"}
 		}, `no controller "stall-9"`, false, ""},
-		{"an unknown giver", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Source: "stall-9", Target: w.b.ID}
+		{"an unknown source", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: "stall-9", Target: w.target.ID}
 		}, `no controller "stall-9"`, false, ""},
-		{"to its owner", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.a.ID}
+		{"to its owner", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Shard: w.shard, Target: w.source.ID}
 		}, "already", false, ""},
-		{"from a controller to itself", nil, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Source: w.a.ID, Target: w.a.ID}
+		{"from a controller to itself", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: w.source.ID, Target: w.source.ID}
 		}, "the same", false, ""},
-		{"a page that is on its way", func(w world) {
-			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "first", Shard: w.page, Target: w.b.ID})
-		}, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		{"a shard in transfer", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.byName("first"))
+		}, func(w transferRequestWorld) requests.TransferRequest {
+			return w.byName("m")
 		}, `move "first"`, true, ""},
-		{"to a controller of the version in production", func(w world) {
-			w.b.Kill()
-			w.b.RunsProductionVersion = true
-			w.b.Start()
+		{"to a controller of the version in production", func(w transferRequestWorld) {
+			w.target.replaceVersion(true)
 			w.Advance(15 * time.Second)
-		}, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Source: w.a.ID, Target: w.b.ID}
+		}, func(w transferRequestWorld) requests.TransferRequest {
+			return requests.TransferRequest{Name: "m", Source: w.source.ID, Target: w.target.ID}
 		}, "take no part", false, ""},
-		{"the state service is away", func(w world) {
+		{"the store is away", func(w transferRequestWorld) {
 			w.Store.Unavailable = true
 			w.Advance(10 * time.Second)
-		}, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		}, func(w transferRequestWorld) requests.TransferRequest {
+			return w.byName("m")
 		}, "state service", true, ""},
-		{"the state service goes as it is asked", func(w world) { w.Store.Unavailable = true }, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		{"the store fails as the request arrives", func(w transferRequestWorld) {
+			w.Store.Unavailable = true
+		}, func(w transferRequestWorld) requests.TransferRequest {
+			return w.byName("m")
 		}, "again under the same name", true, ""},
-		{"the same name again", func(w world) {
-			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
+		{"the same name again", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.byName("m"))
 			w.Advance(20 * time.Second)
-		}, func(w world) requests.TransferRequest {
-			return requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID}
+		}, func(w transferRequestWorld) requests.TransferRequest {
+			return w.byName("m")
 		}, "", false, storage.TransferClosed},
-		{"abort of an unknown move", nil, func(w world) requests.TransferRequest {
+		{"abort of an unknown transfer", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Abort: true}
 		}, `no move "m"`, false, ""},
-		{"abort in time", func(w world) {
-			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
-		}, func(w world) requests.TransferRequest {
+		{"abort in time", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.byName("m"))
+		}, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Abort: true}
 		}, "", false, storage.TransferAborted},
-		{"abort too late", func(w world) {
-			w.requestTransfer(t, w.b, requests.TransferRequest{Name: "m", Shard: w.page, Target: w.b.ID})
+		{"abort too late", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.byName("m"))
 			w.Advance(20 * time.Second)
-		}, func(w world) requests.TransferRequest {
+		}, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Abort: true}
 		}, "closed already", false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newTransferWorld(t, 3)
-			w.Config.MinRebalanceInterval = time.Hour
-			for _, controller := range w.Controllers {
-				controller.Start()
-			}
-			w.Advance(12 * time.Second)
-			cluster := world{World: w}
-			for _, controller := range w.Controllers {
-				if shards := w.shardsOf(controller); len(shards) > 0 && cluster.a == nil {
-					cluster.a, cluster.page = controller, shards[0]
-				} else if cluster.b == nil {
-					cluster.b = controller
-				}
-			}
+			w := newTransferRequestWorld(t)
 			if c.prepare != nil {
-				c.prepare(cluster)
+				c.prepare(w)
 			}
-			receiver := cluster.b
+			receiver := w.target
 			if receiver.RunsProductionVersion {
-				receiver = cluster.a
+				receiver = w.source
 			}
 			writes := w.History.TransferWrites
-			reply := w.requestTransfer(t, receiver, c.request(cluster))
+			reply := w.requestTransfer(t, receiver, c.request(w))
 			var refused *requests.RequestError
 			switch {
 			case c.refused == "" && (reply.Err != nil || reply.Transfer.Phase != c.phase && !reply.Transfer.Phase.CanFollow(c.phase)):
@@ -174,8 +174,8 @@
 	}
 }
 
-// A drained controller gives all its pages while jobs run, and is given none, also as
-// another process; then it takes part again. The last one can't be drained.
+// A drained controller hands off all its shards while jobs run and gets none, also in its next
+// incarnation; then it takes part again. The last one cannot be drained.
 func TestDrainController(t *testing.T) {
 	w := newTransferWorld(t, 12)
 	ids := submitMixedJobs(w, 20)
@@ -186,7 +186,7 @@
 	}
 	w.Advance(12 * time.Second)
 	a, b, c := w.Controllers[0], w.Controllers[1], w.Controllers[2]
-	for range 2 { // asked again it does nothing more
+	for range 2 { // a repeated request does nothing more
 		if r := drain(b, a, true); r.Err != nil || !r.Status.Draining {
 			t.Fatalf("%+v", r)
 		}
@@ -198,20 +198,20 @@
 	a.restartIfAlive(time.Second)
 	w.Advance(30 * time.Second)
 	if left := w.MachinesOwnedBy(a); left > 0 {
-		t.Errorf("%d machines were given to the next process", left)
+		t.Errorf("%d machines were given to the next incarnation", left)
 	}
 	if r := drain(b, b, true); r.Err != nil {
 		t.Errorf("%+v", r)
 	}
 	if r := drain(b, c, true); r.Err == nil || !strings.Contains(r.Err.Error(), "no other controller") {
-		t.Errorf("the last one: %+v", r)
+		t.Errorf("drain of the last controller: %+v", r)
 	}
 	if r := drain(b, &Controller{ID: "stall-9"}, true); r.Err == nil || !strings.Contains(r.Err.Error(), "stall-9") {
-		t.Errorf("an unknown one: %+v", r)
+		t.Errorf("drain of an unknown controller: %+v", r)
 	}
 	w.Advance(20 * time.Second)
 	if w.MachinesOwnedBy(a)+w.MachinesOwnedBy(b) > 0 || w.MachinesOwnedBy(c) == 0 {
-		t.Errorf("shares of %d, %d and %d machines", w.MachinesOwnedBy(a), w.MachinesOwnedBy(b), w.MachinesOwnedBy(c))
+		t.Errorf("the controllers own %d, %d and %d machines", w.MachinesOwnedBy(a), w.MachinesOwnedBy(b), w.MachinesOwnedBy(c))
 	}
 	for _, controller := range []*Controller{a, b} {
 		if r := drain(c, controller, false); r.Err != nil || r.Status.Draining {
@@ -221,19 +221,16 @@
 	w.Advance(100 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	if len(w.shardsOf(a))+len(w.shardsOf(b)) == 0 {
-		t.Errorf("nothing has come back")
+		t.Errorf("no shard has come back")
 	}
 	checkTransfers(t, w, 12, ids, 3)
 }
 
-// A controller that comes back late is given pages by moves on record, unasked, until the
-// shares are even; then nothing moves any more.
+// A controller that comes back late gets shards by transfers on record, without a request, until
+// all own about as many; then nothing is transferred any more.
 func TestRebalancingConverges(t *testing.T) {
 	w := newTransferWorld(t, 9)
-	w.Config.ValueBytes = 1024 // few machines on a page; no jobs are to be placed
-	for _, controller := range w.Controllers {
-		controller.Start()
-	}
+	w.reconfigure(func(config *step.Config) { config.ValueBytes = 1024 }) // few machines in a shard
 	w.Controllers[0].Kill()
 	w.Advance(20 * time.Second)
 	w.Controllers[0].Start()
@@ -244,18 +241,18 @@
 		least, most = min(least, len(w.shardsOf(controller))), max(most, len(w.shardsOf(controller)))
 	}
 	if transferred == 0 || most-least > 2 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d pages passed, shares of %d to %d pages, broken %v", transferred, least, most, w.Rules.Violations)
+		t.Errorf("%d shards transferred, controllers own %d to %d, broken %v", transferred, least, most, w.Rules.Violations)
 	}
 	w.Advance(60 * time.Second)
 	if w.History.ShardsTransferred != transferred {
-		t.Errorf("%d pages moved behind that", w.History.ShardsTransferred-transferred)
+		t.Errorf("%d shards transferred after that", w.History.ShardsTransferred-transferred)
 	}
 }
 
-// Between its preparation and its transfer a page is sent no start, and each worker has
-// reported behind the last one it was sent: the taker finds nothing on its way.
+// Between the preparation and the commit of a transfer no start is sent to the shard's machines,
+// and each agent has sent a heartbeat after the last one: the target finds none in flight.
 func TestNoStartsInFlightAtTransfer(t *testing.T) {
-	const inFlightAllowance = 500 * time.Millisecond // those that left before the write was known
+	const inFlightAllowance = 500 * time.Millisecond // for starts that were sent before the write was known
 	w := newTransferWorld(t, 6)
 	n := 0
 	w.Every(300*time.Millisecond, func() {
@@ -274,10 +271,10 @@
 			}
 			checked++
 			if m.lastStartAt > prepared[r.Name]+inFlightAllowance {
-				t.Errorf("%s: %s took a start %v behind the preparation", r.Name, id, m.lastStartAt-prepared[r.Name])
+				t.Errorf("%s: %s accepted a start %v after the preparation", r.Name, id, m.lastStartAt-prepared[r.Name])
 			}
 			if m.heartbeatSentAt < m.lastStartAt {
-				t.Errorf("%s: %s has not reported since it took a start at %v, now %v", r.Name, id, m.lastStartAt, w.Now)
+				t.Errorf("%s: %s has sent no heartbeat since it accepted a start at %v, now %v", r.Name, id, m.lastStartAt, w.Now)
 			}
 		}
 	})
@@ -287,32 +284,29 @@
 	}
 }
 
-// While a page comes to rest it takes no task, running ones go on under their attempts, and
-// it takes tasks again behind the transfer.
+// While a shard is quiesced it gets no task and running ones go on under their attempts; it gets
+// tasks again after the transfer.
 func TestShardQuiesces(t *testing.T) {
 	w := newTransferWorld(t, 4)
-	w.Config.MinRebalanceInterval = time.Hour
-	for _, controller := range w.Controllers {
-		controller.Start()
-	}
+	w.reconfigure(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
 	long := newArray("j-900001", "l", "standard", 20, 2, 60)
 	w.After(8*time.Second, func() { w.Submit(long) })
 	w.Advance(20 * time.Second)
 	started := w.StartCommands
-	var prepared, passed time.Duration
-	w.onTransferPhase(storage.TransferPrepared, func(storage.TransferRecord) { prepared = w.Now })
-	w.onTransferPhase(storage.TransferCommitted, func(storage.TransferRecord) { passed = w.Now })
+	var preparedAt, committedAt time.Duration
+	w.onTransferPhase(storage.TransferPrepared, func(storage.TransferRecord) { preparedAt = w.Now })
+	w.onTransferPhase(storage.TransferCommitted, func(storage.TransferRecord) { committedAt = w.Now })
 	for i, controller := range w.Controllers {
 		for _, shard := range w.shardsOf(controller) {
 			w.requestTransfer(t, controller, requests.TransferRequest{Name: string(shard), Shard: shard, Target: w.Controllers[(i+1)%3].ID})
 		}
 	}
 	w.Advance(20 * time.Second)
-	if prepared == 0 || passed <= prepared || passed-prepared > 6*time.Second {
-		t.Errorf("prepared at %v, passed at %v", prepared, passed)
+	if preparedAt == 0 || committedAt <= preparedAt || committedAt-preparedAt > 6*time.Second {
+		t.Errorf("prepared at %v, committed at %v", preparedAt, committedAt)
 	}
 	if w.StartCommands != started || w.Rules.TasksStarted != 20 {
-		t.Errorf("%d starts, %d before the pages moved; %d of 20 tasks begun", w.StartCommands, started, w.Rules.TasksStarted)
+		t.Errorf("%d starts, %d before the transfers; %d of 20 tasks started", w.StartCommands, started, w.Rules.TasksStarted)
 	}
 	w.Advance(120 * time.Second)
 	w.Rules.CheckFinal(w.Now)
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -1,10 +1,7 @@
 package simulation
 
 import (
-	"encoding/json"
 	"fmt"
-	"os"
-	"strings"
 	"testing"
 	"time"
 
@@ -14,41 +11,40 @@
 	"tillerarch/internal/storage"
 )
 
-// newTransferWorld is a deployment of many small pages in which moves are on record.
+// newTransferWorld is a deployment of many small shards in which transfers are on record.
 func newTransferWorld(t *testing.T, seed uint64) *World {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
-	w.Rules.QuotaLimits["tight"] = 10
-	w.Config.RecordTransfers = true
-	w.Config.ValueBytes = 2500
-	w.Config.MinRebalanceInterval = time.Second
-	w.Config.IdleTimeoutFactor = 1000 // idle machines stay
-	if os.Getenv("TRACE") != "" {
-		w.Trace = func(l string) { t.Log(l) }
-	}
-	for _, controller := range w.Controllers {
-		controller.Start()
-	}
-	for i := range 24 {
-		w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
-	}
+	w.traceTo(t)
+	w.reconfigure(func(config *step.Config) {
+		config.RecordTransfers = true
+		config.ValueBytes = 2500
+		config.MinRebalanceInterval = time.Second
+		config.IdleTimeoutFactor = 1000 // no scale-in
+	})
+	w.addSmallMachines(24, testZones...)
 	return w
 }
 
-// onTransferPhase calls f each time a move comes to a phase.
+// onTransferPhase calls a callback each time a transfer comes to a phase, after the write.
 func (w *World) onTransferPhase(phase storage.TransferPhase, callback func(storage.TransferRecord)) {
-	before := w.Store.OnRevision
-	w.Store.OnRevision = func(revision protocol.Revision, events []protocol.Event) {
-		before(revision, events)
-		for _, change := range events {
-			var record storage.TransferRecord
-			if strings.HasPrefix(change.PutKey, storage.TransferKey("")) && json.Unmarshal(change.Value, &record) == nil && record.Phase == phase {
-				w.After(0, func() { callback(record) })
-			}
+	w.OnTransferRecord(func(record storage.TransferRecord) {
+		if record.Phase == phase {
+			w.After(0, func() { callback(record) })
 		}
-	}
+	})
 }
 
-// controllerOf is the controller of a run.
+// onEveryTransfer calls a callback for every n-th transfer that comes to a phase.
+func (w *World) onEveryTransfer(phase storage.TransferPhase, n int, callback func(storage.TransferRecord)) {
+	count := 0
+	w.onTransferPhase(phase, func(record storage.TransferRecord) {
+		if count++; count%n == 0 {
+			callback(record)
+		}
+	})
+}
+
+// controllerOf is the controller of an incarnation.
 func (w *World) controllerOf(incarnation storage.Incarnation) *Controller {
 	for _, controller := range w.Controllers {
 		if controller.ID == incarnation.Controller() {
@@ -58,8 +54,7 @@
 	return nil
 }
 
-// requestRandomTransfers asks for moves of pages at random, from one controller to the next, until a
-// time.
+// requestRandomTransfers asks for transfers between random controllers until a time.
 func (w *World) requestRandomTransfers(every, until time.Duration) {
 	number := 0
 	var requestNext func()
@@ -79,131 +74,40 @@
 	w.After(5*time.Second, requestNext)
 }
 
-// Pages move all the time while jobs of every kind run, and something fails just as a move
-// comes to a phase. Every rule must hold, each machine must have one owner at every
-// revision, and once it is over all jobs and all moves must come to their end.
+// Shards are transferred all the time while jobs of every kind run, and something fails just as
+// a transfer comes to a phase. No rule is broken, each machine has one owner at every revision,
+// and once the faults are over all jobs and all transfers end.
 func TestTransfersUnderFaults(t *testing.T) {
 	const busy = 90 * time.Second
-	each := func(n int, f func(storage.TransferRecord)) func(storage.TransferRecord) {
-		count := 0
-		return func(r storage.TransferRecord) {
-			if count++; count%n == 0 {
-				f(r)
-			}
-		}
-	}
 	for _, c := range []struct {
-		name    string
-		passed  int // at least so many pages must have changed hands
-		failure func(w *World)
+		name           string
+		minTransferred int // shards
+		inject         func(w *World)
 	}{
-		{"nothing fails", 25, func(w *World) {}},
-		{"the giver ends with a move proposed", 5, func(w *World) {
-			w.onTransferPhase(storage.TransferProposed, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Source).restartIfAlive(3 * time.Second) }))
-		}},
-		{"the giver ends with a move prepared, and is back at once", 5, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Source).restartIfAlive(200 * time.Millisecond) }))
-		}},
-		{"the giver ends with a move prepared, and stays away", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(5, func(r storage.TransferRecord) { w.controllerOf(r.Source).restartIfAlive(20 * time.Second) }))
-		}},
-		{"the taker ends with a move prepared", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Target).restartIfAlive(4 * time.Second) }))
-		}},
-		{"the taker ends as it has the page", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferCommitted, each(4, func(r storage.TransferRecord) { w.controllerOf(r.Target).restartIfAlive(12 * time.Second) }))
-		}},
-		{"both ends are gone with a move prepared", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(6, func(r storage.TransferRecord) {
-				w.controllerOf(r.Source).restartIfAlive(15 * time.Second)
-				w.controllerOf(r.Target).restartIfAlive(18 * time.Second)
-			}))
-		}},
-		{"both ends are gone behind the transfer", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferCommitted, each(6, func(r storage.TransferRecord) {
-				w.controllerOf(r.Source).restartIfAlive(15 * time.Second)
-				w.controllerOf(r.Target).restartIfAlive(18 * time.Second)
-			}))
-		}},
-		{"the giver is frozen past its lease, and goes on", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(5, func(r storage.TransferRecord) { w.controllerOf(r.Source).Pause(12 * time.Second) }))
-		}},
-		{"the taker is frozen past its lease, and goes on", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferCommitted, each(5, func(r storage.TransferRecord) { w.controllerOf(r.Target).Pause(12 * time.Second) }))
-		}},
-		{"the state service is away between two phases", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(6, func(storage.TransferRecord) {
-				w.Store.Unavailable = true
-				w.After(9*time.Second, func() { w.Store.Unavailable = false })
-			}))
-		}},
-		{"the giver alone loses the state service", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(6, func(r storage.TransferRecord) {
-				n := w.controllerOf(r.Source)
-				n.StoreUnreachable = true
-				w.After(15*time.Second, func() { n.StoreUnreachable = false })
-			}))
-		}},
-		{"answers of transactions are lost", 10, func(w *World) { w.LostWriteReplyRate = 0.1 }},
-		{"transactions are carried out late", 10, func(w *World) { w.DelayedWriteRate = 0.04 }},
-		{"messages are lost, and copies of reports come late", 5, func(w *World) { w.MessageLossRate, w.DuplicateHeartbeatRate = 0.03, 0.2 }},
-		{"the controllers hear nothing of each other", 10, func(w *World) {
-			for _, n := range w.Controllers {
-				n.PeersUnreachable = true
-			}
-		}},
-		{"machines of the page are reclaimed and lost on the way", 10, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(3, func(r storage.TransferRecord) {
-				for i, m := range w.shardMachines(r.Shard) {
-					switch i % 3 {
-					case 0:
-						w.PreemptMachine(m, 5*time.Second)
-					case 1:
-						w.TerminateMachine(m)
-					}
-				}
-			}))
-		}},
-		{"machines of the page fall silent on the way", 5, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(3, func(r storage.TransferRecord) {
-				for _, id := range w.shardMachines(r.Shard) {
-					m := w.Machines[id]
-					m.Partitioned = true
-					w.After(20*time.Second, func() { m.Partitioned = false })
-				}
-			}))
-		}},
-		{"the giver loses its workers", 3, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(8, func(r storage.TransferRecord) {
-				n := w.controllerOf(r.Source)
-				n.AgentsUnreachable = true
-				w.After(20*time.Second, func() { n.AgentsUnreachable = false })
-			}))
-		}},
-		{"all running jobs are cancelled as a move is prepared", 10, func(w *World) {
-			w.onTransferPhase(storage.TransferPrepared, each(5, func(storage.TransferRecord) { w.cancelRunningJobs(3) }))
-		}},
-		{"all running jobs are cancelled as a page has passed", 10, func(w *World) {
-			w.onTransferPhase(storage.TransferCommitted, each(5, func(storage.TransferRecord) { w.cancelRunningJobs(3) }))
-		}},
-		{"records are packed and the limits tighten on the way", 10, func(w *World) {
-			w.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
-			for _, n := range w.Controllers {
-				n.Start()
-			}
-			w.After(40*time.Second, func() { w.Store.MaxValueBytes, w.Store.MaxOperations = 2048, 6 })
-		}},
-		{"a controller runs the version in production", 5, func(w *World) {
-			w.Controllers[2].Kill()
-			w.Controllers[2].RunsProductionVersion = true
-			w.Controllers[2].Start()
-		}},
-		{"controllers of the version in production take turns", 5, func(w *World) {
-			for i, n := range w.Controllers {
-				w.After(time.Duration(10+25*i)*time.Second, func() { n.Kill(); n.RunsProductionVersion = true; n.Start() })
-				w.After(time.Duration(28+25*i)*time.Second, func() { n.Kill(); n.RunsProductionVersion = false; n.Start() })
-			}
-		}},
+		{"nothing fails", 25, noFault},
+		{"the source ends with a transfer proposed", 5, sourceFailsAsProposed},
+		{"the source ends with a transfer prepared, and is back at once", 5, sourceFailsAsPrepared},
+		{"the source ends with a transfer prepared, and stays away", 3, sourceStaysAwayAsPrepared},
+		{"the target ends with a transfer prepared", 3, targetFailsAsPrepared},
+		{"the target ends as it owns the shard", 3, targetFailsAsCommitted},
+		{"source and target are gone with a transfer prepared", 3, bothFailAsPrepared},
+		{"source and target are gone after the transfer", 3, bothFailAsCommitted},
+		{"the source is paused past its lease, and resumes", 3, sourcePausesPastLease},
+		{"the target is paused past its lease, and resumes", 3, targetPausesPastLease},
+		{"the store is away between two phases", 3, storeOutageBetweenPhases},
+		{"the source alone loses the store", 3, sourceLosesStore},
+		{"replies to transactions are lost", 10, writeRepliesLost},
+		{"transactions are applied late", 10, writesDelayed},
+		{"messages are lost, and duplicate heartbeats come late", 5, messagesLostAndDuplicated},
+		{"the controllers do not reach each other", 10, peersUnreachableAll},
+		{"machines of the shard are preempted and lost during the transfer", 10, shardMachinesPreempted},
+		{"machines of the shard become unreachable during the transfer", 5, shardMachinesPartitioned},
+		{"the source loses its agents", 3, sourceLosesAgents},
+		{"all running jobs are cancelled as a transfer is prepared", 10, jobsCancelledAsPrepared},
+		{"all running jobs are cancelled after a transfer", 10, jobsCancelledAsCommitted},
+		{"records are packed and the limits tighten during transfers", 10, limitsTightenDuringTransfers},
+		{"a controller runs the version in production", 5, oneControllerOfProductionVersion},
+		{"controllers of the version in production take turns", 5, productionVersionTakesTurns},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -211,18 +115,18 @@
 				w := newTransferWorld(t, seed)
 				ids := submitMixedJobs(w, 40)
 				w.requestRandomTransfers(1200*time.Millisecond, busy)
-				c.failure(w)
+				c.inject(w)
 				w.Advance(busy)
 				w.endFaults()
-				w.Advance(200 * time.Second)
+				w.Advance(seconds(200))
 				w.Rules.CheckFinal(w.Now)
-				checkTransfers(t, w, seed, ids, c.passed)
+				checkTransfers(t, w, seed, ids, c.minTransferred)
 			}
 		})
 	}
 }
 
-// endFaults ends all troubles.
+// endFaults ends all faults.
 func (w *World) endFaults() {
 	w.Store.Unavailable = false
 	w.LostWriteReplyRate, w.DelayedWriteRate, w.MessageLossRate, w.DuplicateHeartbeatRate = 0, 0, 0, 0
@@ -236,16 +140,18 @@
 	w.Rules.FaultsEndedAt = w.Now
 }
 
-// shardMachines lists the machines of a page, as they are on record.
+// shardMachines lists the machines of a shard, as they are on record.
 func (w *World) shardMachines(shard storage.ShardID) []protocol.MachineID {
 	return w.History.shards[shard].Machines
 }
 
+// checkTransfers checks that no rule is broken, all jobs and transfers have ended, and enough
+// shards were transferred.
 func checkTransfers(t *testing.T, w *World, seed uint64, ids []protocol.JobID, transferred int) {
 	t.Helper()
 	for _, id := range ids {
 		if w.Jobs[id] != nil && !w.FinishedJobs[id] {
-			t.Errorf("seed %d: %s has not come to its end", seed, id)
+			t.Errorf("seed %d: %s has not ended", seed, id)
 		}
 	}
 	if len(w.Rules.Violations) > 0 {
@@ -253,10 +159,10 @@
 	}
 	h := w.History
 	if open := h.OpenTransfers(); len(open) > 0 {
-		t.Errorf("seed %d: moves that hang: %v", seed, open)
+		t.Errorf("seed %d: transfers that do not end: %v", seed, open)
 	}
 	if h.ShardsTransferred < transferred {
-		t.Errorf("seed %d: %d pages have changed hands, %d are asked for; aborted %v", seed, h.ShardsTransferred, transferred, h.AbortedByReason)
+		t.Errorf("seed %d: %d shards were transferred, want %d; aborted %v", seed, h.ShardsTransferred, transferred, h.AbortedByReason)
 	}
-	t.Logf("seed %d: %d pages passed, aborted %v, %d revisions", seed, h.ShardsTransferred, h.AbortedByReason, h.Revisions)
+	t.Logf("seed %d: %d shards transferred, aborted %v, %d revisions", seed, h.ShardsTransferred, h.AbortedByReason, h.Revisions)
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -12,22 +12,14 @@
 	"tillerarch/internal/storage"
 )
 
-// newService is a standing service.
-func newService(id protocol.JobID, tasks int) *protocol.Job {
-	return &protocol.Job{ID: id, Class: "service", Team: "core", Kind: protocol.KindService, Priority: "critical", TaskCount: tasks, Cores: 1, MemoryGB: 1,
-		Image: "img-d", ImageGB: 1}
-}
-
-// tightenedLimits are limits that the state service has from some moment after the upgrade.
+// tightenedLimits are the limits that the store has from some moment after the upgrade.
 var tightenedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
 
 // newUpgradeWorld is a deployment in which the version in production runs, with records
 // larger than the announced limits allow.
 func newUpgradeWorld(t *testing.T, seed uint64) *World {
 	w := newMixedWorld(t, seed)
-	for i := range 100 {
-		w.AddMachine("small", protocol.Zone([]string{"a", "b"}[i%2]), false, 0)
-	}
+	w.addSmallMachines(100, testZones...)
 	w.Config.AnnouncedLimits = &tightenedLimits
 	w.Store.WriteRate = w.Config.WritesPerSecond
 	for _, controller := range w.Controllers {
@@ -37,113 +29,125 @@
 	return w
 }
 
-// tightenLimits lets the announced limits hold from now on.
+// tightenLimits makes the announced limits those of the store.
 func (w *World) tightenLimits() {
-	w.Store.MaxValueBytes, w.Store.MaxOperations, w.Store.WriteRate = tightenedLimits.ValueBytes, tightenedLimits.TransactionOps, tightenedLimits.WritesPerSecond
+	w.Store.MaxValueBytes = tightenedLimits.ValueBytes
+	w.Store.MaxOperations = tightenedLimits.TransactionOps
+	w.Store.WriteRate = tightenedLimits.WritesPerSecond
 }
 
-// largestRecord is the size of the largest value in the state service.
+// largestRecord is the size of the largest value in the store.
 func (w *World) largestRecord() (size int) {
-	for _, i := range w.Store.List(storage.KeyPrefix) {
-		size = max(size, len(i.Value))
+	for _, entry := range w.Store.List(storage.KeyPrefix) {
+		size = max(size, len(entry.Value))
 	}
 	return size
 }
 
-// Days on which the version in production is replaced while it serves, and the state
-// service lowers its limits at some moment behind that. Every rule must hold, a
-// controller of the old version must be able to read all that it is given, and nothing
-// may be written that is too large for long.
+// The version in production is replaced while it serves, and the store lowers its limits at
+// some moment after that. No rule is broken, a controller of the old version can read all that
+// it is given, and nothing that is too large is written for long.
 func TestUpgradesUnderFaults(t *testing.T) {
-	inTurn := func(w *World) {
-		for i, controller := range w.Controllers {
-			controller.Upgrade(seconds(20+8*float64(i)), seconds(3))
-		}
-	}
-	for _, day := range []struct {
-		name    string
-		tighten float64 // seconds
-		drop    float64
-		trouble func(w *World)
+	for _, c := range []struct {
+		name      string
+		tightenAt float64 // seconds
+		lossRate  float64
+		inject    func(w *World)
 	}{
-		{"one after the other", 60, 0, inTurn},
-		{"all at once, and the limits hold as soon as they are back", 24, 0, func(w *World) {
-			for _, controller := range w.Controllers {
-				controller.Upgrade(seconds(20), seconds(3))
-			}
-		}},
-		{"a lossy network", 60, 0.03, inTurn},
-		{"one crashes before its turn and comes back old", 60, 0, func(w *World) {
-			w.Controllers[2].ScheduleRestart(seconds(24), seconds(2))
-			inTurn(w)
-		}},
-		{"the upgrade stops half-way for a minute", 110, 0, func(w *World) {
-			w.Controllers[0].Upgrade(seconds(15), seconds(3))
-			w.Controllers[1].ScheduleRestart(seconds(40), seconds(2))
-			w.Controllers[1].Upgrade(seconds(75), seconds(3))
-			w.Controllers[2].Upgrade(seconds(85), seconds(3))
-		}},
-		{"all end as the limits tighten", 52, 0, func(w *World) {
-			inTurn(w)
-			for i, controller := range w.Controllers {
-				controller.ScheduleRestart(seconds(51.5+0.3*float64(i)), seconds(1+float64(i)))
-			}
-		}},
-		{"an outage during the upgrade, and the limits tighten in the next", 64, 0.01, func(w *World) {
-			inTurn(w)
-			for _, at := range []float64{25, 60} {
-				w.After(seconds(at), func() { w.Store.Unavailable = true })
-				w.After(seconds(at+9), func() { w.Store.Unavailable = false })
-			}
-		}},
-		{"a leader is refused, and jobs are cancelled meanwhile", 60, 0, func(w *World) {
-			inTurn(w)
-			w.After(seconds(26), func() { w.Controllers[0].RefusedByStore = true })
-			w.After(seconds(27), func() { w.cancelRunningJobs(3) })
-			w.After(seconds(46), func() { w.Controllers[0].RefusedByStore = false; w.cancelRunningJobs(3) })
-			w.After(seconds(70), func() { w.Controllers[1].RefusedByStore = true })
-			w.After(seconds(71), func() { w.cancelRunningJobs(3) })
-			w.After(seconds(90), func() { w.Controllers[1].RefusedByStore = false })
-		}},
-		{"machines die and hang, reclaims, everything at once", 55, 0.02, func(w *World) {
-			inTurn(w)
-			w.DuplicateHeartbeatRate = 0.1
-			for i := range 10 {
-				id := protocol.MachineID(fmt.Sprintf("m-%06d", 3+4*i))
-				w.After(seconds(18+5*float64(i)), func() { w.TerminateMachine(id) })
-				m := w.Machines[protocol.MachineID(fmt.Sprintf("m-%06d", 2+4*i))]
-				w.After(seconds(20+6*float64(i)), func() { m.Hang(seconds(3 + 3*float64(i))) })
-			}
-			w.After(seconds(57), func() { w.Store.Unavailable = true })
-			w.After(seconds(64), func() { w.Store.Unavailable = false })
-			w.Controllers[0].ScheduleRestart(seconds(66), seconds(0.3))
-		}},
+		{"one after the other", 60, 0, upgradeInTurn},
+		{"all at once, and the limits hold as soon as they are back", 24, 0, upgradeAllAtOnce},
+		{"a lossy network", 60, 0.03, upgradeInTurn},
+		{"one crashes before its turn and comes back old", 60, 0, upgradeWithCrashBefore},
+		{"the upgrade stops half-way for a minute", 110, 0, upgradeStopsHalfWay},
+		{"all fail as the limits tighten", 52, 0, upgradeAndAllFail},
+		{"an outage during the upgrade, and the limits tighten in the next", 64, 0.01, upgradeWithOutages},
+		{"a leader is refused, and jobs are cancelled meanwhile", 60, 0, upgradeWithRefusedLeaders},
+		{"machines die and hang, preemptions, everything at once", 55, 0.02, upgradeWithEverything},
 	} {
-		t.Run(day.name, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seedCount(); seed++ {
 				w := newUpgradeWorld(t, seed)
-				w.MessageLossRate = day.drop
-				day.trouble(w)
-				runUpgrade(t, w, seed, day.tighten)
+				w.MessageLossRate = c.lossRate
+				c.inject(w)
+				runUpgrade(t, w, seed, c.tightenAt)
 			}
 		})
 	}
 }
 
-// runUpgrade plays an upgrade day: all kinds of jobs before and while the limits
-// tighten, daemons behind that.
-func runUpgrade(t *testing.T, w *World, seed uint64, tighten float64) {
+func upgradeInTurn(w *World) {
+	for i, controller := range w.Controllers {
+		controller.Upgrade(seconds(20+8*i), seconds(3))
+	}
+}
+
+func upgradeAllAtOnce(w *World) {
+	for _, controller := range w.Controllers {
+		controller.Upgrade(seconds(20), seconds(3))
+	}
+}
+
+func upgradeWithCrashBefore(w *World) {
+	w.Controllers[2].ScheduleRestart(seconds(24), seconds(2))
+	upgradeInTurn(w)
+}
+
+func upgradeStopsHalfWay(w *World) {
+	w.Controllers[0].Upgrade(seconds(15), seconds(3))
+	w.Controllers[1].ScheduleRestart(seconds(40), seconds(2))
+	w.Controllers[1].Upgrade(seconds(75), seconds(3))
+	w.Controllers[2].Upgrade(seconds(85), seconds(3))
+}
+
+func upgradeAndAllFail(w *World) {
+	upgradeInTurn(w)
+	for i, controller := range w.Controllers {
+		controller.ScheduleRestart(seconds(51.5+0.3*float64(i)), seconds(1+i))
+	}
+}
+
+func upgradeWithOutages(w *World) {
+	upgradeInTurn(w)
+	w.outage(25, 9)
+	w.outage(60, 9)
+}
+
+func upgradeWithRefusedLeaders(w *World) {
+	upgradeInTurn(w)
+	w.setBetween(seconds(26), seconds(46), &w.Controllers[0].RefusedByStore)
+	w.setBetween(seconds(70), seconds(90), &w.Controllers[1].RefusedByStore)
+	for _, at := range []int{27, 46, 71} {
+		w.After(seconds(at), func() { w.cancelRunningJobs(3) })
+	}
+}
+
+func upgradeWithEverything(w *World) {
+	upgradeInTurn(w)
+	w.DuplicateHeartbeatRate = 0.1
+	for i := range 10 {
+		w.After(seconds(18+5*i), func() { w.TerminateMachine(machineID(3 + 4*i)) })
+		m := w.Machines[machineID(2+4*i)]
+		w.After(seconds(20+6*i), func() { m.Hang(seconds(3 + 3*i)) })
+	}
+	w.outage(57, 7)
+	w.Controllers[0].ScheduleRestart(seconds(66), seconds(0.3))
+}
+
+// runUpgrade plays the day of an upgrade: jobs of all kinds before the limits tighten and
+// while they do, services after that.
+func runUpgrade(t *testing.T, w *World, seed uint64, tightenAt float64) {
+	t.Helper()
 	ids := submitMixedJobs(w, 30)
 	big := newArray("j-700000", "l", "standard", 900, 1, 5)
 	w.After(seconds(2), func() { w.Submit(big) })
 	ids = append(ids, big.ID)
-	w.After(seconds(tighten), w.tightenLimits)
+	w.After(seconds(tightenAt), w.tightenLimits)
 	var services []protocol.JobID
 	for i := range 6 {
 		job := newService(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
 		job.SpreadZones = i%2 == 0
-		w.After(seconds(tighten+2+2*float64(i)), func() { w.Submit(job) })
+		w.After(seconds(tightenAt+2+2*float64(i)), func() { w.Submit(job) })
 		services = append(services, job.ID)
 	}
 	w.Advance(seconds(130))
@@ -155,7 +159,7 @@
 	checkUpgrade(t, w, seed, rejected)
 	for _, id := range ids {
 		if !w.FinishedJobs[id] {
-			t.Errorf("seed %d: %s has not come to its end", seed, id)
+			t.Errorf("seed %d: %s has not ended", seed, id)
 		}
 	}
 	for _, id := range services {
@@ -168,20 +172,18 @@
 // checkUpgrade checks what must hold at the end of each upgrade.
 func checkUpgrade(t *testing.T, w *World, seed uint64, rejected int) {
 	t.Helper()
-	if len(w.Rules.Violations) > 0 {
-		t.Errorf("seed %d: %d rules broken:\n%s", seed, len(w.Rules.Violations), strings.Join(w.Rules.Violations[:min(5, len(w.Rules.Violations))], "\n"))
-	}
+	const maxRejected = 12 // as the limits tighten
+	checkRules(t, w, seed)
 	if w.Store.RejectedTooLarge > rejected {
 		t.Errorf("seed %d: %d transactions too large in calm times", seed, w.Store.RejectedTooLarge-rejected)
 	}
-	if rejected > 12 {
+	if rejected > maxRejected {
 		t.Errorf("seed %d: %d transactions too large", seed, rejected)
 	}
 	if size := w.largestRecord(); size > tightenedLimits.ValueBytes {
 		t.Errorf("seed %d: a record of %d bytes is left", seed, size)
 	}
-	format := slices.ContainsFunc(w.Store.List(storage.KeyPrefix), func(i protocol.Entry) bool { return i.Key == storage.FormatKey })
-	if !format {
+	if _, raised := w.Store.entries[storage.FormatKey]; !raised {
 		t.Errorf("seed %d: the format was not raised", seed)
 	}
 }
@@ -193,11 +195,11 @@
 	submitMixedJobs(w, 30)
 	w.Controllers[0].Upgrade(seconds(20), seconds(2))
 	w.Controllers[1].Upgrade(seconds(26), seconds(2))
-	w.After(seconds(40), w.Controllers[2].Kill) // it is away before its turn, for as long as it likes
+	w.After(seconds(40), w.Controllers[2].Kill) // before its turn, and for as long as it likes
 	w.Advance(seconds(100))
-	for _, i := range w.Store.List(storage.KeyPrefix) {
-		if err := checkProductionFormat(i.Key, i.Value); err != nil || i.Key == storage.FormatKey {
-			t.Errorf("%s is written while a controller may come back old: %v", i.Key, err)
+	for _, entry := range w.Store.List(storage.KeyPrefix) {
+		if err := checkProductionFormat(entry.Key, entry.Value); err != nil || entry.Key == storage.FormatKey {
+			t.Errorf("%s is written while a controller may come back old: %v", entry.Key, err)
 		}
 	}
 	w.Controllers[2].Start()
@@ -212,18 +214,16 @@
 		}
 	}
 	if w.Store.entries[storage.FormatKey].data == nil || packed == 0 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d pages are packed, broken: %v", packed, w.Rules.Violations)
+		t.Errorf("%d shards are packed, broken: %v", packed, w.Rules.Violations)
 	}
 }
 
-// Records that nothing asks to change are made smaller too: a page that is too large for
-// the new limits could not be taken over in one piece later.
+// Records that nothing asks to change are re-encoded too: a shard that is too large for the new
+// limits could not be taken over in one transaction later.
 func TestIdleRecordsAreReencoded(t *testing.T) {
 	w := newUpgradeWorld(t, 5)
 	w.Config.IdleTimeoutFactor = 1000
-	for range 200 {
-		w.AddMachine("small", "a", false, 0)
-	}
+	w.addSmallMachines(200, "a")
 	for i, controller := range w.Controllers {
 		controller.Start()
 		controller.Upgrade(seconds(30+6*float64(i)), seconds(2))
