--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -20,18 +20,18 @@
 	"tillerarch/internal/simulation"
 )
 
-// Options of a fleet.
+// Options of a cluster.
 type Options struct {
 	Seed         uint64
 	Controllers  int
-	BinaryPath   string // the program that was built
-	WorkDir      string // for settings and logs
+	BinaryPath   string // of the program under test
+	WorkDir      string // for configuration files and logs
 	MachineTypes []protocol.MachineType
 	Teams        map[string]step.Quota
-	Properties   string // the controllers' own settings, besides the admin service's address
+	Properties   string // of all controllers, besides the admin service's address
 }
 
-// Cluster is a deployment on loopback.
+// Cluster is a deployment whose controllers are processes.
 type Cluster struct {
 	SimulationServer
 	Controllers []*Controller
@@ -51,7 +51,7 @@
 	logFile    *os.File
 }
 
-// Limits and times of the deployment that the controllers are told.
+// Limits and times of the deployment, as its controllers are told.
 const (
 	heartbeatInterval = time.Second
 	agentLeaseTTL     = 8 * time.Second
@@ -60,9 +60,10 @@
 	maxValueBytes     = 2560
 	maxTransactionOps = 24
 	writesPerSecond   = 150
+	storeMaxEvents    = 10_000
 )
 
-// StartCluster brings a fleet up.
+// StartCluster starts the simulated systems and the controllers.
 func StartCluster(options Options) (*Cluster, error) {
 	cluster := &Cluster{options: options}
 	var remotes []simulation.RemoteController
@@ -79,9 +80,14 @@
 		remotes = append(remotes, c)
 	}
 	w := simulation.NewRemoteWorld(options.Seed, remotes, options.MachineTypes, options.Teams)
-	w.HeartbeatInterval, w.AgentLeaseTTL, w.GangStartTimeout, w.Rules.CancelTimeout = heartbeatInterval, agentLeaseTTL, gangStartTimeout, cancelTimeout
-	w.Store.SetMaxEvents(10_000)
-	w.Store.MaxValueBytes, w.Store.MaxOperations, w.Store.WriteRate = maxValueBytes, maxTransactionOps, writesPerSecond
+	w.HeartbeatInterval = heartbeatInterval
+	w.AgentLeaseTTL = agentLeaseTTL
+	w.GangStartTimeout = gangStartTimeout
+	w.Rules.CancelTimeout = cancelTimeout
+	w.Store.SetMaxEvents(storeMaxEvents)
+	w.Store.MaxValueBytes = maxValueBytes
+	w.Store.MaxOperations = maxTransactionOps
+	w.Store.WriteRate = writesPerSecond
 	if err := cluster.start(w); err != nil {
 		return nil, err
 	}
@@ -93,7 +99,7 @@
 	return cluster, nil
 }
 
-// freeAddress finds a loopback port that nobody listens on.
+// freeAddress finds a loopback port on which nobody listens.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +109,7 @@
 	return l.Addr().String(), nil
 }
 
-// Start starts the controller's process.
+// Start writes the controller's configuration and starts its process.
 func (c *Controller) Start() error {
 	config := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".toml")
 	properties := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".properties")
@@ -125,7 +131,7 @@
 	return c.process.Start()
 }
 
-// configFile is the platform's settings file.
+// configFile is the content of the platform's settings file.
 func (c *Controller) configFile() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "member = %q\narea = \"a\"\nlisten = %q\nback = %q\n", c.ID, c.listenAddr, c.peerAddr)
@@ -145,20 +151,20 @@
 	return b.String()
 }
 
-// Kill ends the process with no notice.
+// Kill kills the process and waits for its end.
 func (c *Controller) Kill() {
 	c.process.Process.Kill()
 	c.process.Wait()
 }
 
-// Restart ends the process and starts it again after a while.
+// Restart kills the process and starts it again after the downtime.
 func (c *Controller) Restart(downtime time.Duration) error {
 	c.Kill()
 	time.Sleep(downtime)
 	return c.Start()
 }
 
-// Pause lets the process stand still for a while.
+// Pause stops the process for a while; its clock runs on.
 func (c *Controller) Pause(d time.Duration) error {
 	if err := c.process.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -167,10 +173,10 @@
 	return c.process.Process.Signal(syscall.SIGCONT)
 }
 
-// AdminClient is a client of the controller's admin service.
+// AdminClient connects to the controller's admin service.
 func (c *Controller) AdminClient() (*admin.Client, error) { return admin.Dial(c.AdminAddr) }
 
-// Close ends the fleet, and waits for its processes.
+// Close kills all controllers, waits for them, and closes the simulated systems.
 func (c *Cluster) Close() {
 	for _, c := range c.Controllers {
 		if c.process != nil {
@@ -183,7 +189,7 @@
 	c.SimulationServer.Close()
 }
 
-// DeliverHeartbeat sends a worker's report to the controller.
+// DeliverHeartbeat sends an agent's heartbeat to the controller.
 func (c *Controller) DeliverHeartbeat(heartbeat []byte, reply func(int, []byte)) {
 	c.sendAsync("POST", protocol.PathHeartbeat, heartbeat, reply)
 }
@@ -200,15 +206,15 @@
 	}
 }
 
-// sendAsync makes a call and brings the answer into the world; status 0 if there is none.
-func (c *Controller) sendAsync(method, path string, content []byte, reply func(int, []byte)) {
+// sendAsync makes a call and brings the reply into the world; status 0 says that there is none.
+func (c *Controller) sendAsync(method, path string, body []byte, reply func(int, []byte)) {
 	go func() {
-		status, body := c.call(method, path, content)
-		c.cluster.WithWorld(func(*simulation.World) { reply(status, body) })
+		status, response := c.call(method, path, body)
+		c.cluster.WithWorld(func(*simulation.World) { reply(status, response) })
 	}()
 }
 
-func (c *Controller) call(method, path string, content []byte) (status int, answer []byte) {
+func (c *Controller) call(method, path string, content []byte) (status int, reply []byte) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.listenAddr+path, bytes.NewReader(content))
 	if err != nil {
 		return 0, nil
@@ -218,8 +224,8 @@
 		return 0, nil
 	}
 	defer response.Body.Close()
-	if answer, err = io.ReadAll(response.Body); err != nil {
+	if reply, err = io.ReadAll(response.Body); err != nil {
 		return 0, nil
 	}
-	return response.StatusCode, answer
+	return response.StatusCode, reply
 }
--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -13,7 +13,7 @@
 	"tillerarch/internal/storage"
 )
 
-// cliRunner runs `tillerarch shares` and reads its answer.
+// cliRunner runs `tillerarch shares`, checks its exit code and decodes what it prints.
 type cliRunner func(code int, answer any, args ...string)
 
 // waitForOwnership waits until all machines have owners, so that nothing is adopted meanwhile.
@@ -37,9 +37,8 @@
 	return admin.ShardingStatus{}
 }
 
-// A drill as an operator does it, with the program itself: look, move a page, drain a
-// controller for its restart and let it take part again. What the tool says is compared with
-// what is on record.
+// An operator's drill with the program itself: list, transfer a shard, drain a controller for its
+// restart and let it take part again. What the program prints is compared with what is on record.
 func TestSharesCommand(t *testing.T) {
 	binaryPath := buildProgram(t)
 	cluster := startCluster(t, binaryPath, 8)
@@ -49,7 +48,8 @@
 	time.Sleep(3 * time.Second)
 	var runCLI cliRunner = func(code int, answer any, args ...string) {
 		t.Helper()
-		out, err := exec.Command(binaryPath, append([]string{"shares", "--json", "--admin", cluster.Controllers[2].AdminAddr}, args...)...).Output()
+		common := []string{"shares", "--json", "--admin", cluster.Controllers[2].AdminAddr}
+		out, err := exec.Command(binaryPath, append(common, args...)...).Output()
 		exit, failed := err.(*exec.ExitError)
 		if err != nil && (!failed || exit.ExitCode() != code) || err == nil && code != 0 {
 			t.Fatalf("%v: %v, want exit code %d: %s", args, err, code, out)
@@ -62,9 +62,9 @@
 	}
 	owned := func(controllerID string) (machines int) {
 		cluster.WithWorld(func(w *simulation.World) {
-			for _, n := range w.Controllers {
-				if string(n.ID) == controllerID {
-					machines = w.MachinesOwnedBy(n)
+			for _, controller := range w.Controllers {
+				if string(controller.ID) == controllerID {
+					machines = w.MachinesOwnedBy(controller)
 				}
 			}
 		})
@@ -75,13 +75,13 @@
 	source, target := shares.Controllers[0].ID, shares.Controllers[1].ID
 	for _, c := range shares.Controllers {
 		if n := owned(c.ID); n != c.Machines {
-			t.Errorf("%s owns %d machines, the tool says %d", c.ID, n, c.Machines)
+			t.Errorf("%s owns %d machines, the command says %d", c.ID, n, c.Machines)
 		}
 	}
 	var transfer admin.Transfer
 	runCLI(0, &transfer, "move", "--name", "drill", "--from", source, "--to", target, "--wait", "30s")
 	if transfer.Phase != string(storage.TransferClosed) || owned(target) < transfer.Machines || transfer.Machines == 0 {
-		t.Errorf("%+v, the taker owns %d", transfer, owned(target))
+		t.Errorf("%+v, the target owns %d", transfer, owned(target))
 	}
 	runCLI(0, &transfer, "move", "--name", "drill", "--from", source, "--to", target)
 	runCLI(2, nil, "move", "--from", source, "--to", "stall-7")
@@ -99,7 +99,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	if n := owned(source); n != 0 {
-		t.Errorf("its next process was given %d machines", n)
+		t.Errorf("its next incarnation was given %d machines", n)
 	}
 	runCLI(0, nil, "undrain", source)
 	cluster.WithWorld(func(w *simulation.World) { w.Store.Unavailable = true })
--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -1,7 +1,3 @@
-// Package integration plays a whole deployment on this machine's loopback: controllers are
-// real processes of the program, and the outside systems of package simulation answer them
-// over HTTP, in real time. Tests kill, freeze and cut off controllers, and the checkers of
-// the stand-in world see all that the state service and the workers are told.
 package integration
 
 import (
@@ -22,7 +18,7 @@
 // tickInterval is how often the world's time is brought up to the clock's.
 const tickInterval = 5 * time.Millisecond
 
-// SimulationServer serves a stand-in world over HTTP.
+// SimulationServer serves a simulated world over HTTP.
 type SimulationServer struct {
 	mu        sync.Mutex // guards the world
 	world     *simulation.World
@@ -31,18 +27,18 @@
 	done      sync.WaitGroup
 
 	listeners  []net.Listener
-	storeAddrs []string // the state service's address for each controller
+	storeAddrs []string // of the store, as each controller reaches it
 	cloudAddr  string
 }
 
-// WithWorld calls f with the world to itself.
+// WithWorld calls a function that has the world to itself.
 func (s *SimulationServer) WithWorld(fn func(w *simulation.World)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn(s.world)
 }
 
-// start serves the world and lets its time pass with the clock's.
+// start serves the world and lets its time pass with the clock. Close ends both.
 func (s *SimulationServer) start(w *simulation.World) error {
 	s.world, s.startedAt, s.stop = w, time.Now(), make(chan struct{})
 	for i := range w.Controllers {
@@ -77,7 +73,7 @@
 	}
 }
 
-// Close ends the world.
+// Close stops the world's time and closes all listeners. Requests that are under way fail.
 func (s *SimulationServer) Close() {
 	close(s.stop)
 	s.done.Wait()
@@ -88,7 +84,7 @@
 	}
 }
 
-// serve serves a handler on a loopback port of its own.
+// serve serves a handler on a loopback port of its own, until Close.
 func (s *SimulationServer) serve(h http.Handler) (addr string, err error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -115,13 +111,13 @@
 	return err == nil && json.Unmarshal(data, v) == nil
 }
 
-// hangRequest holds a request of a controller that is cut off until it gives up.
+// hangRequest holds a request until its sender gives up, and does not reply.
 func hangRequest(r *http.Request) {
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// storeHandler is the state service as one controller reaches it.
+// storeHandler is the store as one controller reaches it.
 func (s *SimulationServer) storeHandler(controller *simulation.Controller) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, h http.HandlerFunc) {
@@ -147,8 +143,8 @@
 	return mux
 }
 
-// readRevision answers a read of one key. Controllers read only one that never exists, for the
-// revision.
+// readRevision replies to a read of one key. Controllers read only a key that never exists, to
+// learn the revision.
 func (s *SimulationServer) readRevision(rw http.ResponseWriter, _ *http.Request) {
 	var revision protocol.Revision
 	s.WithWorld(func(w *simulation.World) { revision = w.Store.Revision() })
@@ -185,7 +181,7 @@
 		replyLost = w.LostWriteReplyRate > 0 && w.Rand.Float64() < w.LostWriteReplyRate
 	})
 	if replyLost {
-		panic(http.ErrAbortHandler) // carried out, and nobody is told
+		panic(http.ErrAbortHandler) // applied, and nobody is told
 	}
 	writeJSON(rw, code, result)
 }
@@ -213,7 +209,7 @@
 	writeJSON(rw, http.StatusOK, protocol.Lease{ID: protocol.LeaseID(id)})
 }
 
-// watch waits for changes; during an outage it only waits.
+// watch waits for events; during an outage it only waits.
 func (s *SimulationServer) watch(rw http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
@@ -241,7 +237,7 @@
 	}
 }
 
-// cloudHandler is the cloud.
+// cloudHandler is the cloud's API.
 func (s *SimulationServer) cloudHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathMachineTypes, func(rw http.ResponseWriter, _ *http.Request) {
@@ -250,43 +246,43 @@
 		}{s.world.MachineTypes})
 	})
 	mux.HandleFunc("POST "+protocol.PathInstances, func(rw http.ResponseWriter, r *http.Request) {
-		var h protocol.ProvisionRequest
-		if !decodeBody(r, &h) || h.Count < 1 || h.Count > protocol.MaxProvisionCount {
+		var request protocol.ProvisionRequest
+		if !decodeBody(r, &request) || request.Count < 1 || request.Count > protocol.MaxProvisionCount {
 			writeJSON(rw, http.StatusBadRequest, struct{}{})
 			return
 		}
-		var answer protocol.MachineList
-		s.WithWorld(func(w *simulation.World) { answer.Machines = w.Provision(h) })
-		writeJSON(rw, http.StatusOK, answer)
+		var reply protocol.MachineList
+		s.WithWorld(func(w *simulation.World) { reply.Machines = w.Provision(request) })
+		writeJSON(rw, http.StatusOK, reply)
 	})
 	mux.HandleFunc("POST "+protocol.PathTerminate, func(rw http.ResponseWriter, r *http.Request) {
-		var m protocol.MachineList
-		if !decodeBody(r, &m) {
+		var request protocol.MachineList
+		if !decodeBody(r, &request) {
 			writeJSON(rw, http.StatusBadRequest, struct{}{})
 			return
 		}
 		s.WithWorld(func(w *simulation.World) {
-			for _, id := range m.Machines {
+			for _, id := range request.Machines {
 				w.TerminateMachine(id)
 			}
 		})
 		writeJSON(rw, http.StatusOK, struct{}{})
 	})
 	mux.HandleFunc("GET "+protocol.PathInstances, func(rw http.ResponseWriter, r *http.Request) {
-		answer := protocol.InstancePage{Instances: []protocol.Instance{}}
+		page := protocol.InstancePage{Instances: []protocol.Instance{}}
 		s.WithWorld(func(w *simulation.World) {
-			for _, h := range w.Instances() {
-				if string(h.ID) > r.URL.Query().Get("from") {
-					answer.Instances = append(answer.Instances, h)
+			for _, instance := range w.Instances() {
+				if string(instance.ID) > r.URL.Query().Get("from") {
+					page.Instances = append(page.Instances, instance)
 				}
 			}
 		})
-		writeJSON(rw, http.StatusOK, answer)
+		writeJSON(rw, http.StatusOK, page)
 	})
 	return mux
 }
 
-// serveAgent gives a worker an address of its own. The world's lock is held.
+// serveAgent serves a machine's agent at an address of its own. The world's lock is held.
 func (s *SimulationServer) serveAgent(m *simulation.Machine) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathAgentStatus, func(rw http.ResponseWriter, r *http.Request) {
@@ -319,7 +315,8 @@
 	m.Addr = addr
 }
 
-// writeAgentReply answers for a worker; one that is gone does not answer.
+// writeAgentReply replies for an agent. heartbeat is nil if the machine cannot be reached: then
+// there is no reply.
 func writeAgentReply(rw http.ResponseWriter, r *http.Request, code int, heartbeat []byte) {
 	if heartbeat == nil {
 		hangRequest(r)
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"os"
@@ -32,11 +31,18 @@
 	return binaryPath
 }
 
-// startCluster brings up three controllers and some machines.
+// startCluster starts three controllers and some machines; they are gone at the end of the test.
 func startCluster(t *testing.T, binaryPath string, seed uint64) *Cluster {
 	t.Helper()
-	cluster, err := StartCluster(Options{Seed: seed, Controllers: 3, BinaryPath: binaryPath, WorkDir: t.TempDir(), MachineTypes: simulation.SmallAndLargeTypes,
-		Teams: map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}}, Properties: "moves.recorded = true\nage.after = 60s\nidle.factor = 100"})
+	cluster, err := StartCluster(Options{
+		Seed:         seed,
+		Controllers:  3,
+		BinaryPath:   binaryPath,
+		WorkDir:      t.TempDir(),
+		MachineTypes: simulation.SmallAndLargeTypes,
+		Teams:        map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}},
+		Properties:   "moves.recorded = true\nage.after = 60s\nidle.factor = 100",
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +55,7 @@
 	return cluster
 }
 
-// transferGoal is how many pages are to change hands: MOVES, or a scaled-down run for CI.
+// transferGoal is how many shards are to be transferred: MOVES, or a scaled-down run for CI.
 func transferGoal() int {
 	if n, err := strconv.Atoi(os.Getenv("MOVES")); err == nil {
 		return n
@@ -57,19 +63,19 @@
 	return 60
 }
 
-// jobGenerator submits jobs of every kind until it is told to stop.
+// jobGenerator submits jobs of every kind until it is stopped.
 type jobGenerator struct {
 	ids      []protocol.JobID
 	services []protocol.JobID
 	stopped  bool
 }
 
-// submitNext submits a job, and plans the one behind it. The world's lock is held.
-func (a *jobGenerator) submitNext(w *simulation.World) {
-	if a.stopped {
+// submitNext submits a job and schedules the next. The world's lock is held.
+func (g *jobGenerator) submitNext(w *simulation.World) {
+	if g.stopped {
 		return
 	}
-	n := len(a.ids)
+	n := len(g.ids)
 	job := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("j-%06d", n)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
 		TaskCount: 1 + w.Rand.IntN(8), Cores: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", n%3), ImageGB: 1, EstimatedRunSeconds: 5}
 	switch n % 8 {
@@ -80,20 +86,20 @@
 	case 5:
 		job.Priority, job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = "low", 3, 1
 	case 7:
-		if n%24 == 7 && len(a.services) < 3 {
+		if n%24 == 7 && len(g.services) < 3 {
 			job.Kind, job.Priority, job.TaskCount, job.EstimatedRunSeconds, job.Class = protocol.KindService, "high", 2, 0, "d"
-			a.services = append(a.services, job.ID)
+			g.services = append(g.services, job.ID)
 		}
 	}
-	a.ids = append(a.ids, job.ID)
+	g.ids = append(g.ids, job.ID)
 	w.Submit(job)
 	if n%9 == 4 {
 		w.After(time.Duration(500+w.Rand.IntN(8000))*time.Millisecond, func() { w.Cancel(job.ID) })
 	}
-	w.After(time.Duration(500+w.Rand.IntN(1000))*time.Millisecond, func() { a.submitNext(w) })
+	w.After(time.Duration(500+w.Rand.IntN(1000))*time.Millisecond, func() { g.submitNext(w) })
 }
 
-// requestTransfers asks one controller after the other for moves, as an operator does.
+// requestTransfers requests transfers from random controllers, as an operator does.
 func requestTransfers(t *testing.T, cluster *Cluster, index int, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(uint64(index), 3))
 	for n := 0; ; n++ {
@@ -111,48 +117,43 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		client.StartTransfer(ctx, request) // a refusal is as good as a move here
+		client.StartTransfer(ctx, request) // it may be refused
 		cancel()
 		client.Close()
 	}
 }
 
-// faultInjector lets things fail one after the other: at random, or as a move comes to a phase.
+// faultInjector injects one fault after the other: at random, or as a transfer comes to a phase.
 type faultInjector struct {
 	t            *testing.T
 	cluster      *Cluster
 	rng          *rand.Rand
-	killRequests chan protocol.ControllerID // a controller to end at once
-	counts       map[string]int
+	killRequests chan protocol.ControllerID // controllers to kill at once
+	counts       map[string]int             // by the kind of fault
 }
 
-// killEvery change of a move's record ends a controller.
+// killEvery is how many writes of transfers' records there are for each controller that is killed.
 const killEvery = 31
 
-// killAtPhaseChanges ends giver or taker of some of the moves just as they come to a phase.
+// killAtPhaseChanges asks for source or target of some of the transfers to be killed just as they
+// come to a phase.
 func (fi *faultInjector) killAtPhaseChanges() {
 	n := 0
 	fi.cluster.WithWorld(func(w *simulation.World) {
-		before := w.Store.OnRevision
-		w.Store.OnRevision = func(revision protocol.Revision, events []protocol.Event) {
-			before(revision, events)
-			for _, change := range events {
-				var record storage.TransferRecord
-				if !strings.HasPrefix(change.PutKey, storage.TransferKey("")) || json.Unmarshal(change.Value, &record) != nil {
-					continue
-				}
-				if n++; n%killEvery != 0 {
-					continue
-				}
-				select {
-				case fi.killRequests <- []storage.Incarnation{record.Source, record.Target}[n/killEvery%2].Controller():
-				default:
-				}
+		w.OnTransferRecord(func(record storage.TransferRecord) {
+			if n++; n%killEvery != 0 {
+				return
 			}
-		}
+			victim := []storage.Incarnation{record.Source, record.Target}[n/killEvery%2]
+			select {
+			case fi.killRequests <- victim.Controller():
+			default: // another one is being killed
+			}
+		})
 	})
 }
 
+// run injects faults until it is stopped.
 func (fi *faultInjector) run(stop <-chan struct{}) {
 	for {
 		select {
@@ -161,7 +162,7 @@
 		case controllerID := <-fi.killRequests:
 			for _, controller := range fi.cluster.Controllers {
 				if controller.ID == controllerID {
-					fi.count("ended at a phase")
+					fi.count("killed at a phase")
 					fi.checkError(controller.Restart(time.Duration(150+fi.rng.IntN(2500)) * time.Millisecond))
 				}
 			}
@@ -179,7 +180,7 @@
 	}
 }
 
-// injectFault lets one thing fail for a while.
+// injectFault injects a random fault for a while.
 func (fi *faultInjector) injectFault() {
 	index := fi.rng.IntN(len(fi.cluster.Controllers))
 	controller := fi.cluster.Controllers[index]
@@ -193,36 +194,36 @@
 	}
 	switch fi.rng.IntN(7) {
 	case 0:
-		fi.count("ended")
+		fi.count("killed")
 		fi.checkError(controller.Restart(time.Duration(100+fi.rng.IntN(3000)) * time.Millisecond))
 	case 1:
-		fi.count("frozen for a moment")
+		fi.count("paused for a moment")
 		fi.checkError(controller.Pause(time.Second))
 	case 2:
-		fi.count("frozen past its lease")
+		fi.count("paused past its lease")
 		fi.checkError(controller.Pause(8 * time.Second))
 	case 3:
-		fi.count("cut from the state service")
+		fi.count("cut off from the store")
 		during(8*time.Second, func(w *simulation.World, on bool) { w.Controllers[index].StoreUnreachable = on })
 	case 4:
-		fi.count("state service away")
+		fi.count("store outage")
 		during(4*time.Second, func(w *simulation.World, on bool) { w.Store.Unavailable = on })
 	case 5:
-		fi.count("answers of writes lost")
+		fi.count("write replies lost")
 		during(4*time.Second, func(w *simulation.World, on bool) {
 			if w.LostWriteReplyRate = 0; on {
 				w.LostWriteReplyRate = 0.2
 			}
 		})
 	case 6:
-		fi.count("reports lost")
+		fi.count("heartbeats lost")
 		during(4*time.Second, func(w *simulation.World, on bool) { w.Controllers[index].AgentsUnreachable = on })
 	}
 }
 
-// Pages move between three controller processes all the time, jobs of every kind arrive,
-// and controllers are killed, frozen, restarted and cut off at random and as moves come to
-// a phase. At every revision each machine has one owner; nothing runs twice, no gang runs
+// Shards are transferred between three controller processes all the time, jobs of every kind
+// arrive, and controllers are killed, paused, restarted and cut off at random and as transfers
+// come to a phase. At every revision each machine has one owner; nothing runs twice, no gang runs
 // in part, no job is lost. MOVES=1000 plays the long run.
 func TestTransfersBetweenProcesses(t *testing.T) {
 	cluster := startCluster(t, buildProgram(t), 5)
@@ -251,7 +252,8 @@
 	cluster.WithWorld(func(w *simulation.World) { checkResults(t, w, jobs, transferGoal(), injector.counts, duration) })
 }
 
-// waitForCompletion ends all troubles and lets the jobs come to their end.
+// waitForCompletion ends all faults and waits until all jobs and transfers have ended, or for a
+// minute.
 func waitForCompletion(cluster *Cluster, jobs *jobGenerator) {
 	cluster.WithWorld(func(w *simulation.World) {
 		jobs.stopped = true
@@ -284,28 +286,29 @@
 	return ids
 }
 
-// checkResults checks the whole run, and says what was measured.
-func checkResults(t *testing.T, w *simulation.World, jobs *jobGenerator, goal int, failures map[string]int, duration time.Duration) {
+// checkResults checks the whole run and logs what was measured.
+func checkResults(t *testing.T, w *simulation.World, jobs *jobGenerator, goal int, faults map[string]int, duration time.Duration) {
 	w.Rules.CheckFinal(w.Now)
 	h := w.History
 	if len(w.Rules.Violations) > 0 {
 		t.Errorf("broken:\n%s", strings.Join(w.Rules.Violations, "\n"))
 	}
 	if left := unfinishedJobs(w, jobs); len(left) > 0 {
-		t.Errorf("not at their end: %v", left)
+		t.Errorf("jobs that have not ended: %v", left)
 	}
 	if open := h.OpenTransfers(); len(open) > 0 {
-		t.Errorf("moves that hang: %v", open)
+		t.Errorf("transfers that do not end: %v", open)
 	}
 	if h.ShardsTransferred < goal {
-		t.Errorf("%d pages have changed hands in %v, %d are asked for; aborted %v", h.ShardsTransferred, duration, goal, h.AbortedByReason)
+		t.Errorf("%d shards were transferred in %v, want %d; aborted %v", h.ShardsTransferred, duration, goal, h.AbortedByReason)
 	}
-	t.Logf("%d jobs, %d tasks begun, %d revisions; %d pages with %d machines passed in %v, aborted %v", len(jobs.ids), w.Rules.TasksStarted, h.Revisions,
+	t.Logf("%d jobs, %d tasks started, %d revisions; %d shards with %d machines transferred in %v, aborted %v", len(jobs.ids), w.Rules.TasksStarted, h.Revisions,
 		h.ShardsTransferred, h.MachinesTransferred, duration.Round(time.Second), h.AbortedByReason)
-	t.Logf("failures: %v", failures)
+	t.Logf("faults: %v", faults)
 	if h.MachinesTransferred > 0 {
-		t.Logf("held: %s; from begin to end: %s; %.1f machine-seconds without new tasks, %.2f for each machine moved; %.2f puts of moves for each machine moved",
-			quantiles(h.QuiesceTimes), quantiles(h.TransferTimes), h.MachineIdleTime.Seconds(), h.MachineIdleTime.Seconds()/float64(h.MachinesTransferred), float64(h.TransferWrites)/float64(h.MachinesTransferred))
+		t.Logf("quiesced: %s; from begin to end: %s; %.1f machine-seconds without new tasks, %.2f for each machine transferred; %.2f writes of transfers for each machine transferred",
+			quantiles(h.QuiesceTimes), quantiles(h.TransferTimes), h.MachineIdleTime.Seconds(),
+			h.MachineIdleTime.Seconds()/float64(h.MachinesTransferred), float64(h.TransferWrites)/float64(h.MachinesTransferred))
 	}
 	t.Logf("gangs waited %s; other jobs %s", quantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return j.IsGang() })),
 		quantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return !j.IsGang() })))
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -321,7 +321,11 @@
 			w.AddMachine("small", testZones[i%2], false, 0)
 		}
 		w.Config.Quotas["promised"] = step.Quota{GuaranteedCores: 12, MaxCores: 40}
-		w.Config.Objectives = map[string]step.Objectives{"l": {StartWithin: []time.Duration{seconds(5), seconds(20)}, FinishWithin: []time.Duration{seconds(60)}, DeadlineFactors: []float64{1, 2}}}
+		w.Config.Objectives = map[string]step.Objectives{"l": {
+			StartWithin:     []time.Duration{seconds(5), seconds(20)},
+			FinishWithin:    []time.Duration{seconds(60)},
+			DeadlineFactors: []float64{1, 2},
+		}}
 		w.limitAllTeams(60)
 		return w
 	}, play: func(t *testing.T, w *World) {
@@ -366,14 +370,14 @@
 		submitMixedJobs(w, 40)
 		w.requestRandomTransfers(1200*time.Millisecond, seconds(90))
 		w.requestShardingStatus(5)
-		moves := 0
+		proposed := 0
 		w.onTransferPhase(storage.TransferProposed, func(r storage.TransferRecord) {
-			if moves++; moves%5 == 0 {
-				w.Controllers[moves%3].DeliverOperatorRequest(func(id step.RequestID) step.Input {
+			if proposed++; proposed%5 == 0 {
+				w.Controllers[proposed%3].DeliverOperatorRequest(func(id step.RequestID) step.Input {
 					return requests.TransferRequest{Req: id, Name: r.Name, Abort: true}
 				}, func(step.Effect) {})
 			}
-			if moves%9 == 0 {
+			if proposed%9 == 0 {
 				w.controllerOf(r.Source).restartIfAlive(3 * time.Second)
 			}
 		})
@@ -393,9 +397,9 @@
 				w.cancelRunningJobs(3)
 			}
 		})
-		passed := 0
+		committed := 0
 		w.onTransferPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
-			switch passed++; passed % 16 {
+			switch committed++; committed % 16 {
 			case 6:
 				w.controllerOf(r.Target).restartIfAlive(12 * time.Second)
 			case 14:
--- a/internal/simulation/rule_checker_test.go
+++ b/internal/simulation/rule_checker_test.go
@@ -122,22 +122,24 @@
 		{"unavailable", protocol.JobCancelled, reportedAt + time.Millisecond, protocol.RequestQuery, 503, "", ""},
 		{"the same", protocol.JobCancelled, reportedAt + time.Millisecond, protocol.RequestQuery, 200, protocol.JobCancelled, ""},
 	} {
-		checker := NewRuleChecker(time.Minute)
-		checker.RecordSubmission(0, job)
-		if c.first == protocol.JobCancelled {
-			checker.RecordCancelRequest(job.ID)
-		}
-		if c.first == protocol.JobDone || c.second == protocol.JobDone {
-			checker.job(job.ID).completedTasks[0] = true
-		}
-		checker.RecordReply(reportedAt, reportedAt-5*time.Millisecond, protocol.RequestQuery, job.ID, 200, c.first)
-		checker.RecordReply(reportedAt+6*time.Millisecond, c.sentAt, c.requestType, job.ID, c.status, c.second)
-		got := ""
-		if len(checker.Violations) > 0 {
-			got, _, _ = strings.Cut(checker.Violations[0], ":")
-		}
-		if got != c.broken || len(checker.Violations) > 1 {
-			t.Errorf("%s: %q, want %q", c.name, checker.Violations, c.broken)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			checker := NewRuleChecker(time.Minute)
+			checker.RecordSubmission(0, job)
+			if c.first == protocol.JobCancelled {
+				checker.RecordCancelRequest(job.ID)
+			}
+			if c.first == protocol.JobDone || c.second == protocol.JobDone {
+				checker.job(job.ID).completedTasks[0] = true
+			}
+			checker.RecordReply(reportedAt, reportedAt-5*time.Millisecond, protocol.RequestQuery, job.ID, 200, c.first)
+			checker.RecordReply(reportedAt+6*time.Millisecond, c.sentAt, c.requestType, job.ID, c.status, c.second)
+			broken := ""
+			if len(checker.Violations) > 0 {
+				broken, _, _ = strings.Cut(checker.Violations[0], ":")
+			}
+			if broken != c.broken || len(checker.Violations) > 1 {
+				t.Errorf("%q, want %q", checker.Violations, c.broken)
+			}
+		})
 	}
 }
--- a/internal/simulation/scale_bench_test.go
+++ b/internal/simulation/scale_bench_test.go
@@ -94,8 +94,8 @@
 				b.ReportMetric(gangs[len(gangs)*95/100].Seconds(), "gang-95%-s")
 				b.ReportMetric(others[len(others)/2].Seconds(), "array-median-s")
 				b.ReportMetric(others[len(others)*95/100].Seconds(), "array-95%-s")
-				b.ReportMetric(float64(transferred), "pages")
-				b.ReportMetric(float64(writes)/float64(max(machines, 1)), "puts/machine")
+				b.ReportMetric(float64(transferred), "shards")
+				b.ReportMetric(float64(writes)/float64(max(machines, 1)), "writes/machine")
 				b.ReportMetric(idle.Seconds()/float64(max(machines, 1)), "idle-s/machine")
 			}
 		})
