--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -34,10 +35,10 @@
 			heartbeat := newHeartbeat(entry, 1)
 			heartbeat.FencingToken = c.confirmed
 			f.receive(heartbeat)
-			wasAnswered := f.replyStatus() == http.StatusOK
+			wasAnswered := steptest.ReplyStatus(f.Effects) == http.StatusOK
 			f.advance(answerDelay)
 			f.tick()
-			if !wasAnswered && f.replyStatus() != http.StatusOK {
+			if !wasAnswered && steptest.ReplyStatus(f.Effects) != http.StatusOK {
 				t.Fatal("the heartbeat is not answered")
 			}
 			f.advance(c.after - answerDelay)
--- a/internal/coordination/agents/response_delay_test.go
+++ b/internal/coordination/agents/response_delay_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -62,14 +63,14 @@
 			}
 			f.receive(heartbeat)
 			if c.after > 0 {
-				if f.replyStatus() != 0 {
+				if steptest.ReplyStatus(f.Effects) != 0 {
 					t.Fatal("answered at once")
 				}
 				f.advance(c.after)
 				f.tick()
 			}
-			if got := m.IsDeferred(); got != c.want || (f.replyStatus() == 0) != c.want {
-				t.Errorf("deferred %v, reply %d", got, f.replyStatus())
+			if got := m.IsDeferred(); got != c.want || (steptest.ReplyStatus(f.Effects) == 0) != c.want {
+				t.Errorf("deferred %v, reply %d", got, steptest.ReplyStatus(f.Effects))
 			}
 		})
 	}
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -6,6 +6,7 @@
 
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -56,7 +57,8 @@
 		}, true},
 		{"termination confirmed", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
-			core.provisioning.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}})
+			confirmation := step.TerminateMachinesResult{Machines: []protocol.MachineID{"m-1"}}
+			core.provisioning.Terminator.OnTerminateMachinesResult(confirmation)
 		}, true},
 		{"termination not confirmed yet", func(core *Core, e *storage.Machine, m *agents.MachineState) {
 			core.provisioning.Terminator.TerminateUnrecorded("m-1")
@@ -126,7 +128,7 @@
 				t.Errorf("%d starts, %d stops, acknowledged %v", starts, stops, acknowledged)
 			}
 
-			advance(0, step.WatchResult{AfterRevision: core.ctx.Replica.Revision, Response: &protocol.WatchResponse{Revision: 50}})
+			advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, 50))
 			advance(60*time.Millisecond, step.Tick{})
 			if core.cancellation.Canceller.CancelRequested("j-1") {
 				t.Error("still bound though its replica has gone past the request")
@@ -151,23 +153,16 @@
 	if core.ctx.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
 		t.Fatal("the ownership has no revision")
 	}
-	replyStatus := func(effects []step.Effect) int {
-		for _, effect := range effects {
-			if reply, ok := effect.(step.Reply); ok {
-				return reply.Status
-			}
-		}
-		return 0
-	}
-	if status := replyStatus(advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})); status != 0 {
+	effects := advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
+	if status := steptest.ReplyStatus(effects); status != 0 {
 		t.Errorf("answered %d before the replica has caught up", status)
 	}
-	if status := replyStatus(advance(3100*time.Millisecond, step.Tick{})); status != 421 {
+	if status := steptest.ReplyStatus(advance(3100*time.Millisecond, step.Tick{})); status != 421 {
 		t.Errorf("answered %d at last, the agent should look for another controller", status)
 	}
 	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
 	core.ctx.Replica.Revision = 9
-	if status := replyStatus(advance(2600*time.Millisecond, step.Tick{})); status != 200 {
+	if status := steptest.ReplyStatus(advance(2600*time.Millisecond, step.Tick{})); status != 200 {
 		t.Errorf("answered %d with a replica that has caught up", status)
 	}
 }
@@ -186,7 +181,8 @@
 			core, advance := newReadyCore(t)
 			rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			rec.Assign(protocol.Task{Job: "j-1"}, 5)
-			putRecord(t, core, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{rec.EncodeLine("m-1")}, nil), 2)
+			shard := storage.EncodePlainShard("stall-1#1", shardEpoch, []string{rec.EncodeLine("m-1")}, nil)
+			putRecord(t, core, storage.ShardKey("p"), shard, 2)
 			putCancellingJob(t, core, 2)
 			if c.isRequester {
 				core.cancellation.Canceller.RequestCancellation("j-1")
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -28,13 +28,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 2)
-			f.put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
+			f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 2)
+			f.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(protocol.Task{Job: "j-1"}, 5)
-			f.put(t, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil), 5)
+			f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil), 5)
 			job := `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`
-			f.put(t, storage.JobKey("j-1"), []byte(job), 6)
+			f.Put(t, storage.JobKey("j-1"), []byte(job), 6)
 			f.Replica.Revision = 6
 
 			c.status.ControllerID = c.status.Incarnation.Controller()
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -3,12 +3,11 @@
 import (
 	"fmt"
 	"testing"
-	"time"
 
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/commit/committest"
-	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -21,44 +20,24 @@
 
 // fixture is a canceller with the parts that it works on, registered and up to date.
 type fixture struct {
-	*step.Context
+	steptest.Fixture
 
 	commit    *commit.Parts
 	agents    *agents.Parts
 	canceller *Canceller
 }
 
-// fakePeers answers for the packages that build on this one: no other controller is heard from, no
-// key falls to this one, and no machine is terminated.
-type fakePeers struct{}
-
-func (fakePeers) ExpediteStatus()                                      {}
-func (fakePeers) HasHeardFrom(storage.Incarnation, time.Duration) bool { return false }
-func (fakePeers) PeersReportStoreUnavailable(time.Duration) bool       { return false }
-func (fakePeers) IsSuccessor(string) bool                              { return false }
-func (fakePeers) IsTerminationConfirmed(protocol.MachineID) bool       { return false }
-func (fakePeers) TerminateUnrecorded(protocol.MachineID)               {}
-
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	config := step.Config{
-		ControllerID:      owner.Controller(),
-		HeartbeatInterval: 2 * time.Second,
-		AgentLeaseTTL:     14 * time.Second,
-		CancelTimeout:     40 * time.Second,
-		WritesPerSecond:   100,
-		TransactionOps:    8,
-		ValueBytes:        8192,
-		Tuning:            step.DefaultTuning(),
-	}
-	ctx := &step.Context{Config: config, Now: step.Now{Monotonic: 1, Wall: 1e12}, Replica: storage.NewReplica()}
-	f := &fixture{Context: ctx, commit: commit.New(ctx), agents: agents.New(ctx)}
-	cancellations := New(ctx)
+	base := steptest.New(steptest.Config())
+	f := &fixture{Fixture: base, commit: commit.New(base.Context), agents: agents.New(base.Context)}
+	peers := &steptest.FakePeers{}
+	cancellations := New(base.Context)
 	f.canceller = cancellations.Canceller
 	f.commit.Connect(commit.Dependencies{
 		MachineTracker:    f.agents.Table,
-		StoreReports:      fakePeers{},
-		SuccessorElection: fakePeers{},
+		StoreReports:      peers,
+		SuccessorElection: peers,
 	})
 	cancellations.Connect(Dependencies{
 		Agents:           f.agents.Table,
@@ -66,10 +45,10 @@
 		Committer:        f.commit.Committer,
 		Lease:            f.commit.Lease,
 		Limits:           f.commit.Limits,
-		OwnerElection:    fakePeers{},
-		PeerNotifier:     fakePeers{},
+		OwnerElection:    peers,
+		PeerNotifier:     peers,
 		Replication:      f.commit.Replication,
-		ForcedTerminator: fakePeers{},
+		ForcedTerminator: steptest.FakeTerminations{},
 	})
 	f.register(t)
 	return f
@@ -84,14 +63,6 @@
 	}
 }
 
-// put puts a record into the replica.
-func (f *fixture) put(t *testing.T, key string, value []byte, modRevision protocol.ModRevision) {
-	t.Helper()
-	if _, err := f.Replica.Put(key, value, modRevision); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // putJob puts the test job, of two tasks, on record.
 func (f *fixture) putJob(t *testing.T, change func(*storage.JobRecord)) {
 	t.Helper()
@@ -99,7 +70,7 @@
 	if change != nil {
 		change(record)
 	}
-	f.put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, record), 2)
+	f.Put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, record), 2)
 }
 
 // putMachine puts a machine with the first task of the test job on record.
@@ -109,7 +80,7 @@
 	t.Helper()
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	record.Assign(protocol.Task{Job: testJob}, 5)
-	f.put(t, storage.ShardKey("p"), storage.EncodePlainShard(of, 3, []string{record.EncodeLine("m-1")}, completed), 2)
+	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(of, 3, []string{record.EncodeLine("m-1")}, completed), 2)
 	return f.Replica.Machines["m-1"]
 }
 
@@ -129,7 +100,7 @@
 	for i := range lines {
 		lines[i] = record.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%d", i)))
 	}
-	f.put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, lines, nil), 2)
+	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, lines, nil), 2)
 	for _, entry := range f.Replica.Machines {
 		f.recordHeartbeat(entry, protocol.TaskRunning)
 	}
@@ -147,9 +118,3 @@
 	}, f.Now.Monotonic)
 	return m
 }
-
-// advance lets time pass.
-func (f *fixture) advance(d time.Duration) {
-	f.Now.Monotonic = f.Now.Monotonic.Add(d)
-	f.Now.Wall += protocol.Millis(d.Milliseconds())
-}
--- a/internal/coordination/cancellation/forced_scale_in_test.go
+++ b/internal/coordination/cancellation/forced_scale_in_test.go
@@ -34,7 +34,7 @@
 				record.CancelRequested, record.CancelUpdatedAt = true, f.Now.Wall
 			})
 			entry, m := f.putOwnedMachine(t, c.state)
-			f.advance(c.age)
+			f.Advance(c.age)
 			if !c.isSilent {
 				m.LastContactAt = f.Now.Monotonic
 			}
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -51,7 +52,7 @@
 			if sent == nil {
 				t.Fatal("no transaction is sent")
 			}
-			result := committedAt(sent.ID, 2)
+			result := steptest.CommittedAt(sent.ID, 2)
 			result.Outcome = c.outcome
 			controller.advance(0, result)
 			if controller.Committer.pendingUser != nil {
@@ -62,7 +63,7 @@
 			if got := pending != nil && pending.kind == writeBarrierTransaction; got != c.wantBarrier {
 				t.Errorf("write barrier: %v", got)
 			}
-			if got := hasEffect[step.GrantLease](effects); got != c.wantLease {
+			if got := steptest.HasEffect[step.GrantLease](effects); got != c.wantLease {
 				t.Errorf("lease requested: %v", got)
 			}
 		})
--- a/internal/coordination/commit/committest/register.go
+++ b/internal/coordination/commit/committest/register.go
@@ -6,8 +6,7 @@
 
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/step"
-	"tillerarch/internal/protocol"
-	"tillerarch/internal/storage"
+	"tillerarch/internal/coordination/step/steptest"
 )
 
 const (
@@ -23,37 +22,22 @@
 	t.Helper()
 	parts.Limits.UpdateWriteLimiter()
 	parts.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: leaseID})
-	parts.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: loadedRevision, EndRevision: loadedRevision})
+	parts.Replication.OnLoadRecordsResult(step.LoadRecordsResult{
+		StartRevision: loadedRevision,
+		EndRevision:   loadedRevision,
+	})
 	ctx.Effects = nil
 	if parts.Committer.ReadyForRecordBatch() {
 		t.Fatal("a batch of records may be sent before the registration")
 	}
-	parts.Committer.OnCommitResult(step.CommitResult{
-		ID:      sentTransaction(t, ctx.Effects),
-		Outcome: storage.OutcomeApplied,
-		Result:  protocol.TransactionResult{Revision: registeredRevision},
-	})
-	parts.Replication.OnWatchResult(step.WatchResult{
-		AfterRevision: loadedRevision,
-		Response:      &protocol.WatchResponse{Revision: registeredRevision},
-	})
+	sent := steptest.EffectsOf[step.Commit](ctx.Effects)
+	if len(sent) != 1 {
+		t.Fatalf("%d transactions sent, want the registration", len(sent))
+	}
+	parts.Committer.OnCommitResult(steptest.CommittedAt(sent[0].ID, registeredRevision))
+	parts.Replication.OnWatchResult(steptest.UnchangedUntil(loadedRevision, registeredRevision))
 	if !parts.Lease.IsRegistered() || !parts.Replication.IsUpToDate() {
 		t.Fatal("the controller is not registered and up to date")
 	}
 	ctx.Effects = nil
 }
-
-// sentTransaction is the ID of the only transaction among the effects.
-func sentTransaction(t testing.TB, effects []step.Effect) uint64 {
-	t.Helper()
-	var ids []uint64
-	for _, effect := range effects {
-		if transaction, ok := effect.(step.Commit); ok {
-			ids = append(ids, transaction.ID)
-		}
-	}
-	if len(ids) != 1 {
-		t.Fatalf("%d transactions sent, want the registration", len(ids))
-	}
-	return ids[0]
-}
--- a/internal/coordination/commit/format_upgrade_test.go
+++ b/internal/coordination/commit/format_upgrade_test.go
@@ -4,22 +4,18 @@
 	"fmt"
 	"testing"
 
-	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-var announcedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
-
 // putController puts a live incarnation of a controller on record.
 func putController(t *testing.T, c *testController, controllerID protocol.ControllerID, readFormat storage.Format) {
 	t.Helper()
 	key := storage.ControllerKey(controllerID)
 	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.Replica.ModRevision(key)+1))
 	data := storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
-	if _, err := c.Replica.Put(key, data, c.Replica.ModRevision(key)+100); err != nil {
-		t.Fatal(err)
-	}
+	c.Put(t, key, data, c.Replica.ModRevision(key)+100)
 	c.Upgrade.RecordFormatSupport()
 }
 
@@ -91,7 +87,7 @@
 			controller := newReadyController(t)
 			controller.Config.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
 			if !c.notAnnounced {
-				controller.Config.AnnouncedLimits = &announcedLimits
+				controller.Config.AnnouncedLimits = steptest.AnnouncedLimits()
 			}
 			controller.Upgrade.areAnnouncedLimitsActive = c.refused
 			putController(t, controller, "stall-0", packed)
@@ -117,7 +113,7 @@
 // announced limits are active if it kept to the current ones.
 func TestTooLargeTransaction(t *testing.T) {
 	controller := newReadyController(t)
-	controller.Config.AnnouncedLimits = &announcedLimits
+	controller.Config.AnnouncedLimits = steptest.AnnouncedLimits()
 	upgrade, limits := controller.Upgrade, controller.Limits
 	small := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 100)}}}
 	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -3,66 +3,46 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/step"
-	"tillerarch/internal/protocol"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/storage"
 )
 
 var errUnreachable = errors.New("store unreachable")
 
-// Fakes of what the parts ask of other packages: no machines are tracked, no shard is being
-// transferred, this controller is elected, and no other one is heard of.
-type (
-	fakeMachineTracker    struct{}
-	fakeStoreReports      struct{}
-	fakeSuccessorElection struct{}
-	fakeTransferTracker   struct{}
-)
+// fakeMachineTracker stands for package agents, which tracks no machine.
+type fakeMachineTracker struct{}
 
 func (fakeMachineTracker) ForgetAssignments()                        {}
 func (fakeMachineTracker) ForgetUnrecordedMachines(*storage.Replica) {}
 func (fakeMachineTracker) OnMachinesRemoved()                        {}
 
-func (fakeStoreReports) PeersReportStoreUnavailable(time.Duration) bool { return false }
-
-func (fakeSuccessorElection) IsSuccessor(string) bool { return true }
-
-func (fakeTransferTracker) ShardsInTransfer(func(storage.TransferPhase) bool) map[storage.ShardID]bool {
-	return nil
-}
-
 // testController is the parts of this package, driven as the core drives them.
 type testController struct {
+	steptest.Fixture
 	*Parts
-	*step.Context
+
 	catalog *catalog.Catalog
 }
 
 func newTestController() *testController {
-	ctx := &step.Context{
-		Config: step.Config{
-			ControllerID:    "stall-0",
-			WritesPerSecond: 100,
-			TransactionOps:  8,
-			ValueBytes:      8192,
-			Tuning:          step.DefaultTuning(),
-		},
-		Now:     step.Now{Monotonic: 1, Wall: 1e12},
-		Rand:    rand.New(rand.NewPCG(0, 7)),
-		Replica: storage.NewReplica(),
+	base := steptest.New(steptest.Config())
+	c := &testController{
+		Fixture: base,
+		Parts:   New(base.Context),
+		catalog: catalog.New(base.Context).Catalog,
 	}
-	c := &testController{Parts: New(ctx), Context: ctx, catalog: catalog.New(ctx).Catalog}
+	peers := &steptest.FakePeers{ElectsSelf: true}
 	c.Connect(Dependencies{
 		MachineTracker:    fakeMachineTracker{},
-		StoreReports:      fakeStoreReports{},
-		SuccessorElection: fakeSuccessorElection{},
+		StoreReports:      peers,
+		SuccessorElection: peers,
 		Catalog:           c.catalog,
-		TransferTracker:   fakeTransferTracker{},
+		TransferTracker:   steptest.NoTransfers{},
 	})
 	c.Limits.UpdateWriteLimiter()
 	return c
@@ -78,8 +58,8 @@
 	if registration == nil {
 		t.Fatal("the controller does not register")
 	}
-	c.advance(0, committedAt(registration.ID, 2))
-	c.advance(0, unchangedUntil(1, 2))
+	c.advance(0, steptest.CommittedAt(registration.ID, 2))
+	c.advance(0, steptest.UnchangedUntil(1, 2))
 	if !c.Lease.IsRegistered() || !c.Replication.IsUpToDate() {
 		t.Fatal("the controller is not registered and up to date")
 	}
@@ -88,8 +68,7 @@
 
 // advance lets time pass and passes an input to the part that it is for.
 func (c *testController) advance(after time.Duration, in step.Input) []step.Effect {
-	c.Now.Monotonic = c.Now.Monotonic.Add(after)
-	c.Now.Wall += protocol.Millis(after.Milliseconds())
+	c.Advance(after)
 	c.Effects = nil
 	switch v := in.(type) {
 	case step.CommitResult:
@@ -115,37 +94,8 @@
 
 // sentTransaction is the transaction among the effects of a step, nil if there is none.
 func sentTransaction(effects []step.Effect) *step.Commit {
-	for _, effect := range effects {
-		if commit, ok := effect.(step.Commit); ok {
-			return &commit
-		}
+	if sent := steptest.EffectsOf[step.Commit](effects); len(sent) > 0 {
+		return &sent[0]
 	}
 	return nil
 }
-
-// hasEffect tells whether there is an effect of a type.
-func hasEffect[E any](effects []step.Effect) bool {
-	for _, effect := range effects {
-		if _, ok := effect.(E); ok {
-			return true
-		}
-	}
-	return false
-}
-
-// committedAt is the result of a transaction that was applied at a revision.
-func committedAt(id uint64, revision protocol.Revision) step.CommitResult {
-	return step.CommitResult{
-		ID:      id,
-		Outcome: storage.OutcomeApplied,
-		Result:  protocol.TransactionResult{Revision: revision},
-	}
-}
-
-// unchangedUntil is the result of a watch request that no record has changed up to a revision.
-func unchangedUntil(after, revision protocol.Revision) step.WatchResult {
-	return step.WatchResult{
-		AfterRevision: after,
-		Response:      &protocol.WatchResponse{Revision: revision},
-	}
-}
--- a/internal/coordination/commit/lease_test.go
+++ b/internal/coordination/commit/lease_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -13,25 +14,25 @@
 // times in the time that it would last.
 func TestLeaseIsGrantedAndRenewed(t *testing.T) {
 	c := newTestController()
-	if !hasEffect[step.GrantLease](c.advance(0, step.Tick{})) {
+	if !steptest.HasEffect[step.GrantLease](c.advance(0, step.Tick{})) {
 		t.Fatal("no lease is requested")
 	}
-	if hasEffect[step.GrantLease](c.advance(time.Second, step.Tick{})) {
+	if steptest.HasEffect[step.GrantLease](c.advance(time.Second, step.Tick{})) {
 		t.Error("a second lease is requested while the first is being granted")
 	}
 	c.advance(0, step.GrantLeaseResult{Err: errUnreachable})
-	if hasEffect[step.GrantLease](c.advance(grantRetryDelay/2, step.Tick{})) {
+	if steptest.HasEffect[step.GrantLease](c.advance(grantRetryDelay/2, step.Tick{})) {
 		t.Error("requested again at once")
 	}
-	if !hasEffect[step.GrantLease](c.advance(grantRetryDelay, step.Tick{})) {
+	if !steptest.HasEffect[step.GrantLease](c.advance(grantRetryDelay, step.Tick{})) {
 		t.Error("not requested again")
 	}
 	c.advance(0, step.GrantLeaseResult{LeaseID: 7})
 	interval := c.Config.LeaseTTL / renewalsPerLease
-	if hasEffect[step.RenewLease](c.advance(interval, step.Tick{})) {
+	if steptest.HasEffect[step.RenewLease](c.advance(interval, step.Tick{})) {
 		t.Error("renewed at once")
 	}
-	if !hasEffect[step.RenewLease](c.advance(time.Millisecond, step.Tick{})) {
+	if !steptest.HasEffect[step.RenewLease](c.advance(time.Millisecond, step.Tick{})) {
 		t.Error("not renewed")
 	}
 }
@@ -89,7 +90,7 @@
 			if got := controller.Lease.IsRegistered(); got != c.want {
 				t.Errorf("registered: %v", got)
 			}
-			if got := hasEffect[step.GrantLease](controller.advance(0, step.Tick{})); got == c.want {
+			if got := steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})); got == c.want {
 				t.Errorf("another lease requested: %v", got)
 			}
 		})
--- a/internal/coordination/commit/replication_test.go
+++ b/internal/coordination/commit/replication_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 )
 
 // New starts rest on a replica that is known to be up to date. Answered requests alone do not
@@ -31,7 +32,7 @@
 				}
 				if c.watchAnswered {
 					revision := controller.Replica.Revision
-					controller.advance(0, unchangedUntil(revision, revision))
+					controller.advance(0, steptest.UnchangedUntil(revision, revision))
 				}
 			}
 			if got := controller.Replication.IsUpToDate(); got != c.want {
--- a/internal/coordination/commit/shard_layout_test.go
+++ b/internal/coordination/commit/shard_layout_test.go
@@ -39,9 +39,7 @@
 				}
 				doneTasks := map[protocol.JobID]storage.TaskSet{"j-1": done}
 				data := storage.EncodePlainShard(controller.Lease.Incarnation(), epoch, lines, doneTasks)
-				if _, err := controller.Replica.Put(storage.ShardKey(id), data, 4); err != nil {
-					t.Fatal(err)
-				}
+				controller.Put(t, storage.ShardKey(id), data, 4)
 			}
 			put("a", c.smallEpoch, c.smallCount, storage.TaskRange(0, 3))
 			put("b", c.largeEpoch, c.largeCount, storage.TaskRange(4, 5))
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -6,6 +6,7 @@
 
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -13,22 +14,14 @@
 // registeredAt is the revision of the registration that newReadyCore makes.
 const registeredAt = 2
 
+// shardEpoch is the epoch of the shard that addOwnedMachine adds.
+const shardEpoch storage.ShardEpoch = 3
+
 // newReadyCore brings a core to the point where it is registered and up to date.
 func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in step.Input) []step.Effect) {
 	t.Helper()
-	now := step.Now{Monotonic: 1, Wall: 1e12}
-	cfg := step.Config{
-		ControllerID:      "stall-0",
-		Quotas:            map[string]step.Quota{"core": {}},
-		HeartbeatInterval: 2 * time.Second,
-		AgentLeaseTTL:     14 * time.Second,
-		CancelTimeout:     40 * time.Second,
-		WritesPerSecond:   100,
-		TransactionOps:    8,
-		ValueBytes:        8192,
-		Tuning:            step.DefaultTuning(),
-	}
-	c := New(cfg, now)
+	now := steptest.Start
+	c := New(steptest.Config(), now)
 	advance := func(after time.Duration, in step.Input) []step.Effect {
 		now.Monotonic = now.Monotonic.Add(after)
 		now.Wall += protocol.Millis(after.Milliseconds())
@@ -36,58 +29,42 @@
 	}
 	advance(0, step.Tick{})
 	advance(0, step.GrantLeaseResult{LeaseID: 7})
-	registrations := sentTransactions(advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
+	registrations := steptest.EffectsOf[step.Commit](advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
 	if len(registrations) != 1 {
 		t.Fatalf("%d transactions instead of the registration", len(registrations))
 	}
-	advance(0, committedAt(registrations[0].ID, registeredAt))
-	advance(0, unchangedUntil(1, registeredAt))
+	advance(0, steptest.CommittedAt(registrations[0].ID, registeredAt))
+	advance(0, steptest.UnchangedUntil(1, registeredAt))
 	if !c.commit.Lease.IsRegistered() || !c.commit.Replication.IsUpToDate() {
 		t.Fatal("the core is not registered and up to date")
 	}
 	return c, advance
 }
 
-// sentTransactions lists the transactions among the effects of a step.
-func sentTransactions(effects []step.Effect) (commits []step.Commit) {
-	for _, effect := range effects {
-		if commit, ok := effect.(step.Commit); ok {
-			commits = append(commits, commit)
-		}
-	}
-	return commits
-}
-
-// committedAt is the result of a transaction that was applied at a revision.
-func committedAt(id uint64, revision protocol.Revision) step.CommitResult {
-	return step.CommitResult{
-		ID:      id,
-		Outcome: storage.OutcomeApplied,
-		Result:  protocol.TransactionResult{Revision: revision},
-	}
-}
-
-// unchangedUntil is the result of a watch request that no record has changed up to a revision.
-func unchangedUntil(after, revision protocol.Revision) step.WatchResult {
-	return step.WatchResult{
-		AfterRevision: after,
-		Response:      &protocol.WatchResponse{Revision: revision},
-	}
-}
+// fixtureOf gives the shared fixture for the context of a core.
+func fixtureOf(c *Core) steptest.Fixture { return steptest.Fixture{Context: c.ctx} }
 
-// addOwnedMachine gives the core a page with one machine, and the state of that machine.
-func addOwnedMachine(t *testing.T, c *Core, rec storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
+// addOwnedMachine gives the core a shard with one machine, and the state of that machine.
+func addOwnedMachine(t *testing.T, c *Core, record storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
-	key := storage.ShardKey("p")
-	if _, err := c.ctx.Replica.Put(key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, []string{rec.EncodeLine("m-1")}, nil), c.ctx.Replica.ModRevision(key)+1); err != nil {
-		t.Fatal(err)
-	}
-	machine := c.ctx.Replica.Machines["m-1"]
+	machine := fixtureOf(c).PutMachine(t, c.commit.Lease.Incarnation(), shardEpoch, "m-1", record)
 	return machine, c.agents.Table.TrackOwnedMachine(machine, "m-1")
 }
 
-func newHeartbeat(machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus) *protocol.Heartbeat {
-	return &protocol.Heartbeat{Machine: "m-1", Addr: "a", Type: "s", Zone: "a", AgentEpoch: machine.Record.AgentEpoch, Sequence: sequence, FencingToken: machine.Record.FencingToken, Tasks: tasks}
+// newHeartbeat is a heartbeat of the machine that shows its fencing token and agent epoch on record.
+func newHeartbeat(
+	machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus,
+) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      "m-1",
+		Addr:         "a",
+		Type:         "s",
+		Zone:         "a",
+		AgentEpoch:   machine.Record.AgentEpoch,
+		Sequence:     sequence,
+		FencingToken: machine.Record.FencingToken,
+		Tasks:        tasks,
+	}
 }
 
 // A controller whose process was paused reads, when it resumes, answers that lay in its
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -7,18 +7,17 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
-var announcedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
+var announcedLimits = steptest.AnnouncedLimits()
 
 // putRecord puts a record into the core's replica, as a watch event would.
 func putRecord(t *testing.T, c *Core, key string, value []byte, modRevision protocol.ModRevision) {
 	t.Helper()
-	if _, err := c.ctx.Replica.Put(key, value, modRevision); err != nil {
-		t.Fatal(err)
-	}
+	fixtureOf(c).Put(t, key, value, modRevision)
 	if key == storage.FormatKey {
 		c.commit.Limits.UpdateWriteLimiter()
 	}
@@ -71,7 +70,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
-			core.ctx.Config.AnnouncedLimits = &announcedLimits
+			core.ctx.Config.AnnouncedLimits = announcedLimits
 			owner := c.owner
 			if owner == "" {
 				owner = core.commit.Lease.Incarnation()
@@ -83,26 +82,27 @@
 			}
 			var sent *step.Commit
 			for i := 0; i < 400 && sent == nil; i++ {
-				for _, commit := range sentTransactions(advance(50*time.Millisecond, step.Tick{})) {
+				for _, commit := range steptest.EffectsOf[step.Commit](advance(50*time.Millisecond, step.Tick{})) {
 					if len(commit.Transaction.Operations) > 1 {
 						sent = &commit
 					} else {
-						advance(0, committedAt(commit.ID, core.ctx.Replica.Revision+1))
+						advance(0, steptest.CommittedAt(commit.ID, core.ctx.Replica.Revision+1))
 					}
 				}
 				advance(0, step.RenewLeaseResult{LeaseID: 7})
-				advance(0, unchangedUntil(core.ctx.Replica.Revision, core.ctx.Replica.Revision))
+				advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, core.ctx.Replica.Revision))
 			}
 			if sent == nil || !announcedLimits.Allows(&sent.Transaction) {
 				t.Fatalf("%+v", sent)
 			}
-			advance(0, committedAt(sent.ID, 70))
+			advance(0, steptest.CommittedAt(sent.ID, 70))
 			if len(core.ctx.Replica.Machines) != machineCount {
 				t.Errorf("%d machines of %d are left", len(core.ctx.Replica.Machines), machineCount)
 			}
 			for id, machine := range core.ctx.Replica.Machines {
 				record := &machine.Record
-				if record.Owner != core.commit.Lease.Incarnation() || record.ShardEpoch != c.wantEpoch || len(record.Assignments) == 0 {
+				isOwned := record.Owner == core.commit.Lease.Incarnation()
+				if !isOwned || record.ShardEpoch != c.wantEpoch || len(record.Assignments) == 0 {
 					t.Errorf("%s of %s at epoch %d", id, record.Owner, record.ShardEpoch)
 				}
 			}
@@ -129,8 +129,8 @@
 		announced        *step.WriteLimits
 		want             bool
 	}{
-		{name: "a short one", machineTypeCount: 1, announced: &announcedLimits, want: true},
-		{name: "too long for the announced limits", machineTypeCount: 50, announced: &announcedLimits, want: false},
+		{name: "a short one", machineTypeCount: 1, announced: announcedLimits, want: true},
+		{name: "too long for the announced limits", machineTypeCount: 50, announced: announcedLimits, want: false},
 		{name: "within the current limits", machineTypeCount: 30, announced: nil, want: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 // shard as one packed value instead of two halves, and a job whose done tasks have many gaps.
 func TestOwnedRecordsAreReencoded(t *testing.T) {
 	core, advance := newReadyCore(t)
-	core.ctx.Config.AnnouncedLimits = &announcedLimits
+	core.ctx.Config.AnnouncedLimits = announcedLimits
 	var lines []string
 	for i := range 60 {
 		m := storage.MachineRecord{
@@ -171,7 +171,8 @@
 		}
 		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
-	putRecord(t, core, storage.ShardKey("idle"), storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil), 40)
+	shard := storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil)
+	putRecord(t, core, storage.ShardKey("idle"), shard, 40)
 	var done storage.TaskSet
 	for n := 0; n < 1800; n += 2 {
 		done = done.Add(n)
@@ -194,7 +195,7 @@
 	raiseFormat(t, core)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
-		for _, commit := range sentTransactions(advance(50*time.Millisecond, step.Tick{})) {
+		for _, commit := range steptest.EffectsOf[step.Commit](advance(50*time.Millisecond, step.Tick{})) {
 			if !announcedLimits.Allows(&commit.Transaction) {
 				t.Errorf("too large: %d operations", len(commit.Transaction.Operations))
 			}
@@ -206,12 +207,13 @@
 					jobWrites++
 				}
 			}
-			advance(0, committedAt(commit.ID, core.ctx.Replica.Revision+60))
+			advance(0, steptest.CommittedAt(commit.ID, core.ctx.Replica.Revision+60))
 		}
-		advance(0, unchangedUntil(core.ctx.Replica.Revision, core.ctx.Replica.Revision+61))
+		advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, core.ctx.Replica.Revision+61))
 	}
 	isSameDone := core.ctx.Replica.CompletedTasks("j-1").String() == done.String()
 	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || !isSameDone {
-		t.Errorf("the shard is written %d times, the job %d times; %d shards", shardWrites, jobWrites, len(core.ctx.Replica.Shards))
+		t.Errorf("the shard is written %d times, the job %d times; %d shards",
+			shardWrites, jobWrites, len(core.ctx.Replica.Shards))
 	}
 }
--- a/internal/coordination/health_test.go
+++ b/internal/coordination/health_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 )
 
@@ -67,15 +68,10 @@
 		{"it hears from nobody", 4 * time.Second, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			now := step.Now{Monotonic: 1, Wall: 1e12}
-			core := New(step.Config{
-				ControllerID:    "stall-0",
-				PeerCount:       2,
-				WritesPerSecond: 100,
-				TransactionOps:  8,
-				ValueBytes:      8192,
-				Tuning:          step.DefaultTuning(),
-			}, now)
+			now := steptest.Start
+			config := steptest.Config()
+			config.PeerCount = 2
+			core := New(config, now)
 			for core.ctx.Since(1) < test.after {
 				core.Step(now, step.Tick{})
 				core.Step(now, step.LoadRecordsResult{Err: errStoreUnreachable})
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
-	"tillerarch/internal/protocol"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/storage"
 )
 
@@ -25,16 +25,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
-			if _, err := core.ctx.Replica.Put(storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3); err != nil {
-				t.Fatal(err)
-			}
+			putRecord(t, core, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 3)
 			addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 			transferred := false
 			for i := 0; i < 400; i++ {
 				interval := test.tickIntervals[min(i, len(test.tickIntervals)-1)]
 				advance(0, step.RenewLeaseResult{LeaseID: 7})
 				revision := core.ctx.Replica.Revision
-				advance(0, step.WatchResult{AfterRevision: revision, Response: &protocol.WatchResponse{Revision: revision}})
+				advance(0, steptest.UnchangedUntil(revision, revision))
 				advance(0, step.PeerStatusInput{Status: step.PeerStatus{
 					ControllerID: "stall-1", Incarnation: target, StoreReachable: true, AcceptsShards: true,
 				}})
@@ -47,8 +45,7 @@
 						goesToTarget := strings.Contains(string(operation.Value), string(target))
 						transferred = transferred || operation.PutKey == storage.ShardKey("p") && goesToTarget
 					}
-					result := protocol.TransactionResult{Revision: core.ctx.Replica.Revision + 10}
-					advance(0, step.CommitResult{ID: sent.ID, Outcome: storage.OutcomeApplied, Result: result})
+					advance(0, steptest.CommittedAt(sent.ID, core.ctx.Replica.Revision+10))
 				}
 			}
 			if transferred != test.want || core.ownership.Overload.IsOverloaded() != test.want {
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -86,7 +86,7 @@
 			if len(written().Transaction().Operations) > 0 {
 				t.Error("taken over before the delay")
 			}
-			c.advance(1600 * time.Millisecond)
+			c.Advance(1600 * time.Millisecond)
 			b := written()
 			shard := writtenShards(t, b)["p"]
 			if shard == nil || shard.Owner != c.commit.Lease.Incarnation() || shard.Epoch != 4 {
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -81,7 +81,7 @@
 			c.agents.Table.TrackOwnedMachine(c.Replica.Machines["m-1"], "m-1")
 		}, false},
 		{"the request is not repeated", func(t *testing.T, c *testController) {
-			c.advance(1001 * time.Millisecond)
+			c.Advance(1001 * time.Millisecond)
 		}, false},
 		{"the target has ended", func(t *testing.T, c *testController) {
 			c.Replica.Delete(storage.ControllerKey(otherController), protocol.ModRevision(c.Replica.Revision+1))
@@ -94,7 +94,7 @@
 			c.agents.Table.TrackOwnedMachine(entry, "m-1")
 			c.reportElsewhere(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: 1, Sequence: 9})
 			test.change(t, c)
-			c.advance(heartbeatMissed)
+			c.Advance(heartbeatMissed)
 			machines := c.Manager.misdirectedMachines()
 			if got := len(machines) == 1 && machines[0].target == otherIncarnation; got != test.want {
 				t.Errorf("handed off %v, want %v: %+v", got, test.want, machines)
@@ -143,7 +143,7 @@
 			for _, entry := range c.Replica.SortedMachines() {
 				c.agents.Table.TrackOwnedMachine(entry, entry.ID)
 			}
-			c.advance(6 * time.Second) // no agent has sent a heartbeat here
+			c.Advance(6 * time.Second) // no agent has sent a heartbeat here
 			c.reportElsewhere(misdirected...)
 			if test.ownershipChanges {
 				for id, shard := range c.Replica.Shards {
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
-	"time"
 
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
 	"tillerarch/internal/coordination/catalog"
 	"tillerarch/internal/coordination/commit"
+	"tillerarch/internal/coordination/commit/committest"
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -24,21 +24,16 @@
 	testLeaseID protocol.LeaseID = 7
 )
 
-// fakeProvisioning stands for the packages that this one does not import: no machine is terminated,
-// and none is about to be given tasks.
-type fakeProvisioning struct{}
+// fakeScaleIn stands for package provisioning, which reviews no machine.
+type fakeScaleIn struct{}
 
-func (fakeProvisioning) RecordRemoval(protocol.MachineID)                             {}
-func (fakeProvisioning) ExpectsPlacement(protocol.MachineID) bool                     { return false }
-func (fakeProvisioning) IsTerminationConfirmed(protocol.MachineID) bool               { return false }
-func (fakeProvisioning) TerminateUnrecorded(protocol.MachineID)                       {}
-func (fakeProvisioning) BeginScaleInReview(int)                                       {}
-func (fakeProvisioning) EvaluateScaleIn(*storage.Machine, *agents.MachineState, bool) {}
+func (fakeScaleIn) BeginScaleInReview(int)                                       {}
+func (fakeScaleIn) EvaluateScaleIn(*storage.Machine, *agents.MachineState, bool) {}
 
 // testController has the parts of this package and of those below, for a controller that is
 // registered and up to date.
 type testController struct {
-	*step.Context
+	steptest.Fixture
 	*Parts
 	agents *agents.Parts
 	commit *commit.Parts
@@ -46,25 +41,13 @@
 
 func newTestController(t *testing.T) *testController {
 	t.Helper()
-	ctx := &step.Context{
-		Config: step.Config{
-			ControllerID:      selfController,
-			Quotas:            map[string]step.Quota{"core": {}},
-			HeartbeatInterval: 2 * time.Second,
-			AgentLeaseTTL:     14 * time.Second,
-			CancelTimeout:     40 * time.Second,
-			WritesPerSecond:   100,
-			TransactionOps:    8,
-			ValueBytes:        8192,
-			Tuning:            step.DefaultTuning(),
-		},
-		Now:     step.Now{Monotonic: 1, Wall: 1e12},
-		Rand:    rand.New(rand.NewPCG(0, 7)),
-		Replica: storage.NewReplica(),
-	}
+	config := steptest.Config()
+	config.ControllerID = selfController
+	base := steptest.New(config)
+	ctx := base.Context
 	catalogParts, commitParts, agentParts := catalog.New(ctx), commit.New(ctx), agents.New(ctx)
 	cancellationParts, parts := cancellation.New(ctx), New(ctx)
-	provisioning := fakeProvisioning{}
+	terminations := steptest.FakeTerminations{}
 	commitParts.Connect(commit.Dependencies{
 		MachineTracker:    agentParts.Table,
 		StoreReports:      parts.Peers,
@@ -74,16 +57,16 @@
 	})
 	agentParts.Connect(agents.Dependencies{
 		Catalog:             catalogParts.Catalog,
-		RemovalRecorder:     provisioning,
+		RemovalRecorder:     terminations,
 		CancellationChecker: cancellationParts.Canceller,
 		Lease:               commitParts.Lease,
-		PlacementForecast:   provisioning,
+		PlacementForecast:   steptest.NoPlan{},
 		Replication:         commitParts.Replication,
 		QuiesceChecker:      parts.Transfers,
 		Committer:           commitParts.Committer,
 		ShardWriter:         commitParts.ShardWriter,
-		TerminationChecker:  provisioning,
-		ScaleInEvaluator:    provisioning,
+		TerminationChecker:  terminations,
+		ScaleInEvaluator:    fakeScaleIn{},
 	})
 	cancellationParts.Connect(cancellation.Dependencies{
 		Agents:           agentParts.Table,
@@ -94,7 +77,7 @@
 		OwnerElection:    parts.Manager,
 		PeerNotifier:     parts.Peers,
 		Replication:      commitParts.Replication,
-		ForcedTerminator: provisioning,
+		ForcedTerminator: terminations,
 	})
 	parts.Connect(Dependencies{
 		Cancellations: cancellationParts.Canceller,
@@ -106,44 +89,19 @@
 		Limits:        commitParts.Limits,
 		ShardWriter:   commitParts.ShardWriter,
 	})
-	c := &testController{Context: ctx, Parts: parts, agents: agentParts, commit: commitParts}
-	c.register(t)
+	c := &testController{Fixture: base, Parts: parts, agents: agentParts, commit: commitParts}
+	committest.Register(t, ctx, commitParts)
 	catalogParts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
 	})
 	return c
 }
 
-// register has the controller load no records and register itself.
-func (c *testController) register(t *testing.T) {
-	t.Helper()
-	c.commit.Limits.UpdateWriteLimiter()
-	c.commit.Lease.OnGrantLeaseResult(step.GrantLeaseResult{LeaseID: testLeaseID})
-	c.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	c.commit.Committer.ReadyForRecordBatch()
-	for _, effect := range c.Effects {
-		if sent, ok := effect.(step.Commit); ok {
-			result := protocol.TransactionResult{Revision: 2}
-			c.commit.Committer.OnCommitResult(step.CommitResult{ID: sent.ID, Outcome: storage.OutcomeApplied, Result: result})
-		}
-	}
-	c.commit.Replication.OnWatchResult(step.WatchResult{AfterRevision: 1, Response: &protocol.WatchResponse{Revision: 2}})
-	if !c.commit.Lease.IsRegistered() {
-		t.Fatal("the controller does not register")
-	}
-}
-
-func (c *testController) advance(d time.Duration) {
-	c.Now.Monotonic = c.Now.Monotonic.Add(d)
-	c.Now.Wall += protocol.Millis(d.Milliseconds())
-}
-
+// put puts a record into the replica, as a change at the next revision.
 func (c *testController) put(t *testing.T, key string, value []byte) {
 	t.Helper()
 	c.Replica.Revision++
-	if _, err := c.Replica.Put(key, value, protocol.ModRevision(c.Replica.Revision)); err != nil {
-		t.Fatal(err)
-	}
+	c.Put(t, key, value, protocol.ModRevision(c.Replica.Revision))
 }
 
 // registerOther puts another controller on record.
--- a/internal/coordination/ownership/peers_test.go
+++ b/internal/coordination/ownership/peers_test.go
@@ -66,7 +66,7 @@
 			c.registerOther(t)
 			test.status.ControllerID = otherController
 			c.Peers.RecordStatus(&test.status)
-			c.advance(test.age)
+			c.Advance(test.age)
 			if got := len(c.Peers.acceptingShards()) == 1; got != test.want {
 				t.Errorf("accepts shards %v, want %v", got, test.want)
 			}
--- a/internal/coordination/ownership/quiescence_test.go
+++ b/internal/coordination/ownership/quiescence_test.go
@@ -23,7 +23,7 @@
 		}, false},
 		{"a start in flight to a silent agent", false, func(c *testController, machine *agents.MachineState) {
 			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
-			c.advance(c.agents.Table.SilenceTimeout() + time.Millisecond)
+			c.Advance(c.agents.Table.SilenceTimeout() + time.Millisecond)
 		}, true},
 		{"a start in flight to a machine that goes", true, func(_ *testController, machine *agents.MachineState) {
 			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -40,10 +40,10 @@
 				id := storage.ShardID(fmt.Sprint("p-", i))
 				c.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 3, lines, nil))
 			}
-			c.advance(time.Minute)
+			c.Advance(time.Minute)
 			if test.overloaded {
 				for range 100 {
-					c.advance(400 * time.Millisecond)
+					c.Advance(400 * time.Millisecond)
 					c.Overload.RecordTick()
 				}
 			}
@@ -71,7 +71,7 @@
 				t.Errorf("%d transfers recorded, %d owners changed", recorded, transferred)
 			}
 			for range 100 { // the overload, if there was one, has passed
-				c.advance(50 * time.Millisecond)
+				c.Advance(50 * time.Millisecond)
 				c.Overload.RecordTick()
 			}
 			if got := c.Manager.acceptsShards(); got != test.wantAccepts {
--- a/internal/coordination/provisioning/instance_inventory_test.go
+++ b/internal/coordination/provisioning/instance_inventory_test.go
@@ -61,9 +61,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			parts.ctx.Config.InstanceListLag = 4 * time.Second // and the margin: 17 s
-			parts.ctx.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: storage.MachineRecord{AddedAt: parts.ctx.Now.Wall}}
-			parts.advance(c.age)
+			parts.Config.InstanceListLag = 4 * time.Second // and the margin: 17 s
+			parts.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: storage.MachineRecord{AddedAt: parts.Now.Wall}}
+			parts.Advance(c.age)
 			for requestedAt := protocol.Instant(1); requestedAt <= 3; requestedAt++ {
 				listed := parts.Inventory.recordListed(step.ListInstancesResult{RequestedAt: requestedAt})
 				parts.Inventory.recordMissed(listed, requestedAt)
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -11,32 +11,15 @@
 	"tillerarch/internal/coordination/commit"
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
 // Small machines are cheap by the core and slow to boot, large ones the other way round.
 var (
-	smallMachineType = protocol.MachineType{
-		Name:                 "small",
-		Cores:                4,
-		MemoryGB:             8,
-		OnDemandPrice:        0.16,
-		SpotPrice:            0.06,
-		BootSeconds:          40,
-		ImagePullGBPerSecond: 0.25,
-		Zones:                []protocol.Zone{"a", "b"},
-	}
-	largeMachineType = protocol.MachineType{
-		Name:                 "large",
-		Cores:                16,
-		MemoryGB:             32,
-		OnDemandPrice:        0.64,
-		SpotPrice:            0.27,
-		BootSeconds:          15,
-		ImagePullGBPerSecond: 0.8,
-		Zones:                []protocol.Zone{"a", "b"},
-	}
+	smallMachineType = steptest.SmallMachineType()
+	largeMachineType = steptest.LargeMachineType()
 )
 
 // fakePlan stands for the scheduler's plan and its reserve of idle machines.
@@ -51,35 +34,22 @@
 func (f *fakePlan) RetainsMachine(protocol.MachineID) bool        { return f.retains }
 func (f *fakePlan) RetainsIdleMachine(id protocol.MachineID) bool { return f.retainsIdle }
 
-// fakeStoreReports stands for what other controllers say of the store.
-type fakeStoreReports struct{ unavailable bool }
-
-func (f *fakeStoreReports) PeersReportStoreUnavailable(time.Duration) bool { return f.unavailable }
-
 // testParts are the parts of provisioning on those of the packages below.
 type testParts struct {
+	steptest.Fixture
 	*Parts
-	ctx    *step.Context
+
 	agents *agents.Parts
 	plan   *fakePlan
-	peers  *fakeStoreReports
+	peers  *steptest.FakePeers
 }
 
 // newTestParts makes parts that know the two machine types.
 func newTestParts(t *testing.T) *testParts {
 	t.Helper()
-	ctx := &step.Context{
-		Config: step.Config{
-			ControllerID:      "stall-0",
-			HeartbeatInterval: 2 * time.Second,
-			AgentLeaseTTL:     14 * time.Second,
-			CancelTimeout:     40 * time.Second,
-			Tuning:            step.DefaultTuning(),
-		},
-		Now:     step.Now{Monotonic: 1, Wall: 1e12},
-		Rand:    rand.New(rand.NewPCG(1, 1)),
-		Replica: storage.NewReplica(),
-	}
+	base := steptest.New(steptest.Config())
+	base.Rand = rand.New(rand.NewPCG(1, 1))
+	ctx := base.Context
 	cloud, records, fleet, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
 	cloud.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
@@ -89,7 +59,13 @@
 		Lease:       records.Lease,
 		Replication: records.Replication,
 	})
-	parts := &testParts{Parts: New(ctx), ctx: ctx, agents: fleet, plan: &fakePlan{}, peers: &fakeStoreReports{}}
+	parts := &testParts{
+		Fixture: base,
+		Parts:   New(ctx),
+		agents:  fleet,
+		plan:    &fakePlan{},
+		peers:   &steptest.FakePeers{},
+	}
 	records.Connect(commit.Dependencies{StoreReports: parts.peers})
 	parts.Connect(Dependencies{
 		Ownership:     ownership.New(ctx).Manager,
@@ -106,20 +82,9 @@
 	return parts
 }
 
-// advance lets time pass.
-func (p *testParts) advance(d time.Duration) {
-	p.ctx.Now.Monotonic = p.ctx.Now.Monotonic.Add(d)
-	p.ctx.Now.Wall += protocol.Millis(d.Milliseconds())
-}
-
 // putMachine puts machine m-1 on record, on a shard of an epoch, and begins its ownership.
 func (p *testParts) putMachine(t *testing.T, epoch storage.ShardEpoch, record storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
-	key := storage.ShardKey("p")
-	value := storage.EncodePlainShard("stall-0#1", epoch, []string{record.EncodeLine("m-1")}, nil)
-	if _, err := p.ctx.Replica.Put(key, value, p.ctx.Replica.ModRevision(key)+1); err != nil {
-		t.Fatal(err)
-	}
-	entry := p.ctx.Replica.Machines["m-1"]
+	entry := p.PutMachine(t, "stall-0#1", epoch, "m-1", record)
 	return entry, p.agents.Table.TrackOwnedMachine(entry, "m-1")
 }
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			parts.ctx.Effects = nil
+			parts.Effects = nil
 			for _, pool := range c.exhausted {
 				parts.Provisioner.MarkPoolExhausted(pool)
 			}
@@ -51,7 +51,7 @@
 			}
 			demand := UnmetDemand{Job: "j-1", Spec: job, Tasks: 5000, Urgent: c.urgent}
 			parts.Provisioner.provisionForDemand(demand, map[PoolKey]bool{}, 0)
-			got := requestedPools(parts.ctx.Effects)
+			got := requestedPools(parts.Effects)
 			slices.Sort(c.want)
 			if !slices.Equal(got, c.want) {
 				t.Errorf("%s: %s; wanted %s", c.name, strings.Join(got, ", "), strings.Join(c.want, ", "))
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -90,15 +90,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			record := c.record
-			record.AddedAt = parts.ctx.Now.Wall + protocol.Millis(c.elapsed.Milliseconds()) - cmp.Or(c.age, defaultAge)
+			record.AddedAt = parts.Now.Wall + protocol.Millis(c.elapsed.Milliseconds()) - cmp.Or(c.age, defaultAge)
 			entry, state := parts.putMachine(t, 3, record)
 			if c.cancelled {
 				parts.putCancelledJob(t)
 			}
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
-			parts.advance(c.elapsed)
+			parts.Advance(c.elapsed)
 			if !c.silent {
-				state.LastContactAt = parts.ctx.Now.Monotonic
+				state.LastContactAt = parts.Now.Monotonic
 			}
 			if c.listed != nil {
 				parts.Inventory.listedInstances["m-1"] = c.listed
@@ -131,7 +131,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			parts.peers.unavailable = c.unavailableEverywhere
+			parts.peers.StoreUnavailable = c.unavailableEverywhere
 			record := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2}
 			record.Assign(protocol.Task{Job: "j-1"}, 5)
 			entry, state := parts.putMachine(t, 3, record)
@@ -140,8 +140,8 @@
 			if parts.Terminator.IsTerminating("m-1") {
 				t.Fatal("terminated before the cancellation's time is over")
 			}
-			parts.advance(25 * time.Second)
-			state.LastContactAt = parts.ctx.Now.Monotonic
+			parts.Advance(25 * time.Second)
+			state.LastContactAt = parts.Now.Monotonic
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
 			if got := parts.Terminator.IsTerminating("m-1"); got != c.unavailableEverywhere {
 				t.Errorf("terminating: %v, want %v", got, c.unavailableEverywhere)
@@ -154,9 +154,7 @@
 func (p *testParts) putCancelledJob(t *testing.T) {
 	t.Helper()
 	job := []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1},"w":true,"o":1000000000000}`)
-	if _, err := p.ctx.Replica.Put(storage.JobKey("j-1"), job, 2); err != nil {
-		t.Fatal(err)
-	}
+	p.Put(t, storage.JobKey("j-1"), job, 2)
 }
 
 // An idle period ends with work, with the ownership that it was seen under, and when the machine
@@ -177,23 +175,23 @@
 		}, scaleInNone},
 		{"with a new ownership", func(t *testing.T, parts *testParts) { parts.putMachine(t, 4, idle) }, scaleInNone},
 		{"with a machine that is forgotten", func(_ *testing.T, parts *testParts) {
-			entry := parts.ctx.Replica.Machines["m-1"]
-			delete(parts.ctx.Replica.Machines, "m-1")
+			entry := parts.Replica.Machines["m-1"]
+			delete(parts.Replica.Machines, "m-1")
 			parts.agents.Table.ForgetMachines()
 			parts.Terminator.ForgetTerminated()
-			parts.ctx.Replica.Machines["m-1"] = entry
+			parts.Replica.Machines["m-1"] = entry
 		}, scaleInNone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			parts.putMachine(t, 3, idle)
 			parts.review()
-			parts.advance(almostIdleTooLong)
+			parts.Advance(almostIdleTooLong)
 			c.change(t, parts)
 			if reason := parts.review(); reason != scaleInNone {
 				t.Fatalf("scaled in early: %q", reason)
 			}
-			parts.advance(2 * time.Second)
+			parts.Advance(2 * time.Second)
 			if reason := parts.review(); reason != c.want {
 				t.Errorf("scale-in reason %q, want %q", reason, c.want)
 			}
@@ -206,9 +204,9 @@
 
 // review evaluates machine m-1, whose agent has just sent a heartbeat, and gives the reason.
 func (p *testParts) review() scaleInReason {
-	entry := p.ctx.Replica.Machines["m-1"]
+	entry := p.Replica.Machines["m-1"]
 	state := p.agents.Table.TrackOwnedMachine(entry, "m-1")
-	state.LastContactAt = p.ctx.Now.Monotonic
+	state.LastContactAt = p.Now.Monotonic
 	p.Terminator.BeginScaleInReview(0)
 	p.Terminator.EvaluateScaleIn(entry, state, false)
 	if len(p.Terminator.scaleInQueue) == 0 {
--- a/internal/coordination/provisioning/terminator_test.go
+++ b/internal/coordination/provisioning/terminator_test.go
@@ -14,10 +14,10 @@
 
 // sentTerminations lets the terminator send what is due, and gives the machines of each call.
 func (p *testParts) sentTerminations() [][]protocol.MachineID {
-	p.ctx.Effects = nil
+	p.Effects = nil
 	p.Terminator.SendTerminations()
 	var calls [][]protocol.MachineID
-	for _, effect := range p.ctx.Effects {
+	for _, effect := range p.Effects {
 		if call, ok := effect.(step.TerminateMachines); ok {
 			calls = append(calls, call.Machines)
 		}
@@ -30,7 +30,7 @@
 	var ids []protocol.MachineID
 	for i := range count {
 		id := protocol.MachineID(fmt.Sprintf("m-%03d", i))
-		p.ctx.Replica.Machines[id] = &storage.Machine{ID: id}
+		p.Replica.Machines[id] = &storage.Machine{ID: id}
 		p.Terminator.TerminateUnrecorded(id)
 		ids = append(ids, id)
 	}
@@ -79,9 +79,9 @@
 			if got := parts.Terminator.IsTerminationConfirmed(ids[0]); got != c.wantConfirmed {
 				t.Errorf("confirmed: %v", got)
 			}
-			parts.advance(c.after)
+			parts.Advance(c.after)
 			if c.removed {
-				delete(parts.ctx.Replica.Machines, ids[0])
+				delete(parts.Replica.Machines, ids[0])
 			}
 			if calls := parts.sentTerminations(); len(calls) != c.wantCalls {
 				t.Errorf("calls with %v, want %d calls", calls, c.wantCalls)
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -3,7 +3,6 @@
 import (
 	"math/rand/v2"
 	"testing"
-	"time"
 
 	"tillerarch/internal/coordination/agents"
 	"tillerarch/internal/coordination/cancellation"
@@ -12,7 +11,7 @@
 	"tillerarch/internal/coordination/commit/committest"
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/step"
-	"tillerarch/internal/protocol"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/storage"
 )
 
@@ -21,7 +20,7 @@
 // fixture is the package's parts with those that they work on, registered and up to date at
 // revision 2.
 type fixture struct {
-	*step.Context
+	steptest.Fixture
 	*Parts
 
 	catalog   *catalog.Parts
@@ -31,24 +30,14 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	config := step.Config{
-		ControllerID:    owner.Controller(),
-		Quotas:          map[string]step.Quota{"core": {}},
-		WritesPerSecond: 100,
-		TransactionOps:  8,
-		ValueBytes:      8192,
-		Tuning:          step.DefaultTuning(),
-	}
+	config := steptest.Config()
 	config.RecordTransfers = true
-	ctx := &step.Context{
-		Config:  config,
-		Now:     step.Now{Monotonic: 1, Wall: 1e12},
-		Rand:    rand.New(rand.NewPCG(1, 1)),
-		Replica: storage.NewReplica(),
-	}
+	base := steptest.New(config)
+	base.Rand = rand.New(rand.NewPCG(1, 1))
+	ctx := base.Context
 	agentParts, owners, cancellations := agents.New(ctx), ownership.New(ctx), cancellation.New(ctx)
 	f := &fixture{
-		Context:   ctx,
+		Fixture:   base,
 		Parts:     New(ctx),
 		catalog:   catalog.New(ctx),
 		commit:    commit.New(ctx),
@@ -107,28 +96,9 @@
 	return f
 }
 
-// put puts a record into the replica.
-func (f *fixture) put(t *testing.T, key string, value []byte, modRevision protocol.ModRevision) {
-	t.Helper()
-	if _, err := f.Replica.Put(key, value, modRevision); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// advance lets time pass.
-func (f *fixture) advance(d time.Duration) {
-	f.Now.Monotonic = f.Now.Monotonic.Add(d)
-	f.Now.Wall += protocol.Millis(d.Milliseconds())
-}
-
 // takeEffects gives the effects of a type since the last call, and drops the others.
 func takeEffects[T step.Effect](f *fixture) []T {
-	var taken []T
-	for _, effect := range f.Effects {
-		if v, ok := effect.(T); ok {
-			taken = append(taken, v)
-		}
-	}
+	taken := steptest.EffectsOf[T](f.Effects)
 	f.Effects = nil
 	return taken
 }
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -48,11 +48,11 @@
 // putControllers puts two more controllers on record, and a shard of this one.
 func (f *fixture) putControllers(t *testing.T) {
 	t.Helper()
-	f.put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1","m":true}`), 2)
-	f.put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#1"}`), 2)
+	f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1","m":true}`), 2)
+	f.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#1"}`), 2)
 	record := storage.MachineRecord{MachineType: "s", Zone: "a"}
-	f.put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, nil), 2)
-	f.put(t, storage.ShardKey("q"), storage.EncodePlainShard("stall-9#1", 3, []string{record.EncodeLine("m-2")}, nil), 2)
+	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, nil), 2)
+	f.Put(t, storage.ShardKey("q"), storage.EncodePlainShard("stall-9#1", 3, []string{record.EncodeLine("m-2")}, nil), 2)
 }
 
 // What an operator reads when a transfer or a drain is refused, word for word.
@@ -177,7 +177,7 @@
 			t.Fatal("answered before it is on record")
 		}
 	}
-	f.put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
+	f.Put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
 	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 	if isAnswered, err := f.operatorReply(t); err != nil || !isAnswered {
 		t.Errorf("answered %v with %v once on record", isAnswered, err)
@@ -198,12 +198,12 @@
 	f.ask(drain)
 	f.wantRefusal(t, "too many requests wait to be written", true)
 
-	f.advance(5 * time.Second)
+	f.Advance(5 * time.Second)
 	f.Operators.ExpireOperatorRequests()
 	if isAnswered, _ := f.operatorReply(t); isAnswered {
 		t.Error("a request is given up before its time")
 	}
-	f.advance(time.Millisecond)
+	f.Advance(time.Millisecond)
 	f.Operators.ExpireOperatorRequests()
 	replies := takeEffects[DrainReply](f)
 	if len(replies) != 16 {
@@ -221,7 +221,7 @@
 func TestDrainsExcludeEachOther(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
-	f.put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
+	f.Put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
 	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
 	b := f.commit.ShardWriter.NewBatch(8)
 	f.Operators.WriteOperatorRequests(b)
@@ -232,7 +232,7 @@
 			t.Errorf("the write does not depend on %+v", want)
 		}
 	}
-	f.put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
+	f.Put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
 	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 	f.wantRefusal(t, `no other controller is up that could take the machines of "stall-1"`, false)
 }
@@ -248,12 +248,12 @@
 		for _, machine := range machines {
 			lines = append(lines, record.EncodeLine(machine))
 		}
-		f.put(t, storage.ShardKey(id), storage.EncodePlainShard(owner, 3, lines, nil), 3)
+		f.Put(t, storage.ShardKey(id), storage.EncodePlainShard(owner, 3, lines, nil), 3)
 	}
 	putShard("p", "m-1", "m-3", "m-4")
 	putShard("r", "m-5", "m-6")
 	putShard("s", "m-7")
-	f.put(t, storage.TransferKey(storage.NewTransferSlot("stall-1", 0)), storage.MustMarshal(storage.TransferRecord{
+	f.Put(t, storage.TransferKey(storage.NewTransferSlot("stall-1", 0)), storage.MustMarshal(storage.TransferRecord{
 		Name:   "first",
 		Shard:  "s",
 		Source: owner,
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -38,7 +38,7 @@
 func (f *fixture) putJob(t *testing.T, record storage.JobRecord, modRevision protocol.ModRevision) {
 	t.Helper()
 	record.Spec = &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}
-	f.put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, &record), modRevision)
+	f.Put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, &record), modRevision)
 }
 
 // replyStatuses are the HTTP statuses of the answers since the last call.
@@ -245,7 +245,7 @@
 			}
 			f.Users.OnUserInput(step.UserInput{RequestID: 3, Type: protocol.RequestQuery, Job: "j-2"})
 			f.Effects = nil
-			f.advance(c.wait)
+			f.Advance(c.wait)
 			if c.storeFails {
 				for range 2 {
 					f.commit.Store.RecordContact(f.Now.Monotonic, errors.New("no answer"))
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -1,7 +1,6 @@
 package scheduling
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -12,30 +11,21 @@
 	"tillerarch/internal/coordination/ownership"
 	"tillerarch/internal/coordination/provisioning"
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
 // Small machines are cheap by the core and slow to boot, large ones the other way round.
 var (
-	smallMachineType = protocol.MachineType{
-		Name: "small", Cores: 4, MemoryGB: 8,
-		OnDemandPrice: 0.16, SpotPrice: 0.06,
-		BootSeconds: 40, ImagePullGBPerSecond: 0.25,
-		Zones: []protocol.Zone{"a", "b"},
-	}
-	largeMachineType = protocol.MachineType{
-		Name: "large", Cores: 16, MemoryGB: 32,
-		OnDemandPrice: 0.64, SpotPrice: 0.27,
-		BootSeconds: 15, ImagePullGBPerSecond: 0.8,
-		Zones: []protocol.Zone{"a", "b"},
-	}
+	smallMachineType = steptest.SmallMachineType()
+	largeMachineType = steptest.LargeMachineType()
 )
 
 // fixture is the parts of scheduling with those of the packages below, wired as Core does but
 // without cancellations.
 type fixture struct {
-	*step.Context
+	steptest.Fixture
 	*Parts
 
 	catalog      *catalog.Parts
@@ -48,7 +38,7 @@
 // with an empty fleet of two machine types.
 func newCoreWithTwoMachineTypes(t *testing.T) *fixture {
 	t.Helper()
-	f := wireParts(newStepContext())
+	f := wireParts(steptest.New(steptest.Config()))
 	committest.Register(t, f.Context, f.commit)
 	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
@@ -56,28 +46,9 @@
 	return f
 }
 
-// newStepContext is the configuration and the time of a controller that knows nothing yet.
-func newStepContext() *step.Context {
-	return &step.Context{
-		Config: step.Config{
-			ControllerID:      "stall-0",
-			Quotas:            map[string]step.Quota{"core": {}},
-			HeartbeatInterval: 2 * time.Second,
-			AgentLeaseTTL:     14 * time.Second,
-			CancelTimeout:     40 * time.Second,
-			WritesPerSecond:   100,
-			TransactionOps:    8,
-			ValueBytes:        8192,
-			Tuning:            step.DefaultTuning(),
-		},
-		Now:     step.Now{Monotonic: 1, Wall: 1e12},
-		Rand:    rand.New(rand.NewPCG(0, 7)),
-		Replica: storage.NewReplica(),
-	}
-}
-
 // wireParts makes the parts and connects them with each other.
-func wireParts(ctx *step.Context) *fixture {
+func wireParts(base steptest.Fixture) *fixture {
+	ctx := base.Context
 	offers := catalog.New(ctx)
 	records := commit.New(ctx)
 	machines := agents.New(ctx)
@@ -138,7 +109,7 @@
 		Stopper:     machines.Stopper,
 	})
 	return &fixture{
-		Context:      ctx,
+		Fixture:      base,
 		Parts:        parts,
 		catalog:      offers,
 		commit:       records,
@@ -201,11 +172,3 @@
 	})
 	f.Now.Monotonic = now
 }
-
-// put puts a record into the replica.
-func (f *fixture) put(t *testing.T, key string, value []byte, modRevision protocol.ModRevision) {
-	t.Helper()
-	if _, err := f.Replica.Put(key, value, modRevision); err != nil {
-		t.Fatal(err)
-	}
-}
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -120,9 +120,9 @@
 				job.Owner = f.commit.Lease.Incarnation()
 			}
 			c.machine.MachineType, c.machine.Zone = "small", "a"
-			f.put(t, storage.JobKey("j-1"), storage.MustMarshal(job), 1)
+			f.Put(t, storage.JobKey("j-1"), storage.MustMarshal(job), 1)
 			shard := storage.EncodePlainShard(f.commit.Lease.Incarnation(), 1, []string{c.machine.EncodeLine("m-1")}, nil)
-			f.put(t, storage.ShardKey("p"), shard, 2)
+			f.Put(t, storage.ShardKey("p"), shard, 2)
 
 			b := f.commit.ShardWriter.NewBatch(8)
 			f.Scheduler.PlacePendingJobs(b)
--- /dev/null
+++ b/internal/coordination/step/steptest/fixture.go
@@ -0,0 +1,84 @@
+package steptest
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/protocol"
+	"tillerarch/internal/storage"
+)
+
+// ControllerID is the controller under test.
+const ControllerID protocol.ControllerID = "stall-0"
+
+// rngStream selects the random sequence of a controller under test, the one that Core uses.
+const rngStream = 7
+
+// shardID is the shard that PutMachine writes.
+const shardID storage.ShardID = "p"
+
+// Start is the time at which a test begins.
+var Start = step.Now{Monotonic: 1, Wall: 1e12}
+
+// Config is the configuration of a controller without peers, on a small store, with the
+// times of production.
+func Config() step.Config {
+	return step.Config{
+		ControllerID:      ControllerID,
+		Quotas:            map[string]step.Quota{"core": {}},
+		HeartbeatInterval: 2 * time.Second,
+		AgentLeaseTTL:     14 * time.Second,
+		CancelTimeout:     40 * time.Second,
+		WritesPerSecond:   100,
+		TransactionOps:    8,
+		ValueBytes:        8192,
+		Tuning:            step.DefaultTuning(),
+	}
+}
+
+// AnnouncedLimits are limits of the store, far below those of Config, that a test may announce.
+func AnnouncedLimits() *step.WriteLimits {
+	return &step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
+}
+
+// Fixture is the context that the parts under test work with. Fixtures of packages embed it.
+type Fixture struct {
+	*step.Context
+}
+
+// New is the context of a controller that has read nothing yet.
+func New(config step.Config) Fixture {
+	return Fixture{&step.Context{
+		Config:  config,
+		Now:     Start,
+		Rand:    rand.New(rand.NewPCG(config.Seed, rngStream)),
+		Replica: storage.NewReplica(),
+	}}
+}
+
+// Advance lets time pass.
+func (f Fixture) Advance(d time.Duration) {
+	f.Now.Monotonic = f.Now.Monotonic.Add(d)
+	f.Now.Wall += protocol.Millis(d.Milliseconds())
+}
+
+// Put puts a record into the replica, as a watch event would.
+func (f Fixture) Put(t testing.TB, key string, value []byte, modRevision protocol.ModRevision) {
+	t.Helper()
+	if _, err := f.Replica.Put(key, value, modRevision); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// PutMachine puts a machine on record, the only one of its shard.
+func (f Fixture) PutMachine(
+	t testing.TB, owner storage.Incarnation, epoch storage.ShardEpoch, id protocol.MachineID, record storage.MachineRecord,
+) *storage.Machine {
+	t.Helper()
+	key := storage.ShardKey(shardID)
+	shard := storage.EncodePlainShard(owner, epoch, []string{record.EncodeLine(id)}, nil)
+	f.Put(t, key, shard, f.Replica.ModRevision(key)+1)
+	return f.Replica.Machines[id]
+}
--- /dev/null
+++ b/internal/coordination/step/steptest/machine_types.go
@@ -0,0 +1,32 @@
+package steptest
+
+import "tillerarch/internal/protocol"
+
+// SmallMachineType is cheap by the core and slow to boot, the other way round than
+// LargeMachineType.
+func SmallMachineType() protocol.MachineType {
+	return protocol.MachineType{
+		Name:                 "small",
+		Cores:                4,
+		MemoryGB:             8,
+		OnDemandPrice:        0.16,
+		SpotPrice:            0.06,
+		BootSeconds:          40,
+		ImagePullGBPerSecond: 0.25,
+		Zones:                []protocol.Zone{"a", "b"},
+	}
+}
+
+// LargeMachineType is expensive by the core and boots soon.
+func LargeMachineType() protocol.MachineType {
+	return protocol.MachineType{
+		Name:                 "large",
+		Cores:                16,
+		MemoryGB:             32,
+		OnDemandPrice:        0.64,
+		SpotPrice:            0.27,
+		BootSeconds:          15,
+		ImagePullGBPerSecond: 0.8,
+		Zones:                []protocol.Zone{"a", "b"},
+	}
+}
--- a/internal/coordination/store_outage_test.go
+++ b/internal/coordination/store_outage_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"tillerarch/internal/coordination/step"
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -34,7 +35,7 @@
 		}
 		return keys
 	}
-	commits := sentTransactions(submit())
+	commits := steptest.EffectsOf[step.Commit](submit())
 	if len(commits) != 1 || writtenKeys(commits)[0] != storage.JobKey("j-1") {
 		t.Fatalf("%d commits of %v", len(commits), writtenKeys(commits))
 	}
@@ -47,17 +48,17 @@
 	}
 	effects := advance(0, step.CommitResult{ID: commits[0].ID, Outcome: storage.OutcomeUnknown, Err: errStoreUnreachable})
 	effects = append(effects, advance(time.Second, step.RenewLeaseResult{LeaseID: 7})...)
-	barriers := sentTransactions(effects)
+	barriers := steptest.EffectsOf[step.Commit](effects)
 	if len(barriers) != 1 || !isWriteBarrier(barriers[0], registrationKey) || barriers[0].Transaction.Operations[0].Lease != 7 {
 		t.Fatalf("no write barrier: %+v", barriers)
 	}
-	effects = advance(0, committedAt(barriers[0].ID, 9))
+	effects = advance(0, steptest.CommittedAt(barriers[0].ID, 9))
 	effects = append(effects, submit()...)
-	if commits := sentTransactions(effects); len(commits) != 0 {
+	if commits := steptest.EffectsOf[step.Commit](effects); len(commits) != 0 {
 		t.Fatalf("%v is written before the replica is at the write barrier", writtenKeys(commits))
 	}
-	effects = advance(0, unchangedUntil(c.ctx.Replica.Revision, 9))
-	if len(sentTransactions(effects)) != 1 {
+	effects = advance(0, steptest.UnchangedUntil(c.ctx.Replica.Revision, 9))
+	if len(steptest.EffectsOf[step.Commit](effects)) != 1 {
 		t.Fatal("nothing is written behind the write barrier")
 	}
 }
