--- a/internal/coordination/agents/agent_lease.go
+++ b/internal/coordination/agents/agent_lease.go
@@ -47,7 +47,7 @@
 // all its tasks. It has shown this ownership's epoch, so only this incarnation's responses counted
 // since; and the last of them answered a heartbeat that was sent no later than it was received.
 func (at *Table) IsAgentLeaseExpired(m *MachineState, record *storage.MachineRecord) bool {
-	if m.LatestHeartbeat == nil || m.IsDeferred() {
+	if m.LatestHeartbeat == nil || m.isDeferred() {
 		return false
 	}
 	renewedAt, isKnown := m.latestRenewal(record.ShardEpoch)
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -24,8 +24,8 @@
 type Table struct {
 	*step.Context
 
-	catalog    *catalog.Catalog
-	terminator RemovalRecorder
+	catalog  *catalog.Catalog
+	removals RemovalRecorder
 
 	machineStates      map[protocol.MachineID]*MachineState
 	deferredHeartbeats map[protocol.MachineID]bool // those whose heartbeats wait for their responses
@@ -118,7 +118,7 @@
 // ForgetMachines drops what is remembered of machines that are on no record.
 func (at *Table) ForgetMachines() {
 	for id, m := range at.machineStates {
-		if at.Replica.Machines[id] == nil && !m.IsDeferred() {
+		if at.Replica.Machines[id] == nil && !m.isDeferred() {
 			delete(at.machineStates, id)
 		}
 	}
@@ -126,9 +126,9 @@
 
 // ForgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
 func (at *Table) ForgetUnrecordedMachines(earlier *storage.Replica) {
-	for _, e := range earlier.SortedMachines() {
-		if at.Replica.Machines[e.ID] == nil {
-			at.forgetMachine(e.ID)
+	for _, entry := range earlier.SortedMachines() {
+		if at.Replica.Machines[entry.ID] == nil {
+			at.forgetMachine(entry.ID)
 		}
 	}
 }
@@ -136,7 +136,7 @@
 // OnMachinesRemoved forgets machines that have left the records.
 func (at *Table) OnMachinesRemoved() {
 	for _, id := range at.Replica.PopRemovedMachines() {
-		at.terminator.RecordRemoval(id)
+		at.removals.RecordRemoval(id)
 		at.forgetMachine(id)
 	}
 }
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -16,10 +16,10 @@
 	commands   []protocol.Command
 }
 
-// CommandsFor lists what the agent is to do. Only a response to a heartbeat may start tasks or
+// commandsFor lists what the agent is to do. Only a response to a heartbeat may start tasks or
 // have ended ones forgotten: agents never carry out a response late, while a direct call may
 // arrive after its sender has lost the machine.
-func (h *HeartbeatHandler) CommandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
+func (h *HeartbeatHandler) commandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
 	list := commandList{
 		handler:    h,
 		machine:    m,
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -21,7 +21,7 @@
 
 // stopRequest asks for one attempt of a task to stop within a grace period.
 type stopRequest struct {
-	Attempt      protocol.Attempt
+	attempt      protocol.Attempt
 	graceSeconds float64
 }
 
@@ -34,14 +34,14 @@
 // HasStopRequest tells whether this attempt of a task is to stop.
 func (c *commandsInFlight) HasStopRequest(task protocol.Task, attempt protocol.Attempt) bool {
 	stop, ok := c.stopRequests[task]
-	return ok && stop.Attempt == attempt
+	return ok && stop.attempt == attempt
 }
 
 // CountStopRequests counts the tasks of one attempt of a job that are to stop.
 func (c *commandsInFlight) CountStopRequests(job protocol.JobID, attempt protocol.Attempt) int {
 	n := 0
 	for task, stop := range c.stopRequests {
-		if task.Job == job && stop.Attempt == attempt {
+		if task.Job == job && stop.attempt == attempt {
 			n++
 		}
 	}
@@ -56,13 +56,13 @@
 		return true
 	}
 	stop, ok := c.stopRequests[task]
-	return ok && stop.Attempt >= attempt
+	return ok && stop.attempt >= attempt
 }
 
 // dropOutdatedStopRequests drops the stops of tasks that the agent shows with another attempt.
 func (c *commandsInFlight) dropOutdatedStopRequests(statuses map[protocol.Task]*protocol.TaskStatus) {
 	for task, stop := range c.stopRequests {
-		if status := statuses[task]; status != nil && status.Attempt != stop.Attempt {
+		if status := statuses[task]; status != nil && status.Attempt != stop.attempt {
 			delete(c.stopRequests, task)
 		}
 	}
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -33,9 +34,9 @@
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, assigned)
 			entry, m := f.addOwnedMachine(t, record)
-			m.RecordHeartbeat(newHeartbeat(entry, 1), f.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(entry, 1), f.Now.Monotonic)
 			if c.stopped > 0 {
-				m.stopRequests[task] = stopRequest{Attempt: c.stopped}
+				m.stopRequests[task] = stopRequest{attempt: c.stopped}
 			}
 			if c.revoked > 0 {
 				m.revokedAttempts[task] = c.revoked
@@ -44,7 +45,7 @@
 				m.CommandsLostAt = f.Now.Monotonic
 			}
 			starts := 0
-			for _, command := range f.Heartbeats.CommandsFor(entry, m, true) {
+			for _, command := range f.Heartbeats.commandsFor(entry, m, true) {
 				if command.Type == protocol.CommandStart && command.Attempt == assigned {
 					starts++
 				}
--- a/internal/coordination/agents/deferred_response.go
+++ b/internal/coordination/agents/deferred_response.go
@@ -15,16 +15,16 @@
 	HasAnsweredProbe bool // the agent of a machine that is on no record has answered a probe from here
 }
 
-// IsDeferred tells whether a heartbeat waits for its response.
-func (d *deferredResponse) IsDeferred() bool { return d.DeferredRequest != 0 }
+// isDeferred tells whether a heartbeat waits for its response.
+func (d *deferredResponse) isDeferred() bool { return d.DeferredRequest != 0 }
 
 // AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
 // It is not to be changed.
 func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
 
 // deferResponse lets a heartbeat wait for its response.
-func (at *Table) deferResponse(m *MachineState, req step.RequestID, awaitsOwnership bool) {
-	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = req, at.Now.Monotonic, awaitsOwnership
+func (at *Table) deferResponse(m *MachineState, requestID step.RequestID, awaitsOwnership bool) {
+	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = requestID, at.Now.Monotonic, awaitsOwnership
 	at.deferredHeartbeats[m.ID] = true
 	if awaitsOwnership {
 		at.awaitingOwner[m.ID] = true
@@ -33,16 +33,16 @@
 
 // popDeferredRequest gives the waiting heartbeat to whoever answers it now.
 func (at *Table) popDeferredRequest(m *MachineState) step.RequestID {
-	req := m.DeferredRequest
+	requestID := m.DeferredRequest
 	m.DeferredRequest = 0
 	delete(at.deferredHeartbeats, m.ID)
 	delete(at.awaitingOwner, m.ID)
-	return req
+	return requestID
 }
 
 // dropDeferredRequest sends the agent whose heartbeat waits, if one does, to any controller.
 func (at *Table) dropDeferredRequest(m *MachineState) {
-	if m.IsDeferred() {
+	if m.isDeferred() {
 		at.redirectDeferred(m, "")
 	}
 }
@@ -53,6 +53,6 @@
 }
 
 // replyRedirect sends an agent to another controller, or to any if the owner is unknown.
-func (at *Table) replyRedirect(req step.RequestID, owner protocol.ControllerID) {
-	at.Reply(req, http.StatusMisdirectedRequest, protocol.Redirect{Controller: owner})
+func (at *Table) replyRedirect(requestID step.RequestID, owner protocol.ControllerID) {
+	at.Reply(requestID, http.StatusMisdirectedRequest, protocol.Redirect{Controller: owner})
 }
--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -103,22 +103,6 @@
 	f.Heartbeats.ResolveDeferredHeartbeats()
 }
 
-// newHeartbeat makes a heartbeat that shows the machine's token and agent epoch on record.
-func newHeartbeat(
-	machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus,
-) *protocol.Heartbeat {
-	return &protocol.Heartbeat{
-		Machine:      testMachine,
-		Addr:         "a",
-		Type:         "s",
-		Zone:         "a",
-		AgentEpoch:   machine.Record.AgentEpoch,
-		Sequence:     sequence,
-		FencingToken: machine.Record.FencingToken,
-		Tasks:        tasks,
-	}
-}
-
 type fakeCancellations map[protocol.JobID]bool
 
 func (f fakeCancellations) CancelRequested(id protocol.JobID) bool { return f[id] }
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -66,25 +66,25 @@
 
 // onUnownedHeartbeat handles the heartbeat of a machine that this controller does not own, or
 // that is on no record (nil entry): it is redirected, or waits until there is an owner.
-func (h *HeartbeatHandler) onUnownedHeartbeat(req step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
+func (h *HeartbeatHandler) onUnownedHeartbeat(requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
 	if entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID {
 		h.misdirected.recordMisdirectedHeartbeat(heartbeat)
-		h.agents.replyRedirect(req, entry.Record.Owner.Controller())
+		h.agents.replyRedirect(requestID, entry.Record.Owner.Controller())
 		return
 	}
 	if h.replication.StoreUnavailable() || !h.lease.IsRegistered() {
-		h.agents.replyRedirect(req, "")
+		h.agents.replyRedirect(requestID, "")
 		return
 	}
 	m := h.agents.MachineState(heartbeat.Machine)
 	if h.isLateCopy(entry, m, heartbeat) {
-		h.agents.replyRedirect(req, "")
+		h.agents.replyRedirect(requestID, "")
 		return
 	}
 	h.agents.dropDeferredRequest(m)
 	m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 	m.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
-	h.agents.deferResponse(m, req, true)
+	h.agents.deferResponse(m, requestID, true)
 	if entry == nil {
 		// A copy of a heartbeat may outlive its machine. Only an agent that answers shows that
 		// the machine still exists.
@@ -93,15 +93,15 @@
 }
 
 // onOwnedHeartbeat handles the heartbeat of a machine that this controller owns.
-func (h *HeartbeatHandler) onOwnedHeartbeat(req step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
+func (h *HeartbeatHandler) onOwnedHeartbeat(requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.FencingToken > entry.Record.FencingToken {
 		// Another controller has raised the token by now, whatever the replica says.
-		h.agents.replyRedirect(req, "")
+		h.agents.replyRedirect(requestID, "")
 		return
 	}
 	m := h.agents.TrackOwnedMachine(entry, heartbeat.Machine)
 	if h.isLateCopy(entry, m, heartbeat) {
-		h.agents.replyRedirect(req, "")
+		h.agents.replyRedirect(requestID, "")
 		return
 	}
 	h.agents.dropDeferredRequest(m)
@@ -114,7 +114,7 @@
 		m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 	}
 	m.LastContactAt, m.lastHeartbeatAt = h.Now.Monotonic, h.Now.Monotonic
-	h.agents.deferResponse(m, req, false)
+	h.agents.deferResponse(m, requestID, false)
 	if !h.shouldDeferResponse(entry, m) {
 		h.answerHeartbeat(entry, m)
 	}
@@ -198,7 +198,7 @@
 		h.agents.dropDeferredRequest(m)
 		return
 	}
-	commands := h.CommandsFor(entry, m, true)
+	commands := h.commandsFor(entry, m, true)
 	for _, command := range commands {
 		if command.Type == protocol.CommandStart {
 			// Until the next heartbeat the task's absence proves nothing.
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -46,19 +46,19 @@
 
 // isOver tells whether a job is off the records, done, or cancelled with no task left on a machine.
 func (jt *JobTable) isOver(id protocol.JobID) bool {
-	e := jt.Replica.Jobs[id]
-	if e == nil || e.Record.State == protocol.JobDone {
+	entry := jt.Replica.Jobs[id]
+	if entry == nil || entry.Record.State == protocol.JobDone {
 		return true
 	}
-	return e.Record.State.IsTerminal() && len(jt.Replica.MachinesWithJob(id)) == 0
+	return entry.Record.State.IsTerminal() && len(jt.Replica.MachinesWithJob(id)) == 0
 }
 
 // EstimatedRuntime is how long a task of the job runs: as measured here, else as its user estimates.
-func (jt *JobTable) EstimatedRuntime(id protocol.JobID, d *protocol.Job) time.Duration {
+func (jt *JobTable) EstimatedRuntime(id protocol.JobID, spec *protocol.Job) time.Duration {
 	if state := jt.jobStates[id]; state != nil && state.hasEnoughSamples() {
 		return state.meanRuntime()
 	}
-	return protocol.Seconds(d.EstimatedRunSeconds)
+	return protocol.Seconds(spec.EstimatedRunSeconds)
 }
 
 // recordTaskRuntime takes in how long a task ran that has completed on a machine, if it was seen
@@ -96,12 +96,12 @@
 
 // trackIncompleteGangs looks since when gangs have been assigned in part only.
 func (jt *JobTable) trackIncompleteGangs() {
-	for id, e := range jt.Replica.UnfinishedJobs {
-		if !spansSeveralTasks(e.Record.Spec) {
+	for id, entry := range jt.Replica.UnfinishedJobs {
+		if !spansSeveralTasks(entry.Record.Spec) {
 			continue
 		}
 		attempt := jt.HighestAttempt(id, nil)
-		isComplete := attempt == 0 || jt.isGangFullyAssigned(id, &e.Record, attempt)
+		isComplete := attempt == 0 || jt.isGangFullyAssigned(id, &entry.Record, attempt)
 		jt.JobState(id).track(attempt, isComplete, jt.Now.Monotonic)
 	}
 }
@@ -111,11 +111,11 @@
 func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
 	covered := jt.Replica.CompletedTasks(id)
 	for machineID := range jt.Replica.MachinesWithJob(id) {
-		m := jt.Replica.Machines[machineID]
-		if m.Record.Terminating {
+		machine := jt.Replica.Machines[machineID]
+		if machine.Record.Terminating {
 			continue
 		}
-		for a := range m.Record.AssignmentsOf(id) {
+		for a := range machine.Record.AssignmentsOf(id) {
 			if a.Attempt == attempt {
 				covered = covered.Union(a.Tasks)
 			}
@@ -131,4 +131,4 @@
 }
 
 // spansSeveralTasks tells whether a job is a gang whose tasks depend on each other.
-func spansSeveralTasks(d *protocol.Job) bool { return d.IsGang() && d.TaskCount > 1 }
+func spansSeveralTasks(spec *protocol.Job) bool { return spec.IsGang() && spec.TaskCount > 1 }
--- a/internal/coordination/agents/job_table_test.go
+++ b/internal/coordination/agents/job_table_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -32,7 +33,7 @@
 				t.Helper()
 				sequence++
 				f.advance(time.Duration(afterSeconds) * time.Second)
-				f.receive(newHeartbeat(entry, sequence, tasks...))
+				f.receive(steptest.NewHeartbeat(entry, sequence, tasks...))
 			}
 			receive(0)
 			for i, seconds := range c.seconds {
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -43,7 +43,7 @@
 	m.trackedOwnership = trackedOwnership{
 		ownerIncarnation:  record.Owner,
 		ownershipEpoch:    record.ShardEpoch,
-		OwnershipRevision: revision,
+		ownershipRevision: revision,
 	}
 	m.reset()
 	m.forgetAnswer()
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -24,38 +24,38 @@
 
 	calls *Caller
 
-	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat
+	byMachine map[protocol.MachineID]misdirectedHeartbeat
 }
 
 func newMisdirectedHeartbeats(ctx *step.Context) *MisdirectedHeartbeats {
 	return &MisdirectedHeartbeats{
-		Context:               ctx,
-		misdirectedHeartbeats: map[protocol.MachineID]misdirectedHeartbeat{},
+		Context:   ctx,
+		byMachine: map[protocol.MachineID]misdirectedHeartbeat{},
 	}
 }
 
 // AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents report here,
 // in turn, and tells whether there are more.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
-	responded := step.SelectKeys(mh.misdirectedHeartbeats, func(heartbeat misdirectedHeartbeat) bool {
+	responded := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
 		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
 	})
 	for _, id := range responded[:min(len(responded), step.MaxMisdirectedPerStatus)] {
-		heartbeat := mh.misdirectedHeartbeats[id]
+		heartbeat := mh.byMachine[id]
 		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, step.MisdirectedHeartbeat{
 			Machine:    id,
 			AgentEpoch: heartbeat.agentEpoch,
 			Sequence:   heartbeat.sequence,
 		})
 		heartbeat.isAnnounced = true
-		mh.misdirectedHeartbeats[id] = heartbeat
+		mh.byMachine[id] = heartbeat
 	}
 	if len(responded) > step.MaxMisdirectedPerStatus {
 		return true
 	}
-	for id, heartbeat := range mh.misdirectedHeartbeats {
+	for id, heartbeat := range mh.byMachine {
 		heartbeat.isAnnounced = false // a status may have been lost: they are announced once more
-		mh.misdirectedHeartbeats[id] = heartbeat
+		mh.byMachine[id] = heartbeat
 	}
 	return false
 }
@@ -65,16 +65,16 @@
 
 // Expire forgets heartbeats that are too old to say where an agent reports now.
 func (mh *MisdirectedHeartbeats) Expire() {
-	maps.DeleteFunc(mh.misdirectedHeartbeats, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
+	maps.DeleteFunc(mh.byMachine, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
 		return mh.Since(heartbeat.receivedAt) > misdirectedRetention
 	})
 }
 
 // confirm notes that the agent of a machine has answered a probe from here.
 func (mh *MisdirectedHeartbeats) confirm(id protocol.MachineID) {
-	if heartbeat, ok := mh.misdirectedHeartbeats[id]; ok {
+	if heartbeat, ok := mh.byMachine[id]; ok {
 		heartbeat.hasAgentResponded = true
-		mh.misdirectedHeartbeats[id] = heartbeat
+		mh.byMachine[id] = heartbeat
 	}
 }
 
@@ -82,17 +82,17 @@
 // probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
 // machine over.)
 func (mh *MisdirectedHeartbeats) recordMisdirectedHeartbeat(heartbeat *protocol.Heartbeat) {
-	known, ok := mh.misdirectedHeartbeats[heartbeat.Machine]
+	known, ok := mh.byMachine[heartbeat.Machine]
 	switch {
 	case ok && isStale(heartbeat, known.agentEpoch, known.sequence):
 		return
 	case heartbeat.Addr == "":
 		return
-	case len(mh.misdirectedHeartbeats) >= mh.maxMisdirectedHeartbeats():
+	case len(mh.byMachine) >= mh.maxMisdirectedHeartbeats():
 		return
 	}
 	if mh.calls.tryProbe(heartbeat.Machine, heartbeat.Addr) {
-		mh.misdirectedHeartbeats[heartbeat.Machine] = misdirectedHeartbeat{
+		mh.byMachine[heartbeat.Machine] = misdirectedHeartbeat{
 			receivedAt: mh.Now.Monotonic,
 			agentEpoch: heartbeat.AgentEpoch,
 			sequence:   heartbeat.Sequence,
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -18,12 +18,12 @@
 type Monitor struct {
 	*step.Context
 
-	agents     *Table
-	calls      *Caller
-	jobs       *JobTable
-	shards     *commit.ShardWriter
-	stopper    *TaskStopper
-	terminator ScaleInEvaluator
+	agents  *Table
+	calls   *Caller
+	jobs    *JobTable
+	shards  *commit.ShardWriter
+	stopper *TaskStopper
+	scaleIn ScaleInEvaluator
 }
 
 // ownedMachine is a machine that this controller owns, with what is remembered of it.
@@ -48,7 +48,7 @@
 	owned, isCutOff := am.inspectOwnedMachines()
 	for _, o := range owned {
 		am.stopper.tickTaskStops(o.entry, o.state)
-		am.terminator.EvaluateScaleIn(o.entry, o.state, isCutOff)
+		am.scaleIn.EvaluateScaleIn(o.entry, o.state, isCutOff)
 		if am.mustCallAgent(o.entry, o.state) {
 			am.calls.sendCommands(o.entry, o.state, nil, tokenCallInterval)
 		}
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	am.terminator.BeginScaleInReview(silent)
+	am.scaleIn.BeginScaleInReview(silent)
 	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored
 }
 
@@ -97,5 +97,5 @@
 	// Within one shard epoch the agent reports here, and a response that is about to be sent
 	// shows the token as well.
 	reportsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
-	return reportsHere && !m.IsDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
+	return reportsHere && !m.isDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -67,7 +67,7 @@
 // Connect gives the parts what they need of other packages.
 func (p *Parts) Connect(d Dependencies) {
 	p.Table.catalog = d.Catalog
-	p.Table.terminator = d.RemovalRecorder
+	p.Table.removals = d.RemovalRecorder
 	p.Heartbeats.cancellations = d.CancellationChecker
 	p.Heartbeats.catalog = d.Catalog
 	p.Heartbeats.lease = d.Lease
@@ -75,11 +75,11 @@
 	p.Heartbeats.replication = d.Replication
 	p.Heartbeats.transfers = d.QuiesceChecker
 	p.Calls.lease = d.Lease
-	p.Reconciler.commits = d.Committer
+	p.Reconciler.committer = d.Committer
 	p.Reconciler.cancellations = d.CancellationChecker
 	p.Reconciler.shards = d.ShardWriter
-	p.Reconciler.terminator = d.TerminationChecker
+	p.Reconciler.terminations = d.TerminationChecker
 	p.Stopper.cancellations = d.CancellationChecker
 	p.Monitor.shards = d.ShardWriter
-	p.Monitor.terminator = d.ScaleInEvaluator
+	p.Monitor.scaleIn = d.ScaleInEvaluator
 }
--- a/internal/coordination/agents/reachability.go
+++ b/internal/coordination/agents/reachability.go
@@ -49,12 +49,12 @@
 // HasMissedHeartbeat tells whether an agent has missed a heartbeat for sure.
 func (at *Table) HasMissedHeartbeat(m *MachineState) bool {
 	const networkMargin = 1500 * time.Millisecond
-	return !m.IsDeferred() && at.TimeSinceContact(m) > at.Config.HeartbeatInterval*5/4+networkMargin
+	return !m.isDeferred() && at.TimeSinceContact(m) > at.Config.HeartbeatInterval*5/4+networkMargin
 }
 
 // IsSilent tells whether an agent has missed several heartbeats.
 func (at *Table) IsSilent(m *MachineState) bool {
-	return !m.IsDeferred() && at.TimeSinceContact(m) > at.SilenceTimeout()
+	return !m.isDeferred() && at.TimeSinceContact(m) > at.SilenceTimeout()
 }
 
 // SilenceTimeout is the time in which several heartbeats must have come from an agent that
@@ -72,5 +72,5 @@
 // heartbeatsLost tells whether an agent has sent no heartbeat for a while, whatever it says when
 // it is probed: starts go out in responses to heartbeats only, so what is placed there waits.
 func (at *Table) heartbeatsLost(m *MachineState) bool {
-	return !m.IsDeferred() && at.Since(max(m.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
+	return !m.isDeferred() && at.Since(max(m.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
 }
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -32,7 +32,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
 			entry, m := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
-			heartbeat := newHeartbeat(entry, 1)
+			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.FencingToken = c.confirmed
 			f.receive(heartbeat)
 			wasAnswered := steptest.ReplyStatus(f.Effects) == http.StatusOK
@@ -69,19 +69,19 @@
 			f := newFixture(t)
 			entry, m := f.addOwnedMachine(t, storage.MachineRecord{Address: "a", MachineType: "s", Zone: "a", AgentEpoch: 1})
 			sequence := protocol.Sequence(1)
-			f.receive(newHeartbeat(entry, sequence))
+			f.receive(steptest.NewHeartbeat(entry, sequence))
 			for _, err := range c.calls {
 				f.advance(time.Second)
 				f.Calls.sendCommands(entry, m, nil, 0)
 				f.advance(time.Second)
 				sequence++
 				if c.isHeard {
-					f.receive(newHeartbeat(entry, sequence))
+					f.receive(steptest.NewHeartbeat(entry, sequence))
 					sequence++
 				}
 				result := step.AgentResult{Machine: testMachine, Err: err}
 				if err == nil {
-					result.Heartbeat = newHeartbeat(entry, sequence)
+					result.Heartbeat = steptest.NewHeartbeat(entry, sequence)
 				}
 				f.Calls.OnAgentResult(result)
 			}
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -29,12 +29,12 @@
 type Reconciler struct {
 	*step.Context
 
-	commits       *commit.Committer
+	committer     *commit.Committer
 	agents        *Table
 	cancellations CancellationChecker
 	jobs          *JobTable
 	shards        *commit.ShardWriter
-	terminator    TerminationChecker
+	terminations  TerminationChecker
 
 	nextShardIndex int // of the owned shards, the one to go on with
 }
@@ -45,20 +45,20 @@
 func (r *Reconciler) WriteMachines(b *commit.Batch) {
 	shards := r.shards.OwnedShards()
 	for i := range shards {
-		k := (r.nextShardIndex + i) % len(shards)
-		for _, id := range r.Replica.Shards[shards[k]].Machines {
-			if e := r.Replica.Machines[id]; e != nil && e.Record.Shard == shards[k] {
-				r.reconcileMachine(b, id, e)
+		index := (r.nextShardIndex + i) % len(shards)
+		for _, id := range r.Replica.Shards[shards[index]].Machines {
+			if entry := r.Replica.Machines[id]; entry != nil && entry.Record.Shard == shards[index] {
+				r.reconcileMachine(b, id, entry)
 			}
 		}
 		if !b.HasCapacity(1) {
-			r.nextShardIndex = k
-			r.commits.SetPartial(true)
+			r.nextShardIndex = index
+			r.committer.SetPartial(true)
 			return
 		}
 	}
 	r.nextShardIndex = 0
-	r.commits.SetPartial(false)
+	r.committer.SetPartial(false)
 }
 
 func (r *Reconciler) reconcileMachine(b *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
@@ -68,7 +68,7 @@
 	}
 	m := r.agents.TrackOwnedMachine(entry, id)
 	switch {
-	case record.Terminating || r.terminator.IsTerminationConfirmed(id):
+	case record.Terminating || r.terminations.IsTerminationConfirmed(id):
 		r.removeTerminated(b, id, record)
 		return
 	case hasNewAgentEpoch(m, record):
@@ -87,7 +87,7 @@
 // removeTerminated drops a machine from the records once the cloud has confirmed its termination:
 // only then are its tasks surely gone.
 func (r *Reconciler) removeTerminated(b *commit.Batch, id protocol.MachineID, record *storage.MachineRecord) {
-	if !r.terminator.IsTerminationConfirmed(id) || !b.HasCapacity(b.OpsNeeded(id)) {
+	if !r.terminations.IsTerminationConfirmed(id) || !b.HasCapacity(b.OpsNeeded(id)) {
 		return
 	}
 	b.RemoveMachine(id)
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
@@ -17,7 +18,9 @@
 		return protocol.TaskStatus{Task: task, Attempt: a, State: s, Reason: reason}
 	}
 	show := func(tasks ...protocol.TaskStatus) func(*fixture, *storage.Machine, *MachineState) {
-		return func(f *fixture, e *storage.Machine, _ *MachineState) { f.receive(newHeartbeat(e, 1, tasks...)) }
+		return func(f *fixture, e *storage.Machine, _ *MachineState) {
+			f.receive(steptest.NewHeartbeat(e, 1, tasks...))
+		}
 	}
 	cancel := func(f *fixture) { f.cancelled[testJob] = true }
 	leasePassed := 20 * time.Second
@@ -45,13 +48,13 @@
 			m.InflightStarts[task] = attempt
 		}, false, ""},
 		{"not there, cancelled, a heartbeat after its start lacks it", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			f.receive(newHeartbeat(e, 1)) // answered with the start
+			f.receive(steptest.NewHeartbeat(e, 1)) // answered with the start
 			cancel(f)
-			f.receive(newHeartbeat(e, 2))
+			f.receive(steptest.NewHeartbeat(e, 2))
 		}, true, ""},
 		{"not there, cancelled, under an earlier owner's token", func(f *fixture, e *storage.Machine, _ *MachineState) {
 			cancel(f)
-			heartbeat := newHeartbeat(e, 1)
+			heartbeat := steptest.NewHeartbeat(e, 1)
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
 			f.receive(heartbeat)
 		}, false, ""},
@@ -63,7 +66,7 @@
 		{"failed", show(status(attempt, protocol.TaskExited, protocol.ReasonError)), true, ""},
 		{"an earlier attempt is done", show(status(attempt-1, protocol.TaskExited, protocol.ReasonDone)), false, ""},
 		{"newer agent epoch", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			heartbeat := newHeartbeat(e, 1)
+			heartbeat := steptest.NewHeartbeat(e, 1)
 			heartbeat.AgentEpoch++
 			f.receive(heartbeat)
 		}, true, ""},
@@ -81,7 +84,7 @@
 			m.DeferredRequest = 9
 		}, false, ""},
 		{"lease passed, under an earlier owner's token", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			heartbeat := newHeartbeat(e, 1, status(attempt, protocol.TaskRunning, ""))
+			heartbeat := steptest.NewHeartbeat(e, 1, status(attempt, protocol.TaskRunning, ""))
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
 			f.receive(heartbeat)
 			f.advance(3 * time.Second)
--- a/internal/coordination/agents/response_delay.go
+++ b/internal/coordination/agents/response_delay.go
@@ -48,7 +48,7 @@
 // isReplicaBehindOwnership tells whether the replica may lack what was written before this
 // incarnation became the owner: a job may have been cancelled that nobody told it of.
 func (h *HeartbeatHandler) isReplicaBehindOwnership(m *MachineState) bool {
-	return h.Replica.Revision < m.OwnershipRevision
+	return h.Replica.Revision < m.ownershipRevision
 }
 
 // showsUnrecordedExit tells whether an assigned task has exited, so that its end is to be written.
--- a/internal/coordination/agents/response_delay_test.go
+++ b/internal/coordination/agents/response_delay_test.go
@@ -1,6 +1,7 @@
 package agents
 
 import (
+	"net/http"
 	"testing"
 	"time"
 
@@ -45,7 +46,7 @@
 			func(_ *fixture, _ *storage.Machine, _ *MachineState, h *protocol.Heartbeat) { h.FencingToken-- }, 0, false},
 		{"the replica may lack what the earlier owner wrote", true, nil,
 			func(f *fixture, _ *storage.Machine, m *MachineState, _ *protocol.Heartbeat) {
-				m.OwnershipRevision = f.Replica.Revision + 1
+				m.ownershipRevision = f.Replica.Revision + 1
 			}, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,8 +57,8 @@
 				record.Assign(task, attempt)
 			}
 			entry, m := f.addOwnedMachine(t, record)
-			f.Replica.Revision = max(f.Replica.Revision, m.OwnershipRevision)
-			heartbeat := newHeartbeat(entry, 1, c.tasks...)
+			f.Replica.Revision = max(f.Replica.Revision, m.ownershipRevision)
+			heartbeat := steptest.NewHeartbeat(entry, 1, c.tasks...)
 			if c.change != nil {
 				c.change(f, entry, m, heartbeat)
 			}
@@ -69,9 +70,36 @@
 				f.advance(c.after)
 				f.tick()
 			}
-			if got := m.IsDeferred(); got != c.want || (steptest.ReplyStatus(f.Effects) == 0) != c.want {
+			if got := m.isDeferred(); got != c.want || (steptest.ReplyStatus(f.Effects) == 0) != c.want {
 				t.Errorf("deferred %v, reply %d", got, steptest.ReplyStatus(f.Effects))
 			}
 		})
 	}
 }
+
+// A controller that takes over a shard answers no heartbeat before its replica has that write: it
+// may lack a cancellation request that the previous owner knew.
+func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
+	f := newFixture(t)
+	// The machine's shard is newer than the replica: an own write that was applied.
+	entry, m := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
+	if f.Replica.Revision = 0; m.ownershipRevision == 0 {
+		t.Fatal("the ownership has no revision")
+	}
+	f.receive(steptest.NewHeartbeat(entry, 1))
+	if status := steptest.ReplyStatus(f.Effects); status != 0 {
+		t.Errorf("answered %d before the replica has caught up", status)
+	}
+	f.advance(ownershipCatchUpTimeout + 100*time.Millisecond)
+	f.tick()
+	if status := steptest.ReplyStatus(f.Effects); status != http.StatusMisdirectedRequest {
+		t.Errorf("answered %d at last, the agent should look for another controller", status)
+	}
+	f.receive(steptest.NewHeartbeat(entry, 2))
+	f.Replica.Revision = 9
+	f.advance(2600 * time.Millisecond)
+	f.tick()
+	if status := steptest.ReplyStatus(f.Effects); status != http.StatusOK {
+		t.Errorf("answered %d with a replica that has caught up", status)
+	}
+}
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -42,13 +42,13 @@
 
 // RequestStop notes that a task is to stop. A request with a shorter grace period stays.
 func (ts *TaskStopper) RequestStop(
-	m *MachineState, t protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
+	m *MachineState, task protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
 ) {
-	if s, ok := m.stopRequests[t]; ok && s.Attempt == attempt && s.graceSeconds <= graceSeconds {
+	if stop, ok := m.stopRequests[task]; ok && stop.attempt == attempt && stop.graceSeconds <= graceSeconds {
 		return
 	}
-	m.stopRequests[t] = stopRequest{Attempt: attempt, graceSeconds: graceSeconds}
-	ts.Log(slog.LevelInfo, "task stop requested", "task", t.String(), "attempt", uint64(attempt),
+	m.stopRequests[task] = stopRequest{attempt: attempt, graceSeconds: graceSeconds}
+	ts.Log(slog.LevelInfo, "task stop requested", "task", task.String(), "attempt", uint64(attempt),
 		"machine", string(m.ID), "reason", reason)
 }
 
@@ -66,8 +66,8 @@
 func (ts *TaskStopper) WriteGracefulStops(b *commit.Batch) {
 	for _, id := range step.SortedKeys(ts.gracefulStops) {
 		attempt := ts.gracefulStops[id]
-		e := ts.Replica.Jobs[id]
-		if e == nil || e.Record.State.IsTerminal() || e.Record.GracefulStopAttempt >= attempt {
+		entry := ts.Replica.Jobs[id]
+		if entry == nil || entry.Record.State.IsTerminal() || entry.Record.GracefulStopAttempt >= attempt {
 			delete(ts.gracefulStops, id)
 		} else if b.HasCapacity(b.OpsNeeded("", id)) {
 			b.MutableJob(id).GracefulStopAttempt = attempt
@@ -96,7 +96,7 @@
 	if !isUrgent {
 		return
 	}
-	if commands := ts.heartbeats.CommandsFor(entry, m, false); len(commands) > 0 {
+	if commands := ts.heartbeats.commandsFor(entry, m, false); len(commands) > 0 {
 		ts.calls.sendCommands(entry, m, commands, stopCallInterval)
 	}
 }
@@ -139,22 +139,22 @@
 
 // isTimeToSave tells whether a task on a machine that is about to be preempted must begin to save
 // its checkpoint now, and still can. Later it would be lost, earlier it would lose work time.
-func (ts *TaskStopper) isTimeToSave(m *MachineState, d *protocol.Job, extra time.Duration) bool {
+func (ts *TaskStopper) isTimeToSave(m *MachineState, spec *protocol.Job, extra time.Duration) bool {
 	if !m.isPreempted() {
 		return false
 	}
 	untilPreemption := m.preemptionAt.Sub(ts.Now.Monotonic)
-	saveTime := protocol.Seconds(d.CheckpointSaveSeconds)
+	saveTime := protocol.Seconds(spec.CheckpointSaveSeconds)
 	return untilPreemption > saveTime &&
 		untilPreemption < saveTime+2*ts.Config.HeartbeatInterval+extra+preemptionStopMargin
 }
 
 // mustEvict tells whether a replica has to leave its machine: it will soon be preempted, or
 // is faulty.
-func (ts *TaskStopper) mustEvict(m *MachineState, d *protocol.Job) bool {
+func (ts *TaskStopper) mustEvict(m *MachineState, spec *protocol.Job) bool {
 	if m.IsFaulty {
 		return true
 	}
 	return m.isPreempted() &&
-		m.preemptionAt.Sub(ts.Now.Monotonic) < protocol.Seconds(d.CheckpointSaveSeconds)+evictionLeadTime
+		m.preemptionAt.Sub(ts.Now.Monotonic) < protocol.Seconds(spec.CheckpointSaveSeconds)+evictionLeadTime
 }
--- a/internal/coordination/agents/tracked_ownership.go
+++ b/internal/coordination/agents/tracked_ownership.go
@@ -10,9 +10,9 @@
 	ownerIncarnation storage.Incarnation
 	ownershipEpoch   storage.ShardEpoch
 
-	// OwnershipRevision is what the replica must have reached before a heartbeat is answered:
+	// ownershipRevision is what the replica must have reached before a heartbeat is answered:
 	// an older one lacks what the previous owner wrote, such as requests to cancel a job.
-	OwnershipRevision protocol.Revision
+	ownershipRevision protocol.Revision
 }
 
 // isOf tells whether this is the ownership on record.
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"encoding/json"
+	"net/http"
 	"testing"
 	"time"
 
@@ -33,25 +35,25 @@
 	}{
 		{"no heartbeat yet", func(*Core, *storage.Machine, *agents.MachineState) {}, false},
 		{"task never started", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(e, 1), core.ctx.Now.Monotonic)
 		}, true},
 		{"task running", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.ctx.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(e, 1, taskStatus(protocol.TaskRunning)), core.ctx.Now.Monotonic)
 		}, true},
 		{"task pulling its image", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.ctx.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(e, 1, taskStatus(protocol.TaskPullingImage)), core.ctx.Now.Monotonic)
 		}, false},
 		{"start command in flight", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			m.RecordHeartbeat(newHeartbeat(e, 1), core.ctx.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(e, 1), core.ctx.Now.Monotonic)
 			m.InflightStarts[task] = 5
 		}, false},
 		{"fencing token of an earlier ownership", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			r := newHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
+			r := steptest.NewHeartbeat(e, 1, taskStatus(protocol.TaskRunning))
 			r.FencingToken = storage.ShardEpoch(2).FencingToken(0)
 			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, false},
 		{"newer agent epoch", func(core *Core, e *storage.Machine, m *agents.MachineState) {
-			r := newHeartbeat(e, 1)
+			r := steptest.NewHeartbeat(e, 1)
 			r.AgentEpoch++
 			m.RecordHeartbeat(r, core.ctx.Now.Monotonic)
 		}, true},
@@ -104,14 +106,16 @@
 			rec.Assign(protocol.Task{Job: "j-1", Index: 1}, 5)
 			e, m := addOwnedMachine(t, core, rec)
 			running := protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}
-			m.RecordHeartbeat(newHeartbeat(e, 1, running), core.ctx.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(e, 1, running), core.ctx.Now.Monotonic)
 			advance(0, step.PeerStatusInput{Status: step.PeerStatus{
 				ControllerID:  "stall-1",
 				CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: c.revision}},
 			}})
 
 			starts, stops, acknowledged := 0, 0, false
-			for _, command := range core.agents.Heartbeats.CommandsFor(e, m, true) {
+			heartbeat := steptest.NewHeartbeat(e, 2, running)
+			answer := advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(heartbeat)})
+			for _, command := range commandsIn(t, answer) {
 				switch command.Type {
 				case protocol.CommandStart:
 					starts++
@@ -137,6 +141,20 @@
 	}
 }
 
+// commandsIn are the commands in the only reply among the effects.
+func commandsIn(t *testing.T, effects []step.Effect) []protocol.Command {
+	t.Helper()
+	replies := steptest.EffectsOf[step.Reply](effects)
+	if len(replies) != 1 || replies[0].Status != http.StatusOK {
+		t.Fatalf("%d replies: %+v", len(replies), replies)
+	}
+	var body protocol.Commands
+	if err := json.Unmarshal(replies[0].Body, &body); err != nil {
+		t.Fatal(err)
+	}
+	return body.Commands
+}
+
 func btoi(b bool) int {
 	if b {
 		return 1
@@ -144,29 +162,6 @@
 	return 0
 }
 
-// A controller that takes over a shard answers no heartbeat before its replica has that write: it
-// may lack a cancellation request that the previous owner knew.
-func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
-	core, advance := newReadyCore(t)
-	rec := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-	e, _ := addOwnedMachine(t, core, rec) // its shard is newer than the replica: an own write that was applied
-	if core.ctx.Replica.Revision = 0; core.agents.Table.Lookup("m-1").OwnershipRevision == 0 {
-		t.Fatal("the ownership has no revision")
-	}
-	effects := advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(e, 1))})
-	if status := steptest.ReplyStatus(effects); status != 0 {
-		t.Errorf("answered %d before the replica has caught up", status)
-	}
-	if status := steptest.ReplyStatus(advance(3100*time.Millisecond, step.Tick{})); status != 421 {
-		t.Errorf("answered %d at last, the agent should look for another controller", status)
-	}
-	advance(0, step.HeartbeatInput{RequestID: 2, Body: protocol.Encode(newHeartbeat(e, 2))})
-	core.ctx.Replica.Revision = 9
-	if status := steptest.ReplyStatus(advance(2600*time.Millisecond, step.Tick{})); status != 200 {
-		t.Errorf("answered %d with a replica that has caught up", status)
-	}
-}
-
 // While a cancellation waits for a controller that cannot be reached, the others are told of it
 // once a second, not with every tick, whether this controller drives it or has only read of it.
 func TestPeerStatusRateIsBounded(t *testing.T) {
--- a/internal/coordination/commit/batch_transaction.go
+++ b/internal/coordination/commit/batch_transaction.go
@@ -35,7 +35,7 @@
 		put(storage.RegistryKey, storage.MustMarshal(storage.RegistryRecord{UpdatedBy: incarnation}))
 	}
 	for _, team := range step.SortedKeys(b.teams) {
-		record := storage.QuotaRecord{UpdatedBy: incarnation, TransactionID: b.shardWriter.commits.lastTransactionID}
+		record := storage.QuotaRecord{UpdatedBy: incarnation, TransactionID: b.shardWriter.committer.lastTransactionID}
 		put(storage.QuotaKey(team), storage.MustMarshal(record))
 	}
 	for _, key := range step.SortedKeys(b.conditions) {
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -33,7 +33,6 @@
 type Committer struct {
 	*step.Context
 
-	agents      MachineTracker
 	lease       *Lease
 	limits      *WriteLimiter
 	replication *Replication
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -28,10 +28,10 @@
 type FormatUpgrade struct {
 	*step.Context
 
-	commits   *Committer
+	committer *Committer
 	lease     *Lease
 	limits    *WriteLimiter
-	ownership SuccessorElection
+	election  SuccessorElection
 
 	packedReaders            map[protocol.ControllerID]bool // whether a controller, as last seen, reads the packed format
 	areAnnouncedLimitsActive bool                           // a write within the current limits was refused as too large
@@ -99,12 +99,12 @@
 	if u.raisableSince == 0 {
 		u.raisableSince = u.Now.Monotonic
 	}
-	isOurTurn := u.ownership.IsSuccessor(storage.FormatKey) || u.Since(u.raisableSince) >= raiseFormatDelay
+	isOurTurn := u.election.IsSuccessor(storage.FormatKey) || u.Since(u.raisableSince) >= raiseFormatDelay
 	if !isOurTurn || !u.limits.takeWriteTokens(1) {
 		return false
 	}
 	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.incarnation}
-	u.commits.send(&pendingTransaction{
+	u.committer.send(&pendingTransaction{
 		transaction: protocol.Transaction{
 			Conditions: u.raiseConditions(),
 			Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}},
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -31,7 +31,7 @@
 	p.Replication.lease = p.Lease
 	p.Replication.limits = p.Limits
 	p.Replication.store = p.Store
-	p.Upgrade.commits = p.Committer
+	p.Upgrade.committer = p.Committer
 	p.Upgrade.lease = p.Lease
 	p.Upgrade.limits = p.Limits
 	p.Committer.lease = p.Lease
@@ -40,7 +40,7 @@
 	p.Committer.shards = p.ShardWriter
 	p.Committer.store = p.Store
 	p.Committer.upgrade = p.Upgrade
-	p.ShardWriter.commits = p.Committer
+	p.ShardWriter.committer = p.Committer
 	p.ShardWriter.lease = p.Lease
 	p.ShardWriter.limits = p.Limits
 	return p
@@ -59,8 +59,7 @@
 func (p *Parts) Connect(d Dependencies) {
 	p.Replication.agents = d.MachineTracker
 	p.Replication.peers = d.StoreReports
-	p.Upgrade.ownership = d.SuccessorElection
-	p.Committer.agents = d.MachineTracker
+	p.Upgrade.election = d.SuccessorElection
 	p.ShardWriter.catalog = d.Catalog
 	p.ShardWriter.transfers = d.TransferTracker
 }
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -20,7 +20,7 @@
 	*step.Context
 
 	catalog   *catalog.Catalog
-	commits   *Committer
+	committer *Committer
 	lease     *Lease
 	limits    *WriteLimiter
 	transfers TransferTracker
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -51,22 +51,6 @@
 	return machine, c.agents.Table.TrackOwnedMachine(machine, "m-1")
 }
 
-// newHeartbeat is a heartbeat of the machine that shows its fencing token and agent epoch on record.
-func newHeartbeat(
-	machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus,
-) *protocol.Heartbeat {
-	return &protocol.Heartbeat{
-		Machine:      "m-1",
-		Addr:         "a",
-		Type:         "s",
-		Zone:         "a",
-		AgentEpoch:   machine.Record.AgentEpoch,
-		Sequence:     sequence,
-		FencingToken: machine.Record.FencingToken,
-		Tasks:        tasks,
-	}
-}
-
 // A controller whose process was paused reads, when it resumes, answers that lay in its
 // sockets, and nothing from agents that could not reach it: neither makes its
 // replica up to date, nor its machines silent.
@@ -87,7 +71,7 @@
 				advance(after, step.WatchResult{AfterRevision: revision, Response: &protocol.WatchResponse{Revision: revision}})
 			}
 			entry, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-			advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(newHeartbeat(entry, 1))})
+			advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(steptest.NewHeartbeat(entry, 1))})
 			for range 40 { // all is requested before the pause
 				advance(50*time.Millisecond, step.Tick{})
 			}
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -20,8 +20,6 @@
 	otherController protocol.ControllerID = "tiller-1"
 	// otherIncarnation is registered by registerOther.
 	otherIncarnation storage.Incarnation = "tiller-1#1"
-
-	testLeaseID protocol.LeaseID = 7
 )
 
 // fakeScaleIn stands for package provisioning, which reviews no machine.
--- a/internal/coordination/step/steptest/fixture.go
+++ b/internal/coordination/step/steptest/fixture.go
@@ -82,3 +82,19 @@
 	f.Put(t, key, shard, f.Replica.ModRevision(key)+1)
 	return f.Replica.Machines[id]
 }
+
+// NewHeartbeat is a heartbeat of a machine on record that shows its fencing token and agent epoch.
+func NewHeartbeat(
+	machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus,
+) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      machine.ID,
+		Addr:         "a",
+		Type:         "s",
+		Zone:         "a",
+		AgentEpoch:   machine.Record.AgentEpoch,
+		Sequence:     sequence,
+		FencingToken: machine.Record.FencingToken,
+		Tasks:        tasks,
+	}
+}
