--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -10,9 +10,9 @@
 	"tillerarch/internal/storage"
 )
 
-// Bounds of the direct calls in flight. After a failover there are hundreds of agents to be
-// told, and each call takes a socket. The bound grows with the fleet, as do the machines that
-// hang at once, each of which holds a call for seconds.
+// Bounds of the direct calls in flight. After a failover hundreds of agents need the
+// new fencing token, and each call takes a socket. The bound grows with the fleet, as does the number
+// of machines that hang at once, each of which occupies a call for seconds.
 const (
 	minAgentCalls        = 24
 	machinesPerAgentCall = 32 // one call for so many machines on record
@@ -61,7 +61,7 @@
 		}
 	case !ok:
 	case entry != nil:
-		// The agent was probed because its owner is not heard of. What it shows is no less true.
+		// The agent was probed because its owner sends no status. What it shows is no less true.
 		if m.isNewerThanLatest(result.Heartbeat) {
 			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
 		}
@@ -85,14 +85,14 @@
 func (ac *Caller) onOwnedAgentFailure(m *MachineState) {
 	m.recordCallFailure(m.callStartedAt)
 	ac.agents.markSuspect(m)
-	if m.isHeardWhileCallsFail() && !m.CommandsLost() {
+	if m.hasContactWhileCallsFail() && !m.CommandsLost() {
 		m.CommandsLostAt = ac.Now.Monotonic
 		ac.Log(slog.LevelWarn, "commands do not reach machine", "machine", string(m.ID))
 	}
 }
 
-// ProbeUnownedAgent asks the agent of a machine whose owner is not heard of for its status,
-// unless it was asked a moment ago or too many calls are in flight.
+// ProbeUnownedAgent asks the agent of a machine for its status whose owner has sent none for a
+// while, unless it was asked a moment ago or too many calls are in flight.
 func (ac *Caller) ProbeUnownedAgent(m *MachineState, addr string) {
 	if m.isCallInFlight || ac.Since(m.callStartedAt) <= unownedProbeInterval || addr == "" || !ac.hasCapacity() {
 		return
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -77,7 +77,7 @@
 	return seconds, true
 }
 
-// mayStart tells whether the agent may be told to start anything at all. The replica must be up
+// mayStart tells whether the agent may get any start command at all. The replica must be up
 // to date: an old one may show tasks that have been taken back, or jobs that are being cancelled.
 func (l *commandList) mayStart() bool {
 	return l.isUpToDate &&
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -4,7 +4,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// commandsInFlight is what the agent has been told, or is to be told, and may not have done yet.
+// commandsInFlight is what was sent to the agent, or is to be sent, and may not have been carried
+// out yet.
 type commandsInFlight struct {
 	// InflightStarts are the starts in the last response that the agent may not have carried out
 	// yet. A heartbeat that lacks these tasks proves nothing.
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -9,8 +9,8 @@
 )
 
 // What keeps an assigned task from being started: a stop or a requeue of this
-// attempt, not of an earlier one. (A stop whose task ended with its agent epoch once
-// held back the task's next attempt on that machine for ever.)
+// attempt, not of an earlier one. (A stop whose task ended with its agent epoch must
+// not withhold the task's next attempt on that machine for ever.)
 func TestStartCommandsWithheld(t *testing.T) {
 	const assigned = protocol.Attempt(5)
 	for _, c := range []struct {
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	// commandsLostFailures is how many direct calls in a row must fail, while the agent is
-	// heard, before its commands count as lost.
+	// commandsLostFailures is how many direct calls in a row must fail, while something arrives
+	// from the agent, before its commands count as lost.
 	commandsLostFailures = 2
 	// suspectTimeout is how long an agent may be suspected before its machine is drained.
 	suspectTimeout = 3 * time.Second
@@ -49,15 +49,15 @@
 	d.callFailures++
 }
 
-// isHeardWhileCallsFail tells whether the agent was heard while several direct calls failed: its
-// machine is neither dead nor cut off in both directions.
-func (m *MachineState) isHeardWhileCallsFail() bool {
+// hasContactWhileCallsFail tells whether something came from the agent while several direct calls
+// failed: its machine is neither dead nor cut off in both directions.
+func (m *MachineState) hasContactWhileCallsFail() bool {
 	return m.callFailures >= commandsLostFailures && m.LastContactAt > m.firstCallFailureAt
 }
 
-// isHeardWhileSuspect tells whether the agent has been heard since it became suspect, so that a
-// direct call may show whether commands arrive.
-func (m *MachineState) isHeardWhileSuspect() bool {
+// hasContactWhileSuspect tells whether something has come from the agent since it became suspect,
+// so that a direct call may show whether commands arrive.
+func (m *MachineState) hasContactWhileSuspect() bool {
 	return m.suspectedAt != 0 && m.LastContactAt >= m.suspectedAt
 }
 
--- a/internal/coordination/agents/doc.go
+++ b/internal/coordination/agents/doc.go
@@ -1,6 +1,6 @@
 // Package agents deals with the agents of machines: it answers heartbeats with commands,
 // notices machines that cannot be reached, stops tasks, and reconciles the records of owned
-// machines with what their agents report.
+// machines with what their agents show.
 //
 // It owns what is remembered of machines (MachineState) and jobs (JobState) beyond their
 // records, the heartbeats whose responses wait, and the direct calls to agents that are in
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -66,7 +66,9 @@
 
 // onUnownedHeartbeat handles the heartbeat of a machine that this controller does not own, or
 // that is on no record (nil entry): it is redirected, or waits until there is an owner.
-func (h *HeartbeatHandler) onUnownedHeartbeat(requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
+func (h *HeartbeatHandler) onUnownedHeartbeat(
+	requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat,
+) {
 	if entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID {
 		h.misdirected.recordMisdirectedHeartbeat(heartbeat)
 		h.agents.replyRedirect(requestID, entry.Record.Owner.Controller())
@@ -93,7 +95,9 @@
 }
 
 // onOwnedHeartbeat handles the heartbeat of a machine that this controller owns.
-func (h *HeartbeatHandler) onOwnedHeartbeat(requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat) {
+func (h *HeartbeatHandler) onOwnedHeartbeat(
+	requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat,
+) {
 	if heartbeat.FencingToken > entry.Record.FencingToken {
 		// Another controller has raised the token by now, whatever the replica says.
 		h.agents.replyRedirect(requestID, "")
@@ -159,7 +163,7 @@
 	}
 }
 
-// resolveUnowned looks after a heartbeat that came while nobody owned its machine.
+// resolveUnowned looks after a heartbeat that came while no live incarnation owned its machine.
 func (h *HeartbeatHandler) resolveUnowned(entry *storage.Machine, m *MachineState) {
 	switch {
 	case entry != nil && h.lease.OwnsMachine(&entry.Record):
--- a/internal/coordination/agents/job_table_test.go
+++ b/internal/coordination/agents/job_table_test.go
@@ -42,7 +42,12 @@
 				}
 				task := protocol.Task{Job: testJob, Index: i}
 				receive(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
-				receive(seconds, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskExited, Reason: protocol.ReasonDone})
+				receive(seconds, protocol.TaskStatus{
+					Task:    task,
+					Attempt: 1,
+					State:   protocol.TaskExited,
+					Reason:  protocol.ReasonDone,
+				})
 				f.Jobs.recordTaskRuntime(m, task)
 			}
 			if got := m.Slowdown.IsSlow(); got != c.want {
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -37,8 +37,8 @@
 	m.jobsWithErrors = map[protocol.JobID]bool{}
 }
 
-// beginOwnership starts a new ownership of the machine: what an earlier owner was told, or
-// told, proves nothing under a new fencing token.
+// beginOwnership starts a new ownership of the machine: what passed between the agent
+// and an earlier owner proves nothing under a new fencing token.
 func (m *MachineState) beginOwnership(record *storage.MachineRecord, revision protocol.Revision, now protocol.Instant) {
 	m.trackedOwnership = trackedOwnership{
 		ownerIncarnation:  record.Owner,
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -14,11 +14,11 @@
 	agentEpoch        protocol.AgentEpoch
 	sequence          protocol.Sequence
 	hasAgentResponded bool // its agent has answered a probe from here since
-	isAnnounced       bool // its owner has been told, in this round of peer statuses
+	isAnnounced       bool // its owner has been informed, in this round of peer statuses
 }
 
 // MisdirectedHeartbeats remembers heartbeats of machines that another controller owns. If the
-// agent answers a probe from here, the owner is told: the path between those two may be broken.
+// agent answers a probe from here, the owner is informed: the path between those two may be broken.
 type MisdirectedHeartbeats struct {
 	*step.Context
 
@@ -34,8 +34,8 @@
 	}
 }
 
-// AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents report here,
-// in turn, and tells whether there are more.
+// AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents send
+// heartbeats here, in turn, and tells whether there are more.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
 	responded := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
 		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
@@ -63,7 +63,7 @@
 // misdirectedRetention is how long a misdirected heartbeat is remembered.
 const misdirectedRetention = 3 * time.Second
 
-// Expire forgets heartbeats that are too old to say where an agent reports now.
+// Expire forgets heartbeats that are too old to say which controller an agent reaches now.
 func (mh *MisdirectedHeartbeats) Expire() {
 	maps.DeleteFunc(mh.byMachine, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
 		return mh.Since(heartbeat.receivedAt) > misdirectedRetention
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -78,24 +78,24 @@
 		}
 	}
 	am.scaleIn.BeginScaleInReview(silent)
-	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored
+	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored // more than two thirds
 }
 
 // mustCallAgent tells whether the agent has to be called directly: to test whether commands
-// arrive, or because it lacks the fencing token. It may still report to an owner that was cut
-// off, and the higher token makes that one's responses worthless.
+// arrive, or because it lacks the fencing token. It may still send heartbeats to an earlier
+// owner that is cut off from the store: the higher token makes that one's responses void.
 func (am *Monitor) mustCallAgent(entry *storage.Machine, m *MachineState) bool {
 	if entry.Record.AgentEpoch == 0 {
 		return false
 	}
-	if m.isHeardWhileSuspect() {
+	if m.hasContactWhileSuspect() {
 		return true
 	}
 	if m.ConfirmedToken >= entry.Record.FencingToken {
 		return false
 	}
-	// Within one shard epoch the agent reports here, and a response that is about to be sent
+	// Within one shard epoch the agent sends its heartbeats here, and a response that is about to be sent
 	// shows the token as well.
-	reportsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
-	return reportsHere && !m.isDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
+	sendsHeartbeatsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
+	return sendsHeartbeatsHere && !m.isDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -14,7 +14,7 @@
 
 // A lease has surely expired only if the agent has shown this owner's epoch,
 // counted from its last answered heartbeat: the machine's own part of the token
-// changes nothing of that, a failover changes everything.
+// does not matter, a failover does.
 func TestAgentLeaseExpired(t *testing.T) {
 	const answerDelay = 3 * time.Second // by then the heartbeat is answered
 	for _, c := range []struct {
@@ -25,8 +25,8 @@
 	}{
 		{"within the lease", testShardEpoch.FencingToken(0), 13 * time.Second, false},
 		{"at its end, clocks may drift", testShardEpoch.FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
-		{"behind it", testShardEpoch.FencingToken(0), 16 * time.Second, true},
-		{"behind it, before the newest token was shown", testShardEpoch.FencingToken(1), 16 * time.Second, true},
+		{"past it", testShardEpoch.FencingToken(0), 16 * time.Second, true},
+		{"past it, before the newest token was shown", testShardEpoch.FencingToken(1), 16 * time.Second, true},
 		{"the agent has shown an earlier owner's only", (testShardEpoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,15 +49,15 @@
 	}
 }
 
-// Commands count as lost if direct calls fail one after the other while the agent is heard. One
-// that is silent as well is dead, or cut off in both directions.
+// Commands count as lost if direct calls fail one after the other while heartbeats arrive. An
+// agent that is silent as well is dead, or cut off in both directions.
 func TestCommandsLost(t *testing.T) {
 	failed := errors.New("no answer")
 	for _, c := range []struct {
-		name    string
-		calls   []error // results of direct calls, one a second
-		isHeard bool    // heartbeats come meanwhile
-		want    bool
+		name             string
+		calls            []error // results of direct calls, one a second
+		heartbeatsArrive bool    // meanwhile
+		want             bool
 	}{
 		{"one call fails", []error{failed}, true, false},
 		{"two fail, heartbeats come", []error{failed, failed}, true, true},
@@ -75,7 +75,7 @@
 				f.Calls.sendCommands(entry, m, nil, 0)
 				f.advance(time.Second)
 				sequence++
-				if c.isHeard {
+				if c.heartbeatsArrive {
 					f.receive(steptest.NewHeartbeat(entry, sequence))
 					sequence++
 				}
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -14,7 +14,7 @@
 	IsTerminationConfirmed(id protocol.MachineID) bool
 }
 
-// Reconciler brings the records of owned machines in line with what their agents report.
+// Reconciler brings the records of owned machines in line with what their agents show.
 //
 // A task must never run twice, so it is taken back from a machine only on one of these proofs
 // that it does not run there and never will under the same attempt:
@@ -40,7 +40,7 @@
 }
 
 // WriteMachines brings the records of owned machines in line with what their
-// agents report, shard by shard. Where a transaction cannot take all, the next
+// agents show, shard by shard. Where a transaction cannot take all, the next
 // one goes on with the shard that was left.
 func (r *Reconciler) WriteMachines(b *commit.Batch) {
 	shards := r.shards.OwnedShards()
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -91,7 +91,9 @@
 			f.tick()
 			f.advance(leasePassed)
 		}, false, ""},
-		{"termination requested", func(_ *fixture, e *storage.Machine, _ *MachineState) { e.Record.Terminating = true }, false, ""},
+		{"termination requested", func(_ *fixture, e *storage.Machine, _ *MachineState) {
+			e.Record.Terminating = true
+		}, false, ""},
 		{"termination confirmed", func(f *fixture, _ *storage.Machine, _ *MachineState) {
 			f.termination[testMachine] = true
 		}, true, ""},
--- a/internal/coordination/agents/response_delay.go
+++ b/internal/coordination/agents/response_delay.go
@@ -15,7 +15,7 @@
 	// says more.
 	longestResponseDelay = 3 * time.Second
 	// idleCoresDivisor is the part of a machine's cores that must be free, one in so many, for
-	// the response to wait for something to do while tasks run there.
+	// the response to wait for a start while tasks run there.
 	idleCoresDivisor = 3
 )
 
@@ -46,7 +46,8 @@
 }
 
 // isReplicaBehindOwnership tells whether the replica may lack what was written before this
-// incarnation became the owner: a job may have been cancelled that nobody told it of.
+// incarnation became the owner: a job may have been cancelled without its
+// knowledge.
 func (h *HeartbeatHandler) isReplicaBehindOwnership(m *MachineState) bool {
 	return h.Replica.Revision < m.ownershipRevision
 }
@@ -123,8 +124,8 @@
 	return h.hasFreeCapacityOnly(record, m)
 }
 
-// hasFreeCapacityOnly tells whether a good part of the machine is free while there is nothing to
-// tell its agent: all assigned tasks run, and none has exited.
+// hasFreeCapacityOnly tells whether a good part of the machine is free while there is no
+// command for its agent: all assigned tasks run, and none has exited.
 func (h *HeartbeatHandler) hasFreeCapacityOnly(record *storage.MachineRecord, m *MachineState) bool {
 	machineType := h.catalog.MachineType(record.MachineType)
 	if machineType == nil {
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// A controller that is told of a cancellation request is bound by it while its own replica is
+// A controller that learns of a cancellation request from a peer is bound by it while its own replica is
 // stalled: it stops the task in its responses, starts none, and acknowledges; and it forgets the
 // request once the replica has reached it.
 func TestPeerIntentIsBinding(t *testing.T) {
@@ -162,7 +162,7 @@
 	return 0
 }
 
-// While a cancellation waits for a controller that cannot be reached, the others are told of it
+// While a cancellation waits for a controller that cannot be reached, it is announced to the others
 // once a second, not with every tick, whether this controller drives it or has only read of it.
 func TestPeerStatusRateIsBounded(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/coordination/commit/batch_capacity.go
+++ b/internal/coordination/commit/batch_capacity.go
@@ -86,7 +86,8 @@
 			opsToAdd, sizeToAdd = opsToAdd+shardOps, sizeToAdd+shardSize
 		}
 	}
-	if totalOps <= limits.TransactionOps*3/4 && totalSize <= protocol.MaxTransactionBytes {
+	maxOps := limits.TransactionOps * 3 / 4 // the rest is for what a batch takes before placements
+	if totalOps <= maxOps && totalSize <= protocol.MaxTransactionBytes {
 		opsWhenEmpty = totalOps
 	}
 	return b.hasCapacityFor(opsToAdd, sizeToAdd), opsWhenEmpty
--- a/internal/coordination/commit/batch_changes.go
+++ b/internal/coordination/commit/batch_changes.go
@@ -63,8 +63,9 @@
 		return
 	}
 	record = b.MutableJob(id)
+	const millisPerSecond = 1000
 	b.Log(slog.LevelInfo, "job completed", "job", string(id), "class", record.Spec.Class,
-		"duration_s", float64(b.shardWriter.Now.Wall-record.SubmittedAt)/1000)
+		"duration_s", float64(b.shardWriter.Now.Wall-record.SubmittedAt)/millisPerSecond)
 	*record = storage.JobRecord{
 		State:       protocol.JobDone,
 		TaskCount:   record.Spec.TaskCount,
--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/done_tasks.go
@@ -46,6 +46,8 @@
 	}
 }
 
+// consolidateShard moves what is done of jobs from a shard to their records, as far as the batch has
+// capacity.
 func (w *ShardWriter) consolidateShard(b *Batch, id storage.ShardID) {
 	draft := b.MutableShard(id)
 	for _, job := range step.SortedKeys(draft.doneTasks) {
@@ -63,14 +65,14 @@
 // an operation each, so not before the space is needed. A packed shard that is full of machines
 // is split instead.
 func (w *ShardWriter) needsConsolidation(shard *storage.Shard) bool {
-	maxValueBytes := w.limits.WriteLimits().ValueBytes
+	limits := w.limits.WriteLimits()
 	if w.limits.StorageFormat() < storage.FormatPacked {
-		return shard.EncodedSize >= maxValueBytes*3/4
+		return shard.EncodedSize >= maxPlainSizeWithDoneTasks(limits)
 	}
 	const jobSize, intervalSize = 8, 2 // bytes, packed
 	size := 0
 	for _, done := range shard.CompletedTasks {
 		size += jobSize + intervalSize*done.IntervalCount()
 	}
-	return size >= maxValueBytes/4
+	return size >= maxPackedDoneTasksSize(limits)
 }
--- a/internal/coordination/commit/outcomes.go
+++ b/internal/coordination/commit/outcomes.go
@@ -95,7 +95,7 @@
 // applied now, later or never.
 func (c *Committer) onUnknownOutcome(pending *pendingTransaction) {
 	if pending.kind == registrationTransaction {
-		// The next registration is under a new lease, so the name of this one is not used.
+		// The next registration is under a new lease, so this incarnation's name is never used.
 		c.lease.id = 0
 		return
 	}
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -33,13 +33,13 @@
 
 // StoreReports tells what the other controllers say of the store.
 type StoreReports interface {
-	// PeersReportStoreUnavailable tells whether other controllers were heard of within a
+	// PeersReportStoreUnavailable tells whether other controllers have sent a status within a
 	// time, and all of those do not reach the store.
 	PeersReportStoreUnavailable(within time.Duration) bool
 }
 
-// Replication keeps the replica of the store's records up to date: the initial load, the watch, and how
-// far both have come.
+// Replication keeps the replica of the store's records up to date: the initial load, the watch, and
+// how far both have come.
 type Replication struct {
 	*step.Context
 
--- a/internal/coordination/commit/shard_layout.go
+++ b/internal/coordination/commit/shard_layout.go
@@ -60,8 +60,9 @@
 	return candidates
 }
 
+// isMergeSource tells whether a shard is so small that it should become part of another one.
 func (w *ShardWriter) isMergeSource(b *Batch, source mergeCandidate) bool {
-	isSmall := source.projectedSize <= w.limits.WriteLimits().ValueBytes/3
+	isSmall := source.projectedSize <= maxMergeSourceSize(w.limits.WriteLimits())
 	return isSmall && len(source.shard.Machines) > 0 && !b.ChangesShard(source.id)
 }
 
@@ -75,9 +76,10 @@
 	}
 	limits := w.limits.WriteLimits()
 	return target.projectedSize+source.projectedSize <= maxFilledShardSize(limits) &&
-		target.shard.EncodedSize+source.shard.EncodedSize <= limits.ValueBytes*3/4
+		target.shard.EncodedSize+source.shard.EncodedSize <= maxMergedShardSize(limits)
 }
 
+// mergeShard moves all that is on the source to the target.
 func (w *ShardWriter) mergeShard(b *Batch, sourceID, targetID storage.ShardID) {
 	machines := w.Replica.Shards[sourceID].Machines
 	source := b.MutableShard(sourceID)
@@ -114,7 +116,7 @@
 func (w *ShardWriter) shardSplitThreshold() int {
 	limits := w.limits.WriteLimits()
 	if w.limits.StorageFormat() < storage.FormatPacked {
-		return limits.ValueBytes * 15 / 16
+		return maxPlainShardSize(limits)
 	}
 	return maxFilledShardSize(limits)
 }
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -50,8 +50,7 @@
 	if shard == nil || w.limits.StorageFormat() < storage.FormatPacked || shard.EncodedSize <= maxValueBytes {
 		return 1
 	}
-	// A quarter more than the packed shard takes, as parts are uneven.
-	size := w.Replica.PackedShardSize(id) * 5 / 4
+	size := addQuarter(w.Replica.PackedShardSize(id))
 	return max((size+maxValueBytes-1)/maxValueBytes, 1)
 }
 
--- a/internal/coordination/commit/size_estimates.go
+++ b/internal/coordination/commit/size_estimates.go
@@ -74,9 +74,30 @@
 	if b.shardWriter.limits.StorageFormat() < storage.FormatPacked {
 		return b.estimateMachinesSize(draft.MachineIDs)
 	}
-	return draft.EstimatedSize * 5 / 4
+	return addQuarter(draft.EstimatedSize)
 }
 
+// addQuarter makes an estimate a quarter larger: parts of a shard are uneven, and it grows.
+func addQuarter(size int) int { return size * 5 / 4 }
+
+// Sizes of shards, in bytes, as parts of the value that the store accepts.
+
 // maxFilledShardSize is the size up to which a shard is filled: what is above is left for what
 // ends there.
 func maxFilledShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 7 / 8 }
+
+// maxPlainShardSize is the size from which a shard in the plain format is split.
+func maxPlainShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 15 / 16 }
+
+// maxMergeSourceSize is the projected size up to which a shard is merged into another one.
+func maxMergeSourceSize(limits step.WriteLimits) int { return limits.ValueBytes / 3 }
+
+// maxMergedShardSize is the size up to which two shards are merged.
+func maxMergedShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
+
+// maxPlainSizeWithDoneTasks is the size from which a shard in the plain format hands its done tasks
+// to the records of their jobs.
+func maxPlainSizeWithDoneTasks(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
+
+// maxPackedDoneTasksSize is the size of its done tasks from which a packed shard hands them over.
+func maxPackedDoneTasksSize(limits step.WriteLimits) int { return limits.ValueBytes / 4 }
--- a/internal/coordination/commit/write_limiter.go
+++ b/internal/coordination/commit/write_limiter.go
@@ -13,6 +13,11 @@
 	minTransactionOps = 2
 	// minBurst is the least number of write tokens that can be saved up.
 	minBurst = 4
+	// userTokensDivisor is the part of a transaction, one operation in so many, for which write tokens
+	// are left to users' requests.
+	userTokensDivisor = 8
+	// minBatchSeconds is for how long the write budget is saved up for a batch.
+	minBatchSeconds = 0.5
 	// plainJobRecordReserve is the part of a value, in bytes, that a plain job record leaves to
 	// the description of the job.
 	plainJobRecordReserve = 1500
@@ -74,7 +79,9 @@
 }
 
 // ReservedUserTokens is the number of write tokens that are left for what users ask for.
-func (w *WriteLimiter) ReservedUserTokens() int { return max(w.WriteLimits().TransactionOps/8, 1) }
+func (w *WriteLimiter) ReservedUserTokens() int {
+	return max(w.WriteLimits().TransactionOps/userTokensDivisor, 1)
+}
 
 // Budget is how many operations are allowed now, and how many of them one transaction may have.
 func (w *WriteLimiter) Budget() (tokens, maxOps int) {
@@ -86,10 +93,12 @@
 // budget, or a full transaction.
 func (w *WriteLimiter) MinBatchOps() int {
 	limits := w.WriteLimits()
-	return min(limits.TransactionOps, int(limits.WritesPerSecond*w.Config.WriteBudgetShare/2))
+	return min(limits.TransactionOps, int(limits.WritesPerSecond*w.Config.WriteBudgetShare*minBatchSeconds))
 }
 
-// JobRecordBudget is what a job's record may take besides its description, in bytes.
+// JobRecordBudget is what a job's record may take besides its description, in bytes. It
+// takes it that the description needs no more than the rest of a value: half of it in the packed
+// format, else plainJobRecordReserve.
 func (w *WriteLimiter) JobRecordBudget() int {
 	valueBytes := w.WriteLimits().ValueBytes
 	if w.StorageFormat() < storage.FormatPacked {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -92,7 +92,7 @@
 func (c *Core) beginStep(now step.Now) {
 	lastStepAt := c.ctx.LastStepAt
 	if lastStepAt != 0 && now.Monotonic.Sub(lastStepAt) > pauseThreshold {
-		// What has arrived meanwhile lies in queues, in an order that does not tell who was
+		// What has arrived meanwhile lies in queues, in an order that does not tell which agent was
 		// silent: silence counts from now on.
 		c.ctx.ResumedAt = now.Monotonic
 	}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -52,8 +52,8 @@
 }
 
 // A controller whose process was paused reads, when it resumes, answers that lay in its
-// sockets, and nothing from agents that could not reach it: neither makes its
-// replica up to date, nor its machines silent.
+// sockets, and nothing from agents that could not reach it: the first do not make its
+// replica up to date, the second does not make its machines silent.
 func TestProcessPause(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -94,7 +94,7 @@
 				advance(time.Second, step.Tick{})
 			}
 			if !core.agents.Table.IsSilent(m) {
-				t.Error("silence behind the pause is not noticed")
+				t.Error("silence after the pause is not noticed")
 			}
 		})
 	}
--- a/internal/coordination/health.go
+++ b/internal/coordination/health.go
@@ -4,7 +4,7 @@
 
 const (
 	// startupOutageDelay is the time without any answer of the store after which a controller that
-	// has read nothing yet takes it that the store is unavailable.
+	// has read nothing yet assumes that the store is unavailable.
 	startupOutageDelay = 2 * time.Second
 
 	// storeContactTolerance is the age of the store's last answer up to which a controller counts
@@ -38,9 +38,9 @@
 	return !c.commit.Replication.StoreUnavailable() || c.commit.Store.HasAnsweredWithin(storeContactTolerance)
 }
 
-// isStoreOutageShared tells whether other controllers miss the store, too. If one reaches it, this
-// controller alone is cut off. One that hears neither the store nor any other controller must
-// take it that it is cut off itself: users do better elsewhere.
+// isStoreOutageShared tells whether other controllers do not reach the store either. If one reaches it, this
+// controller alone is cut off. One that gets answers neither from the store nor from any other
+// controller must assume that it is cut off itself: users do better elsewhere.
 func (c *Core) isStoreOutageShared() bool {
 	return c.ownership.Peers.PeersReportStoreUnavailable(peerReportMaxAge)
 }
--- a/internal/coordination/health_test.go
+++ b/internal/coordination/health_test.go
@@ -29,7 +29,7 @@
 		{"all is well", 2, nil, true, true},
 		{"an outage that all see", 2, []bool{false, false}, false, true},
 		{"it alone is cut off from the store", 2, []bool{false, true}, false, false},
-		{"it hears from nobody at all", 2, nil, false, false},
+		{"no peer sends a status", 2, nil, false, false},
 		{"it is the only controller", 0, nil, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 		{"not known yet", time.Second, []bool{false, false}, false},
 		{"an outage that all see", 4 * time.Second, []bool{false, false}, true},
 		{"it alone is cut off", 4 * time.Second, []bool{false, true}, false},
-		{"it hears from nobody", 4 * time.Second, nil, false},
+		{"no peer sends a status", 4 * time.Second, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := steptest.Start
--- a/internal/coordination/step/config.go
+++ b/internal/coordination/step/config.go
@@ -35,7 +35,7 @@
 	Objectives   map[string]Objectives   // by class of jobs
 
 	HeartbeatInterval time.Duration // between the heartbeats of an agent
-	AgentLeaseTTL     time.Duration // an agent kills its tasks this long after it sent the last heartbeat that got a response
+	AgentLeaseTTL     time.Duration // from the last answered heartbeat until the agent kills its tasks
 	GangPeerTimeout   time.Duration // tasks of a gang fail this long after they lost one of their peers
 	CancelTimeout     time.Duration // from the cancellation of a job to the end of its tasks
 
--- a/internal/coordination/step/context.go
+++ b/internal/coordination/step/context.go
@@ -22,7 +22,7 @@
 	Config     Config
 	Now        Now
 	Effects    []Effect
-	Rand       *rand.Rand // the only source of randomness, so that a seed determines a run
+	Rand       *rand.Rand // the only source of randomness, so that a seed determines all decisions
 	Replica    *storage.Replica
 	ResumedAt  protocol.Instant // when this process last resumed after a pause
 	LastStepAt protocol.Instant // when the latest step began
@@ -55,9 +55,12 @@
 // Since is the time that has passed from an instant to this step.
 func (c *Context) Since(t protocol.Instant) time.Duration { return c.Now.Monotonic.Sub(t) }
 
+// jitterShare is the part of a duration by which Jitter may vary it.
+const jitterShare = 0.25
+
 // Jitter varies a duration at random by up to a quarter in either direction.
 func (c *Context) Jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + c.Rand.Float64()/2))
+	return time.Duration(float64(d) * (1 - jitterShare + 2*jitterShare*c.Rand.Float64()))
 }
 
 // MillisToDuration converts the store's unit of time.
--- a/internal/coordination/step/inputs.go
+++ b/internal/coordination/step/inputs.go
@@ -48,7 +48,7 @@
 		Result  protocol.TransactionResult
 		Err     error
 	}
-	// LoadRecordsResult has all records. They were read in pages between two revisions, so
+	// LoadRecordsResult has all records. They were read in portions between two revisions, so
 	// they are consistent once the changes up to EndRevision have been applied too.
 	LoadRecordsResult struct {
 		Entries                    []protocol.Entry
--- a/internal/coordination/store_outage_test.go
+++ b/internal/coordination/store_outage_test.go
@@ -49,7 +49,8 @@
 	effects := advance(0, step.CommitResult{ID: commits[0].ID, Outcome: storage.OutcomeUnknown, Err: errStoreUnreachable})
 	effects = append(effects, advance(time.Second, step.RenewLeaseResult{LeaseID: 7})...)
 	barriers := steptest.EffectsOf[step.Commit](effects)
-	if len(barriers) != 1 || !isWriteBarrier(barriers[0], registrationKey) || barriers[0].Transaction.Operations[0].Lease != 7 {
+	if len(barriers) != 1 || !isWriteBarrier(barriers[0], registrationKey) ||
+		barriers[0].Transaction.Operations[0].Lease != 7 {
 		t.Fatalf("no write barrier: %+v", barriers)
 	}
 	effects = advance(0, steptest.CommittedAt(barriers[0].ID, 9))
@@ -59,7 +60,7 @@
 	}
 	effects = advance(0, steptest.UnchangedUntil(c.ctx.Replica.Revision, 9))
 	if len(steptest.EffectsOf[step.Commit](effects)) != 1 {
-		t.Fatal("nothing is written behind the write barrier")
+		t.Fatal("nothing is written after the write barrier")
 	}
 }
 
