--- a/internal/coordination/commit/shard_layout_test.go
+++ b/internal/coordination/commit/shard_layout_test.go
@@ -16,6 +16,7 @@
 		name                   string
 		smallCount, largeCount int // machines on each
 		smallEpoch, largeEpoch storage.ShardEpoch
+		doneGaps               int // between the done tasks on the large one
 		want                   bool
 	}{
 		{name: "one has few", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: true},
@@ -23,6 +24,24 @@
 		{name: "the other's epoch is lower", smallCount: 5, largeCount: 30, smallEpoch: 4, largeEpoch: 3, want: false},
 		{name: "both have many", smallCount: 30, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: false},
 		{name: "the other is full", smallCount: 5, largeCount: 56, smallEpoch: 3, largeEpoch: 3, want: false},
+		{
+			name:       "the other has some done tasks",
+			smallCount: 5,
+			largeCount: 30,
+			smallEpoch: 3,
+			largeEpoch: 3,
+			doneGaps:   400,
+			want:       true,
+		},
+		{
+			name:       "the other is full of done tasks",
+			smallCount: 5,
+			largeCount: 30,
+			smallEpoch: 3,
+			largeEpoch: 3,
+			doneGaps:   1200,
+			want:       false,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller := newReadyController(t)
@@ -42,7 +61,13 @@
 				controller.Put(t, storage.ShardKey(id), data, 4)
 			}
 			put("a", c.smallEpoch, c.smallCount, storage.TaskRange(0, 3))
-			put("b", c.largeEpoch, c.largeCount, storage.TaskRange(4, 5))
+			largeDone, wantDone := storage.TaskRange(4, 5), "0-5"
+			for gap := range c.doneGaps {
+				task := 7 + 2*gap
+				largeDone = largeDone.Add(task)
+				wantDone += fmt.Sprintf(",%d", task)
+			}
+			put("b", c.largeEpoch, c.largeCount, largeDone)
 			b := controller.ShardWriter.NewBatch(8)
 			controller.ShardWriter.MergeShards(b)
 			transaction := b.Transaction()
@@ -56,7 +81,7 @@
 			replica := controller.Replica
 			done := replica.CompletedTasks("j-1").String()
 			isComplete := len(replica.Machines) == machineCount && len(replica.PopRemovedMachines()) == 0
-			if len(replica.Shards) != 1 || !isComplete || done != "0-5" {
+			if len(replica.Shards) != 1 || !isComplete || done != wantDone {
 				t.Errorf("%d shards, %d of %d machines, done %s", len(replica.Shards), len(replica.Machines), machineCount, done)
 			}
 		})
