--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -70,7 +70,7 @@
 	requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat,
 ) {
 	if entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID {
-		h.misdirected.recordMisdirectedHeartbeat(heartbeat)
+		h.misdirected.record(heartbeat)
 		h.agents.replyRedirect(requestID, entry.Record.Owner.Controller())
 		return
 	}
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// recordMisdirectedHeartbeat notes the heartbeat of a machine that another incarnation owns, and
+// record notes the heartbeat of a machine that another incarnation owns, and
 // probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
 // machine over.)
-func (mh *MisdirectedHeartbeats) recordMisdirectedHeartbeat(heartbeat *protocol.Heartbeat) {
+func (mh *MisdirectedHeartbeats) record(heartbeat *protocol.Heartbeat) {
 	known, ok := mh.byMachine[heartbeat.Machine]
 	switch {
 	case ok && isStale(heartbeat, known.agentEpoch, known.sequence):
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -62,7 +62,7 @@
 
 // WriteGracefulStops puts the graceful stop of gangs on record. Every owner of a machine
 // with one of the tasks reads it there at once and sends the stop directly, so
-// that all tasks hear of it within gang_peer_s.
+// that all tasks get the stop within Config.GangPeerTimeout.
 func (ts *TaskStopper) WriteGracefulStops(b *commit.Batch) {
 	for _, id := range step.SortedKeys(ts.gracefulStops) {
 		attempt := ts.gracefulStops[id]
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -66,6 +66,13 @@
 // OnSend has a function called when the transaction is sent.
 func (b *Batch) OnSend(f func()) { b.onSend = append(b.onSend, f) }
 
+// notifySent calls the functions that wait for the transaction to be sent.
+func (b *Batch) notifySent() {
+	for _, onSend := range b.onSend {
+		onSend()
+	}
+}
+
 // Log records a line for the operator, who reads it once the change is on record: a transaction
 // that is refused is built again, with the same lines.
 func (b *Batch) Log(level slog.Level, message string, args ...any) {
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -93,6 +93,7 @@
 func (c *Committer) SendUserBatch(b *Batch) {
 	if pending, ok := c.prepare(b); ok {
 		pending.kind = userTransaction
+		b.notifySent()
 		c.send(pending)
 	}
 }
@@ -103,9 +104,7 @@
 	if !ok {
 		return
 	}
-	for _, onSend := range b.onSend {
-		onSend()
-	}
+	b.notifySent()
 	c.Log(slog.LevelDebug, "transaction sent", "jobs", len(b.jobs), "shards", len(b.shards),
 		"owned_shards", len(c.shards.OwnedShards()), "bytes", b.estimatedBytes, "write_tokens", tokens,
 		"write_rate", c.limits.writeRate, "complete", !c.isPartial)
@@ -187,6 +186,7 @@
 	})
 }
 
+// send numbers a transaction and sends it. Its outcome comes with OnCommitResult.
 func (c *Committer) send(pending *pendingTransaction) {
 	c.lastTransactionID++
 	pending.id, pending.sentAt = c.lastTransactionID, c.Now.Monotonic
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -101,8 +101,8 @@
 	r.Emit(step.LoadRecords{})
 }
 
-// WatchRecords asks for changes again. Each response costs a request of a tight budget, so
-// requests keep a distance unless something waits for the replica.
+// WatchRecords asks for changes again. Each response costs a request of a tight budget, so requests
+// are MinWatchInterval apart unless something waits for the replica.
 func (r *Replication) WatchRecords(waiting bool) {
 	now := r.Now.Monotonic
 	if !r.hasSnapshot || r.isWatching || r.isLoading || now < r.retryAt {
--- a/internal/coordination/step/steptest/fakes.go
+++ b/internal/coordination/step/steptest/fakes.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/storage"
 )
 
-// FakePeers answers for package ownership what a controller knows of the others, which it has not
-// heard from lately.
+// FakePeers stands for what package ownership knows of the other controllers: none of them has sent
+// a status lately.
 type FakePeers struct {
 	StoreUnavailable bool // they say so of the store
 	ElectsSelf       bool // the controller under test takes over from those that have expired
@@ -26,7 +26,7 @@
 // ExpediteStatus does nothing.
 func (f *FakePeers) ExpediteStatus() {}
 
-// NoTransfers answers for package ownership that no shard is being transferred.
+// NoTransfers stands for package ownership while no shard is being transferred.
 type NoTransfers struct{}
 
 // IsQuiesced is false for every shard.
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// FakeTerminations answers for package provisioning which machines the cloud has confirmed as
-// terminated.
+// FakeTerminations stands for package provisioning. It is the set of machines whose termination the
+// cloud has confirmed.
 type FakeTerminations map[protocol.MachineID]bool
 
 // IsTerminationConfirmed tells whether the machine is in the set.
@@ -50,7 +50,7 @@
 // TerminateUnrecorded does nothing.
 func (f FakeTerminations) TerminateUnrecorded(protocol.MachineID) {}
 
-// NoPlan answers for package scheduling that no machine is about to be given tasks.
+// NoPlan stands for package scheduling with an empty plan.
 type NoPlan struct{}
 
 // ExpectsPlacement is false for every machine.
