--- a/internal/coordination/step/steptest/fixture.go
+++ b/internal/coordination/step/steptest/fixture.go
@@ -22,8 +22,8 @@
 // Start is the time at which a test begins.
 var Start = step.Now{Monotonic: 1, Wall: 1e12}
 
-// Config is the configuration of a controller without peers, on a small store, with the
-// times of production.
+// Config is the configuration of a controller without peers whose store accepts little: a few
+// machines fill a shard, a few jobs a transaction.
 func Config() step.Config {
 	return step.Config{
 		ControllerID:      ControllerID,
