--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -40,15 +40,15 @@
 		SuccessorElection: peers,
 	})
 	cancellations.Connect(Dependencies{
-		Agents:           f.agents.Table,
-		Calls:            f.agents.Calls,
-		Committer:        f.commit.Committer,
-		Lease:            f.commit.Lease,
-		Limits:           f.commit.Limits,
-		OwnerElection:    peers,
-		PeerNotifier:     peers,
-		Replication:      f.commit.Replication,
-		ForcedTerminator: steptest.FakeTerminations{},
+		Agents:            f.agents.Table,
+		Calls:             f.agents.Calls,
+		Committer:         f.commit.Committer,
+		Lease:             f.commit.Lease,
+		Limits:            f.commit.Limits,
+		SuccessorElection: peers,
+		PeerNotifier:      peers,
+		Replication:       f.commit.Replication,
+		ForcedTerminator:  steptest.FakeTerminations{},
 	})
 	f.register(t)
 	return f
--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -9,31 +9,43 @@
 	"tillerarch/internal/storage"
 )
 
-// ownerContactTimeout is how long an owner counts as alive after its last status while the
-// store is down for all.
+// ownerContactTimeout is how long an owner counts as alive after its last status while the store is
+// unavailable to all controllers.
 const ownerContactTimeout = 5 * time.Second
 
+// The ages of a cancellation from which machines are terminated for it, as fractions of CancelTimeout
+// (numerator and denominator, so that the products are exact).
+const (
+	silentScaleInFifths = 2
+	stuckScaleInFifths  = 3
+	fifths              = 5
+)
+
 // silentScaleInAge is the age of a cancellation at which a machine is terminated that may still run
-// a task of the job and is silent. It is early enough for a slow cloud to end the task in time.
-func (c *Canceller) silentScaleInAge() time.Duration { return c.Config.CancelTimeout * 2 / 5 }
+// a task of the job and is silent. It leaves a slow cloud enough time to terminate the machine before CancelTimeout.
+func (c *Canceller) silentScaleInAge() time.Duration {
+	return c.Config.CancelTimeout * silentScaleInFifths / fifths
+}
 
 // stuckScaleInAge is the age of a cancellation at which a machine is terminated that may still run
-// a task of the job, whether it is silent or not. It is late enough for what only needs a moment.
-func (c *Canceller) stuckScaleInAge() time.Duration { return c.Config.CancelTimeout * 3 / 5 }
+// a task of the job, whether it is silent or not. It leaves the agent time to stop a task that is merely slow.
+func (c *Canceller) stuckScaleInAge() time.Duration {
+	return c.Config.CancelTimeout * stuckScaleInFifths / fifths
+}
 
 // MustForceScaleIn tells whether an owned machine must be terminated because a task of a cancelled
 // job is stuck there, or the machine cannot be reached. Silence proves nothing of the machine if
 // this controller is the one that is isolated.
-func (c *Canceller) MustForceScaleIn(m *agents.MachineState, record *storage.MachineRecord, isIsolated bool) bool {
-	pendingFor, isPending := c.longestPendingCancel(m, record)
+func (c *Canceller) MustForceScaleIn(state *agents.MachineState, record *storage.MachineRecord, isIsolated bool) bool {
+	pendingFor, isPending := c.longestPendingCancel(state, record)
 	if !isPending || pendingFor <= c.silentScaleInAge() {
 		return false
 	}
-	return pendingFor > c.stuckScaleInAge() || c.agents.IsSilent(m) && !isIsolated
+	return pendingFor > c.stuckScaleInAge() || c.agents.IsSilent(state) && !isIsolated
 }
 
-// ForceScaleIn looks after machines whose owner is not heard from while the store is down for all,
-// so that no other controller can take them over. If a task of a cancelled job may run there, the
+// ForceScaleIn handles machines whose owner has sent no status lately while the store is unavailable to
+// all controllers, so that no other one can take them over. If a task of a cancelled job may run there, the
 // agent is probed; if that does not help in time, the machine is terminated.
 func (c *Canceller) ForceScaleIn() {
 	if !c.replication.IsLoaded() || !c.replication.StoreUnavailableEverywhere() {
@@ -44,27 +56,27 @@
 	})
 	for _, id := range ids {
 		entry := c.Replica.Machines[id]
-		if c.peers.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
+		if c.peerNotifier.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
 			continue // its owner is alive and does the same
 		}
-		m := c.agents.MachineState(id)
-		pendingFor, isPending := c.longestPendingCancel(m, &entry.Record)
+		state := c.agents.MachineState(id)
+		pendingFor, isPending := c.longestPendingCancel(state, &entry.Record)
 		switch {
 		case !isPending || pendingFor < c.silentScaleInAge():
 		case pendingFor > c.stuckScaleInAge():
-			c.terminator.TerminateUnrecorded(id)
+			c.forcedTerminator.TerminateUnrecorded(id)
 		default:
-			c.calls.ProbeUnownedAgent(m, entry.Record.Address)
+			c.calls.ProbeUnownedAgent(state, entry.Record.Address)
 		}
 	}
 }
 
 // longestPendingCancel tells whether a task of a job with a requested cancellation may still be on
-// the machine, and for how long the longest such request has stood.
+// the machine, and the age of the oldest such request.
 func (c *Canceller) longestPendingCancel(
-	m *agents.MachineState, record *storage.MachineRecord,
+	state *agents.MachineState, record *storage.MachineRecord,
 ) (longest time.Duration, isPending bool) {
-	heartbeat := m.LatestHeartbeat
+	heartbeat := state.LatestHeartbeat
 	if heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch {
 		return 0, false // the agent has killed its tasks
 	}
@@ -76,7 +88,7 @@
 		if !c.CancelRequested(assignment.Job) {
 			continue
 		}
-		if isCurrent && m.AllTasksSatisfy(assignment, hasExited) {
+		if isCurrent && state.AllTasksSatisfy(assignment, hasExited) {
 			continue
 		}
 		longest, isPending = max(longest, c.timeSinceCancelRequest(assignment.Job)), true
@@ -84,4 +96,5 @@
 	return longest, isPending
 }
 
+// hasExited tells whether a task has exited.
 func hasExited(status *protocol.TaskStatus) bool { return status.State == protocol.TaskExited }
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -13,34 +13,31 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
-		Canceller: newCanceller(ctx),
-	}
-	return p
+	return &Parts{Canceller: newCanceller(ctx)}
 }
 
 // Dependencies are what the parts need of other packages.
 type Dependencies struct {
-	Agents           *agents.Table
-	Calls            *agents.Caller
-	Committer        *commit.Committer
-	Lease            *commit.Lease
-	Limits           *commit.WriteLimiter
-	OwnerElection    OwnerElection
-	PeerNotifier     PeerNotifier
-	Replication      *commit.Replication
-	ForcedTerminator ForcedTerminator
+	Agents            *agents.Table
+	Calls             *agents.Caller
+	Committer         *commit.Committer
+	Lease             *commit.Lease
+	Limits            *commit.WriteLimiter
+	SuccessorElection SuccessorElection
+	PeerNotifier      PeerNotifier
+	Replication       *commit.Replication
+	ForcedTerminator  ForcedTerminator
 }
 
 // Connect gives the parts what they need of other packages.
 func (p *Parts) Connect(d Dependencies) {
 	p.Canceller.agents = d.Agents
 	p.Canceller.calls = d.Calls
-	p.Canceller.commits = d.Committer
+	p.Canceller.committer = d.Committer
 	p.Canceller.lease = d.Lease
 	p.Canceller.limits = d.Limits
-	p.Canceller.ownership = d.OwnerElection
-	p.Canceller.peers = d.PeerNotifier
+	p.Canceller.successorElection = d.SuccessorElection
+	p.Canceller.peerNotifier = d.PeerNotifier
 	p.Canceller.replication = d.Replication
-	p.Canceller.terminator = d.ForcedTerminator
+	p.Canceller.forcedTerminator = d.ForcedTerminator
 }
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -11,7 +11,7 @@
 
 const (
 	// unwrittenRequestTimeout is how long a request is kept that could not be put on record. The
-	// user has been told to ask again long before, but did ask for the cancellation.
+	// user's call has been rejected long before, but the cancellation was asked for.
 	unwrittenRequestTimeout = 30 * time.Second
 
 	// directCancelConditionsPerOp bounds the conditions of a batch with a direct cancellation, as
@@ -37,8 +37,8 @@
 	return ok
 }
 
-// Write puts the next step of each cancellation into the batch.
-func (c *Canceller) Write(b *commit.Batch) {
+// WriteCancellations puts the next step of each cancellation into the batch.
+func (c *Canceller) WriteCancellations(b *commit.Batch) {
 	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
 		switch {
@@ -73,7 +73,7 @@
 	entry := c.Replica.Jobs[id]
 	if entry.Record.Owner != c.lease.Incarnation() ||
 		c.Replica.Revision < protocol.Revision(entry.ModRevision) ||
-		c.commits.HasPendingConditionOn(storage.JobKey(id)) {
+		c.committer.HasPendingConditionOn(storage.JobKey(id)) {
 		return false
 	}
 	maxConditions := directCancelConditionsPerOp * c.limits.WriteLimits().TransactionOps
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -67,15 +67,15 @@
 		ScaleInEvaluator:    fakeScaleIn{},
 	})
 	cancellationParts.Connect(cancellation.Dependencies{
-		Agents:           agentParts.Table,
-		Calls:            agentParts.Calls,
-		Committer:        commitParts.Committer,
-		Lease:            commitParts.Lease,
-		Limits:           commitParts.Limits,
-		OwnerElection:    parts.Manager,
-		PeerNotifier:     parts.Peers,
-		Replication:      commitParts.Replication,
-		ForcedTerminator: terminations,
+		Agents:            agentParts.Table,
+		Calls:             agentParts.Calls,
+		Committer:         commitParts.Committer,
+		Lease:             commitParts.Lease,
+		Limits:            commitParts.Limits,
+		SuccessorElection: parts.Manager,
+		PeerNotifier:      parts.Peers,
+		Replication:       commitParts.Replication,
+		ForcedTerminator:  terminations,
 	})
 	parts.Connect(Dependencies{
 		Cancellations: cancellationParts.Canceller,
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -83,7 +83,9 @@
 }
 
 // putMachine puts machine m-1 on record, on a shard of an epoch, and begins its ownership.
-func (p *testParts) putMachine(t *testing.T, epoch storage.ShardEpoch, record storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
+func (p *testParts) putMachine(
+	t *testing.T, epoch storage.ShardEpoch, record storage.MachineRecord,
+) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	entry := p.PutMachine(t, "stall-0#1", epoch, "m-1", record)
 	return entry, p.agents.Table.TrackOwnedMachine(entry, "m-1")
--- a/internal/coordination/scheduling/job_attempts_test.go
+++ b/internal/coordination/scheduling/job_attempts_test.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
-// A job whose tasks come back again and again is placed ever less often.
+// A job whose tasks have to be placed again and again is placed ever less often.
 func TestPlacementBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -47,9 +47,9 @@
 	attempts := attemptsOf(f.agents.Jobs, "j-1")
 	record := &storage.JobRecord{NextAttempt: 2 * step.AttemptBlockSize}
 	if attempts.canUse("own") {
-		t.Error("an attempt can be used before a block is adopted")
+		t.Error("an attempt can be used before a block is loaded")
 	}
-	attempts.adoptBlock("own", record)
+	attempts.loadBlock("own", record)
 	if first := attempts.next(); first != step.AttemptBlockSize+1 {
 		t.Errorf("the block begins with %d", first)
 	}
@@ -57,7 +57,7 @@
 		t.Error("the block is not its owner's alone")
 	}
 	attempts.recordPlacement(newArrayJob(4, 20), 1, attempts.next(), f.Now.Monotonic)
-	attempts.adoptBlock("own", record)
+	attempts.loadBlock("own", record)
 	if next := attempts.next(); next != step.AttemptBlockSize+2 {
 		t.Errorf("the next attempt is %d", next)
 	}
