--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -3,13 +3,14 @@
 import (
 	"testing"
 
+	"tillerarch/internal/coordination/step/steptest"
 	"tillerarch/internal/protocol"
 	"tillerarch/internal/storage"
 )
 
 // What keeps an assigned task from being started: a stop or a requeue of this
-// attempt, not of an earlier one. (A stop whose task ended with its agent epoch once
-// held back the task's next attempt on that machine for ever.)
+// attempt, not of an earlier one. (A stop whose task ended with its agent epoch must
+// not withhold the task's next attempt on that machine for ever.)
 func TestStartCommandsWithheld(t *testing.T) {
 	const assigned = protocol.Attempt(5)
 	for _, c := range []struct {
@@ -33,9 +34,9 @@
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, assigned)
 			entry, m := f.addOwnedMachine(t, record)
-			m.RecordHeartbeat(newHeartbeat(entry, 1), f.Now.Monotonic)
+			m.RecordHeartbeat(steptest.NewHeartbeat(entry, 1), f.Now.Monotonic)
 			if c.stopped > 0 {
-				m.stopRequests[task] = stopRequest{Attempt: c.stopped}
+				m.stopRequests[task] = stopRequest{attempt: c.stopped}
 			}
 			if c.revoked > 0 {
 				m.revokedAttempts[task] = c.revoked
@@ -44,7 +45,7 @@
 				m.CommandsLostAt = f.Now.Monotonic
 			}
 			starts := 0
-			for _, command := range f.Heartbeats.CommandsFor(entry, m, true) {
+			for _, command := range f.Heartbeats.commandsFor(entry, m, true) {
 				if command.Type == protocol.CommandStart && command.Attempt == assigned {
 					starts++
 				}
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -14,48 +14,48 @@
 	agentEpoch        protocol.AgentEpoch
 	sequence          protocol.Sequence
 	hasAgentResponded bool // its agent has answered a probe from here since
-	isAnnounced       bool // its owner has been told, in this round of peer statuses
+	isAnnounced       bool // its owner has been informed, in this round of peer statuses
 }
 
 // MisdirectedHeartbeats remembers heartbeats of machines that another controller owns. If the
-// agent answers a probe from here, the owner is told: the path between those two may be broken.
+// agent answers a probe from here, the owner is informed: the path between those two may be broken.
 type MisdirectedHeartbeats struct {
 	*step.Context
 
 	calls *Caller
 
-	misdirectedHeartbeats map[protocol.MachineID]misdirectedHeartbeat
+	byMachine map[protocol.MachineID]misdirectedHeartbeat
 }
 
 func newMisdirectedHeartbeats(ctx *step.Context) *MisdirectedHeartbeats {
 	return &MisdirectedHeartbeats{
-		Context:               ctx,
-		misdirectedHeartbeats: map[protocol.MachineID]misdirectedHeartbeat{},
+		Context:   ctx,
+		byMachine: map[protocol.MachineID]misdirectedHeartbeat{},
 	}
 }
 
-// AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents report here,
-// in turn, and tells whether there are more.
+// AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents send
+// heartbeats here, in turn, and tells whether there are more.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
-	responded := step.SelectKeys(mh.misdirectedHeartbeats, func(heartbeat misdirectedHeartbeat) bool {
+	responded := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
 		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
 	})
 	for _, id := range responded[:min(len(responded), step.MaxMisdirectedPerStatus)] {
-		heartbeat := mh.misdirectedHeartbeats[id]
+		heartbeat := mh.byMachine[id]
 		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, step.MisdirectedHeartbeat{
 			Machine:    id,
 			AgentEpoch: heartbeat.agentEpoch,
 			Sequence:   heartbeat.sequence,
 		})
 		heartbeat.isAnnounced = true
-		mh.misdirectedHeartbeats[id] = heartbeat
+		mh.byMachine[id] = heartbeat
 	}
 	if len(responded) > step.MaxMisdirectedPerStatus {
 		return true
 	}
-	for id, heartbeat := range mh.misdirectedHeartbeats {
+	for id, heartbeat := range mh.byMachine {
 		heartbeat.isAnnounced = false // a status may have been lost: they are announced once more
-		mh.misdirectedHeartbeats[id] = heartbeat
+		mh.byMachine[id] = heartbeat
 	}
 	return false
 }
@@ -63,36 +63,36 @@
 // misdirectedRetention is how long a misdirected heartbeat is remembered.
 const misdirectedRetention = 3 * time.Second
 
-// Expire forgets heartbeats that are too old to say where an agent reports now.
+// Expire forgets heartbeats that are too old to say which controller an agent reaches now.
 func (mh *MisdirectedHeartbeats) Expire() {
-	maps.DeleteFunc(mh.misdirectedHeartbeats, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
+	maps.DeleteFunc(mh.byMachine, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
 		return mh.Since(heartbeat.receivedAt) > misdirectedRetention
 	})
 }
 
 // confirm notes that the agent of a machine has answered a probe from here.
 func (mh *MisdirectedHeartbeats) confirm(id protocol.MachineID) {
-	if heartbeat, ok := mh.misdirectedHeartbeats[id]; ok {
+	if heartbeat, ok := mh.byMachine[id]; ok {
 		heartbeat.hasAgentResponded = true
-		mh.misdirectedHeartbeats[id] = heartbeat
+		mh.byMachine[id] = heartbeat
 	}
 }
 
-// recordMisdirectedHeartbeat notes the heartbeat of a machine that another incarnation owns, and
+// record notes the heartbeat of a machine that another incarnation owns, and
 // probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
 // machine over.)
-func (mh *MisdirectedHeartbeats) recordMisdirectedHeartbeat(heartbeat *protocol.Heartbeat) {
-	known, ok := mh.misdirectedHeartbeats[heartbeat.Machine]
+func (mh *MisdirectedHeartbeats) record(heartbeat *protocol.Heartbeat) {
+	known, ok := mh.byMachine[heartbeat.Machine]
 	switch {
 	case ok && isStale(heartbeat, known.agentEpoch, known.sequence):
 		return
 	case heartbeat.Addr == "":
 		return
-	case len(mh.misdirectedHeartbeats) >= mh.maxMisdirectedHeartbeats():
+	case len(mh.byMachine) >= mh.maxMisdirectedHeartbeats():
 		return
 	}
 	if mh.calls.tryProbe(heartbeat.Machine, heartbeat.Addr) {
-		mh.misdirectedHeartbeats[heartbeat.Machine] = misdirectedHeartbeat{
+		mh.byMachine[heartbeat.Machine] = misdirectedHeartbeat{
 			receivedAt: mh.Now.Monotonic,
 			agentEpoch: heartbeat.AgentEpoch,
 			sequence:   heartbeat.Sequence,
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -18,12 +18,12 @@
 type Monitor struct {
 	*step.Context
 
-	agents     *Table
-	calls      *Caller
-	jobs       *JobTable
-	shards     *commit.ShardWriter
-	stopper    *TaskStopper
-	terminator ScaleInEvaluator
+	agents  *Table
+	calls   *Caller
+	jobs    *JobTable
+	shards  *commit.ShardWriter
+	stopper *TaskStopper
+	scaleIn ScaleInEvaluator
 }
 
 // ownedMachine is a machine that this controller owns, with what is remembered of it.
@@ -48,7 +48,7 @@
 	owned, isCutOff := am.inspectOwnedMachines()
 	for _, o := range owned {
 		am.stopper.tickTaskStops(o.entry, o.state)
-		am.terminator.EvaluateScaleIn(o.entry, o.state, isCutOff)
+		am.scaleIn.EvaluateScaleIn(o.entry, o.state, isCutOff)
 		if am.mustCallAgent(o.entry, o.state) {
 			am.calls.sendCommands(o.entry, o.state, nil, tokenCallInterval)
 		}
@@ -77,25 +77,25 @@
 			}
 		}
 	}
-	am.terminator.BeginScaleInReview(silent)
-	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored
+	am.scaleIn.BeginScaleInReview(silent)
+	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored // more than two thirds
 }
 
 // mustCallAgent tells whether the agent has to be called directly: to test whether commands
-// arrive, or because it lacks the fencing token. It may still report to an owner that was cut
-// off, and the higher token makes that one's responses worthless.
+// arrive, or because it lacks the fencing token. It may still send heartbeats to an earlier
+// owner that is cut off from the store: the higher token makes that one's responses void.
 func (am *Monitor) mustCallAgent(entry *storage.Machine, m *MachineState) bool {
 	if entry.Record.AgentEpoch == 0 {
 		return false
 	}
-	if m.isHeardWhileSuspect() {
+	if m.hasContactWhileSuspect() {
 		return true
 	}
 	if m.ConfirmedToken >= entry.Record.FencingToken {
 		return false
 	}
-	// Within one shard epoch the agent reports here, and a response that is about to be sent
+	// Within one shard epoch the agent sends its heartbeats here, and a response that is about to be sent
 	// shows the token as well.
-	reportsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
-	return reportsHere && !m.IsDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
+	sendsHeartbeatsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
+	return sendsHeartbeatsHere && !m.isDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -33,13 +33,13 @@
 
 // StoreReports tells what the other controllers say of the store.
 type StoreReports interface {
-	// PeersReportStoreUnavailable tells whether other controllers were heard of within a
+	// PeersReportStoreUnavailable tells whether other controllers have sent a status within a
 	// time, and all of those do not reach the store.
 	PeersReportStoreUnavailable(within time.Duration) bool
 }
 
-// Replication keeps the replica of the store's records up to date: the initial load, the watch, and how
-// far both have come.
+// Replication keeps the replica of the store's records up to date: the initial load, the watch, and
+// how far both have come.
 type Replication struct {
 	*step.Context
 
@@ -101,8 +101,8 @@
 	r.Emit(step.LoadRecords{})
 }
 
-// WatchRecords asks for changes again. Each response costs a request of a tight budget, so
-// requests keep a distance unless something waits for the replica.
+// WatchRecords asks for changes again. Each response costs a request of a tight budget, so requests
+// are MinWatchInterval apart unless something waits for the replica.
 func (r *Replication) WatchRecords(waiting bool) {
 	now := r.Now.Monotonic
 	if !r.hasSnapshot || r.isWatching || r.isLoading || now < r.retryAt {
--- a/internal/coordination/scheduling/job_acquisition_test.go
+++ b/internal/coordination/scheduling/job_acquisition_test.go
@@ -30,12 +30,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newCoreWithTwoMachineTypes(t)
 			controller := storage.ControllerRecord{Incarnation: livingOwner}
-			f.put(t, storage.ControllerKey(livingOwner.Controller()), storage.MustMarshal(controller), 1)
+			f.Put(t, storage.ControllerKey(livingOwner.Controller()), storage.MustMarshal(controller), 1)
 			spec := newArrayJob(4, 20)
 			spec.ID = f.jobWithSuccessor(t, c.isSuccessor)
 			job := f.newPendingJob(spec, time.Minute)
 			job.record.Owner = c.owner
-			f.put(t, storage.JobKey(spec.ID), storage.MustMarshal(job.record), 2)
+			f.Put(t, storage.JobKey(spec.ID), storage.MustMarshal(job.record), 2)
 
 			f.acquirer.ownership.TrackExpiredIncarnations()
 			f.Now.Monotonic = f.Now.Monotonic.Add(c.expiredSince)
