--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -75,7 +75,7 @@
 	_ *admin.ShardingStatusRequest,
 ) (*admin.ShardingStatus, error) {
 	reply, err := callCoreFor[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input {
-		return requests.ShardingStatusRequest{Req: id}
+		return requests.ShardingStatusRequest{RequestID: id}
 	})
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 // SetDraining has a controller's drain recorded, or its end.
 func (b adminBackend) SetDraining(ctx context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
 	reply, err := callCoreFor[requests.DrainReply](ctx, b.daemon, func(id step.RequestID) step.Input {
-		return requests.DrainRequest{Req: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
+		return requests.DrainRequest{RequestID: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
 	})
 	if err != nil {
 		return nil, err
@@ -124,7 +124,7 @@
 
 func (b adminBackend) requestTransfer(ctx context.Context, request requests.TransferRequest) (*admin.Transfer, error) {
 	reply, err := callCoreFor[requests.TransferReply](ctx, b.daemon, func(id step.RequestID) step.Input {
-		request.Req = id
+		request.RequestID = id
 		return request
 	})
 	if err != nil {
@@ -170,7 +170,7 @@
 		Incarnation:       string(c.Incarnation),
 		Shards:            c.Shards,
 		Machines:          c.Machines,
-		SupportsTransfers: c.RecordsTransfers,
+		SupportsTransfers: c.SupportsTransfers,
 		Draining:          c.Draining,
 	}
 }
--- a/cmd/tillerarch/event_loop.go
+++ b/cmd/tillerarch/event_loop.go
@@ -102,11 +102,11 @@
 	case step.Reply:
 		d.reply(v)
 	case requests.TransferReply:
-		d.replyToAdmin(v.Req, v)
+		d.replyToAdmin(v.RequestID, v)
 	case requests.DrainReply:
-		d.replyToAdmin(v.Req, v)
+		d.replyToAdmin(v.RequestID, v)
 	case requests.ShardingStatusReply:
-		d.replyToAdmin(v.Req, v)
+		d.replyToAdmin(v.RequestID, v)
 	case step.Log:
 		slog.Log(ctx, v.Level, v.Message, v.Args...)
 	case step.SendPeerStatus:
--- a/internal/coordination/requests/drains.go
+++ b/internal/coordination/requests/drains.go
@@ -12,22 +12,22 @@
 // DrainRequest begins or ends the drain of a controller. It is answered once that is on record; a
 // repeated request has no further effect.
 type DrainRequest struct {
-	Req        step.RequestID
+	RequestID  step.RequestID
 	Controller protocol.ControllerID
 	Drain      bool
 }
 
 // DrainReply answers a DrainRequest.
 type DrainReply struct {
-	Req    step.RequestID
-	Status ControllerStatus // of the controller as it is now
-	Err    error
+	RequestID step.RequestID
+	Status    ControllerStatus // of the controller as it is now
+	Err       error
 }
 
 // OnDrainRequest queues a request, or refuses it.
 func (o *OperatorRequests) OnDrainRequest(request DrainRequest) {
 	o.enqueue(&operatorRequest{
-		rejection: func(err *RequestError) step.Effect { return DrainReply{Req: request.Req, Err: err} },
+		rejection: func(err *RequestError) step.Effect { return DrainReply{RequestID: request.RequestID, Err: err} },
 		tryWrite:  func(b *commit.Batch) (step.Effect, *RequestError) { return o.writeDrain(b, &request) },
 	}, o.checkDrain(&request))
 }
@@ -54,7 +54,7 @@
 // last two.
 func (o *OperatorRequests) writeDrain(b *commit.Batch, request *DrainRequest) (step.Effect, *RequestError) {
 	if request.Drain == o.Replica.IsDraining(request.Controller) {
-		return DrainReply{Req: request.Req, Status: o.controllerStatus(request.Controller)}, nil
+		return DrainReply{RequestID: request.RequestID, Status: o.controllerStatus(request.Controller)}, nil
 	}
 	if err := o.checkDrain(request); err != nil {
 		return nil, err
--- a/internal/coordination/requests/sharding_status.go
+++ b/internal/coordination/requests/sharding_status.go
@@ -9,11 +9,11 @@
 )
 
 // ShardingStatusRequest queries who owns which machines, and which transfers there are.
-type ShardingStatusRequest struct{ Req step.RequestID }
+type ShardingStatusRequest struct{ RequestID step.RequestID }
 
 // ShardingStatusReply answers a ShardingStatusRequest from one revision of the records.
 type ShardingStatusReply struct {
-	Req              step.RequestID
+	RequestID        step.RequestID
 	Revision         protocol.Revision
 	Stale            bool // the store may be ahead of this controller
 	Controllers      []ControllerStatus
@@ -24,12 +24,12 @@
 
 // ControllerStatus is what a controller owns.
 type ControllerStatus struct {
-	ID               protocol.ControllerID
-	Incarnation      storage.Incarnation
-	Shards           int
-	Machines         int
-	RecordsTransfers bool // its version takes part in transfers on record
-	Draining         bool
+	ID                protocol.ControllerID
+	Incarnation       storage.Incarnation
+	Shards            int
+	Machines          int
+	SupportsTransfers bool // its version takes part in transfers on record
+	Draining          bool
 }
 
 // ShardStatus is a shard with its owner.
@@ -47,7 +47,7 @@
 
 // OnShardingStatusRequest answers with the ownership and the transfers as of the replica's revision.
 func (o *OperatorRequests) OnShardingStatusRequest(request ShardingStatusRequest) {
-	reply := ShardingStatusReply{Req: request.Req, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
+	reply := ShardingStatusReply{RequestID: request.RequestID, Revision: o.Replica.Revision, Stale: !o.replication.IsUpToDate()}
 	for _, id := range step.SortedKeys(o.Replica.Shards) {
 		reply.Shards = append(reply.Shards, o.shardStatus(id))
 	}
@@ -82,7 +82,7 @@
 	status := ControllerStatus{ID: controller, Draining: o.Replica.IsDraining(controller)}
 	if entry := o.Replica.Controllers[controller]; entry != nil {
 		status.Incarnation = entry.Record.Incarnation
-		status.RecordsTransfers = entry.Record.SupportsTransfers
+		status.SupportsTransfers = entry.Record.SupportsTransfers
 	}
 	for _, shard := range o.Replica.Shards {
 		if status.Incarnation != "" && shard.Owner == status.Incarnation {
--- a/internal/coordination/requests/transfers.go
+++ b/internal/coordination/requests/transfers.go
@@ -11,19 +11,19 @@
 // TransferRequest begins a shard transfer, or aborts one. It is answered once that is on record, with
 // the transfer as it is there; a repeated request of the same name has no further effect.
 type TransferRequest struct {
-	Req    step.RequestID
-	Name   string                // of the transfer
-	Abort  bool                  // abort the transfer of that name instead
-	Shard  storage.ShardID       // the shard to transfer; or
-	Source protocol.ControllerID // any one of this controller's
-	Target protocol.ControllerID
+	RequestID step.RequestID
+	Name      string                // of the transfer
+	Abort     bool                  // abort the transfer of that name instead
+	Shard     storage.ShardID       // the shard to transfer; or
+	Source    protocol.ControllerID // any one of this controller's
+	Target    protocol.ControllerID
 }
 
 // TransferReply answers a TransferRequest.
 type TransferReply struct {
-	Req      step.RequestID
-	Transfer storage.TransferRecord
-	Err      error
+	RequestID step.RequestID
+	Transfer  storage.TransferRecord
+	Err       error
 }
 
 // maxTransferNameBytes is the longest name of a transfer, in bytes.
@@ -35,13 +35,13 @@
 // OnTransferRequest queues a request, or refuses it.
 func (o *OperatorRequests) OnTransferRequest(request TransferRequest) {
 	o.enqueue(&operatorRequest{
-		rejection: func(err *RequestError) step.Effect { return TransferReply{Req: request.Req, Err: err} },
+		rejection: func(err *RequestError) step.Effect { return TransferReply{RequestID: request.RequestID, Err: err} },
 		tryWrite: func(b *commit.Batch) (step.Effect, *RequestError) {
 			transfer, err := o.writeTransferRequest(b, &request)
 			if transfer == nil || err != nil {
 				return nil, err
 			}
-			return TransferReply{Req: request.Req, Transfer: *transfer}, nil
+			return TransferReply{RequestID: request.RequestID, Transfer: *transfer}, nil
 		},
 	}, o.checkTransferRequest(&request))
 }
--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"os/exec"
 	"slices"
 	"testing"
@@ -50,8 +51,8 @@
 		t.Helper()
 		common := []string{"shares", "--json", "--admin", cluster.Controllers[2].AdminAddr}
 		out, err := exec.Command(binaryPath, append(common, args...)...).Output()
-		exit, failed := err.(*exec.ExitError)
-		if err != nil && (!failed || exit.ExitCode() != code) || err == nil && code != 0 {
+		var exit *exec.ExitError
+		if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != code) || err == nil && code != 0 {
 			t.Fatalf("%v: %v, want exit code %d: %s", args, err, code, out)
 		}
 		if answer != nil {
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -79,7 +79,7 @@
 // follows a renaming of the types of effects.
 func canonical(e step.Effect) (code byte, form string, err error) {
 	status := func(s *requests.ControllerStatus) string {
-		return fmt.Sprintf("%q %q %d %d %t %t;", string(s.ID), string(s.Incarnation), s.Shards, s.Machines, s.RecordsTransfers, s.Draining)
+		return fmt.Sprintf("%q %q %d %d %t %t;", string(s.ID), string(s.Incarnation), s.Shards, s.Machines, s.SupportsTransfers, s.Draining)
 	}
 	transfer := func(r *storage.TransferRecord) string {
 		return fmt.Sprintf("%q %q %q %q %q %q %d %d %d %d %d;",
@@ -117,11 +117,11 @@
 		form, err := asProductionReads(v.Status.Wire())
 		return 'P', string(form), err
 	case requests.TransferReply:
-		return 'M', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), transfer(&v.Transfer)), nil
+		return 'M', fmt.Sprintf("%d %s %s", v.RequestID, errorText(v.Err), transfer(&v.Transfer)), nil
 	case requests.DrainReply:
-		return 'N', fmt.Sprintf("%d %s %s", v.Req, errorText(v.Err), status(&v.Status)), nil
+		return 'N', fmt.Sprintf("%d %s %s", v.RequestID, errorText(v.Err), status(&v.Status)), nil
 	case requests.ShardingStatusReply:
-		form := fmt.Sprintf("%d %d %t\n", v.Req, uint64(v.Revision), v.Stale)
+		form := fmt.Sprintf("%d %d %t\n", v.RequestID, uint64(v.Revision), v.Stale)
 		for i := range v.Controllers {
 			form += status(&v.Controllers[i])
 		}
@@ -191,7 +191,7 @@
 		count++
 		controller := w.Controllers[count%len(w.Controllers)]
 		controller.DeliverOperatorRequest(func(id step.RequestID) step.Input {
-			return requests.ShardingStatusRequest{Req: id}
+			return requests.ShardingStatusRequest{RequestID: id}
 		}, func(step.Effect) {})
 	})
 }
@@ -374,7 +374,7 @@
 		w.onTransferPhase(storage.TransferProposed, func(r storage.TransferRecord) {
 			if proposed++; proposed%5 == 0 {
 				w.Controllers[proposed%3].DeliverOperatorRequest(func(id step.RequestID) step.Input {
-					return requests.TransferRequest{Req: id, Name: r.Name, Abort: true}
+					return requests.TransferRequest{RequestID: id, Name: r.Name, Abort: true}
 				}, func(step.Effect) {})
 			}
 			if proposed%9 == 0 {
@@ -422,7 +422,7 @@
 		drain := func(at float64, asked int, member protocol.ControllerID, on bool) {
 			w.After(seconds(at), func() {
 				w.Controllers[asked].DeliverOperatorRequest(func(id step.RequestID) step.Input {
-					return requests.DrainRequest{Req: id, Controller: member, Drain: on}
+					return requests.DrainRequest{RequestID: id, Controller: member, Drain: on}
 				}, func(step.Effect) {})
 			})
 		}
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -29,11 +29,11 @@
 	case step.Reply:
 		c.reply(v)
 	case requests.TransferReply:
-		c.replyToOperator(v.Req, v)
+		c.replyToOperator(v.RequestID, v)
 	case requests.DrainReply:
-		c.replyToOperator(v.Req, v)
+		c.replyToOperator(v.RequestID, v)
 	case requests.ShardingStatusReply:
-		c.replyToOperator(v.Req, v)
+		c.replyToOperator(v.RequestID, v)
 	case step.Log:
 		c.trace(v)
 	case step.SendPeerStatus:
--- a/internal/simulation/repeatability_test.go
+++ b/internal/simulation/repeatability_test.go
@@ -45,7 +45,7 @@
 					for _, shard := range w.shardsOf(controller) {
 						target := w.Controllers[(i+1)%len(w.Controllers)].ID
 						controller.DeliverOperatorRequest(func(id step.RequestID) step.Input {
-							return requests.TransferRequest{Req: id, Name: string(shard), Shard: shard, Target: target}
+							return requests.TransferRequest{RequestID: id, Name: string(shard), Shard: shard, Target: target}
 						}, func(step.Effect) {})
 					}
 				}
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -31,7 +31,7 @@
 func (w *World) requestTransfer(t *testing.T, controller *Controller, request requests.TransferRequest) requests.TransferReply {
 	t.Helper()
 	return sendOperatorRequest(t, w, controller, func(id step.RequestID) step.Input {
-		request.Req = id
+		request.RequestID = id
 		return request
 	}).(requests.TransferReply)
 }
@@ -181,7 +181,7 @@
 	ids := submitMixedJobs(w, 20)
 	drain := func(at, target *Controller, on bool) requests.DrainReply {
 		return sendOperatorRequest(t, w, at, func(id step.RequestID) step.Input {
-			return requests.DrainRequest{Req: id, Controller: target.ID, Drain: on}
+			return requests.DrainRequest{RequestID: id, Controller: target.ID, Drain: on}
 		}).(requests.DrainReply)
 	}
 	w.Advance(12 * time.Second)
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -67,7 +67,7 @@
 		target := (source + 1 + w.Rand.IntN(len(w.Controllers)-1)) % len(w.Controllers)
 		name := fmt.Sprintf("drill-%d", number)
 		w.Controllers[receiver].DeliverOperatorRequest(func(id step.RequestID) step.Input {
-			return requests.TransferRequest{Req: id, Name: name, Source: w.Controllers[source].ID, Target: w.Controllers[target].ID}
+			return requests.TransferRequest{RequestID: id, Name: name, Source: w.Controllers[source].ID, Target: w.Controllers[target].ID}
 		}, func(step.Effect) {})
 		w.After(time.Duration(float64(every)*(0.5+w.Rand.Float64())), requestNext)
 	}
