--- a/internal/protocol/ids.go
+++ b/internal/protocol/ids.go
@@ -12,20 +12,20 @@
 
 // Small types of their own, so that one kind of number never stands in for another.
 type (
-	JobID        string // "j-000412"
-	MachineID    string // "m-000231"
-	Member       string // name of a controller
-	Zone         string
-	Sku          string // machine type
-	Attempt      uint64 // attempt number of a task
-	FencingToken uint64 // fencing token that workers compare
-	Session      uint64 // a worker's session
-	Tally        uint64 // order of a worker's messages within its session
-	Rev          uint64 // revision of the state service
-	Stamp        uint64 // revision of a key's last change; 0: the key does not exist
-	LeaseID      uint64 // lease of the state service
-	Instant      int64  // this process's steady clock, in nanoseconds
-	Millis       int64  // time of day in milliseconds since the epoch
+	JobID           string // "j-000412"
+	MachineID       string // "m-000231"
+	ControllerID    string // name of a controller
+	Zone            string
+	MachineTypeName string // machine type
+	Attempt         uint64 // attempt number of a task
+	FencingToken    uint64 // fencing token that workers compare
+	AgentEpoch      uint64 // a worker's session
+	Sequence        uint64 // order of a worker's messages within its session
+	Revision        uint64 // revision of the state service
+	ModRevision     uint64 // revision of a key's last change; 0: the key does not exist
+	LeaseID         uint64 // lease of the state service
+	Instant         int64  // this process's steady clock, in nanoseconds
+	Millis          int64  // time of day in milliseconds since the epoch
 )
 
 // Add moves an instant by a duration.
@@ -37,7 +37,7 @@
 // Seconds turns a duration of the wire into one of Go.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func validID(s, prefix string) bool {
+func isValidID(s, prefix string) bool {
 	if !strings.HasPrefix(s, prefix) || len(s) <= len(prefix) || len(s) > 40 {
 		return false
 	}
@@ -49,11 +49,11 @@
 	return true
 }
 
-// Valid tells whether the id has the only form that users use.
-func (id JobID) Valid() bool { return validID(string(id), "j-") }
+// IsValid tells whether the id has the only form that users use.
+func (id JobID) IsValid() bool { return isValidID(string(id), "j-") }
 
-// Valid tells whether the name has the form of the cloud's machine names.
-func (id MachineID) Valid() bool { return validID(string(id), "m-") }
+// IsValid tells whether the name has the form of the cloud's machine names.
+func (id MachineID) IsValid() bool { return isValidID(string(id), "m-") }
 
 // Task names one task of a job: "j-000412/3".
 type Task struct {
@@ -68,9 +68,9 @@
 
 // UnmarshalText reads the task's wire form.
 func (t *Task) UnmarshalText(b []byte) error {
-	job, piece, ok := strings.Cut(string(b), "/")
-	n, err := strconv.Atoi(piece)
-	if !ok || err != nil || n < 0 || n >= MaxTasks || !JobID(job).Valid() {
+	job, index, ok := strings.Cut(string(b), "/")
+	n, err := strconv.Atoi(index)
+	if !ok || err != nil || n < 0 || n >= MaxTasks || !JobID(job).IsValid() {
 		return fmt.Errorf("malformed task %q", b)
 	}
 	t.Job, t.Index = JobID(job), n
--- a/internal/shares/doc.go
+++ b/internal/shares/doc.go
@@ -6,8 +6,8 @@
 //
 //   - Plan proposes moves that even out the load (plan.go).
 //   - Next tells what a controller has to do for a move that is on record (move.go).
-//   - Heir and TakeoverDue tell who takes over the pages of a dead run, and when
+//   - Heir and IsFailoverDue tell who takes over the pages of a dead run, and when
 //     (takeover.go).
-//   - WholePage tells when the workers of a page have gone to another controller
+//   - ShouldHandOffShard tells when the workers of a page have gone to another controller
 //     (handover.go).
 package shares
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -16,29 +16,29 @@
 
 // Client calls one address over kept connections, at most Limit calls at once.
 type Client struct {
-	addr   string
-	tokens *rate.Limiter // nil: no limit
-	slots  chan struct{}
-	mu     sync.Mutex
-	idle   []*link
+	addr        string
+	rateLimiter *rate.Limiter // nil: no limit
+	slots       chan struct{}
+	mu          sync.Mutex
+	idleConns   []*pooledConn
 }
 
-type link struct {
-	c    net.Conn
-	r    *bufio.Reader
-	used time.Time
+type pooledConn struct {
+	conn     net.Conn
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
-const keepIdle = 20 * time.Second
+const idleConnTimeout = 20 * time.Second
 
 // NewClient makes a client. tokens bounds its call rate and may be nil.
-func NewClient(addr string, parallel int, tokens *rate.Limiter) *Client {
-	return &Client{addr: addr, tokens: tokens, slots: make(chan struct{}, parallel)}
+func NewClient(addr string, maxConcurrent int, rateLimiter *rate.Limiter) *Client {
+	return &Client{addr: addr, rateLimiter: rateLimiter, slots: make(chan struct{}, maxConcurrent)}
 }
 
 // Call sends one request. An error that is not ErrNotSent leaves open whether
 // the other side has carried the request out, or still will.
-func (c *Client) Call(method, target string, body []byte, timeout time.Duration) (*Answer, error) {
+func (c *Client) Call(method, target string, body []byte, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -48,54 +48,54 @@
 	case <-ctx.Done():
 		return nil, ErrNotSent
 	}
-	if c.tokens != nil && c.tokens.Wait(ctx) != nil {
+	if c.rateLimiter != nil && c.rateLimiter.Wait(ctx) != nil {
 		return nil, ErrNotSent
 	}
-	l := c.get()
-	if l == nil {
-		nc, err := (&net.Dialer{Deadline: deadline}).Dial("tcp4", c.addr)
+	pooled := c.popIdleConn()
+	if pooled == nil {
+		netConn, err := (&net.Dialer{Deadline: deadline}).Dial("tcp4", c.addr)
 		if err != nil {
 			return nil, errors.Join(ErrNotSent, err)
 		}
-		l = &link{c: nc, r: bufio.NewReaderSize(nc, 8<<10)}
+		pooled = &pooledConn{conn: netConn, reader: bufio.NewReaderSize(netConn, 8<<10)}
 	}
-	l.c.SetDeadline(deadline)
-	if _, err := l.c.Write(AppendRequest(make([]byte, 0, 256+len(body)), method, c.addr, target, body)); err != nil {
-		l.c.Close()
+	pooled.conn.SetDeadline(deadline)
+	if _, err := pooled.conn.Write(AppendRequest(make([]byte, 0, 256+len(body)), method, c.addr, target, body)); err != nil {
+		pooled.conn.Close()
 		return nil, err
 	}
-	a, err := ReadAnswer(l.r)
-	if err != nil || a.Close {
-		l.c.Close()
-		return a, err
+	response, err := ReadResponse(pooled.reader)
+	if err != nil || response.Close {
+		pooled.conn.Close()
+		return response, err
 	}
-	l.used = time.Now()
+	pooled.lastUsed = time.Now()
 	c.mu.Lock()
-	c.idle = append(c.idle, l)
+	c.idleConns = append(c.idleConns, pooled)
 	c.mu.Unlock()
-	return a, nil
+	return response, nil
 }
 
-func (c *Client) get() *link {
+func (c *Client) popIdleConn() *pooledConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.idle) > 0 {
-		l := c.idle[len(c.idle)-1]
-		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(l.used) < keepIdle && l.r.Buffered() == 0 {
-			return l
+	for len(c.idleConns) > 0 {
+		pooled := c.idleConns[len(c.idleConns)-1]
+		c.idleConns = c.idleConns[:len(c.idleConns)-1]
+		if time.Since(pooled.lastUsed) < idleConnTimeout && pooled.reader.Buffered() == 0 {
+			return pooled
 		}
-		l.c.Close()
+		pooled.conn.Close()
 	}
 	return nil
 }
 
-// CloseIdle drops kept connections, so that the next call opens a new one.
-func (c *Client) CloseIdle() {
+// CloseIdleConns drops kept connections, so that the next call opens a new one.
+func (c *Client) CloseIdleConns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, l := range c.idle {
-		l.c.Close()
+	for _, pooled := range c.idleConns {
+		pooled.conn.Close()
 	}
-	c.idle = nil
+	c.idleConns = nil
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -11,32 +11,32 @@
 
 // ServerConfig bounds what a server takes on.
 type ServerConfig struct {
-	Addr     string
-	Back     string // address of the gob link between controllers; empty: none
-	MaxConns int
-	Idle     time.Duration // a connection with nothing to do is closed after this
-	Slow     time.Duration // a request must be whole after this
+	Addr        string
+	PeerAddr    string // address of the gob link between controllers; empty: none
+	MaxConns    int
+	IdleTimeout time.Duration // a connection with nothing to do is closed after this
+	ReadTimeout time.Duration // a request must be whole after this
 }
 
 // Exchange is one request that waits for its answer.
 type Exchange struct {
-	Req  *Request
-	conn *conn
+	Request *Request
+	conn    *conn
 }
 
 // Handler takes a request. It must not block; Reply may come from anywhere.
 type Handler func(*Exchange)
 
 type conn struct {
-	ev      evio.Conn
-	in      []byte
-	busy    bool   // a request waits for its answer
-	out     []byte // an answer that waits for the loop
-	closing bool
-	since   time.Time // of the first byte of a request, or of the last answer
-	dead    bool
-	asked   bool // closing was asked for by the sweep
-	inLoop  bool
+	evioConn         evio.Conn
+	input            []byte
+	awaitingResponse bool   // a request waits for its answer
+	pendingResponse  []byte // an answer that waits for the loop
+	closing          bool
+	lastActivity     time.Time // of the first byte of a request, or of the last answer
+	closed           bool
+	closeRequested   bool // closing was asked for by the sweep
+	inEventLoop      bool
 }
 
 // Server serves HTTP on evio.
@@ -54,40 +54,40 @@
 //     a sweep closes idle ones, and if slow readers hold too many, the loop is
 //     started anew.
 type Server struct {
-	cfg    ServerConfig
-	handle Handler
-	mu     sync.Mutex
-	conns  map[*conn]bool
-	Peer   func(frame []byte) // takes what other controllers send
-	stop   atomic.Bool
+	config      ServerConfig
+	handler     Handler
+	mu          sync.Mutex
+	conns       map[*conn]bool
+	PeerHandler func(frame []byte) // takes what other controllers send
+	stopping    atomic.Bool
 }
 
 // NewServer makes a server; Run starts it.
-func NewServer(cfg ServerConfig, h Handler) *Server {
-	return &Server{cfg: cfg, handle: h, conns: map[*conn]bool{}}
+func NewServer(cfg ServerConfig, handler Handler) *Server {
+	return &Server{config: cfg, handler: handler, conns: map[*conn]bool{}}
 }
 
 // Run serves until Stop. It comes back earlier only if it never could listen.
 func (s *Server) Run() error {
-	served := false
-	addrs := []string{"tcp://" + s.cfg.Addr}
-	if s.cfg.Back != "" {
-		addrs = append(addrs, "tcp://"+s.cfg.Back)
+	listening := false
+	addrs := []string{"tcp://" + s.config.Addr}
+	if s.config.PeerAddr != "" {
+		addrs = append(addrs, "tcp://"+s.config.PeerAddr)
 	}
-	for !s.stop.Load() {
+	for !s.stopping.Load() {
 		err := evio.Serve(evio.Events{
 			NumLoops: 1,
-			Serving:  func(evio.Server) evio.Action { served = true; return evio.None },
-			Opened:   s.opened,
-			Closed:   s.closed,
-			Data:     s.data,
-			Tick:     s.sweep,
+			Serving:  func(evio.Server) evio.Action { listening = true; return evio.None },
+			Opened:   s.onOpened,
+			Closed:   s.onClosed,
+			Data:     s.onData,
+			Tick:     s.closeExpiredConns,
 		}, addrs...)
-		if err != nil && !served {
+		if err != nil && !listening {
 			return err
 		}
-		if !s.stop.Load() {
-			slog.Error("listener ended and is started anew", "addr", s.cfg.Addr, "err", err)
+		if !s.stopping.Load() {
+			slog.Error("listener ended and is started anew", "addr", s.config.Addr, "err", err)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
@@ -95,39 +95,39 @@
 }
 
 // Stop ends Run soon.
-func (s *Server) Stop() { s.stop.Store(true) }
+func (s *Server) Stop() { s.stopping.Store(true) }
 
-func (s *Server) opened(ev evio.Conn) ([]byte, evio.Options, evio.Action) {
+func (s *Server) onOpened(ev evio.Conn) ([]byte, evio.Options, evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	opts := evio.Options{TCPKeepAlive: 30 * time.Second, ReuseInputBuffer: true}
-	if len(s.conns) >= s.cfg.MaxConns {
+	if len(s.conns) >= s.config.MaxConns {
 		return nil, opts, evio.Close
 	}
-	c := &conn{ev: ev, since: time.Now()}
+	c := &conn{evioConn: ev, lastActivity: time.Now()}
 	ev.SetContext(c)
 	s.conns[c] = true
 	return nil, opts, evio.None
 }
 
-func (s *Server) closed(ev evio.Conn, _ error) evio.Action {
+func (s *Server) onClosed(ev evio.Conn, _ error) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c, ok := ev.Context().(*conn); ok {
-		c.dead = true
-		c.in, c.out = nil, nil
+		c.closed = true
+		c.input, c.pendingResponse = nil, nil
 		delete(s.conns, c)
 	}
 	return evio.None
 }
 
-func (s *Server) data(ev evio.Conn, in []byte) (out []byte, action evio.Action) {
+func (s *Server) onData(ev evio.Conn, in []byte) (out []byte, action evio.Action) {
 	c, ok := ev.Context().(*conn)
 	if !ok {
 		return nil, evio.Close
 	}
 	if ev.AddrIndex() == 1 {
-		return nil, s.peerData(c, in)
+		return nil, s.onPeerData(c, in)
 	}
 	s.mu.Lock()
 	if c.closing && len(in) > 0 { // of no use any more
@@ -136,50 +136,50 @@
 	}
 	if len(in) == 0 { // Wake
 		defer s.mu.Unlock()
-		return s.take(c)
+		return s.collectOutput(c)
 	}
-	if c.busy {
+	if c.awaitingResponse {
 		// The peer talks before it has its answer: pipelining, which nobody needs.
-		if len(c.in)+len(in) > MaxRequestBody {
+		if len(c.input)+len(in) > MaxRequestBody {
 			s.mu.Unlock()
 			return nil, evio.Close
 		}
-		c.in = append(c.in, in...)
+		c.input = append(c.input, in...)
 		s.mu.Unlock()
 		return nil, evio.None
 	}
-	if len(c.in) == 0 {
-		c.since = time.Now()
+	if len(c.input) == 0 {
+		c.lastActivity = time.Now()
 	}
-	c.in = append(c.in, in...)
-	req, n, err := ParseRequest(c.in)
+	c.input = append(c.input, in...)
+	req, consumed, err := ParseRequest(c.input)
 	if err != nil {
 		c.closing = true
 		s.mu.Unlock()
-		return AppendAnswer(nil, err.Status, 0, []byte(`{"error":"`+err.What+`"}`), true), evio.Close
+		return AppendResponse(nil, err.Status, 0, []byte(`{"error":"`+err.Message+`"}`), true), evio.Close
 	}
 	if req == nil {
 		s.mu.Unlock()
 		return nil, evio.None
 	}
-	if n < len(c.in) {
+	if consumed < len(c.input) {
 		req.Close = true
 	}
-	c.in = c.in[:0]
-	if cap(c.in) > 8<<10 {
-		c.in = nil
+	c.input = c.input[:0]
+	if cap(c.input) > 8<<10 {
+		c.input = nil
 	}
-	c.busy, c.inLoop = true, true
+	c.awaitingResponse, c.inEventLoop = true, true
 	s.mu.Unlock()
-	s.handle(&Exchange{Req: req, conn: c})
+	s.handler(&Exchange{Request: req, conn: c})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.inLoop = false
-	return s.take(c)
+	c.inEventLoop = false
+	return s.collectOutput(c)
 }
 
-// peerData cuts the stream of another controller into frames.
-func (s *Server) peerData(c *conn, in []byte) evio.Action {
+// onPeerData cuts the stream of another controller into frames.
+func (s *Server) onPeerData(c *conn, in []byte) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(in) == 0 {
@@ -188,80 +188,80 @@
 		}
 		return evio.None
 	}
-	c.since = time.Now()
-	c.in = append(c.in, in...)
+	c.lastActivity = time.Now()
+	c.input = append(c.input, in...)
 	for {
-		frame, rest, err := CutFrame(c.in)
+		frame, rest, err := SplitFrame(c.input)
 		if err != nil {
 			return evio.Close
 		}
 		if frame == nil {
 			return evio.None
 		}
-		if s.Peer != nil {
-			s.Peer(frame)
+		if s.PeerHandler != nil {
+			s.PeerHandler(frame)
 		}
-		c.in = append(c.in[:0], rest...)
+		c.input = append(c.input[:0], rest...)
 	}
 }
 
-// take hands an answer that is ready to the loop.
-func (s *Server) take(c *conn) ([]byte, evio.Action) {
-	out := c.out
-	c.out = nil
+// collectOutput hands an answer that is ready to the loop.
+func (s *Server) collectOutput(c *conn) ([]byte, evio.Action) {
+	out := c.pendingResponse
+	c.pendingResponse = nil
 	if out != nil {
-		c.busy = false
-		c.since = time.Now()
-		if len(c.in) > 0 {
+		c.awaitingResponse = false
+		c.lastActivity = time.Now()
+		if len(c.input) > 0 {
 			c.closing = true
 		}
 	}
-	if c.closing && !c.busy {
+	if c.closing && !c.awaitingResponse {
 		return out, evio.Close
 	}
 	return out, evio.None
 }
 
 // Reply answers the exchange; only the first answer counts.
-func (s *Server) Reply(x *Exchange, status, retryAfter int, body []byte) {
+func (s *Server) Reply(x *Exchange, status, retryAfterSeconds int, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := x.conn
-	if c.dead || !c.busy || c.out != nil {
+	if c.closed || !c.awaitingResponse || c.pendingResponse != nil {
 		return
 	}
-	c.out = AppendAnswer(make([]byte, 0, 160+len(body)), status, retryAfter, body, x.Req.Close)
-	c.closing = c.closing || x.Req.Close
-	if !c.inLoop {
-		c.ev.Wake()
+	c.pendingResponse = AppendResponse(make([]byte, 0, 160+len(body)), status, retryAfterSeconds, body, x.Request.Close)
+	c.closing = c.closing || x.Request.Close
+	if !c.inEventLoop {
+		c.evioConn.Wake()
 	}
 }
 
-// sweep closes connections that outstay their time. It runs in the loop.
-func (s *Server) sweep() (time.Duration, evio.Action) {
-	if s.stop.Load() {
+// closeExpiredConns closes connections that outstay their time. It runs in the loop.
+func (s *Server) closeExpiredConns() (time.Duration, evio.Action) {
+	if s.stopping.Load() {
 		return 0, evio.Shutdown
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now, stuck := time.Now(), 0
+	now, stalled := time.Now(), 0
 	for c := range s.conns {
-		limit := s.cfg.Idle
-		if len(c.in) > 0 && !c.busy {
-			limit = s.cfg.Slow
+		timeout := s.config.IdleTimeout
+		if len(c.input) > 0 && !c.awaitingResponse {
+			timeout = s.config.ReadTimeout
 		}
-		if c.busy || now.Sub(c.since) < limit {
+		if c.awaitingResponse || now.Sub(c.lastActivity) < timeout {
 			continue
 		}
-		if c.asked {
-			stuck++
+		if c.closeRequested {
+			stalled++
 			continue
 		}
-		c.asked, c.closing = true, true
-		c.ev.Wake()
+		c.closeRequested, c.closing = true, true
+		c.evioConn.Wake()
 	}
-	if stuck > 8 && stuck > s.cfg.MaxConns/4 {
-		slog.Error("slow readers hold too many connections; the listener is started anew", "stuck", stuck)
+	if stalled > 8 && stalled > s.config.MaxConns/4 {
+		slog.Error("slow readers hold too many connections; the listener is started anew", "stuck", stalled)
 		return time.Second, evio.Shutdown
 	}
 	return time.Second, evio.None
