--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -157,7 +157,7 @@
 func (c *Core) onPeerStatus(status step.PeerStatus) {
 	c.ownership.Peers.RecordStatus(&status)
 	c.cancellation.Canceller.OnPeerCancellations(&status)
-	c.ownership.Manager.RecordHeartbeatsElsewhere(&status)
+	c.ownership.Manager.RecordMisdirectedHeartbeats(&status)
 }
 
 // onMachineChanged handles the change of a machine's record in the replica.
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -45,9 +45,9 @@
 // each heartbeat that arrives elsewhere, and its message may be delayed.
 const handOffMargin = 4 * time.Second
 
-// RecordHeartbeatsElsewhere records the owned machines whose agents send heartbeats to the sender of
+// RecordMisdirectedHeartbeats records the owned machines whose agents send heartbeats to the sender of
 // a status, to be handed off.
-func (mgr *Manager) RecordHeartbeatsElsewhere(status *step.PeerStatus) {
+func (mgr *Manager) RecordMisdirectedHeartbeats(status *step.PeerStatus) {
 	heartbeats := status.MisdirectedHeartbeats
 	for _, heartbeat := range heartbeats[:min(len(heartbeats), step.MaxMisdirectedPerStatus)] {
 		entry := mgr.Replica.Machines[heartbeat.Machine]
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -12,7 +12,7 @@
 
 // reportElsewhere has the other controller report heartbeats that it received.
 func (c *testController) reportElsewhere(heartbeats ...step.MisdirectedHeartbeat) {
-	c.Manager.RecordHeartbeatsElsewhere(&step.PeerStatus{
+	c.Manager.RecordMisdirectedHeartbeats(&step.PeerStatus{
 		ControllerID:          otherController,
 		Incarnation:           otherIncarnation,
 		MisdirectedHeartbeats: heartbeats,
