--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -53,12 +53,12 @@
 		}
 		if !b.HasCapacity(1) {
 			r.nextShardIndex = index
-			r.committer.SetPartial(true)
+			r.committer.SetBatchPartial(true)
 			return
 		}
 	}
 	r.nextShardIndex = 0
-	r.committer.SetPartial(false)
+	r.committer.SetBatchPartial(false)
 }
 
 func (r *Reconciler) reconcileMachine(b *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -46,16 +46,16 @@
 	nextCommitAt         protocol.Instant
 	nextUserCommitAt     protocol.Instant
 	outcomeUnknown       bool // a transaction had an unknown outcome and no write barrier followed yet
-	isPartial            bool // the last batch could not take all changes of owned shards that were due
+	isBatchPartial       bool // the last batch could not take all changes of owned shards that were due
 	consecutiveThrottles int
 }
 
-// IsPartial tells whether the last transaction could not take all changes of owned shards
+// IsBatchPartial tells whether the last transaction could not take all changes of owned shards
 // that were due.
-func (c *Committer) IsPartial() bool { return c.isPartial }
+func (c *Committer) IsBatchPartial() bool { return c.isBatchPartial }
 
-// SetPartial records whether the transaction that is being built lacks changes that are due.
-func (c *Committer) SetPartial(partial bool) { c.isPartial = partial }
+// SetBatchPartial records whether the transaction that is being built lacks changes that are due.
+func (c *Committer) SetBatchPartial(partial bool) { c.isBatchPartial = partial }
 
 // HasPendingConditionOn tells whether the transaction under way depends on a key.
 func (c *Committer) HasPendingConditionOn(key string) bool {
@@ -68,9 +68,9 @@
 		c.lease.IsRegistered() && !c.outcomeUnknown && !c.replication.isBehind()
 }
 
-// ReadyForRecordBatch sends what goes before any batch of records (the registration, a write
+// PrepareForRecordBatch sends what goes before any batch of records (the registration, a write
 // barrier, the change of the storage format). It tells whether such a batch may be sent now.
-func (c *Committer) ReadyForRecordBatch() bool {
+func (c *Committer) PrepareForRecordBatch() bool {
 	if c.pending != nil || !c.replication.isLoaded || c.Now.Monotonic < c.nextCommitAt || !c.lease.isGranted() {
 		return false
 	}
@@ -107,7 +107,7 @@
 	b.notifySent()
 	c.Log(slog.LevelDebug, "transaction sent", "jobs", len(b.jobs), "shards", len(b.shards),
 		"owned_shards", len(c.shards.OwnedShards()), "bytes", b.estimatedBytes, "write_tokens", tokens,
-		"write_rate", c.limits.writeRate, "complete", !c.isPartial)
+		"write_rate", c.limits.writeRate, "complete", !c.isBatchPartial)
 	c.send(pending)
 }
 
--- a/internal/coordination/commit/committest/register.go
+++ b/internal/coordination/commit/committest/register.go
@@ -27,7 +27,7 @@
 		EndRevision:   loadedRevision,
 	})
 	ctx.Effects = nil
-	if parts.Committer.ReadyForRecordBatch() {
+	if parts.Committer.PrepareForRecordBatch() {
 		t.Fatal("a batch of records may be sent before the registration")
 	}
 	sent := steptest.EffectsOf[step.Commit](ctx.Effects)
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -87,7 +87,7 @@
 	default:
 		panic(fmt.Sprintf("unknown input %T", in))
 	}
-	c.Committer.ReadyForRecordBatch()
+	c.Committer.PrepareForRecordBatch()
 	c.Replication.WatchRecords(false)
 	return c.Effects
 }
--- a/internal/coordination/commit/shard_layout.go
+++ b/internal/coordination/commit/shard_layout.go
@@ -121,11 +121,11 @@
 	return maxFilledShardSize(limits)
 }
 
-// ReencodeOversized rewrites what this incarnation is responsible for and what the limits would
+// ReencodeOversizedRecords rewrites what this incarnation is responsible for and what the limits would
 // refuse as it is: shards and jobs written before the format was raised. It takes what capacity
 // the batch has, so a few transactions do; a change that needs such a record before rewrites it
 // the same way.
-func (w *ShardWriter) ReencodeOversized(b *Batch) {
+func (w *ShardWriter) ReencodeOversizedRecords(b *Batch) {
 	if w.limits.StorageFormat() < storage.FormatPacked {
 		return
 	}
--- a/internal/coordination/commit_cycle.go
+++ b/internal/coordination/commit_cycle.go
@@ -12,7 +12,7 @@
 	if c.hasUserChanges() && c.commit.Committer.ReadyForUserBatch() {
 		c.commitUserBatch()
 	}
-	if c.commit.Committer.ReadyForRecordBatch() {
+	if c.commit.Committer.PrepareForRecordBatch() {
 		c.commitRecordBatch()
 	}
 }
@@ -38,7 +38,7 @@
 		return
 	}
 	b := c.commit.ShardWriter.NewBatch(maxOps)
-	c.commit.ShardWriter.ReencodeOversized(b)
+	c.commit.ShardWriter.ReencodeOversizedRecords(b)
 	c.agents.Stopper.WriteGracefulStops(b)
 	c.writeOwnershipChanges(b)
 	// What can wait does so until the write limit allows a batch of a fair size: a record is then
@@ -84,7 +84,7 @@
 	c.commit.ShardWriter.MergeShards(b)
 	c.commit.ShardWriter.ConsolidateDoneTasks(b)
 	reservedOps := 0
-	if c.scheduling.Plan.HasPendingRemotePlacements() && c.commit.Committer.IsPartial() {
+	if c.scheduling.Plan.HasPendingRemotePlacements() && c.commit.Committer.IsBatchPartial() {
 		reservedOps = b.OpsLeft() / remoteOpsDivisor
 	}
 	b.ReserveOps(reservedOps)
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -94,7 +94,7 @@
 // controller takes one operation more, which may come late while the capacity is idle. Otherwise the
 // order of due times alone serves better.
 func (s *Scheduler) placeSamePrecedence(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
-	ownerShardsFirst := len(jobs) > 1 && s.committer.IsPartial()
+	ownerShardsFirst := len(jobs) > 1 && s.committer.IsBatchPartial()
 	for _, job := range jobs {
 		s.acquirer.acquireJob(b, job)
 		switch {
