--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -34,7 +34,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	base := steptest.New(steptest.Config())
+	base := steptest.NewFixture(steptest.Config())
 	f := &fixture{
 		Fixture:     base,
 		Parts:       New(base.Context),
@@ -98,7 +98,7 @@
 
 // tick looks after the machines and the deferred heartbeats as one step does.
 func (f *fixture) tick() {
-	f.ShouldRecheckDeferred = true
+	f.ShouldRecheckDeferredHeartbeats = true
 	f.Monitor.TickMachines()
 	f.Heartbeats.ResolveDeferredHeartbeats()
 }
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -149,10 +149,10 @@
 // ResolveDeferredHeartbeats answers the heartbeats that need not wait any longer, if anything
 // has changed that they may wait for.
 func (h *HeartbeatHandler) ResolveDeferredHeartbeats() {
-	if !h.ShouldRecheckDeferred {
+	if !h.ShouldRecheckDeferredHeartbeats {
 		return
 	}
-	h.ShouldRecheckDeferred = false
+	h.ShouldRecheckDeferredHeartbeats = false
 	for _, id := range step.SortedKeys(h.agents.deferredHeartbeats) {
 		m, entry := h.agents.machineStates[id], h.Replica.Machines[id]
 		if m.awaitsOwnership {
--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -171,7 +171,7 @@
 		return
 	}
 	c.peerIntents[intent.Job] = peerIntent{revision: intent.Revision, receivedAt: c.Now.Monotonic}
-	c.ShouldRecheckDeferred = true
+	c.ShouldRecheckDeferredHeartbeats = true
 }
 
 // recordPeerAck keeps the acknowledgement of the request to cancel a job, with the newest revision
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -29,7 +29,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	base := steptest.New(steptest.Config())
+	base := steptest.NewFixture(steptest.Config())
 	f := &fixture{Fixture: base, commit: commit.New(base.Context), agents: agents.New(base.Context)}
 	peers := &steptest.FakePeers{}
 	cancellations := New(base.Context)
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -30,7 +30,7 @@
 }
 
 func newTestController() *testController {
-	base := steptest.New(steptest.Config())
+	base := steptest.NewFixture(steptest.Config())
 	c := &testController{
 		Fixture: base,
 		Parts:   New(base.Context),
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -181,7 +181,7 @@
 		}
 	}
 	r.agents.OnMachinesRemoved()
-	r.ShouldRecheckDeferred = true
+	r.ShouldRecheckDeferredHeartbeats = true
 }
 
 // applyOperations takes the operations of an applied transaction into the replica.
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -81,10 +81,10 @@
 func (c *Core) Step(now step.Now, in step.Input) []step.Effect {
 	c.beginStep(now)
 	c.dispatch(in)
-	c.requests.Users.ReplyPending()
+	c.requests.Users.ReplyToPendingRequests()
 	c.agents.Heartbeats.ResolveDeferredHeartbeats()
 	c.commitBatches()
-	c.commit.Replication.WatchRecords(c.requests.Users.HasDeferred())
+	c.commit.Replication.WatchRecords(c.requests.Users.HasDeferredRequests())
 	return c.ctx.Effects
 }
 
@@ -109,7 +109,7 @@
 	case step.HeartbeatInput:
 		c.agents.Heartbeats.OnHeartbeat(v)
 	case step.AgentResult:
-		c.ctx.ShouldRecheckDeferred = true
+		c.ctx.ShouldRecheckDeferredHeartbeats = true
 		c.agents.Calls.OnAgentResult(v)
 	// The key-value store.
 	case step.CommitResult:
@@ -144,7 +144,7 @@
 	case step.PeerStatusInput:
 		c.onPeerStatus(v.Status)
 	case step.Tick:
-		c.ctx.ShouldRecheckDeferred = true
+		c.ctx.ShouldRecheckDeferredHeartbeats = true
 		c.tick()
 	default:
 		panic(fmt.Sprintf("coordination: unknown input %T", in))
@@ -162,7 +162,7 @@
 
 // onMachineChanged handles the change of a machine's record in the replica.
 func (c *Core) onMachineChanged(id protocol.MachineID, before, after *storage.MachineRecord) {
-	c.ctx.ShouldRecheckDeferred = true
+	c.ctx.ShouldRecheckDeferredHeartbeats = true
 	if before != nil && after != nil {
 		c.scheduling.Services.RecordExitedReplicas(id, before, after)
 	}
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -20,7 +20,7 @@
 // newReadyCore brings a core to the point where it is registered and up to date.
 func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in step.Input) []step.Effect) {
 	t.Helper()
-	now := steptest.Start
+	now := steptest.StartTime
 	c := New(steptest.Config(), now)
 	advance := func(after time.Duration, in step.Input) []step.Effect {
 		now.Monotonic = now.Monotonic.Add(after)
--- a/internal/coordination/health_test.go
+++ b/internal/coordination/health_test.go
@@ -68,7 +68,7 @@
 		{"no peer sends a status", 4 * time.Second, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			now := steptest.Start
+			now := steptest.StartTime
 			config := steptest.Config()
 			config.PeerCount = 2
 			core := New(config, now)
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	config := steptest.Config()
 	config.ControllerID = selfController
-	base := steptest.New(config)
+	base := steptest.NewFixture(config)
 	ctx := base.Context
 	catalogParts, commitParts, agentParts := catalog.New(ctx), commit.New(ctx), agents.New(ctx)
 	cancellationParts, parts := cancellation.New(ctx), New(ctx)
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -47,7 +47,7 @@
 // newTestParts makes parts that know the two machine types.
 func newTestParts(t *testing.T) *testParts {
 	t.Helper()
-	base := steptest.New(steptest.Config())
+	base := steptest.NewFixture(steptest.Config())
 	base.Rand = rand.New(rand.NewPCG(1, 1))
 	ctx := base.Context
 	cloud, records, fleet, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
--- a/internal/coordination/requests/deferred_requests.go
+++ b/internal/coordination/requests/deferred_requests.go
@@ -37,8 +37,8 @@
 	requestedAt protocol.Instant
 }
 
-// HasDeferred tells whether requests wait for a newer replica.
-func (u *UserRequests) HasDeferred() bool { return len(u.deferred) > 0 }
+// HasDeferredRequests tells whether requests wait for a newer replica.
+func (u *UserRequests) HasDeferredRequests() bool { return len(u.deferred) > 0 }
 
 // OnReadRevisionResult records the store's revision for all requests that wait for it.
 func (u *UserRequests) OnReadRevisionResult(result step.ReadRevisionResult) {
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	config := steptest.Config()
 	config.RecordTransfers = true
-	base := steptest.New(config)
+	base := steptest.NewFixture(config)
 	base.Rand = rand.New(rand.NewPCG(1, 1))
 	ctx := base.Context
 	agentParts, owners, cancellations := agents.New(ctx), ownership.New(ctx), cancellation.New(ctx)
--- a/internal/coordination/requests/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -56,7 +56,7 @@
 	}
 	request.receivedAt = o.Now.Monotonic
 	o.pending = append(o.pending, request)
-	o.ShouldRecheckDeferred = true
+	o.ShouldRecheckDeferredHeartbeats = true
 }
 
 // WriteOperatorRequests offers a batch to all requests, and answers those that are on record.
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -162,8 +162,8 @@
 	})
 }
 
-// ReplyPending answers every request that can be answered now.
-func (u *UserRequests) ReplyPending() {
+// ReplyToPendingRequests answers every request that can be answered now.
+func (u *UserRequests) ReplyToPendingRequests() {
 	u.replyToSubmissions()
 	u.replyToDeferred()
 }
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -148,12 +148,12 @@
 			if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
 				t.Fatalf("the revision is read %d times, want once", len(reads))
 			}
-			f.Users.ReplyPending()
+			f.Users.ReplyToPendingRequests()
 			f.wantStatuses(t, "before the revision is known")
 
 			f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 9})
 			f.Replica.Revision = 8
-			f.Users.ReplyPending()
+			f.Users.ReplyToPendingRequests()
 			f.wantStatuses(t, "with an older replica")
 
 			f.Replica.Revision = 9
@@ -163,13 +163,13 @@
 			if c.newTypes != nil {
 				f.listMachineTypes(c.newTypes)
 			}
-			f.Users.ReplyPending()
+			f.Users.ReplyToPendingRequests()
 			f.wantStatuses(t, "with a replica as new", c.want...)
 			if f.Users.HasSubmissions() != c.isSubmitted {
 				t.Errorf("waits to be put on record: %v, want %v", f.Users.HasSubmissions(), c.isSubmitted)
 			}
-			if isWaiting := len(c.want) == 0 && !c.isSubmitted; f.Users.HasDeferred() != isWaiting {
-				t.Errorf("still deferred: %v, want %v", f.Users.HasDeferred(), isWaiting)
+			if isWaiting := len(c.want) == 0 && !c.isSubmitted; f.Users.HasDeferredRequests() != isWaiting {
+				t.Errorf("still deferred: %v, want %v", f.Users.HasDeferredRequests(), isWaiting)
 			}
 			if got := f.canceller.HasRequests(); got != c.isCancelRequested {
 				t.Errorf("cancellation requested: %v, want %v", got, c.isCancelRequested)
@@ -184,15 +184,15 @@
 	f.putJob(t, storage.JobRecord{Owner: owner}, 2)
 	f.Users.OnUserInput(step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob})
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
-	f.Users.ReplyPending()
+	f.Users.ReplyToPendingRequests()
 	f.wantStatuses(t, "requested")
 	f.putJob(t, storage.JobRecord{Owner: owner, CancelRequested: true}, 3)
 	f.Replica.Revision = 3
-	f.Users.ReplyPending()
+	f.Users.ReplyToPendingRequests()
 	f.wantStatuses(t, "request on record")
 	f.putJob(t, storage.JobRecord{Owner: owner, State: protocol.JobCancelled}, 4)
 	f.Replica.Revision = 4
-	f.Users.ReplyPending()
+	f.Users.ReplyToPendingRequests()
 	f.wantStatuses(t, "confirmed", http.StatusOK)
 }
 
@@ -210,13 +210,13 @@
 		t.Fatalf("%d reads for the first request, want 1", len(reads))
 	}
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
-	f.Users.ReplyPending()
+	f.Users.ReplyToPendingRequests()
 	if replies := takeEffects[step.Reply](f); len(replies) != 1 || replies[0].RequestID != 1 {
 		t.Errorf("answers to %v, want the first request only", replies)
 	}
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Err: errors.New("no answer")})
 	f.wantStatuses(t, "second read failed", http.StatusServiceUnavailable, http.StatusServiceUnavailable)
-	if f.Users.HasDeferred() {
+	if f.Users.HasDeferredRequests() {
 		t.Error("rejected requests are still deferred")
 	}
 }
@@ -264,9 +264,9 @@
 			if !slices.Equal(statuses, c.want) {
 				t.Errorf("answered %v, want %v", statuses, c.want)
 			}
-			if isLeft := len(c.want) == 0; f.Users.HasSubmissions() != isLeft || f.Users.HasDeferred() != isLeft {
+			if isLeft := len(c.want) == 0; f.Users.HasSubmissions() != isLeft || f.Users.HasDeferredRequests() != isLeft {
 				t.Errorf("submissions left %v, deferred requests left %v, want %v",
-					f.Users.HasSubmissions(), f.Users.HasDeferred(), isLeft)
+					f.Users.HasSubmissions(), f.Users.HasDeferredRequests(), isLeft)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -38,7 +38,7 @@
 // with an empty fleet of two machine types.
 func newCoreWithTwoMachineTypes(t *testing.T) *fixture {
 	t.Helper()
-	f := wireParts(steptest.New(steptest.Config()))
+	f := wireParts(steptest.NewFixture(steptest.Config()))
 	committest.Register(t, f.Context, f.commit)
 	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
--- a/internal/coordination/step/context.go
+++ b/internal/coordination/step/context.go
@@ -26,9 +26,9 @@
 	Replica    *storage.Replica
 	ResumedAt  protocol.Instant // when this process last resumed after a pause
 	LastStepAt protocol.Instant // when the latest step began
-	// ShouldRecheckDeferred tells that something has changed for which deferred heartbeat
+	// ShouldRecheckDeferredHeartbeats tells that something has changed for which deferred heartbeat
 	// responses may be waiting.
-	ShouldRecheckDeferred bool
+	ShouldRecheckDeferredHeartbeats bool
 }
 
 // Emit adds an effect to those of this step.
--- a/internal/coordination/step/steptest/fixture.go
+++ b/internal/coordination/step/steptest/fixture.go
@@ -19,8 +19,8 @@
 // shardID is the shard that PutMachine writes.
 const shardID storage.ShardID = "p"
 
-// Start is the time at which a test begins.
-var Start = step.Now{Monotonic: 1, Wall: 1e12}
+// StartTime is the time at which a test begins.
+var StartTime = step.Now{Monotonic: 1, Wall: 1e12}
 
 // Config is the configuration of a controller without peers whose store accepts little: a few
 // machines fill a shard, a few jobs a transaction.
@@ -48,11 +48,11 @@
 	*step.Context
 }
 
-// New is the context of a controller that has read nothing yet.
-func New(config step.Config) Fixture {
+// NewFixture is the context of a controller that has read nothing yet.
+func NewFixture(config step.Config) Fixture {
 	return Fixture{&step.Context{
 		Config:  config,
-		Now:     Start,
+		Now:     StartTime,
 		Rand:    rand.New(rand.NewPCG(config.Seed, rngStream)),
 		Replica: storage.NewReplica(),
 	}}
