--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -115,8 +115,8 @@
 // ForgetAssignments drops since when tasks have been on machines.
 func (at *Table) ForgetAssignments() { clear(at.assignedAt) }
 
-// ForgetMachines drops what is remembered of machines that are on no record.
-func (at *Table) ForgetMachines() {
+// PruneMachineStates drops what is remembered of machines that are on no record.
+func (at *Table) PruneMachineStates() {
 	for id, m := range at.machineStates {
 		if at.Replica.Machines[id] == nil && !m.isDeferred() {
 			delete(at.machineStates, id)
--- a/internal/coordination/agents/job_state.go
+++ b/internal/coordination/agents/job_state.go
@@ -14,7 +14,7 @@
 	gangCompleteness
 	jobFailures
 
-	Placements int // tasks placed so far, each time counted
+	TaskPlacements int // tasks placed so far, each time counted
 }
 
 // attemptBlock is the attempts that the job's owner has set aside on record, to give them to
@@ -77,9 +77,9 @@
 
 // jobFailures is what keeps a job's tasks from being placed again at once.
 type jobFailures struct {
-	FailedMachines map[protocol.MachineID]bool // where its tasks ended with an error
-	EarlyExits     int                         // replicas that ended soon after their start, in a row
-	NotBefore      protocol.Instant            // of the next placement
+	FailedMachines        map[protocol.MachineID]bool // where its tasks ended with an error
+	ConsecutiveEarlyExits int                         // replicas that ended soon after their start, in a row
+	PlacementNotBefore    protocol.Instant            // of the next placement
 }
 
 // isGracefullyStopped tells whether an attempt of a gang is to stop gracefully, as is on record.
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -35,8 +35,8 @@
 	return state
 }
 
-// ForgetJobs drops what is remembered of jobs that are over.
-func (jt *JobTable) ForgetJobs() {
+// ForgetFinishedJobs drops what is remembered of jobs that are over.
+func (jt *JobTable) ForgetFinishedJobs() {
 	for id := range jt.jobStates {
 		if jt.isOver(id) {
 			delete(jt.jobStates, id)
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -63,8 +63,8 @@
 // misdirectedRetention is how long a misdirected heartbeat is remembered.
 const misdirectedRetention = 3 * time.Second
 
-// Expire forgets heartbeats that are too old to say which controller an agent reaches now.
-func (mh *MisdirectedHeartbeats) Expire() {
+// ForgetExpired forgets heartbeats that are too old to say which controller an agent reaches now.
+func (mh *MisdirectedHeartbeats) ForgetExpired() {
 	maps.DeleteFunc(mh.byMachine, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
 		return mh.Since(heartbeat.receivedAt) > misdirectedRetention
 	})
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -10,8 +10,8 @@
 
 // ScaleInEvaluator decides which owned machines are returned to the cloud.
 type ScaleInEvaluator interface {
-	BeginScaleInReview(silent int)
-	EvaluateScaleIn(entry *storage.Machine, state *MachineState, isolated bool)
+	BeginScaleInReview(silentMachines int)
+	EvaluateScaleIn(entry *storage.Machine, state *MachineState, isIsolated bool)
 }
 
 // Monitor looks after the owned machines at each tick: silence, stops that are due, scale-in.
--- a/internal/coordination/agents/reachability.go
+++ b/internal/coordination/agents/reachability.go
@@ -29,10 +29,10 @@
 	o.lastAgentEpoch, o.lastSequence = agentEpoch, sequence
 }
 
-// RecordHeartbeatElsewhere notes the place of a heartbeat that another controller received, and
+// RecordMisdirectedHeartbeat notes the place of a heartbeat that another controller received, and
 // tells whether it is newer than all that were received here. What the agent sent here earlier
 // and arrives later is then stale: it is no sign that the agent reaches this controller.
-func (o *heartbeatOrder) RecordHeartbeatElsewhere(
+func (o *heartbeatOrder) RecordMisdirectedHeartbeat(
 	agentEpoch protocol.AgentEpoch, sequence protocol.Sequence,
 ) (isNewer bool) {
 	if o.isOutOfOrder(agentEpoch, sequence) {
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -204,8 +204,8 @@
 	if !c.isDue(&c.nextForgetAt, forgetInterval) {
 		return
 	}
-	c.agents.Table.ForgetMachines()
-	c.agents.Jobs.ForgetJobs()
+	c.agents.Table.PruneMachineStates()
+	c.agents.Jobs.ForgetFinishedJobs()
 }
 
 // pollCloud makes the calls to the cloud that are due.
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		state := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
-		if !state.RecordHeartbeatElsewhere(heartbeat.AgentEpoch, heartbeat.Sequence) {
+		if !state.RecordMisdirectedHeartbeat(heartbeat.AgentEpoch, heartbeat.Sequence) {
 			continue // a late copy of a heartbeat that was received here
 		}
 		mgr.pendingHandOffs[heartbeat.Machine] = handOff{
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -102,7 +102,7 @@
 			p.nextStatusAt = now.Add(p.Jitter(peerStatusBacklogInterval))
 		}
 	}
-	p.misdirected.Expire()
+	p.misdirected.ForgetExpired()
 	p.Emit(step.SendPeerStatus{Status: status})
 }
 
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -177,7 +177,7 @@
 		{"with a machine that is forgotten", func(_ *testing.T, parts *testParts) {
 			entry := parts.Replica.Machines["m-1"]
 			delete(parts.Replica.Machines, "m-1")
-			parts.agents.Table.ForgetMachines()
+			parts.agents.Table.PruneMachineStates()
 			parts.Terminator.ForgetTerminated()
 			parts.Replica.Machines["m-1"] = entry
 		}, scaleInNone},
--- a/internal/coordination/scheduling/job_attempts.go
+++ b/internal/coordination/scheduling/job_attempts.go
@@ -41,8 +41,8 @@
 //
 //   - NextAttempt, AttemptsEnd, AttemptsOwner: the block of attempt numbers that this
 //     incarnation has reserved in the job's record and not yet used;
-//   - Placements, NotBefore: how many tasks were placed, and the delay of further placements;
-//   - EarlyExits, FailedMachines: failures of replicas in a row;
+//   - TaskPlacements, PlacementNotBefore: how many tasks were placed, and the delay of further placements;
+//   - ConsecutiveEarlyExits, FailedMachines: failures of replicas in a row;
 //   - GangAttemptInProgress: the attempt of a gang whose placement takes several transactions.
 //
 // GangIncompleteAt is read only.
@@ -84,7 +84,7 @@
 
 // isBackingOff tells whether placements of the job are delayed.
 func (a jobAttempts) isBackingOff(now protocol.Instant) bool {
-	return now < a.jobs.JobState(a.id).NotBefore
+	return now < a.jobs.JobState(a.id).PlacementNotBefore
 }
 
 // recordPlacement counts placed tasks. A job whose tasks have to be placed again and again is delayed
@@ -92,29 +92,29 @@
 func (a jobAttempts) recordPlacement(spec *protocol.Job, tasks int, attempt protocol.Attempt, now protocol.Instant) {
 	state := a.jobs.JobState(a.id)
 	state.NextAttempt = max(state.NextAttempt, attempt+1)
-	state.Placements += tasks
-	if spec.IsService() || state.Placements < freePlacementsPerTask*spec.TaskCount {
+	state.TaskPlacements += tasks
+	if spec.IsService() || state.TaskPlacements < freePlacementsPerTask*spec.TaskCount {
 		return
 	}
-	excessRounds := state.Placements/spec.TaskCount - freePlacementsPerTask + 1
+	excessRounds := state.TaskPlacements/spec.TaskCount - freePlacementsPerTask + 1
 	backoff := time.Duration(excessRounds) * placementBackoffStep
-	state.NotBefore = now.Add(min(backoff, maxPlacementBackoff))
+	state.PlacementNotBefore = now.Add(min(backoff, maxPlacementBackoff))
 }
 
 // recordEarlyExit records that a replica failed soon after its start, and returns the delay before
 // the next one.
 func (a jobAttempts) recordEarlyExit(now protocol.Instant) (backoff time.Duration) {
 	state := a.jobs.JobState(a.id)
-	backoff = min(minRestartBackoff<<min(state.EarlyExits, maxBackoffDoublings), MaxRestartBackoff)
-	state.EarlyExits++
-	state.NotBefore = now.Add(backoff)
+	backoff = min(minRestartBackoff<<min(state.ConsecutiveEarlyExits, maxBackoffDoublings), MaxRestartBackoff)
+	state.ConsecutiveEarlyExits++
+	state.PlacementNotBefore = now.Add(backoff)
 	return backoff
 }
 
 // resetFailures ends the backoff once a replica has run long enough to count as healthy.
 func (a jobAttempts) resetFailures() {
 	state := a.jobs.JobState(a.id)
-	state.EarlyExits, state.NotBefore = 0, 0
+	state.ConsecutiveEarlyExits, state.PlacementNotBefore = 0, 0
 	clear(state.FailedMachines)
 }
 
--- a/internal/coordination/service_restart_test.go
+++ b/internal/coordination/service_restart_test.go
@@ -28,7 +28,7 @@
 		lines := []string{record.EncodeLine("m-1")}
 		putRecord(t, c, storage.ShardKey("p"), storage.EncodePlainShard("stall-1#1", 3, lines, nil), modRevision)
 	}
-	backoff := func() time.Duration { return c.agents.Jobs.JobState("j-1").NotBefore.Sub(c.ctx.Now.Monotonic) }
+	backoff := func() time.Duration { return c.agents.Jobs.JobState("j-1").PlacementNotBefore.Sub(c.ctx.Now.Monotonic) }
 	before := time.Duration(0)
 	for attempt := range protocol.Attempt(12) {
 		put(attempt + 1)
