--- a/internal/coordination/step/doc.go
+++ b/internal/coordination/step/doc.go
@@ -1,7 +1,8 @@
-// Package step defines what one step of the core works with: the time, inputs and effects,
-// the configuration, the status that controllers send each other and its wire form.
+// Package step defines the types that all parts of the core share during a step: the time, the
+// inputs and effects, the configuration, the status that controllers send each other and the wire
+// form of that status.
 //
-// It owns these types and Context, which all parts of the core share, and no state of its own.
-// Only Core replaces the time and the effects in Context, and only commit.Replication replaces
-// the replica; everybody else reads them. This package imports no other part of the core.
+// The package holds no state of its own. In Context, only Core replaces the time and the effects,
+// and only commit.Replication replaces the replica. All other parts only read them. This package
+// imports no other part of the core.
 package step
--- a/internal/coordination/step/effects.go
+++ b/internal/coordination/step/effects.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// Effect is one of the types in this file, or one of the responses to operators that the
-// package requests defines.
+// Effect is an action that a step asks its caller to perform: one of the types in this file, or
+// one of the responses to operators that package requests defines.
 type Effect any
 
 // Effects on users, agents, other controllers and the operator's log.
@@ -20,20 +20,20 @@
 		RetryAfterSeconds int
 		Body              []byte
 	}
-	// SendCommands sends commands to an agent directly; an AgentResult answers.
+	// SendCommands sends commands directly to an agent. An AgentResult reports the response.
 	SendCommands struct {
 		Machine  protocol.MachineID
 		Addr     string
 		Commands protocol.Commands
 	}
-	// ProbeAgent asks an agent for its heartbeat; an AgentResult answers.
+	// ProbeAgent requests a heartbeat from an agent. An AgentResult reports the response.
 	ProbeAgent struct {
 		Machine protocol.MachineID
 		Addr    string
 	}
-	// SendPeerStatus sends this controller's status to all others.
+	// SendPeerStatus sends this controller's status to all other controllers.
 	SendPeerStatus struct{ Status PeerStatus }
-	// Log is a line for the operator.
+	// Log writes a log line for the operator.
 	Log struct {
 		Level   slog.Level
 		Message string
@@ -50,11 +50,11 @@
 	}
 	// LoadRecords reads all records.
 	LoadRecords struct{}
-	// Watch waits for changes behind a revision.
+	// Watch waits for changes after a revision.
 	Watch struct{ AfterRevision protocol.Revision }
 	// ReadRevision reads the current revision.
 	ReadRevision struct{}
-	// GrantLease asks for a new lease.
+	// GrantLease requests a new lease.
 	GrantLease struct{ TTL time.Duration }
 	// RenewLease renews a lease.
 	RenewLease struct{ LeaseID protocol.LeaseID }
@@ -64,9 +64,9 @@
 type (
 	// ListMachineTypes reads the machine types and their prices.
 	ListMachineTypes struct{}
-	// ProvisionMachines asks for new machines.
+	// ProvisionMachines requests new machines.
 	ProvisionMachines struct{ Request protocol.ProvisionRequest }
-	// TerminateMachines gives machines up.
+	// TerminateMachines terminates machines.
 	TerminateMachines struct{ Machines []protocol.MachineID }
 	// ListInstances reads the list of instances.
 	ListInstances struct{}
--- a/internal/coordination/step/inputs.go
+++ b/internal/coordination/step/inputs.go
@@ -5,16 +5,16 @@
 	"tillerarch/internal/storage"
 )
 
-// Input is one of the types in this file, or one of the operators' requests that the package
-// requests defines.
+// Input is an event that a step handles: one of the types in this file, or one of the operators'
+// requests that package requests defines.
 type Input any
 
-// RequestID ties the response to a request.
+// RequestID identifies the request that a response belongs to.
 type RequestID uint64
 
 // Inputs from users, agents, other controllers and the clock.
 type (
-	// UserInput is a request on the users' path.
+	// UserInput is a request of a user to submit, query or cancel a job.
 	UserInput struct {
 		RequestID RequestID
 		Type      protocol.RequestType
@@ -26,53 +26,55 @@
 		RequestID RequestID
 		Body      []byte
 	}
-	// AgentResult is the response to commands or a probe that were sent to an agent.
+	// AgentResult is the response of an agent to SendCommands or ProbeAgent.
 	AgentResult struct {
 		Machine   protocol.MachineID
 		Heartbeat *protocol.Heartbeat
 		Err       error
 	}
-	// PeerStatusInput is the status that another controller sent.
+	// PeerStatusInput is a status that another controller sent.
 	PeerStatusInput struct{ Status PeerStatus }
-	// Tick lets time pass.
+	// Tick is the periodic input of the clock. It carries no data.
 	Tick struct{}
 )
 
 // Results of requests to the key-value store.
 type (
-	// CommitResult is the outcome of a transaction. The core acts on Outcome; Err is the cause of
-	// one that is not a regular response, for the operator, and may be nil.
+	// CommitResult is the outcome of a transaction. The core acts on Outcome only. Err is for the
+	// operator: the cause of an outcome that is not a regular response. It may be nil.
 	CommitResult struct {
 		ID      uint64
 		Outcome storage.Outcome
 		Result  protocol.TransactionResult
 		Err     error
 	}
-	// LoadRecordsResult has all records. They were read in portions between two revisions, so
-	// they are consistent once the changes up to EndRevision have been applied too.
+	// LoadRecordsResult holds all records. They were read in portions between StartRevision and
+	// EndRevision, so they are consistent only once the changes up to EndRevision have been
+	// applied to them.
 	LoadRecordsResult struct {
 		Entries                    []protocol.Entry
 		StartRevision, EndRevision protocol.Revision
 		Err                        error
 	}
-	// WatchResult has the changes behind a revision. Err is storage.ErrRevisionTooOld if the
-	// store has compacted them.
+	// WatchResult holds the changes after a revision. Err is storage.ErrRevisionTooOld if the
+	// store has compacted these changes.
 	WatchResult struct {
 		AfterRevision protocol.Revision
 		Response      *protocol.WatchResponse
 		Err           error
 	}
-	// ReadRevisionResult is the current revision of the store.
+	// ReadRevisionResult holds the current revision of the store.
 	ReadRevisionResult struct {
 		Revision protocol.Revision
 		Err      error
 	}
-	// GrantLeaseResult is a new lease.
+	// GrantLeaseResult holds the ID of a new lease.
 	GrantLeaseResult struct {
 		LeaseID protocol.LeaseID
 		Err     error
 	}
-	// RenewLeaseResult is a renewed lease. Err is storage.ErrLeaseExpired if it had expired.
+	// RenewLeaseResult is the response to the renewal of a lease. Err is storage.ErrLeaseExpired
+	// if the lease had expired.
 	RenewLeaseResult struct {
 		LeaseID protocol.LeaseID
 		Err     error
@@ -81,13 +83,13 @@
 
 // Results of requests to the cloud.
 type (
-	// ListMachineTypesResult has the machine types and their prices.
+	// ListMachineTypesResult holds the machine types and their prices.
 	ListMachineTypesResult struct {
 		MachineTypes []protocol.MachineType
 		Err          error
 	}
-	// ProvisionMachinesResult is the response to a provision request. NoCapacity tells that the
-	// cloud has none at present, Invalid that it will never grant this request.
+	// ProvisionMachinesResult is the response to a provision request. NoCapacity reports that the
+	// cloud has no capacity at present, Invalid that the cloud will never grant this request.
 	ProvisionMachinesResult struct {
 		Request    protocol.ProvisionRequest
 		Machines   []protocol.MachineID
@@ -100,7 +102,7 @@
 		Machines []protocol.MachineID
 		Err      error
 	}
-	// ListInstancesResult is the cloud's list of instances.
+	// ListInstancesResult holds the cloud's list of instances.
 	ListInstancesResult struct {
 		RequestedAt protocol.Instant
 		Instances   []protocol.Instance
--- a/internal/coordination/step/peer_wire.go
+++ b/internal/coordination/step/peer_wire.go
@@ -5,12 +5,12 @@
 	"tillerarch/internal/storage"
 )
 
-// The messages between controllers are encoded with encoding/gob, which carries Go field
-// names. Two versions serve side by side during an upgrade, so the names in this file are
-// those of every version in production and must not change. All other code uses the types
-// that these are converted to and from.
+// The messages between controllers are encoded with encoding/gob, which transmits Go field names.
+// Two versions run side by side during an upgrade, so the names in this file must stay those of
+// every version in production. All other code uses the types that the wire types are converted to
+// and from.
 
-// PeerStatusWire is the form in which a PeerStatus travels between controllers.
+// PeerStatusWire is the wire form of a PeerStatus.
 type PeerStatusWire struct {
 	Member  protocol.ControllerID
 	StateOK bool
@@ -33,7 +33,7 @@
 	Rev protocol.Revision
 }
 
-// Wire converts a status to the form in which it is sent.
+// Wire converts a status to its wire form.
 func (s *PeerStatus) Wire() *PeerStatusWire {
 	wire := &PeerStatusWire{
 		Member:  s.ControllerID,
@@ -56,7 +56,7 @@
 	return wire
 }
 
-// Status converts a received message to the type that the core works with.
+// Status converts a received message to the type that the core uses.
 func (w *PeerStatusWire) Status() PeerStatus {
 	status := PeerStatus{
 		ControllerID:   w.Member,
--- a/internal/coordination/step/peer_wire_test.go
+++ b/internal/coordination/step/peer_wire_test.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// A status is the same after it was sent, and its wire form has the fields that every version in
-// production knows.
+// The conversion of a status to its wire form and back preserves the status. The wire form has the
+// fields that every version in production knows.
 func TestPeerStatusWire(t *testing.T) {
 	status := PeerStatus{
 		ControllerID:          "stall-1",
@@ -21,7 +21,7 @@
 		CancelAcks:            []protocol.JobID{"j-2"},
 	}
 	if got := status.Wire().Status(); !reflect.DeepEqual(got, status) {
-		t.Errorf("%+v, want %+v", got, status)
+		t.Errorf("status after conversion to the wire form and back is %+v, want %+v", got, status)
 	}
 	for _, c := range []struct {
 		wire any
@@ -38,7 +38,7 @@
 				got = append(got, wireType.Field(i).Name)
 			}
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("fields %v, want %v", got, c.want)
+				t.Errorf("wire type has fields %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/coordination/step/steptest/fakes.go
+++ b/internal/coordination/step/steptest/fakes.go
@@ -7,41 +7,41 @@
 	"tillerarch/internal/storage"
 )
 
-// FakePeers stands for what package ownership knows of the other controllers: none of them has sent
-// a status lately.
+// FakePeers replaces the state that package ownership holds of the other controllers. None of them
+// has sent a status recently.
 type FakePeers struct {
-	StoreUnavailable bool // they say so of the store
-	ElectsSelf       bool // the controller under test takes over from those that have expired
+	StoreUnavailable bool // the other controllers report that they do not reach the store
+	ElectsSelf       bool // the controller under test takes over from expired incarnations
 }
 
-// PeersReportStoreUnavailable gives StoreUnavailable.
+// PeersReportStoreUnavailable returns StoreUnavailable.
 func (f *FakePeers) PeersReportStoreUnavailable(time.Duration) bool { return f.StoreUnavailable }
 
-// IsSuccessor gives ElectsSelf.
+// IsSuccessor returns ElectsSelf.
 func (f *FakePeers) IsSuccessor(string) bool { return f.ElectsSelf }
 
-// HasHeardFrom is false for every incarnation.
+// HasHeardFrom returns false for every incarnation.
 func (f *FakePeers) HasHeardFrom(storage.Incarnation, time.Duration) bool { return false }
 
 // ExpediteStatus does nothing.
 func (f *FakePeers) ExpediteStatus() {}
 
-// NoTransfers stands for package ownership while no shard is being transferred.
+// NoTransfers replaces the transfers of package ownership. No shard is being transferred.
 type NoTransfers struct{}
 
-// IsQuiesced is false for every shard.
+// IsQuiesced returns false for every shard.
 func (NoTransfers) IsQuiesced(storage.ShardID) bool { return false }
 
-// ShardsInTransfer lists none.
+// ShardsInTransfer returns no shards.
 func (NoTransfers) ShardsInTransfer(func(storage.TransferPhase) bool) map[storage.ShardID]bool {
 	return nil
 }
 
-// FakeTerminations stands for package provisioning. It is the set of machines whose termination the
-// cloud has confirmed.
+// FakeTerminations replaces the terminations of package provisioning. It is the set of machines
+// whose termination the cloud has confirmed.
 type FakeTerminations map[protocol.MachineID]bool
 
-// IsTerminationConfirmed tells whether the machine is in the set.
+// IsTerminationConfirmed reports whether the machine is in the set.
 func (f FakeTerminations) IsTerminationConfirmed(id protocol.MachineID) bool { return f[id] }
 
 // RecordRemoval does nothing.
@@ -50,8 +50,8 @@
 // TerminateUnrecorded does nothing.
 func (f FakeTerminations) TerminateUnrecorded(protocol.MachineID) {}
 
-// NoPlan stands for package scheduling with an empty plan.
+// NoPlan replaces the plan of package scheduling. It is empty.
 type NoPlan struct{}
 
-// ExpectsPlacement is false for every machine.
+// ExpectsPlacement returns false for every machine.
 func (NoPlan) ExpectsPlacement(protocol.MachineID) bool { return false }
--- a/internal/coordination/step/steptest/fixture.go
+++ b/internal/coordination/step/steptest/fixture.go
@@ -10,20 +10,20 @@
 	"tillerarch/internal/storage"
 )
 
-// ControllerID is the controller under test.
+// ControllerID is the ID of the controller under test.
 const ControllerID protocol.ControllerID = "stall-0"
 
-// rngStream selects the random sequence of a controller under test, the one that Core uses.
+// rngStream selects the random sequence of the controller under test. Core uses the same stream.
 const rngStream = 7
 
-// shardID is the shard that PutMachine writes.
+// shardID is the ID of the shard that PutMachine writes.
 const shardID storage.ShardID = "p"
 
 // StartTime is the time at which a test begins.
 var StartTime = step.Now{Monotonic: 1, Wall: 1e12}
 
-// Config is the configuration of a controller without peers whose store accepts little: a few
-// machines fill a shard, a few jobs a transaction.
+// Config returns the configuration of a controller without peers. Its store has low limits: a few
+// machines fill a shard, and a few jobs fill a transaction.
 func Config() step.Config {
 	return step.Config{
 		ControllerID:      ControllerID,
@@ -38,17 +38,18 @@
 	}
 }
 
-// AnnouncedLimits are limits of the store, far below those of Config, that a test may announce.
+// AnnouncedLimits returns limits of the store that a test may announce. They are far below those of
+// Config.
 func AnnouncedLimits() *step.WriteLimits {
 	return &step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
 }
 
-// Fixture is the context that the parts under test work with. Fixtures of packages embed it.
+// Fixture holds the context of the parts under test. The fixtures of packages embed it.
 type Fixture struct {
 	*step.Context
 }
 
-// NewFixture is the context of a controller that has read nothing yet.
+// NewFixture returns a fixture for a controller that has read nothing from the store yet.
 func NewFixture(config step.Config) Fixture {
 	return Fixture{&step.Context{
 		Config:  config,
@@ -58,13 +59,13 @@
 	}}
 }
 
-// Advance lets time pass.
+// Advance moves the monotonic and the wall clock forward by d.
 func (f Fixture) Advance(d time.Duration) {
 	f.Now.Monotonic = f.Now.Monotonic.Add(d)
 	f.Now.Wall += protocol.Millis(d.Milliseconds())
 }
 
-// Put puts a record into the replica, as a watch event would.
+// Put puts a record into the replica, as a watch event would do.
 func (f Fixture) Put(t testing.TB, key string, value []byte, modRevision protocol.ModRevision) {
 	t.Helper()
 	if _, err := f.Replica.Put(key, value, modRevision); err != nil {
@@ -72,7 +73,7 @@
 	}
 }
 
-// PutMachine puts a machine on record, the only one of its shard.
+// PutMachine puts a shard with a single machine into the replica and returns that machine.
 func (f Fixture) PutMachine(
 	t testing.TB, owner storage.Incarnation, epoch storage.ShardEpoch, id protocol.MachineID, record storage.MachineRecord,
 ) *storage.Machine {
@@ -83,7 +84,8 @@
 	return f.Replica.Machines[id]
 }
 
-// NewHeartbeat is a heartbeat of a machine on record that shows its fencing token and agent epoch.
+// NewHeartbeat returns a heartbeat that shows the fencing token and the agent epoch of the machine's
+// record.
 func NewHeartbeat(
 	machine *storage.Machine, sequence protocol.Sequence, tasks ...protocol.TaskStatus,
 ) *protocol.Heartbeat {
--- a/internal/coordination/step/steptest/machine_types.go
+++ b/internal/coordination/step/steptest/machine_types.go
@@ -2,8 +2,8 @@
 
 import "tillerarch/internal/protocol"
 
-// SmallMachineType is cheap by the core and slow to boot, the other way round than
-// LargeMachineType.
+// SmallMachineType returns a machine type that is cheaper per core than LargeMachineType on spot and
+// slower to boot.
 func SmallMachineType() protocol.MachineType {
 	return protocol.MachineType{
 		Name:                 "small",
@@ -17,7 +17,8 @@
 	}
 }
 
-// LargeMachineType is expensive by the core and boots soon.
+// LargeMachineType returns a machine type that is more expensive per core than SmallMachineType on
+// spot and boots faster.
 func LargeMachineType() protocol.MachineType {
 	return protocol.MachineType{
 		Name:                 "large",
--- a/internal/coordination/step/steptest/store.go
+++ b/internal/coordination/step/steptest/store.go
@@ -6,7 +6,7 @@
 	"tillerarch/internal/storage"
 )
 
-// EffectsOf lists the effects of one type.
+// EffectsOf returns the effects of type E.
 func EffectsOf[E step.Effect](effects []step.Effect) []E {
 	var found []E
 	for _, effect := range effects {
@@ -17,10 +17,10 @@
 	return found
 }
 
-// HasEffect tells whether there is an effect of a type.
+// HasEffect reports whether there is an effect of type E.
 func HasEffect[E step.Effect](effects []step.Effect) bool { return len(EffectsOf[E](effects)) > 0 }
 
-// ReplyStatus is the status of the first reply among the effects, 0 if there is none.
+// ReplyStatus returns the HTTP status of the first reply among the effects, or 0 if there is none.
 func ReplyStatus(effects []step.Effect) int {
 	if replies := EffectsOf[step.Reply](effects); len(replies) > 0 {
 		return replies[0].Status
@@ -28,7 +28,7 @@
 	return 0
 }
 
-// CommittedAt is the result of a transaction that was applied at a revision.
+// CommittedAt returns the result of a transaction that was applied at a revision.
 func CommittedAt(id uint64, revision protocol.Revision) step.CommitResult {
 	return step.CommitResult{
 		ID:      id,
@@ -37,7 +37,8 @@
 	}
 }
 
-// UnchangedUntil is the result of a watch request that no record has changed up to a revision.
+// UnchangedUntil returns the result of a watch request: no record has changed between the revision
+// after and revision.
 func UnchangedUntil(after, revision protocol.Revision) step.WatchResult {
 	return step.WatchResult{
 		AfterRevision: after,
--- a/internal/coordination/step/write_limits.go
+++ b/internal/coordination/step/write_limits.go
@@ -4,21 +4,21 @@
 	"tillerarch/internal/protocol"
 )
 
-// WriteLimits are what the key-value store accepts.
+// WriteLimits holds the limits of the key-value store on writes.
 type WriteLimits struct {
-	WritesPerSecond float64 // operations of all controllers together
+	WritesPerSecond float64 // operations per second of all controllers together
 	TransactionOps  int     // operations in a transaction
 	ValueBytes      int     // size of a value
 }
 
-// conditionsPerOperation is how many conditions the store accepts in a transaction for each
-// operation that it accepts.
+// conditionsPerOperation is the number of conditions that the store accepts in a transaction for
+// each operation that it accepts.
 const conditionsPerOperation = 4
 
-// MaxConditions is how many conditions a transaction may have.
+// MaxConditions returns the largest number of conditions in a transaction.
 func (l WriteLimits) MaxConditions() int { return conditionsPerOperation * l.TransactionOps }
 
-// Strictest takes the smaller one of each limit.
+// Strictest returns the smaller value of each limit.
 func (l WriteLimits) Strictest(other WriteLimits) WriteLimits {
 	return WriteLimits{
 		WritesPerSecond: min(l.WritesPerSecond, other.WritesPerSecond),
@@ -27,8 +27,8 @@
 	}
 }
 
-// Allows tells whether a transaction is within the limits. The store would refuse one that is
-// not as a whole, however often it is sent.
+// Allows reports whether a transaction is within the limits. The store refuses a larger transaction
+// as a whole, however often it is sent.
 func (l WriteLimits) Allows(transaction *protocol.Transaction) bool {
 	if len(transaction.Operations) > l.TransactionOps || len(transaction.Conditions) > l.MaxConditions() {
 		return false
