--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -44,7 +44,7 @@
 	ac.agentCallsInFlight--
 	ok := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
 	if ok {
-		ac.misdirected.confirm(result.Machine)
+		ac.misdirected.recordProbeAnswer(result.Machine)
 	}
 	m := ac.agents.machineStates[result.Machine]
 	if m == nil {
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -60,7 +60,7 @@
 // the ownership on record is another one than before.
 func (at *Table) TrackOwnedMachine(entry *storage.Machine, id protocol.MachineID) *MachineState {
 	m := at.MachineState(id)
-	if !m.isOf(&entry.Record) {
+	if !m.matchesRecord(&entry.Record) {
 		revision := protocol.Revision(at.Replica.Shards[entry.Record.Shard].ModRevision)
 		m.beginOwnership(&entry.Record, revision, at.Now.Monotonic)
 	}
@@ -98,7 +98,7 @@
 		job, machineType := at.Replica.Jobs[a.Job], at.catalog.MachineType(after.MachineType)
 		if job != nil && job.Record.Spec != nil && machineType != nil {
 			spec := job.Record.Spec
-			at.MachineState(id).use(spec.Image, spec.ImageGB, machineType.LocalDiskGB)
+			at.MachineState(id).recordUse(spec.Image, spec.ImageGB, machineType.LocalDiskGB)
 		}
 	}
 }
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -8,12 +8,12 @@
 // commandList collects the commands for one agent.
 type commandList struct {
 	handler *HeartbeatHandler
-	machine *MachineState
+	state   *MachineState
 	record  *storage.MachineRecord
 
-	isCurrent  bool // the latest heartbeat is under the recorded epochs
-	isUpToDate bool // the replica is
-	commands   []protocol.Command
+	isHeartbeatCurrent bool // the latest heartbeat is under the recorded epochs
+	isReplicaUpToDate  bool // the replica is
+	commands           []protocol.Command
 }
 
 // commandsFor lists what the agent is to do. Only a response to a heartbeat may start tasks or
@@ -21,11 +21,11 @@
 // arrive after its sender has lost the machine.
 func (h *HeartbeatHandler) commandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
 	list := commandList{
-		handler:    h,
-		machine:    m,
-		record:     &entry.Record,
-		isCurrent:  m.CurrentHeartbeat(&entry.Record) != nil,
-		isUpToDate: h.replication.IsUpToDate(),
+		handler:            h,
+		state:              m,
+		record:             &entry.Record,
+		isHeartbeatCurrent: m.CurrentHeartbeat(&entry.Record) != nil,
+		isReplicaUpToDate:  h.replication.IsUpToDate(),
 	}
 	list.addStopsAndForgets(inResponse)
 	if inResponse && list.mayStart() {
@@ -36,13 +36,13 @@
 
 // addStopsAndForgets goes through the tasks that the agent shows.
 func (l *commandList) addStopsAndForgets(inResponse bool) {
-	for i := range l.machine.LatestHeartbeat.Tasks {
-		status := &l.machine.LatestHeartbeat.Tasks[i]
+	for i := range l.state.LatestHeartbeat.Tasks {
+		status := &l.state.LatestHeartbeat.Tasks[i]
 		attempt, ok := l.record.AttemptOf(status.Task)
 		isAssigned := ok && attempt == status.Attempt
 		if status.State == protocol.TaskExited {
 			// While it is assigned its end is not on record yet, and the agent must go on showing it.
-			if inResponse && l.isCurrent && !isAssigned && l.isUpToDate {
+			if inResponse && l.isHeartbeatCurrent && !isAssigned && l.isReplicaUpToDate {
 				l.commands = append(l.commands, protocol.Command{
 					Type:    protocol.CommandForget,
 					Task:    status.Task,
@@ -64,13 +64,13 @@
 
 // stopGracePeriod tells whether a live task must stop, and in what time.
 func (l *commandList) stopGracePeriod(status *protocol.TaskStatus, isAssigned bool) (seconds float64, mustStop bool) {
-	if !isAssigned && l.isUpToDate || l.handler.cancellations.CancelRequested(status.Task.Job) {
+	if !isAssigned && l.isReplicaUpToDate || l.handler.cancellations.CancelRequested(status.Task.Job) {
 		return 0, true
 	}
-	if !l.machine.HasStopRequest(status.Task, status.Attempt) {
+	if !l.state.HasStopRequest(status.Task, status.Attempt) {
 		return 0, false
 	}
-	seconds = l.machine.stopRequests[status.Task].graceSeconds
+	seconds = l.state.stopRequests[status.Task].graceSeconds
 	if status.State == protocol.TaskSaving && seconds != 0 {
 		return 0, false // it is stopping already
 	}
@@ -80,10 +80,10 @@
 // mayStart tells whether the agent may get any start command at all. The replica must be up
 // to date: an old one may show tasks that have been taken back, or jobs that are being cancelled.
 func (l *commandList) mayStart() bool {
-	return l.isUpToDate &&
-		l.machine.LatestHeartbeat.AgentEpoch == l.record.AgentEpoch &&
+	return l.isReplicaUpToDate &&
+		l.state.LatestHeartbeat.AgentEpoch == l.record.AgentEpoch &&
 		!l.record.Terminating &&
-		!l.machine.CommandsLost() &&
+		!l.state.CommandsLost() &&
 		!l.handler.transfers.IsQuiesced(l.record.Shard)
 }
 
@@ -120,14 +120,14 @@
 
 // mayStartTask tells whether one task that is assigned may start now.
 func (l *commandList) mayStartTask(task protocol.Task, attempt protocol.Attempt) bool {
-	if l.machine.isWithheld(task, attempt) {
+	if l.state.isStartWithheld(task, attempt) {
 		return false
 	}
-	status := l.machine.taskStatuses[task]
+	status := l.state.taskStatuses[task]
 	if status == nil {
 		return true
 	}
 	// It is here already, or an earlier attempt must be forgotten first. The command for that
 	// goes into the same response, ahead of the start, if the heartbeat is current.
-	return status.Attempt != attempt && status.State == protocol.TaskExited && l.isCurrent
+	return status.Attempt != attempt && status.State == protocol.TaskExited && l.isHeartbeatCurrent
 }
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -49,10 +49,10 @@
 	return n
 }
 
-// isWithheld tells whether an attempt of a task must not be started: it, or a later one, is being
+// isStartWithheld tells whether an attempt of a task must not be started: it, or a later one, is being
 // taken back or has been asked to stop. A stop of an earlier attempt, which may have ended unseen
 // with its agent epoch, does not hold back the next one.
-func (c *commandsInFlight) isWithheld(task protocol.Task, attempt protocol.Attempt) bool {
+func (c *commandsInFlight) isStartWithheld(task protocol.Task, attempt protocol.Attempt) bool {
 	if revoked, ok := c.revokedAttempts[task]; ok && revoked >= attempt {
 		return true
 	}
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -29,8 +29,8 @@
 // CommandsLost tells whether what is sent to the agent is known not to arrive.
 func (d *delivery) CommandsLost() bool { return d.CommandsLostAt != 0 }
 
-// suspect notes that commands may not arrive.
-func (d *delivery) suspect(now protocol.Instant) {
+// suspectLoss notes that commands may not arrive.
+func (d *delivery) suspectLoss(now protocol.Instant) {
 	if d.suspectedAt == 0 {
 		d.suspectedAt = now
 	}
@@ -62,7 +62,7 @@
 }
 
 // markSuspect notes that commands may not reach the agent.
-func (at *Table) markSuspect(m *MachineState) { m.suspect(at.Now.Monotonic) }
+func (at *Table) markSuspect(m *MachineState) { m.suspectLoss(at.Now.Monotonic) }
 
 // markReachable notes that something that was sent to the agent has arrived.
 func (at *Table) markReachable(m *MachineState) {
@@ -72,7 +72,7 @@
 	m.confirmDelivery()
 }
 
-// isSuspect tells whether it has been uncertain for a while that commands reach the agent.
-func (at *Table) isSuspect(m *MachineState) bool {
+// isSuspectTooLong tells whether it has been uncertain for a while that commands reach the agent.
+func (at *Table) isSuspectTooLong(m *MachineState) bool {
 	return m.suspectedAt != 0 && at.Since(m.suspectedAt) > suspectTimeout
 }
--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -27,20 +27,20 @@
 	steptest.Fixture
 	*Parts
 
-	commit      *commit.Parts
-	cancelled   fakeCancellations
-	termination steptest.FakeTerminations
+	commit        *commit.Parts
+	cancellations fakeCancellations
+	terminations  steptest.FakeTerminations
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	base := steptest.NewFixture(steptest.Config())
 	f := &fixture{
-		Fixture:     base,
-		Parts:       New(base.Context),
-		commit:      commit.New(base.Context),
-		cancelled:   fakeCancellations{},
-		termination: steptest.FakeTerminations{},
+		Fixture:       base,
+		Parts:         New(base.Context),
+		commit:        commit.New(base.Context),
+		cancellations: fakeCancellations{},
+		terminations:  steptest.FakeTerminations{},
 	}
 	peers := &steptest.FakePeers{ElectsSelf: true}
 	machineTypes := catalog.New(base.Context).Catalog
@@ -53,15 +53,15 @@
 	})
 	f.Connect(Dependencies{
 		Catalog:             machineTypes,
-		RemovalRecorder:     f.termination,
-		CancellationChecker: f.cancelled,
+		RemovalRecorder:     f.terminations,
+		CancellationChecker: f.cancellations,
 		Lease:               f.commit.Lease,
 		PlacementForecast:   steptest.NoPlan{},
 		Replication:         f.commit.Replication,
 		QuiesceChecker:      steptest.NoTransfers{},
 		Committer:           f.commit.Committer,
 		ShardWriter:         f.commit.ShardWriter,
-		TerminationChecker:  f.termination,
+		TerminationChecker:  f.terminations,
 		ScaleInEvaluator:    fakeScaleIn{},
 	})
 	committest.Register(t, f.Context, f.commit)
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -37,7 +37,7 @@
 	jobs          *JobTable
 	lease         *commit.Lease
 	misdirected   *MisdirectedHeartbeats
-	plan          PlacementForecast
+	forecast      PlacementForecast
 	replication   *commit.Replication
 	transfers     QuiesceChecker
 }
@@ -70,7 +70,7 @@
 	requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat,
 ) {
 	if entry != nil && h.Replica.IsAlive(entry.Record.Owner) && entry.Record.Owner.Controller() != h.Config.ControllerID {
-		h.misdirected.record(heartbeat)
+		h.misdirected.recordHeartbeat(heartbeat)
 		h.agents.replyRedirect(requestID, entry.Record.Owner.Controller())
 		return
 	}
@@ -79,7 +79,7 @@
 		return
 	}
 	m := h.agents.MachineState(heartbeat.Machine)
-	if h.isLateCopy(entry, m, heartbeat) {
+	if h.isDelayedOrDuplicate(entry, m, heartbeat) {
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	m := h.agents.TrackOwnedMachine(entry, heartbeat.Machine)
-	if h.isLateCopy(entry, m, heartbeat) {
+	if h.isDelayedOrDuplicate(entry, m, heartbeat) {
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
@@ -124,9 +124,9 @@
 	}
 }
 
-// isLateCopy tells whether a heartbeat was delivered after one that its agent sent later, or the
+// isDelayedOrDuplicate tells whether a heartbeat was delivered after one that its agent sent later, or the
 // same again. Its agent no longer waits for the response, so nothing may rest on it.
-func (h *HeartbeatHandler) isLateCopy(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) bool {
+func (h *HeartbeatHandler) isDelayedOrDuplicate(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) bool {
 	return m.isOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence) ||
 		entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch
 }
--- a/internal/coordination/agents/image_cache.go
+++ b/internal/coordination/agents/image_cache.go
@@ -11,7 +11,7 @@
 	sizeGB float64
 }
 
-func (c *imageCache) has(name string) bool {
+func (c *imageCache) contains(name string) bool {
 	for i := range c.images {
 		if c.images[i].name == name {
 			return true
@@ -32,9 +32,9 @@
 	return totalGB / float64(len(c.images))
 }
 
-// use makes an image the most recently used one, and evicts the least recently used ones that
+// recordUse makes an image the most recently used one, and evicts the least recently used ones that
 // the disk does not hold beside it.
-func (c *imageCache) use(name string, sizeGB, diskGB float64) {
+func (c *imageCache) recordUse(name string, sizeGB, diskGB float64) {
 	for i := range c.images {
 		if c.images[i].name == name {
 			c.images = append(c.images[:i], c.images[i+1:]...)
--- a/internal/coordination/agents/job_state.go
+++ b/internal/coordination/agents/job_state.go
@@ -39,8 +39,8 @@
 	return s.measuredRuntime / time.Duration(s.measuredTasks)
 }
 
-// ratioOf is a run time as a multiple of the mean, which counts as a second at least.
-func (s *runtimeStatistics) ratioOf(runtime time.Duration) float64 {
+// ratioToMean is a run time as a multiple of the mean, which counts as a second at least.
+func (s *runtimeStatistics) ratioToMean(runtime time.Duration) float64 {
 	return runtime.Seconds() / max(s.measuredRuntime.Seconds()/float64(s.measuredTasks), 1)
 }
 
@@ -52,7 +52,7 @@
 // gangCompleteness is whether all tasks of a gang are assigned with one attempt.
 type gangCompleteness struct {
 	GangIncompleteAt      protocol.Instant // since when the highest attempt is incomplete; 0: it is complete
-	seenAttempt           protocol.Attempt // the highest attempt when that was looked at
+	checkedAttempt        protocol.Attempt // the highest attempt when that was looked at
 	GangAttemptInProgress protocol.Attempt // whose assignment takes several transactions
 }
 
@@ -60,19 +60,19 @@
 // one that is still being written.
 const gangIncompleteTimeout = 3 * time.Second
 
-// track takes in whether the highest attempt is complete now.
-func (g *gangCompleteness) track(attempt protocol.Attempt, isComplete bool, now protocol.Instant) {
+// recordCompleteness takes in whether the highest attempt is complete now.
+func (g *gangCompleteness) recordCompleteness(attempt protocol.Attempt, isComplete bool, now protocol.Instant) {
 	if isComplete {
 		g.GangIncompleteAt = 0
-	} else if g.GangIncompleteAt == 0 || g.seenAttempt != attempt {
+	} else if g.GangIncompleteAt == 0 || g.checkedAttempt != attempt {
 		g.GangIncompleteAt = now
 	}
-	g.seenAttempt = attempt
+	g.checkedAttempt = attempt
 }
 
-// isBroken tells whether an attempt has been incomplete for too long.
-func (g *gangCompleteness) isBroken(attempt protocol.Attempt, now protocol.Instant) bool {
-	return g.GangIncompleteAt != 0 && g.seenAttempt == attempt && now.Sub(g.GangIncompleteAt) > gangIncompleteTimeout
+// isIncompleteTooLong tells whether an attempt has been incomplete for too long.
+func (g *gangCompleteness) isIncompleteTooLong(attempt protocol.Attempt, now protocol.Instant) bool {
+	return g.GangIncompleteAt != 0 && g.checkedAttempt == attempt && now.Sub(g.GangIncompleteAt) > gangIncompleteTimeout
 }
 
 // jobFailures is what keeps a job's tasks from being placed again at once.
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -38,14 +38,14 @@
 // ForgetFinishedJobs drops what is remembered of jobs that are over.
 func (jt *JobTable) ForgetFinishedJobs() {
 	for id := range jt.jobStates {
-		if jt.isOver(id) {
+		if jt.canForget(id) {
 			delete(jt.jobStates, id)
 		}
 	}
 }
 
-// isOver tells whether a job is off the records, done, or cancelled with no task left on a machine.
-func (jt *JobTable) isOver(id protocol.JobID) bool {
+// canForget tells whether a job is off the records, done, or cancelled with no task left on a machine.
+func (jt *JobTable) canForget(id protocol.JobID) bool {
 	entry := jt.Replica.Jobs[id]
 	if entry == nil || entry.Record.State == protocol.JobDone {
 		return true
@@ -69,7 +69,7 @@
 		return
 	}
 	state, runtime := jt.JobState(task.Job), jt.Since(startedAt)
-	if state.hasEnoughSamples() && m.Slowdown.record(state.ratioOf(runtime)) {
+	if state.hasEnoughSamples() && m.Slowdown.recordRatio(state.ratioToMean(runtime)) {
 		jt.Log(slog.LevelInfo, "machine slow state changed", "machine", string(m.ID),
 			"enabled", m.Slowdown.IsSlow(), "runtime_ratio", m.Slowdown.ratio)
 	}
@@ -102,7 +102,7 @@
 		}
 		attempt := jt.HighestAttempt(id, nil)
 		isComplete := attempt == 0 || jt.isGangFullyAssigned(id, &entry.Record, attempt)
-		jt.JobState(id).track(attempt, isComplete, jt.Now.Monotonic)
+		jt.JobState(id).recordCompleteness(attempt, isComplete, jt.Now.Monotonic)
 	}
 }
 
@@ -127,7 +127,7 @@
 // isGangBroken tells whether an attempt of a gang has been incomplete for too long to be one
 // that is still being written.
 func (jt *JobTable) isGangBroken(id protocol.JobID, attempt protocol.Attempt) bool {
-	return jt.JobState(id).isBroken(attempt, jt.Now.Monotonic)
+	return jt.JobState(id).isIncompleteTooLong(attempt, jt.Now.Monotonic)
 }
 
 // spansSeveralTasks tells whether a job is a gang whose tasks depend on each other.
--- a/internal/coordination/agents/machine_health.go
+++ b/internal/coordination/agents/machine_health.go
@@ -65,8 +65,8 @@
 // and tasks differ by themselves.
 func (s slowdown) IsSlow() bool { return s.samples >= minRuntimeSamples && s.ratio > slowMachineRatio }
 
-// record takes in one task, and tells whether the machine has become slow or ceased to be.
-func (s *slowdown) record(ratio float64) (hasChanged bool) {
+// recordRatio takes in one task, and tells whether the machine has become slow or ceased to be.
+func (s *slowdown) recordRatio(ratio float64) (hasChanged bool) {
 	wasSlow := s.IsSlow()
 	if s.samples++; s.samples == 1 {
 		s.ratio = ratio
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -56,7 +56,7 @@
 func (m *MachineState) RecordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
 	m.LastContactAt = now
 	m.confirmToken(heartbeat.FencingToken, now)
-	m.observe(heartbeat, now)
+	m.recordStatuses(heartbeat, now)
 	m.dropOutdatedStopRequests(m.taskStatuses)
 	m.recordPreemptionNotice(heartbeat.PreemptionNoticeSeconds, now)
 }
@@ -77,10 +77,10 @@
 
 // HasImage tells whether the machine is known to have an image. Nothing is known of a nil machine.
 func (m *MachineState) HasImage(name string) bool {
-	return m != nil && m.imageCache.has(name)
+	return m != nil && m.imageCache.contains(name)
 }
 
 // IsFetchingImage tells whether the latest heartbeat shows an image that is being fetched.
 func (m *MachineState) IsFetchingImage() bool {
-	return m != nil && m.observedTasks.showsImagePull()
+	return m != nil && m.observedTasks.isPullingImage()
 }
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -70,18 +70,18 @@
 	})
 }
 
-// confirm notes that the agent of a machine has answered a probe from here.
-func (mh *MisdirectedHeartbeats) confirm(id protocol.MachineID) {
+// recordProbeAnswer notes that the agent of a machine has answered a probe from here.
+func (mh *MisdirectedHeartbeats) recordProbeAnswer(id protocol.MachineID) {
 	if heartbeat, ok := mh.byMachine[id]; ok {
 		heartbeat.hasAgentResponded = true
 		mh.byMachine[id] = heartbeat
 	}
 }
 
-// record notes the heartbeat of a machine that another incarnation owns, and
+// recordHeartbeat notes the heartbeat of a machine that another incarnation owns, and
 // probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
 // machine over.)
-func (mh *MisdirectedHeartbeats) record(heartbeat *protocol.Heartbeat) {
+func (mh *MisdirectedHeartbeats) recordHeartbeat(heartbeat *protocol.Heartbeat) {
 	known, ok := mh.byMachine[heartbeat.Machine]
 	switch {
 	case ok && isStale(heartbeat, known.agentEpoch, known.sequence):
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -33,9 +33,9 @@
 }
 
 const (
-	// minSilentWhenCutOff is the least number of silent machines that tells anything of this
+	// minSilentWhenIsolated is the least number of silent machines that tells anything of this
 	// controller's own network.
-	minSilentWhenCutOff = 4
+	minSilentWhenIsolated = 4
 	// staleTokenContactAge is how long nothing has come from an agent that does not show its
 	// token before it is called: most show the token in their next heartbeat.
 	staleTokenContactAge = 500 * time.Millisecond
@@ -78,7 +78,7 @@
 		}
 	}
 	am.scaleIn.BeginScaleInReview(silent)
-	return owned, silent >= minSilentWhenCutOff && 3*silent > 2*monitored // more than two thirds
+	return owned, silent >= minSilentWhenIsolated && 3*silent > 2*monitored // more than two thirds
 }
 
 // mustCallAgent tells whether the agent has to be called directly: to test whether commands
--- a/internal/coordination/agents/observed_tasks.go
+++ b/internal/coordination/agents/observed_tasks.go
@@ -44,8 +44,8 @@
 	return latest == nil || !isStale(heartbeat, latest.AgentEpoch, latest.Sequence)
 }
 
-// observe takes in the tasks of a heartbeat.
-func (o *observedTasks) observe(heartbeat *protocol.Heartbeat, now protocol.Instant) {
+// recordStatuses takes in the tasks of a heartbeat.
+func (o *observedTasks) recordStatuses(heartbeat *protocol.Heartbeat, now protocol.Instant) {
 	o.LatestHeartbeat = heartbeat
 	o.taskStatuses = make(map[protocol.Task]*protocol.TaskStatus, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
@@ -98,7 +98,7 @@
 	return false
 }
 
-func (o *observedTasks) showsImagePull() bool {
+func (o *observedTasks) isPullingImage() bool {
 	for _, status := range o.taskStatuses {
 		if status.State == protocol.TaskPullingImage {
 			return true
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -71,7 +71,7 @@
 	p.Heartbeats.cancellations = d.CancellationChecker
 	p.Heartbeats.catalog = d.Catalog
 	p.Heartbeats.lease = d.Lease
-	p.Heartbeats.plan = d.PlacementForecast
+	p.Heartbeats.forecast = d.PlacementForecast
 	p.Heartbeats.replication = d.Replication
 	p.Heartbeats.transfers = d.QuiesceChecker
 	p.Calls.lease = d.Lease
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -284,7 +284,7 @@
 	if m.isPreempted() || m.IsFaulty || r.Now.Monotonic < m.quarantinedUntil {
 		return true
 	}
-	if m.CommandsLost() || r.agents.isSuspect(m) {
+	if m.CommandsLost() || r.agents.isSuspectTooLong(m) {
 		return true
 	}
 	return record.AgentEpoch > 0 && (r.agents.IsSilent(m) || r.agents.heartbeatsLost(m))
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -22,7 +22,7 @@
 			f.receive(steptest.NewHeartbeat(e, 1, tasks...))
 		}
 	}
-	cancel := func(f *fixture) { f.cancelled[testJob] = true }
+	cancel := func(f *fixture) { f.cancellations[testJob] = true }
 	leasePassed := 20 * time.Second
 
 	for _, c := range []struct {
@@ -95,7 +95,7 @@
 			e.Record.Terminating = true
 		}, false, ""},
 		{"termination confirmed", func(f *fixture, _ *storage.Machine, _ *MachineState) {
-			f.termination[testMachine] = true
+			f.terminations[testMachine] = true
 		}, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/agents/response_delay.go
+++ b/internal/coordination/agents/response_delay.go
@@ -72,11 +72,11 @@
 // a heartbeat interval on average, where tasks are short a tenth of all cores.
 func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, m *MachineState) bool {
 	record := &entry.Record
-	if !h.plan.ExpectsPlacement(m.ID) || !h.replication.IsUpToDate() || !acceptsTasks(record, m.LatestHeartbeat) {
+	if !h.forecast.ExpectsPlacement(m.ID) || !h.replication.IsUpToDate() || !acceptsTasks(record, m.LatestHeartbeat) {
 		return false
 	}
 	for i := range record.Assignments {
-		if h.ungangedSpec(&record.Assignments[i]) == nil || !m.showsAllTasks(&record.Assignments[i]) {
+		if h.nonGangSpec(&record.Assignments[i]) == nil || !m.showsAllTasks(&record.Assignments[i]) {
 			return false // there is something to start
 		}
 	}
@@ -88,9 +88,9 @@
 	return !record.Terminating && !record.Cordoned && heartbeat.PreemptionNoticeSeconds == nil
 }
 
-// ungangedSpec is the job of an assignment, nil if it is unknown or a gang, whose tasks may wait
+// nonGangSpec is the job of an assignment, nil if it is unknown or a gang, whose tasks may wait
 // to start for those on other machines.
-func (h *HeartbeatHandler) ungangedSpec(a *storage.Assignment) *protocol.Job {
+func (h *HeartbeatHandler) nonGangSpec(a *storage.Assignment) *protocol.Job {
 	job := h.Replica.Jobs[a.Job]
 	if job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() {
 		return nil
@@ -121,12 +121,12 @@
 	if h.Config.HeartbeatInterval < 2*h.Config.MaxIdleResponseDelay {
 		return false
 	}
-	return h.hasFreeCapacityOnly(record, m)
+	return h.hasFreeCoresAndNoCommands(record, m)
 }
 
-// hasFreeCapacityOnly tells whether a good part of the machine is free while there is no
+// hasFreeCoresAndNoCommands tells whether a good part of the machine is free while there is no
 // command for its agent: all assigned tasks run, and none has exited.
-func (h *HeartbeatHandler) hasFreeCapacityOnly(record *storage.MachineRecord, m *MachineState) bool {
+func (h *HeartbeatHandler) hasFreeCoresAndNoCommands(record *storage.MachineRecord, m *MachineState) bool {
 	machineType := h.catalog.MachineType(record.MachineType)
 	if machineType == nil {
 		return false
@@ -134,7 +134,7 @@
 	freeCores := machineType.Cores
 	for i := range record.Assignments {
 		a := &record.Assignments[i]
-		spec := h.ungangedSpec(a)
+		spec := h.nonGangSpec(a)
 		if spec == nil || !m.showsAllTasks(a) {
 			return false // there is something to start
 		}
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -124,10 +124,10 @@
 	}
 	if status.State == protocol.TaskRunning && spec.CanCheckpoint() {
 		if spansSeveralTasks(spec) {
-			if job.GracefulStopAttempt < status.Attempt && ts.isTimeToSave(m, spec, ts.Config.GangPeerTimeout) {
+			if job.GracefulStopAttempt < status.Attempt && ts.mustSaveCheckpoint(m, spec, ts.Config.GangPeerTimeout) {
 				ts.RequestGracefulStop(status.Task.Job, status.Attempt)
 			}
-		} else if !spec.IsService() && ts.isTimeToSave(m, spec, 0) {
+		} else if !spec.IsService() && ts.mustSaveCheckpoint(m, spec, 0) {
 			request(spec.CheckpointSaveSeconds, "machine preemption")
 		}
 	}
@@ -137,9 +137,9 @@
 	return isUrgent
 }
 
-// isTimeToSave tells whether a task on a machine that is about to be preempted must begin to save
+// mustSaveCheckpoint tells whether a task on a machine that is about to be preempted must begin to save
 // its checkpoint now, and still can. Later it would be lost, earlier it would lose work time.
-func (ts *TaskStopper) isTimeToSave(m *MachineState, spec *protocol.Job, extra time.Duration) bool {
+func (ts *TaskStopper) mustSaveCheckpoint(m *MachineState, spec *protocol.Job, extra time.Duration) bool {
 	if !m.isPreempted() {
 		return false
 	}
--- a/internal/coordination/agents/tracked_ownership.go
+++ b/internal/coordination/agents/tracked_ownership.go
@@ -15,8 +15,8 @@
 	ownershipRevision protocol.Revision
 }
 
-// isOf tells whether this is the ownership on record.
-func (o *trackedOwnership) isOf(record *storage.MachineRecord) bool {
+// matchesRecord tells whether this is the ownership on record.
+func (o *trackedOwnership) matchesRecord(record *storage.MachineRecord) bool {
 	return o.ownerIncarnation == record.Owner && o.ownershipEpoch == record.ShardEpoch
 }
 
