--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -46,67 +46,67 @@
 	if ok {
 		ac.misdirected.recordProbeAnswer(result.Machine)
 	}
-	m := ac.agents.machineStates[result.Machine]
-	if m == nil {
+	state := ac.agents.machineStates[result.Machine]
+	if state == nil {
 		return
 	}
-	m.isCallInFlight = false
+	state.isCallInFlight = false
 	entry := ac.Replica.Machines[result.Machine]
 	switch {
 	case entry != nil && ac.lease.OwnsMachine(&entry.Record):
 		if ok {
-			ac.onOwnedAgentStatus(m, result.Heartbeat)
+			ac.onOwnedAgentStatus(state, result.Heartbeat)
 		} else {
-			ac.onOwnedAgentFailure(m)
+			ac.onOwnedAgentFailure(state)
 		}
 	case !ok:
 	case entry != nil:
 		// The agent was probed because its owner sends no status. What it shows is no less true.
-		if m.isNewerThanLatest(result.Heartbeat) {
-			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
+		if state.isNewerThanLatest(result.Heartbeat) {
+			state.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
 		}
-	case m.awaitsOwnership:
-		if !m.isOutOfOrder(result.Heartbeat.AgentEpoch, result.Heartbeat.Sequence) {
-			m.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
-			m.HasAnsweredProbe = true
+	case state.awaitsOwnership:
+		if !state.isOutOfOrder(result.Heartbeat.AgentEpoch, result.Heartbeat.Sequence) {
+			state.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
+			state.HasAnsweredProbe = true
 		}
 	}
 }
 
 // onOwnedAgentStatus takes the answer of an agent whose machine this controller owns.
-func (ac *Caller) onOwnedAgentStatus(m *MachineState, heartbeat *protocol.Heartbeat) {
-	if m.isNewerThanLatest(heartbeat) {
-		m.RecordHeartbeat(heartbeat, ac.Now.Monotonic)
-		ac.agents.markReachable(m)
+func (ac *Caller) onOwnedAgentStatus(state *MachineState, heartbeat *protocol.Heartbeat) {
+	if state.isNewerThanLatest(heartbeat) {
+		state.RecordHeartbeat(heartbeat, ac.Now.Monotonic)
+		ac.agents.markReachable(state)
 	}
 }
 
 // onOwnedAgentFailure takes in that an agent whose machine this controller owns did not answer.
-func (ac *Caller) onOwnedAgentFailure(m *MachineState) {
-	m.recordCallFailure(m.callStartedAt)
-	ac.agents.markSuspect(m)
-	if m.hasContactWhileCallsFail() && !m.CommandsLost() {
-		m.CommandsLostAt = ac.Now.Monotonic
-		ac.Log(slog.LevelWarn, "commands do not reach machine", "machine", string(m.ID))
+func (ac *Caller) onOwnedAgentFailure(state *MachineState) {
+	state.recordCallFailure(state.callStartedAt)
+	ac.agents.markSuspect(state)
+	if state.hasContactWhileCallsFail() && !state.CommandsLost() {
+		state.CommandsLostAt = ac.Now.Monotonic
+		ac.Log(slog.LevelWarn, "commands do not reach machine", "machine", string(state.ID))
 	}
 }
 
 // ProbeUnownedAgent asks the agent of a machine for its status whose owner has sent none for a
 // while, unless it was asked a moment ago or too many calls are in flight.
-func (ac *Caller) ProbeUnownedAgent(m *MachineState, addr string) {
-	if m.isCallInFlight || ac.Since(m.callStartedAt) <= unownedProbeInterval || addr == "" || !ac.hasCapacity() {
+func (ac *Caller) ProbeUnownedAgent(state *MachineState, addr string) {
+	if state.isCallInFlight || ac.Since(state.callStartedAt) <= unownedProbeInterval || addr == "" || !ac.hasCapacity() {
 		return
 	}
-	ac.startProbe(m, addr)
+	ac.startProbe(state, addr)
 }
 
 // probeForAdoption asks the agent of a machine that is on no record for its status, once.
-func (ac *Caller) probeForAdoption(m *MachineState, addr string) {
+func (ac *Caller) probeForAdoption(state *MachineState, addr string) {
 	hasCapacity := ac.agentCallsInFlight < adoptionCallFactor*ac.maxAgentCalls()
-	if m.isCallInFlight || m.HasAnsweredProbe || addr == "" || !hasCapacity {
+	if state.isCallInFlight || state.HasAnsweredProbe || addr == "" || !hasCapacity {
 		return
 	}
-	ac.startProbe(m, addr)
+	ac.startProbe(state, addr)
 }
 
 // tryProbe sends a probe to the agent of a machine of which nothing else is remembered here,
@@ -119,9 +119,9 @@
 	return true
 }
 
-func (ac *Caller) startProbe(m *MachineState, addr string) {
-	m.beginCall(ac.Now.Monotonic)
-	ac.emitProbe(m.ID, addr)
+func (ac *Caller) startProbe(state *MachineState, addr string) {
+	state.beginCall(ac.Now.Monotonic)
+	ac.emitProbe(state.ID, addr)
 }
 
 func (ac *Caller) emitProbe(id protocol.MachineID, addr string) {
@@ -132,27 +132,27 @@
 // sendCommands calls an agent, at most one call at a time. Without commands the call only shows
 // the fencing token and asks for the status, and counts against the bound.
 func (ac *Caller) sendCommands(
-	entry *storage.Machine, m *MachineState, commands []protocol.Command, minInterval time.Duration,
+	entry *storage.Machine, state *MachineState, commands []protocol.Command, minInterval time.Duration,
 ) {
 	switch {
-	case m.isCallInFlight, entry.Record.Address == "":
+	case state.isCallInFlight, entry.Record.Address == "":
 		return
-	case m.callStartedAt != 0 && ac.Since(m.callStartedAt) < minInterval:
+	case state.callStartedAt != 0 && ac.Since(state.callStartedAt) < minInterval:
 		return
 	case len(commands) == 0 && !ac.hasCapacity():
 		return
 	}
 	agentEpoch := entry.Record.AgentEpoch
-	if m.LatestHeartbeat != nil {
-		agentEpoch = max(agentEpoch, m.LatestHeartbeat.AgentEpoch)
+	if state.LatestHeartbeat != nil {
+		agentEpoch = max(agentEpoch, state.LatestHeartbeat.AgentEpoch)
 	}
 	if agentEpoch == 0 {
 		return
 	}
-	m.beginCall(ac.Now.Monotonic)
+	state.beginCall(ac.Now.Monotonic)
 	ac.agentCallsInFlight++
 	ac.Emit(step.SendCommands{
-		Machine: m.ID,
+		Machine: state.ID,
 		Addr:    entry.Record.Address,
 		Commands: protocol.Commands{
 			FencingToken: entry.Record.FencingToken,
--- a/internal/coordination/agents/agent_lease.go
+++ b/internal/coordination/agents/agent_lease.go
@@ -46,11 +46,11 @@
 // IsAgentLeaseExpired tells whether the agent's lease has expired for sure, so that it has killed
 // all its tasks. It has shown this ownership's epoch, so only this incarnation's responses counted
 // since; and the last of them answered a heartbeat that was sent no later than it was received.
-func (at *Table) IsAgentLeaseExpired(m *MachineState, record *storage.MachineRecord) bool {
-	if m.LatestHeartbeat == nil || m.isDeferred() {
+func (at *Table) IsAgentLeaseExpired(state *MachineState, record *storage.MachineRecord) bool {
+	if state.LatestHeartbeat == nil || state.isDeferred() {
 		return false
 	}
-	renewedAt, isKnown := m.latestRenewal(record.ShardEpoch)
+	renewedAt, isKnown := state.latestRenewal(record.ShardEpoch)
 	return isKnown && at.Since(renewedAt) > at.agentLeaseExpiry()
 }
 
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -48,30 +48,30 @@
 
 // MachineState gives what is remembered of a machine, and begins to remember it if need be.
 func (at *Table) MachineState(id protocol.MachineID) *MachineState {
-	m := at.machineStates[id]
-	if m == nil {
-		m = newMachineState(id, at.Now.Monotonic)
-		at.machineStates[id] = m
+	state := at.machineStates[id]
+	if state == nil {
+		state = newMachineState(id, at.Now.Monotonic)
+		at.machineStates[id] = state
 	}
-	return m
+	return state
 }
 
 // TrackOwnedMachine gives the state of a machine that this controller owns. It begins anew if
 // the ownership on record is another one than before.
 func (at *Table) TrackOwnedMachine(entry *storage.Machine, id protocol.MachineID) *MachineState {
-	m := at.MachineState(id)
-	if !m.matchesRecord(&entry.Record) {
+	state := at.MachineState(id)
+	if !state.matchesRecord(&entry.Record) {
 		revision := protocol.Revision(at.Replica.Shards[entry.Record.Shard].ModRevision)
-		m.beginOwnership(&entry.Record, revision, at.Now.Monotonic)
+		state.beginOwnership(&entry.Record, revision, at.Now.Monotonic)
 	}
-	return m
+	return state
 }
 
 // AssignedSince tells since when tasks of one attempt have been assigned to a machine, as far
 // as this process has seen.
-func (at *Table) AssignedSince(key AssignmentKey) (since protocol.Instant, known bool) {
-	since, known = at.assignedAt[key]
-	return since, known
+func (at *Table) AssignedSince(key AssignmentKey) (since protocol.Instant, isKnown bool) {
+	since, isKnown = at.assignedAt[key]
+	return since, isKnown
 }
 
 // RecordAssignments takes in a change of a machine's record: since when tasks have been assigned
@@ -79,9 +79,9 @@
 func (at *Table) RecordAssignments(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if before != nil {
 		for i := range before.Assignments {
-			a := &before.Assignments[i]
-			if after == nil || !hasAttempt(after, a) {
-				delete(at.assignedAt, AssignmentKey{Machine: id, Job: a.Job, Attempt: a.Attempt})
+			assignment := &before.Assignments[i]
+			if after == nil || !hasAttempt(after, assignment) {
+				delete(at.assignedAt, AssignmentKey{Machine: id, Job: assignment.Job, Attempt: assignment.Attempt})
 			}
 		}
 	}
@@ -89,13 +89,13 @@
 		return
 	}
 	for i := range after.Assignments {
-		a := &after.Assignments[i]
-		key := AssignmentKey{Machine: id, Job: a.Job, Attempt: a.Attempt}
+		assignment := &after.Assignments[i]
+		key := AssignmentKey{Machine: id, Job: assignment.Job, Attempt: assignment.Attempt}
 		if _, ok := at.assignedAt[key]; ok {
 			continue
 		}
 		at.assignedAt[key] = at.Now.Monotonic
-		job, machineType := at.Replica.Jobs[a.Job], at.catalog.MachineType(after.MachineType)
+		job, machineType := at.Replica.Jobs[assignment.Job], at.catalog.MachineType(after.MachineType)
 		if job != nil && job.Record.Spec != nil && machineType != nil {
 			spec := job.Record.Spec
 			at.MachineState(id).recordUse(spec.Image, spec.ImageGB, machineType.LocalDiskGB)
@@ -103,9 +103,9 @@
 	}
 }
 
-func hasAttempt(record *storage.MachineRecord, a *storage.Assignment) bool {
+func hasAttempt(record *storage.MachineRecord, assignment *storage.Assignment) bool {
 	for i := range record.Assignments {
-		if other := &record.Assignments[i]; other.Job == a.Job && other.Attempt == a.Attempt {
+		if other := &record.Assignments[i]; other.Job == assignment.Job && other.Attempt == assignment.Attempt {
 			return true
 		}
 	}
@@ -117,8 +117,8 @@
 
 // PruneMachineStates drops what is remembered of machines that are on no record.
 func (at *Table) PruneMachineStates() {
-	for id, m := range at.machineStates {
-		if at.Replica.Machines[id] == nil && !m.isDeferred() {
+	for id, state := range at.machineStates {
+		if at.Replica.Machines[id] == nil && !state.isDeferred() {
 			delete(at.machineStates, id)
 		}
 	}
@@ -143,8 +143,8 @@
 
 // forgetMachine drops what is remembered of a machine. A heartbeat that waits is redirected.
 func (at *Table) forgetMachine(id protocol.MachineID) {
-	if m := at.machineStates[id]; m != nil {
-		at.dropDeferredRequest(m)
+	if state := at.machineStates[id]; state != nil {
+		at.dropDeferredRequest(state)
 		delete(at.machineStates, id)
 	}
 }
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -19,12 +19,14 @@
 // commandsFor lists what the agent is to do. Only a response to a heartbeat may start tasks or
 // have ended ones forgotten: agents never carry out a response late, while a direct call may
 // arrive after its sender has lost the machine.
-func (h *HeartbeatHandler) commandsFor(entry *storage.Machine, m *MachineState, inResponse bool) []protocol.Command {
+func (h *HeartbeatHandler) commandsFor(
+	entry *storage.Machine, state *MachineState, inResponse bool,
+) []protocol.Command {
 	list := commandList{
 		handler:            h,
-		state:              m,
+		state:              state,
 		record:             &entry.Record,
-		isHeartbeatCurrent: m.CurrentHeartbeat(&entry.Record) != nil,
+		isHeartbeatCurrent: state.CurrentHeartbeat(&entry.Record) != nil,
 		isReplicaUpToDate:  h.replication.IsUpToDate(),
 	}
 	list.addStopsAndForgets(inResponse)
@@ -90,17 +92,17 @@
 // addStarts goes through the tasks that are assigned to the machine.
 func (l *commandList) addStarts() {
 	for i := range l.record.Assignments {
-		a := &l.record.Assignments[i]
-		if !l.mayStartAttempt(a) {
+		assignment := &l.record.Assignments[i]
+		if !l.mayStartAttempt(assignment) {
 			continue
 		}
-		a.Tasks.Each(func(n int) bool {
-			task := protocol.Task{Job: a.Job, Index: n}
-			if l.mayStartTask(task, a.Attempt) {
+		assignment.Tasks.Each(func(index int) bool {
+			task := protocol.Task{Job: assignment.Job, Index: index}
+			if l.mayStartTask(task, assignment.Attempt) {
 				l.commands = append(l.commands, protocol.Command{
 					Type:    protocol.CommandStart,
 					Task:    task,
-					Attempt: a.Attempt,
+					Attempt: assignment.Attempt,
 				})
 			}
 			return true
@@ -109,13 +111,13 @@
 }
 
 // mayStartAttempt tells whether the job lets tasks of an attempt start.
-func (l *commandList) mayStartAttempt(a *storage.Assignment) bool {
-	job := l.handler.Replica.Jobs[a.Job]
-	if job == nil || job.Record.State.IsTerminal() || l.handler.cancellations.CancelRequested(a.Job) ||
-		isGracefullyStopped(&job.Record, a.Attempt) {
+func (l *commandList) mayStartAttempt(assignment *storage.Assignment) bool {
+	job := l.handler.Replica.Jobs[assignment.Job]
+	if job == nil || job.Record.State.IsTerminal() || l.handler.cancellations.CancelRequested(assignment.Job) ||
+		isGracefullyStopped(&job.Record, assignment.Attempt) {
 		return false
 	}
-	return !job.Record.Spec.IsGang() || l.handler.jobs.isGangFullyAssigned(a.Job, &job.Record, a.Attempt)
+	return !job.Record.Spec.IsGang() || l.handler.jobs.isGangFullyAssigned(assignment.Job, &job.Record, assignment.Attempt)
 }
 
 // mayStartTask tells whether one task that is assigned may start now.
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -40,13 +40,13 @@
 
 // CountStopRequests counts the tasks of one attempt of a job that are to stop.
 func (c *commandsInFlight) CountStopRequests(job protocol.JobID, attempt protocol.Attempt) int {
-	n := 0
+	count := 0
 	for task, stop := range c.stopRequests {
 		if task.Job == job && stop.attempt == attempt {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // isStartWithheld tells whether an attempt of a task must not be started: it, or a later one, is being
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -13,7 +13,7 @@
 // not withhold the task's next attempt on that machine for ever.)
 func TestStartCommandsWithheld(t *testing.T) {
 	const assigned = protocol.Attempt(5)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		stopped      protocol.Attempt
 		revoked      protocol.Attempt
@@ -27,30 +27,30 @@
 		{"this attempt revoked", 0, 5, false, false},
 		{"responses do not reach the agent", 0, 0, true, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`)
 			task := protocol.Task{Job: testJob}
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, assigned)
-			entry, m := f.addOwnedMachine(t, record)
-			m.RecordHeartbeat(steptest.NewHeartbeat(entry, 1), f.Now.Monotonic)
-			if c.stopped > 0 {
-				m.stopRequests[task] = stopRequest{attempt: c.stopped}
+			entry, state := f.addOwnedMachine(t, record)
+			state.RecordHeartbeat(steptest.NewHeartbeat(entry, 1), f.Now.Monotonic)
+			if test.stopped > 0 {
+				state.stopRequests[task] = stopRequest{attempt: test.stopped}
 			}
-			if c.revoked > 0 {
-				m.revokedAttempts[task] = c.revoked
+			if test.revoked > 0 {
+				state.revokedAttempts[task] = test.revoked
 			}
-			if c.commandsLost {
-				m.CommandsLostAt = f.Now.Monotonic
+			if test.commandsLost {
+				state.CommandsLostAt = f.Now.Monotonic
 			}
 			starts := 0
-			for _, command := range f.Heartbeats.commandsFor(entry, m, true) {
+			for _, command := range f.Heartbeats.commandsFor(entry, state, true) {
 				if command.Type == protocol.CommandStart && command.Attempt == assigned {
 					starts++
 				}
 			}
-			if (starts == 1) != c.want {
+			if (starts == 1) != test.want {
 				t.Errorf("%d starts", starts)
 			}
 		})
--- a/internal/coordination/agents/deferred_response.go
+++ b/internal/coordination/agents/deferred_response.go
@@ -23,33 +23,33 @@
 func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
 
 // deferResponse lets a heartbeat wait for its response.
-func (at *Table) deferResponse(m *MachineState, requestID step.RequestID, awaitsOwnership bool) {
-	m.DeferredRequest, m.deferredAt, m.awaitsOwnership = requestID, at.Now.Monotonic, awaitsOwnership
-	at.deferredHeartbeats[m.ID] = true
+func (at *Table) deferResponse(state *MachineState, requestID step.RequestID, awaitsOwnership bool) {
+	state.DeferredRequest, state.deferredAt, state.awaitsOwnership = requestID, at.Now.Monotonic, awaitsOwnership
+	at.deferredHeartbeats[state.ID] = true
 	if awaitsOwnership {
-		at.awaitingOwner[m.ID] = true
+		at.awaitingOwner[state.ID] = true
 	}
 }
 
 // popDeferredRequest gives the waiting heartbeat to whoever answers it now.
-func (at *Table) popDeferredRequest(m *MachineState) step.RequestID {
-	requestID := m.DeferredRequest
-	m.DeferredRequest = 0
-	delete(at.deferredHeartbeats, m.ID)
-	delete(at.awaitingOwner, m.ID)
+func (at *Table) popDeferredRequest(state *MachineState) step.RequestID {
+	requestID := state.DeferredRequest
+	state.DeferredRequest = 0
+	delete(at.deferredHeartbeats, state.ID)
+	delete(at.awaitingOwner, state.ID)
 	return requestID
 }
 
 // dropDeferredRequest sends the agent whose heartbeat waits, if one does, to any controller.
-func (at *Table) dropDeferredRequest(m *MachineState) {
-	if m.isDeferred() {
-		at.redirectDeferred(m, "")
+func (at *Table) dropDeferredRequest(state *MachineState) {
+	if state.isDeferred() {
+		at.redirectDeferred(state, "")
 	}
 }
 
 // redirectDeferred answers the waiting heartbeat with the name of the machine's owner.
-func (at *Table) redirectDeferred(m *MachineState, owner protocol.ControllerID) {
-	at.replyRedirect(at.popDeferredRequest(m), owner)
+func (at *Table) redirectDeferred(state *MachineState, owner protocol.ControllerID) {
+	at.replyRedirect(at.popDeferredRequest(state), owner)
 }
 
 // replyRedirect sends an agent to another controller, or to any if the owner is unknown.
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -62,17 +62,17 @@
 }
 
 // markSuspect notes that commands may not reach the agent.
-func (at *Table) markSuspect(m *MachineState) { m.suspectLoss(at.Now.Monotonic) }
+func (at *Table) markSuspect(state *MachineState) { state.suspectLoss(at.Now.Monotonic) }
 
 // markReachable notes that something that was sent to the agent has arrived.
-func (at *Table) markReachable(m *MachineState) {
-	if m.CommandsLost() {
-		at.Log(slog.LevelInfo, "commands reach machine again", "machine", string(m.ID))
+func (at *Table) markReachable(state *MachineState) {
+	if state.CommandsLost() {
+		at.Log(slog.LevelInfo, "commands reach machine again", "machine", string(state.ID))
 	}
-	m.confirmDelivery()
+	state.confirmDelivery()
 }
 
 // isSuspectTooLong tells whether it has been uncertain for a while that commands reach the agent.
-func (at *Table) isSuspectTooLong(m *MachineState) bool {
-	return m.suspectedAt != 0 && at.Since(m.suspectedAt) > suspectTimeout
+func (at *Table) isSuspectTooLong(state *MachineState) bool {
+	return state.suspectedAt != 0 && at.Since(state.suspectedAt) > suspectTimeout
 }
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -78,19 +78,19 @@
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
-	m := h.agents.MachineState(heartbeat.Machine)
-	if h.isDelayedOrDuplicate(entry, m, heartbeat) {
+	state := h.agents.MachineState(heartbeat.Machine)
+	if h.isDelayedOrDuplicate(entry, state, heartbeat) {
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
-	h.agents.dropDeferredRequest(m)
-	m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
-	m.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
-	h.agents.deferResponse(m, requestID, true)
+	h.agents.dropDeferredRequest(state)
+	state.RecordHeartbeat(heartbeat, h.Now.Monotonic)
+	state.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
+	h.agents.deferResponse(state, requestID, true)
 	if entry == nil {
 		// A copy of a heartbeat may outlive its machine. Only an agent that answers shows that
 		// the machine still exists.
-		h.calls.probeForAdoption(m, heartbeat.Addr)
+		h.calls.probeForAdoption(state, heartbeat.Addr)
 	}
 }
 
@@ -103,47 +103,49 @@
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
-	m := h.agents.TrackOwnedMachine(entry, heartbeat.Machine)
-	if h.isDelayedOrDuplicate(entry, m, heartbeat) {
+	state := h.agents.TrackOwnedMachine(entry, heartbeat.Machine)
+	if h.isDelayedOrDuplicate(entry, state, heartbeat) {
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
-	h.agents.dropDeferredRequest(m)
-	m.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
-	h.processDeliveryEvidence(m, heartbeat)
+	h.agents.dropDeferredRequest(state)
+	state.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
+	h.processDeliveryEvidence(state, heartbeat)
 	// An agent has one heartbeat in flight at a time: it has carried out the last response, or
 	// dropped it, before it sent this one. From here on what this heartbeat lacks is proof.
-	clear(m.InflightStarts)
-	if m.isNewerThanLatest(heartbeat) {
-		m.RecordHeartbeat(heartbeat, h.Now.Monotonic)
+	clear(state.InflightStarts)
+	if state.isNewerThanLatest(heartbeat) {
+		state.RecordHeartbeat(heartbeat, h.Now.Monotonic)
 	}
-	m.LastContactAt, m.lastHeartbeatAt = h.Now.Monotonic, h.Now.Monotonic
-	h.agents.deferResponse(m, requestID, false)
-	if !h.shouldDeferResponse(entry, m) {
-		h.answerHeartbeat(entry, m)
+	state.LastContactAt, state.lastHeartbeatAt = h.Now.Monotonic, h.Now.Monotonic
+	h.agents.deferResponse(state, requestID, false)
+	if !h.shouldDeferResponse(entry, state) {
+		h.answerHeartbeat(entry, state)
 	}
 }
 
 // isDelayedOrDuplicate tells whether a heartbeat was delivered after one that its agent sent later, or the
 // same again. Its agent no longer waits for the response, so nothing may rest on it.
-func (h *HeartbeatHandler) isDelayedOrDuplicate(entry *storage.Machine, m *MachineState, heartbeat *protocol.Heartbeat) bool {
-	return m.isOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence) ||
+func (h *HeartbeatHandler) isDelayedOrDuplicate(
+	entry *storage.Machine, state *MachineState, heartbeat *protocol.Heartbeat,
+) bool {
+	return state.isOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence) ||
 		entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch
 }
 
 // processDeliveryEvidence notices an agent whose heartbeats arrive while responses may not reach
 // it: it does not show the token, nor the starts, that the last response had, or it has begun a
 // new agent epoch. Whether commands arrive is then tested with a direct call.
-func (h *HeartbeatHandler) processDeliveryEvidence(m *MachineState, heartbeat *protocol.Heartbeat) {
-	hasNewEpoch := m.deliveryAgentEpoch != 0 && heartbeat.AgentEpoch > m.deliveryAgentEpoch
-	showsDelivery := heartbeat.FencingToken >= m.answeredToken && m.showsInflightStart(heartbeat)
+func (h *HeartbeatHandler) processDeliveryEvidence(state *MachineState, heartbeat *protocol.Heartbeat) {
+	hasNewEpoch := state.deliveryAgentEpoch != 0 && heartbeat.AgentEpoch > state.deliveryAgentEpoch
+	showsDelivery := heartbeat.FencingToken >= state.answeredToken && state.showsInflightStart(heartbeat)
 	switch {
-	case hasNewEpoch, m.awaitsDelivery && !showsDelivery:
-		h.agents.markSuspect(m)
-	case m.awaitsDelivery:
-		h.agents.markReachable(m)
+	case hasNewEpoch, state.awaitsDelivery && !showsDelivery:
+		h.agents.markSuspect(state)
+	case state.awaitsDelivery:
+		h.agents.markReachable(state)
 	}
-	m.awaitsDelivery, m.deliveryAgentEpoch = false, heartbeat.AgentEpoch
+	state.awaitsDelivery, state.deliveryAgentEpoch = false, heartbeat.AgentEpoch
 }
 
 // ResolveDeferredHeartbeats answers the heartbeats that need not wait any longer, if anything
@@ -154,64 +156,64 @@
 	}
 	h.ShouldRecheckDeferredHeartbeats = false
 	for _, id := range step.SortedKeys(h.agents.deferredHeartbeats) {
-		m, entry := h.agents.machineStates[id], h.Replica.Machines[id]
-		if m.awaitsOwnership {
-			h.resolveUnowned(entry, m)
+		state, entry := h.agents.machineStates[id], h.Replica.Machines[id]
+		if state.awaitsOwnership {
+			h.resolveUnowned(entry, state)
 		} else {
-			h.resolveOwned(entry, m)
+			h.resolveOwned(entry, state)
 		}
 	}
 }
 
 // resolveUnowned looks after a heartbeat that came while no live incarnation owned its machine.
-func (h *HeartbeatHandler) resolveUnowned(entry *storage.Machine, m *MachineState) {
+func (h *HeartbeatHandler) resolveUnowned(entry *storage.Machine, state *MachineState) {
 	switch {
 	case entry != nil && h.lease.OwnsMachine(&entry.Record):
-		m.awaitsOwnership = false
-		delete(h.agents.awaitingOwner, m.ID)
-		h.agents.TrackOwnedMachine(entry, m.ID)
-		heartbeat := m.LatestHeartbeat
+		state.awaitsOwnership = false
+		delete(h.agents.awaitingOwner, state.ID)
+		h.agents.TrackOwnedMachine(entry, state.ID)
+		heartbeat := state.LatestHeartbeat
 		if heartbeat.FencingToken > entry.Record.FencingToken || heartbeat.AgentEpoch < entry.Record.AgentEpoch {
-			h.agents.dropDeferredRequest(m)
-		} else if !h.isReplicaBehindOwnership(m) {
-			h.answerHeartbeat(entry, m)
+			h.agents.dropDeferredRequest(state)
+		} else if !h.isReplicaBehindOwnership(state) {
+			h.answerHeartbeat(entry, state)
 		}
 	case entry != nil && h.Replica.IsAlive(entry.Record.Owner):
-		h.agents.redirectDeferred(m, entry.Record.Owner.Controller())
-	case h.replication.StoreUnavailable() || h.Since(m.deferredAt) > ownerWaitTimeout:
-		h.agents.dropDeferredRequest(m)
+		h.agents.redirectDeferred(state, entry.Record.Owner.Controller())
+	case h.replication.StoreUnavailable() || h.Since(state.deferredAt) > ownerWaitTimeout:
+		h.agents.dropDeferredRequest(state)
 	}
 }
 
 // resolveOwned looks after a heartbeat that came while this controller owned its machine.
-func (h *HeartbeatHandler) resolveOwned(entry *storage.Machine, m *MachineState) {
+func (h *HeartbeatHandler) resolveOwned(entry *storage.Machine, state *MachineState) {
 	isOwned := entry != nil && h.lease.OwnsMachine(&entry.Record)
 	switch {
 	case entry != nil && !isOwned && h.Replica.IsAlive(entry.Record.Owner):
-		h.agents.redirectDeferred(m, entry.Record.Owner.Controller())
-	case !isOwned, m.LatestHeartbeat.FencingToken > entry.Record.FencingToken:
-		h.agents.dropDeferredRequest(m)
-	case !h.shouldDeferResponse(entry, m):
-		h.answerHeartbeat(entry, m)
+		h.agents.redirectDeferred(state, entry.Record.Owner.Controller())
+	case !isOwned, state.LatestHeartbeat.FencingToken > entry.Record.FencingToken:
+		h.agents.dropDeferredRequest(state)
+	case !h.shouldDeferResponse(entry, state):
+		h.answerHeartbeat(entry, state)
 	}
 }
 
 // answerHeartbeat answers the deferred heartbeat with the commands.
-func (h *HeartbeatHandler) answerHeartbeat(entry *storage.Machine, m *MachineState) {
-	if h.isReplicaBehindOwnership(m) {
-		h.agents.dropDeferredRequest(m)
+func (h *HeartbeatHandler) answerHeartbeat(entry *storage.Machine, state *MachineState) {
+	if h.isReplicaBehindOwnership(state) {
+		h.agents.dropDeferredRequest(state)
 		return
 	}
-	commands := h.commandsFor(entry, m, true)
+	commands := h.commandsFor(entry, state, true)
 	for _, command := range commands {
 		if command.Type == protocol.CommandStart {
 			// Until the next heartbeat the task's absence proves nothing.
-			m.InflightStarts[command.Task] = command.Attempt
+			state.InflightStarts[command.Task] = command.Attempt
 		}
 	}
 	token := entry.Record.FencingToken
-	m.awaitsDelivery = len(m.InflightStarts) > 0 || m.LatestHeartbeat.FencingToken < token
+	state.awaitsDelivery = len(state.InflightStarts) > 0 || state.LatestHeartbeat.FencingToken < token
 	body := protocol.Commands{FencingToken: token, Commands: commands}
-	h.Emit(step.Reply{RequestID: h.agents.popDeferredRequest(m), Status: http.StatusOK, Body: body.Encode()})
-	m.recordAnswer(m.deferredAt, token)
+	h.Emit(step.Reply{RequestID: h.agents.popDeferredRequest(state), Status: http.StatusOK, Body: body.Encode()})
+	state.recordAnswer(state.deferredAt, token)
 }
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -63,32 +63,32 @@
 
 // recordTaskRuntime takes in how long a task ran that has completed on a machine, if it was seen
 // to start there.
-func (jt *JobTable) recordTaskRuntime(m *MachineState, task protocol.Task) {
-	startedAt := m.runningSince[task]
+func (jt *JobTable) recordTaskRuntime(state *MachineState, task protocol.Task) {
+	startedAt := state.runningSince[task]
 	if startedAt == 0 || startedAt == startTimeUnknown {
 		return
 	}
-	state, runtime := jt.JobState(task.Job), jt.Since(startedAt)
-	if state.hasEnoughSamples() && m.Slowdown.recordRatio(state.ratioToMean(runtime)) {
-		jt.Log(slog.LevelInfo, "machine slow state changed", "machine", string(m.ID),
-			"enabled", m.Slowdown.IsSlow(), "runtime_ratio", m.Slowdown.ratio)
+	jobState, runtime := jt.JobState(task.Job), jt.Since(startedAt)
+	if jobState.hasEnoughSamples() && state.Slowdown.recordRatio(jobState.ratioToMean(runtime)) {
+		jt.Log(slog.LevelInfo, "machine slow state changed", "machine", string(state.ID),
+			"enabled", state.Slowdown.IsSlow(), "runtime_ratio", state.Slowdown.ratio)
 	}
 	// Slow machines do not set the measure.
-	if !m.Slowdown.IsSlow() {
-		state.recordRuntime(runtime)
+	if !state.Slowdown.IsSlow() {
+		jobState.recordRuntime(runtime)
 	}
 }
 
 // HighestAttempt is the highest attempt with which tasks of the job are assigned, as the batch
 // would leave the records (nil: as they are).
-func (jt *JobTable) HighestAttempt(id protocol.JobID, b *commit.Batch) (attempt protocol.Attempt) {
+func (jt *JobTable) HighestAttempt(id protocol.JobID, batch *commit.Batch) (attempt protocol.Attempt) {
 	for machineID := range jt.Replica.MachinesWithJob(id) {
 		record := &jt.Replica.Machines[machineID].Record
-		if b != nil {
-			record = b.MachineRecord(machineID)
+		if batch != nil {
+			record = batch.MachineRecord(machineID)
 		}
-		for a := range record.AssignmentsOf(id) {
-			attempt = max(attempt, a.Attempt)
+		for assignment := range record.AssignmentsOf(id) {
+			attempt = max(attempt, assignment.Attempt)
 		}
 	}
 	return attempt
@@ -115,9 +115,9 @@
 		if machine.Record.Terminating {
 			continue
 		}
-		for a := range machine.Record.AssignmentsOf(id) {
-			if a.Attempt == attempt {
-				covered = covered.Union(a.Tasks)
+		for assignment := range machine.Record.AssignmentsOf(id) {
+			if assignment.Attempt == attempt {
+				covered = covered.Union(assignment.Tasks)
 			}
 		}
 	}
--- a/internal/coordination/agents/job_table_test.go
+++ b/internal/coordination/agents/job_table_test.go
@@ -11,7 +11,7 @@
 
 // A machine that is merely slow is known by its tasks against others of their jobs.
 func TestSlowMachine(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		seconds       []int // that its tasks run; others take 10
 		startedBefore bool  // its tasks had started before this ownership
@@ -23,11 +23,11 @@
 		{"slow, not seen to start", []int{25, 24, 26, 25, 25, 26}, true, false},
 		{"was slow, has recovered", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			entry, m := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-			state := f.Jobs.JobState(testJob)
-			state.measuredTasks, state.measuredRuntime = 100, 1000*time.Second
+			entry, state := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			jobState := f.Jobs.JobState(testJob)
+			jobState.measuredTasks, jobState.measuredRuntime = 100, 1000*time.Second
 			sequence := protocol.Sequence(0)
 			receive := func(afterSeconds int, tasks ...protocol.TaskStatus) {
 				t.Helper()
@@ -36,9 +36,9 @@
 				f.receive(steptest.NewHeartbeat(entry, sequence, tasks...))
 			}
 			receive(0)
-			for i, seconds := range c.seconds {
-				if c.startedBefore {
-					m.reset()
+			for i, seconds := range test.seconds {
+				if test.startedBefore {
+					state.reset()
 				}
 				task := protocol.Task{Job: testJob, Index: i}
 				receive(1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
@@ -48,10 +48,10 @@
 					State:   protocol.TaskExited,
 					Reason:  protocol.ReasonDone,
 				})
-				f.Jobs.recordTaskRuntime(m, task)
+				f.Jobs.recordTaskRuntime(state, task)
 			}
-			if got := m.Slowdown.IsSlow(); got != c.want {
-				t.Errorf("slow %v, %.2f times", got, m.Slowdown.ratio)
+			if got := state.Slowdown.IsSlow(); got != test.want {
+				t.Errorf("slow %v, %.2f times", got, state.Slowdown.ratio)
 			}
 		})
 	}
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -24,10 +24,10 @@
 
 // newMachineState makes the state of a machine of which nothing is known but that it exists.
 func newMachineState(id protocol.MachineID, now protocol.Instant) *MachineState {
-	m := &MachineState{ID: id}
-	m.LastContactAt = now
-	m.reset()
-	return m
+	state := &MachineState{ID: id}
+	state.LastContactAt = now
+	state.reset()
+	return state
 }
 
 // reset drops what was sent and observed under an earlier ownership. The latest heartbeat stays.
@@ -63,10 +63,12 @@
 
 // AllTasksSatisfy tells whether no start of the assigned tasks is in flight, and the latest
 // heartbeat either lacks each of them or shows it as it should be.
-func (m *MachineState) AllTasksSatisfy(a *storage.Assignment, isSatisfied func(*protocol.TaskStatus) bool) bool {
+func (m *MachineState) AllTasksSatisfy(
+	assignment *storage.Assignment, isSatisfied func(*protocol.TaskStatus) bool,
+) bool {
 	satisfied := true
-	a.Tasks.Each(func(n int) bool {
-		task := protocol.Task{Job: a.Job, Index: n}
+	assignment.Tasks.Each(func(index int) bool {
+		task := protocol.Task{Job: assignment.Job, Index: index}
 		_, inFlight := m.InflightStarts[task]
 		status := m.taskStatuses[task]
 		satisfied = !inFlight && (status == nil || isSatisfied(status))
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -82,9 +82,9 @@
 // probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
 // machine over.)
 func (mh *MisdirectedHeartbeats) recordHeartbeat(heartbeat *protocol.Heartbeat) {
-	known, ok := mh.byMachine[heartbeat.Machine]
+	recorded, ok := mh.byMachine[heartbeat.Machine]
 	switch {
-	case ok && isStale(heartbeat, known.agentEpoch, known.sequence):
+	case ok && isStale(heartbeat, recorded.agentEpoch, recorded.sequence):
 		return
 	case heartbeat.Addr == "":
 		return
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -46,11 +46,11 @@
 func (am *Monitor) TickMachines() {
 	am.jobs.trackIncompleteGangs()
 	owned, isCutOff := am.inspectOwnedMachines()
-	for _, o := range owned {
-		am.stopper.tickTaskStops(o.entry, o.state)
-		am.scaleIn.EvaluateScaleIn(o.entry, o.state, isCutOff)
-		if am.mustCallAgent(o.entry, o.state) {
-			am.calls.sendCommands(o.entry, o.state, nil, tokenCallInterval)
+	for _, machine := range owned {
+		am.stopper.tickTaskStops(machine.entry, machine.state)
+		am.scaleIn.EvaluateScaleIn(machine.entry, machine.state, isCutOff)
+		if am.mustCallAgent(machine.entry, machine.state) {
+			am.calls.sendCommands(machine.entry, machine.state, nil, tokenCallInterval)
 		}
 	}
 }
@@ -65,15 +65,15 @@
 			if entry == nil || entry.Record.Shard != shard {
 				continue
 			}
-			m := am.agents.TrackOwnedMachine(entry, id)
-			owned = append(owned, ownedMachine{entry: entry, state: m})
+			state := am.agents.TrackOwnedMachine(entry, id)
+			owned = append(owned, ownedMachine{entry: entry, state: state})
 			if entry.Record.AgentEpoch == 0 || entry.Record.Terminating {
 				continue
 			}
 			monitored++
-			if am.agents.IsSilent(m) {
+			if am.agents.IsSilent(state) {
 				silent++
-				am.agents.markSuspect(m)
+				am.agents.markSuspect(state)
 			}
 		}
 	}
@@ -84,18 +84,18 @@
 // mustCallAgent tells whether the agent has to be called directly: to test whether commands
 // arrive, or because it lacks the fencing token. It may still send heartbeats to an earlier
 // owner that is cut off from the store: the higher token makes that one's responses void.
-func (am *Monitor) mustCallAgent(entry *storage.Machine, m *MachineState) bool {
+func (am *Monitor) mustCallAgent(entry *storage.Machine, state *MachineState) bool {
 	if entry.Record.AgentEpoch == 0 {
 		return false
 	}
-	if m.hasContactWhileSuspect() {
+	if state.hasContactWhileSuspect() {
 		return true
 	}
-	if m.ConfirmedToken >= entry.Record.FencingToken {
+	if state.ConfirmedToken >= entry.Record.FencingToken {
 		return false
 	}
 	// Within one shard epoch the agent sends its heartbeats here, and a response that is about to be sent
 	// shows the token as well.
-	sendsHeartbeatsHere := storage.ShardEpochOf(m.ConfirmedToken) == entry.Record.ShardEpoch
-	return sendsHeartbeatsHere && !m.isDeferred() || am.Since(m.LastContactAt) > staleTokenContactAge
+	sendsHeartbeatsHere := storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
+	return sendsHeartbeatsHere && !state.isDeferred() || am.Since(state.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/agents/observed_tasks.go
+++ b/internal/coordination/agents/observed_tasks.go
@@ -75,11 +75,11 @@
 }
 
 // showsAllTasks tells whether the latest heartbeat shows all tasks of an assignment.
-func (o *observedTasks) showsAllTasks(a *storage.Assignment) bool {
+func (o *observedTasks) showsAllTasks(assignment *storage.Assignment) bool {
 	showsAll := true
-	a.Tasks.Each(func(n int) bool {
-		status := o.taskStatuses[protocol.Task{Job: a.Job, Index: n}]
-		showsAll = status != nil && status.Attempt == a.Attempt
+	assignment.Tasks.Each(func(index int) bool {
+		status := o.taskStatuses[protocol.Task{Job: assignment.Job, Index: index}]
+		showsAll = status != nil && status.Attempt == assignment.Attempt
 		return showsAll
 	})
 	return showsAll
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -20,7 +20,7 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
+	parts := &Parts{
 		Table:       newTable(ctx),
 		Misdirected: newMisdirectedHeartbeats(ctx),
 		Heartbeats:  &HeartbeatHandler{Context: ctx},
@@ -30,23 +30,23 @@
 		Monitor:     &Monitor{Context: ctx},
 		Jobs:        newJobTable(ctx),
 	}
-	p.Misdirected.calls = p.Calls
-	p.Heartbeats.agents = p.Table
-	p.Heartbeats.calls = p.Calls
-	p.Heartbeats.jobs = p.Jobs
-	p.Heartbeats.misdirected = p.Misdirected
-	p.Calls.agents = p.Table
-	p.Calls.misdirected = p.Misdirected
-	p.Reconciler.agents = p.Table
-	p.Reconciler.jobs = p.Jobs
-	p.Stopper.calls = p.Calls
-	p.Stopper.heartbeats = p.Heartbeats
-	p.Stopper.jobs = p.Jobs
-	p.Monitor.agents = p.Table
-	p.Monitor.calls = p.Calls
-	p.Monitor.jobs = p.Jobs
-	p.Monitor.stopper = p.Stopper
-	return p
+	parts.Misdirected.calls = parts.Calls
+	parts.Heartbeats.agents = parts.Table
+	parts.Heartbeats.calls = parts.Calls
+	parts.Heartbeats.jobs = parts.Jobs
+	parts.Heartbeats.misdirected = parts.Misdirected
+	parts.Calls.agents = parts.Table
+	parts.Calls.misdirected = parts.Misdirected
+	parts.Reconciler.agents = parts.Table
+	parts.Reconciler.jobs = parts.Jobs
+	parts.Stopper.calls = parts.Calls
+	parts.Stopper.heartbeats = parts.Heartbeats
+	parts.Stopper.jobs = parts.Jobs
+	parts.Monitor.agents = parts.Table
+	parts.Monitor.calls = parts.Calls
+	parts.Monitor.jobs = parts.Jobs
+	parts.Monitor.stopper = parts.Stopper
+	return parts
 }
 
 // Dependencies are what the parts need of other packages.
@@ -65,21 +65,21 @@
 }
 
 // Connect gives the parts what they need of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Table.catalog = d.Catalog
-	p.Table.removals = d.RemovalRecorder
-	p.Heartbeats.cancellations = d.CancellationChecker
-	p.Heartbeats.catalog = d.Catalog
-	p.Heartbeats.lease = d.Lease
-	p.Heartbeats.forecast = d.PlacementForecast
-	p.Heartbeats.replication = d.Replication
-	p.Heartbeats.transfers = d.QuiesceChecker
-	p.Calls.lease = d.Lease
-	p.Reconciler.committer = d.Committer
-	p.Reconciler.cancellations = d.CancellationChecker
-	p.Reconciler.shards = d.ShardWriter
-	p.Reconciler.terminations = d.TerminationChecker
-	p.Stopper.cancellations = d.CancellationChecker
-	p.Monitor.shards = d.ShardWriter
-	p.Monitor.scaleIn = d.ScaleInEvaluator
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Table.catalog = dependencies.Catalog
+	p.Table.removals = dependencies.RemovalRecorder
+	p.Heartbeats.cancellations = dependencies.CancellationChecker
+	p.Heartbeats.catalog = dependencies.Catalog
+	p.Heartbeats.lease = dependencies.Lease
+	p.Heartbeats.forecast = dependencies.PlacementForecast
+	p.Heartbeats.replication = dependencies.Replication
+	p.Heartbeats.transfers = dependencies.QuiesceChecker
+	p.Calls.lease = dependencies.Lease
+	p.Reconciler.committer = dependencies.Committer
+	p.Reconciler.cancellations = dependencies.CancellationChecker
+	p.Reconciler.shards = dependencies.ShardWriter
+	p.Reconciler.terminations = dependencies.TerminationChecker
+	p.Stopper.cancellations = dependencies.CancellationChecker
+	p.Monitor.shards = dependencies.ShardWriter
+	p.Monitor.scaleIn = dependencies.ScaleInEvaluator
 }
--- a/internal/coordination/agents/reachability.go
+++ b/internal/coordination/agents/reachability.go
@@ -49,14 +49,14 @@
 }
 
 // HasMissedHeartbeat tells whether an agent has missed a heartbeat for sure.
-func (at *Table) HasMissedHeartbeat(m *MachineState) bool {
+func (at *Table) HasMissedHeartbeat(state *MachineState) bool {
 	const networkMargin = 1500 * time.Millisecond
-	return !m.isDeferred() && at.TimeSinceContact(m) > at.Config.HeartbeatInterval*5/4+networkMargin
+	return !state.isDeferred() && at.TimeSinceContact(state) > at.Config.HeartbeatInterval*5/4+networkMargin
 }
 
 // IsSilent tells whether an agent has missed several heartbeats.
-func (at *Table) IsSilent(m *MachineState) bool {
-	return !m.isDeferred() && at.TimeSinceContact(m) > at.SilenceTimeout()
+func (at *Table) IsSilent(state *MachineState) bool {
+	return !state.isDeferred() && at.TimeSinceContact(state) > at.SilenceTimeout()
 }
 
 // SilenceTimeout is the time in which several heartbeats must have come from an agent that
@@ -67,12 +67,12 @@
 
 // TimeSinceContact is for how long nothing has come from an agent while this process could
 // have received it: a process pause is not the agent's silence.
-func (at *Table) TimeSinceContact(m *MachineState) time.Duration {
-	return at.Since(max(m.LastContactAt, at.ResumedAt))
+func (at *Table) TimeSinceContact(state *MachineState) time.Duration {
+	return at.Since(max(state.LastContactAt, at.ResumedAt))
 }
 
 // heartbeatsLost tells whether an agent has sent no heartbeat for a while, whatever it says when
 // it is probed: starts go out in responses to heartbeats only, so what is placed there waits.
-func (at *Table) heartbeatsLost(m *MachineState) bool {
-	return !m.isDeferred() && at.Since(max(m.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
+func (at *Table) heartbeatsLost(state *MachineState) bool {
+	return !state.isDeferred() && at.Since(max(state.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
 }
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -17,7 +17,7 @@
 // does not matter, a failover does.
 func TestAgentLeaseExpired(t *testing.T) {
 	const answerDelay = 3 * time.Second // by then the heartbeat is answered
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		confirmed protocol.FencingToken
 		after     time.Duration
@@ -29,11 +29,16 @@
 		{"past it, before the newest token was shown", testShardEpoch.FencingToken(1), 16 * time.Second, true},
 		{"the agent has shown an earlier owner's only", (testShardEpoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			entry, m := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
+			entry, state := f.addOwnedMachine(t, storage.MachineRecord{
+				MachineType:  "s",
+				Zone:         "a",
+				AgentEpoch:   1,
+				TokenCounter: 2,
+			})
 			heartbeat := steptest.NewHeartbeat(entry, 1)
-			heartbeat.FencingToken = c.confirmed
+			heartbeat.FencingToken = test.confirmed
 			f.receive(heartbeat)
 			wasAnswered := steptest.ReplyStatus(f.Effects) == http.StatusOK
 			f.advance(answerDelay)
@@ -41,8 +46,8 @@
 			if !wasAnswered && steptest.ReplyStatus(f.Effects) != http.StatusOK {
 				t.Fatal("the heartbeat is not answered")
 			}
-			f.advance(c.after - answerDelay)
-			if got := f.Table.IsAgentLeaseExpired(m, &entry.Record); got != c.want {
+			f.advance(test.after - answerDelay)
+			if got := f.Table.IsAgentLeaseExpired(state, &entry.Record); got != test.want {
 				t.Error(got)
 			}
 		})
@@ -53,7 +58,7 @@
 // agent that is silent as well is dead, or cut off in both directions.
 func TestCommandsLost(t *testing.T) {
 	failed := errors.New("no answer")
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name             string
 		calls            []error // results of direct calls, one a second
 		heartbeatsArrive bool    // meanwhile
@@ -65,17 +70,22 @@
 		{"one is answered between", []error{failed, nil, failed}, true, false},
 		{"one is answered afterwards", []error{failed, failed, nil}, true, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			entry, m := f.addOwnedMachine(t, storage.MachineRecord{Address: "a", MachineType: "s", Zone: "a", AgentEpoch: 1})
+			entry, state := f.addOwnedMachine(t, storage.MachineRecord{
+				Address:     "a",
+				MachineType: "s",
+				Zone:        "a",
+				AgentEpoch:  1,
+			})
 			sequence := protocol.Sequence(1)
 			f.receive(steptest.NewHeartbeat(entry, sequence))
-			for _, err := range c.calls {
+			for _, err := range test.calls {
 				f.advance(time.Second)
-				f.Calls.sendCommands(entry, m, nil, 0)
+				f.Calls.sendCommands(entry, state, nil, 0)
 				f.advance(time.Second)
 				sequence++
-				if c.heartbeatsArrive {
+				if test.heartbeatsArrive {
 					f.receive(steptest.NewHeartbeat(entry, sequence))
 					sequence++
 				}
@@ -85,7 +95,7 @@
 				}
 				f.Calls.OnAgentResult(result)
 			}
-			if got := m.CommandsLost(); got != c.want {
+			if got := state.CommandsLost(); got != test.want {
 				t.Error(got)
 			}
 		})
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -42,16 +42,16 @@
 // WriteMachines brings the records of owned machines in line with what their
 // agents show, shard by shard. Where a transaction cannot take all, the next
 // one goes on with the shard that was left.
-func (r *Reconciler) WriteMachines(b *commit.Batch) {
+func (r *Reconciler) WriteMachines(batch *commit.Batch) {
 	shards := r.shards.OwnedShards()
 	for i := range shards {
 		index := (r.nextShardIndex + i) % len(shards)
 		for _, id := range r.Replica.Shards[shards[index]].Machines {
 			if entry := r.Replica.Machines[id]; entry != nil && entry.Record.Shard == shards[index] {
-				r.reconcileMachine(b, id, entry)
+				r.reconcileMachine(batch, id, entry)
 			}
 		}
-		if !b.HasCapacity(1) {
+		if !batch.HasCapacity(1) {
 			r.nextShardIndex = index
 			r.committer.SetBatchPartial(true)
 			return
@@ -61,55 +61,55 @@
 	r.committer.SetBatchPartial(false)
 }
 
-func (r *Reconciler) reconcileMachine(b *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
+func (r *Reconciler) reconcileMachine(batch *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
 	record := &entry.Record
-	if b.ChangesMachine(id) || b.RemovesMachine(id) || b.GivesAwayShard(record.Shard) {
+	if batch.ChangesMachine(id) || batch.RemovesMachine(id) || batch.GivesAwayShard(record.Shard) {
 		return // being handed over in this transaction
 	}
-	m := r.agents.TrackOwnedMachine(entry, id)
+	state := r.agents.TrackOwnedMachine(entry, id)
 	switch {
 	case record.Terminating || r.terminations.IsTerminationConfirmed(id):
-		r.removeTerminated(b, id, record)
+		r.removeTerminated(batch, id, record)
 		return
-	case hasNewAgentEpoch(m, record):
-		r.adoptAgentEpoch(b, m, record)
+	case hasNewAgentEpoch(state, record):
+		r.adoptAgentEpoch(batch, state, record)
 		return
-	case len(record.Assignments) > 0 && r.agents.IsAgentLeaseExpired(m, record):
-		r.requeueExpired(b, m)
+	case len(record.Assignments) > 0 && r.agents.IsAgentLeaseExpired(state, record):
+		r.requeueExpired(batch, state)
 		return
 	}
-	if m.CurrentHeartbeat(record) != nil {
-		r.reconcileTasks(b, m, record)
+	if state.CurrentHeartbeat(record) != nil {
+		r.reconcileTasks(batch, state, record)
 	}
-	r.updateDrain(b, m, record)
+	r.updateDrain(batch, state, record)
 }
 
 // removeTerminated drops a machine from the records once the cloud has confirmed its termination:
 // only then are its tasks surely gone.
-func (r *Reconciler) removeTerminated(b *commit.Batch, id protocol.MachineID, record *storage.MachineRecord) {
-	if !r.terminations.IsTerminationConfirmed(id) || !b.HasCapacity(b.OpsNeeded(id)) {
+func (r *Reconciler) removeTerminated(batch *commit.Batch, id protocol.MachineID, record *storage.MachineRecord) {
+	if !r.terminations.IsTerminationConfirmed(id) || !batch.HasCapacity(batch.OpsNeeded(id)) {
 		return
 	}
-	b.RemoveMachine(id)
-	b.Log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
+	batch.RemoveMachine(id)
+	batch.Log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
 }
 
 // hasNewAgentEpoch tells whether the agent has begun an agent epoch that is not on record. A
 // heartbeat with a higher token than the one on record is another owner's to judge.
-func hasNewAgentEpoch(m *MachineState, record *storage.MachineRecord) bool {
-	heartbeat := m.LatestHeartbeat
+func hasNewAgentEpoch(state *MachineState, record *storage.MachineRecord) bool {
+	heartbeat := state.LatestHeartbeat
 	return heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch && heartbeat.FencingToken <= record.FencingToken
 }
 
 // adoptAgentEpoch records the agent's new epoch and takes all tasks back: an agent kills every task
 // of an earlier epoch before it begins a new one.
-func (r *Reconciler) adoptAgentEpoch(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
+func (r *Reconciler) adoptAgentEpoch(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
 	isFirstEpoch := record.AgentEpoch == 0
-	if isFirstEpoch && len(record.Assignments) > 0 || !b.HasCapacity(b.OpsNeeded(m.ID)) {
+	if isFirstEpoch && len(record.Assignments) > 0 || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return
 	}
-	heartbeat, updated := m.LatestHeartbeat, b.MutableMachine(m.ID)
-	r.requeueAll(b, m, updated, "newer agent epoch")
+	heartbeat, updated := state.LatestHeartbeat, batch.MutableMachine(state.ID)
+	r.requeueAll(batch, state, updated, "newer agent epoch")
 	updated.AgentEpoch, updated.Address = heartbeat.AgentEpoch, heartbeat.Addr
 	if isFirstEpoch {
 		updated.MachineType, updated.Zone, updated.Spot = heartbeat.Type, heartbeat.Zone, heartbeat.Spot
@@ -118,47 +118,49 @@
 
 // requeueExpired takes all tasks back from a machine whose agent has killed them, as no response
 // renewed its lease.
-func (r *Reconciler) requeueExpired(b *commit.Batch, m *MachineState) {
-	if !b.HasCapacity(b.OpsNeeded(m.ID)) {
+func (r *Reconciler) requeueExpired(batch *commit.Batch, state *MachineState) {
+	if !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return
 	}
-	updated := b.MutableMachine(m.ID)
-	r.requeueAll(b, m, updated, "agent lease expired")
+	updated := batch.MutableMachine(state.ID)
+	r.requeueAll(batch, state, updated, "agent lease expired")
 	updated.Cordoned = true
 }
 
 // requeueAll takes all tasks back from a machine.
-func (r *Reconciler) requeueAll(b *commit.Batch, m *MachineState, record *storage.MachineRecord, reason string) {
-	for _, a := range record.Assignments {
-		a.Tasks.Each(func(n int) bool {
-			r.revoke(b, m, protocol.Task{Job: a.Job, Index: n}, a.Attempt)
+func (r *Reconciler) requeueAll(
+	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, reason string,
+) {
+	for _, assignment := range record.Assignments {
+		assignment.Tasks.Each(func(index int) bool {
+			r.revoke(batch, state, protocol.Task{Job: assignment.Job, Index: index}, assignment.Attempt)
 			return true
 		})
-		b.Log(slog.LevelInfo, "tasks requeued", "machine", string(m.ID), "job", string(a.Job),
-			"tasks", a.Tasks.String(), "reason", reason)
+		batch.Log(slog.LevelInfo, "tasks requeued", "machine", string(state.ID), "job", string(assignment.Job),
+			"tasks", assignment.Tasks.String(), "reason", reason)
 	}
 	record.Assignments = nil
 }
 
 // requeue takes one task back from a machine.
-func (r *Reconciler) requeue(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
-	b.MutableMachine(m.ID).Unassign(task)
-	r.revoke(b, m, task, attempt)
+func (r *Reconciler) requeue(batch *commit.Batch, state *MachineState, task protocol.Task, attempt protocol.Attempt) {
+	batch.MutableMachine(state.ID).Unassign(task)
+	r.revoke(batch, state, task, attempt)
 }
 
 // revoke bars an attempt that is taken back from being started again, from now on: the write may
 // be applied even if its outcome is never known.
-func (r *Reconciler) revoke(b *commit.Batch, m *MachineState, task protocol.Task, attempt protocol.Attempt) {
-	m.revokedAttempts[task] = attempt
-	b.OnSend(func() { delete(m.stopRequests, task) })
+func (r *Reconciler) revoke(batch *commit.Batch, state *MachineState, task protocol.Task, attempt protocol.Attempt) {
+	state.revokedAttempts[task] = attempt
+	batch.OnSend(func() { delete(state.stopRequests, task) })
 }
 
 // reconcileTasks compares the assigned tasks with the current heartbeat.
-func (r *Reconciler) reconcileTasks(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
+func (r *Reconciler) reconcileTasks(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
 	for i := range record.Assignments {
-		a := &record.Assignments[i]
-		a.Tasks.Each(func(n int) bool {
-			return r.reconcileTask(b, m, record, protocol.Task{Job: a.Job, Index: n}, a.Attempt)
+		assignment := &record.Assignments[i]
+		assignment.Tasks.Each(func(index int) bool {
+			return r.reconcileTask(batch, state, record, protocol.Task{Job: assignment.Job, Index: index}, assignment.Attempt)
 		})
 	}
 }
@@ -166,24 +168,24 @@
 // reconcileTask compares one assigned task with the current heartbeat. It returns false
 // once the transaction is full.
 func (r *Reconciler) reconcileTask(
-	b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
+	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
 ) bool {
-	status := m.taskStatuses[task]
+	status := state.taskStatuses[task]
 	switch {
 	case status == nil:
-		if !r.mustRequeueAbsent(b, m, record, task, attempt) {
+		if !r.mustRequeueAbsent(batch, state, record, task, attempt) {
 			return true
 		}
 	case status.Attempt != attempt || status.State != protocol.TaskExited:
 		return true // running, or an old attempt that the next response has forgotten
 	}
-	if !b.HasCapacity(b.OpsNeeded(m.ID)) {
+	if !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return false
 	}
 	if status == nil {
-		r.requeue(b, m, task, attempt)
+		r.requeue(batch, state, task, attempt)
 	} else {
-		r.recordExit(b, m, task, status)
+		r.recordExit(batch, state, task, status)
 	}
 	return true
 }
@@ -192,56 +194,58 @@
 // back. That it does not run is proven, unless a start is in flight; that it should not be started
 // again is the question.
 func (r *Reconciler) mustRequeueAbsent(
-	b *commit.Batch, m *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
+	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
 ) bool {
-	if _, inFlight := m.InflightStarts[task]; inFlight {
+	if _, inFlight := state.InflightStarts[task]; inFlight {
 		return false // the agent may carry it out yet: absence proves nothing
 	}
-	job := b.JobRecord(task.Job)
+	job := batch.JobRecord(task.Job)
 	switch {
 	case job == nil || job.State.IsTerminal() || r.cancellations.CancelRequested(task.Job):
 		return true
-	case isGracefullyStopped(job, attempt) || m.HasStopRequest(task, attempt):
+	case isGracefullyStopped(job, attempt) || state.HasStopRequest(task, attempt):
 		return true
 	case job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt):
 		return true
-	case m.revokedAttempts[task] == attempt:
+	case state.revokedAttempts[task] == attempt:
 		return true // taken back already; that write was refused, or a later one assigned it anew
 	}
-	wasEverSeen := m.firstSeenAt[task] != 0
-	return record.Cordoned && !wasEverSeen && r.cannotStart(m)
+	wasEverSeen := state.firstSeenAt[task] != 0
+	return record.Cordoned && !wasEverSeen && r.cannotStart(state)
 }
 
 // cannotStart tells whether a machine that is drained will start nothing for some time.
-func (r *Reconciler) cannotStart(m *MachineState) bool {
-	return m.isPreempted() || m.IsFaulty || m.CommandsLost() || r.agents.heartbeatsLost(m)
+func (r *Reconciler) cannotStart(state *MachineState) bool {
+	return state.isPreempted() || state.IsFaulty || state.CommandsLost() || r.agents.heartbeatsLost(state)
 }
 
 // recordExit takes a task back that the current heartbeat shows as exited. If it was done, that goes
 // into the same transaction: it is neither lost nor run again.
-func (r *Reconciler) recordExit(b *commit.Batch, m *MachineState, task protocol.Task, status *protocol.TaskStatus) {
-	job := b.JobRecord(task.Job)
+func (r *Reconciler) recordExit(
+	batch *commit.Batch, state *MachineState, task protocol.Task, status *protocol.TaskStatus,
+) {
+	job := batch.JobRecord(task.Job)
 	isService := job != nil && job.Spec != nil && job.Spec.IsService()
 	isDone := status.Reason == protocol.ReasonDone && !isService // replicas are never done
 	if isDone && job != nil && !job.State.IsTerminal() {
-		b.RecordTaskDone(m.ID, task)
-		b.OnSend(func() { r.jobs.recordTaskRuntime(m, task) })
-		r.requeue(b, m, task, status.Attempt)
-		b.CompleteJobIfDone(task.Job)
-		clear(m.jobsWithErrors)
+		batch.RecordTaskDone(state.ID, task)
+		batch.OnSend(func() { r.jobs.recordTaskRuntime(state, task) })
+		r.requeue(batch, state, task, status.Attempt)
+		batch.CompleteJobIfDone(task.Job)
+		clear(state.jobsWithErrors)
 		return
 	}
-	r.requeue(b, m, task, status.Attempt)
+	r.requeue(batch, state, task, status.Attempt)
 	if isService {
-		b.MarkFailedReplica(task.Job) // how soon it is tried again shows once this is written
+		batch.MarkFailedReplica(task.Job) // how soon it is tried again shows once this is written
 	}
 	if isDone {
 		return
 	}
-	b.Log(slog.LevelInfo, "task ended incomplete", "task", task.String(), "attempt", uint64(status.Attempt),
-		"machine", string(m.ID), "reason", string(status.Reason), "checkpointed", status.ProgressSaved)
+	batch.Log(slog.LevelInfo, "task ended incomplete", "task", task.String(), "attempt", uint64(status.Attempt),
+		"machine", string(state.ID), "reason", string(status.Reason), "checkpointed", status.ProgressSaved)
 	if status.Reason == protocol.ReasonError {
-		r.onTaskError(m, task.Job)
+		r.onTaskError(state, task.Job)
 	}
 }
 
@@ -249,43 +253,43 @@
 const minFailedMachines = 2
 
 // onTaskError tells a faulty machine from a job that fails everywhere.
-func (r *Reconciler) onTaskError(m *MachineState, id protocol.JobID) {
-	state := r.jobs.JobState(id)
-	state.FailedMachines[m.ID] = true
-	if r.failsEverywhere(id, state) {
-		r.Log(slog.LevelWarn, "job fails on multiple machines", "job", string(id), "count", len(state.FailedMachines))
+func (r *Reconciler) onTaskError(state *MachineState, id protocol.JobID) {
+	jobState := r.jobs.JobState(id)
+	jobState.FailedMachines[state.ID] = true
+	if r.failsEverywhere(id, jobState) {
+		r.Log(slog.LevelWarn, "job fails on multiple machines", "job", string(id), "count", len(jobState.FailedMachines))
 		return
 	}
-	if becameFaulty := m.recordTaskError(id, r.Now.Monotonic); becameFaulty {
-		r.Log(slog.LevelWarn, "machine marked faulty", "machine", string(m.ID))
+	if becameFaulty := state.recordTaskError(id, r.Now.Monotonic); becameFaulty {
+		r.Log(slog.LevelWarn, "machine marked faulty", "machine", string(state.ID))
 	}
 }
 
 // failsEverywhere tells whether a job has failed on several machines and completed nothing.
-func (r *Reconciler) failsEverywhere(id protocol.JobID, state *JobState) bool {
-	return len(state.FailedMachines) >= minFailedMachines &&
+func (r *Reconciler) failsEverywhere(id protocol.JobID, jobState *JobState) bool {
+	return len(jobState.FailedMachines) >= minFailedMachines &&
 		(r.Replica.Jobs[id] == nil || r.Replica.CompletedTasks(id).IsZero())
 }
 
 // updateDrain records whether the machine takes new tasks.
-func (r *Reconciler) updateDrain(b *commit.Batch, m *MachineState, record *storage.MachineRecord) {
-	drain := r.shouldDrain(m, record)
-	if drain == b.MachineRecord(m.ID).Cordoned || !b.HasCapacity(b.OpsNeeded(m.ID)) {
+func (r *Reconciler) updateDrain(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
+	drain := r.shouldDrain(state, record)
+	if drain == batch.MachineRecord(state.ID).Cordoned || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return
 	}
-	b.MutableMachine(m.ID).Cordoned = drain
-	b.Log(slog.LevelInfo, "machine drain changed", "machine", string(m.ID), "enabled", drain,
-		"preempted", m.isPreempted(), "seconds_since_contact", r.Since(m.LastContactAt).Seconds())
+	batch.MutableMachine(state.ID).Cordoned = drain
+	batch.Log(slog.LevelInfo, "machine drain changed", "machine", string(state.ID), "enabled", drain,
+		"preempted", state.isPreempted(), "seconds_since_contact", r.Since(state.LastContactAt).Seconds())
 }
 
 // shouldDrain tells whether a machine should take no new tasks: it will be preempted, is faulty,
 // or its agent may not start them.
-func (r *Reconciler) shouldDrain(m *MachineState, record *storage.MachineRecord) bool {
-	if m.isPreempted() || m.IsFaulty || r.Now.Monotonic < m.quarantinedUntil {
+func (r *Reconciler) shouldDrain(state *MachineState, record *storage.MachineRecord) bool {
+	if state.isPreempted() || state.IsFaulty || r.Now.Monotonic < state.quarantinedUntil {
 		return true
 	}
-	if m.CommandsLost() || r.agents.isSuspectTooLong(m) {
+	if state.CommandsLost() || r.agents.isSuspectTooLong(state) {
 		return true
 	}
-	return record.AgentEpoch > 0 && (r.agents.IsSilent(m) || r.agents.heartbeatsLost(m))
+	return record.AgentEpoch > 0 && (r.agents.IsSilent(state) || r.agents.heartbeatsLost(state))
 }
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -14,104 +14,108 @@
 func TestRequeueOnlyOnProof(t *testing.T) {
 	const attempt = protocol.Attempt(5)
 	task := protocol.Task{Job: testJob}
-	status := func(a protocol.Attempt, s protocol.TaskState, reason protocol.Reason) protocol.TaskStatus {
-		return protocol.TaskStatus{Task: task, Attempt: a, State: s, Reason: reason}
+	status := func(
+		statusAttempt protocol.Attempt, taskState protocol.TaskState, reason protocol.Reason,
+	) protocol.TaskStatus {
+		return protocol.TaskStatus{Task: task, Attempt: statusAttempt, State: taskState, Reason: reason}
 	}
-	show := func(tasks ...protocol.TaskStatus) func(*fixture, *storage.Machine, *MachineState) {
-		return func(f *fixture, e *storage.Machine, _ *MachineState) {
-			f.receive(steptest.NewHeartbeat(e, 1, tasks...))
+	receiveHeartbeat := func(tasks ...protocol.TaskStatus) func(*fixture, *storage.Machine, *MachineState) {
+		return func(f *fixture, entry *storage.Machine, _ *MachineState) {
+			f.receive(steptest.NewHeartbeat(entry, 1, tasks...))
 		}
 	}
 	cancel := func(f *fixture) { f.cancellations[testJob] = true }
 	leasePassed := 20 * time.Second
 
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		arrange  func(*fixture, *storage.Machine, *MachineState)
 		want     bool // taken back
 		wantDone string
 	}{
 		{"no heartbeat yet", func(f *fixture, _ *storage.Machine, _ *MachineState) { cancel(f) }, false, ""},
-		{"runs", show(status(attempt, protocol.TaskRunning, "")), false, ""},
-		{"not there, its start is in flight", show(), false, ""},
-		{"not there, its start is still to be sent", func(f *fixture, e *storage.Machine, m *MachineState) {
-			show()(f, e, m)
-			clear(m.InflightStarts)
+		{"runs", receiveHeartbeat(status(attempt, protocol.TaskRunning, "")), false, ""},
+		{"not there, its start is in flight", receiveHeartbeat(), false, ""},
+		{"not there, its start is still to be sent", func(f *fixture, entry *storage.Machine, state *MachineState) {
+			receiveHeartbeat()(f, entry, state)
+			clear(state.InflightStarts)
 		}, false, ""},
-		{"not there, and cancelled", func(f *fixture, e *storage.Machine, m *MachineState) {
+		{"not there, and cancelled", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			cancel(f)
-			show()(f, e, m)
+			receiveHeartbeat()(f, entry, state)
 		}, true, ""},
-		{"not there, cancelled, its start is in flight", func(f *fixture, e *storage.Machine, m *MachineState) {
+		{"not there, cancelled, its start is in flight", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			cancel(f)
-			show()(f, e, m)
-			m.InflightStarts[task] = attempt
+			receiveHeartbeat()(f, entry, state)
+			state.InflightStarts[task] = attempt
 		}, false, ""},
-		{"not there, cancelled, a heartbeat after its start lacks it", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			f.receive(steptest.NewHeartbeat(e, 1)) // answered with the start
+		{"not there, cancelled, a heartbeat after its start lacks it",
+			func(f *fixture, entry *storage.Machine, _ *MachineState) {
+				f.receive(steptest.NewHeartbeat(entry, 1)) // answered with the start
+				cancel(f)
+				f.receive(steptest.NewHeartbeat(entry, 2))
+			}, true, ""},
+		{"not there, cancelled, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
 			cancel(f)
-			f.receive(steptest.NewHeartbeat(e, 2))
-		}, true, ""},
-		{"not there, cancelled, under an earlier owner's token", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			cancel(f)
-			heartbeat := steptest.NewHeartbeat(e, 1)
+			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
 			f.receive(heartbeat)
 		}, false, ""},
-		{"not there, taken back before", func(f *fixture, e *storage.Machine, m *MachineState) {
-			m.revokedAttempts[task] = attempt
-			show()(f, e, m)
+		{"not there, taken back before", func(f *fixture, entry *storage.Machine, state *MachineState) {
+			state.revokedAttempts[task] = attempt
+			receiveHeartbeat()(f, entry, state)
 		}, true, ""},
-		{"done", show(status(attempt, protocol.TaskExited, protocol.ReasonDone)), true, "0"},
-		{"failed", show(status(attempt, protocol.TaskExited, protocol.ReasonError)), true, ""},
-		{"an earlier attempt is done", show(status(attempt-1, protocol.TaskExited, protocol.ReasonDone)), false, ""},
-		{"newer agent epoch", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			heartbeat := steptest.NewHeartbeat(e, 1)
+		{"done", receiveHeartbeat(status(attempt, protocol.TaskExited, protocol.ReasonDone)), true, "0"},
+		{"failed", receiveHeartbeat(status(attempt, protocol.TaskExited, protocol.ReasonError)), true, ""},
+		{"an earlier attempt is done",
+			receiveHeartbeat(status(attempt-1, protocol.TaskExited, protocol.ReasonDone)), false, ""},
+		{"newer agent epoch", func(f *fixture, entry *storage.Machine, _ *MachineState) {
+			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.AgentEpoch++
 			f.receive(heartbeat)
 		}, true, ""},
-		{"lease expired", func(f *fixture, e *storage.Machine, m *MachineState) {
-			show(status(attempt, protocol.TaskRunning, ""))(f, e, m)
+		{"lease expired", func(f *fixture, entry *storage.Machine, state *MachineState) {
+			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(f, entry, state)
 			f.advance(3 * time.Second)
 			f.tick()
 			f.advance(leasePassed)
 		}, true, ""},
-		{"lease passed, a heartbeat is about to be answered", func(f *fixture, e *storage.Machine, m *MachineState) {
-			show(status(attempt, protocol.TaskRunning, ""))(f, e, m)
+		{"lease passed, a heartbeat is about to be answered", func(f *fixture, entry *storage.Machine, state *MachineState) {
+			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(f, entry, state)
 			f.advance(3 * time.Second)
 			f.tick()
 			f.advance(leasePassed)
-			m.DeferredRequest = 9
+			state.DeferredRequest = 9
 		}, false, ""},
-		{"lease passed, under an earlier owner's token", func(f *fixture, e *storage.Machine, _ *MachineState) {
-			heartbeat := steptest.NewHeartbeat(e, 1, status(attempt, protocol.TaskRunning, ""))
+		{"lease passed, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
+			heartbeat := steptest.NewHeartbeat(entry, 1, status(attempt, protocol.TaskRunning, ""))
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
 			f.receive(heartbeat)
 			f.advance(3 * time.Second)
 			f.tick()
 			f.advance(leasePassed)
 		}, false, ""},
-		{"termination requested", func(_ *fixture, e *storage.Machine, _ *MachineState) {
-			e.Record.Terminating = true
+		{"termination requested", func(_ *fixture, entry *storage.Machine, _ *MachineState) {
+			entry.Record.Terminating = true
 		}, false, ""},
 		{"termination confirmed", func(f *fixture, _ *storage.Machine, _ *MachineState) {
 			f.terminations[testMachine] = true
 		}, true, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, attempt)
-			entry, m := f.addOwnedMachine(t, record)
-			c.arrange(f, entry, m)
-			b := f.commit.ShardWriter.NewBatch(f.Config.TransactionOps)
-			f.Reconciler.WriteMachines(b)
-			takenBack := b.RemovesMachine(testMachine) || len(b.MachineRecord(testMachine).Assignments) == 0
-			if takenBack != c.want {
+			entry, state := f.addOwnedMachine(t, record)
+			test.arrange(f, entry, state)
+			batch := f.commit.ShardWriter.NewBatch(f.Config.TransactionOps)
+			f.Reconciler.WriteMachines(batch)
+			takenBack := batch.RemovesMachine(testMachine) || len(batch.MachineRecord(testMachine).Assignments) == 0
+			if takenBack != test.want {
 				t.Errorf("taken back: %v", takenBack)
 			}
-			if got := writtenDoneTasks(t, b.Transaction()); got != c.wantDone {
+			if got := writtenDoneTasks(t, batch.Transaction()); got != test.wantDone {
 				t.Errorf("recorded as done: %q", got)
 			}
 		})
--- a/internal/coordination/agents/response_delay.go
+++ b/internal/coordination/agents/response_delay.go
@@ -21,20 +21,20 @@
 
 // shouldDeferResponse tells whether the response should wait a moment for a write, so that
 // it can carry the starts that take the place of what has ended.
-func (h *HeartbeatHandler) shouldDeferResponse(entry *storage.Machine, m *MachineState) bool {
-	if h.isReplicaBehindOwnership(m) {
-		return h.Since(m.deferredAt) < ownershipCatchUpTimeout
+func (h *HeartbeatHandler) shouldDeferResponse(entry *storage.Machine, state *MachineState) bool {
+	if h.isReplicaBehindOwnership(state) {
+		return h.Since(state.deferredAt) < ownershipCatchUpTimeout
 	}
 	if h.replication.StoreUnavailable() || !h.lease.IsRegistered() {
 		return false
 	}
-	if m.CommandsLost() || m.ConfirmedToken < entry.Record.FencingToken {
+	if state.CommandsLost() || state.ConfirmedToken < entry.Record.FencingToken {
 		return false
 	}
-	if h.Since(m.deferredAt) >= h.maxResponseDelay() {
-		return h.shouldDeferIdleResponse(entry, m)
+	if h.Since(state.deferredAt) >= h.maxResponseDelay() {
+		return h.shouldDeferIdleResponse(entry, state)
 	}
-	heartbeat, record := m.LatestHeartbeat, &entry.Record
+	heartbeat, record := state.LatestHeartbeat, &entry.Record
 	showsShardEpoch := storage.ShardEpochOf(heartbeat.FencingToken) == record.ShardEpoch
 	if heartbeat.AgentEpoch != record.AgentEpoch {
 		return showsShardEpoch || record.AgentEpoch == 0 // the new agent epoch is about to be written
@@ -42,14 +42,16 @@
 	if !showsShardEpoch {
 		return false
 	}
-	return showsUnrecordedExit(heartbeat, record) || h.expectsAssignments(entry, m) || h.shouldDeferIdleResponse(entry, m)
+	return showsUnrecordedExit(heartbeat, record) ||
+		h.expectsAssignments(entry, state) ||
+		h.shouldDeferIdleResponse(entry, state)
 }
 
 // isReplicaBehindOwnership tells whether the replica may lack what was written before this
 // incarnation became the owner: a job may have been cancelled without its
 // knowledge.
-func (h *HeartbeatHandler) isReplicaBehindOwnership(m *MachineState) bool {
-	return h.Replica.Revision < m.ownershipRevision
+func (h *HeartbeatHandler) isReplicaBehindOwnership(state *MachineState) bool {
+	return h.Replica.Revision < state.ownershipRevision
 }
 
 // showsUnrecordedExit tells whether an assigned task has exited, so that its end is to be written.
@@ -70,13 +72,14 @@
 // see on record, most often those of a job that another controller owns. The response waits
 // for them within maxResponseDelay: without that a core that has become free stays so for half
 // a heartbeat interval on average, where tasks are short a tenth of all cores.
-func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, m *MachineState) bool {
+func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, state *MachineState) bool {
 	record := &entry.Record
-	if !h.forecast.ExpectsPlacement(m.ID) || !h.replication.IsUpToDate() || !acceptsTasks(record, m.LatestHeartbeat) {
+	if !h.forecast.ExpectsPlacement(state.ID) || !h.replication.IsUpToDate() ||
+		!acceptsTasks(record, state.LatestHeartbeat) {
 		return false
 	}
 	for i := range record.Assignments {
-		if h.nonGangSpec(&record.Assignments[i]) == nil || !m.showsAllTasks(&record.Assignments[i]) {
+		if h.nonGangSpec(&record.Assignments[i]) == nil || !state.showsAllTasks(&record.Assignments[i]) {
 			return false // there is something to start
 		}
 	}
@@ -90,8 +93,8 @@
 
 // nonGangSpec is the job of an assignment, nil if it is unknown or a gang, whose tasks may wait
 // to start for those on other machines.
-func (h *HeartbeatHandler) nonGangSpec(a *storage.Assignment) *protocol.Job {
-	job := h.Replica.Jobs[a.Job]
+func (h *HeartbeatHandler) nonGangSpec(assignment *storage.Assignment) *protocol.Job {
+	job := h.Replica.Jobs[assignment.Job]
 	if job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() {
 		return nil
 	}
@@ -109,9 +112,9 @@
 // something to do: a start that is written meanwhile goes out at once instead of with the next
 // heartbeat. The agent waits longer than that for a response. While tasks run there it waits
 // only where heartbeats are so far apart that it pays.
-func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, m *MachineState) bool {
-	heartbeat, record := m.LatestHeartbeat, &entry.Record
-	if h.Since(m.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() ||
+func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, state *MachineState) bool {
+	heartbeat, record := state.LatestHeartbeat, &entry.Record
+	if h.Since(state.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() ||
 		!isUnderRecordedEpochs(heartbeat, record) || !acceptsTasks(record, heartbeat) {
 		return false
 	}
@@ -121,27 +124,27 @@
 	if h.Config.HeartbeatInterval < 2*h.Config.MaxIdleResponseDelay {
 		return false
 	}
-	return h.hasFreeCoresAndNoCommands(record, m)
+	return h.hasFreeCoresAndNoCommands(record, state)
 }
 
 // hasFreeCoresAndNoCommands tells whether a good part of the machine is free while there is no
 // command for its agent: all assigned tasks run, and none has exited.
-func (h *HeartbeatHandler) hasFreeCoresAndNoCommands(record *storage.MachineRecord, m *MachineState) bool {
+func (h *HeartbeatHandler) hasFreeCoresAndNoCommands(record *storage.MachineRecord, state *MachineState) bool {
 	machineType := h.catalog.MachineType(record.MachineType)
 	if machineType == nil {
 		return false
 	}
 	freeCores := machineType.Cores
 	for i := range record.Assignments {
-		a := &record.Assignments[i]
-		spec := h.nonGangSpec(a)
-		if spec == nil || !m.showsAllTasks(a) {
+		assignment := &record.Assignments[i]
+		spec := h.nonGangSpec(assignment)
+		if spec == nil || !state.showsAllTasks(assignment) {
 			return false // there is something to start
 		}
-		freeCores -= float64(a.Tasks.Len()) * spec.Cores
+		freeCores -= float64(assignment.Tasks.Len()) * spec.Cores
 	}
-	for i := range m.LatestHeartbeat.Tasks {
-		if m.LatestHeartbeat.Tasks[i].State == protocol.TaskExited {
+	for i := range state.LatestHeartbeat.Tasks {
+		if state.LatestHeartbeat.Tasks[i].State == protocol.TaskExited {
 			return false // to be forgotten
 		}
 	}
--- a/internal/coordination/agents/response_delay_test.go
+++ b/internal/coordination/agents/response_delay_test.go
@@ -19,7 +19,7 @@
 	exited := protocol.TaskStatus{Task: task, Attempt: attempt, State: protocol.TaskExited, Reason: protocol.ReasonDone}
 	notice := 60.0
 
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		isAssigned bool // the task is, on record
 		tasks      []protocol.TaskStatus
@@ -30,11 +30,13 @@
 		{"idle", false, nil, nil, 0, true},
 		{"idle for long", false, nil, nil, 2600 * time.Millisecond, false},
 		{"idle, about to be preempted", false, nil,
-			func(_ *fixture, _ *storage.Machine, _ *MachineState, h *protocol.Heartbeat) {
-				h.PreemptionNoticeSeconds = &notice
+			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
+				heartbeat.PreemptionNoticeSeconds = &notice
 			}, 0, false},
 		{"idle, drained", false, nil,
-			func(_ *fixture, e *storage.Machine, _ *MachineState, _ *protocol.Heartbeat) { e.Record.Cordoned = true }, 0, false},
+			func(_ *fixture, entry *storage.Machine, _ *MachineState, _ *protocol.Heartbeat) {
+				entry.Record.Cordoned = true
+			}, 0, false},
 		{"a task is to be started", true, nil, nil, 0, false},
 		{"a task runs", true, []protocol.TaskStatus{running}, nil, 0, false},
 		{"the end of a task is to be recorded", true, []protocol.TaskStatus{exited}, nil, 0, true},
@@ -42,36 +44,40 @@
 			[]protocol.TaskStatus{exited}, nil, 800 * time.Millisecond, false},
 		{"a task that is not assigned is to be forgotten", false, []protocol.TaskStatus{exited}, nil, 0, false},
 		{"a new agent epoch is to be recorded", true, nil,
-			func(_ *fixture, _ *storage.Machine, _ *MachineState, h *protocol.Heartbeat) { h.AgentEpoch++ }, 0, true},
+			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
+				heartbeat.AgentEpoch++
+			}, 0, true},
 		{"the agent lacks the token", false, nil,
-			func(_ *fixture, _ *storage.Machine, _ *MachineState, h *protocol.Heartbeat) { h.FencingToken-- }, 0, false},
+			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
+				heartbeat.FencingToken--
+			}, 0, false},
 		{"the replica may lack what the earlier owner wrote", true, nil,
-			func(f *fixture, _ *storage.Machine, m *MachineState, _ *protocol.Heartbeat) {
-				m.ownershipRevision = f.Replica.Revision + 1
+			func(f *fixture, _ *storage.Machine, state *MachineState, _ *protocol.Heartbeat) {
+				state.ownershipRevision = f.Replica.Revision + 1
 			}, 0, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2, TokenCounter: 1}
-			if c.isAssigned {
+			if test.isAssigned {
 				record.Assign(task, attempt)
 			}
-			entry, m := f.addOwnedMachine(t, record)
-			f.Replica.Revision = max(f.Replica.Revision, m.ownershipRevision)
-			heartbeat := steptest.NewHeartbeat(entry, 1, c.tasks...)
-			if c.change != nil {
-				c.change(f, entry, m, heartbeat)
+			entry, state := f.addOwnedMachine(t, record)
+			f.Replica.Revision = max(f.Replica.Revision, state.ownershipRevision)
+			heartbeat := steptest.NewHeartbeat(entry, 1, test.tasks...)
+			if test.change != nil {
+				test.change(f, entry, state, heartbeat)
 			}
 			f.receive(heartbeat)
-			if c.after > 0 {
+			if test.after > 0 {
 				if steptest.ReplyStatus(f.Effects) != 0 {
 					t.Fatal("answered at once")
 				}
-				f.advance(c.after)
+				f.advance(test.after)
 				f.tick()
 			}
-			if got := m.isDeferred(); got != c.want || (steptest.ReplyStatus(f.Effects) == 0) != c.want {
+			if got := state.isDeferred(); got != test.want || (steptest.ReplyStatus(f.Effects) == 0) != test.want {
 				t.Errorf("deferred %v, reply %d", got, steptest.ReplyStatus(f.Effects))
 			}
 		})
@@ -83,8 +89,8 @@
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
 	f := newFixture(t)
 	// The machine's shard is newer than the replica: an own write that was applied.
-	entry, m := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
-	if f.Replica.Revision = 0; m.ownershipRevision == 0 {
+	entry, state := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
+	if f.Replica.Revision = 0; state.ownershipRevision == 0 {
 		t.Fatal("the ownership has no revision")
 	}
 	f.receive(steptest.NewHeartbeat(entry, 1))
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -42,14 +42,14 @@
 
 // RequestStop notes that a task is to stop. A request with a shorter grace period stays.
 func (ts *TaskStopper) RequestStop(
-	m *MachineState, task protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
+	state *MachineState, task protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
 ) {
-	if stop, ok := m.stopRequests[task]; ok && stop.attempt == attempt && stop.graceSeconds <= graceSeconds {
+	if stop, ok := state.stopRequests[task]; ok && stop.attempt == attempt && stop.graceSeconds <= graceSeconds {
 		return
 	}
-	m.stopRequests[task] = stopRequest{attempt: attempt, graceSeconds: graceSeconds}
+	state.stopRequests[task] = stopRequest{attempt: attempt, graceSeconds: graceSeconds}
 	ts.Log(slog.LevelInfo, "task stop requested", "task", task.String(), "attempt", uint64(attempt),
-		"machine", string(m.ID), "reason", reason)
+		"machine", string(state.ID), "reason", reason)
 }
 
 // RequestGracefulStop notes that an attempt of a gang is to stop gracefully, on all its machines.
@@ -63,50 +63,52 @@
 // WriteGracefulStops puts the graceful stop of gangs on record. Every owner of a machine
 // with one of the tasks reads it there at once and sends the stop directly, so
 // that all tasks get the stop within Config.GangPeerTimeout.
-func (ts *TaskStopper) WriteGracefulStops(b *commit.Batch) {
+func (ts *TaskStopper) WriteGracefulStops(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(ts.gracefulStops) {
 		attempt := ts.gracefulStops[id]
 		entry := ts.Replica.Jobs[id]
 		if entry == nil || entry.Record.State.IsTerminal() || entry.Record.GracefulStopAttempt >= attempt {
 			delete(ts.gracefulStops, id)
-		} else if b.HasCapacity(b.OpsNeeded("", id)) {
-			b.MutableJob(id).GracefulStopAttempt = attempt
-			b.Log(slog.LevelInfo, "gang graceful stop recorded", "job", string(id), "attempt", uint64(attempt))
+		} else if batch.HasCapacity(batch.OpsNeeded("", id)) {
+			batch.MutableJob(id).GracefulStopAttempt = attempt
+			batch.Log(slog.LevelInfo, "gang graceful stop recorded", "job", string(id), "attempt", uint64(attempt))
 		}
 	}
 }
 
 // tickTaskStops decides which tasks of an owned machine must stop, and sends the
 // stops directly: the next heartbeat may be seconds away.
-func (ts *TaskStopper) tickTaskStops(entry *storage.Machine, m *MachineState) {
-	if m.LatestHeartbeat == nil {
+func (ts *TaskStopper) tickTaskStops(entry *storage.Machine, state *MachineState) {
+	if state.LatestHeartbeat == nil {
 		return
 	}
 	isUrgent := false
-	for i := range m.LatestHeartbeat.Tasks {
-		status := &m.LatestHeartbeat.Tasks[i]
+	for i := range state.LatestHeartbeat.Tasks {
+		status := &state.LatestHeartbeat.Tasks[i]
 		if status.State == protocol.TaskExited {
 			continue
 		}
 		job := ts.Replica.Jobs[status.Task.Job]
-		if job != nil && job.Record.Spec != nil && ts.stopIfDue(m, status, &job.Record) {
+		if job != nil && job.Record.Spec != nil && ts.stopIfDue(state, status, &job.Record) {
 			isUrgent = true
 		}
 	}
 	if !isUrgent {
 		return
 	}
-	if commands := ts.heartbeats.commandsFor(entry, m, false); len(commands) > 0 {
-		ts.calls.sendCommands(entry, m, commands, stopCallInterval)
+	if commands := ts.heartbeats.commandsFor(entry, state, false); len(commands) > 0 {
+		ts.calls.sendCommands(entry, state, commands, stopCallInterval)
 	}
 }
 
 // stopIfDue requests the stop of a live task if there is a reason, and tells whether its agent
 // is to be called for it.
-func (ts *TaskStopper) stopIfDue(m *MachineState, status *protocol.TaskStatus, job *storage.JobRecord) (isUrgent bool) {
+func (ts *TaskStopper) stopIfDue(
+	state *MachineState, status *protocol.TaskStatus, job *storage.JobRecord,
+) (isUrgent bool) {
 	spec := job.Spec
 	request := func(graceSeconds float64, reason string) {
-		ts.RequestStop(m, status.Task, status.Attempt, graceSeconds, reason)
+		ts.RequestStop(state, status.Task, status.Attempt, graceSeconds, reason)
 		isUrgent = true
 	}
 	if ts.cancellations.CancelRequested(status.Task.Job) {
@@ -119,19 +121,19 @@
 	if isGracefullyStopped(job, status.Attempt) {
 		request(spec.CheckpointSaveSeconds+gangStopExtraSeconds, "gang graceful stop")
 	}
-	if spec.IsService() && status.State != protocol.TaskSaving && ts.mustEvict(m, spec) {
+	if spec.IsService() && status.State != protocol.TaskSaving && ts.mustEvict(state, spec) {
 		request(spec.CheckpointSaveSeconds, "machine going away")
 	}
 	if status.State == protocol.TaskRunning && spec.CanCheckpoint() {
 		if spansSeveralTasks(spec) {
-			if job.GracefulStopAttempt < status.Attempt && ts.mustSaveCheckpoint(m, spec, ts.Config.GangPeerTimeout) {
+			if job.GracefulStopAttempt < status.Attempt && ts.mustSaveCheckpoint(state, spec, ts.Config.GangPeerTimeout) {
 				ts.RequestGracefulStop(status.Task.Job, status.Attempt)
 			}
-		} else if !spec.IsService() && ts.mustSaveCheckpoint(m, spec, 0) {
+		} else if !spec.IsService() && ts.mustSaveCheckpoint(state, spec, 0) {
 			request(spec.CheckpointSaveSeconds, "machine preemption")
 		}
 	}
-	if m.HasStopRequest(status.Task, status.Attempt) && status.State != protocol.TaskSaving {
+	if state.HasStopRequest(status.Task, status.Attempt) && status.State != protocol.TaskSaving {
 		isUrgent = true
 	}
 	return isUrgent
@@ -139,11 +141,11 @@
 
 // mustSaveCheckpoint tells whether a task on a machine that is about to be preempted must begin to save
 // its checkpoint now, and still can. Later it would be lost, earlier it would lose work time.
-func (ts *TaskStopper) mustSaveCheckpoint(m *MachineState, spec *protocol.Job, extra time.Duration) bool {
-	if !m.isPreempted() {
+func (ts *TaskStopper) mustSaveCheckpoint(state *MachineState, spec *protocol.Job, extra time.Duration) bool {
+	if !state.isPreempted() {
 		return false
 	}
-	untilPreemption := m.preemptionAt.Sub(ts.Now.Monotonic)
+	untilPreemption := state.preemptionAt.Sub(ts.Now.Monotonic)
 	saveTime := protocol.Seconds(spec.CheckpointSaveSeconds)
 	return untilPreemption > saveTime &&
 		untilPreemption < saveTime+2*ts.Config.HeartbeatInterval+extra+preemptionStopMargin
@@ -151,10 +153,10 @@
 
 // mustEvict tells whether a replica has to leave its machine: it will soon be preempted, or
 // is faulty.
-func (ts *TaskStopper) mustEvict(m *MachineState, spec *protocol.Job) bool {
-	if m.IsFaulty {
+func (ts *TaskStopper) mustEvict(state *MachineState, spec *protocol.Job) bool {
+	if state.IsFaulty {
 		return true
 	}
-	return m.isPreempted() &&
-		m.preemptionAt.Sub(ts.Now.Monotonic) < protocol.Seconds(spec.CheckpointSaveSeconds)+evictionLeadTime
+	return state.isPreempted() &&
+		state.preemptionAt.Sub(ts.Now.Monotonic) < protocol.Seconds(spec.CheckpointSaveSeconds)+evictionLeadTime
 }
