--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	// pauseThreshold is the time between two steps from which on the process itself must have
-	// been paused: its ticks alone come every 50 ms.
+	// pauseThreshold is the longest time between two steps of a running process. After a longer time
+	// the process must have been paused, because its ticks alone come every 50 ms.
 	pauseThreshold = 2 * time.Second
 
-	// slowTickInterval is the time between two rounds over machines, ownership and the cloud.
+	// slowTickInterval is the time between two checks of machines, ownership and the cloud.
 	slowTickInterval = 200 * time.Millisecond
 
-	// forgetInterval is the time between two passes that drop what is remembered of machines and
-	// jobs that are gone.
-	forgetInterval = 2 * time.Second
+	// pruneInterval is the time between two removals of the state that is held of machines without a
+	// record and of finished jobs.
+	pruneInterval = 2 * time.Second
 
 	// rngStream selects the random sequence of the core.
 	rngStream = 7
 )
 
-// Core is the state machine of one controller. It wires the parts, each of which owns its
-// state, and passes inputs and time to them.
+// Core is the state machine of one controller. It connects its parts, each of which owns its own
+// state, and passes inputs and the time to them.
 type Core struct {
 	ctx *step.Context
 
@@ -49,15 +49,15 @@
 	requests     *requests.Parts
 
 	nextSlowTickAt protocol.Instant
-	nextForgetAt   protocol.Instant
+	nextPruneAt    protocol.Instant
 }
 
-// New makes the core of a controller that has read nothing yet.
-func New(cfg step.Config, now step.Now) *Core {
+// New returns the core of a controller that has read nothing from the store yet.
+func New(config step.Config, now step.Now) *Core {
 	ctx := &step.Context{
-		Config:  cfg,
+		Config:  config,
 		Now:     now,
-		Rand:    rand.New(rand.NewPCG(cfg.Seed, rngStream)),
+		Rand:    rand.New(rand.NewPCG(config.Seed, rngStream)),
 		Replica: storage.NewReplica(),
 	}
 	c := &Core{
@@ -71,16 +71,16 @@
 		scheduling:   scheduling.New(ctx),
 		requests:     requests.New(ctx),
 	}
-	c.connect()
+	c.connectParts()
 	ctx.Replica.OnMachineChange = c.onMachineChanged
 	c.commit.Limits.UpdateWriteLimiter()
 	return c
 }
 
-// Step handles one input and gives its effects.
-func (c *Core) Step(now step.Now, in step.Input) []step.Effect {
+// Step handles one input and returns its effects.
+func (c *Core) Step(now step.Now, input step.Input) []step.Effect {
 	c.beginStep(now)
-	c.dispatch(in)
+	c.dispatch(input)
 	c.requests.Users.ReplyToPendingRequests()
 	c.agents.Heartbeats.ResolveDeferredHeartbeats()
 	c.commitBatches()
@@ -88,12 +88,12 @@
 	return c.ctx.Effects
 }
 
-// beginStep sets the time of a step and drops the effects of the last one.
+// beginStep sets the time of a step and discards the effects of the previous step.
 func (c *Core) beginStep(now step.Now) {
 	lastStepAt := c.ctx.LastStepAt
 	if lastStepAt != 0 && now.Monotonic.Sub(lastStepAt) > pauseThreshold {
-		// What has arrived meanwhile lies in queues, in an order that does not tell which agent was
-		// silent: silence counts from now on.
+		// Messages that arrived during the pause wait in queues, and their order does not show which
+		// agent was silent. Silence is therefore measured from now on.
 		c.ctx.ResumedAt = now.Monotonic
 	}
 	c.ctx.Now, c.ctx.LastStepAt = now, now.Monotonic
@@ -101,59 +101,59 @@
 }
 
 // dispatch passes an input to the part that handles it.
-func (c *Core) dispatch(in step.Input) {
-	switch v := in.(type) {
+func (c *Core) dispatch(input step.Input) {
+	switch input := input.(type) {
 	// Users and agents.
 	case step.UserInput:
-		c.requests.Users.OnUserInput(v)
+		c.requests.Users.OnUserInput(input)
 	case step.HeartbeatInput:
-		c.agents.Heartbeats.OnHeartbeat(v)
+		c.agents.Heartbeats.OnHeartbeat(input)
 	case step.AgentResult:
 		c.ctx.ShouldRecheckDeferredHeartbeats = true
-		c.agents.Calls.OnAgentResult(v)
+		c.agents.Calls.OnAgentResult(input)
 	// The key-value store.
 	case step.CommitResult:
-		c.commit.Committer.OnCommitResult(v)
+		c.commit.Committer.OnCommitResult(input)
 	case step.LoadRecordsResult:
-		c.commit.Replication.OnLoadRecordsResult(v)
+		c.commit.Replication.OnLoadRecordsResult(input)
 	case step.WatchResult:
-		c.commit.Replication.OnWatchResult(v)
+		c.commit.Replication.OnWatchResult(input)
 	case step.ReadRevisionResult:
-		c.requests.Users.OnReadRevisionResult(v)
+		c.requests.Users.OnReadRevisionResult(input)
 	case step.GrantLeaseResult:
-		c.commit.Lease.OnGrantLeaseResult(v)
+		c.commit.Lease.OnGrantLeaseResult(input)
 	case step.RenewLeaseResult:
-		c.commit.Lease.OnRenewLeaseResult(v)
+		c.commit.Lease.OnRenewLeaseResult(input)
 	// The cloud.
 	case step.ListMachineTypesResult:
-		c.catalog.Catalog.OnListMachineTypesResult(v)
+		c.catalog.Catalog.OnListMachineTypesResult(input)
 	case step.ProvisionMachinesResult:
-		c.provisioning.Provisioner.OnProvisionMachinesResult(v)
+		c.provisioning.Provisioner.OnProvisionMachinesResult(input)
 	case step.TerminateMachinesResult:
-		c.provisioning.Terminator.OnTerminateMachinesResult(v)
+		c.provisioning.Terminator.OnTerminateMachinesResult(input)
 	case step.ListInstancesResult:
-		c.provisioning.Inventory.OnListInstancesResult(v)
+		c.provisioning.Inventory.OnListInstancesResult(input)
 	// Operators.
 	case requests.TransferRequest:
-		c.requests.Operators.OnTransferRequest(v)
+		c.requests.Operators.OnTransferRequest(input)
 	case requests.DrainRequest:
-		c.requests.Operators.OnDrainRequest(v)
+		c.requests.Operators.OnDrainRequest(input)
 	case requests.ShardingStatusRequest:
-		c.requests.Operators.OnShardingStatusRequest(v)
+		c.requests.Operators.OnShardingStatusRequest(input)
 	// Other controllers, and time.
 	case step.PeerStatusInput:
-		c.onPeerStatus(v.Status)
+		c.onPeerStatus(input.Status)
 	case step.Tick:
 		c.ctx.ShouldRecheckDeferredHeartbeats = true
 		c.tick()
 	default:
-		panic(fmt.Sprintf("coordination: unknown input %T", in))
+		panic(fmt.Sprintf("coordination: unknown input %T", input))
 	}
 }
 
-// onPeerStatus handles what another controller says of itself. A machine that is silent here
-// and sends its heartbeats there is handed off: its agent does not reach this controller, and
-// waiting would only let the agent's lease expire.
+// onPeerStatus handles the status of another controller. A machine that is silent for this
+// controller and sends its heartbeats to the other controller is handed off, because its agent does
+// not reach this controller and waiting would only let the agent's lease expire.
 func (c *Core) onPeerStatus(status step.PeerStatus) {
 	c.ownership.Peers.RecordStatus(&status)
 	c.cancellation.Canceller.OnPeerCancellations(&status)
@@ -169,8 +169,8 @@
 	c.agents.Table.RecordAssignments(id, before, after)
 }
 
-// tick does what time brings: what users and the lease wait for at each tick, the rest less
-// often.
+// tick runs the periodic work. Work that users or the lease wait for runs at each tick, and the rest
+// at slowTickInterval.
 func (c *Core) tick() {
 	c.ownership.Overload.RecordTick()
 	c.commit.Replication.TickLoad()
@@ -179,12 +179,12 @@
 	c.ownership.Peers.TickStatus()
 	c.requests.Users.ExpireUserRequests()
 	c.cancellation.Canceller.Expire()
-	if c.isDue(&c.nextSlowTickAt, slowTickInterval) {
+	if c.restartTimerIfDue(&c.nextSlowTickAt, slowTickInterval) {
 		c.slowTick()
 	}
 }
 
-// slowTick looks after machines, ownership and the cloud.
+// slowTick runs the periodic work on machines, ownership, operators' requests and the cloud.
 func (c *Core) slowTick() {
 	if c.commit.Replication.IsLoaded() {
 		c.commit.Upgrade.RecordFormatSupport()
@@ -193,22 +193,23 @@
 	c.requests.Operators.ExpireOperatorRequests()
 	if c.commit.Replication.IsLoaded() {
 		c.agents.Monitor.TickMachines()
-		c.forgetGone()
+		c.pruneMachineAndJobStates()
 	}
 	c.cancellation.Canceller.ForceScaleIn()
 	c.pollCloud()
 }
 
-// forgetGone drops, now and then, what is remembered of machines and jobs that are gone.
-func (c *Core) forgetGone() {
-	if !c.isDue(&c.nextForgetAt, forgetInterval) {
+// pruneMachineAndJobStates removes, once per pruneInterval, the state that is held of machines
+// without a record and of finished jobs.
+func (c *Core) pruneMachineAndJobStates() {
+	if !c.restartTimerIfDue(&c.nextPruneAt, pruneInterval) {
 		return
 	}
 	c.agents.Table.PruneMachineStates()
 	c.agents.Jobs.ForgetFinishedJobs()
 }
 
-// pollCloud makes the calls to the cloud that are due.
+// pollCloud sends the requests to the cloud that are due.
 func (c *Core) pollCloud() {
 	c.catalog.Catalog.PollMachineTypes()
 	if !c.commit.Replication.IsLoaded() || !c.commit.Lease.IsRegistered() {
@@ -220,8 +221,8 @@
 	c.provisioning.Inventory.PollInstances()
 }
 
-// isDue tells whether a timer has expired, and starts it anew if so.
-func (c *Core) isDue(timer *protocol.Instant, interval time.Duration) bool {
+// restartTimerIfDue reports whether a timer has expired and, if so, starts it again.
+func (c *Core) restartTimerIfDue(timer *protocol.Instant, interval time.Duration) bool {
 	now := c.ctx.Now.Monotonic
 	if now < *timer {
 		return false
--- a/internal/coordination/health.go
+++ b/internal/coordination/health.go
@@ -3,44 +3,46 @@
 import "time"
 
 const (
-	// startupOutageDelay is the time without any answer of the store after which a controller that
+	// startupOutageDelay is the time without any response of the store after which a controller that
 	// has read nothing yet assumes that the store is unavailable.
 	startupOutageDelay = 2 * time.Second
 
-	// storeContactTolerance is the age of the store's last answer up to which a controller counts
-	// as healthy although requests fail.
+	// storeContactTolerance is the largest age of the store's last response at which a controller
+	// counts as healthy although its requests to the store fail.
 	storeContactTolerance = 3 * time.Second
 
-	// peerReportMaxAge is the age up to which the statuses of other controllers tell whether the
-	// store is unavailable to them, too.
+	// peerReportMaxAge is the largest age at which the status of another controller is evidence
+	// whether the store is unavailable to that controller, too.
 	peerReportMaxAge = 3 * time.Second
 )
 
-// Healthy tells whether this controller can take requests. In an outage of the store that all
-// controllers see it stays healthy: it can answer, if only that the user must retry.
+// Healthy reports whether this controller can take requests. In an outage of the store that all
+// controllers see, this controller stays healthy: it can at least answer that the user must retry.
 func (c *Core) Healthy() bool {
 	if c.hasStarted() {
 		return c.reachesStore() || c.isStoreOutageShared()
 	}
-	// A process that starts in an outage has read nothing, and is no worse than the others: it
-	// says so at once, and serves as soon as it can. One that was called unhealthy would be
-	// passed over for a while after the outage.
+	// A process that starts in an outage has read nothing, but serves no worse than the other
+	// controllers: it rejects requests at once, and accepts them as soon as it can. If it reported
+	// itself unhealthy, load balancers would avoid it for a while after the outage.
 	return c.commit.Store.HasFailedFor(startupOutageDelay) && c.isStoreOutageShared()
 }
 
-// hasStarted tells whether this controller has read the records and has had a lease.
+// hasStarted reports whether this controller has read the records and has had a lease.
 func (c *Core) hasStarted() bool {
 	return c.commit.Replication.IsLoaded() && c.commit.Lease.Incarnation() != ""
 }
 
-// reachesStore tells whether the store answers this controller, or did a moment ago.
+// reachesStore reports whether the store responds to this controller, or did so within
+// storeContactTolerance.
 func (c *Core) reachesStore() bool {
 	return !c.commit.Replication.StoreUnavailable() || c.commit.Store.HasAnsweredWithin(storeContactTolerance)
 }
 
-// isStoreOutageShared tells whether other controllers do not reach the store either. If one reaches it, this
-// controller alone is cut off. One that gets answers neither from the store nor from any other
-// controller must assume that it is cut off itself: users do better elsewhere.
+// isStoreOutageShared reports whether other controllers do not reach the store either. If one of
+// them reaches the store, only this controller is cut off. A controller that hears neither from the
+// store nor from any other controller must assume that it is cut off itself, and users are better
+// served by another controller.
 func (c *Core) isStoreOutageShared() bool {
 	return c.ownership.Peers.PeersReportStoreUnavailable(peerReportMaxAge)
 }
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/coordination/scheduling"
 )
 
-// connect gives each package what it needs of the others.
-func (c *Core) connect() {
+// connectParts passes to each package the parts of other packages that it depends on.
+func (c *Core) connectParts() {
 	c.commit.Connect(commit.Dependencies{
 		MachineTracker:    c.agents.Table,
 		StoreReports:      c.ownership.Peers,
