--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -48,10 +48,10 @@
 		if reserved >= tasks {
 			break
 		}
-		if !bp.canFollowOn(job, machine) {
+		if !bp.canBackfillOn(job, machine) {
 			continue
 		}
-		if count := min(bp.capacityBy(machine, spec, deadline), tasks-reserved); count > 0 {
+		if count := min(bp.capacityByDeadline(machine, spec, deadline), tasks-reserved); count > 0 {
 			reserved += count
 			machine.backfillReservation.Allocate(spec, -count)
 		}
@@ -59,8 +59,8 @@
 	return reserved
 }
 
-// canFollowOn tells whether tasks of the job could run on the machine once others there have ended.
-func (bp *backfillPlanner) canFollowOn(job *PendingJob, machine *Candidate) bool {
+// canBackfillOn tells whether tasks of the job could run on the machine once others there have ended.
+func (bp *backfillPlanner) canBackfillOn(job *PendingJob, machine *Candidate) bool {
 	if machine.isProvisioning || machine.isUnschedulable || job.avoidedTypes[machine.record.MachineType] {
 		return false
 	}
@@ -75,16 +75,16 @@
 	})
 	slack := time.Duration(0)
 	if !job.isLate && !job.isStarved {
-		slack = job.slack(bp.Now)
+		slack = job.timeUntilLatestStart(bp.Now)
 	}
 	slackWait := time.Duration(backfillSlackFraction * float64(slack))
 	bootWait := time.Duration(bootWaitFraction * float64(shortestBoot))
 	return max(slackWait, bootWait)
 }
 
-// capacityBy tells how many tasks of a job could start on a machine by the deadline, besides those that
+// capacityByDeadline tells how many tasks of a job could start on a machine by the deadline, besides those that
 // have a backfill reservation there.
-func (bp *backfillPlanner) capacityBy(machine *Candidate, spec *protocol.Job, deadline protocol.Instant) int {
+func (bp *backfillPlanner) capacityByDeadline(machine *Candidate, spec *protocol.Job, deadline protocol.Instant) int {
 	free := machine.free.Without(machine.backfillReservation)
 	for i := range machine.allocations {
 		if alloc := &machine.allocations[i]; bp.estimatedEnd(machine, alloc) <= deadline {
@@ -100,15 +100,15 @@
 	if alloc.spec.IsService() {
 		return now.Add(unboundedRuntime)
 	}
-	startedAt, known := bp.agents.AssignedSince(assignmentKey(machine, alloc))
-	if !known {
+	startedAt, isKnown := bp.agents.AssignedSince(assignmentKey(machine, alloc))
+	if !isKnown {
 		startedAt = now
 	}
 	runtime := bp.jobs.EstimatedRuntime(alloc.job, alloc.spec)
 	detectionDelay := bp.Config.HeartbeatInterval / endDetectionDivisor
 	endAt := startedAt.Add(runtime + detectionDelay)
-	leastRemaining := time.Duration(overrunFraction * float64(runtime))
-	return max(endAt, now.Add(leastRemaining))
+	minRemaining := time.Duration(overrunFraction * float64(runtime))
+	return max(endAt, now.Add(minRemaining))
 }
 
 // assignmentKey is the key under which an allocation's start is remembered.
--- a/internal/coordination/scheduling/backfill_test.go
+++ b/internal/coordination/scheduling/backfill_test.go
@@ -10,7 +10,7 @@
 // Tasks get a backfill reservation where running ones end early enough, by their estimates, for the
 // job's slack; each machine is reserved once.
 func TestBackfillReservations(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name            string
 		estimateSeconds float64 // of the tasks that run there
 		runningFor      time.Duration
@@ -26,22 +26,22 @@
 		{"a task past its estimate is given more time", 200, 300 * time.Second, 60 * time.Second, false, false, 0},
 		{"an unschedulable machine does not count", 20, 15 * time.Second, 60 * time.Second, false, true, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
-			job := f.newPendingJob(newArrayJob(4, 20), c.slack)
-			job.isStarved = c.isStarved
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
+			job := fixture.newPendingJob(newArrayJob(4, 20), test.slack)
+			job.isStarved = test.isStarved
 			var candidates []*Candidate
 			for _, id := range []protocol.MachineID{"m-1", "m-2"} {
 				machine := newCandidate(&smallMachineType, id, false)
-				machine.isUnschedulable = c.isUnschedulable
+				machine.isUnschedulable = test.isUnschedulable
 				running := allocation{job: "j-2", attempt: 1, count: 1}
-				f.addTasks(machine, newArrayJob(4, c.estimateSeconds), running, c.runningFor)
+				fixture.addTasks(machine, newArrayJob(4, test.estimateSeconds), running, test.runningFor)
 				candidates = append(candidates, machine)
 			}
-			if got := f.backfill.reserveBackfill(job, candidates, 10); got != c.want {
-				t.Errorf("%d tasks follow; wanted %d", got, c.want)
+			if got := fixture.backfill.reserveBackfill(job, candidates, 10); got != test.want {
+				t.Errorf("%d tasks follow; wanted %d", got, test.want)
 			}
-			if got := f.backfill.reserveBackfill(job, candidates, 10); got != 0 {
+			if got := fixture.backfill.reserveBackfill(job, candidates, 10); got != 0 {
 				t.Errorf("%d more tasks follow on the same machines", got)
 			}
 		})
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -37,20 +37,20 @@
 
 // listCandidates lists all machines as the batch leaves them, by ID, followed by those that are
 // being provisioned.
-func (l *candidateLister) listCandidates(b *commit.Batch) []*Candidate {
+func (l *candidateLister) listCandidates(batch *commit.Batch) []*Candidate {
 	machines := l.Replica.SortedMachines()
-	listing := l.newListing(b)
+	listing := l.newListing(batch)
 	candidates := make([]*Candidate, 0, len(machines)+expectedProvisioning)
 	for _, entry := range machines {
 		id, record := entry.ID, &entry.Record
-		if b.ChangesShard(record.Shard) {
-			if b.RemovesMachine(id) {
+		if batch.ChangesShard(record.Shard) {
+			if batch.RemovesMachine(id) {
 				continue
 			}
-			record = b.MachineRecord(id)
+			record = batch.MachineRecord(id)
 		}
 		if machineType := listing.machineTypes[record.MachineType]; machineType != nil {
-			candidates = append(candidates, listing.candidate(id, record, machineType))
+			candidates = append(candidates, listing.newCandidateFromRecord(id, record, machineType))
 		}
 	}
 	return append(candidates, l.provisioningCandidates()...)
@@ -81,10 +81,10 @@
 	precedences    map[*protocol.Job]int
 }
 
-func (l *candidateLister) newListing(b *commit.Batch) *candidateListing {
+func (l *candidateLister) newListing(batch *commit.Batch) *candidateListing {
 	listing := &candidateListing{
 		lister:         l,
-		batch:          b,
+		batch:          batch,
 		machineTypes:   map[protocol.MachineTypeName]*protocol.MachineType{},
 		liveOwners:     map[storage.Incarnation]bool{l.lease.Incarnation(): true},
 		quiescedShards: l.transfers.ShardsInTransfer(ownership.IsPrepared),
@@ -100,8 +100,8 @@
 	return listing
 }
 
-// candidate makes the candidate of a machine on record.
-func (c *candidateListing) candidate(
+// newCandidateFromRecord makes the newCandidateFromRecord of a machine on record.
+func (c *candidateListing) newCandidateFromRecord(
 	id protocol.MachineID, record *storage.MachineRecord, machineType *protocol.MachineType,
 ) *Candidate {
 	machine := &Candidate{
@@ -114,18 +114,18 @@
 		},
 		plannedUse: plannedUse{
 			free:            catalog.CapacityOf(machineType),
-			isUnschedulable: c.isClosed(id, record),
+			isUnschedulable: c.isClosedToNewTasks(id, record),
 		},
 	}
 	c.addAssignments(machine)
 	if record.Spot && !machine.isUnschedulable {
-		c.checkSpotUse(machine)
+		c.markUnusableSpot(machine)
 	}
 	return machine
 }
 
-// isClosed tells whether the machine takes no new task, whatever its resources are.
-func (c *candidateListing) isClosed(id protocol.MachineID, record *storage.MachineRecord) bool {
+// isClosedToNewTasks tells whether the machine takes no new task, whatever its resources are.
+func (c *candidateListing) isClosedToNewTasks(id protocol.MachineID, record *storage.MachineRecord) bool {
 	return record.Terminating || record.Cordoned || !c.liveOwners[record.Owner] ||
 		c.quiescedShards[record.Shard] || c.lister.terminator.IsTerminating(id)
 }
@@ -161,16 +161,16 @@
 	return precedence
 }
 
-// checkSpotUse closes a spot machine while its price is above the threshold, and near the end of
+// markUnusableSpot closes a spot machine while its price is above the threshold, and near the end of
 // its period.
-func (c *candidateListing) checkSpotUse(machine *Candidate) {
-	l, record := c.lister, machine.record
-	age := step.MillisToDuration(l.Now.Wall - record.AddedAt)
+func (c *candidateListing) markUnusableSpot(machine *Candidate) {
+	lister, record := c.lister, machine.record
+	age := step.MillisToDuration(lister.Now.Wall - record.AddedAt)
 	machine.isNearSpotPeriodEnd = catalog.IsNearPeriodBoundary(
-		machine.id, age, l.Config.SpotPeriod, l.Config.SpotPeriodEndMargin)
-	threshold := l.spot.Threshold(catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone})
-	isTooDear := threshold != nil && !threshold.AllowsSpot()
-	if isTooDear || machine.isNearSpotPeriodEnd {
+		machine.id, age, lister.Config.SpotPeriod, lister.Config.SpotPeriodEndMargin)
+	threshold := lister.spot.Threshold(catalog.PriceKey{MachineType: record.MachineType, Zone: record.Zone})
+	isAboveThreshold := threshold != nil && !threshold.AllowsSpot()
+	if isAboveThreshold || machine.isNearSpotPeriodEnd {
 		machine.isUnschedulable = true
 	}
 }
--- a/internal/coordination/scheduling/contention.go
+++ b/internal/coordination/scheduling/contention.go
@@ -52,8 +52,8 @@
 // contendedTypes lists the types that tasks have waited for within contentionWindow.
 func (ct *contentionTracker) contendedTypes() map[protocol.MachineTypeName]bool {
 	contended := map[protocol.MachineTypeName]bool{}
-	for name, at := range ct.lastContendedAt {
-		if ct.Since(at) < contentionWindow {
+	for name, contendedAt := range ct.lastContendedAt {
+		if ct.Since(contendedAt) < contentionWindow {
 			contended[name] = true
 		}
 	}
@@ -100,7 +100,7 @@
 	}
 	extraBootTime := protocol.Seconds(machineType.BootSeconds * (bootTimeFactor - 1))
 	startDelay := extraBootTime + catalog.MachineStartupTime(machineType, job.record.Spec)
-	return startDelay <= job.slack(ct.Now)
+	return startDelay <= job.timeUntilLatestStart(ct.Now)
 }
 
 // provisionOption is a machine type, spot or on demand, that a job may be served by.
--- a/internal/coordination/scheduling/contention_test.go
+++ b/internal/coordination/scheduling/contention_test.go
@@ -14,7 +14,7 @@
 // them. Small tasks of high priority used to fill the machines that had been provisioned for
 // large ones, for which the dearest machines were provisioned then.
 func TestContendedMachineTypes(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		waitingCores float64 // of the tasks that found no machine; 0: there are none
 		ago          time.Duration
@@ -29,25 +29,25 @@
 		{"there are no small machines", 16, 0, 90 * time.Second, true, nil},
 		{"small tasks wait", 4, 0, 90 * time.Second, false, nil},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
-			if c.waitingCores > 0 {
-				f.contention.recordContention(f.newPendingJob(newArrayJob(c.waitingCores, 20), time.Minute))
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
+			if test.waitingCores > 0 {
+				fixture.contention.recordContention(fixture.newPendingJob(newArrayJob(test.waitingCores, 20), time.Minute))
 			}
-			f.Now.Monotonic = f.Now.Monotonic.Add(c.ago)
-			if c.isExhausted {
+			fixture.Now.Monotonic = fixture.Now.Monotonic.Add(test.ago)
+			if test.isExhausted {
 				for _, zone := range smallMachineType.Zones {
 					for _, spot := range []bool{true, false} {
 						pool := provisioning.PoolKey{MachineType: "small", Zone: zone, Spot: spot}
-						f.provisioning.Provisioner.MarkPoolExhausted(pool)
+						fixture.provisioning.Provisioner.MarkPoolExhausted(pool)
 					}
 				}
 			}
-			f.Plan.pass.contendedTypes = f.contention.contendedTypes()
-			job := f.newPendingJob(newArrayJob(4, 20), c.slack)
-			got := slices.Sorted(maps.Keys(f.contention.typesToAvoid(job)))
-			if !slices.Equal(got, c.want) {
-				t.Errorf("leaves %v; wanted %v", got, c.want)
+			fixture.Plan.pass.contendedTypes = fixture.contention.contendedTypes()
+			job := fixture.newPendingJob(newArrayJob(4, 20), test.slack)
+			got := slices.Sorted(maps.Keys(fixture.contention.typesToAvoid(job)))
+			if !slices.Equal(got, test.want) {
+				t.Errorf("leaves %v; wanted %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -22,9 +22,9 @@
 	largeMachineType = steptest.LargeMachineType()
 )
 
-// fixture is the parts of scheduling with those of the packages below, wired as Core does but
+// schedulingFixture is the parts of scheduling with those of the packages below, wired as Core does but
 // without cancellations.
-type fixture struct {
+type schedulingFixture struct {
 	steptest.Fixture
 	*Parts
 
@@ -34,20 +34,20 @@
 	provisioning *provisioning.Parts
 }
 
-// newCoreWithTwoMachineTypes makes the parts of a controller that is registered and up to date,
+// newFixtureWithTwoMachineTypes makes the parts of a controller that is registered and up to date,
 // with an empty fleet of two machine types.
-func newCoreWithTwoMachineTypes(t *testing.T) *fixture {
+func newFixtureWithTwoMachineTypes(t *testing.T) *schedulingFixture {
 	t.Helper()
-	f := wireParts(steptest.NewFixture(steptest.Config()))
-	committest.Register(t, f.Context, f.commit)
-	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
+	fixture := wireParts(steptest.NewFixture(steptest.Config()))
+	committest.Register(t, fixture.Context, fixture.commit)
+	fixture.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
 	})
-	return f
+	return fixture
 }
 
 // wireParts makes the parts and connects them with each other.
-func wireParts(base steptest.Fixture) *fixture {
+func wireParts(base steptest.Fixture) *schedulingFixture {
 	ctx := base.Context
 	offers := catalog.New(ctx)
 	records := commit.New(ctx)
@@ -108,7 +108,7 @@
 		Committer:   records.Committer,
 		Stopper:     machines.Stopper,
 	})
-	return &fixture{
+	return &schedulingFixture{
 		Fixture:      base,
 		Parts:        parts,
 		catalog:      offers,
@@ -134,7 +134,7 @@
 }
 
 // newPendingJob is a job submitted now whose tasks may wait for slack before they have to start.
-func (f *fixture) newPendingJob(spec *protocol.Job, slack time.Duration) *PendingJob {
+func (f *schedulingFixture) newPendingJob(spec *protocol.Job, slack time.Duration) *PendingJob {
 	latestStart := f.Now.Wall + protocol.Millis(slack.Milliseconds())
 	job := &PendingJob{
 		id:            spec.ID,
@@ -161,7 +161,7 @@
 }
 
 // addTasks allocates running tasks of a job that were assigned to the machine some time ago.
-func (f *fixture) addTasks(machine *Candidate, spec *protocol.Job, alloc allocation, runningFor time.Duration) {
+func (f *schedulingFixture) addTasks(machine *Candidate, spec *protocol.Job, alloc allocation, runningFor time.Duration) {
 	alloc.spec = spec
 	machine.free.Allocate(spec, alloc.count)
 	machine.allocations = append(machine.allocations, alloc)
--- a/internal/coordination/scheduling/fleet_log.go
+++ b/internal/coordination/scheduling/fleet_log.go
@@ -17,7 +17,7 @@
 	totalCores, allocatedCores float64
 }
 
-func (u *poolUtilization) add(machine *Candidate) {
+func (u *poolUtilization) addMachine(machine *Candidate) {
 	if machine.isProvisioning {
 		u.provisioning++
 		return
@@ -45,7 +45,7 @@
 		if byPool[key] == nil {
 			byPool[key] = &poolUtilization{}
 		}
-		byPool[key].add(machine)
+		byPool[key].addMachine(machine)
 	}
 	for key, threshold := range l.spot.Thresholds() {
 		l.Log(slog.LevelDebug, "spot price threshold",
--- a/internal/coordination/scheduling/gang_distribution.go
+++ b/internal/coordination/scheduling/gang_distribution.go
@@ -21,9 +21,9 @@
 // has to boot.
 func placementCost(placements []placement) float64 {
 	cost := 0.0
-	for _, p := range placements {
+	for _, chosen := range placements {
 		cost++
-		if p.machine.isProvisioning {
+		if chosen.machine.isProvisioning {
 			cost += provisioningMachineCost
 		}
 	}
@@ -37,20 +37,20 @@
 	})
 }
 
-// distributeOnFree distributes tasks over the free capacity of a zone (any, if empty); nil: they
+// distributeOnFreeCapacity distributes tasks over the free capacity of a zone (any, if empty); nil: they
 // do not fit.
-func (g *gangScheduler) distributeOnFree(
-	b *commit.Batch, job *PendingJob, zone protocol.Zone, tasks int,
+func (g *gangScheduler) distributeOnFreeCapacity(
+	batch *commit.Batch, job *PendingJob, zone protocol.Zone, tasks int,
 ) []placement {
-	machines := g.scheduler.rankedCandidates(b, job, allShards)
-	return g.distribute(job, machines, zone, tasks, func(machine *Candidate) int {
+	machines := g.scheduler.rankedCandidates(batch, job, allShards)
+	return g.distributeTasks(job, machines, zone, tasks, func(machine *Candidate) int {
 		return machine.free.CapacityFor(job.record.Spec)
 	})
 }
 
-// distribute distributes tasks over the machines of a zone (any, if empty), first come first
+// distributeTasks distributes tasks over the machines of a zone (any, if empty), first come first
 // served, by the capacity that each is said to have; nil: they do not fit.
-func (g *gangScheduler) distribute(
+func (g *gangScheduler) distributeTasks(
 	job *PendingJob, machines []*Candidate, zone protocol.Zone, tasks int, capacity func(*Candidate) int,
 ) []placement {
 	var placements []placement
@@ -78,12 +78,12 @@
 	return placements
 }
 
-// distributeInZones distributes tasks over the machines of the first zone that takes them all.
-func (g *gangScheduler) distributeInZones(
+// distributeInFirstZone distributes tasks over the machines of the first zone that takes them all.
+func (g *gangScheduler) distributeInFirstZone(
 	job *PendingJob, machines []*Candidate, zones []protocol.Zone, tasks int, capacity func(*Candidate) int,
 ) []placement {
 	for _, zone := range zones {
-		if placements := g.distribute(job, machines, zone, tasks, capacity); placements != nil {
+		if placements := g.distributeTasks(job, machines, zone, tasks, capacity); placements != nil {
 			return placements
 		}
 	}
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -21,22 +21,22 @@
 	tasks      int
 }
 
-// place writes a placement of the gang, plans one that cannot be written now, or preempts for it.
-func (p *gangPlacer) place() {
-	chosen := p.choose()
+// placeOrPreempt writes a placement of the gang, plans one that cannot be written now, or preempts for it.
+func (p *gangPlacer) placeOrPreempt() {
+	chosen := p.choosePlacements()
 	switch {
 	case chosen == nil:
-		p.preempt()
-	case p.canWrite(chosen):
-		p.write(chosen)
+		p.preemptForGang()
+	case p.canWritePlacements(chosen):
+		p.writePlacements(chosen)
 	default:
-		p.plan(chosen)
+		p.planPlacements(chosen)
 	}
 }
 
-// choose chooses where the tasks of the gang go; nil: tasks are to be preempted for them first.
-func (p *gangPlacer) choose() []placement {
-	onFree := p.cheapestOnFree()
+// choosePlacements chooses where the tasks of the gang go; nil: tasks are to be preempted for them first.
+func (p *gangPlacer) choosePlacements() []placement {
+	onFree := p.cheapestOnFreeCapacity()
 	preemptor := p.gangs.preemptor
 	if reservation := preemptor.currentReservation(p.job, p.candidates, p.tasks); reservation != nil {
 		if !hasFreeCapacity(reservation, p.job.record.Spec) {
@@ -50,11 +50,11 @@
 	return onFree
 }
 
-// cheapestOnFree distributes the gang over free capacity, in the zone where that costs least.
-func (p *gangPlacer) cheapestOnFree() []placement {
+// cheapestOnFreeCapacity distributes the gang over free capacity, in the zone where that costs least.
+func (p *gangPlacer) cheapestOnFreeCapacity() []placement {
 	var best []placement
 	for _, zone := range p.zones {
-		placements := p.gangs.distributeOnFree(p.batch, p.job, zone, p.tasks)
+		placements := p.gangs.distributeOnFreeCapacity(p.batch, p.job, zone, p.tasks)
 		if placements != nil && (best == nil || placementCost(placements) < placementCost(best)) {
 			best = placements
 		}
@@ -92,11 +92,11 @@
 	})
 }
 
-// canWrite tells whether this incarnation writes the placement now. A gang too large for one
+// canWritePlacements tells whether this incarnation writes the placement now. A gang too large for one
 // transaction is written in several; no task of it starts before the last one is written.
-func (p *gangPlacer) canWrite(placements []placement) bool {
-	g := p.gangs
-	if waitsForBoot(placements) || !g.acquirer.canPlaceNow(p.batch, p.job) {
+func (p *gangPlacer) canWritePlacements(placements []placement) bool {
+	gangs := p.gangs
+	if waitsForBoot(placements) || !gangs.acquirer.canPlaceNow(p.batch, p.job) {
 		return false
 	}
 	machines := make([]protocol.MachineID, 0, len(placements))
@@ -111,31 +111,31 @@
 	if fits || fitsNoTransaction {
 		return true
 	}
-	if g.plan.pendingGangOps == 0 {
-		g.plan.pendingGangOps = opsWhenEmpty + g.limits.ReservedUserTokens()
+	if gangs.plan.pendingGangOps == 0 {
+		gangs.plan.pendingGangOps = opsWhenEmpty + gangs.limits.ReservedUserTokens()
 	}
 	return false
 }
 
-// write writes as much of the placement as the transaction takes.
-func (p *gangPlacer) write(placements []placement) {
-	g, job := p.gangs, p.job
-	pending := g.acquirer.pendingTasks(p.batch, job, p.tasks)
-	attempts := attemptsOf(g.jobs, job.id)
-	attempt := attempts.next()
-	p.batch.OnSend(func() { attempts.beginGang(attempt) })
+// writePlacements writes as much of the placement as the transaction takes.
+func (p *gangPlacer) writePlacements(placements []placement) {
+	gangs, job := p.gangs, p.job
+	pending := gangs.acquirer.pendingTasks(p.batch, job, p.tasks)
+	attempts := attemptsOf(gangs.jobs, job.id)
+	attempt := attempts.nextAttempt()
+	p.batch.OnSend(func() { attempts.beginGangWrite(attempt) })
 	for _, chosen := range placements {
-		if g.scheduler.fitsTransaction(p.batch, chosen.machine, job.record.Spec) {
-			g.writeGangTasks(p.batch, job, chosen.machine, pending[:chosen.count], attempt)
+		if gangs.scheduler.fitsTransaction(p.batch, chosen.machine, job.record.Spec) {
+			gangs.writeGangTasks(p.batch, job, chosen.machine, pending[:chosen.count], attempt)
 		}
 		pending = pending[chosen.count:]
 		job.recordAllocation(chosen.machine, chosen.count, attempt)
-		g.plan.retainMachine(chosen.machine)
+		gangs.plan.retainMachine(chosen.machine)
 	}
 }
 
-// plan records in the plan a placement that is not written in this pass.
-func (p *gangPlacer) plan(placements []placement) {
+// planPlacements records in the planPlacements a placement that is not written in this pass.
+func (p *gangPlacer) planPlacements(placements []placement) {
 	for _, chosen := range placements {
 		p.job.recordAllocation(chosen.machine, chosen.count, 0)
 		p.gangs.plan.retainMachine(chosen.machine)
@@ -143,18 +143,18 @@
 	}
 }
 
-// preempt reserves machines for a gang that fits nowhere, while their owners stop tasks of lower
+// preemptForGang reserves machines for a gang that fits nowhere, while their owners stop tasks of lower
 // priority there. The job's owner chooses the machines and records its choice: if each owner of
-// machines chose for itself, two could preempt for one gang.
-func (p *gangPlacer) preempt() {
-	g, job := p.gangs, p.job
-	canWrite := g.acquirer.canWritePlacements(p.batch, job)
-	placements := g.preemptor.currentReservation(job, p.candidates, p.tasks)
+// machines chose for itself, two could preemptForGang for one gang.
+func (p *gangPlacer) preemptForGang() {
+	gangs, job := p.gangs, p.job
+	canWrite := gangs.acquirer.canWritePlacements(p.batch, job)
+	placements := gangs.preemptor.currentReservation(job, p.candidates, p.tasks)
 	if placements == nil && job.isStarved {
-		if g.reserveForStarvedJob(p.batch, job, p.candidates, p.zones, p.tasks) && canWrite {
+		if gangs.reserveForStarvedJob(p.batch, job, p.candidates, p.zones, p.tasks) && canWrite {
 			p.addDemand()
 		}
-		if g.plan.pass.reservedPrecedences[job.precedence] {
+		if gangs.plan.pass.reservedPrecedences[job.precedence] {
 			return
 		}
 	}
@@ -162,9 +162,9 @@
 		placements = p.choosePreemption()
 	}
 	for _, chosen := range placements {
-		p.preemptOn(chosen)
+		p.preemptOnMachine(chosen)
 		job.recordAllocation(chosen.machine, chosen.count, 0)
-		g.plan.retainMachine(chosen.machine)
+		gangs.plan.retainMachine(chosen.machine)
 	}
 }
 
@@ -191,9 +191,9 @@
 	return p.gangs.preemptor.cheapestPreemption(p.job, p.candidates, p.zones, p.tasks, requireImage)
 }
 
-// preemptOn stops as many tasks on a reserved machine as the gang's tasks there need. The choice must
+// preemptOnMachine stops as many tasks on a reserved machine as the gang's tasks there need. The choice must
 // be on record before anything is stopped for it.
-func (p *gangPlacer) preemptOn(chosen placement) {
+func (p *gangPlacer) preemptOnMachine(chosen placement) {
 	recorded := p.gangs.Replica.Jobs[p.job.id].Record.ReservedMachines
 	isReserved := slices.Contains(recorded, chosen.machine.id)
 	free := chosen.machine.free
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -24,10 +24,10 @@
 }
 
 // placeGang places all tasks of a gang that are not done, or none.
-func (g *gangScheduler) placeGang(b *commit.Batch, job *PendingJob, candidates []*Candidate) {
+func (g *gangScheduler) placeGang(batch *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	if job.placedTasks > 0 {
 		g.retainGangMachines(job, candidates)
-		g.completeGang(b, job)
+		g.completeGang(batch, job)
 		return
 	}
 	spec := job.record.Spec
@@ -35,11 +35,11 @@
 	if tasks <= 0 || g.queue.quotaHeadroom(candidates, spec) < tasks {
 		return
 	}
-	p := &gangPlacer{gangs: g, batch: b, job: job, candidates: candidates, zones: anyZone, tasks: tasks}
+	placer := &gangPlacer{gangs: g, batch: batch, job: job, candidates: candidates, zones: anyZone, tasks: tasks}
 	if spec.SingleZone {
-		p.zones = g.catalog.Zones()
+		placer.zones = g.catalog.Zones()
 	}
-	p.place()
+	placer.placeOrPreempt()
 }
 
 // retainGangMachines keeps the machines on which a gang has tasks.
@@ -55,36 +55,36 @@
 
 // completeGang writes what is missing of a gang that did not fit one transaction. An attempt that
 // has lost a task is not completed: its other tasks end, and the gang restarts as a whole.
-func (g *gangScheduler) completeGang(b *commit.Batch, job *PendingJob) {
+func (g *gangScheduler) completeGang(batch *commit.Batch, job *PendingJob) {
 	unplaced := job.unplacedTasks()
 	attempts := attemptsOf(g.jobs, job.id)
 	if unplaced <= 0 {
-		attempts.finishGang()
+		attempts.finishGangWrite()
 		return
 	}
-	if !g.acquirer.canWritePlacements(b, job) {
+	if !g.acquirer.canWritePlacements(batch, job) {
 		return
 	}
-	attempt := g.jobs.HighestAttempt(job.id, b)
+	attempt := g.jobs.HighestAttempt(job.id, batch)
 	isStopping := job.record.GracefulStopAttempt >= attempt
 	if !attempts.isWritingGang(attempt, g.Now.Monotonic) || isStopping {
 		return
 	}
-	for _, p := range g.distributeOnFree(b, job, job.pinnedZone(), unplaced) {
-		if p.machine.isProvisioning || !g.scheduler.fitsTransaction(b, p.machine, job.record.Spec) {
+	for _, chosen := range g.distributeOnFreeCapacity(batch, job, job.pinnedZone(), unplaced) {
+		if chosen.machine.isProvisioning || !g.scheduler.fitsTransaction(batch, chosen.machine, job.record.Spec) {
 			return
 		}
-		tasks := g.acquirer.pendingTasks(b, job, p.count)
-		g.writeGangTasks(b, job, p.machine, tasks, attempt)
-		job.recordAllocation(p.machine, len(tasks), attempt)
+		tasks := g.acquirer.pendingTasks(batch, job, chosen.count)
+		g.writeGangTasks(batch, job, chosen.machine, tasks, attempt)
+		job.recordAllocation(chosen.machine, len(tasks), attempt)
 	}
 }
 
 // writeGangTasks assigns tasks of a gang to a machine.
 func (g *gangScheduler) writeGangTasks(
-	b *commit.Batch, job *PendingJob, machine *Candidate, tasks []int, attempt protocol.Attempt,
+	batch *commit.Batch, job *PendingJob, machine *Candidate, tasks []int, attempt protocol.Attempt,
 ) {
-	b.AssignTasks(machine.id, job.id, tasks, attempt)
-	g.scheduler.expedite(b, machine.id)
-	g.scheduler.recordPlacement(b, job, machine, len(tasks), attempt)
+	batch.AssignTasks(machine.id, job.id, tasks, attempt)
+	g.scheduler.expediteHeartbeat(batch, machine.id)
+	g.scheduler.recordPlacement(batch, job, machine, len(tasks), attempt)
 }
--- a/internal/coordination/scheduling/gangs_test.go
+++ b/internal/coordination/scheduling/gangs_test.go
@@ -9,7 +9,7 @@
 
 // A gang is distributed as a whole or not at all.
 func TestDistributeGang(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		tasks  int
 		zone   protocol.Zone
@@ -22,23 +22,23 @@
 		{"a machine is closed", 6, "", "m-1", nil},
 		{"no machine of the zone", 2, "b", "", nil},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
-			job := f.newPendingJob(newArrayJob(1, 20), time.Minute)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
+			job := fixture.newPendingJob(newArrayJob(1, 20), time.Minute)
 			var machines []*Candidate
 			for _, id := range []protocol.MachineID{"m-1", "m-2"} {
 				machine := newCandidate(&smallMachineType, id, false)
-				machine.isUnschedulable = id == c.closed
+				machine.isUnschedulable = id == test.closed
 				machines = append(machines, machine)
 			}
 			capacity := func(machine *Candidate) int { return machine.free.CapacityFor(job.record.Spec) }
-			placements := f.gangs.distribute(job, machines, c.zone, c.tasks, capacity)
-			if len(placements) != len(c.want) {
-				t.Fatalf("%d placements; wanted %v", len(placements), c.want)
+			placements := fixture.gangs.distributeTasks(job, machines, test.zone, test.tasks, capacity)
+			if len(placements) != len(test.want) {
+				t.Fatalf("%d placements; wanted %v", len(placements), test.want)
 			}
-			for _, p := range placements {
-				if p.count != c.want[p.machine.id] {
-					t.Errorf("%d tasks on %s; wanted %v", p.count, p.machine.id, c.want)
+			for _, chosen := range placements {
+				if chosen.count != test.want[chosen.machine.id] {
+					t.Errorf("%d tasks on %s; wanted %v", chosen.count, chosen.machine.id, test.want)
 				}
 			}
 		})
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -33,32 +33,32 @@
 
 // acquireJob acquires a job whose owner has expired, and reserves a further block of attempt numbers for
 // an owned one that has few left.
-func (ja *jobAcquirer) acquireJob(b *commit.Batch, job *PendingJob) {
+func (ja *jobAcquirer) acquireJob(batch *commit.Batch, job *PendingJob) {
 	self := ja.lease.Incarnation()
 	attempts := attemptsOf(ja.jobs, job.id)
 	if job.record.Owner == self {
-		attempts.loadBlock(self, job.record)
-		if attempts.hasSpare() {
+		attempts.loadAttemptBlock(self, job.record)
+		if attempts.hasSpareAttempts() {
 			return
 		}
-	} else if !ja.mayAcquire(job) {
+	} else if !ja.mayAcquireJob(job) {
 		return
 	}
-	if !b.HasCapacity(b.OpsNeeded("", job.id)) {
+	if !batch.HasCapacity(batch.OpsNeeded("", job.id)) {
 		return
 	}
-	record := b.MutableJob(job.id)
+	record := batch.MutableJob(job.id)
 	if record.Owner != self {
-		b.Log(slog.LevelInfo, "job acquired", "job", string(job.id), "source", string(record.Owner))
+		batch.Log(slog.LevelInfo, "job acquired", "job", string(job.id), "source", string(record.Owner))
 	}
 	record.Owner = self
 	record.NextAttempt += step.AttemptBlockSize
 	job.record = record
 }
 
-// mayAcquire tells whether the job's owner has expired for so long that this controller may acquire the
+// mayAcquireJob tells whether the job's owner has expired for so long that this controller may acquire the
 // job.
-func (ja *jobAcquirer) mayAcquire(job *PendingJob) bool {
+func (ja *jobAcquirer) mayAcquireJob(job *PendingJob) bool {
 	expiredAt, isExpired := ja.ownership.ExpiredSince(job.record.Owner)
 	if !isExpired || ja.Since(expiredAt) < successorDelay {
 		return false
@@ -68,27 +68,27 @@
 
 // canWritePlacements tells whether this incarnation may write placements of the job now. The
 // replica must contain all that was written before the job was acquired.
-func (ja *jobAcquirer) canWritePlacements(b *commit.Batch, job *PendingJob) bool {
+func (ja *jobAcquirer) canWritePlacements(batch *commit.Batch, job *PendingJob) bool {
 	self := ja.lease.Incarnation()
 	entry := ja.Replica.Jobs[job.id]
-	canUseAttempt := attemptsOf(ja.jobs, job.id).canUse(self)
+	canUseAttempt := attemptsOf(ja.jobs, job.id).hasUnusedAttempt(self)
 	if entry == nil || entry.Record.Owner != self || !canUseAttempt {
 		return false
 	}
 	isReplicaUpToDate := ja.Replica.Revision >= protocol.Revision(entry.ModRevision)
-	return isReplicaUpToDate && b.JobRecord(job.id).Owner == self
+	return isReplicaUpToDate && batch.JobRecord(job.id).Owner == self
 }
 
 // canPlaceNow tells whether this incarnation may write placements of the job now, and the job is not
 // backing off.
-func (ja *jobAcquirer) canPlaceNow(b *commit.Batch, job *PendingJob) bool {
+func (ja *jobAcquirer) canPlaceNow(batch *commit.Batch, job *PendingJob) bool {
 	isBackingOff := attemptsOf(ja.jobs, job.id).isBackingOff(ja.Now.Monotonic)
-	return ja.canWritePlacements(b, job) && !isBackingOff
+	return ja.canWritePlacements(batch, job) && !isBackingOff
 }
 
 // pendingTasks lists up to limit tasks that are neither done nor assigned, in order.
-func (ja *jobAcquirer) pendingTasks(b *commit.Batch, job *PendingJob, limit int) []int {
-	covered := b.DoneTasks(job.id)
+func (ja *jobAcquirer) pendingTasks(batch *commit.Batch, job *PendingJob, limit int) []int {
+	covered := batch.DoneTasks(job.id)
 	addAssigned := func(record *storage.MachineRecord) {
 		for assigned := range record.AssignmentsOf(job.id) {
 			covered = covered.Union(assigned.Tasks)
@@ -96,11 +96,11 @@
 	}
 	recorded := ja.Replica.MachinesWithJob(job.id)
 	for id := range recorded {
-		if !b.RemovesMachine(id) {
-			addAssigned(b.MachineRecord(id))
+		if !batch.RemovesMachine(id) {
+			addAssigned(batch.MachineRecord(id))
 		}
 	}
-	for id, record := range b.ChangedMachines() {
+	for id, record := range batch.ChangedMachines() {
 		if !recorded[id] {
 			addAssigned(record)
 		}
--- a/internal/coordination/scheduling/job_acquisition_test.go
+++ b/internal/coordination/scheduling/job_acquisition_test.go
@@ -13,7 +13,7 @@
 // other controller after a long one.
 func TestMayAcquire(t *testing.T) {
 	const endedOwner, livingOwner storage.Incarnation = "stall-9#1", "stall-1#1"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		owner        storage.Incarnation
 		isSuccessor  bool
@@ -27,27 +27,27 @@
 		{"other controller before its delay", endedOwner, false, anyControllerDelay - 1, false},
 		{"other controller after its delay", endedOwner, false, anyControllerDelay, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
 			controller := storage.ControllerRecord{Incarnation: livingOwner}
-			f.Put(t, storage.ControllerKey(livingOwner.Controller()), storage.MustMarshal(controller), 1)
+			fixture.Put(t, storage.ControllerKey(livingOwner.Controller()), storage.MustMarshal(controller), 1)
 			spec := newArrayJob(4, 20)
-			spec.ID = f.jobWithSuccessor(t, c.isSuccessor)
-			job := f.newPendingJob(spec, time.Minute)
-			job.record.Owner = c.owner
-			f.Put(t, storage.JobKey(spec.ID), storage.MustMarshal(job.record), 2)
+			spec.ID = fixture.jobWithSuccessor(t, test.isSuccessor)
+			job := fixture.newPendingJob(spec, time.Minute)
+			job.record.Owner = test.owner
+			fixture.Put(t, storage.JobKey(spec.ID), storage.MustMarshal(job.record), 2)
 
-			f.acquirer.ownership.TrackExpiredIncarnations()
-			f.Now.Monotonic = f.Now.Monotonic.Add(c.expiredSince)
-			if got := f.acquirer.mayAcquire(job); got != c.want {
-				t.Errorf("may acquire: %v, want %v", got, c.want)
+			fixture.acquirer.ownership.TrackExpiredIncarnations()
+			fixture.Now.Monotonic = fixture.Now.Monotonic.Add(test.expiredSince)
+			if got := fixture.acquirer.mayAcquireJob(job); got != test.want {
+				t.Errorf("may acquire: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
 // jobWithSuccessor gives a job of which this controller is the successor, or is not.
-func (f *fixture) jobWithSuccessor(t *testing.T, isSuccessor bool) protocol.JobID {
+func (f *schedulingFixture) jobWithSuccessor(t *testing.T, isSuccessor bool) protocol.JobID {
 	t.Helper()
 	for number := range 100 {
 		id := protocol.JobID(fmt.Sprint("j-", number))
--- a/internal/coordination/scheduling/job_attempts.go
+++ b/internal/coordination/scheduling/job_attempts.go
@@ -13,9 +13,9 @@
 	// minAttemptsLeft is how many attempt numbers of a block may be left before the next block
 	// is reserved, so that placing does not wait for it.
 	minAttemptsLeft = 8
-	// freePlacementsPerTask is how often each task of a job may be placed, on average, before
+	// undelayedPlacementsPerTask is how often each task of a job may be placed, on average, before
 	// further placements are delayed: such a job may fail everywhere until its user cancels it.
-	freePlacementsPerTask = 4
+	undelayedPlacementsPerTask = 4
 	// placementBackoffStep is by how much each further round of placements is delayed.
 	placementBackoffStep = 5 * time.Second
 	// maxPlacementBackoff is the longest such delay.
@@ -55,9 +55,9 @@
 	return jobAttempts{jobs: jobs, id: id}
 }
 
-// loadBlock loads the last block that the job's record reserves for owner, unless its numbers are in
+// loadAttemptBlock loads the last block that the job's record reserves for owner, unless its numbers are in
 // use already.
-func (a jobAttempts) loadBlock(owner storage.Incarnation, record *storage.JobRecord) {
+func (a jobAttempts) loadAttemptBlock(owner storage.Incarnation, record *storage.JobRecord) {
 	state := a.jobs.JobState(a.id)
 	if state.AttemptsOwner == owner && record.NextAttempt <= state.AttemptsEnd {
 		return
@@ -67,20 +67,20 @@
 	state.AttemptsEnd = record.NextAttempt
 }
 
-// hasSpare tells whether enough attempt numbers are left to do without a new block.
-func (a jobAttempts) hasSpare() bool {
+// hasSpareAttempts tells whether enough attempt numbers are left to do without a new block.
+func (a jobAttempts) hasSpareAttempts() bool {
 	state := a.jobs.JobState(a.id)
 	return state.AttemptsEnd-state.NextAttempt > minAttemptsLeft
 }
 
-// canUse tells whether owner has an attempt number left.
-func (a jobAttempts) canUse(owner storage.Incarnation) bool {
+// hasUnusedAttempt tells whether owner has an attempt number left.
+func (a jobAttempts) hasUnusedAttempt(owner storage.Incarnation) bool {
 	state := a.jobs.JobState(a.id)
 	return state.AttemptsOwner == owner && state.NextAttempt < state.AttemptsEnd
 }
 
-// next is the attempt number of the next placement.
-func (a jobAttempts) next() protocol.Attempt { return a.jobs.JobState(a.id).NextAttempt }
+// nextAttempt is the attempt number of the nextAttempt placement.
+func (a jobAttempts) nextAttempt() protocol.Attempt { return a.jobs.JobState(a.id).NextAttempt }
 
 // isBackingOff tells whether placements of the job are delayed.
 func (a jobAttempts) isBackingOff(now protocol.Instant) bool {
@@ -93,10 +93,10 @@
 	state := a.jobs.JobState(a.id)
 	state.NextAttempt = max(state.NextAttempt, attempt+1)
 	state.TaskPlacements += tasks
-	if spec.IsService() || state.TaskPlacements < freePlacementsPerTask*spec.TaskCount {
+	if spec.IsService() || state.TaskPlacements < undelayedPlacementsPerTask*spec.TaskCount {
 		return
 	}
-	excessRounds := state.TaskPlacements/spec.TaskCount - freePlacementsPerTask + 1
+	excessRounds := state.TaskPlacements/spec.TaskCount - undelayedPlacementsPerTask + 1
 	backoff := time.Duration(excessRounds) * placementBackoffStep
 	state.PlacementNotBefore = now.Add(min(backoff, maxPlacementBackoff))
 }
@@ -118,13 +118,13 @@
 	clear(state.FailedMachines)
 }
 
-// beginGang records that an attempt of a gang is being written.
-func (a jobAttempts) beginGang(attempt protocol.Attempt) {
+// beginGangWrite records that an attempt of a gang is being written.
+func (a jobAttempts) beginGangWrite(attempt protocol.Attempt) {
 	a.jobs.JobState(a.id).GangAttemptInProgress = attempt
 }
 
-// finishGang records that all tasks of the gang are placed.
-func (a jobAttempts) finishGang() { a.jobs.JobState(a.id).GangAttemptInProgress = 0 }
+// finishGangWrite records that all tasks of the gang are placed.
+func (a jobAttempts) finishGangWrite() { a.jobs.JobState(a.id).GangAttemptInProgress = 0 }
 
 // isWritingGang tells whether an attempt of a gang is still being written. One that has lost a
 // task is incomplete for longer.
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -26,7 +26,7 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
+	parts := &Parts{
 		Queue:      &Queue{Context: ctx},
 		Plan:       &Plan{Context: ctx},
 		Scheduler:  newScheduler(ctx),
@@ -38,31 +38,31 @@
 		gangs:      &gangScheduler{Context: ctx},
 		preemptor:  &preemptor{Context: ctx},
 	}
-	p.lister.queue = p.Queue
-	p.contention.plan = p.Plan
-	p.backfill.lister = p.lister
-	p.Scheduler.acquirer = p.acquirer
-	p.Scheduler.backfill = p.backfill
-	p.Scheduler.lister = p.lister
-	p.Scheduler.contention = p.contention
-	p.Scheduler.gangs = p.gangs
-	p.Scheduler.plan = p.Plan
-	p.Scheduler.queue = p.Queue
-	p.Scheduler.services = p.Services
-	p.gangs.acquirer = p.acquirer
-	p.gangs.lister = p.lister
-	p.gangs.plan = p.Plan
-	p.gangs.preemptor = p.preemptor
-	p.gangs.queue = p.Queue
-	p.gangs.scheduler = p.Scheduler
-	p.Services.acquirer = p.acquirer
-	p.Services.lister = p.lister
-	p.Services.plan = p.Plan
-	p.Services.preemptor = p.preemptor
-	p.Services.queue = p.Queue
-	p.Services.scheduler = p.Scheduler
-	p.preemptor.gangs = p.gangs
-	return p
+	parts.lister.queue = parts.Queue
+	parts.contention.plan = parts.Plan
+	parts.backfill.lister = parts.lister
+	parts.Scheduler.acquirer = parts.acquirer
+	parts.Scheduler.backfill = parts.backfill
+	parts.Scheduler.lister = parts.lister
+	parts.Scheduler.contention = parts.contention
+	parts.Scheduler.gangs = parts.gangs
+	parts.Scheduler.plan = parts.Plan
+	parts.Scheduler.queue = parts.Queue
+	parts.Scheduler.services = parts.Services
+	parts.gangs.acquirer = parts.acquirer
+	parts.gangs.lister = parts.lister
+	parts.gangs.plan = parts.Plan
+	parts.gangs.preemptor = parts.preemptor
+	parts.gangs.queue = parts.Queue
+	parts.gangs.scheduler = parts.Scheduler
+	parts.Services.acquirer = parts.acquirer
+	parts.Services.lister = parts.lister
+	parts.Services.plan = parts.Plan
+	parts.Services.preemptor = parts.preemptor
+	parts.Services.queue = parts.Queue
+	parts.Services.scheduler = parts.Scheduler
+	parts.preemptor.gangs = parts.gangs
+	return parts
 }
 
 // Dependencies are what the parts need of other packages.
@@ -82,38 +82,38 @@
 }
 
 // Connect gives the parts what they need of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Queue.catalog = d.Catalog
-	p.lister.agents = d.Agents
-	p.lister.catalog = d.Catalog
-	p.lister.lease = d.Lease
-	p.lister.provisioner = d.Provisioner
-	p.lister.spot = d.Spot
-	p.lister.terminator = d.Terminator
-	p.lister.transfers = d.Transfers
-	p.contention.catalog = d.Catalog
-	p.contention.provisioner = d.Provisioner
-	p.contention.spot = d.Spot
-	p.backfill.agents = d.Agents
-	p.backfill.catalog = d.Catalog
-	p.backfill.jobs = d.Jobs
-	p.acquirer.jobs = d.Jobs
-	p.acquirer.lease = d.Lease
-	p.acquirer.limits = d.Limits
-	p.acquirer.ownership = d.Ownership
-	p.Scheduler.catalog = d.Catalog
-	p.Scheduler.jobs = d.Jobs
-	p.Scheduler.lease = d.Lease
-	p.Scheduler.committer = d.Committer
-	p.gangs.catalog = d.Catalog
-	p.gangs.jobs = d.Jobs
-	p.gangs.limits = d.Limits
-	p.Services.agents = d.Agents
-	p.Services.catalog = d.Catalog
-	p.Services.jobs = d.Jobs
-	p.Services.lease = d.Lease
-	p.preemptor.agents = d.Agents
-	p.preemptor.lease = d.Lease
-	p.preemptor.limits = d.Limits
-	p.preemptor.stopper = d.Stopper
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Queue.catalog = dependencies.Catalog
+	p.lister.agents = dependencies.Agents
+	p.lister.catalog = dependencies.Catalog
+	p.lister.lease = dependencies.Lease
+	p.lister.provisioner = dependencies.Provisioner
+	p.lister.spot = dependencies.Spot
+	p.lister.terminator = dependencies.Terminator
+	p.lister.transfers = dependencies.Transfers
+	p.contention.catalog = dependencies.Catalog
+	p.contention.provisioner = dependencies.Provisioner
+	p.contention.spot = dependencies.Spot
+	p.backfill.agents = dependencies.Agents
+	p.backfill.catalog = dependencies.Catalog
+	p.backfill.jobs = dependencies.Jobs
+	p.acquirer.jobs = dependencies.Jobs
+	p.acquirer.lease = dependencies.Lease
+	p.acquirer.limits = dependencies.Limits
+	p.acquirer.ownership = dependencies.Ownership
+	p.Scheduler.catalog = dependencies.Catalog
+	p.Scheduler.jobs = dependencies.Jobs
+	p.Scheduler.lease = dependencies.Lease
+	p.Scheduler.committer = dependencies.Committer
+	p.gangs.catalog = dependencies.Catalog
+	p.gangs.jobs = dependencies.Jobs
+	p.gangs.limits = dependencies.Limits
+	p.Services.agents = dependencies.Agents
+	p.Services.catalog = dependencies.Catalog
+	p.Services.jobs = dependencies.Jobs
+	p.Services.lease = dependencies.Lease
+	p.preemptor.agents = dependencies.Agents
+	p.preemptor.lease = dependencies.Lease
+	p.preemptor.limits = dependencies.Limits
+	p.preemptor.stopper = dependencies.Stopper
 }
--- a/internal/coordination/scheduling/pending_job.go
+++ b/internal/coordination/scheduling/pending_job.go
@@ -43,9 +43,9 @@
 	avoidedTypes map[protocol.MachineTypeName]bool // nil: not decided yet
 }
 
-// servedBefore orders the queue: starved jobs by age, then all others by precedence, lateness
+// isServedBefore orders the queue: starved jobs by age, then all others by precedence, lateness
 // and due time.
-func (j *PendingJob) servedBefore(other *PendingJob) bool {
+func (j *PendingJob) isServedBefore(other *PendingJob) bool {
 	switch {
 	case j.isStarved != other.isStarved:
 		return j.isStarved
@@ -66,8 +66,8 @@
 	return j.queuePrecedence == other.queuePrecedence && j.isLate == other.isLate && !j.isStarved && !other.isStarved
 }
 
-// slack is how long the job's tasks may still wait before an objective is missed.
-func (j *PendingJob) slack(now step.Now) time.Duration {
+// timeUntilLatestStart is how long the job's tasks may still wait before an objective is missed.
+func (j *PendingJob) timeUntilLatestStart(now step.Now) time.Duration {
 	return step.MillisToDuration(j.latestStart - now.Wall)
 }
 
@@ -88,13 +88,13 @@
 		}
 	}
 	if spec.SpreadZones {
-		return max(halfOf(spec.TaskCount)-j.tasksByZone[zone], 0)
+		return max(halfRoundedUp(spec.TaskCount)-j.tasksByZone[zone], 0)
 	}
 	return protocol.MaxTasks
 }
 
-// halfOf is half of a number of tasks, rounded up.
-func halfOf(tasks int) int { return (tasks + 1) / 2 }
+// halfRoundedUp is half of a number of tasks, rounded up.
+func halfRoundedUp(tasks int) int { return (tasks + 1) / 2 }
 
 // pinnedZone is the zone that the job is bound to by its placed tasks, empty if it is free.
 func (j *PendingJob) pinnedZone() protocol.Zone {
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -50,40 +50,40 @@
 // RetainsIdleMachine tells whether an idle machine is kept for work that cannot wait until
 // another one is provisioned.
 func (s *Scheduler) RetainsIdleMachine(id protocol.MachineID) bool {
-	return s.warmPool.shouldRetain(id)
+	return s.warmPool.shouldRetainMachine(id)
 }
 
 // PlacePendingJobs plans where all pending tasks go, in queue order, and writes those placements
 // that belong to jobs of this incarnation. Jobs of other owners are planned just the same, so
 // that all controllers leave the same capacity to them.
-func (s *Scheduler) PlacePendingJobs(b *commit.Batch) {
+func (s *Scheduler) PlacePendingJobs(batch *commit.Batch) {
 	s.plan.reset()
 	if len(s.catalog.MachineTypes()) == 0 {
 		return
 	}
-	candidates := s.lister.listCandidates(b)
+	candidates := s.lister.listCandidates(batch)
 	s.lister.logFleet(candidates)
-	jobs := s.queue.ListPendingJobs(b, candidates)
-	s.warmPool.observe(s.Now.Monotonic, jobs)
-	s.warmPool.selectRetained(candidates, s.lister.isMachineAllowed)
+	jobs := s.queue.ListPendingJobs(batch, candidates)
+	s.warmPool.updatePeaks(s.Now.Monotonic, jobs)
+	s.warmPool.selectRetainedMachines(candidates, s.lister.isMachineAllowed)
 	s.plan.pass = planningPass{
-		availableCandidates: schedulable(candidates),
+		availableCandidates: schedulableCandidates(candidates),
 		contendedTypes:      s.contention.contendedTypes(),
 		reservedPrecedences: map[int]bool{},
 	}
-	s.placeLongRunningArrays(b, jobs, candidates)
+	s.placeLongRunningArrays(batch, jobs, candidates)
 	for len(jobs) > 0 {
 		group := 1
 		for group < len(jobs) && jobs[group].hasSamePrecedence(jobs[0]) {
 			group++
 		}
-		s.placeSamePrecedence(b, jobs[:group], candidates)
+		s.placeSamePrecedence(batch, jobs[:group], candidates)
 		jobs = jobs[group:]
 	}
 }
 
-// schedulable lists the candidates that take new tasks, in a slice of its own.
-func schedulable(candidates []*Candidate) []*Candidate {
+// schedulableCandidates lists the candidates that take new tasks, in a slice of its own.
+func schedulableCandidates(candidates []*Candidate) []*Candidate {
 	isUnschedulable := func(machine *Candidate) bool { return machine.isUnschedulable }
 	return slices.DeleteFunc(slices.Clone(candidates), isUnschedulable)
 }
@@ -93,22 +93,22 @@
 // those of others: a controller writes its own shards all the time, whereas a shard of another
 // controller takes one operation more, which may come late while the capacity is idle. Otherwise the
 // order of due times alone serves better.
-func (s *Scheduler) placeSamePrecedence(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
+func (s *Scheduler) placeSamePrecedence(batch *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	ownerShardsFirst := len(jobs) > 1 && s.committer.IsBatchPartial()
 	for _, job := range jobs {
-		s.acquirer.acquireJob(b, job)
+		s.acquirer.acquireJob(batch, job)
 		switch {
 		case job.record.Spec.IsGang():
-			s.gangs.placeGang(b, job, candidates)
+			s.gangs.placeGang(batch, job, candidates)
 		case job.record.Spec.IsService():
-			s.services.placeReplicas(b, job, candidates)
+			s.services.placeReplicas(batch, job, candidates)
 		case ownerShardsFirst:
-			s.placeArray(b, job, candidates, protocol.MaxTasks, ownerShards)
+			s.placeArray(batch, job, candidates, protocol.MaxTasks, ownerShards)
 		}
 	}
 	for _, job := range jobs {
 		if job.record.Spec.Kind == protocol.KindArray {
-			s.placeArray(b, job, candidates, protocol.MaxTasks, allShards)
+			s.placeArray(batch, job, candidates, protocol.MaxTasks, allShards)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 // placeLongRunningArrays gives a part of the fleet's cores to arrays that have been unfinished for very
 // long, oldest first. By due time they would always come after newer ones; if they got all that they
 // ask for, the newer ones would be late, too.
-func (s *Scheduler) placeLongRunningArrays(b *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
+func (s *Scheduler) placeLongRunningArrays(batch *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	var longRunning []*PendingJob
 	for _, job := range jobs {
 		if job.isLongRunning {
@@ -142,9 +142,9 @@
 		if allowedTasks <= 0 {
 			continue
 		}
-		s.acquirer.acquireJob(b, job)
+		s.acquirer.acquireJob(batch, job)
 		before := job.placedTasks
-		s.placeArray(b, job, candidates, allowedTasks, allShards)
+		s.placeArray(batch, job, candidates, allowedTasks, allShards)
 		remainingCores -= float64(job.placedTasks-before) * coresPerTask
 	}
 }
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -11,7 +11,7 @@
 // A placement of a task that has to start before its machine sends a heartbeat by itself makes the
 // machine's agent send one at once; no other placement does.
 func TestExpediteUrgentTasks(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		slack  time.Duration
 		isLate bool
@@ -21,17 +21,17 @@
 		{"it can wait for a heartbeat", 60 * time.Second, false, false},
 		{"it is late in any case", time.Second, true, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
-			f.Config.HeartbeatInterval = 6 * time.Second
-			job := f.newPendingJob(newArrayJob(4, 20), c.slack)
-			job.isLate = c.isLate
-			if got := f.Queue.shouldExpedite(job); got != c.want {
-				t.Errorf("slack %v, late %v: %v", c.slack, c.isLate, got)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
+			fixture.Config.HeartbeatInterval = 6 * time.Second
+			job := fixture.newPendingJob(newArrayJob(4, 20), test.slack)
+			job.isLate = test.isLate
+			if got := fixture.Queue.shouldExpediteHeartbeats(job); got != test.want {
+				t.Errorf("slack %v, late %v: %v", test.slack, test.isLate, got)
 			}
 		})
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		deferred step.RequestID
 		want     bool
@@ -39,13 +39,13 @@
 		{"no heartbeat is deferred", 0, true},
 		{"a heartbeat is deferred", 5, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
 			machine := newCandidate(&smallMachineType, "m-1", false)
-			machine.record.Owner = f.commit.Lease.Incarnation()
-			f.agents.Table.MachineState("m-1").DeferredRequest = c.deferred
-			if got := f.lister.awaitsHeartbeat(machine); got != c.want {
-				t.Errorf("heartbeat deferred as %d: %v", c.deferred, got)
+			machine.record.Owner = fixture.commit.Lease.Incarnation()
+			fixture.agents.Table.MachineState("m-1").DeferredRequest = test.deferred
+			if got := fixture.lister.awaitsHeartbeat(machine); got != test.want {
+				t.Errorf("heartbeat deferred as %d: %v", test.deferred, got)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 		change(machine)
 		return machine
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		better, worse func(*Candidate)
 	}{
@@ -77,13 +77,13 @@
 			func(*Candidate) {},
 			func(m *Candidate) { m.record.Owner = peer }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
-			job := f.newPendingJob(newArrayJob(4, 20), time.Minute)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
+			job := fixture.newPendingJob(newArrayJob(4, 20), time.Minute)
 			job.record.Owner = owner
-			b := f.commit.ShardWriter.NewBatch(8)
-			better := f.Scheduler.score(b, job, newMachine(c.better))
-			worse := f.Scheduler.score(b, job, newMachine(c.worse))
+			batch := fixture.commit.ShardWriter.NewBatch(8)
+			better := fixture.Scheduler.scoreCandidate(batch, job, newMachine(test.better))
+			worse := fixture.Scheduler.scoreCandidate(batch, job, newMachine(test.worse))
 			if better >= worse {
 				t.Errorf("scores %v and %v", better, worse)
 			}
@@ -95,7 +95,7 @@
 // the others are demand. Another owner's job is planned but neither written nor reported as
 // demand.
 func TestPlacePendingJobs(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		machine    storage.MachineRecord
 		isOwned    bool
@@ -109,40 +109,40 @@
 		{"owned job, cordoned machine", storage.MachineRecord{AgentEpoch: 1, Cordoned: true}, true, 0, 10, false},
 		{"another owner's job", storage.MachineRecord{AgentEpoch: 1}, false, 0, 0, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
 			job := storage.JobRecord{
 				Spec:        newArrayJob(1, 20),
 				Owner:       "stall-1#1",
 				NextAttempt: step.AttemptBlockSize,
-				SubmittedAt: f.Now.Wall,
+				SubmittedAt: fixture.Now.Wall,
 			}
-			if c.isOwned {
-				job.Owner = f.commit.Lease.Incarnation()
+			if test.isOwned {
+				job.Owner = fixture.commit.Lease.Incarnation()
 			}
-			c.machine.MachineType, c.machine.Zone = "small", "a"
-			f.Put(t, storage.JobKey("j-1"), storage.MustMarshal(job), 1)
-			shard := storage.EncodePlainShard(f.commit.Lease.Incarnation(), 1, []string{c.machine.EncodeLine("m-1")}, nil)
-			f.Put(t, storage.ShardKey("p"), shard, 2)
+			test.machine.MachineType, test.machine.Zone = "small", "a"
+			fixture.Put(t, storage.JobKey("j-1"), storage.MustMarshal(job), 1)
+			shard := storage.EncodePlainShard(fixture.commit.Lease.Incarnation(), 1, []string{test.machine.EncodeLine("m-1")}, nil)
+			fixture.Put(t, storage.ShardKey("p"), shard, 2)
 
-			b := f.commit.ShardWriter.NewBatch(8)
-			f.Scheduler.PlacePendingJobs(b)
+			batch := fixture.commit.ShardWriter.NewBatch(8)
+			fixture.Scheduler.PlacePendingJobs(batch)
 
 			written := 0
-			for assigned := range b.MachineRecord("m-1").AssignmentsOf("j-1") {
+			for assigned := range batch.MachineRecord("m-1").AssignmentsOf("j-1") {
 				written += assigned.Tasks.Len()
 			}
 			demand := 0
-			for _, unmet := range f.Plan.Demands() {
+			for _, unmet := range fixture.Plan.Demands() {
 				demand += unmet.Tasks
 			}
-			if written != c.wantTasks || demand != c.wantDemand {
-				t.Errorf("%d tasks written, demand for %d; wanted %d and %d", written, demand, c.wantTasks, c.wantDemand)
+			if written != test.wantTasks || demand != test.wantDemand {
+				t.Errorf("%d tasks written, demand for %d; wanted %d and %d", written, demand, test.wantTasks, test.wantDemand)
 			}
-			if got := f.Plan.ExpectsPlacement("m-1"); got != c.wantExpect {
+			if got := fixture.Plan.ExpectsPlacement("m-1"); got != test.wantExpect {
 				t.Errorf("placement expected: %v", got)
 			}
-			if got, want := f.Plan.RetainsMachine("m-1"), written > 0 || c.wantExpect; got != want {
+			if got, want := fixture.Plan.RetainsMachine("m-1"), written > 0 || test.wantExpect; got != want {
 				t.Errorf("machine retained: %v", got)
 			}
 		})
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	capacity := func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }
-	return p.gangs.distribute(job, job.reservedCandidates(candidates), "", tasks, capacity)
+	return p.gangs.distributeTasks(job, job.reservedCandidates(candidates), "", tasks, capacity)
 }
 
 // cheapestPreemption chooses the machines on which the least work is lost; with requireImage,
@@ -50,7 +50,7 @@
 	}
 	slices.SortStableFunc(machines, func(left, right *Candidate) int { return cmp.Compare(cost[left], cost[right]) })
 	capacity := func(machine *Candidate) int { return p.capacityAfterPreemption(machine, job) }
-	return p.gangs.distributeInZones(job, machines, zones, tasks, capacity)
+	return p.gangs.distributeInFirstZone(job, machines, zones, tasks, capacity)
 }
 
 // canPreemptOn tells whether tasks may be preempted on a machine for the job.
--- a/internal/coordination/scheduling/preemption_test.go
+++ b/internal/coordination/scheduling/preemption_test.go
@@ -11,9 +11,9 @@
 // Only tasks of lower priority are victims, those first whose stop loses the least work per core:
 // a checkpoint's time for what saves one, else all that has run.
 func TestVictims(t *testing.T) {
-	f := newCoreWithTwoMachineTypes(t)
-	f.Now.Monotonic = f.Now.Monotonic.Add(time.Hour)
-	job := f.newPendingJob(newArrayJob(1, 20), time.Minute)
+	fixture := newFixtureWithTwoMachineTypes(t)
+	fixture.Now.Monotonic = fixture.Now.Monotonic.Add(time.Hour)
+	job := fixture.newPendingJob(newArrayJob(1, 20), time.Minute)
 	job.precedence = 1
 	machine := newCandidate(&largeMachineType, "m-1", false)
 	for _, running := range []struct {
@@ -31,16 +31,16 @@
 		spec := newArrayJob(1, 20)
 		spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = running.saveSeconds, running.saveSeconds
 		alloc := allocation{job: running.job, attempt: 1, count: 1, precedence: running.precedence}
-		f.addTasks(machine, spec, alloc, running.runningFor)
+		fixture.addTasks(machine, spec, alloc, running.runningFor)
 	}
 	var got []protocol.JobID
-	for _, victim := range f.preemptor.victims(machine, job) {
+	for _, victim := range fixture.preemptor.victims(machine, job) {
 		got = append(got, victim.job)
 	}
 	if want := []protocol.JobID{"j-short", "j-checkpoint", "j-long"}; !slices.Equal(got, want) {
 		t.Errorf("victims %v; wanted %v", got, want)
 	}
-	if got := f.preemptor.capacityAfterPreemption(machine, job); got != 14 {
+	if got := fixture.preemptor.capacityAfterPreemption(machine, job); got != 14 {
 		t.Errorf("%d tasks fit after the preemption; wanted 14", got)
 	}
 	if machine.free.Cores != 11 {
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -28,9 +28,9 @@
 	longRunningFactor = 2
 	// estimateErrorFactor is the factor by which estimated run times are often too long.
 	estimateErrorFactor = 2
-	// expediteIntervals is the slack, in heartbeat intervals, below which a job's tasks cannot wait
+	// expediteSlackIntervals is the slack, in heartbeat intervals, below which a job's tasks cannot wait
 	// for the next heartbeat of their machines.
-	expediteIntervals = 2
+	expediteSlackIntervals = 2
 )
 
 // Queue orders unfinished jobs by the precedence in which they are served.
@@ -41,26 +41,26 @@
 }
 
 // ListPendingJobs lists the unfinished jobs in the order in which they are served.
-func (q *Queue) ListPendingJobs(b *commit.Batch, candidates []*Candidate) []*PendingJob {
+func (q *Queue) ListPendingJobs(batch *commit.Batch, candidates []*Candidate) []*PendingJob {
 	byID := map[protocol.JobID]*PendingJob{}
 	var jobs []*PendingJob
 	for id := range q.Replica.UnfinishedJobs {
-		if job := q.newPendingJob(b, id); job != nil {
+		if job := q.newPendingJob(batch, id); job != nil {
 			byID[id] = job
 			jobs = append(jobs, job)
 		}
 	}
 	countPlacedTasks(byID, candidates)
 	for _, job := range jobs {
-		q.recordAge(job)
+		q.classifyByAge(job)
 	}
-	sort.Slice(jobs, func(i, k int) bool { return jobs[i].servedBefore(jobs[k]) })
+	sort.Slice(jobs, func(i, j int) bool { return jobs[i].isServedBefore(jobs[j]) })
 	return jobs
 }
 
 // newPendingJob makes the queue's entry of a job; nil: no task of it is to be placed.
-func (q *Queue) newPendingJob(b *commit.Batch, id protocol.JobID) *PendingJob {
-	record := b.JobRecord(id)
+func (q *Queue) newPendingJob(batch *commit.Batch, id protocol.JobID) *PendingJob {
+	record := batch.JobRecord(id)
 	if record.State.IsTerminal() || record.CancelRequested || record.Spec == nil {
 		return nil
 	}
@@ -70,7 +70,7 @@
 		record:        record,
 		queuePosition: queuePosition{precedence: precedence, queuePrecedence: precedence},
 		placementProgress: placementProgress{
-			doneTasks:   b.DoneTasks(id).Len(),
+			doneTasks:   batch.DoneTasks(id).Len(),
 			tasksByZone: map[protocol.Zone]int{},
 		},
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-// recordAge marks a job that is starved or long-running.
-func (q *Queue) recordAge(job *PendingJob) {
+// classifyByAge marks a job that is starved or long-running.
+func (q *Queue) classifyByAge(job *PendingJob) {
 	waited := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
 	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
 	job.isStarved = waited > q.Config.AgingThreshold && !hasBegun
@@ -190,10 +190,10 @@
 	}
 }
 
-// shouldExpedite tells whether a job's tasks have to start sooner than all machines send a
+// shouldExpediteHeartbeats tells whether a job's tasks have to start sooner than all machines send a
 // heartbeat by themselves.
-func (q *Queue) shouldExpedite(job *PendingJob) bool {
-	return !job.isLate && job.slack(q.Now) < expediteIntervals*q.Config.HeartbeatInterval
+func (q *Queue) shouldExpediteHeartbeats(job *PendingJob) bool {
+	return !job.isLate && job.timeUntilLatestStart(q.Now) < expediteSlackIntervals*q.Config.HeartbeatInterval
 }
 
 // needsWarmCapacity tells whether a job's tasks have to start sooner than machines that are
@@ -213,10 +213,10 @@
 	cores, accelerators := teamUsage(candidates, spec.Team)
 	tasks := protocol.MaxTasks
 	if quota.MaxCores > 0 && spec.Cores > 0 {
-		tasks = min(tasks, wholeTasks(quota.MaxCores-cores, spec.Cores))
+		tasks = min(tasks, fittingTasks(quota.MaxCores-cores, spec.Cores))
 	}
 	if quota.MaxAccelerators > 0 && spec.Accelerators > 0 {
-		tasks = min(tasks, wholeTasks(quota.MaxAccelerators-accelerators, spec.Accelerators))
+		tasks = min(tasks, fittingTasks(quota.MaxAccelerators-accelerators, spec.Accelerators))
 	}
 	return max(tasks, 0)
 }
@@ -234,7 +234,7 @@
 	return cores, accelerators
 }
 
-// wholeTasks tells how many tasks fit into an amount.
-func wholeTasks(amount, perTask float64) int {
+// fittingTasks tells how many tasks fit into an amount.
+func fittingTasks(amount, perTask float64) int {
 	return int(math.Floor(amount/perTask + catalog.Epsilon))
 }
--- a/internal/coordination/scheduling/queue_test.go
+++ b/internal/coordination/scheduling/queue_test.go
@@ -12,15 +12,15 @@
 // Starved jobs go first by age; all others by precedence, then those that can still meet an
 // objective, then by due time and at last by ID.
 func TestQueueOrder(t *testing.T) {
-	starvedSince := func(at protocol.Millis) PendingJob {
+	starvedSince := func(submittedAt protocol.Millis) PendingJob {
 		position := queuePosition{isStarved: true, queuePrecedence: 3}
-		return PendingJob{record: &storage.JobRecord{SubmittedAt: at}, queuePosition: position}
+		return PendingJob{record: &storage.JobRecord{SubmittedAt: submittedAt}, queuePosition: position}
 	}
 	queued := func(precedence int, isLate bool, dueAt protocol.Millis) PendingJob {
 		position := queuePosition{queuePrecedence: precedence, isLate: isLate, dueAt: dueAt}
 		return PendingJob{record: &storage.JobRecord{}, queuePosition: position}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		first, second PendingJob
 	}{
@@ -31,10 +31,10 @@
 		{"the earlier due time", queued(1, false, 1), queued(1, false, 2)},
 		{"the ID at last", queued(1, false, 1), queued(1, false, 1)},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			c.first.id, c.second.id = "j-1", "j-2"
-			if !c.first.servedBefore(&c.second) || c.second.servedBefore(&c.first) {
-				t.Errorf("%+v is not served before %+v", c.first.queuePosition, c.second.queuePosition)
+		t.Run(test.name, func(t *testing.T) {
+			test.first.id, test.second.id = "j-1", "j-2"
+			if !test.first.isServedBefore(&test.second) || test.second.isServedBefore(&test.first) {
+				t.Errorf("%+v is not served before %+v", test.first.queuePosition, test.second.queuePosition)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 
 // A team's limit bounds the tasks by cores and by accelerators, those in use included.
 func TestQuotaHeadroom(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		quota step.Quota
 		used  int // tasks of the team
@@ -55,15 +55,15 @@
 		{"more in use than the limit", step.Quota{MaxCores: 4}, 3, 0},
 		{"accelerators are scarcer", step.Quota{MaxCores: 8, MaxAccelerators: 2}, 0, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
-			f.Config.Quotas["core"] = c.quota
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
+			fixture.Config.Quotas["core"] = test.quota
 			spec := newArrayJob(2, 20)
 			spec.Accelerators = 1
 			machine := newCandidate(&largeMachineType, "m-1", false)
-			f.addTasks(machine, spec, allocation{job: "j-2", attempt: 1, count: c.used}, 0)
-			if got := f.Queue.quotaHeadroom([]*Candidate{machine}, spec); got != c.want {
-				t.Errorf("headroom of %d tasks; wanted %d", got, c.want)
+			fixture.addTasks(machine, spec, allocation{job: "j-2", attempt: 1, count: test.used}, 0)
+			if got := fixture.Queue.quotaHeadroom([]*Candidate{machine}, spec); got != test.want {
+				t.Errorf("headroom of %d tasks; wanted %d", got, test.want)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 
 // A job bound to one zone stays in it; one that spreads has at most half of its tasks in a zone.
 func TestZoneHeadroom(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                    string
 		singleZone, spreadZones bool
 		inA, inB                int
@@ -84,14 +84,14 @@
 		{"spread, the half is placed", false, true, 5, 0, 0},
 		{"spread, less than the half is", false, true, 3, 5, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
 			spec := newArrayJob(4, 20)
-			spec.SingleZone, spec.SpreadZones = c.singleZone, c.spreadZones
-			job := f.newPendingJob(spec, time.Minute)
-			job.tasksByZone["a"], job.tasksByZone["b"] = c.inA, c.inB
-			if got := job.zoneHeadroom("a"); got != c.want {
-				t.Errorf("headroom of %d tasks; wanted %d", got, c.want)
+			spec.SingleZone, spec.SpreadZones = test.singleZone, test.spreadZones
+			job := fixture.newPendingJob(spec, time.Minute)
+			job.tasksByZone["a"], job.tasksByZone["b"] = test.inA, test.inB
+			if got := job.zoneHeadroom("a"); got != test.want {
+				t.Errorf("headroom of %d tasks; wanted %d", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/replica_placer.go
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -28,89 +28,89 @@
 	candidates        []*Candidate
 	limit             replicaLimit
 	canWrite          bool  // this incarnation writes the job's placements now
-	pending           []int // indices of the replicas to place, if canWrite
-	remaining         int
+	pendingReplicas   []int // indices of the replicas to place, if canWrite
+	remainingReplicas int
 	replicasByMachine map[protocol.MachineID]int // of the job, on record and planned
-	reservationUsed   map[protocol.MachineID]int // replicas that the recorded reservation has been used for
+	usedReservations  map[protocol.MachineID]int // replicas that the recorded reservation has been used for
 }
 
 // machineFilter tells whether a machine is eligible.
 type machineFilter func(*Candidate) bool
 
 func (s *ServiceScheduler) newReplicaPlacer(
-	b *commit.Batch, job *PendingJob, candidates []*Candidate, replicas int,
+	batch *commit.Batch, job *PendingJob, candidates []*Candidate, replicas int,
 ) *replicaPlacer {
-	p := &replicaPlacer{
+	placer := &replicaPlacer{
 		services:          s,
-		batch:             b,
+		batch:             batch,
 		job:               job,
 		candidates:        candidates,
-		remaining:         replicas,
+		remainingReplicas: replicas,
 		replicasByMachine: map[protocol.MachineID]int{},
-		reservationUsed:   map[protocol.MachineID]int{},
+		usedReservations:  map[protocol.MachineID]int{},
 	}
-	p.canWrite = s.acquirer.canPlaceNow(b, job) && !b.HasFailedReplica(job.id)
-	if p.canWrite {
-		p.pending = s.acquirer.pendingTasks(b, job, p.remaining)
-		p.remaining = min(p.remaining, len(p.pending))
+	placer.canWrite = s.acquirer.canPlaceNow(batch, job) && !batch.HasFailedReplica(job.id)
+	if placer.canWrite {
+		placer.pendingReplicas = s.acquirer.pendingTasks(batch, job, placer.remainingReplicas)
+		placer.remainingReplicas = min(placer.remainingReplicas, len(placer.pendingReplicas))
 	}
 	for id := range s.Replica.MachinesWithJob(job.id) {
 		for assigned := range s.Replica.Machines[id].Record.AssignmentsOf(job.id) {
-			p.replicasByMachine[id] += assigned.Tasks.Len()
+			placer.replicasByMachine[id] += assigned.Tasks.Len()
 		}
 	}
-	return p
+	return placer
 }
 
-// headroomOn is how many more replicas of the job the machine should have.
-func (p *replicaPlacer) headroomOn(machine *Candidate) int {
+// replicaHeadroom is how many more replicas of the job the machine should have.
+func (p *replicaPlacer) replicaHeadroom(machine *Candidate) int {
 	replicas := p.job.record.Spec.TaskCount
 	switch p.limit {
 	case halfOfReplicas:
-		replicas = halfOf(replicas)
+		replicas = halfRoundedUp(replicas)
 	case oneReplica:
 		replicas = 1
 	case allReplicas:
 	}
 	headroom := max(replicas-p.replicasByMachine[machine.id], 0)
-	return min(headroom, p.remaining, p.job.zoneHeadroom(machine.record.Zone))
+	return min(headroom, p.remainingReplicas, p.job.zoneHeadroom(machine.record.Zone))
 }
 
-// preemptionHeadroomOn is headroomOn, as far as a preemption frees the capacity for it.
-func (p *replicaPlacer) preemptionHeadroomOn(machine *Candidate) int {
-	return min(p.services.preemptor.capacityAfterPreemption(machine, p.job), p.headroomOn(machine))
+// preemptionHeadroom is headroomOn, as far as a preemption frees the capacity for it.
+func (p *replicaPlacer) preemptionHeadroom(machine *Candidate) int {
+	return min(p.services.preemptor.capacityAfterPreemption(machine, p.job), p.replicaHeadroom(machine))
 }
 
-// placeOnFree places replicas where there is free capacity.
-func (p *replicaPlacer) placeOnFree(isEligible machineFilter) {
-	if p.remaining <= 0 {
+// placeOnFreeCapacity places replicas where there is free capacity.
+func (p *replicaPlacer) placeOnFreeCapacity(isEligible machineFilter) {
+	if p.remainingReplicas <= 0 {
 		return
 	}
 	for _, machine := range p.services.scheduler.rankedCandidates(p.batch, p.job, allShards) {
-		count := min(machine.free.CapacityFor(p.job.record.Spec), p.headroomOn(machine))
+		count := min(machine.free.CapacityFor(p.job.record.Spec), p.replicaHeadroom(machine))
 		if count > 0 && isEligible(machine) {
-			p.placeOn(machine, count)
+			p.placeOnMachine(machine, count)
 		}
 	}
 }
 
-// placeOn places replicas on a machine that has the capacity for them.
-func (p *replicaPlacer) placeOn(machine *Candidate, count int) {
+// placeOnMachine places replicas on a machine that has the capacity for them.
+func (p *replicaPlacer) placeOnMachine(machine *Candidate, count int) {
 	scheduler := p.services.scheduler
 	canAssign := p.canWrite && !machine.isProvisioning
 	writeNow := canAssign && scheduler.fitsTransaction(p.batch, machine, p.job.record.Spec)
-	scheduler.planTasks(p.batch, p.job, machine, count, writeNow, p.takePending(count))
+	scheduler.planTasks(p.batch, p.job, machine, count, writeNow, p.takePendingReplicas(count))
 	p.replicasByMachine[machine.id] += count
-	p.remaining -= count
+	p.remainingReplicas -= count
 }
 
-// takePending takes the next replicas to place; nil: this incarnation does not write them.
-func (p *replicaPlacer) takePending(count int) []int {
+// takePendingReplicas takes the next replicas to place; nil: this incarnation does not write them.
+func (p *replicaPlacer) takePendingReplicas(count int) []int {
 	if !p.canWrite {
 		return nil
 	}
-	next := p.pending[:count]
-	p.pending = p.pending[count:]
+	next := p.pendingReplicas[:count]
+	p.pendingReplicas = p.pendingReplicas[count:]
 	return next
 }
 
@@ -118,14 +118,14 @@
 // among its own machines only: so no other controller preempts for the same replicas, and the choice
 // need not be recorded first.
 func (p *replicaPlacer) placeByPreemption(isEligible machineFilter) {
-	if p.remaining <= 0 || !p.canWrite {
+	if p.remainingReplicas <= 0 || !p.canWrite {
 		return
 	}
 	isOwnedAndEligible := func(machine *Candidate) bool {
 		return p.services.lease.OwnsMachine(machine.record) && isEligible(machine)
 	}
 	for _, machine := range p.cheapestToPreempt(isOwnedAndEligible) {
-		p.preemptOn(machine, p.remaining, true)
+		p.preemptOnMachine(machine, p.remainingReplicas, true)
 	}
 }
 
@@ -133,26 +133,26 @@
 // suffice: the job's owner records its choice, a machine once for each replica, and the machines'
 // owners stop tasks there.
 func (p *replicaPlacer) placeByReservation(isEligible machineFilter) {
-	if p.remaining <= 0 {
+	if p.remainingReplicas <= 0 {
 		return
 	}
 	chosen := p.reservedMachines(isEligible)
 	reservedReplicas := 0
 	for _, machine := range chosen {
-		reservedReplicas += min(p.preemptionHeadroomOn(machine), p.unusedReservation(p.job.record, machine))
+		reservedReplicas += min(p.preemptionHeadroom(machine), p.unusedReservation(p.job.record, machine))
 	}
 	canRecord := p.canWrite && p.batch.HasCapacity(p.batch.OpsNeeded("", p.job.id))
-	if canRecord && reservedReplicas < p.remaining {
+	if canRecord && reservedReplicas < p.remainingReplicas {
 		if better := p.reserveForPreemption(isEligible, reservedReplicas); better != nil {
 			chosen = better
 		}
 	}
 	recorded := p.services.Replica.Jobs[p.job.id].Record.ReservedMachines
 	for _, machine := range chosen {
-		before := p.remaining
+		before := p.remainingReplicas
 		limit := p.unusedReservation(p.batch.JobRecord(p.job.id), machine)
-		p.preemptOn(machine, limit, slices.Contains(recorded, machine.id))
-		p.reservationUsed[machine.id] += before - p.remaining
+		p.preemptOnMachine(machine, limit, slices.Contains(recorded, machine.id))
+		p.usedReservations[machine.id] += before - p.remainingReplicas
 	}
 }
 
@@ -166,7 +166,7 @@
 // unusedReservation counts the replicas that a job's record reserves a machine for and that this
 // pass has not planned there yet.
 func (p *replicaPlacer) unusedReservation(record *storage.JobRecord, machine *Candidate) int {
-	unused := -p.reservationUsed[machine.id]
+	unused := -p.usedReservations[machine.id]
 	for _, id := range record.ReservedMachines {
 		if id == machine.id {
 			unused++
@@ -179,9 +179,9 @@
 // reservation; nil: they are not.
 func (p *replicaPlacer) reserveForPreemption(isEligible machineFilter, reservedReplicas int) []*Candidate {
 	var placements []placement
-	remaining := p.remaining
+	remaining := p.remainingReplicas
 	for _, machine := range p.cheapestToPreempt(isEligible) {
-		for range min(p.preemptionHeadroomOn(machine), remaining) {
+		for range min(p.preemptionHeadroom(machine), remaining) {
 			placements = append(placements, placement{machine: machine, count: 1})
 			remaining--
 		}
@@ -224,10 +224,10 @@
 	return p.services.lister.isMachineAllowed(p.job.record.Spec, machine)
 }
 
-// preemptOn plans up to limit replicas on a machine, and stops tasks of lower priority there if the
+// preemptOnMachine plans up to limit replicas on a machine, and stops tasks of lower priority there if the
 // choice is decided and this incarnation owns the machine.
-func (p *replicaPlacer) preemptOn(machine *Candidate, limit int, isDecided bool) {
-	count := min(p.preemptionHeadroomOn(machine), limit)
+func (p *replicaPlacer) preemptOnMachine(machine *Candidate, limit int, isDecided bool) {
+	count := min(p.preemptionHeadroom(machine), limit)
 	if count <= 0 {
 		return
 	}
@@ -239,6 +239,6 @@
 	services.plan.retainMachine(machine)
 	services.plan.expectPlacement(machine)
 	p.replicasByMachine[machine.id] += count
-	p.takePending(count)
-	p.remaining -= count
+	p.takePendingReplicas(count)
+	p.remainingReplicas -= count
 }
--- a/internal/coordination/scheduling/replica_preemption.go
+++ b/internal/coordination/scheduling/replica_preemption.go
@@ -6,7 +6,7 @@
 // preemptForReplicas stops as few tasks of lower priority on an owned machine as the replicas need.
 func (p *preemptor) preemptForReplicas(machine *Candidate, job *PendingJob, replicas int) {
 	free := machine.free
-	for _, victim := range p.stoppingFirst(machine, job) {
+	for _, victim := range p.victimsStoppingFirst(machine, job) {
 		stopped := 0
 		for stopped < victim.count && free.CapacityFor(job.record.Spec) < replicas {
 			free.Allocate(victim.spec, -1)
@@ -23,8 +23,8 @@
 // same choice.
 func (p *preemptor) replicaStartCost(machine *Candidate, job *PendingJob) float64 {
 	free, cost, waitSeconds := machine.free, 0.0, 0.0
-	for _, victim := range p.stoppingFirst(machine, job) {
-		stopping := countStopping(machine, victim)
+	for _, victim := range p.victimsStoppingFirst(machine, job) {
+		stopping := countStoppingTasks(machine, victim)
 		for stopped := 0; stopped < victim.count && free.CapacityFor(job.record.Spec) == 0; stopped++ {
 			free.Allocate(victim.spec, -1)
 			if stopped >= stopping {
--- a/internal/coordination/scheduling/reservations.go
+++ b/internal/coordination/scheduling/reservations.go
@@ -15,28 +15,28 @@
 // few machines are left empty; the result tells whether it is this one. The choice is on record, so that
 // all controllers leave these machines alone.
 func (g *gangScheduler) reserveForStarvedJob(
-	b *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int,
+	batch *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int,
 ) bool {
 	if g.plan.pass.reservedPrecedences[job.precedence] {
 		return false
 	}
 	capacity := func(machine *Candidate) int { return capacityWhenDrained(machine, job) }
-	placements := g.distributeInZones(job, job.reservedCandidates(candidates), zones, tasks, capacity)
+	placements := g.distributeInFirstZone(job, job.reservedCandidates(candidates), zones, tasks, capacity)
 	if placements == nil {
-		if !g.acquirer.canWritePlacements(b, job) || !b.HasCapacity(b.OpsNeeded("", job.id)) {
+		if !g.acquirer.canWritePlacements(batch, job) || !batch.HasCapacity(batch.OpsNeeded("", job.id)) {
 			return false
 		}
-		placements = g.distributeInZones(job, g.soonestDrained(candidates), zones, tasks, capacity)
+		placements = g.distributeInFirstZone(job, g.rankByDrainTime(candidates), zones, tasks, capacity)
 		if placements == nil || !g.preemptor.fitsJobRecord(placements) {
 			return false
 		}
-		recordReservation(b, job.id, placements, "machines reserved for starved job")
+		recordReservation(batch, job.id, placements, "machines reserved for starved job")
 	}
 	g.plan.pass.reservedPrecedences[job.precedence] = true
-	for _, p := range placements {
-		p.machine.isUnschedulable = true
-		p.machine.free.Cores = 0
-		g.plan.retainMachine(p.machine)
+	for _, chosen := range placements {
+		chosen.machine.isUnschedulable = true
+		chosen.machine.free.Cores = 0
+		g.plan.retainMachine(chosen.machine)
 	}
 	return true
 }
@@ -56,9 +56,9 @@
 	return free.CapacityFor(job.record.Spec)
 }
 
-// soonestDrained lists the machines by the time, in seconds of the whole machine, that what runs
+// rankByDrainTime lists the machines by the time, in seconds of the whole machine, that what runs
 // there still needs: the emptiest first, and those whose tasks have run longest.
-func (g *gangScheduler) soonestDrained(candidates []*Candidate) []*Candidate {
+func (g *gangScheduler) rankByDrainTime(candidates []*Candidate) []*Candidate {
 	remaining := map[*Candidate]float64{}
 	for _, machine := range candidates {
 		for i := range machine.allocations {
@@ -76,13 +76,13 @@
 
 // recordReservation records the machines that are reserved for a job. The batch must have capacity for
 // it.
-func recordReservation(b *commit.Batch, id protocol.JobID, placements []placement, message string) {
-	record := b.MutableJob(id)
+func recordReservation(batch *commit.Batch, id protocol.JobID, placements []placement, message string) {
+	record := batch.MutableJob(id)
 	record.ReservedMachines = nil
-	for _, p := range placements {
-		record.ReservedMachines = append(record.ReservedMachines, p.machine.id)
+	for _, chosen := range placements {
+		record.ReservedMachines = append(record.ReservedMachines, chosen.machine.id)
 	}
-	b.Log(slog.LevelInfo, message, "job", string(id), "machines", record.ReservedMachines)
+	batch.Log(slog.LevelInfo, message, "job", string(id), "machines", record.ReservedMachines)
 }
 
 // reservedCandidates lists the machines that the job's record reserves.
--- a/internal/coordination/scheduling/scoring.go
+++ b/internal/coordination/scheduling/scoring.go
@@ -35,8 +35,8 @@
 	extraWritePenalty = 1
 )
 
-// score ranks a machine for a task of the job, in seconds of delay.
-func (s *Scheduler) score(b *commit.Batch, job *PendingJob, machine *Candidate) float64 {
+// scoreCandidate ranks a machine for a task of the job, in seconds of delay.
+func (s *Scheduler) scoreCandidate(batch *commit.Batch, job *PendingJob, machine *Candidate) float64 {
 	spec := job.record.Spec
 	score := machine.machineType.Cores*sizePenaltyPerCore + machine.machineType.Accelerators*sizePenaltyPerAccelerator
 	if machine.isProvisioning {
@@ -62,7 +62,7 @@
 	} else if state == nil || state.DeferredRequest == 0 {
 		score += s.Config.HeartbeatInterval.Seconds() / 2 // the mean wait for the next heartbeat
 	}
-	if !b.ChangesShard(machine.record.Shard) {
+	if !batch.ChangesShard(machine.record.Shard) {
 		score += extraWritePenalty
 	}
 	return score
@@ -78,7 +78,7 @@
 
 // rankedCandidates lists the machines that can take a task of the job, best first, machines of
 // one shard together. With ownerShards, only shards of the job's owner count.
-func (s *Scheduler) rankedCandidates(b *commit.Batch, job *PendingJob, scope shardScope) []*Candidate {
+func (s *Scheduler) rankedCandidates(batch *commit.Batch, job *PendingJob, scope shardScope) []*Candidate {
 	type scoredCandidate struct {
 		machine *Candidate
 		score   float64
@@ -94,7 +94,7 @@
 			continue
 		}
 		if s.canTakeTask(job, machine) {
-			ranked = append(ranked, scoredCandidate{machine, s.score(b, job, machine)})
+			ranked = append(ranked, scoredCandidate{machine, s.scoreCandidate(batch, job, machine)})
 		}
 	}
 	s.plan.pass.availableCandidates = available
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		key := agents.AssignmentKey{Machine: id, Job: assigned.Job, Attempt: assigned.Attempt}
-		if assignedAt, known := s.agents.AssignedSince(key); known {
+		if assignedAt, isKnown := s.agents.AssignedSince(key); isKnown {
 			s.onReplicasExited(assigned.Job, s.Since(assignedAt))
 		}
 	}
@@ -98,35 +98,35 @@
 
 // placeReplicas places the replicas of a service that do not run: first where they start soonest, then
 // where that takes longer, and at last several on one machine, which is better than not to run.
-func (s *ServiceScheduler) placeReplicas(b *commit.Batch, job *PendingJob, candidates []*Candidate) {
+func (s *ServiceScheduler) placeReplicas(batch *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	spec := job.record.Spec
 	replicas := min(spec.TaskCount-job.placedTasks, s.queue.quotaHeadroom(candidates, spec))
 	if replicas <= 0 {
 		return
 	}
-	p := s.newReplicaPlacer(b, job, candidates, replicas)
+	placer := s.newReplicaPlacer(batch, job, candidates, replicas)
 	fetchesQuickly := func(machine *Candidate) bool { return machine.imageFetchTime(spec) < slowImageFetch }
 	anyMachine := func(*Candidate) bool { return true }
 
 	job.avoidedTypes = s.largeMachineTypes(spec)
-	p.placeOnFree(fetchesQuickly)
-	p.placeByPreemption(fetchesQuickly)
-	p.placeByReservation(fetchesQuickly)
+	placer.placeOnFreeCapacity(fetchesQuickly)
+	placer.placeByPreemption(fetchesQuickly)
+	placer.placeByReservation(fetchesQuickly)
 	// One on each machine that has to fetch the image: the more machines have it, the more of the
 	// next replicas can start at once.
-	p.limit = oneReplica
-	p.placeOnFree(anyMachine)
-	p.limit = halfOfReplicas
-	p.placeOnFree(anyMachine)
-	p.placeByPreemption(anyMachine)
-	p.placeByReservation(anyMachine)
-	p.limit = allReplicas
-	p.placeOnFree(anyMachine)
+	placer.limit = oneReplica
+	placer.placeOnFreeCapacity(anyMachine)
+	placer.limit = halfOfReplicas
+	placer.placeOnFreeCapacity(anyMachine)
+	placer.placeByPreemption(anyMachine)
+	placer.placeByReservation(anyMachine)
+	placer.limit = allReplicas
+	placer.placeOnFreeCapacity(anyMachine)
 	job.avoidedTypes = nil
-	p.placeOnFree(anyMachine)
+	placer.placeOnFreeCapacity(anyMachine)
 
-	if p.remaining > 0 && job.record.Owner == s.lease.Incarnation() {
-		s.plan.addDemand(job, p.remaining, job.pinnedZone(), true)
+	if placer.remainingReplicas > 0 && job.record.Owner == s.lease.Incarnation() {
+		s.plan.addDemand(job, placer.remainingReplicas, job.pinnedZone(), true)
 	}
 }
 
--- a/internal/coordination/scheduling/services_test.go
+++ b/internal/coordination/scheduling/services_test.go
@@ -9,7 +9,7 @@
 
 // A machine has at most half of a service's replicas unless the limit of the step says otherwise.
 func TestReplicaHeadroom(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		limit   replicaLimit
 		running int // replicas on the machine
@@ -22,19 +22,19 @@
 		{"one runs there", oneReplica, 1, 0},
 		{"all that remain", allReplicas, 1, 4},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
 			spec := newArrayJob(1, 20)
 			spec.Kind, spec.TaskCount = protocol.KindService, 5
-			p := &replicaPlacer{
-				services:          f.Services,
-				job:               f.newPendingJob(spec, time.Minute),
-				limit:             c.limit,
-				remaining:         5 - c.running,
-				replicasByMachine: map[protocol.MachineID]int{"m-1": c.running},
+			placer := &replicaPlacer{
+				services:          fixture.Services,
+				job:               fixture.newPendingJob(spec, time.Minute),
+				limit:             test.limit,
+				remainingReplicas: 5 - test.running,
+				replicasByMachine: map[protocol.MachineID]int{"m-1": test.running},
 			}
-			if got := p.headroomOn(newCandidate(&smallMachineType, "m-1", false)); got != c.want {
-				t.Errorf("%d more replicas; wanted %d", got, c.want)
+			if got := placer.replicaHeadroom(newCandidate(&smallMachineType, "m-1", false)); got != test.want {
+				t.Errorf("%d more replicas; wanted %d", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/victims.go
+++ b/internal/coordination/scheduling/victims.go
@@ -32,18 +32,18 @@
 	return victims
 }
 
-// stoppingFirst lists the victims on a machine, those with the most tasks that are being stopped
+// victimsStoppingFirst lists the victims on a machine, those with the most tasks that are being stopped
 // already first.
-func (p *preemptor) stoppingFirst(machine *Candidate, job *PendingJob) []*allocation {
+func (p *preemptor) victimsStoppingFirst(machine *Candidate, job *PendingJob) []*allocation {
 	victims := p.victims(machine, job)
 	slices.SortStableFunc(victims, func(left, right *allocation) int {
-		return cmp.Compare(countStopping(machine, right), countStopping(machine, left))
+		return cmp.Compare(countStoppingTasks(machine, right), countStoppingTasks(machine, left))
 	})
 	return victims
 }
 
-// countStopping counts the tasks that a stop is requested for.
-func countStopping(machine *Candidate, alloc *allocation) int {
+// countStoppingTasks counts the tasks that a stop is requested for.
+func countStoppingTasks(machine *Candidate, alloc *allocation) int {
 	if machine.state == nil {
 		return 0
 	}
@@ -71,8 +71,8 @@
 
 // runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
 func (p *preemptor) runningSeconds(machine *Candidate, alloc *allocation) float64 {
-	assignedAt, known := p.agents.AssignedSince(assignmentKey(machine, alloc))
-	if !known {
+	assignedAt, isKnown := p.agents.AssignedSince(assignmentKey(machine, alloc))
+	if !isKnown {
 		return 0
 	}
 	return p.Since(assignedAt).Seconds()
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -26,15 +26,15 @@
 
 // urgentClass is the urgent work of one class.
 type urgentClass struct {
-	latestSpec   *protocol.Job // of its newest job: what a task takes
+	newestSpec   *protocol.Job // of its newest job: what a task takes
 	currentTasks float64       // unfinished tasks
 	peakTasks    float64       // the most at once; it decays
 }
 
 func newWarmPool() warmPool { return warmPool{classes: map[string]*urgentClass{}} }
 
-// observe updates the peaks with the unfinished jobs.
-func (w *warmPool) observe(now protocol.Instant, jobs []*PendingJob) {
+// updatePeaks updates the peaks with the unfinished jobs.
+func (w *warmPool) updatePeaks(now protocol.Instant, jobs []*PendingJob) {
 	decay := 1 - min(float64(now.Sub(w.observedAt))/float64(peakDecayPeriod), 1)
 	w.observedAt = now
 	for _, class := range w.classes {
@@ -46,7 +46,7 @@
 		totalCores += tasks * job.record.Spec.Cores
 		if job.isUrgent {
 			urgentCores += tasks * job.record.Spec.Cores
-			w.addUrgent(job.record.Spec, tasks)
+			w.addUrgentTasks(job.record.Spec, tasks)
 		}
 	}
 	for _, class := range w.classes {
@@ -66,21 +66,21 @@
 	return tasks
 }
 
-// addUrgent adds tasks of an urgent job to the current tasks of its class.
-func (w *warmPool) addUrgent(spec *protocol.Job, tasks float64) {
+// addUrgentTasks adds tasks of an urgent job to the current tasks of its class.
+func (w *warmPool) addUrgentTasks(spec *protocol.Job, tasks float64) {
 	class := w.classes[spec.Class]
 	if class == nil {
 		class = &urgentClass{}
 		w.classes[spec.Class] = class
 	}
-	class.latestSpec = spec
+	class.newestSpec = spec
 	class.currentTasks += tasks
 }
 
-// selectRetained picks the idle machines that are kept, the cheapest first.
-func (w *warmPool) selectRetained(candidates []*Candidate, isAllowed func(*protocol.Job, *Candidate) bool) {
+// selectRetainedMachines picks the idle machines that are kept, the cheapest first.
+func (w *warmPool) selectRetainedMachines(candidates []*Candidate, isAllowed func(*protocol.Job, *Candidate) bool) {
 	w.retained = map[protocol.MachineID]bool{}
-	idle := cheapestIdle(candidates)
+	idle := cheapestIdleMachines(candidates)
 	for _, className := range step.SortedKeys(w.classes) {
 		class := w.classes[className]
 		missing := class.peakTasks - class.currentTasks
@@ -88,8 +88,8 @@
 			if missing <= 0 {
 				break
 			}
-			capacity := catalog.MachineTypeCapacity(machine.machineType, class.latestSpec)
-			if capacity > 0 && !w.retained[machine.id] && isAllowed(class.latestSpec, machine) {
+			capacity := catalog.MachineTypeCapacity(machine.machineType, class.newestSpec)
+			if capacity > 0 && !w.retained[machine.id] && isAllowed(class.newestSpec, machine) {
 				w.retained[machine.id] = true
 				missing -= float64(capacity)
 			}
@@ -97,9 +97,9 @@
 	}
 }
 
-// cheapestIdle lists the machines that run nothing and could be scaled in, the cheapest per core
+// cheapestIdleMachines lists the machines that run nothing and could be scaled in, the cheapest per core
 // first.
-func cheapestIdle(candidates []*Candidate) []*Candidate {
+func cheapestIdleMachines(candidates []*Candidate) []*Candidate {
 	idle := slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
 		return machine.isProvisioning || machine.record.Terminating || len(machine.record.Assignments) > 0
 	})
@@ -109,8 +109,8 @@
 	return idle
 }
 
-// shouldRetain tells whether an idle machine is kept for urgent work. Where that is half of all
+// shouldRetainMachine tells whether an idle machine is kept for urgent work. Where that is half of all
 // work or more, every machine is.
-func (w *warmPool) shouldRetain(id protocol.MachineID) bool {
+func (w *warmPool) shouldRetainMachine(id protocol.MachineID) bool {
 	return w.retained[id] || 2*w.urgentPeakCores >= w.totalPeakCores
 }
--- a/internal/coordination/scheduling/warm_pool_test.go
+++ b/internal/coordination/scheduling/warm_pool_test.go
@@ -12,7 +12,7 @@
 // had at its peak; the others are scaled in early. Where urgent work is most of all, as at
 // deployments with few machines, none is.
 func TestWarmPool(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		peakTasks    int // urgent tasks at the peak
 		currentTasks int // and later
@@ -25,12 +25,12 @@
 		{"none for work that can wait", 2, 0, 600, 100, nil},
 		{"all where most is urgent", 2, 0, 8, 1, []protocol.MachineID{"m-1", "m-2", "m-3", "m-4"}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			f := newCoreWithTwoMachineTypes(t)
+		t.Run(test.name, func(t *testing.T) {
+			fixture := newFixtureWithTwoMachineTypes(t)
 			newJob := func(tasks int, class string, slack time.Duration) *PendingJob {
 				spec := newArrayJob(4, 20)
 				spec.TaskCount, spec.Class = tasks, class
-				return f.newPendingJob(spec, slack)
+				return fixture.newPendingJob(spec, slack)
 			}
 			candidates := []*Candidate{
 				newCandidate(&smallMachineType, "m-1", false),
@@ -38,20 +38,20 @@
 				newCandidate(&smallMachineType, "m-3", true),
 				newCandidate(&smallMachineType, "m-4", true),
 			}
-			slack := time.Duration(c.slackSeconds) * time.Second
-			other := newJob(c.otherTasks, "other", 10*time.Minute)
-			pool := &f.Scheduler.warmPool
-			pool.observe(f.Now.Monotonic, []*PendingJob{newJob(c.peakTasks, "urgent", slack), other})
-			pool.observe(f.Now.Monotonic, []*PendingJob{newJob(c.currentTasks, "urgent", slack), other})
-			pool.selectRetained(candidates, f.lister.isMachineAllowed)
+			slack := time.Duration(test.slackSeconds) * time.Second
+			other := newJob(test.otherTasks, "other", 10*time.Minute)
+			pool := &fixture.Scheduler.warmPool
+			pool.updatePeaks(fixture.Now.Monotonic, []*PendingJob{newJob(test.peakTasks, "urgent", slack), other})
+			pool.updatePeaks(fixture.Now.Monotonic, []*PendingJob{newJob(test.currentTasks, "urgent", slack), other})
+			pool.selectRetainedMachines(candidates, fixture.lister.isMachineAllowed)
 			var got []protocol.MachineID
 			for _, machine := range candidates {
-				if f.Scheduler.RetainsIdleMachine(machine.id) {
+				if fixture.Scheduler.RetainsIdleMachine(machine.id) {
 					got = append(got, machine.id)
 				}
 			}
-			if !slices.Equal(got, c.want) {
-				t.Errorf("%v are kept; wanted %v", got, c.want)
+			if !slices.Equal(got, test.want) {
+				t.Errorf("%v are kept; wanted %v", got, test.want)
 			}
 		})
 	}
