--- a/internal/coordination/catalog/spot_pricing.go
+++ b/internal/coordination/catalog/spot_pricing.go
@@ -67,7 +67,7 @@
 				sp.Config.SpotPriceWindow, now, machineType.SpotPrice, machineType.OnDemandPrice)
 			continue
 		}
-		if threshold.observe(now, machineType.SpotPrice, machineType.OnDemandPrice) {
+		if threshold.observePrices(now, machineType.SpotPrice, machineType.OnDemandPrice) {
 			sp.Log(slog.LevelInfo, "spot provisioning suspended",
 				"machine_type", string(machineType.Name), "zone", string(zone),
 				"price", machineType.SpotPrice, "threshold", threshold.Value())
--- a/internal/coordination/catalog/spot_test.go
+++ b/internal/coordination/catalog/spot_test.go
@@ -50,12 +50,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			threshold := newSpotPriceThreshold(window, instantAt(0), test.firstPrice, 1)
-			for _, o := range test.observations {
-				suspended := threshold.observe(instantAt(o.atSeconds), o.price, 1)
-				if suspended != o.wantNewlySuspended || math.Abs(threshold.Value()-o.wantThreshold) > 1e-9 ||
-					threshold.AllowsSpot() != o.wantAllowed {
+			for _, observed := range test.observations {
+				suspended := threshold.observePrices(instantAt(observed.atSeconds), observed.price, 1)
+				if suspended != observed.wantNewlySuspended || math.Abs(threshold.Value()-observed.wantThreshold) > 1e-9 ||
+					threshold.AllowsSpot() != observed.wantAllowed {
 					t.Errorf("at %v s: newly suspended %v, threshold %v, spot allowed %v",
-						o.atSeconds, suspended, threshold.Value(), threshold.AllowsSpot())
+						observed.atSeconds, suspended, threshold.Value(), threshold.AllowsSpot())
 				}
 			}
 		})
@@ -69,15 +69,15 @@
 	nearAtSecond := make([]int, 300)
 	for number := 0; number < 20; number++ {
 		id := protocol.MachineID("m-0000" + string(rune('a'+number)))
-		near := 0
+		nearSeconds := 0
 		for second := 0; second < 300; second++ {
 			if IsNearPeriodBoundary(id, time.Duration(second)*time.Second, period, margin) {
-				near++
+				nearSeconds++
 				nearAtSecond[second]++
 			}
 		}
-		if near != 10 && near != 9 {
-			t.Errorf("%s is near its boundary for %d s", id, near)
+		if nearSeconds != 10 && nearSeconds != 9 {
+			t.Errorf("%s is near its boundary for %d s", id, nearSeconds)
 		}
 	}
 	for second, machines := range nearAtSecond {
@@ -98,16 +98,16 @@
 		Rand:   rand.New(rand.NewPCG(1, 1)),
 	}
 	parts := New(ctx)
-	list := func(smallSpotPrice float64) {
+	listWithSpotPrice := func(smallSpotPrice float64) {
 		ctx.Now.Monotonic = ctx.Now.Monotonic.Add(10 * time.Second)
 		parts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{MachineTypes: []protocol.MachineType{
 			{Name: "small", OnDemandPrice: 1, SpotPrice: smallSpotPrice, Zones: []protocol.Zone{"b", "a"}},
 			{Name: "large", OnDemandPrice: 4, SpotPrice: 1, Zones: []protocol.Zone{"b"}},
 		}})
 	}
-	list(0.2)
-	list(0.7)
-	list(0.7)
+	listWithSpotPrice(0.2)
+	listWithSpotPrice(0.7)
+	listWithSpotPrice(0.7)
 	for key, wantAllowed := range map[PriceKey]bool{
 		{MachineType: "small", Zone: "a"}: false,
 		{MachineType: "small", Zone: "b"}: false,
--- a/internal/coordination/catalog/spot_threshold.go
+++ b/internal/coordination/catalog/spot_threshold.go
@@ -14,8 +14,8 @@
 	SpotPrice     float64 // that was observed last
 	onDemandPrice float64
 
-	value     float64
-	suspended bool // the price has been above the threshold in this window
+	value       float64
+	isSuspended bool // the price has been above the threshold in this window
 
 	window     time.Duration
 	windowEnd  protocol.Instant
@@ -41,19 +41,19 @@
 // and for the price that triggered a checkpoint.
 func thresholdFor(price, onDemandPrice float64) float64 { return (price + onDemandPrice) / 2 }
 
-// observe applies the rule to the current prices. It tells whether they begin a suspension.
-func (t *SpotPriceThreshold) observe(now protocol.Instant, spotPrice, onDemandPrice float64) (newlySuspended bool) {
+// observePrices applies the rule to the current prices. It tells whether they begin a suspension.
+func (t *SpotPriceThreshold) observePrices(now protocol.Instant, spotPrice, onDemandPrice float64) (newlySuspended bool) {
 	t.SpotPrice, t.onDemandPrice = spotPrice, onDemandPrice
 	if now >= t.windowEnd {
 		t.value = thresholdFor(t.averagePrice(), onDemandPrice)
-		t.windowEnd, t.priceSum, t.priceCount, t.suspended = now.Add(t.window), 0, 0, false
+		t.windowEnd, t.priceSum, t.priceCount, t.isSuspended = now.Add(t.window), 0, 0, false
 	}
 	t.priceSum += spotPrice
 	t.priceCount++
-	if t.suspended || spotPrice <= t.value {
+	if t.isSuspended || spotPrice <= t.value {
 		return false
 	}
-	t.suspended = true
+	t.isSuspended = true
 	t.value = thresholdFor(spotPrice, onDemandPrice)
 	return true
 }
@@ -70,4 +70,6 @@
 func (t *SpotPriceThreshold) Value() float64 { return t.value }
 
 // AllowsSpot tells whether spot machines may be provisioned and given tasks.
-func (t *SpotPriceThreshold) AllowsSpot() bool { return !t.suspended && t.SpotPrice < t.onDemandPrice }
+func (t *SpotPriceThreshold) AllowsSpot() bool {
+	return !t.isSuspended && t.SpotPrice < t.onDemandPrice
+}
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -25,12 +25,12 @@
 	jobs           map[protocol.JobID]*storage.JobRecord
 	shards         map[storage.ShardID]*ShardDraft
 	machines       map[protocol.MachineID]*storage.MachineRecord
-	teams          map[string]bool // whose quota records are rewritten
+	lockedTeams    map[string]bool // whose quota records are rewritten
 	transfers      map[storage.TransferSlot]*storage.TransferRecord
 	drains         map[protocol.ControllerID]*DrainChange
 	writesRegistry bool // a machine is added to the records
 
-	newlyDone      map[protocol.JobID]storage.TaskSet // tasks that the batch records as done
+	newlyDoneTasks map[protocol.JobID]storage.TaskSet // tasks that the batch records as done
 	failedServices map[protocol.JobID]bool            // services of which a replica has exited
 	onSend         []func()                           // called when the transaction is sent
 	logsOnApply    []step.Effect                      // lines for the operator once it is applied
@@ -45,10 +45,10 @@
 		jobs:           map[protocol.JobID]*storage.JobRecord{},
 		shards:         map[storage.ShardID]*ShardDraft{},
 		machines:       map[protocol.MachineID]*storage.MachineRecord{},
-		teams:          map[string]bool{},
+		lockedTeams:    map[string]bool{},
 		transfers:      map[storage.TransferSlot]*storage.TransferRecord{},
 		drains:         map[protocol.ControllerID]*DrainChange{},
-		newlyDone:      map[protocol.JobID]storage.TaskSet{},
+		newlyDoneTasks: map[protocol.JobID]storage.TaskSet{},
 		failedServices: map[protocol.JobID]bool{},
 	}
 }
@@ -130,7 +130,7 @@
 func (b *Batch) ChangesDrain(id protocol.ControllerID) bool { return b.drains[id] != nil }
 
 // LocksQuota tells whether the batch rests on the quota record of a team.
-func (b *Batch) LocksQuota(team string) bool { return b.teams[team] }
+func (b *Batch) LocksQuota(team string) bool { return b.lockedTeams[team] }
 
 // HasFailedReplica tells whether the batch records the exit of a replica of a service.
 func (b *Batch) HasFailedReplica(id protocol.JobID) bool { return b.failedServices[id] }
--- a/internal/coordination/commit/batch_capacity.go
+++ b/internal/coordination/commit/batch_capacity.go
@@ -42,13 +42,13 @@
 // OpsNeeded counts the operations that a change of a machine, if one is named, and of jobs
 // would add to the batch.
 func (b *Batch) OpsNeeded(machineID protocol.MachineID, jobs ...protocol.JobID) int {
-	n := b.machineWritesNeeded(machineID)
+	ops := b.machineWritesNeeded(machineID)
 	for _, job := range jobs {
 		if b.jobs[job] == nil {
-			n++
+			ops++
 		}
 	}
-	return n
+	return ops
 }
 
 func (b *Batch) machineWritesNeeded(id protocol.MachineID) int {
--- a/internal/coordination/commit/batch_changes.go
+++ b/internal/coordination/commit/batch_changes.go
@@ -11,7 +11,7 @@
 // other.
 func (b *Batch) LockQuota(team string) {
 	b.reserveWrite(storage.QuotaKey(team), quotaRecordSize)
-	b.teams[team] = true
+	b.lockedTeams[team] = true
 }
 
 // AddJob puts a new job on record.
@@ -43,13 +43,13 @@
 	}
 	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(doneTaskSize)
 	b.estimatedBytes += doneTaskSize
-	b.newlyDone[task.Job] = b.newlyDone[task.Job].Add(task.Index)
+	b.newlyDoneTasks[task.Job] = b.newlyDoneTasks[task.Job].Add(task.Index)
 }
 
 // DoneTasks is what is done of a job as the batch leaves it.
 func (b *Batch) DoneTasks(id protocol.JobID) storage.TaskSet {
 	done := b.shardWriter.Replica.CompletedTasks(id)
-	if added, ok := b.newlyDone[id]; ok {
+	if added, ok := b.newlyDoneTasks[id]; ok {
 		done = done.Union(added)
 	}
 	return done
--- a/internal/coordination/commit/batch_transaction.go
+++ b/internal/coordination/commit/batch_transaction.go
@@ -34,7 +34,7 @@
 	if b.writesRegistry {
 		put(storage.RegistryKey, storage.MustMarshal(storage.RegistryRecord{UpdatedBy: incarnation}))
 	}
-	for _, team := range step.SortedKeys(b.teams) {
+	for _, team := range step.SortedKeys(b.lockedTeams) {
 		record := storage.QuotaRecord{UpdatedBy: incarnation, TransactionID: b.shardWriter.committer.lastTransactionID}
 		put(storage.QuotaKey(team), storage.MustMarshal(record))
 	}
@@ -73,7 +73,7 @@
 	if fits || len(draft.MachineIDs) < 2 || format < storage.FormatPacked {
 		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
 	}
-	first, second := draft.halves()
+	first, second := draft.split()
 	secondID := b.shardWriter.newShardID()
 	b.DependOn(storage.ShardKey(secondID))
 	return append(b.encodeShard(secondID, second), b.encodeShard(id, first)...)
--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -45,7 +45,7 @@
 	pendingUser          *pendingTransaction
 	nextCommitAt         protocol.Instant
 	nextUserCommitAt     protocol.Instant
-	outcomeUnknown       bool // a transaction had an unknown outcome and no write barrier followed yet
+	hasUnknownOutcome    bool // a transaction had an unknown outcome and no write barrier followed yet
 	isBatchPartial       bool // the last batch could not take all changes of owned shards that were due
 	consecutiveThrottles int
 }
@@ -65,7 +65,7 @@
 // ReadyForUserBatch tells whether a batch of users' requests may be sent now.
 func (c *Committer) ReadyForUserBatch() bool {
 	return c.pendingUser == nil && c.replication.isLoaded && c.Now.Monotonic >= c.nextUserCommitAt &&
-		c.lease.IsRegistered() && !c.outcomeUnknown && !c.replication.isBehind()
+		c.lease.IsRegistered() && !c.hasUnknownOutcome && !c.replication.isBehind()
 }
 
 // PrepareForRecordBatch sends what goes before any batch of records (the registration, a write
@@ -80,8 +80,8 @@
 	}
 	switch {
 	case !c.lease.IsRegistered():
-		c.register()
-	case c.outcomeUnknown:
+		c.sendRegistration()
+	case c.hasUnknownOutcome:
 		c.sendWriteBarrier()
 	default:
 		return !isBehind && !c.upgrade.tryRaiseFormat()
@@ -90,39 +90,39 @@
 }
 
 // SendUserBatch sends a transaction of users' requests unless there is nothing in it.
-func (c *Committer) SendUserBatch(b *Batch) {
-	if pending, ok := c.prepare(b); ok {
+func (c *Committer) SendUserBatch(batch *Batch) {
+	if pending, ok := c.prepareTransaction(batch); ok {
 		pending.kind = userTransaction
-		b.notifySent()
-		c.send(pending)
+		batch.notifySent()
+		c.sendTransaction(pending)
 	}
 }
 
 // SendBatch sends a transaction unless there is nothing in it.
-func (c *Committer) SendBatch(b *Batch, tokens int) {
-	pending, ok := c.prepare(b)
+func (c *Committer) SendBatch(batch *Batch, tokens int) {
+	pending, ok := c.prepareTransaction(batch)
 	if !ok {
 		return
 	}
-	b.notifySent()
-	c.Log(slog.LevelDebug, "transaction sent", "jobs", len(b.jobs), "shards", len(b.shards),
-		"owned_shards", len(c.shards.OwnedShards()), "bytes", b.estimatedBytes, "write_tokens", tokens,
+	batch.notifySent()
+	c.Log(slog.LevelDebug, "transaction sent", "jobs", len(batch.jobs), "shards", len(batch.shards),
+		"owned_shards", len(c.shards.OwnedShards()), "bytes", batch.estimatedBytes, "write_tokens", tokens,
 		"write_rate", c.limits.writeRate, "complete", !c.isBatchPartial)
-	c.send(pending)
+	c.sendTransaction(pending)
 }
 
-// prepare makes the transaction of a batch and takes the tokens for it. It fails if there is
+// prepareTransaction makes the transaction of a batch and takes the tokens for it. It fails if there is
 // nothing to write, or not now.
-func (c *Committer) prepare(b *Batch) (pending *pendingTransaction, ok bool) {
-	if b.isEmpty() {
+func (c *Committer) prepareTransaction(batch *Batch) (pending *pendingTransaction, ok bool) {
+	if batch.isEmpty() {
 		return nil, false
 	}
-	transaction := b.Transaction()
+	transaction := batch.Transaction()
 	transaction.Conditions = append(transaction.Conditions, c.registrationCondition())
 	if !c.enforceWriteLimits(&transaction) || !c.limits.takeWriteTokens(len(transaction.Operations)) {
 		return nil, false
 	}
-	return &pendingTransaction{transaction: transaction, logsOnApply: b.logsOnApply}, true
+	return &pendingTransaction{transaction: transaction, logsOnApply: batch.logsOnApply}, true
 }
 
 // enforceWriteLimits tells whether a transaction can be sent. One that can't is built anew,
@@ -146,9 +146,9 @@
 	}
 }
 
-// register puts this incarnation on record. It replaces an earlier incarnation of the same
+// sendRegistration puts this incarnation on record. It replaces an earlier incarnation of the same
 // controller, which was a process on this machine: it has ended or lost its lease.
-func (c *Committer) register() {
+func (c *Committer) sendRegistration() {
 	if !c.limits.takeWriteTokens(1) {
 		return
 	}
@@ -158,7 +158,7 @@
 		ReadableFormat:    storage.FormatPacked,
 		SupportsTransfers: c.Config.RecordTransfers,
 	}
-	c.send(&pendingTransaction{
+	c.sendTransaction(&pendingTransaction{
 		kind: registrationTransaction,
 		transaction: protocol.Transaction{
 			Conditions: []protocol.Condition{{Key: key, ModRevision: c.Replica.ModRevision(key)}},
@@ -177,7 +177,7 @@
 	key := storage.ControllerKey(c.Config.ControllerID)
 	record := registered.Record
 	record.WriteBarrier++
-	c.send(&pendingTransaction{
+	c.sendTransaction(&pendingTransaction{
 		kind: writeBarrierTransaction,
 		transaction: protocol.Transaction{
 			Conditions: []protocol.Condition{c.registrationCondition()},
@@ -186,8 +186,8 @@
 	})
 }
 
-// send numbers a transaction and sends it. Its outcome comes with OnCommitResult.
-func (c *Committer) send(pending *pendingTransaction) {
+// sendTransaction numbers a transaction and sends it. Its outcome comes with OnCommitResult.
+func (c *Committer) sendTransaction(pending *pendingTransaction) {
 	c.lastTransactionID++
 	pending.id, pending.sentAt = c.lastTransactionID, c.Now.Monotonic
 	if pending.kind == userTransaction {
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -12,28 +12,28 @@
 )
 
 // sendJob sends a transaction that puts a job on record.
-func sendJob(c *testController) *step.Commit {
-	c.Effects = nil
-	b := c.ShardWriter.NewBatch(c.Config.TransactionOps)
-	b.AddJob("j-1", &storage.JobRecord{Spec: &protocol.Job{ID: "j-1"}})
-	c.Committer.SendUserBatch(b)
-	return sentTransaction(c.Effects)
+func sendJob(controller *testController) *step.Commit {
+	controller.Effects = nil
+	batch := controller.ShardWriter.NewBatch(controller.Config.TransactionOps)
+	batch.AddJob("j-1", &storage.JobRecord{Spec: &protocol.Job{ID: "j-1"}})
+	controller.Committer.SendUserBatch(batch)
+	return sentTransaction(controller.Effects)
 }
 
 // Every transaction of records has a condition on the revision of the registration key, so that
 // none of an ended incarnation can be applied.
 func TestTransactionsDependOnRegistration(t *testing.T) {
-	c := newReadyController(t)
-	sent := sendJob(c)
-	want := protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: c.Lease.registrationRevision}
+	controller := newReadyController(t)
+	sent := sendJob(controller)
+	want := protocol.Condition{Key: storage.ControllerKey("stall-0"), ModRevision: controller.Lease.registrationRevision}
 	if sent == nil || !slices.Contains(sent.Transaction.Conditions, want) {
 		t.Errorf("no condition %v in %+v", want, sent)
 	}
 }
 
 // What is sent after an outcome says whether it is known what became of the transaction.
-func TestOutcomes(t *testing.T) {
-	for _, c := range []struct {
+func TestTransactionOutcomes(t *testing.T) {
+	for _, test := range []struct {
 		outcome     storage.Outcome
 		wantBarrier bool // a write barrier follows
 		wantLease   bool // another lease is requested
@@ -46,24 +46,24 @@
 		{outcome: storage.OutcomeLeaseExpired, wantLease: true},
 		{outcome: storage.OutcomeUnknown, wantBarrier: true},
 	} {
-		t.Run(c.outcome.String(), func(t *testing.T) {
+		t.Run(test.outcome.String(), func(t *testing.T) {
 			controller := newReadyController(t)
 			sent := sendJob(controller)
 			if sent == nil {
 				t.Fatal("no transaction is sent")
 			}
 			result := steptest.CommittedAt(sent.ID, 2)
-			result.Outcome = c.outcome
+			result.Outcome = test.outcome
 			controller.advance(0, result)
 			if controller.Committer.pendingUser != nil {
 				t.Error("the transaction is still pending")
 			}
 			effects := controller.advance(time.Second, step.Tick{})
 			pending := controller.Committer.pending
-			if got := pending != nil && pending.kind == writeBarrierTransaction; got != c.wantBarrier {
+			if got := pending != nil && pending.kind == writeBarrierTransaction; got != test.wantBarrier {
 				t.Errorf("write barrier: %v", got)
 			}
-			if got := steptest.HasEffect[step.GrantLease](effects); got != c.wantLease {
+			if got := steptest.HasEffect[step.GrantLease](effects); got != test.wantLease {
 				t.Errorf("lease requested: %v", got)
 			}
 		})
--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/done_tasks.go
@@ -15,46 +15,46 @@
 
 // ConsolidateDoneTasks records jobs whose tasks are all done, and moves what is done from own
 // shards to the jobs' records: where a shard fills up, or has no machines left.
-func (w *ShardWriter) ConsolidateDoneTasks(b *Batch) {
+func (w *ShardWriter) ConsolidateDoneTasks(batch *Batch) {
 	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool {
 		return w.Replica.UnfinishedJobs[id] == nil
 	})
 	for _, id := range step.SortedKeys(w.Replica.UnfinishedJobs) {
-		w.completeJob(b, id, &w.Replica.UnfinishedJobs[id].Record)
+		w.completeJob(batch, id, &w.Replica.UnfinishedJobs[id].Record)
 	}
 	for _, id := range w.OwnedShards() {
 		shard := w.Replica.Shards[id]
 		isDue := len(shard.CompletedTasks) > 0 && (w.needsConsolidation(shard) || len(shard.Machines) == 0)
-		if isDue && (b.ChangesShard(id) || b.HasCapacity(2)) {
-			w.consolidateShard(b, id)
+		if isDue && (batch.ChangesShard(id) || batch.HasCapacity(2)) {
+			w.consolidateShard(batch, id)
 		}
 	}
 }
 
 // completeJob records a job as done if it is this controller's task to do so: as its owner, or
 // if its owner has not done it in time.
-func (w *ShardWriter) completeJob(b *Batch, id protocol.JobID, record *storage.JobRecord) {
+func (w *ShardWriter) completeJob(batch *Batch, id protocol.JobID, record *storage.JobRecord) {
 	isOwner := record.Owner == w.lease.incarnation
-	completeSince, isKnown := w.completeSince[id]
+	completeSince, hasCompleteSince := w.completeSince[id]
 	switch {
 	case w.Replica.CompletedTasks(id).Len() < record.Spec.TaskCount:
 		delete(w.completeSince, id)
-	case !isKnown && !isOwner:
+	case !hasCompleteSince && !isOwner:
 		w.completeSince[id] = w.Now.Monotonic
 	case isOwner || w.Since(completeSince) > ownerCompletionTimeout:
-		b.CompleteJobIfDone(id)
+		batch.CompleteJobIfDone(id)
 	}
 }
 
 // consolidateShard moves what is done of jobs from a shard to their records, as far as the batch has
 // capacity.
-func (w *ShardWriter) consolidateShard(b *Batch, id storage.ShardID) {
-	draft := b.MutableShard(id)
+func (w *ShardWriter) consolidateShard(batch *Batch, id storage.ShardID) {
+	draft := batch.MutableShard(id)
 	for _, job := range step.SortedKeys(draft.doneTasks) {
-		if w.Replica.Jobs[job] == nil || !b.HasCapacity(b.OpsNeeded("", job)) {
+		if w.Replica.Jobs[job] == nil || !batch.HasCapacity(batch.OpsNeeded("", job)) {
 			continue
 		}
-		if record := b.MutableJob(job); !record.State.IsTerminal() {
+		if record := batch.MutableJob(job); !record.State.IsTerminal() {
 			record.CompletedTasks = record.CompletedTasks.Union(draft.doneTasks[job])
 		}
 		delete(draft.doneTasks, job)
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -104,9 +104,9 @@
 		return false
 	}
 	record := storage.FormatRecord{WriteFormat: storage.FormatPacked, UpdatedBy: u.lease.incarnation}
-	u.committer.send(&pendingTransaction{
+	u.committer.sendTransaction(&pendingTransaction{
 		transaction: protocol.Transaction{
-			Conditions: u.raiseConditions(),
+			Conditions: u.formatChangeConditions(),
 			Operations: []protocol.Operation{{PutKey: storage.FormatKey, Value: storage.MustMarshal(record)}},
 		},
 		logsOnApply: []step.Effect{step.Log{Level: slog.LevelInfo, Message: "storage format raised to packed"}},
@@ -114,9 +114,9 @@
 	return true
 }
 
-// raiseConditions ties the change to the keys of all controllers, also of those that are away:
+// formatChangeConditions ties the change to the keys of all controllers, also of those that are away:
 // one of them may end, and another version start, before the change is applied.
-func (u *FormatUpgrade) raiseConditions() []protocol.Condition {
+func (u *FormatUpgrade) formatChangeConditions() []protocol.Condition {
 	keys := []string{storage.FormatKey, storage.ControllerKey(u.Config.ControllerID)}
 	for _, controllerID := range u.Config.PeerIDs {
 		keys = append(keys, storage.ControllerKey(controllerID))
--- a/internal/coordination/commit/format_upgrade_test.go
+++ b/internal/coordination/commit/format_upgrade_test.go
@@ -10,20 +10,20 @@
 )
 
 // putController puts a live incarnation of a controller on record.
-func putController(t *testing.T, c *testController, controllerID protocol.ControllerID, readFormat storage.Format) {
+func putController(t *testing.T, controller *testController, controllerID protocol.ControllerID, readFormat storage.Format) {
 	t.Helper()
 	key := storage.ControllerKey(controllerID)
-	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, c.Replica.ModRevision(key)+1))
+	incarnation := storage.Incarnation(fmt.Sprintf("%s#%d", controllerID, controller.Replica.ModRevision(key)+1))
 	data := storage.MustMarshal(storage.ControllerRecord{Incarnation: incarnation, ReadableFormat: readFormat})
-	c.Put(t, key, data, c.Replica.ModRevision(key)+100)
-	c.Upgrade.RecordFormatSupport()
+	controller.Put(t, key, data, controller.Replica.ModRevision(key)+100)
+	controller.Upgrade.RecordFormatSupport()
 }
 
 // The format is raised only once every controller has been seen to read the packed one,
 // and never while an incarnation of an older version lives.
 func TestFormatRaisedOnlyWhenAllCanRead(t *testing.T) {
 	const packed, plain, absent = storage.FormatPacked, storage.FormatPlain, storage.Format(-1)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		earlier      []storage.Format // that the two others read earlier
 		now          []storage.Format // and now
@@ -83,15 +83,15 @@
 			want:    false,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			controller := newReadyController(t)
 			controller.Config.PeerIDs = []protocol.ControllerID{"stall-1", "stall-2"}
-			if !c.notAnnounced {
+			if !test.notAnnounced {
 				controller.Config.AnnouncedLimits = steptest.AnnouncedLimits()
 			}
-			controller.Upgrade.areAnnouncedLimitsActive = c.refused
+			controller.Upgrade.areAnnouncedLimitsActive = test.refused
 			putController(t, controller, "stall-0", packed)
-			for _, formats := range [][]storage.Format{c.earlier, c.now} {
+			for _, formats := range [][]storage.Format{test.earlier, test.now} {
 				for i, format := range formats {
 					controllerID := controller.Config.PeerIDs[i]
 					if format == absent {
@@ -102,7 +102,7 @@
 					}
 				}
 			}
-			if got := controller.Upgrade.canRaiseFormat(); got != c.want {
+			if got := controller.Upgrade.canRaiseFormat(); got != test.want {
 				t.Errorf("can be raised: %v", got)
 			}
 		})
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -31,56 +31,56 @@
 
 func newTestController() *testController {
 	base := steptest.NewFixture(steptest.Config())
-	c := &testController{
+	controller := &testController{
 		Fixture: base,
 		Parts:   New(base.Context),
 		catalog: catalog.New(base.Context).Catalog,
 	}
 	peers := &steptest.FakePeers{ElectsSelf: true}
-	c.Connect(Dependencies{
+	controller.Connect(Dependencies{
 		MachineTracker:    fakeMachineTracker{},
 		StoreReports:      peers,
 		SuccessorElection: peers,
-		Catalog:           c.catalog,
+		Catalog:           controller.catalog,
 		TransferTracker:   steptest.NoTransfers{},
 	})
-	c.Limits.UpdateWriteLimiter()
-	return c
+	controller.Limits.UpdateWriteLimiter()
+	return controller
 }
 
 // newReadyController brings a controller to the point where it is registered and up to date.
 func newReadyController(t *testing.T) *testController {
 	t.Helper()
-	c := newTestController()
-	c.advance(0, step.Tick{})
-	c.advance(0, step.GrantLeaseResult{LeaseID: 7})
-	registration := sentTransaction(c.advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
+	controller := newTestController()
+	controller.advance(0, step.Tick{})
+	controller.advance(0, step.GrantLeaseResult{LeaseID: 7})
+	registration := sentTransaction(controller.advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
 	if registration == nil {
 		t.Fatal("the controller does not register")
 	}
-	c.advance(0, steptest.CommittedAt(registration.ID, 2))
-	c.advance(0, steptest.UnchangedUntil(1, 2))
-	if !c.Lease.IsRegistered() || !c.Replication.IsUpToDate() {
+	controller.advance(0, steptest.CommittedAt(registration.ID, 2))
+	controller.advance(0, steptest.UnchangedUntil(1, 2))
+	if !controller.Lease.IsRegistered() || !controller.Replication.IsUpToDate() {
 		t.Fatal("the controller is not registered and up to date")
 	}
-	return c
+	return controller
 }
 
 // advance lets time pass and passes an input to the part that it is for.
 func (c *testController) advance(after time.Duration, in step.Input) []step.Effect {
 	c.Advance(after)
 	c.Effects = nil
-	switch v := in.(type) {
+	switch input := in.(type) {
 	case step.CommitResult:
-		c.Committer.OnCommitResult(v)
+		c.Committer.OnCommitResult(input)
 	case step.LoadRecordsResult:
-		c.Replication.OnLoadRecordsResult(v)
+		c.Replication.OnLoadRecordsResult(input)
 	case step.WatchResult:
-		c.Replication.OnWatchResult(v)
+		c.Replication.OnWatchResult(input)
 	case step.GrantLeaseResult:
-		c.Lease.OnGrantLeaseResult(v)
+		c.Lease.OnGrantLeaseResult(input)
 	case step.RenewLeaseResult:
-		c.Lease.OnRenewLeaseResult(v)
+		c.Lease.OnRenewLeaseResult(input)
 	case step.Tick:
 		c.Replication.TickLoad()
 		c.Lease.TickLease()
--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -82,10 +82,10 @@
 func (l *Lease) renewalInterval() time.Duration { return l.Config.LeaseTTL / renewalsPerLease }
 
 // OnGrantLeaseResult takes in a new lease.
-func (l *Lease) OnGrantLeaseResult(v step.GrantLeaseResult) {
+func (l *Lease) OnGrantLeaseResult(result step.GrantLeaseResult) {
 	l.isGranting = false
-	if l.store.RecordContact(l.grantRequestedAt, v.Err) {
-		l.id = v.LeaseID
+	if l.store.RecordContact(l.grantRequestedAt, result.Err) {
+		l.id = result.LeaseID
 		l.grantedAt = l.Now.Monotonic
 	} else {
 		l.nextGrantAt = l.Now.Monotonic.Add(l.Jitter(grantRetryDelay))
@@ -93,19 +93,19 @@
 }
 
 // OnRenewLeaseResult takes in whether the lease was renewed.
-func (l *Lease) OnRenewLeaseResult(v step.RenewLeaseResult) {
+func (l *Lease) OnRenewLeaseResult(result step.RenewLeaseResult) {
 	l.isRenewing = false
-	if errors.Is(v.Err, storage.ErrLeaseExpired) && v.LeaseID == l.id {
+	if errors.Is(result.Err, storage.ErrLeaseExpired) && result.LeaseID == l.id {
 		l.Log(slog.LevelWarn, "controller lease expired", "incarnation", string(l.incarnation))
-		l.drop()
+		l.discardLease()
 	}
-	if !l.store.RecordContact(l.renewalRequestedAt, v.Err) {
+	if !l.store.RecordContact(l.renewalRequestedAt, result.Err) {
 		l.nextRenewalAt = l.Now.Monotonic.Add(l.Jitter(renewalRetryDelay))
 	}
 }
 
-// drop forgets a lease that has expired, and with it the registration.
-func (l *Lease) drop() { l.registrationRevision, l.id = 0, 0 }
+// discardLease forgets a lease that has expired, and with it the registration.
+func (l *Lease) discardLease() { l.registrationRevision, l.id = 0, 0 }
 
 // checkRegistration compares this incarnation with the one that the store has on record.
 func (l *Lease) checkRegistration() {
@@ -121,5 +121,5 @@
 		return // the replica is older than the registration
 	}
 	l.Log(slog.LevelWarn, "controller registration lost, registering again", "incarnation", string(l.incarnation))
-	l.drop()
+	l.discardLease()
 }
--- a/internal/coordination/commit/lease_test.go
+++ b/internal/coordination/commit/lease_test.go
@@ -13,26 +13,26 @@
 // A lease is requested until there is one, with a pause after a failure, and renewed several
 // times in the time that it would last.
 func TestLeaseIsGrantedAndRenewed(t *testing.T) {
-	c := newTestController()
-	if !steptest.HasEffect[step.GrantLease](c.advance(0, step.Tick{})) {
+	controller := newTestController()
+	if !steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})) {
 		t.Fatal("no lease is requested")
 	}
-	if steptest.HasEffect[step.GrantLease](c.advance(time.Second, step.Tick{})) {
+	if steptest.HasEffect[step.GrantLease](controller.advance(time.Second, step.Tick{})) {
 		t.Error("a second lease is requested while the first is being granted")
 	}
-	c.advance(0, step.GrantLeaseResult{Err: errUnreachable})
-	if steptest.HasEffect[step.GrantLease](c.advance(grantRetryDelay/2, step.Tick{})) {
+	controller.advance(0, step.GrantLeaseResult{Err: errUnreachable})
+	if steptest.HasEffect[step.GrantLease](controller.advance(grantRetryDelay/2, step.Tick{})) {
 		t.Error("requested again at once")
 	}
-	if !steptest.HasEffect[step.GrantLease](c.advance(grantRetryDelay, step.Tick{})) {
+	if !steptest.HasEffect[step.GrantLease](controller.advance(grantRetryDelay, step.Tick{})) {
 		t.Error("not requested again")
 	}
-	c.advance(0, step.GrantLeaseResult{LeaseID: 7})
-	interval := c.Config.LeaseTTL / renewalsPerLease
-	if steptest.HasEffect[step.RenewLease](c.advance(interval, step.Tick{})) {
+	controller.advance(0, step.GrantLeaseResult{LeaseID: 7})
+	interval := controller.Config.LeaseTTL / renewalsPerLease
+	if steptest.HasEffect[step.RenewLease](controller.advance(interval, step.Tick{})) {
 		t.Error("renewed at once")
 	}
-	if !steptest.HasEffect[step.RenewLease](c.advance(time.Millisecond, step.Tick{})) {
+	if !steptest.HasEffect[step.RenewLease](controller.advance(time.Millisecond, step.Tick{})) {
 		t.Error("not renewed")
 	}
 }
@@ -42,7 +42,7 @@
 func TestRegistrationIsLost(t *testing.T) {
 	key := storage.ControllerKey("stall-0")
 	successor := storage.MustMarshal(storage.ControllerRecord{Incarnation: "stall-0#8"})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		input step.Input
 		want  bool // still registered
@@ -84,13 +84,13 @@
 			want: false,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			controller := newReadyController(t)
-			controller.advance(0, c.input)
-			if got := controller.Lease.IsRegistered(); got != c.want {
+			controller.advance(0, test.input)
+			if got := controller.Lease.IsRegistered(); got != test.want {
 				t.Errorf("registered: %v", got)
 			}
-			if got := steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})); got == c.want {
+			if got := steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})); got == test.want {
 				t.Errorf("another lease requested: %v", got)
 			}
 		})
--- a/internal/coordination/commit/outcomes.go
+++ b/internal/coordination/commit/outcomes.go
@@ -21,70 +21,70 @@
 )
 
 // OnCommitResult takes in the outcome of a transaction.
-func (c *Committer) OnCommitResult(v step.CommitResult) {
+func (c *Committer) OnCommitResult(result step.CommitResult) {
 	switch {
-	case c.pendingUser != nil && c.pendingUser.id == v.ID:
+	case c.pendingUser != nil && c.pendingUser.id == result.ID:
 		pending := c.pendingUser
 		c.pendingUser = nil
-		c.recordOutcome(pending, &v)
-		c.nextUserCommitAt = c.Now.Monotonic.Add(c.handleOutcome(pending, &v))
-	case c.pending != nil && c.pending.id == v.ID:
+		c.recordOutcome(pending, &result)
+		c.nextUserCommitAt = c.Now.Monotonic.Add(c.handleOutcome(pending, &result))
+	case c.pending != nil && c.pending.id == result.ID:
 		pending := c.pending
 		c.pending = nil
-		c.recordOutcome(pending, &v)
-		c.nextCommitAt = c.Now.Monotonic.Add(c.handleOutcome(pending, &v))
+		c.recordOutcome(pending, &result)
+		c.nextCommitAt = c.Now.Monotonic.Add(c.handleOutcome(pending, &result))
 	}
 }
 
 // recordOutcome takes in what an outcome says of the store and its write budget.
-func (c *Committer) recordOutcome(pending *pendingTransaction, v *step.CommitResult) {
-	c.store.RecordContact(pending.sentAt, contactError(v))
-	if v.Outcome != storage.OutcomeThrottled {
+func (c *Committer) recordOutcome(pending *pendingTransaction, result *step.CommitResult) {
+	c.store.RecordContact(pending.sentAt, contactError(result))
+	if result.Outcome != storage.OutcomeThrottled {
 		c.consecutiveThrottles = 0
 	}
-	switch v.Outcome {
+	switch result.Outcome {
 	case storage.OutcomeApplied, storage.OutcomeConflict, storage.OutcomeThrottled:
-		c.limits.adaptWriteRate(v.Outcome == storage.OutcomeThrottled)
+		c.limits.adaptWriteRate(result.Outcome == storage.OutcomeThrottled)
 	}
 }
 
 // contactError is the failure to reach the store that an outcome stands for, nil if the store
 // gave a response.
-func contactError(v *step.CommitResult) error {
-	if v.Outcome != storage.OutcomeUnavailable && v.Outcome != storage.OutcomeUnknown {
+func contactError(result *step.CommitResult) error {
+	if result.Outcome != storage.OutcomeUnavailable && result.Outcome != storage.OutcomeUnknown {
 		return nil
 	}
-	if v.Err == nil {
+	if result.Err == nil {
 		return errNoUsableResponse
 	}
-	return v.Err
+	return result.Err
 }
 
 // handleOutcome draws the consequences of an outcome, and tells how long the next
 // transaction has to wait.
-func (c *Committer) handleOutcome(pending *pendingTransaction, v *step.CommitResult) (delay time.Duration) {
-	switch v.Outcome {
+func (c *Committer) handleOutcome(pending *pendingTransaction, result *step.CommitResult) (delay time.Duration) {
+	switch result.Outcome {
 	case storage.OutcomeApplied:
-		c.applyTransaction(pending, v.Result.Revision)
+		c.applyTransaction(pending, result.Result.Revision)
 	case storage.OutcomeConflict:
-		c.Log(slog.LevelDebug, "transaction conflict", "keys", v.Result.FailedKeys)
-		c.replication.requireRevision(v.Result.Revision)
+		c.Log(slog.LevelDebug, "transaction conflict", "keys", result.Result.FailedKeys)
+		c.replication.requireRevision(result.Result.Revision)
 		delay = c.Jitter(conflictDelay)
 		c.lease.checkRegistration()
 	case storage.OutcomeThrottled:
 		c.consecutiveThrottles++
 		delay = c.Jitter(min(minThrottleDelay<<min(c.consecutiveThrottles, maxThrottleDoubling), maxThrottleDelay))
 	case storage.OutcomeLeaseExpired:
-		c.lease.drop()
+		c.lease.discardLease()
 	case storage.OutcomeUnavailable:
 		delay = c.Jitter(unavailableDelay)
 	case storage.OutcomeInvalid:
-		c.Log(slog.LevelError, "transaction rejected as invalid", "error", v.Err)
+		c.Log(slog.LevelError, "transaction rejected as invalid", "error", result.Err)
 		// Whatever made it too large, a smaller one passes.
 		c.upgrade.onTransactionTooLarge(&pending.transaction)
 		delay = invalidDelay
 	case storage.OutcomeUnknown:
-		c.Log(slog.LevelWarn, "transaction outcome unknown", "error", v.Err)
+		c.Log(slog.LevelWarn, "transaction outcome unknown", "error", result.Err)
 		c.onUnknownOutcome(pending)
 		delay = c.Jitter(unknownOutcomeDelay)
 	}
@@ -99,7 +99,7 @@
 		c.lease.id = 0
 		return
 	}
-	c.outcomeUnknown = true
+	c.hasUnknownOutcome = true
 }
 
 // applyTransaction takes a transaction's changes into the replica.
@@ -117,7 +117,7 @@
 	case writeBarrierTransaction:
 		// Transactions sent before are now either applied, and seen once the replica has
 		// reached this revision, or never will be.
-		c.outcomeUnknown = false
+		c.hasUnknownOutcome = false
 		c.lease.registrationRevision = modRevision
 		c.replication.requireRevision(revision)
 	}
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -18,7 +18,7 @@
 
 // New creates the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
+	parts := &Parts{
 		Store:       &StoreHealth{Context: ctx},
 		Lease:       &Lease{Context: ctx},
 		Replication: &Replication{Context: ctx},
@@ -27,23 +27,23 @@
 		Committer:   &Committer{Context: ctx},
 		ShardWriter: newShardWriter(ctx),
 	}
-	p.Lease.store = p.Store
-	p.Replication.lease = p.Lease
-	p.Replication.limits = p.Limits
-	p.Replication.store = p.Store
-	p.Upgrade.committer = p.Committer
-	p.Upgrade.lease = p.Lease
-	p.Upgrade.limits = p.Limits
-	p.Committer.lease = p.Lease
-	p.Committer.limits = p.Limits
-	p.Committer.replication = p.Replication
-	p.Committer.shards = p.ShardWriter
-	p.Committer.store = p.Store
-	p.Committer.upgrade = p.Upgrade
-	p.ShardWriter.committer = p.Committer
-	p.ShardWriter.lease = p.Lease
-	p.ShardWriter.limits = p.Limits
-	return p
+	parts.Lease.store = parts.Store
+	parts.Replication.lease = parts.Lease
+	parts.Replication.limits = parts.Limits
+	parts.Replication.store = parts.Store
+	parts.Upgrade.committer = parts.Committer
+	parts.Upgrade.lease = parts.Lease
+	parts.Upgrade.limits = parts.Limits
+	parts.Committer.lease = parts.Lease
+	parts.Committer.limits = parts.Limits
+	parts.Committer.replication = parts.Replication
+	parts.Committer.shards = parts.ShardWriter
+	parts.Committer.store = parts.Store
+	parts.Committer.upgrade = parts.Upgrade
+	parts.ShardWriter.committer = parts.Committer
+	parts.ShardWriter.lease = parts.Lease
+	parts.ShardWriter.limits = parts.Limits
+	return parts
 }
 
 // Dependencies are what the parts ask of other packages.
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -103,12 +103,12 @@
 
 // WatchRecords asks for changes again. Each response costs a request of a tight budget, so requests
 // are MinWatchInterval apart unless something waits for the replica.
-func (r *Replication) WatchRecords(waiting bool) {
+func (r *Replication) WatchRecords(hasWaiters bool) {
 	now := r.Now.Monotonic
 	if !r.hasSnapshot || r.isWatching || r.isLoading || now < r.retryAt {
 		return
 	}
-	if now < r.nextWatchAt && !r.isBehind() && !waiting {
+	if now < r.nextWatchAt && !r.isBehind() && !hasWaiters {
 		return
 	}
 	r.isWatching, r.watchRequestedAt = true, now
@@ -117,21 +117,21 @@
 }
 
 // OnLoadRecordsResult replaces the replica by all records.
-func (r *Replication) OnLoadRecordsResult(v step.LoadRecordsResult) {
+func (r *Replication) OnLoadRecordsResult(result step.LoadRecordsResult) {
 	r.isLoading = false
-	if !r.store.RecordContact(r.loadRequestedAt, v.Err) {
+	if !r.store.RecordContact(r.loadRequestedAt, result.Err) {
 		r.retryAt = r.Now.Monotonic.Add(r.Jitter(loadRetryDelay))
 		return
 	}
-	r.replaceReplica(v.Entries)
-	r.Replica.Revision = v.StartRevision
-	r.completeRevision = v.EndRevision
+	r.replaceReplica(result.Entries)
+	r.Replica.Revision = result.StartRevision
+	r.completeRevision = result.EndRevision
 	r.upToDateAt = r.loadRequestedAt
 	r.hasSnapshot = true
 	r.isLoaded = r.Replica.Revision >= r.completeRevision
 	r.limits.UpdateWriteLimiter()
 	r.Log(slog.LevelInfo, "records loaded", "jobs", len(r.Replica.Jobs), "machines", len(r.Replica.Machines),
-		"revision", uint64(v.StartRevision))
+		"revision", uint64(result.StartRevision))
 }
 
 // replaceReplica begins a new replica: records that were deleted while this controller did not
@@ -148,23 +148,23 @@
 }
 
 // OnWatchResult takes changes into the replica.
-func (r *Replication) OnWatchResult(v step.WatchResult) {
+func (r *Replication) OnWatchResult(result step.WatchResult) {
 	r.isWatching = false
-	if errors.Is(v.Err, storage.ErrRevisionTooOld) {
-		r.Log(slog.LevelWarn, "watch revision compacted, reloading records", "revision", uint64(v.AfterRevision))
+	if errors.Is(result.Err, storage.ErrRevisionTooOld) {
+		r.Log(slog.LevelWarn, "watch revision compacted, reloading records", "revision", uint64(result.AfterRevision))
 		r.isLoaded, r.hasSnapshot = false, false
 		r.retryAt = r.Now.Monotonic
 		return
 	}
-	if !r.store.RecordContact(r.watchRequestedAt, v.Err) {
+	if !r.store.RecordContact(r.watchRequestedAt, result.Err) {
 		r.retryAt = r.Now.Monotonic.Add(r.Jitter(watchRetryDelay))
 		return
 	}
-	if v.AfterRevision != r.Replica.Revision {
+	if result.AfterRevision != r.Replica.Revision {
 		return
 	}
-	r.applyEvents(v.Response.Events)
-	r.Replica.Revision = max(r.Replica.Revision, v.Response.Revision)
+	r.applyEvents(result.Response.Events)
+	r.Replica.Revision = max(r.Replica.Revision, result.Response.Revision)
 	r.upToDateAt = r.watchRequestedAt
 	if !r.isLoaded && r.Replica.Revision >= r.completeRevision {
 		r.isLoaded = true
--- a/internal/coordination/commit/replication_test.go
+++ b/internal/coordination/commit/replication_test.go
@@ -11,7 +11,7 @@
 // New starts rest on a replica that is known to be up to date. Answered requests alone do not
 // show that: the watch may have stalled while a job is cancelled.
 func TestIsUpToDate(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name             string
 		requestsAnswered bool
 		watchAnswered    bool
@@ -21,21 +21,21 @@
 		{name: "the watch has stalled", requestsAnswered: true, watchAnswered: false, want: false},
 		{name: "nothing is answered", requestsAnswered: false, watchAnswered: false, want: false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			controller := newReadyController(t)
 			for range 10 {
 				controller.advance(time.Second, step.Tick{})
-				if c.requestsAnswered {
+				if test.requestsAnswered {
 					controller.advance(0, step.RenewLeaseResult{LeaseID: 7})
 				} else {
 					controller.advance(0, step.RenewLeaseResult{LeaseID: 7, Err: errUnreachable})
 				}
-				if c.watchAnswered {
+				if test.watchAnswered {
 					revision := controller.Replica.Revision
 					controller.advance(0, steptest.UnchangedUntil(revision, revision))
 				}
 			}
-			if got := controller.Replication.IsUpToDate(); got != c.want {
+			if got := controller.Replication.IsUpToDate(); got != test.want {
 				t.Errorf("up to date: %v", got)
 			}
 		})
--- a/internal/coordination/commit/shard_draft.go
+++ b/internal/coordination/commit/shard_draft.go
@@ -33,8 +33,8 @@
 	d.Epoch = epoch
 }
 
-// halves splits a shard. What is done stays with the first half.
-func (d *ShardDraft) halves() (first, second *ShardDraft) {
+// split splits a shard. What is done stays with the first half.
+func (d *ShardDraft) split() (first, second *ShardDraft) {
 	half := len(d.MachineIDs) / 2
 	first = &ShardDraft{Owner: d.Owner, Epoch: d.Epoch, MachineIDs: d.MachineIDs[:half], doneTasks: d.doneTasks}
 	second = &ShardDraft{Owner: d.Owner, Epoch: d.Epoch, MachineIDs: d.MachineIDs[half:]}
--- a/internal/coordination/commit/shard_layout.go
+++ b/internal/coordination/commit/shard_layout.go
@@ -13,19 +13,19 @@
 // shard of this incarnation: each shard costs an operation of its own whenever a task begins or
 // ends there. It merges one at a time, and only to where fencing tokens do not fall. Shards with
 // an open transfer stay as they are until it has ended.
-func (w *ShardWriter) MergeShards(b *Batch) {
-	if w.Now.Monotonic < w.nextShardMergeAt || !b.HasCapacity(2) {
+func (w *ShardWriter) MergeShards(batch *Batch) {
+	if w.Now.Monotonic < w.nextShardMergeAt || !batch.HasCapacity(2) {
 		return
 	}
 	w.nextShardMergeAt = w.Now.Monotonic.Add(w.Config.MinRebalanceInterval)
-	candidates := w.mergeCandidates(b)
+	candidates := w.mergeCandidates(batch)
 	for _, source := range candidates {
-		if !w.isMergeSource(b, source) {
+		if !w.isMergeSource(batch, source) {
 			continue
 		}
 		for _, target := range candidates {
-			if w.canMerge(b, source, target) {
-				w.mergeShard(b, source.id, target.id)
+			if w.canMerge(batch, source, target) {
+				w.mergeShard(batch, source.id, target.id)
 				return
 			}
 		}
@@ -40,7 +40,7 @@
 }
 
 // mergeCandidates lists the own shards without an open transfer, the smallest first.
-func (w *ShardWriter) mergeCandidates(b *Batch) []mergeCandidate {
+func (w *ShardWriter) mergeCandidates(batch *Batch) []mergeCandidate {
 	inTransfer := w.transfers.ShardsInTransfer(storage.TransferPhase.IsOpen)
 	var candidates []mergeCandidate
 	for _, id := range w.OwnedShards() {
@@ -51,7 +51,7 @@
 		candidates = append(candidates, mergeCandidate{
 			id:            id,
 			shard:         shard,
-			projectedSize: b.projectShardSize(draftOf(shard)),
+			projectedSize: batch.projectShardSize(draftOf(shard)),
 		})
 	}
 	slices.SortStableFunc(candidates, func(a, z mergeCandidate) int {
@@ -61,14 +61,14 @@
 }
 
 // isMergeSource tells whether a shard is so small that it should become part of another one.
-func (w *ShardWriter) isMergeSource(b *Batch, source mergeCandidate) bool {
+func (w *ShardWriter) isMergeSource(batch *Batch, source mergeCandidate) bool {
 	isSmall := source.projectedSize <= maxMergeSourceSize(w.limits.WriteLimits())
-	return isSmall && len(source.shard.Machines) > 0 && !b.ChangesShard(source.id)
+	return isSmall && len(source.shard.Machines) > 0 && !batch.ChangesShard(source.id)
 }
 
 // canMerge tells whether the target can take all that is on the source.
-func (w *ShardWriter) canMerge(b *Batch, source, target mergeCandidate) bool {
-	if target.id == source.id || b.ChangesShard(target.id) || len(target.shard.Machines) == 0 {
+func (w *ShardWriter) canMerge(batch *Batch, source, target mergeCandidate) bool {
+	if target.id == source.id || batch.ChangesShard(target.id) || len(target.shard.Machines) == 0 {
 		return false
 	}
 	if target.shard.Epoch < source.shard.Epoch {
@@ -80,33 +80,33 @@
 }
 
 // mergeShard moves all that is on the source to the target.
-func (w *ShardWriter) mergeShard(b *Batch, sourceID, targetID storage.ShardID) {
+func (w *ShardWriter) mergeShard(batch *Batch, sourceID, targetID storage.ShardID) {
 	machines := w.Replica.Shards[sourceID].Machines
-	source := b.MutableShard(sourceID)
+	source := batch.MutableShard(sourceID)
 	for _, machineID := range machines {
-		b.MoveMachine(machineID, targetID)
+		batch.MoveMachine(machineID, targetID)
 	}
-	target := b.MutableShard(targetID)
+	target := batch.MutableShard(targetID)
 	for job, done := range source.doneTasks {
 		target.doneTasks[job] = target.doneTasks[job].Union(done)
 		target.EstimatedSize += mergedJobSize + len(done.String())
 	}
 	clear(source.doneTasks)
-	b.Log(slog.LevelInfo, "shards merged", "source", string(sourceID), "count", len(machines), "target", string(targetID))
+	batch.Log(slog.LevelInfo, "shards merged", "source", string(sourceID), "count", len(machines), "target", string(targetID))
 }
 
 // SplitShards splits own shards in two that come near the size of a value.
-func (w *ShardWriter) SplitShards(b *Batch) {
+func (w *ShardWriter) SplitShards(batch *Batch) {
 	for _, id := range w.OwnedShards() {
 		shard := w.Replica.Shards[id]
 		isDue := shard.EncodedSize >= w.shardSplitThreshold() && len(shard.Machines) >= 2
-		if !isDue || b.ChangesShard(id) || !b.HasCapacity(2) {
+		if !isDue || batch.ChangesShard(id) || !batch.HasCapacity(2) {
 			continue
 		}
-		b.MutableShard(id)
-		targetID := b.NewShard(shard.Owner, shard.Epoch)
+		batch.MutableShard(id)
+		targetID := batch.NewShard(shard.Owner, shard.Epoch)
 		for _, machineID := range shard.Machines[len(shard.Machines)/2:] {
-			b.MoveMachine(machineID, targetID)
+			batch.MoveMachine(machineID, targetID)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 // refuse as it is: shards and jobs written before the format was raised. It takes what capacity
 // the batch has, so a few transactions do; a change that needs such a record before rewrites it
 // the same way.
-func (w *ShardWriter) ReencodeOversizedRecords(b *Batch) {
+func (w *ShardWriter) ReencodeOversizedRecords(batch *Batch) {
 	if w.limits.StorageFormat() < storage.FormatPacked {
 		return
 	}
@@ -135,16 +135,16 @@
 		return shard.Owner == w.lease.incarnation && shard.EncodedSize > maxValueBytes
 	})
 	for _, id := range shards {
-		if !b.ChangesShard(id) && b.HasCapacity(w.ShardWriteOps(id)) {
-			b.MutableShard(id)
+		if !batch.ChangesShard(id) && batch.HasCapacity(w.ShardWriteOps(id)) {
+			batch.MutableShard(id)
 		}
 	}
 	jobs := step.SelectKeys(w.Replica.UnfinishedJobs, func(entry *storage.Versioned[storage.JobRecord]) bool {
 		return entry.Record.Owner == w.lease.incarnation && entry.EncodedSize > maxValueBytes
 	})
 	for _, id := range jobs {
-		if b.HasCapacity(b.OpsNeeded("", id)) {
-			b.MutableJob(id)
+		if batch.HasCapacity(batch.OpsNeeded("", id)) {
+			batch.MutableJob(id)
 		}
 	}
 }
--- a/internal/coordination/commit/shard_layout_test.go
+++ b/internal/coordination/commit/shard_layout_test.go
@@ -12,7 +12,7 @@
 // A shard that has lost most of its machines is merged into another, with all that it knows to
 // be done; never where a machine's fencing token would fall.
 func TestMergeShards(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                   string
 		smallCount, largeCount int // machines on each
 		smallEpoch, largeEpoch storage.ShardEpoch
@@ -43,13 +43,13 @@
 			want:       false,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			controller := newReadyController(t)
 			controller.catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 				MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
 			})
 			machineCount := 0
-			put := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
+			putShard := func(id storage.ShardID, epoch storage.ShardEpoch, count int, done storage.TaskSet) {
 				var lines []string
 				for range count {
 					machineCount++
@@ -60,21 +60,21 @@
 				data := storage.EncodePlainShard(controller.Lease.Incarnation(), epoch, lines, doneTasks)
 				controller.Put(t, storage.ShardKey(id), data, 4)
 			}
-			put("a", c.smallEpoch, c.smallCount, storage.TaskRange(0, 3))
+			putShard("a", test.smallEpoch, test.smallCount, storage.TaskRange(0, 3))
 			largeDone, wantDone := storage.TaskRange(4, 5), "0-5"
-			for gap := range c.doneGaps {
+			for gap := range test.doneGaps {
 				task := 7 + 2*gap
 				largeDone = largeDone.Add(task)
 				wantDone += fmt.Sprintf(",%d", task)
 			}
-			put("b", c.largeEpoch, c.largeCount, largeDone)
-			b := controller.ShardWriter.NewBatch(8)
-			controller.ShardWriter.MergeShards(b)
-			transaction := b.Transaction()
-			if merged := len(transaction.Operations) == 2; merged != c.want {
+			putShard("b", test.largeEpoch, test.largeCount, largeDone)
+			batch := controller.ShardWriter.NewBatch(8)
+			controller.ShardWriter.MergeShards(batch)
+			transaction := batch.Transaction()
+			if merged := len(transaction.Operations) == 2; merged != test.want {
 				t.Errorf("merged %v", merged)
 			}
-			if !c.want {
+			if !test.want {
 				return
 			}
 			controller.Replication.applyOperations(transaction.Operations, 9)
--- a/internal/coordination/commit/size_estimates.go
+++ b/internal/coordination/commit/size_estimates.go
@@ -38,11 +38,11 @@
 const packedSizeRatio = 0.4
 
 // EstimateEncodedSize estimates what plain text takes of a shard, in bytes.
-func (w *ShardWriter) EstimateEncodedSize(plain int) int {
+func (w *ShardWriter) EstimateEncodedSize(plainSize int) int {
 	if w.limits.StorageFormat() < storage.FormatPacked {
-		return plain
+		return plainSize
 	}
-	return int(float64(plain)*packedSizeRatio) + 1
+	return int(float64(plainSize)*packedSizeRatio) + 1
 }
 
 // estimateMachineSize estimates what a machine of a type takes of a shard: one with more
@@ -50,8 +50,8 @@
 func (w *ShardWriter) estimateMachineSize(machineType protocol.MachineTypeName) int {
 	const unknownCores, minCores, maxCores = 4.0, 2, 20
 	cores := unknownCores
-	if known := w.catalog.MachineType(machineType); known != nil {
-		cores = known.Cores
+	if offeredType := w.catalog.MachineType(machineType); offeredType != nil {
+		cores = offeredType.Cores
 	}
 	cores = min(max(cores, minCores), maxCores)
 	return w.EstimateEncodedSize(emptyMachineSize + assignmentsSizePerCore*int(cores))
--- a/internal/coordination/commit/store_health_test.go
+++ b/internal/coordination/commit/store_health_test.go
@@ -11,7 +11,7 @@
 
 // Some errors are responses of the store: it is available, though the request failed.
 func TestRecordContact(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
 		err           error
 		wantSuccess   bool
@@ -22,12 +22,12 @@
 		{name: "revision compacted", err: fmt.Errorf("watch: %w", storage.ErrRevisionTooOld), wantAnswering: true},
 		{name: "unreachable", err: errors.New("connection refused")},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			health := newReadyController(t).Store
-			if got := health.RecordContact(health.Now.Monotonic, c.err); got != c.wantSuccess {
+			if got := health.RecordContact(health.Now.Monotonic, test.err); got != test.wantSuccess {
 				t.Errorf("success: %v", got)
 			}
-			if got := health.IsAnswering(time.Second); got != c.wantAnswering {
+			if got := health.IsAnswering(time.Second); got != test.wantAnswering {
 				t.Errorf("answering: %v", got)
 			}
 		})
--- a/internal/coordination/commit/write_limiter_test.go
+++ b/internal/coordination/commit/write_limiter_test.go
@@ -25,7 +25,7 @@
 		t.Errorf("after: %+v, %d operations in a transaction", got, limits.maxTransactionOps)
 	}
 	value := func(n int) protocol.Operation { return protocol.Operation{PutKey: "k", Value: make([]byte, n)} }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		operations []protocol.Operation
 		conditions int
@@ -56,10 +56,10 @@
 			want:       false,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			transaction := &protocol.Transaction{Conditions: make([]protocol.Condition, c.conditions), Operations: c.operations}
-			if got := limits.WriteLimits().Allows(transaction); got != c.want {
-				t.Errorf("%d operations, %d conditions: allowed %v", len(c.operations), c.conditions, got)
+		t.Run(test.name, func(t *testing.T) {
+			transaction := &protocol.Transaction{Conditions: make([]protocol.Condition, test.conditions), Operations: test.operations}
+			if got := limits.WriteLimits().Allows(transaction); got != test.want {
+				t.Errorf("%d operations, %d conditions: allowed %v", len(test.operations), test.conditions, got)
 			}
 		})
 	}
