--- a/internal/coordination/ownership/failover.go
+++ b/internal/coordination/ownership/failover.go
@@ -12,19 +12,19 @@
 
 // WriteFailovers takes over the shards of ended incarnations whose successor this controller is, or
 // that the successor has not taken over in time.
-func (mgr *Manager) WriteFailovers(b *commit.Batch) {
+func (mgr *Manager) WriteFailovers(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(mgr.Replica.Shards) {
-		if !b.ChangesShard(id) && mgr.shouldFailOver(b, id, false) {
-			mgr.failOverShard(b, id, 0)
+		if !batch.ChangesShard(id) && mgr.shouldFailOver(batch, id, false) {
+			mgr.failOverShard(batch, id, 0)
 		}
 	}
 }
 
 // shouldFailOver tells whether to take over a shard now. hasHeartbeat: a machine in it has sent a
 // heartbeat here that waits for an owner.
-func (mgr *Manager) shouldFailOver(b *commit.Batch, id storage.ShardID, hasHeartbeat bool) bool {
-	expiredAt, expired := mgr.expiredAt[mgr.Replica.Shards[id].Owner]
-	return expired && b.HasCapacity(mgr.failoverOps(id)) &&
+func (mgr *Manager) shouldFailOver(batch *commit.Batch, id storage.ShardID, hasHeartbeat bool) bool {
+	expiredAt, isExpired := mgr.expiredAt[mgr.Replica.Shards[id].Owner]
+	return isExpired && batch.HasCapacity(mgr.failoverOps(id)) &&
 		sharding.IsFailoverDue(mgr.Since(expiredAt), mgr.isShardSuccessor(id), hasHeartbeat)
 }
 
@@ -59,14 +59,14 @@
 // failOverShard makes this incarnation the owner of a shard, with all machines in it, and ends the
 // transfer that the former owner had begun. The epoch rises above the former one and above any
 // that an agent has shown here.
-func (mgr *Manager) failOverShard(b *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
-	draft := b.MutableShard(id)
+func (mgr *Manager) failOverShard(batch *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
+	draft := batch.MutableShard(id)
 	if draft.Owner == mgr.lease.Incarnation() {
 		return // for another of its machines, earlier in this batch
 	}
-	b.Log(slog.LevelInfo, "shard failover",
+	batch.Log(slog.LevelInfo, "shard failover",
 		"shard", string(id), "count", len(draft.MachineIDs),
 		"source", string(draft.Owner), "epoch", uint64(draft.Epoch+1))
 	draft.ChangeOwner(mgr.lease.Incarnation(), max(draft.Epoch, storage.ShardEpochOf(observedToken))+1)
-	mgr.transfers.endTransferOnFailover(b, id)
+	mgr.transfers.endTransferOnFailover(batch, id)
 }
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -24,7 +24,7 @@
 // A shard in transfer falls to its target, whatever its key says; any other to a controller that
 // does not drain.
 func TestShardSuccessor(t *testing.T) {
-	drained := func(t *testing.T, c *testController, id protocol.ControllerID) {
+	recordDrain := func(t *testing.T, c *testController, id protocol.ControllerID) {
 		t.Helper()
 		c.put(t, storage.DrainKey(id), []byte(`{}`))
 	}
@@ -39,19 +39,19 @@
 		{"in transfer to another controller", func(t *testing.T, c *testController) {
 			c.putTransfer(t, otherIncarnation)
 		}, false},
-		{"the other controller drains", func(t *testing.T, c *testController) { drained(t, c, otherController) }, true},
-		{"this controller drains", func(t *testing.T, c *testController) { drained(t, c, selfController) }, false},
+		{"the other controller drains", func(t *testing.T, c *testController) { recordDrain(t, c, otherController) }, true},
+		{"this controller drains", func(t *testing.T, c *testController) { recordDrain(t, c, selfController) }, false},
 		{"its target has ended and the other drains", func(t *testing.T, c *testController) {
 			c.putTransfer(t, "tiller-8#1")
-			drained(t, c, otherController)
+			recordDrain(t, c, otherController)
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
-			c.registerOther(t)
-			c.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-			test.setUp(t, c)
-			if got := c.Manager.isShardSuccessor("p"); got != test.want {
+			controller := newTestController(t)
+			controller.registerOther(t)
+			controller.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			test.setUp(t, controller)
+			if got := controller.Manager.isShardSuccessor("p"); got != test.want {
 				t.Errorf("successor %v, want %v", got, test.want)
 			}
 		})
@@ -74,30 +74,30 @@
 		}, storage.TransferAborted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
-			c.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-			slot := c.putTransfer(t, test.target(c))
-			c.Manager.TrackExpiredIncarnations()
-			written := func() *commit.Batch {
-				b := c.commit.ShardWriter.NewBatch(8)
-				c.Manager.WriteFailovers(b)
-				return b
+			controller := newTestController(t)
+			controller.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			slot := controller.putTransfer(t, test.target(controller))
+			controller.Manager.TrackExpiredIncarnations()
+			writeFailovers := func() *commit.Batch {
+				batch := controller.commit.ShardWriter.NewBatch(8)
+				controller.Manager.WriteFailovers(batch)
+				return batch
 			}
-			if len(written().Transaction().Operations) > 0 {
+			if len(writeFailovers().Transaction().Operations) > 0 {
 				t.Error("taken over before the delay")
 			}
-			c.Advance(1600 * time.Millisecond)
-			b := written()
-			shard := writtenShards(t, b)["p"]
-			if shard == nil || shard.Owner != c.commit.Lease.Incarnation() || shard.Epoch != 4 {
+			controller.Advance(1600 * time.Millisecond)
+			batch := writeFailovers()
+			shard := writtenShards(t, batch)["p"]
+			if shard == nil || shard.Owner != controller.commit.Lease.Incarnation() || shard.Epoch != 4 {
 				t.Fatalf("the shard is written as %+v", shard)
 			}
-			for _, operation := range b.Transaction().Operations {
+			for _, operation := range batch.Transaction().Operations {
 				if operation.PutKey == storage.TransferKey(slot) {
-					c.put(t, operation.PutKey, operation.Value)
+					controller.put(t, operation.PutKey, operation.Value)
 				}
 			}
-			if phase := c.Replica.Transfers[slot].Record.Phase; phase != test.wantPhase {
+			if phase := controller.Replica.Transfers[slot].Record.Phase; phase != test.wantPhase {
 				t.Errorf("the transfer is %s, want %s", phase, test.wantPhase)
 			}
 		})
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -12,8 +12,8 @@
 	"tillerarch/internal/storage"
 )
 
-// handOff is a request of another controller for an owned machine whose agent sends heartbeats there.
-type handOff struct {
+// handOffRequest is a request of another controller for an owned machine whose agent sends heartbeats there.
+type handOffRequest struct {
 	target      storage.Incarnation
 	requestedAt protocol.Instant
 	ownership   agents.Ownership // under which it was requested; it is void under a later one
@@ -51,14 +51,14 @@
 	heartbeats := status.MisdirectedHeartbeats
 	for _, heartbeat := range heartbeats[:min(len(heartbeats), step.MaxMisdirectedPerStatus)] {
 		entry := mgr.Replica.Machines[heartbeat.Machine]
-		if !mgr.ownsRecorded(entry) || !mgr.Replica.IsAlive(status.Incarnation) {
+		if !mgr.ownsMachine(entry) || !mgr.Replica.IsAlive(status.Incarnation) {
 			continue
 		}
 		state := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
 		if !state.RecordMisdirectedHeartbeat(heartbeat.AgentEpoch, heartbeat.Sequence) {
 			continue // a late copy of a heartbeat that was received here
 		}
-		mgr.pendingHandOffs[heartbeat.Machine] = handOff{
+		mgr.pendingHandOffs[heartbeat.Machine] = handOffRequest{
 			target:      status.Incarnation,
 			requestedAt: mgr.Now.Monotonic,
 			ownership:   state.Ownership(),
@@ -66,8 +66,8 @@
 	}
 }
 
-// ownsRecorded tells whether a machine is on record and owned by this incarnation.
-func (mgr *Manager) ownsRecorded(entry *storage.Machine) bool {
+// ownsMachine tells whether a machine is on record and owned by this incarnation.
+func (mgr *Manager) ownsMachine(entry *storage.Machine) bool {
 	return entry != nil && mgr.lease.OwnsMachine(&entry.Record)
 }
 
@@ -75,7 +75,7 @@
 // most of whose machines are misdirected is transferred whole: that is one operation, and a controller
 // that has lost its agents has hundreds of machines to hand off. There is nothing to quiesce, as what this
 // controller sends does not reach those agents.
-func (mgr *Manager) HandOffMachines(b *commit.Batch) {
+func (mgr *Manager) HandOffMachines(batch *commit.Batch) {
 	machines := mgr.misdirectedMachines()
 	countsByShard := map[storage.ShardID]targetCounts{}
 	for _, machine := range machines {
@@ -89,12 +89,12 @@
 		target, misdirected := countsByShard[id].mostFrequent()
 		shard := mgr.Replica.Shards[id]
 		if sharding.ShouldHandOffShard(len(shard.Machines), misdirected, mgr.countResponsive(shard)) &&
-			b.HasCapacity(mgr.shardWriter.ShardWriteOps(id)) && !b.ChangesShard(id) {
+			batch.HasCapacity(mgr.shardWriter.ShardWriteOps(id)) && !batch.ChangesShard(id) {
 			mgr.recordShedding()
-			mgr.transferShard(b, id, target, sharding.ReasonMisdirectedHeartbeats)
+			mgr.transferShard(batch, id, target, sharding.ReasonMisdirectedHeartbeats)
 		}
 	}
-	mgr.handOffIndividually(b, machines)
+	mgr.handOffIndividually(batch, machines)
 }
 
 // misdirectedMachines lists the owned machines whose agents send heartbeats to another controller
@@ -102,7 +102,7 @@
 func (mgr *Manager) misdirectedMachines() (machines []misdirectedMachine) {
 	for _, id := range step.SortedKeys(mgr.pendingHandOffs) {
 		entry := mgr.Replica.Machines[id]
-		if !mgr.ownsRecorded(entry) {
+		if !mgr.ownsMachine(entry) {
 			delete(mgr.pendingHandOffs, id)
 			continue
 		}
@@ -121,7 +121,7 @@
 }
 
 // isHandOffOutdated tells whether a request would have been repeated by now if it were still valid.
-func (mgr *Manager) isHandOffOutdated(request handOff) bool {
+func (mgr *Manager) isHandOffOutdated(request handOffRequest) bool {
 	return mgr.Since(request.requestedAt) > mgr.Config.HeartbeatInterval+handOffMargin
 }
 
@@ -148,24 +148,24 @@
 )
 
 // handOffIndividually moves machines to new shards of the controllers that their agents reach.
-func (mgr *Manager) handOffIndividually(b *commit.Batch, machines []misdirectedMachine) {
+func (mgr *Manager) handOffIndividually(batch *commit.Batch, machines []misdirectedMachine) {
 	newShards := map[storage.Incarnation]storage.ShardID{}
 	for _, machine := range machines {
 		record := &machine.entry.Record
-		if b.GivesAwayShard(record.Shard) || !b.HasCapacity(machineHandOffOps) {
+		if batch.GivesAwayShard(record.Shard) || !batch.HasCapacity(machineHandOffOps) {
 			continue
 		}
 		target := machine.target
-		if newShards[target] == "" || mgr.wouldOverflow(b.Draft(newShards[target]), machine.id) {
-			newShards[target] = b.NewShard(target, record.ShardEpoch+1)
-			b.DependOn(storage.ControllerKey(target.Controller()))
+		if newShards[target] == "" || mgr.wouldOverflow(batch.Draft(newShards[target]), machine.id) {
+			newShards[target] = batch.NewShard(target, record.ShardEpoch+1)
+			batch.DependOn(storage.ControllerKey(target.Controller()))
 		}
 		// A fencing token never falls: a machine with as high an epoch waits for a later batch.
-		if b.Draft(newShards[target]).Epoch > record.ShardEpoch {
-			b.MoveMachine(machine.id, newShards[target])
-			b.MutableMachine(machine.id).Cordoned = false
+		if batch.Draft(newShards[target]).Epoch > record.ShardEpoch {
+			batch.MoveMachine(machine.id, newShards[target])
+			batch.MutableMachine(machine.id).Cordoned = false
 			mgr.recordShedding()
-			b.Log(slog.LevelInfo, "machine handed off", "machine", string(machine.id), "target", string(target))
+			batch.Log(slog.LevelInfo, "machine handed off", "machine", string(machine.id), "target", string(target))
 		}
 	}
 }
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// reportElsewhere has the other controller report heartbeats that it received.
-func (c *testController) reportElsewhere(heartbeats ...step.MisdirectedHeartbeat) {
+// reportMisdirectedHeartbeats has the other controller report heartbeats that it received.
+func (c *testController) reportMisdirectedHeartbeats(heartbeats ...step.MisdirectedHeartbeat) {
 	c.Manager.RecordMisdirectedHeartbeats(&step.PeerStatus{
 		ControllerID:          otherController,
 		Incarnation:           otherIncarnation,
@@ -35,17 +35,17 @@
 		{"an earlier agent epoch", 1, 99, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
+			controller := newTestController(t)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
-			entry := c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
+			entry := controller.putShard(t, "p", controller.commit.Lease.Incarnation(), 3, record)
 			heartbeat := &protocol.Heartbeat{
 				Machine: "m-1", Addr: "a", Type: "s", Zone: "a",
 				AgentEpoch: 2, Sequence: 7, FencingToken: entry.Record.FencingToken,
 			}
-			c.agents.Heartbeats.OnHeartbeat(step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(heartbeat)})
-			c.registerOther(t)
-			c.reportElsewhere(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: test.agentEpoch, Sequence: test.sequence})
-			if got := c.Manager.pendingHandOffs["m-1"].target == otherIncarnation; got != test.want {
+			controller.agents.Heartbeats.OnHeartbeat(step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(heartbeat)})
+			controller.registerOther(t)
+			controller.reportMisdirectedHeartbeats(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: test.agentEpoch, Sequence: test.sequence})
+			if got := controller.Manager.pendingHandOffs["m-1"].target == otherIncarnation; got != test.want {
 				t.Errorf("hand-off pending %v, want %v", got, test.want)
 			}
 		})
@@ -88,14 +88,14 @@
 		}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
-			c.registerOther(t)
-			entry := c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
-			c.agents.Table.TrackOwnedMachine(entry, "m-1")
-			c.reportElsewhere(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: 1, Sequence: 9})
-			test.change(t, c)
-			c.Advance(heartbeatMissed)
-			machines := c.Manager.misdirectedMachines()
+			controller := newTestController(t)
+			controller.registerOther(t)
+			entry := controller.putShard(t, "p", controller.commit.Lease.Incarnation(), 3, record)
+			controller.agents.Table.TrackOwnedMachine(entry, "m-1")
+			controller.reportMisdirectedHeartbeats(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: 1, Sequence: 9})
+			test.change(t, controller)
+			controller.Advance(heartbeatMissed)
+			machines := controller.Manager.misdirectedMachines()
 			if got := len(machines) == 1 && machines[0].target == otherIncarnation; got != test.want {
 				t.Errorf("handed off %v, want %v: %+v", got, test.want, machines)
 			}
@@ -109,20 +109,20 @@
 	t.Helper()
 	const machinesPerShard, tasksPerMachine = 60, 4
 	var misdirected []step.MisdirectedHeartbeat
-	for s := range shards {
+	for shardNumber := range shards {
 		var lines []string
-		for i := range machinesPerShard {
-			id := protocol.MachineID(fmt.Sprintf("m-%06d", s*machinesPerShard+i))
+		for machineNumber := range machinesPerShard {
+			id := protocol.MachineID(fmt.Sprintf("m-%06d", shardNumber*machinesPerShard+machineNumber))
 			record := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
-			for k := range tasksPerMachine {
-				record.Assign(protocol.Task{Job: "j-000001", Index: tasksPerMachine*i + k}, protocol.Attempt(1000+k))
+			for taskNumber := range tasksPerMachine {
+				record.Assign(protocol.Task{Job: "j-000001", Index: tasksPerMachine*machineNumber + taskNumber}, protocol.Attempt(1000+taskNumber))
 			}
 			lines = append(lines, record.EncodeLine(id))
-			if i < misdirectedPerShard {
+			if machineNumber < misdirectedPerShard {
 				misdirected = append(misdirected, step.MisdirectedHeartbeat{Machine: id, AgentEpoch: 1, Sequence: 9})
 			}
 		}
-		key := storage.ShardKey(storage.ShardID(fmt.Sprint("p-", s)))
+		key := storage.ShardKey(storage.ShardID(fmt.Sprint("p-", shardNumber)))
 		c.put(t, key, storage.EncodePlainShard(c.commit.Lease.Incarnation(), 3, lines, nil))
 	}
 	for _, entry := range c.Replica.SortedMachines() {
@@ -148,50 +148,50 @@
 // the store as malformed again and again.)
 func TestHandOffManyMachines(t *testing.T) {
 	for _, test := range []struct {
-		name                string
-		shards              int
-		misdirectedPerShard int
-		wantWhole           bool
-		wantMoved           bool
-		ownershipChanges    bool // after the heartbeats were received elsewhere
+		name                  string
+		shards                int
+		misdirectedPerShard   int
+		wantShardsTransferred bool
+		wantMachinesMoved     bool
+		reacquired            bool // after the heartbeats were received elsewhere
 	}{
 		{"most of each shard", 2, 40, true, false, false},
 		{"some of each shard", 6, 28, false, true, false},
 		{"of an earlier ownership", 2, 28, false, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
-			c.registerOther(t)
-			self := c.commit.Lease.Incarnation()
-			misdirected := c.putLargeShards(t, test.shards, test.misdirectedPerShard)
-			c.Advance(6 * time.Second) // no agent has sent a heartbeat here
-			c.reportElsewhere(misdirected...)
-			if test.ownershipChanges {
-				c.putShardsAtEpoch(t, 5)
+			controller := newTestController(t)
+			controller.registerOther(t)
+			self := controller.commit.Lease.Incarnation()
+			misdirected := controller.putLargeShards(t, test.shards, test.misdirectedPerShard)
+			controller.Advance(6 * time.Second) // no agent has sent a heartbeat here
+			controller.reportMisdirectedHeartbeats(misdirected...)
+			if test.reacquired {
+				controller.putShardsAtEpoch(t, 5)
 			}
-			b := c.commit.ShardWriter.NewBatch(24)
-			c.Config.TransactionOps = 24
-			c.Manager.HandOffMachines(b)
+			batch := controller.commit.ShardWriter.NewBatch(24)
+			controller.Config.TransactionOps = 24
+			controller.Manager.HandOffMachines(batch)
 			transferredShards, movedMachines := 0, 0
-			for id, shard := range writtenShards(t, b) {
+			for id, shard := range writtenShards(t, batch) {
 				if shard.Owner == self {
 					continue
 				}
 				if shard.Owner == "" {
 					t.Error("a shard is transferred to nobody")
 				}
-				if c.Replica.Shards[id] != nil {
+				if controller.Replica.Shards[id] != nil {
 					transferredShards++
 				} else {
 					movedMachines += len(shard.Machines)
 				}
 			}
-			for _, operation := range b.Transaction().Operations {
-				if len(operation.Value) > c.Config.ValueBytes {
+			for _, operation := range batch.Transaction().Operations {
+				if len(operation.Value) > controller.Config.ValueBytes {
 					t.Errorf("a value of %d bytes", len(operation.Value))
 				}
 			}
-			if (transferredShards > 0) != test.wantWhole || (movedMachines > 0) != test.wantMoved {
+			if (transferredShards > 0) != test.wantShardsTransferred || (movedMachines > 0) != test.wantMachinesMoved {
 				t.Errorf("%d shards transferred, %d machines moved", transferredShards, movedMachines)
 			}
 		})
--- a/internal/coordination/ownership/manager.go
+++ b/internal/coordination/ownership/manager.go
@@ -25,7 +25,7 @@
 	transfers   *Transfers
 
 	expiredAt       map[storage.Incarnation]protocol.Instant // when this process first saw that it had ended
-	pendingHandOffs map[protocol.MachineID]handOff
+	pendingHandOffs map[protocol.MachineID]handOffRequest
 	lastShedAt      protocol.Instant // when this controller last shed machines (recordShedding)
 }
 
@@ -33,14 +33,14 @@
 	return &Manager{
 		Context:         ctx,
 		expiredAt:       map[storage.Incarnation]protocol.Instant{},
-		pendingHandOffs: map[protocol.MachineID]handOff{},
+		pendingHandOffs: map[protocol.MachineID]handOffRequest{},
 	}
 }
 
 // ExpiredSince tells since when this controller has known that an incarnation has ended.
-func (mgr *Manager) ExpiredSince(incarnation storage.Incarnation) (since protocol.Instant, expired bool) {
-	since, expired = mgr.expiredAt[incarnation]
-	return since, expired
+func (mgr *Manager) ExpiredSince(incarnation storage.Incarnation) (since protocol.Instant, isExpired bool) {
+	since, isExpired = mgr.expiredAt[incarnation]
+	return since, isExpired
 }
 
 // HasExpiredOwners tells whether shards or jobs belong to incarnations that have ended.
@@ -56,7 +56,7 @@
 		}
 		// That includes the empty owner: a shard without one fails over by the same rules.
 		expired[owner] = true
-		if _, known := mgr.expiredAt[owner]; !known {
+		if _, isTracked := mgr.expiredAt[owner]; !isTracked {
 			mgr.expiredAt[owner] = mgr.Now.Monotonic
 		}
 	}
@@ -112,10 +112,10 @@
 
 // transferShard makes another incarnation the owner of a shard, with all machines in it. The
 // transaction depends on that incarnation's key: a shard never goes to one that has ended.
-func (mgr *Manager) transferShard(b *commit.Batch, id storage.ShardID, target storage.Incarnation, reason string) {
-	draft := b.MutableShard(id)
-	b.DependOn(storage.ControllerKey(target.Controller()))
+func (mgr *Manager) transferShard(batch *commit.Batch, id storage.ShardID, target storage.Incarnation, reason string) {
+	draft := batch.MutableShard(id)
+	batch.DependOn(storage.ControllerKey(target.Controller()))
 	draft.ChangeOwner(target, draft.Epoch+1)
-	b.Log(slog.LevelInfo, "shard ownership transferred",
+	batch.Log(slog.LevelInfo, "shard ownership transferred",
 		"shard", string(id), "count", len(draft.MachineIDs), "target", string(target), "reason", reason)
 }
--- a/internal/coordination/ownership/overload_test.go
+++ b/internal/coordination/ownership/overload_test.go
@@ -27,16 +27,16 @@
 		{"has recovered", []phase{{late, 400}, {onTime, 100}}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			d := &OverloadDetector{Context: &step.Context{Now: step.Now{Monotonic: 1}}}
+			detector := &OverloadDetector{Context: &step.Context{Now: step.Now{Monotonic: 1}}}
 			for _, phase := range test.phases {
 				for range phase.ticks {
-					d.Now.Monotonic = d.Now.Monotonic.Add(phase.interval)
-					d.RecordTick()
+					detector.Now.Monotonic = detector.Now.Monotonic.Add(phase.interval)
+					detector.RecordTick()
 				}
 			}
-			if d.isFallingBehind() != test.wantFallsBehind || d.IsOverloaded() != test.wantOverloaded {
+			if detector.isFallingBehind() != test.wantFallsBehind || detector.IsOverloaded() != test.wantOverloaded {
 				t.Errorf("falls behind %v, overloaded %v after a mean interval of %v",
-					d.isFallingBehind(), d.IsOverloaded(), d.meanTickInterval)
+					detector.isFallingBehind(), detector.IsOverloaded(), detector.meanTickInterval)
 			}
 		})
 	}
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -87,12 +87,12 @@
 		Limits:        commitParts.Limits,
 		ShardWriter:   commitParts.ShardWriter,
 	})
-	c := &testController{Fixture: base, Parts: parts, agents: agentParts, commit: commitParts}
+	controller := &testController{Fixture: base, Parts: parts, agents: agentParts, commit: commitParts}
 	committest.Register(t, ctx, commitParts)
 	catalogParts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
 	})
-	return c
+	return controller
 }
 
 // put puts a record into the replica, as a change at the next revision.
@@ -119,10 +119,10 @@
 }
 
 // writtenShards reads the shards that a batch writes, as a replica would.
-func writtenShards(t *testing.T, b *commit.Batch) map[storage.ShardID]*storage.Shard {
+func writtenShards(t *testing.T, batch *commit.Batch) map[storage.ShardID]*storage.Shard {
 	t.Helper()
 	written := storage.NewReplica()
-	for _, operation := range b.Transaction().Operations {
+	for _, operation := range batch.Transaction().Operations {
 		if operation.PutKey == "" {
 			continue
 		}
--- a/internal/coordination/ownership/parts.go
+++ b/internal/coordination/ownership/parts.go
@@ -17,19 +17,19 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
+	parts := &Parts{
 		Peers:     newPeers(ctx),
 		Overload:  &OverloadDetector{Context: ctx},
 		Manager:   newManager(ctx),
 		Transfers: newTransfers(ctx),
 	}
-	p.Peers.ownership = p.Manager
-	p.Manager.overload = p.Overload
-	p.Manager.transfers = p.Transfers
-	p.Transfers.overload = p.Overload
-	p.Transfers.ownership = p.Manager
-	p.Transfers.peers = p.Peers
-	return p
+	parts.Peers.ownership = parts.Manager
+	parts.Manager.overload = parts.Overload
+	parts.Manager.transfers = parts.Transfers
+	parts.Transfers.overload = parts.Overload
+	parts.Transfers.ownership = parts.Manager
+	parts.Transfers.peers = parts.Peers
+	return parts
 }
 
 // Dependencies are what the parts need of other packages.
@@ -45,18 +45,18 @@
 }
 
 // Connect gives the parts what they need of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Peers.cancellations = d.Cancellations
-	p.Peers.lease = d.Lease
-	p.Peers.misdirected = d.Misdirected
-	p.Peers.replication = d.Replication
-	p.Peers.store = d.Store
-	p.Manager.agents = d.Agents
-	p.Manager.lease = d.Lease
-	p.Manager.limits = d.Limits
-	p.Manager.shardWriter = d.ShardWriter
-	p.Transfers.agents = d.Agents
-	p.Transfers.cancellations = d.Cancellations
-	p.Transfers.lease = d.Lease
-	p.Transfers.shardWriter = d.ShardWriter
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Peers.cancellations = dependencies.Cancellations
+	p.Peers.lease = dependencies.Lease
+	p.Peers.misdirected = dependencies.Misdirected
+	p.Peers.replication = dependencies.Replication
+	p.Peers.store = dependencies.Store
+	p.Manager.agents = dependencies.Agents
+	p.Manager.lease = dependencies.Lease
+	p.Manager.limits = dependencies.Limits
+	p.Manager.shardWriter = dependencies.ShardWriter
+	p.Transfers.agents = dependencies.Agents
+	p.Transfers.cancellations = dependencies.Cancellations
+	p.Transfers.lease = dependencies.Lease
+	p.Transfers.shardWriter = dependencies.ShardWriter
 }
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -59,14 +59,14 @@
 
 // HasHeardFrom tells whether an incarnation has sent its status within a time.
 func (p *Peers) HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
-	status, known := p.lastStatuses[incarnation.Controller()]
-	return known && status.Incarnation == incarnation && p.Since(status.receivedAt) < within
+	status, hasStatus := p.lastStatuses[incarnation.Controller()]
+	return hasStatus && status.Incarnation == incarnation && p.Since(status.receivedAt) < within
 }
 
 // PeersReportStoreUnavailable tells whether other controllers have sent a status within a time, and
 // none of these reaches the store. It is true of a controller without others.
 func (p *Peers) PeersReportStoreUnavailable(within time.Duration) bool {
-	isReported := p.Config.PeerCount == 0
+	isReportedUnavailable := p.Config.PeerCount == 0
 	for _, status := range p.lastStatuses {
 		if p.Since(status.receivedAt) >= within {
 			continue
@@ -74,9 +74,9 @@
 		if status.StoreReachable {
 			return false
 		}
-		isReported = true
+		isReportedUnavailable = true
 	}
-	return isReported
+	return isReportedUnavailable
 }
 
 // ExpediteStatus has the next status sent at the next tick.
--- a/internal/coordination/ownership/peers_test.go
+++ b/internal/coordination/ownership/peers_test.go
@@ -62,12 +62,12 @@
 		{"an earlier incarnation", status{Incarnation: "tiller-1#0", StoreReachable: true, AcceptsShards: true}, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
-			c.registerOther(t)
+			controller := newTestController(t)
+			controller.registerOther(t)
 			test.status.ControllerID = otherController
-			c.Peers.RecordStatus(&test.status)
-			c.Advance(test.age)
-			if got := len(c.Peers.acceptingShards()) == 1; got != test.want {
+			controller.Peers.RecordStatus(&test.status)
+			controller.Advance(test.age)
+			if got := len(controller.Peers.acceptingShards()) == 1; got != test.want {
 				t.Errorf("accepts shards %v, want %v", got, test.want)
 			}
 		})
--- a/internal/coordination/ownership/quiescence.go
+++ b/internal/coordination/ownership/quiescence.go
@@ -9,7 +9,7 @@
 // and no cancellation is unresolved there. A silent agent is not waited for: it drops a response that
 // it has not carried out within seconds.
 func (t *Transfers) isShardQuiescent(shard *storage.Shard) bool {
-	return t.allResponsive(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
+	return t.allResponsiveMachinesMatch(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return len(state.InflightStarts) == 0 && t.areCancellationsResolved(entry)
 	})
 }
@@ -29,14 +29,14 @@
 // isShardTokenConfirmed tells whether the agents of an owned shard know its owner: they have shown a
 // fencing token of its epoch, and so obey no earlier owner.
 func (t *Transfers) isShardTokenConfirmed(shard *storage.Shard) bool {
-	return t.allResponsive(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
+	return t.allResponsiveMachinesMatch(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
 	})
 }
 
-// allResponsive tells whether a condition is true of all machines of an owned shard that are in service
+// allResponsiveMachinesMatch tells whether a condition is true of all machines of an owned shard that are in service
 // and not silent.
-func (t *Transfers) allResponsive(
+func (t *Transfers) allResponsiveMachinesMatch(
 	shard *storage.Shard, condition func(*storage.Machine, *agents.MachineState) bool,
 ) bool {
 	for _, id := range shard.Machines {
--- a/internal/coordination/ownership/quiescence_test.go
+++ b/internal/coordination/ownership/quiescence_test.go
@@ -30,11 +30,11 @@
 		}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
+			controller := newTestController(t)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, Terminating: test.terminating}
-			entry := c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
-			test.setUp(c, c.agents.Table.TrackOwnedMachine(entry, "m-1"))
-			if got := c.Transfers.isShardQuiescent(c.Replica.Shards["p"]); got != test.want {
+			entry := controller.putShard(t, "p", controller.commit.Lease.Incarnation(), 3, record)
+			test.setUp(controller, controller.agents.Table.TrackOwnedMachine(entry, "m-1"))
+			if got := controller.Transfers.isShardQuiescent(controller.Replica.Shards["p"]); got != test.want {
 				t.Errorf("quiescent %v, want %v", got, test.want)
 			}
 		})
--- a/internal/coordination/ownership/rebalance.go
+++ b/internal/coordination/ownership/rebalance.go
@@ -24,10 +24,10 @@
 )
 
 // Rebalance begins the transfers that package sharding plans for the present load.
-func (t *Transfers) Rebalance(b *commit.Batch) {
-	overloaded := t.overload.IsOverloaded()
-	interval, reason := t.rebalanceInterval(overloaded)
-	if t.Since(t.lastRebalanceAt) < interval || !b.HasCapacity(1) {
+func (t *Transfers) Rebalance(batch *commit.Batch) {
+	isOverloaded := t.overload.IsOverloaded()
+	interval, reason := t.rebalanceInterval(isOverloaded)
+	if t.Since(t.lastRebalanceAt) < interval || !batch.HasCapacity(1) {
 		return
 	}
 	policy := sharding.RebalancePolicy{
@@ -35,27 +35,27 @@
 		MaxIncomingTransfers: MaxIncomingTransfers,
 		DemandWeight:         t.Config.RebalanceDemandWeight,
 	}
-	for _, transfer := range sharding.PlanRebalance(t.ShardingSnapshot(overloaded), policy) {
-		if b.ChangesShard(transfer.Shard) || !b.HasCapacity(t.shardWriter.ShardWriteOps(transfer.Shard)) {
+	for _, transfer := range sharding.PlanRebalance(t.ShardingSnapshot(isOverloaded), policy) {
+		if batch.ChangesShard(transfer.Shard) || !batch.HasCapacity(t.shardWriter.ShardWriteOps(transfer.Shard)) {
 			continue
 		}
 		t.lastRebalanceAt = t.Now.Monotonic
-		if overloaded {
+		if isOverloaded {
 			t.ownership.recordShedding()
 		}
 		// An overloaded controller has no time to quiesce the shard.
-		if overloaded || !t.recordsTransfers(transfer.Target) {
-			t.ownership.transferShard(b, transfer.Shard, transfer.Target, reason)
+		if isOverloaded || !t.shouldRecordTransfersTo(transfer.Target) {
+			t.ownership.transferShard(batch, transfer.Shard, transfer.Target, reason)
 		} else {
-			t.OpenTransfer(b, transfer, storage.TransferPrepared, reason, "")
+			t.OpenTransfer(batch, transfer, storage.TransferPrepared, reason, "")
 		}
 	}
 }
 
 // rebalanceInterval is the least time between two transfers, and why they are made.
-func (t *Transfers) rebalanceInterval(overloaded bool) (interval time.Duration, reason string) {
+func (t *Transfers) rebalanceInterval(isOverloaded bool) (interval time.Duration, reason string) {
 	switch interval = t.Config.MinRebalanceInterval; {
-	case overloaded:
+	case isOverloaded:
 		return interval / evacuationSpeedup, sharding.ReasonSourceOverloaded
 	case t.Replica.IsDraining(t.Config.ControllerID):
 		return interval / evacuationSpeedup, sharding.ReasonSourceDraining
@@ -64,38 +64,38 @@
 }
 
 // ShardingSnapshot is the state of shards and controllers from which transfers are planned.
-func (t *Transfers) ShardingSnapshot(overloaded bool) sharding.Snapshot {
-	incoming, targets := t.openTransferTargets()
+func (t *Transfers) ShardingSnapshot(isOverloaded bool) sharding.Snapshot {
+	incomingCounts, targets := t.openTransferTargets()
 	return sharding.Snapshot{
 		Self:              t.lease.Incarnation(),
-		Controllers:       t.controllersToBalance(overloaded),
+		Controllers:       t.controllersToBalance(isOverloaded),
 		Shards:            t.shardsToBalance(targets),
-		IncomingTransfers: incoming,
+		IncomingTransfers: incomingCounts,
 	}
 }
 
 // openTransferTargets counts the open transfers to each incarnation, and gives the target of each
 // shard that has one.
 func (t *Transfers) openTransferTargets() (
-	incoming map[storage.Incarnation]int, targets map[storage.ShardID]storage.Incarnation,
+	incomingCounts map[storage.Incarnation]int, targets map[storage.ShardID]storage.Incarnation,
 ) {
-	incoming, targets = map[storage.Incarnation]int{}, map[storage.ShardID]storage.Incarnation{}
+	incomingCounts, targets = map[storage.Incarnation]int{}, map[storage.ShardID]storage.Incarnation{}
 	for _, transfer := range t.Replica.Transfers {
 		if transfer.Record.Phase.IsOpen() {
-			incoming[transfer.Record.Target]++
+			incomingCounts[transfer.Record.Target]++
 			targets[transfer.Record.Shard] = transfer.Record.Target
 		}
 	}
-	return incoming, targets
+	return incomingCounts, targets
 }
 
 // controllersToBalance lists this controller, and the others that accept shards.
-func (t *Transfers) controllersToBalance(overloaded bool) []sharding.Controller {
+func (t *Transfers) controllersToBalance(isOverloaded bool) []sharding.Controller {
 	demand := t.demandByOwner()
 	self := t.lease.Incarnation()
 	controllers := []sharding.Controller{{
 		Incarnation: self,
-		Overloaded:  overloaded,
+		Overloaded:  isOverloaded,
 		DemandCores: demand[self],
 		Draining:    t.Replica.IsDraining(t.Config.ControllerID),
 	}}
@@ -114,13 +114,13 @@
 func (t *Transfers) shardsToBalance(transferTargets map[storage.ShardID]storage.Incarnation) []sharding.Shard {
 	var shards []sharding.Shard
 	reserved := t.machinesReservedForGangs()
-	for id, recorded := range t.Replica.Shards {
-		isEmpty := len(recorded.Machines) == 0
-		shard := sharding.Shard{ID: id, Owner: recorded.Owner, Load: loadPerShard, Pinned: isEmpty}
-		if target, inTransfer := transferTargets[id]; inTransfer {
+	for id, entry := range t.Replica.Shards {
+		isEmpty := len(entry.Machines) == 0
+		shard := sharding.Shard{ID: id, Owner: entry.Owner, Load: loadPerShard, Pinned: isEmpty}
+		if target, isInTransfer := transferTargets[id]; isInTransfer {
 			shard.Owner, shard.Pinned = target, true
-		} else if recorded.Owner == t.lease.Incarnation() && !shard.Pinned {
-			shard.TransferCost, shard.Pinned = t.transferCost(recorded, reserved)
+		} else if entry.Owner == t.lease.Incarnation() && !shard.Pinned {
+			shard.TransferCost, shard.Pinned = t.transferCost(entry, reserved)
 		}
 		shards = append(shards, shard)
 	}
@@ -131,7 +131,7 @@
 // machines in it are reserved for a gang.
 func (t *Transfers) transferCost(
 	shard *storage.Shard, reserved map[protocol.MachineID]bool,
-) (cost float64, pinned bool) {
+) (cost float64, isPinned bool) {
 	if !t.Config.RecordTransfers {
 		return 0, false // the owner changes in one write, which delays nothing
 	}
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -29,41 +29,41 @@
 		{"overloaded", true, true, true, false, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := newTestController(t)
-			c.Config.RecordTransfers = test.recordSetting
+			controller := newTestController(t)
+			controller.Config.RecordTransfers = test.recordSetting
 			target := storage.ControllerRecord{Incarnation: otherIncarnation, SupportsTransfers: test.targetSupports}
-			c.put(t, storage.ControllerKey(otherController), storage.MustMarshal(target))
-			self := c.commit.Lease.Incarnation()
+			controller.put(t, storage.ControllerKey(otherController), storage.MustMarshal(target))
+			self := controller.commit.Lease.Incarnation()
 			for i := range 4 {
 				record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1}
 				lines := []string{record.EncodeLine(protocol.MachineID(fmt.Sprint("m-", i)))}
 				id := storage.ShardID(fmt.Sprint("p-", i))
-				c.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 3, lines, nil))
+				controller.put(t, storage.ShardKey(id), storage.EncodePlainShard(self, 3, lines, nil))
 			}
-			c.Advance(time.Minute)
+			controller.Advance(time.Minute)
 			if test.overloaded {
 				for range 100 {
-					c.Advance(400 * time.Millisecond)
-					c.Overload.RecordTick()
+					controller.Advance(400 * time.Millisecond)
+					controller.Overload.RecordTick()
 				}
 			}
-			if c.Manager.acceptsShards() == test.overloaded {
+			if controller.Manager.acceptsShards() == test.overloaded {
 				t.Errorf("accepts shards %v while overloaded is %v", test.overloaded, test.overloaded)
 			}
-			c.Peers.RecordStatus(&step.PeerStatus{
+			controller.Peers.RecordStatus(&step.PeerStatus{
 				ControllerID: otherController, Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true,
 			})
-			b := c.commit.ShardWriter.NewBatch(8)
-			c.Transfers.Rebalance(b)
-			c.Transfers.Rebalance(b) // is not due again
+			batch := controller.commit.ShardWriter.NewBatch(8)
+			controller.Transfers.Rebalance(batch)
+			controller.Transfers.Rebalance(batch) // is not due again
 			transferred, recorded := 0, 0
-			for _, shard := range writtenShards(t, b) {
+			for _, shard := range writtenShards(t, batch) {
 				if shard.Owner == otherIncarnation && shard.Epoch == 4 {
 					transferred++
 				}
 			}
 			for number := range storage.TransferSlotsPerController {
-				if b.ChangesTransfer(storage.NewTransferSlot(otherController, number)) {
+				if batch.ChangesTransfer(storage.NewTransferSlot(otherController, number)) {
 					recorded++
 				}
 			}
@@ -71,10 +71,10 @@
 				t.Errorf("%d transfers recorded, %d owners changed", recorded, transferred)
 			}
 			for range 100 { // the overload, if there was one, has passed
-				c.Advance(50 * time.Millisecond)
-				c.Overload.RecordTick()
+				controller.Advance(50 * time.Millisecond)
+				controller.Overload.RecordTick()
 			}
-			if got := c.Manager.acceptsShards(); got != test.wantAccepts {
+			if got := controller.Manager.acceptsShards(); got != test.wantAccepts {
 				t.Errorf("accepts shards %v, want %v", got, test.wantAccepts)
 			}
 		})
--- a/internal/coordination/ownership/transfer_steps.go
+++ b/internal/coordination/ownership/transfer_steps.go
@@ -13,26 +13,26 @@
 
 // AdvanceTransfers writes the steps of recorded transfers that fall to this controller by the rules of
 // package sharding.
-func (t *Transfers) AdvanceTransfers(b *commit.Batch) {
+func (t *Transfers) AdvanceTransfers(batch *commit.Batch) {
 	if len(t.Replica.Transfers) == 0 {
 		return
 	}
 	reserved := t.machinesReservedForGangs()
 	for _, slot := range step.SortedKeys(t.Replica.Transfers) {
-		observation := t.observe(slot)
-		if !t.hasOpenTransfer(slot) || b.ChangesTransfer(slot) {
+		observation := t.observeTransfer(slot)
+		if !t.hasOpenTransfer(slot) || batch.ChangesTransfer(slot) {
 			continue
 		}
 		status := t.transferStatus(slot, reserved)
 		status.PhaseAge = t.Since(observation.observedAt)
 		if next := sharding.NextStep(status, t.transferTimeouts()); next.Phase != "" {
-			t.WriteTransferStep(b, slot, next)
+			t.WriteTransferStep(batch, slot, next)
 		}
 	}
 }
 
-// observe tells since when this process has seen the transfer in a slot at its present revision.
-func (t *Transfers) observe(slot storage.TransferSlot) transferObservation {
+// observeTransfer tells since when this process has seen the transfer in a slot at its present revision.
+func (t *Transfers) observeTransfer(slot storage.TransferSlot) transferObservation {
 	observation := t.observations[slot]
 	if modRevision := t.Replica.Transfers[slot].ModRevision; observation.modRevision != modRevision {
 		observation = transferObservation{modRevision: modRevision, observedAt: t.Now.Monotonic}
@@ -71,43 +71,43 @@
 
 // WriteTransferStep writes the next phase of a transfer. If the batch has no capacity for it or changes
 // the shard already, nothing is written, and a later batch does it.
-func (t *Transfers) WriteTransferStep(b *commit.Batch, slot storage.TransferSlot, next sharding.TransferStep) {
+func (t *Transfers) WriteTransferStep(batch *commit.Batch, slot storage.TransferSlot, next sharding.TransferStep) {
 	record := t.Replica.Transfers[slot].Record
 	ops := 1
 	if next.Phase == storage.TransferCommitted {
-		if b.ChangesShard(record.Shard) {
+		if batch.ChangesShard(record.Shard) {
 			return
 		}
 		ops += t.shardWriter.ShardWriteOps(record.Shard)
 	}
-	if !b.HasCapacity(ops) {
+	if !batch.HasCapacity(ops) {
 		return
 	}
 	record.Phase = next.Phase
 	switch next.Phase {
 	case storage.TransferPrepared:
 		record.PreparedAt = t.Now.Wall
-		b.DependOn(storage.ShardKey(record.Shard))
+		batch.DependOn(storage.ShardKey(record.Shard))
 	case storage.TransferCommitted:
 		record.CommittedAt = t.Now.Wall
 		record.MachineCount = len(t.Replica.Shards[record.Shard].Machines)
-		t.ownership.transferShard(b, record.Shard, record.Target, record.Reason)
+		t.ownership.transferShard(batch, record.Shard, record.Target, record.Reason)
 	case storage.TransferAborted:
 		record.Reason, record.EndedAt = next.Reason, t.Now.Wall
 	case storage.TransferClosed:
 		record.EndedAt = t.Now.Wall
 	}
-	b.PutTransfer(slot, &record)
-	logTransferStep(b, &record)
+	batch.PutTransfer(slot, &record)
+	logTransferStep(batch, &record)
 }
 
 // logTransferStep logs a phase that a transfer enters; only its end is worth an operator's notice.
-func logTransferStep(b *commit.Batch, record *storage.TransferRecord) {
+func logTransferStep(batch *commit.Batch, record *storage.TransferRecord) {
 	level := slog.LevelDebug
 	if !record.Phase.IsOpen() {
 		level = slog.LevelInfo
 	}
-	b.Log(level, "shard transfer phase changed",
+	batch.Log(level, "shard transfer phase changed",
 		"transfer", record.Name, "shard", string(record.Shard),
 		"phase", string(record.Phase), "reason", record.Reason,
 		"quiesced_ms", int64(max(record.CommittedAt-record.PreparedAt, 0)),
@@ -116,9 +116,9 @@
 
 // endTransferOnFailover ends the pending transfer of a shard that this incarnation takes over: it is
 // committed if this is its target, and aborted if not.
-func (t *Transfers) endTransferOnFailover(b *commit.Batch, id storage.ShardID) {
+func (t *Transfers) endTransferOnFailover(batch *commit.Batch, id storage.ShardID) {
 	slot, transfer := t.Replica.OpenTransferOf(id)
-	if transfer == nil || !transfer.Record.Phase.IsPending() || b.ChangesTransfer(slot) {
+	if transfer == nil || !transfer.Record.Phase.IsPending() || batch.ChangesTransfer(slot) {
 		return
 	}
 	record := transfer.Record
@@ -128,5 +128,5 @@
 		record.Phase, record.EndedAt = storage.TransferAborted, t.Now.Wall
 		record.Reason = sharding.ReasonFailover
 	}
-	b.PutTransfer(slot, &record)
+	batch.PutTransfer(slot, &record)
 }
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -53,9 +53,9 @@
 // OpenTransfer records a transfer in a slot of its target that has no open transfer. An empty name
 // is replaced by a new one. The transaction depends on the keys of both incarnations and the shard.
 func (t *Transfers) OpenTransfer(
-	b *commit.Batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string,
+	batch *commit.Batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string,
 ) {
-	slot, ok := t.freeTransferSlot(b, transfer.Target.Controller())
+	slot, ok := t.freeTransferSlot(batch, transfer.Target.Controller())
 	if !ok {
 		return // all slots are taken; the caller tries again
 	}
@@ -75,11 +75,11 @@
 	if phase == storage.TransferPrepared {
 		record.PreparedAt = t.Now.Wall
 	}
-	b.PutTransfer(slot, &record)
-	b.DependOn(storage.ShardKey(transfer.Shard))
-	b.DependOn(storage.ControllerKey(transfer.Source.Controller()))
-	b.DependOn(storage.ControllerKey(transfer.Target.Controller()))
-	b.Log(slog.LevelInfo, "shard transfer started",
+	batch.PutTransfer(slot, &record)
+	batch.DependOn(storage.ShardKey(transfer.Shard))
+	batch.DependOn(storage.ControllerKey(transfer.Source.Controller()))
+	batch.DependOn(storage.ControllerKey(transfer.Target.Controller()))
+	batch.Log(slog.LevelInfo, "shard transfer started",
 		"transfer", name, "shard", string(transfer.Shard), "count", record.MachineCount,
 		"source", string(transfer.Source), "target", string(transfer.Target),
 		"phase", string(phase), "reason", reason)
@@ -118,12 +118,12 @@
 
 // freeTransferSlot gives the slot of a target whose transfer ended first, or that never had one.
 func (t *Transfers) freeTransferSlot(
-	b *commit.Batch, target protocol.ControllerID,
+	batch *commit.Batch, target protocol.ControllerID,
 ) (best storage.TransferSlot, ok bool) {
 	var oldest protocol.ModRevision
 	for number := range storage.TransferSlotsPerController {
 		slot := storage.NewTransferSlot(target, number)
-		if t.hasOpenTransfer(slot) || b.ChangesTransfer(slot) {
+		if t.hasOpenTransfer(slot) || batch.ChangesTransfer(slot) {
 			continue
 		}
 		if modRevision := t.Replica.ModRevision(storage.TransferKey(slot)); !ok || modRevision < oldest {
@@ -139,9 +139,9 @@
 	return transfer != nil && transfer.Record.Phase.IsOpen()
 }
 
-// recordsTransfers tells whether transfers to an incarnation are recorded: not if its version does
+// shouldRecordTransfersTo tells whether transfers to an incarnation are recorded: not if its version does
 // not know such records.
-func (t *Transfers) recordsTransfers(target storage.Incarnation) bool {
+func (t *Transfers) shouldRecordTransfersTo(target storage.Incarnation) bool {
 	controller := t.Replica.Controllers[target.Controller()]
 	return t.Config.RecordTransfers && controller != nil && controller.Record.SupportsTransfers
 }
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -54,7 +54,7 @@
 // controllerLoad is what a controller has of the load, and what it should have.
 type controllerLoad struct {
 	Controller
-	current           float64
+	currentLoad       float64
 	fairShare         float64 // its part of all load, above 0
 	incomingTransfers int
 }
@@ -63,7 +63,7 @@
 func (l *controllerLoad) isEvacuating() bool { return l.Overloaded || l.Draining }
 
 // relativeLoad is the load by the fair share: the same for all controllers of a balanced fleet.
-func (l *controllerLoad) relativeLoad() float64 { return l.current / l.fairShare }
+func (l *controllerLoad) relativeLoad() float64 { return l.currentLoad / l.fairShare }
 
 // PlanRebalance lists the transfers that the snapshot's controller should begin as their
 // source. Every controller plans for itself from the same records.
@@ -92,8 +92,8 @@
 		}
 		shard := transferable[i]
 		transferable = slices.Delete(transferable, i, i+1)
-		source.current -= shard.Load
-		target.current += shard.Load
+		source.currentLoad -= shard.Load
+		target.currentLoad += shard.Load
 		target.incomingTransfers++
 		transfers = append(transfers, Transfer{
 			Shard:  shard.ID,
@@ -107,27 +107,27 @@
 // computeLoads sums up the load that each controller has, and its fair share.
 func computeLoads(snapshot Snapshot, policy RebalancePolicy) map[storage.Incarnation]*controllerLoad {
 	loads := map[storage.Incarnation]*controllerLoad{}
-	demand, remaining := 0.0, 0
+	totalDemandCores, remainingControllers := 0.0, 0
 	for _, controller := range snapshot.Controllers {
 		loads[controller.Incarnation] = &controllerLoad{
 			Controller:        controller,
 			incomingTransfers: snapshot.IncomingTransfers[controller.Incarnation],
 		}
-		demand += controller.DemandCores
+		totalDemandCores += controller.DemandCores
 		if !controller.Draining {
-			remaining++
+			remainingControllers++
 		}
 	}
-	evenShare := 1 / float64(max(remaining, 1))
+	evenShare := 1 / float64(max(remainingControllers, 1))
 	for _, load := range loads {
 		load.fairShare = evenShare
-		if demand > 0 {
-			load.fairShare = (1-policy.DemandWeight)*evenShare + policy.DemandWeight*load.DemandCores/demand
+		if totalDemandCores > 0 {
+			load.fairShare = (1-policy.DemandWeight)*evenShare + policy.DemandWeight*load.DemandCores/totalDemandCores
 		}
 	}
 	for _, shard := range snapshot.Shards {
 		if load := loads[shard.Owner]; load != nil {
-			load.current += shard.Load
+			load.currentLoad += shard.Load
 		}
 	}
 	return loads
@@ -161,7 +161,7 @@
 ) *controllerLoad {
 	var best *controllerLoad
 	for _, load := range loads {
-		if load == source || !load.mayReceive(maxIncoming) {
+		if load == source || !load.mayReceiveShard(maxIncoming) {
 			continue
 		}
 		if !source.isEvacuating() && load.relativeLoad() >= maxTargetLoadRatio*source.relativeLoad() {
@@ -174,8 +174,8 @@
 	return best
 }
 
-// mayReceive tells whether the controller may get another shard, whatever the loads.
-func (l *controllerLoad) mayReceive(maxIncoming int) bool {
+// mayReceiveShard tells whether the controller may get another shard, whatever the loads.
+func (l *controllerLoad) mayReceiveShard(maxIncoming int) bool {
 	return l.Eligible && !l.isEvacuating() && l.incomingTransfers < maxIncoming && l.fairShare > 0
 }
 
@@ -189,5 +189,5 @@
 
 // improvesBalance tells whether a transfer leaves the target's relative load below the source's.
 func improvesBalance(source, target *controllerLoad, shardLoad float64) bool {
-	return source.isEvacuating() || (target.current+shardLoad)/target.fairShare < source.relativeLoad()
+	return source.isEvacuating() || (target.currentLoad+shardLoad)/target.fairShare < source.relativeLoad()
 }
--- a/internal/sharding/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -12,23 +12,25 @@
 
 var testPolicy = RebalancePolicy{MaxTransfers: 1, MaxIncomingTransfers: 2}
 
-func shardsOf(owner storage.Incarnation, n int) (shards []Shard) {
-	for i := range n {
+func shardsOf(owner storage.Incarnation, count int) (shards []Shard) {
+	for i := range count {
 		shards = append(shards, Shard{ID: storage.ShardID(fmt.Sprintf("%s-%d", owner, i)), Owner: owner, Load: 1})
 	}
 	return shards
 }
 
 func TestPlanRebalance(t *testing.T) {
-	a := Controller{Incarnation: "a#1", Eligible: true}
-	b := Controller{Incarnation: "b#1", Eligible: true}
-	c := Controller{Incarnation: "c#1", Eligible: true}
+	controllerA := Controller{Incarnation: "a#1", Eligible: true}
+	controllerB := Controller{Incarnation: "b#1", Eligible: true}
+	controllerC := Controller{Incarnation: "c#1", Eligible: true}
 	overloadedA := Controller{Incarnation: "a#1", Overloaded: true}
 	drainingA := Controller{Incarnation: "a#1", Draining: true}
 	ineligibleB := Controller{Incarnation: "b#1"}
 	drainingB := Controller{Incarnation: "b#1", Eligible: true, Draining: true}
 	demandingB := Controller{Incarnation: "b#1", Eligible: true, DemandCores: 100}
-	shards := func(ofA, ofB int) []Shard { return append(shardsOf("a#1", ofA), shardsOf("b#1", ofB)...) }
+	shards := func(ownedByA, ownedByB int) []Shard {
+		return append(shardsOf("a#1", ownedByA), shardsOf("b#1", ownedByB)...)
+	}
 	byDemand := RebalancePolicy{MaxTransfers: 1, MaxIncomingTransfers: 2, DemandWeight: 0.5}
 	for _, test := range []struct {
 		name        string
@@ -36,24 +38,24 @@
 		shards      []Shard
 		incoming    map[storage.Incarnation]int
 		policy      RebalancePolicy
-		target      storage.Incarnation // empty: no transfer
+		wantTarget  storage.Incarnation // empty: no transfer
 	}{
-		{"target has far fewer", []Controller{a, b}, shards(8, 4), nil, testPolicy, "b#1"},
-		{"target has a little fewer", []Controller{a, b}, shards(8, 6), nil, testPolicy, ""},
-		{"difference of one shard", []Controller{a, b}, shards(2, 1), nil, testPolicy, ""},
-		{"target with the fewest", []Controller{a, b, c}, shards(8, 2), nil, testPolicy, "c#1"},
-		{"ineligible target", []Controller{a, ineligibleB}, shards(8, 0), nil, testPolicy, ""},
+		{"target has far fewer", []Controller{controllerA, controllerB}, shards(8, 4), nil, testPolicy, "b#1"},
+		{"target has a little fewer", []Controller{controllerA, controllerB}, shards(8, 6), nil, testPolicy, ""},
+		{"difference of one shard", []Controller{controllerA, controllerB}, shards(2, 1), nil, testPolicy, ""},
+		{"target with the fewest", []Controller{controllerA, controllerB, controllerC}, shards(8, 2), nil, testPolicy, "c#1"},
+		{"ineligible target", []Controller{controllerA, ineligibleB}, shards(8, 0), nil, testPolicy, ""},
 		{
 			"enough incoming transfers",
-			[]Controller{a, b}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, "",
+			[]Controller{controllerA, controllerB}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, "",
 		},
-		{"overloaded source transfers its last", []Controller{overloadedA, b}, shards(1, 6), nil, testPolicy, "b#1"},
-		{"draining source transfers its last", []Controller{drainingA, b}, shards(1, 6), nil, testPolicy, "b#1"},
-		{"draining target", []Controller{a, drainingB}, shards(8, 0), nil, testPolicy, ""},
-		{"nothing to transfer", []Controller{a, b}, shards(0, 6), nil, testPolicy, ""},
-		{"pinned shard", []Controller{a, b}, []Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, ""},
-		{"demand attracts machines", []Controller{a, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
-		{"demand without weight", []Controller{a, demandingB}, shards(6, 6), nil, testPolicy, ""},
+		{"overloaded source transfers its last", []Controller{overloadedA, controllerB}, shards(1, 6), nil, testPolicy, "b#1"},
+		{"draining source transfers its last", []Controller{drainingA, controllerB}, shards(1, 6), nil, testPolicy, "b#1"},
+		{"draining target", []Controller{controllerA, drainingB}, shards(8, 0), nil, testPolicy, ""},
+		{"nothing to transfer", []Controller{controllerA, controllerB}, shards(0, 6), nil, testPolicy, ""},
+		{"pinned shard", []Controller{controllerA, controllerB}, []Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, ""},
+		{"demand attracts machines", []Controller{controllerA, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
+		{"demand without weight", []Controller{controllerA, demandingB}, shards(6, 6), nil, testPolicy, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			transfers := PlanRebalance(Snapshot{
@@ -62,14 +64,14 @@
 				Shards:            test.shards,
 				IncomingTransfers: test.incoming,
 			}, test.policy)
-			if test.target == "" {
+			if test.wantTarget == "" {
 				if len(transfers) != 0 {
 					t.Errorf("transfers %v", transfers)
 				}
 				return
 			}
-			if len(transfers) != 1 || transfers[0].Target != test.target || transfers[0].Source != "a#1" {
-				t.Errorf("transfers %v, want one to %s", transfers, test.target)
+			if len(transfers) != 1 || transfers[0].Target != test.wantTarget || transfers[0].Source != "a#1" {
+				t.Errorf("transfers %v, want one to %s", transfers, test.wantTarget)
 			}
 		})
 	}
@@ -109,8 +111,8 @@
 				t.Fatalf("still transfers after %d rounds: %+v", round, snapshot)
 			}
 			var transfers []Transfer
-			for _, c := range snapshot.Controllers {
-				snapshot.Self = c.Incarnation
+			for _, controller := range snapshot.Controllers {
+				snapshot.Self = controller.Incarnation
 				transfers = append(transfers, PlanRebalance(snapshot, policy)...)
 				if oneAtATime && len(transfers) > 0 {
 					break
@@ -119,20 +121,20 @@
 			if len(transfers) == 0 {
 				return
 			}
-			incoming := map[storage.Incarnation]int{}
+			incomingCounts := map[storage.Incarnation]int{}
 			for _, transfer := range transfers {
 				shard := &snapshot.Shards[slices.IndexFunc(snapshot.Shards, func(shard Shard) bool {
 					return shard.ID == transfer.Shard
 				})]
-				target := snapshot.Controllers[slices.IndexFunc(snapshot.Controllers, func(c Controller) bool {
-					return c.Incarnation == transfer.Target
+				target := snapshot.Controllers[slices.IndexFunc(snapshot.Controllers, func(candidate Controller) bool {
+					return candidate.Incarnation == transfer.Target
 				})]
-				incoming[transfer.Target]++
+				incomingCounts[transfer.Target]++
 				if shard.Owner != transfer.Source || shard.Pinned || transfer.Source == transfer.Target ||
 					!target.Eligible || target.Overloaded || target.Draining {
 					t.Fatalf("%+v must not be planned: %+v", transfer, snapshot)
 				}
-				if incoming[transfer.Target] > policy.MaxIncomingTransfers {
+				if incomingCounts[transfer.Target] > policy.MaxIncomingTransfers {
 					continue // the revisions of the target's slots let no more through
 				}
 				shard.Owner = transfer.Target
@@ -143,8 +145,8 @@
 
 func drawSnapshot(t *rapid.T) Snapshot {
 	var snapshot Snapshot
-	controllers := rapid.IntRange(1, 5).Draw(t, "controllers")
-	for i := range controllers {
+	controllerCount := rapid.IntRange(1, 5).Draw(t, "controllers")
+	for i := range controllerCount {
 		controller := Controller{
 			Incarnation: storage.Incarnation(fmt.Sprintf("c%d#1", i)),
 			DemandCores: rapid.Float64Range(0, 1000).Draw(t, "demand"),
@@ -161,7 +163,7 @@
 		snapshot.Controllers = append(snapshot.Controllers, controller)
 	}
 	for i := range rapid.IntRange(0, 40).Draw(t, "shards") {
-		owner := snapshot.Controllers[rapid.IntRange(0, controllers-1).Draw(t, "owner")].Incarnation
+		owner := snapshot.Controllers[rapid.IntRange(0, controllerCount-1).Draw(t, "owner")].Incarnation
 		snapshot.Shards = append(snapshot.Shards, Shard{
 			ID:     storage.ShardID(fmt.Sprint(i)),
 			Owner:  owner,
--- a/internal/sharding/transfer_test.go
+++ b/internal/sharding/transfer_test.go
@@ -18,10 +18,10 @@
 
 func TestNextStep(t *testing.T) {
 	const source, target, third = storage.Incarnation("a#1"), storage.Incarnation("b#1"), storage.Incarnation("c#1")
-	nothing := TransferStep{}
+	noStep := TransferStep{}
 	prepare := TransferStep{Phase: storage.TransferPrepared}
 	commit := TransferStep{Phase: storage.TransferCommitted}
-	closeIt := TransferStep{Phase: storage.TransferClosed}
+	closeTransfer := TransferStep{Phase: storage.TransferClosed}
 	abort := func(reason string) TransferStep { return TransferStep{storage.TransferAborted, reason} }
 	aged := func(age time.Duration) func(*TransferStatus) {
 		return func(status *TransferStatus) { status.PhaseAge = age }
@@ -48,32 +48,32 @@
 		want  TransferStep
 	}{
 		{"source accepts a proposal", storage.TransferProposed, source, nil, prepare},
-		{"target does not accept a proposal", storage.TransferProposed, target, nil, nothing},
-		{"gang placement first", storage.TransferProposed, source, setters{reservedFor(9 * time.Second)}, nothing},
+		{"target does not accept a proposal", storage.TransferProposed, target, nil, noStep},
+		{"gang placement first", storage.TransferProposed, source, setters{reservedFor(9 * time.Second)}, noStep},
 		{"gang placement timed out", storage.TransferProposed, source, setters{reservedFor(11 * time.Second)}, prepare},
 		{"proposal timed out", storage.TransferProposed, source, setters{aged(21 * time.Second)}, abort(ReasonNotAccepted)},
 		{"superseded", storage.TransferProposed, source, setters{superseded}, abort(ReasonSuperseded)},
-		{"not quiesced", storage.TransferPrepared, source, nil, nothing},
+		{"not quiesced", storage.TransferPrepared, source, nil, noStep},
 		{"quiesced", storage.TransferPrepared, source, setters{quiesced}, commit},
-		{"quiesced, seen by the target", storage.TransferPrepared, target, setters{quiesced}, nothing},
+		{"quiesced, seen by the target", storage.TransferPrepared, target, setters{quiesced}, noStep},
 		{"quiescing timed out", storage.TransferPrepared, source, setters{aged(11 * time.Second)}, abort(ReasonNotQuiesced)},
 		{"shard gone", storage.TransferPrepared, source, setters{ownedBy("")}, abort(ReasonShardGone)},
 		{"shard has another owner", storage.TransferPrepared, source, setters{ownedBy(third)}, abort(ReasonOwnerChanged)},
 		{"target dead", storage.TransferPrepared, source, setters{targetDead, quiesced}, abort(ReasonTargetGone)},
-		{"source dead, failover to come", storage.TransferPrepared, target, setters{sourceDead}, nothing},
+		{"source dead, failover to come", storage.TransferPrepared, target, setters{sourceDead}, noStep},
 		{"source dead, failover done", storage.TransferPrepared, target, setters{sourceDead, ownedBy(third)},
 			abort(ReasonOwnerChanged)},
 		{"both dead, seen by the successor", storage.TransferPrepared, third, setters{bothDead, successor},
 			abort(ReasonSourceGone)},
-		{"both dead, seen by another", storage.TransferPrepared, third, setters{bothDead}, nothing},
-		{"token not observed", storage.TransferCommitted, target, nil, nothing},
-		{"token observed", storage.TransferCommitted, target, setters{tokenObserved}, closeIt},
-		{"token observed, seen by the source", storage.TransferCommitted, source, setters{tokenObserved}, nothing},
-		{"target dead after the commit", storage.TransferCommitted, source, setters{targetDead}, closeIt},
-		{"token observation timed out", storage.TransferCommitted, target, setters{aged(15 * time.Second)}, closeIt},
-		{"both dead after the commit", storage.TransferCommitted, third, setters{bothDead, successor}, closeIt},
-		{"closed", storage.TransferClosed, target, setters{tokenObserved}, nothing},
-		{"aborted", storage.TransferAborted, source, setters{quiesced}, nothing},
+		{"both dead, seen by another", storage.TransferPrepared, third, setters{bothDead}, noStep},
+		{"token not observed", storage.TransferCommitted, target, nil, noStep},
+		{"token observed", storage.TransferCommitted, target, setters{tokenObserved}, closeTransfer},
+		{"token observed, seen by the source", storage.TransferCommitted, source, setters{tokenObserved}, noStep},
+		{"target dead after the commit", storage.TransferCommitted, source, setters{targetDead}, closeTransfer},
+		{"token observation timed out", storage.TransferCommitted, target, setters{aged(15 * time.Second)}, closeTransfer},
+		{"both dead after the commit", storage.TransferCommitted, third, setters{bothDead, successor}, closeTransfer},
+		{"closed", storage.TransferClosed, target, setters{tokenObserved}, noStep},
+		{"aborted", storage.TransferAborted, source, setters{quiesced}, noStep},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			status := TransferStatus{
@@ -129,8 +129,8 @@
 
 // applyNextStep lets a controller write what it has to, as of what it last read.
 func (m *transferModel) applyNextStep(incarnation storage.Incarnation, t *rapid.T) {
-	status, known := m.views[incarnation]
-	if !known || !m.alive[incarnation] || m.viewRevisions[incarnation] != m.revision {
+	status, hasView := m.views[incarnation]
+	if !hasView || !m.alive[incarnation] || m.viewRevisions[incarnation] != m.revision {
 		return // its write would conflict
 	}
 	step := NextStep(status, testTimeouts)
@@ -156,7 +156,7 @@
 // else dies some controller brings the transfer to its end.
 func TestTransferModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &transferModel{
+		model := &transferModel{
 			transfer: storage.TransferRecord{
 				Shard:  "p",
 				Source: "a#1",
@@ -172,22 +172,22 @@
 			return rapid.SampledFrom(modelIncarnations).Draw(t, "incarnation")
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"refresh": func(t *rapid.T) { m.refresh(drawIncarnation(), t) },
-			"act":     func(t *rapid.T) { m.applyNextStep(drawIncarnation(), t) },
+			"refresh": func(t *rapid.T) { model.refresh(drawIncarnation(), t) },
+			"act":     func(t *rapid.T) { model.applyNextStep(drawIncarnation(), t) },
 			"expire": func(t *rapid.T) {
-				if incarnation := drawIncarnation(); len(m.aliveIncarnations()) > 1 {
-					m.alive[incarnation] = false // for good: a new process has a new incarnation
+				if incarnation := drawIncarnation(); len(model.aliveIncarnations()) > 1 {
+					model.alive[incarnation] = false // for good: a new process has a new incarnation
 				}
 			},
-			"take over": func(t *rapid.T) { m.failOver() },
+			"take over": func(t *rapid.T) { model.failOver() },
 			"": func(t *rapid.T) {
-				proposed := m.transfer.Phase == storage.TransferProposed
-				if proposed && m.owner == m.transfer.Target && m.alive[m.transfer.Source] {
-					t.Fatalf("the shard has a new owner without a commit: %+v", m)
+				proposed := model.transfer.Phase == storage.TransferProposed
+				if proposed && model.owner == model.transfer.Target && model.alive[model.transfer.Source] {
+					t.Fatalf("the shard has a new owner without a commit: %+v", model)
 				}
 			},
 		})
-		m.runToCompletion(t)
+		model.runToCompletion(t)
 	})
 }
 
