--- a/internal/coordination/requests/deferred_requests.go
+++ b/internal/coordination/requests/deferred_requests.go
@@ -9,35 +9,36 @@
 	"tillerarch/internal/protocol"
 )
 
-// deferredState is what a deferred request waits for. The states come in this order.
+// deferredState identifies the event that a deferred request waits for. A request passes through
+// the states in this order.
 type deferredState int
 
 const (
-	awaitsRead         deferredState = iota // a read of the store's revision that begins after it came
+	awaitsRead         deferredState = iota // the start of a read of the store's revision after the request was received
 	awaitsRevision                          // the result of that read
-	awaitsReplica                           // the replica, to reach that revision
+	awaitsReplica                           // the replica reaching that revision
 	awaitsCancellation                      // the confirmation of the job's cancellation
 )
 
-// deferredRequest is a request whose answer needs a replica at least as new as a revision of the store
-// that was read after the request came.
+// deferredRequest is a request whose answer needs a replica at least as new as a revision of the
+// store that was read after the request was received.
 type deferredRequest struct {
 	requestID   step.RequestID
 	requestType protocol.RequestType
 	jobID       protocol.JobID
-	job         *protocol.Job // of a submission
+	job         *protocol.Job // set for a submission only
 	receivedAt  protocol.Instant
 	state       deferredState
-	minRevision protocol.Revision // from awaitsReplica on
+	minRevision protocol.Revision // set from awaitsReplica on
 }
 
-// revisionRead is the read of the store's revision that deferred requests share.
+// revisionRead holds the state of the read of the store's revision that deferred requests share.
 type revisionRead struct {
 	isInFlight  bool
 	requestedAt protocol.Instant
 }
 
-// HasDeferredRequests tells whether requests wait for a newer replica.
+// HasDeferredRequests reports whether requests are waiting for a newer replica.
 func (u *UserRequests) HasDeferredRequests() bool { return len(u.deferred) > 0 }
 
 // OnReadRevisionResult records the store's revision for all requests that wait for it.
@@ -52,8 +53,8 @@
 			u.rejectUnavailable(request.requestID)
 			return true
 		}
-		// Revision 0 is that of a store to which nothing has been written. It sets no bound for the
-		// replica, and the request waits for the next read.
+		// An empty store has revision 0. It sets no bound for the replica, so the request waits for the
+		// next read.
 		if result.Revision != 0 {
 			request.state, request.minRevision = awaitsReplica, result.Revision
 		}
@@ -61,7 +62,7 @@
 	})
 }
 
-// deferSubmission defers the answer to a submission that came at receivedAt.
+// deferSubmission defers the answer to a submission that was received at receivedAt.
 func (u *UserRequests) deferSubmission(requestID step.RequestID, job *protocol.Job, receivedAt protocol.Instant) {
 	u.deferRequest(&deferredRequest{
 		requestID:   requestID,
@@ -72,7 +73,8 @@
 	})
 }
 
-// deferRequest adds a request to the deferred ones, unless it has to be rejected.
+// deferRequest adds a request to the deferred requests. It rejects the request if the store is
+// unavailable or too many requests are deferred already.
 func (u *UserRequests) deferRequest(request *deferredRequest) {
 	if u.replication.StoreUnavailable() || len(u.deferred) >= maxWaitingRequests {
 		u.rejectUnavailable(request.requestID)
@@ -82,8 +84,8 @@
 	u.requestRevision()
 }
 
-// requestRevision reads the store's revision once for all requests that have come since the last
-// read began.
+// requestRevision starts a read of the store's revision unless one is in flight. All requests that
+// were received since the last read began share the read.
 func (u *UserRequests) requestRevision() {
 	if u.revisionRead.isInFlight {
 		return
@@ -107,8 +109,8 @@
 	u.requestRevision()
 }
 
-// tryReply answers a deferred request if that can be done now. It must not defer another one, as
-// the list is being filtered.
+// tryReply answers a deferred request if that is possible now, and reports whether it did. It must
+// not defer another request, because the caller is filtering the list of deferred requests.
 func (u *UserRequests) tryReply(request *deferredRequest) (isAnswered bool) {
 	if u.replyIfFinal(request.requestID, request.requestType, request.jobID) {
 		return true
@@ -119,7 +121,7 @@
 	entry := u.Replica.Jobs[request.jobID]
 	switch {
 	case entry == nil && request.requestType == protocol.RequestSubmit:
-		u.replyToUnrecorded(request)
+		u.replyToUnrecordedSubmission(request)
 	case entry == nil:
 		u.replyError(request.requestID, http.StatusNotFound, messageNoSuchJob)
 	case request.requestType == protocol.RequestCancel:
@@ -132,15 +134,16 @@
 	return true
 }
 
-// isReplicaNewEnough tells whether the replica has reached the revision that a request waits for.
+// isReplicaNewEnough reports whether the replica has reached the revision that a request waits for.
 func (u *UserRequests) isReplicaNewEnough(request *deferredRequest) bool {
 	return request.state == awaitsReplica &&
 		u.Replica.Revision >= request.minRevision &&
 		u.replication.IsLoaded()
 }
 
-// replyToUnrecorded handles a deferred submission of a job that no controller has put on record.
-func (u *UserRequests) replyToUnrecorded(request *deferredRequest) {
+// replyToUnrecordedSubmission handles a deferred submission of a job that no controller has recorded
+// in the store.
+func (u *UserRequests) replyToUnrecordedSubmission(request *deferredRequest) {
 	switch {
 	case !u.knowsMachineTypes():
 		u.rejectUnavailable(request.requestID)
@@ -148,15 +151,16 @@
 		u.Log(slog.LevelInfo, "job rejected, requirements cannot be met",
 			"job", string(request.jobID), "team", request.job.Team)
 		u.replyError(request.requestID, http.StatusUnprocessableEntity, messageNeverRuns)
-	case !u.canTakeSubmission():
+	case !u.canQueueSubmission():
 		u.rejectUnavailable(request.requestID)
 	default:
-		u.addSubmission(request.requestID, request.job)
+		u.queueSubmission(request.requestID, request.job)
 	}
 }
 
-func (u *UserRequests) expireDeferred(isExpired func(receivedAt protocol.Instant) bool) {
-	u.deferred = expire(u.deferred,
+// rejectExpiredDeferredRequests rejects the deferred requests that have expired.
+func (u *UserRequests) rejectExpiredDeferredRequests(isExpired func(receivedAt protocol.Instant) bool) {
+	u.deferred = rejectExpired(u.deferred,
 		func(request *deferredRequest) bool { return isExpired(request.receivedAt) },
 		func(request *deferredRequest) { u.rejectUnavailable(request.requestID) })
 }
--- a/internal/coordination/requests/drains.go
+++ b/internal/coordination/requests/drains.go
@@ -9,31 +9,31 @@
 	"tillerarch/internal/storage"
 )
 
-// DrainRequest begins or ends the drain of a controller. It is answered once that is on record; a
-// repeated request has no further effect.
+// DrainRequest begins or ends the drain of a controller. It is answered once the change is recorded
+// in the store. A repeated request has no further effect.
 type DrainRequest struct {
 	RequestID  step.RequestID
 	Controller protocol.ControllerID
-	Drain      bool
+	Drain      bool // true begins the drain, false ends it
 }
 
 // DrainReply answers a DrainRequest.
 type DrainReply struct {
 	RequestID step.RequestID
-	Status    ControllerStatus // of the controller as it is now
+	Status    ControllerStatus // the controller's current status
 	Err       error
 }
 
-// OnDrainRequest queues a request, or refuses it.
+// OnDrainRequest queues a drain request, or refuses it.
 func (o *OperatorRequests) OnDrainRequest(request DrainRequest) {
 	o.enqueue(&operatorRequest{
-		rejection: func(err *RequestError) step.Effect { return DrainReply{RequestID: request.RequestID, Err: err} },
-		tryWrite:  func(b *commit.Batch) (step.Effect, *RequestError) { return o.writeDrain(b, &request) },
+		newRejection: func(err *RequestError) step.Effect { return DrainReply{RequestID: request.RequestID, Err: err} },
+		tryWrite:     func(batch *commit.Batch) (step.Effect, *RequestError) { return o.writeDrain(batch, &request) },
 	}, o.checkDrain(&request))
 }
 
-// checkDrain refuses to drain a controller that is not registered, and the last one that could own
-// machines.
+// checkDrain refuses the drain of a controller that is not registered, and of the last controller
+// that could own machines.
 func (o *OperatorRequests) checkDrain(request *DrainRequest) *RequestError {
 	if !request.Drain || o.Replica.IsDraining(request.Controller) {
 		return nil
@@ -49,27 +49,27 @@
 	return newPermanentError("no other controller is up that could take the machines of %q", request.Controller)
 }
 
-// writeDrain puts a request into the batch, or answers it if it is on record. The write depends on
-// the drain keys of all controllers, so that two requests of the same instant do not drain the
-// last two.
-func (o *OperatorRequests) writeDrain(b *commit.Batch, request *DrainRequest) (step.Effect, *RequestError) {
+// writeDrain writes the requested change into the batch, or returns the answer if the change is
+// recorded already. The write is conditional on the drain keys of all controllers, so that two
+// simultaneous requests do not drain the last two controllers.
+func (o *OperatorRequests) writeDrain(batch *commit.Batch, request *DrainRequest) (step.Effect, *RequestError) {
 	if request.Drain == o.Replica.IsDraining(request.Controller) {
 		return DrainReply{RequestID: request.RequestID, Status: o.controllerStatus(request.Controller)}, nil
 	}
 	if err := o.checkDrain(request); err != nil {
 		return nil, err
 	}
-	if !b.HasCapacity(1) || b.ChangesDrain(request.Controller) {
+	if !batch.HasCapacity(1) || batch.ChangesDrain(request.Controller) {
 		return nil, nil
 	}
 	change := &commit.DrainChange{}
 	if request.Drain {
 		change.Record = &storage.DrainRecord{Since: o.Now.Wall}
 	}
-	b.SetDrain(request.Controller, change)
+	batch.SetDrain(request.Controller, change)
 	for controller := range o.Replica.Controllers {
-		b.DependOn(storage.DrainKey(controller))
+		batch.DependOn(storage.DrainKey(controller))
 	}
-	b.Log(slog.LevelInfo, "controller drain changed", "controller", string(request.Controller), "draining", request.Drain)
+	batch.Log(slog.LevelInfo, "controller drain changed", "controller", string(request.Controller), "draining", request.Drain)
 	return nil, nil
 }
--- a/internal/coordination/requests/operator_requests.go
+++ b/internal/coordination/requests/operator_requests.go
@@ -10,16 +10,16 @@
 	"tillerarch/internal/protocol"
 )
 
-// Bounds of operators' requests.
+// Limits on operators' requests.
 const (
-	maxOperatorRequests    = 16 // that are pending at once
+	maxOperatorRequests    = 16 // pending at once
 	operatorRequestTimeout = 5 * time.Second
 )
 
-// OperatorRequests answers operators' requests. Those that change something wait until the change
-// is on record: each is offered to every batch until it sees its change in the replica. A request
-// that could not be written in time is given up; its transaction may still succeed, so it must be safe
-// to repeat the request.
+// OperatorRequests answers operators' requests. A request that changes something waits until the
+// change is recorded in the store: it is offered to every batch until the replica contains its
+// change. A request that could not be written in time is refused. Its transaction may still succeed,
+// so it must be safe to repeat the request.
 type OperatorRequests struct {
 	*step.Context
 
@@ -28,21 +28,21 @@
 	replication *commit.Replication
 	transfers   *ownership.Transfers
 
-	pending []*operatorRequest // not on record yet
+	pending []*operatorRequest // not recorded yet
 }
 
-// operatorRequest is a request that is not on record yet.
+// operatorRequest is a request whose change is not recorded in the store yet.
 type operatorRequest struct {
 	receivedAt protocol.Instant
-	// tryWrite puts the change into a batch, or gives the answer once the change is on record.
-	tryWrite func(b *commit.Batch) (answer step.Effect, err *RequestError)
-	// rejection is the answer to a request that is refused.
-	rejection func(err *RequestError) step.Effect
+	// tryWrite writes the change into a batch, or returns the answer once the change is recorded.
+	tryWrite func(batch *commit.Batch) (answer step.Effect, err *RequestError)
+	// newRejection returns the answer that refuses the request.
+	newRejection func(err *RequestError) step.Effect
 }
 
-// enqueue adds a request to the pending ones, unless it is refused: by the check of its kind (err), or
-// for a reason that holds for all kinds. An unavailable store comes first, as the check may have read
-// an old replica.
+// enqueue adds a request to the pending requests, unless it is refused: because the check of its
+// type returned err, or for a reason that holds for all types. An unavailable store takes precedence
+// over err, because the check may have read an outdated replica.
 func (o *OperatorRequests) enqueue(request *operatorRequest, err *RequestError) {
 	switch {
 	case o.replication.StoreUnavailable() || !o.lease.IsRegistered():
@@ -51,7 +51,7 @@
 		err = errTooManyRequests
 	}
 	if err != nil {
-		o.Emit(request.rejection(err))
+		o.Emit(request.newRejection(err))
 		return
 	}
 	request.receivedAt = o.Now.Monotonic
@@ -59,12 +59,13 @@
 	o.ShouldRecheckDeferredHeartbeats = true
 }
 
-// WriteOperatorRequests offers a batch to all requests, and answers those that are on record.
-func (o *OperatorRequests) WriteOperatorRequests(b *commit.Batch) {
+// WriteOperatorRequests lets all pending requests write into a batch, and answers the requests whose
+// changes are recorded.
+func (o *OperatorRequests) WriteOperatorRequests(batch *commit.Batch) {
 	o.pending = slices.DeleteFunc(o.pending, func(request *operatorRequest) bool {
-		answer, err := request.tryWrite(b)
+		answer, err := request.tryWrite(batch)
 		if err != nil {
-			answer = request.rejection(err)
+			answer = request.newRejection(err)
 		}
 		if answer == nil {
 			return false
@@ -74,16 +75,16 @@
 	})
 }
 
-// ExpireOperatorRequests gives up on requests that could not be written in time.
+// ExpireOperatorRequests refuses the requests that could not be written in time.
 func (o *OperatorRequests) ExpireOperatorRequests() {
 	isExpired := func(request *operatorRequest) bool { return o.Since(request.receivedAt) > operatorRequestTimeout }
-	o.pending = expire(o.pending, isExpired, func(request *operatorRequest) {
-		o.Emit(request.rejection(errWriteTimeout))
+	o.pending = rejectExpired(o.pending, isExpired, func(request *operatorRequest) {
+		o.Emit(request.newRejection(errWriteTimeout))
 	})
 }
 
-// expire rejects the requests that have waited too long, and gives those that still wait.
-func expire[T any](waiting []T, isExpired func(T) bool, reject func(T)) []T {
+// rejectExpired rejects the waiting requests that have expired, and returns the other requests.
+func rejectExpired[T any](waiting []T, isExpired func(T) bool, reject func(T)) []T {
 	return slices.DeleteFunc(waiting, func(request T) bool {
 		expired := isExpired(request)
 		if expired {
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -129,31 +129,31 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
 			f.putControllers(t)
-			f.ask(c.request)
+			f.sendRequest(c.request)
 			f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 			f.wantRefusal(t, c.reason, c.transient)
 		})
 	}
 	t.Run("drain of the last controller", func(t *testing.T) {
 		f := newRegisteredFixture(t)
-		f.ask(DrainRequest{Controller: "stall-0", Drain: true})
+		f.sendRequest(DrainRequest{Controller: "stall-0", Drain: true})
 		f.wantRefusal(t, `no other controller is up that could take the machines of "stall-0"`, false)
 	})
 	t.Run("transfers not on record", func(t *testing.T) {
 		f := newRegisteredFixture(t)
 		f.putControllers(t)
 		f.Config.RecordTransfers = false
-		f.ask(TransferRequest{Name: "m", Shard: "p", Target: "stall-1"})
+		f.sendRequest(TransferRequest{Name: "m", Shard: "p", Target: "stall-1"})
 		f.wantRefusal(t, "moves are not on record here: moves.recorded is off", false)
 	})
 	t.Run("controller not registered", func(t *testing.T) {
 		f := newFixture(t)
-		f.ask(DrainRequest{Controller: "stall-9", Drain: true})
+		f.sendRequest(DrainRequest{Controller: "stall-9", Drain: true})
 		f.wantRefusal(t, "this controller does not reach the state service", true)
 	})
 }
 
-func (f *fixture) ask(request step.Input) {
+func (f *fixture) sendRequest(request step.Input) {
 	switch v := request.(type) {
 	case TransferRequest:
 		f.Operators.OnTransferRequest(v)
@@ -166,7 +166,7 @@
 func TestDrainIsAnsweredOnRecord(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
-	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
+	f.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
 	for range 2 { // the first transaction may fail
 		b := f.commit.ShardWriter.NewBatch(8)
 		f.Operators.WriteOperatorRequests(b)
@@ -190,12 +190,12 @@
 	f.putControllers(t)
 	drain := DrainRequest{Controller: "stall-1", Drain: true}
 	for range 16 {
-		f.ask(drain)
+		f.sendRequest(drain)
 	}
 	if isAnswered, _ := f.operatorReply(t); isAnswered {
 		t.Fatal("a request within the bound is answered at once")
 	}
-	f.ask(drain)
+	f.sendRequest(drain)
 	f.wantRefusal(t, "too many requests wait to be written", true)
 
 	f.Advance(5 * time.Second)
@@ -222,7 +222,7 @@
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
 	f.Put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
-	f.ask(DrainRequest{Controller: "stall-1", Drain: true})
+	f.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
 	b := f.commit.ShardWriter.NewBatch(8)
 	f.Operators.WriteOperatorRequests(b)
 	conditions := b.Transaction().Conditions
--- a/internal/coordination/requests/parts.go
+++ b/internal/coordination/requests/parts.go
@@ -8,13 +8,14 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of users' and operators' requests, connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Operators *OperatorRequests
 	Users     *UserRequests
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	return &Parts{
 		Operators: &OperatorRequests{Context: ctx},
@@ -22,7 +23,7 @@
 	}
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	Lease         *commit.Lease
 	Overload      *ownership.OverloadDetector
@@ -34,16 +35,16 @@
 	Store         *commit.StoreHealth
 }
 
-// Connect gives the parts what they need of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Operators.lease = d.Lease
-	p.Operators.overload = d.Overload
-	p.Operators.replication = d.Replication
-	p.Operators.transfers = d.Transfers
-	p.Users.cancellations = d.Cancellations
-	p.Users.catalog = d.Catalog
-	p.Users.lease = d.Lease
-	p.Users.limits = d.Limits
-	p.Users.replication = d.Replication
-	p.Users.store = d.Store
+// Connect connects the parts with those of other packages.
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Operators.lease = dependencies.Lease
+	p.Operators.overload = dependencies.Overload
+	p.Operators.replication = dependencies.Replication
+	p.Operators.transfers = dependencies.Transfers
+	p.Users.cancellations = dependencies.Cancellations
+	p.Users.catalog = dependencies.Catalog
+	p.Users.lease = dependencies.Lease
+	p.Users.limits = dependencies.Limits
+	p.Users.replication = dependencies.Replication
+	p.Users.store = dependencies.Store
 }
--- a/internal/coordination/requests/sharding_status.go
+++ b/internal/coordination/requests/sharding_status.go
@@ -8,7 +8,7 @@
 	"tillerarch/internal/storage"
 )
 
-// ShardingStatusRequest queries who owns which machines, and which transfers there are.
+// ShardingStatusRequest requests the owners of all shards, and the transfers.
 type ShardingStatusRequest struct{ RequestID step.RequestID }
 
 // ShardingStatusReply answers a ShardingStatusRequest from one revision of the records.
@@ -19,20 +19,21 @@
 	Controllers      []ControllerStatus
 	Shards           []ShardStatus
 	Transfers        []storage.TransferRecord
-	PlannedTransfers []sharding.Transfer // what this controller would begin now
+	PlannedTransfers []sharding.Transfer // transfers that this controller would begin now
 }
 
-// ControllerStatus is what a controller owns.
+// ControllerStatus holds the state of a controller, and the numbers of shards and machines that it
+// owns.
 type ControllerStatus struct {
 	ID                protocol.ControllerID
 	Incarnation       storage.Incarnation
 	Shards            int
 	Machines          int
-	SupportsTransfers bool // its version takes part in transfers on record
+	SupportsTransfers bool // its version takes part in recorded transfers
 	Draining          bool
 }
 
-// ShardStatus is a shard with its owner.
+// ShardStatus holds the owner of a shard, and the numbers of its machines and assigned tasks.
 type ShardStatus struct {
 	ID       storage.ShardID
 	Owner    storage.Incarnation
@@ -41,8 +42,8 @@
 	Tasks    int
 }
 
-// maxPlannedTransfers bounds the planned transfers in a reply: as many as two targets may receive at
-// once.
+// maxPlannedTransfers limits the planned transfers in a reply to the number that two targets may
+// receive at once.
 const maxPlannedTransfers = 2 * ownership.MaxIncomingTransfers
 
 // OnShardingStatusRequest answers with the ownership and the transfers as of the replica's revision.
@@ -63,6 +64,7 @@
 	o.Emit(reply)
 }
 
+// shardStatus returns the status of a recorded shard.
 func (o *OperatorRequests) shardStatus(id storage.ShardID) ShardStatus {
 	shard := o.Replica.Shards[id]
 	status := ShardStatus{ID: id, Owner: shard.Owner, Epoch: shard.Epoch, Machines: len(shard.Machines)}
@@ -78,6 +80,7 @@
 	return status
 }
 
+// controllerStatus returns the status of a controller, which need not be registered.
 func (o *OperatorRequests) controllerStatus(controller protocol.ControllerID) ControllerStatus {
 	status := ControllerStatus{ID: controller, Draining: o.Replica.IsDraining(controller)}
 	if entry := o.Replica.Controllers[controller]; entry != nil {
@@ -93,7 +96,7 @@
 	return status
 }
 
-// plannedTransfers are the transfers that this controller's rebalancing would begin now.
+// plannedTransfers returns the transfers that this controller's rebalancing would begin now.
 func (o *OperatorRequests) plannedTransfers() []sharding.Transfer {
 	snapshot := o.transfers.ShardingSnapshot(o.overload.IsOverloaded())
 	return sharding.PlanRebalance(snapshot, sharding.RebalancePolicy{
--- a/internal/coordination/requests/submissions.go
+++ b/internal/coordination/requests/submissions.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// maxJobRecordPercent is the part of a stored value, in hundredths, that a new job's record
-	// may take; the rest is for the done tasks and reservations that are recorded in it later.
+	// maxJobRecordPercent is the percentage of the largest stored value that a new job's record may
+	// occupy. The rest is for the done tasks and reservations that are recorded in it later.
 	maxJobRecordPercent = 85
 
-	// quotaTolerance absorbs rounding where resources are summed up and compared with a quota.
+	// quotaTolerance absorbs rounding errors when a sum of resources is compared with a quota.
 	quotaTolerance = 1e-9
 )
 
-// submission is a job that is not on record yet.
+// submission is a job that is not recorded in the store yet.
 type submission struct {
 	job         *protocol.Job
 	receivedAt  protocol.Instant
@@ -27,21 +27,22 @@
 	requestIDs  []step.RequestID // of all users who have submitted it meanwhile
 }
 
-// HasSubmissions tells whether jobs wait to be put on record.
+// HasSubmissions reports whether jobs are waiting to be recorded.
 func (u *UserRequests) HasSubmissions() bool { return len(u.submissions) > 0 }
 
-// WriteUserRequests puts new jobs and the steps of cancellations into the batch.
-func (u *UserRequests) WriteUserRequests(b *commit.Batch) {
-	u.cancellations.WriteCancellations(b)
+// WriteUserRequests writes new jobs and the steps of cancellations into the batch.
+func (u *UserRequests) WriteUserRequests(batch *commit.Batch) {
+	u.cancellations.WriteCancellations(batch)
 	for _, id := range step.SortedKeys(u.submissions) {
-		if u.Replica.Jobs[id] != nil || !b.HasCapacity(1) {
+		if u.Replica.Jobs[id] != nil || !batch.HasCapacity(1) {
 			continue
 		}
 		pending := u.submissions[id]
-		b.AddJob(id, u.newJobRecord(pending.job, pending.submittedAt))
+		batch.AddJob(id, u.newJobRecord(pending.job, pending.submittedAt))
 	}
 }
 
+// newJobRecord returns the first record of a submitted job.
 func (u *UserRequests) newJobRecord(job *protocol.Job, submittedAt protocol.Millis) *storage.JobRecord {
 	return &storage.JobRecord{
 		Spec:        job,
@@ -51,8 +52,8 @@
 	}
 }
 
-// JobRecordFits tells whether a job's record stays within a stored value, whatever is recorded in it
-// later, also under limits that are announced.
+// JobRecordFits reports whether a job's record fits into a stored value, including whatever is
+// recorded in it later, under the current and the announced limits.
 func (u *UserRequests) JobRecordFits(job *protocol.Job) bool {
 	format := storage.FormatPlain
 	if u.Config.AnnouncedLimits != nil {
@@ -62,33 +63,33 @@
 	return size <= u.limits.AdmissionLimits().ValueBytes*maxJobRecordPercent/100
 }
 
-// onSubmit handles the submission of a valid job.
-func (u *UserRequests) onSubmit(requestID step.RequestID, job *protocol.Job) {
+// onValidSubmission handles the submission of a job whose description is valid.
+func (u *UserRequests) onValidSubmission(requestID step.RequestID, job *protocol.Job) {
 	switch {
 	case u.replyIfFinal(requestID, protocol.RequestSubmit, job.ID):
 	case u.Replica.Jobs[job.ID] != nil:
 		u.deferSubmission(requestID, job, u.Now.Monotonic)
-	case !u.canTakeSubmission():
+	case !u.canQueueSubmission():
 		u.rejectUnavailable(requestID)
 	case !u.canEverRun(job):
-		// It may be rejected only once it is certain that no other controller has accepted it.
+		// The job may be rejected only once it is certain that no other controller has accepted it.
 		u.deferSubmission(requestID, job, u.Now.Monotonic)
 	default:
-		u.addSubmission(requestID, job)
+		u.queueSubmission(requestID, job)
 	}
 }
 
-// canTakeSubmission tells whether one more job can wait to be put on record.
-func (u *UserRequests) canTakeSubmission() bool {
+// canQueueSubmission reports whether one more job can wait to be recorded.
+func (u *UserRequests) canQueueSubmission() bool {
 	return !u.replication.StoreUnavailable() && u.knowsMachineTypes() && len(u.submissions) < maxWaitingRequests
 }
 
-// knowsMachineTypes tells whether the cloud's machine types have been read: without them it is unknown
-// which jobs can run.
+// knowsMachineTypes reports whether the cloud's machine types have been read. Without them it is
+// unknown which jobs can run.
 func (u *UserRequests) knowsMachineTypes() bool { return len(u.catalog.MachineTypes()) > 0 }
 
-// addSubmission queues a job to be put on record.
-func (u *UserRequests) addSubmission(requestID step.RequestID, job *protocol.Job) {
+// queueSubmission queues a job to be recorded, or adds the request to those of the same queued job.
+func (u *UserRequests) queueSubmission(requestID step.RequestID, job *protocol.Job) {
 	pending := u.submissions[job.ID]
 	if pending == nil {
 		pending = &submission{job: job, receivedAt: u.Now.Monotonic, submittedAt: u.Now.Wall}
@@ -97,26 +98,26 @@
 	pending.requestIDs = append(pending.requestIDs, requestID)
 }
 
-// canEverRun tells whether the team's quota and the cloud's machine types allow the job at all.
+// canEverRun reports whether the team's quota and the cloud's machine types allow the job at all.
 func (u *UserRequests) canEverRun(job *protocol.Job) bool {
-	quota, ok := u.Config.Quotas[job.Team]
-	return ok && fitsQuota(job, quota) && u.fitsAnyMachineType(job)
+	quota, hasQuota := u.Config.Quotas[job.Team]
+	return hasQuota && fitsQuota(job, quota) && u.fitsAnyMachineType(job)
 }
 
-// fitsQuota tells whether the tasks of a job that must run at the same time stay within a quota.
+// fitsQuota reports whether the tasks of a job that must run at the same time stay within a quota.
 func fitsQuota(job *protocol.Job, quota step.Quota) bool {
 	concurrentTasks := 1.0
 	if job.IsGang() || job.IsService() {
 		concurrentTasks = float64(job.TaskCount)
 	}
-	return isWithin(concurrentTasks*job.Cores, quota.MaxCores) &&
-		isWithin(concurrentTasks*job.Accelerators, quota.MaxAccelerators)
+	return isWithinLimit(concurrentTasks*job.Cores, quota.MaxCores) &&
+		isWithinLimit(concurrentTasks*job.Accelerators, quota.MaxAccelerators)
 }
 
-// isWithin tells whether an amount is within a limit; 0 is no limit.
-func isWithin(amount, limit float64) bool { return limit <= 0 || amount <= limit+quotaTolerance }
+// isWithinLimit reports whether an amount is within a limit. A limit of 0 means no limit.
+func isWithinLimit(amount, limit float64) bool { return limit <= 0 || amount <= limit+quotaTolerance }
 
-// fitsAnyMachineType tells whether one task of a job fits a machine that it may be placed on.
+// fitsAnyMachineType reports whether one task of a job fits a machine that it may be placed on.
 func (u *UserRequests) fitsAnyMachineType(job *protocol.Job) bool {
 	machineTypes := u.catalog.MachineTypes()
 	for i := range machineTypes {
@@ -130,7 +131,7 @@
 	return false
 }
 
-// replyToSubmissions answers for the jobs that are on record by now.
+// replyToSubmissions answers the submissions of jobs that are recorded by now.
 func (u *UserRequests) replyToSubmissions() {
 	for _, id := range step.SortedKeys(u.submissions) {
 		pending, entry := u.submissions[id], u.Replica.Jobs[id]
@@ -144,8 +145,8 @@
 	}
 }
 
-// replyToSubmission answers for a job that is on record. If another controller has recorded it, its
-// state may be newer than this replica.
+// replyToSubmission answers one request that submitted a recorded job. If another controller owns the
+// job, its state may be newer than this replica, so the answer is deferred.
 func (u *UserRequests) replyToSubmission(
 	requestID step.RequestID, pending *submission, entry *storage.Versioned[storage.JobRecord],
 ) {
@@ -162,7 +163,8 @@
 	}
 }
 
-func (u *UserRequests) expireSubmissions(isExpired func(receivedAt protocol.Instant) bool) {
+// rejectExpiredSubmissions rejects the requests of the submissions that have expired.
+func (u *UserRequests) rejectExpiredSubmissions(isExpired func(receivedAt protocol.Instant) bool) {
 	for _, id := range step.SortedKeys(u.submissions) {
 		pending := u.submissions[id]
 		if !isExpired(pending.receivedAt) {
--- a/internal/coordination/requests/transfers.go
+++ b/internal/coordination/requests/transfers.go
@@ -8,14 +8,14 @@
 	"tillerarch/internal/storage"
 )
 
-// TransferRequest begins a shard transfer, or aborts one. It is answered once that is on record, with
-// the transfer as it is there; a repeated request of the same name has no further effect.
+// TransferRequest begins or aborts a shard transfer. It is answered with the recorded transfer once
+// the change is recorded in the store. A repeated request of the same name has no further effect.
 type TransferRequest struct {
 	RequestID step.RequestID
 	Name      string                // of the transfer
-	Abort     bool                  // abort the transfer of that name instead
-	Shard     storage.ShardID       // the shard to transfer; or
-	Source    protocol.ControllerID // any one of this controller's
+	Abort     bool                  // abort the transfer of that name instead of beginning one
+	Shard     storage.ShardID       // the shard to transfer, or empty for the smallest shard of Source
+	Source    protocol.ControllerID // the controller to take a shard from if Shard is empty
 	Target    protocol.ControllerID
 }
 
@@ -29,15 +29,15 @@
 // maxTransferNameBytes is the longest name of a transfer, in bytes.
 const maxTransferNameBytes = 100
 
-// operatorTransferReason is the reason on record of a transfer that an operator asked for.
+// operatorTransferReason is the recorded reason of a transfer that an operator requested.
 const operatorTransferReason = "asked for by the operator"
 
-// OnTransferRequest queues a request, or refuses it.
+// OnTransferRequest queues a transfer request, or refuses it.
 func (o *OperatorRequests) OnTransferRequest(request TransferRequest) {
 	o.enqueue(&operatorRequest{
-		rejection: func(err *RequestError) step.Effect { return TransferReply{RequestID: request.RequestID, Err: err} },
-		tryWrite: func(b *commit.Batch) (step.Effect, *RequestError) {
-			transfer, err := o.writeTransferRequest(b, &request)
+		newRejection: func(err *RequestError) step.Effect { return TransferReply{RequestID: request.RequestID, Err: err} },
+		tryWrite: func(batch *commit.Batch) (step.Effect, *RequestError) {
+			transfer, err := o.writeTransferRequest(batch, &request)
 			if transfer == nil || err != nil {
 				return nil, err
 			}
@@ -46,7 +46,7 @@
 	}, o.checkTransferRequest(&request))
 }
 
-// checkTransferRequest refuses at once what the records show to be impossible.
+// checkTransferRequest refuses a request that the records show to be impossible.
 func (o *OperatorRequests) checkTransferRequest(request *TransferRequest) *RequestError {
 	if request.Name == "" || len(request.Name) > maxTransferNameBytes {
 		return newPermanentError("a move needs a name of 1 to %d bytes", maxTransferNameBytes)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// findTransfer gives the newest transfer of a name, nil for none.
+// findTransfer returns the newest transfer of a name, or nil if there is none.
 func (o *OperatorRequests) findTransfer(name string) *storage.Versioned[storage.TransferRecord] {
 	var newest *storage.Versioned[storage.TransferRecord]
 	for _, entry := range o.Replica.Transfers {
@@ -81,28 +81,28 @@
 	return newest
 }
 
-// writeTransferRequest puts a request into the batch, or gives the transfer if what was requested is on
-// record.
+// writeTransferRequest writes the requested change into the batch, or returns the transfer if the
+// change is recorded already.
 func (o *OperatorRequests) writeTransferRequest(
-	b *commit.Batch, request *TransferRequest,
+	batch *commit.Batch, request *TransferRequest,
 ) (*storage.TransferRecord, *RequestError) {
 	entry := o.findTransfer(request.Name)
 	switch {
 	case entry == nil && request.Abort:
 		return nil, newPermanentError("no move %q", request.Name)
 	case entry == nil:
-		return nil, o.proposeTransfer(b, request)
+		return nil, o.proposeTransfer(batch, request)
 	case !request.Abort || entry.Record.Phase == storage.TransferAborted:
 		return &entry.Record, nil
 	case !entry.Record.Phase.IsPending():
 		return nil, newPermanentError("the move is %s already", entry.Record.Phase)
 	}
-	o.abortTransfer(b, request.Name)
+	o.abortTransfer(batch, request.Name)
 	return nil, nil
 }
 
-// proposeTransfer puts the record of a new transfer into the batch, if that has capacity for it.
-func (o *OperatorRequests) proposeTransfer(b *commit.Batch, request *TransferRequest) *RequestError {
+// proposeTransfer writes the record of a new transfer into the batch if the batch has capacity.
+func (o *OperatorRequests) proposeTransfer(batch *commit.Batch, request *TransferRequest) *RequestError {
 	shard, err := o.requestedShard(request)
 	if err != nil {
 		return err
@@ -117,26 +117,26 @@
 			return newUnsupportedTransferError(controller)
 		}
 	}
-	if b.HasCapacity(1) {
+	if batch.HasCapacity(1) {
 		transfer := sharding.Transfer{Shard: shard, Source: source, Target: target.Record.Incarnation}
-		o.transfers.OpenTransfer(b, transfer, storage.TransferProposed, operatorTransferReason, request.Name)
+		o.transfers.OpenTransfer(batch, transfer, storage.TransferProposed, operatorTransferReason, request.Name)
 	}
 	return nil
 }
 
-// newUnsupportedTransferError refuses a transfer from or to a controller that would not act on its
-// record.
+// newUnsupportedTransferError returns the refusal of a transfer from or to a controller that would not
+// act on the transfer's record.
 func newUnsupportedTransferError(controller protocol.ControllerID) *RequestError {
 	return newPermanentError(
 		"controller %q runs a version, or with settings, that take no part in moves on record", controller)
 }
 
-// abortTransfer puts the end of the pending transfers of a name into the batch.
-func (o *OperatorRequests) abortTransfer(b *commit.Batch, name string) {
+// abortTransfer writes the abort of the pending transfers of a name into the batch.
+func (o *OperatorRequests) abortTransfer(batch *commit.Batch, name string) {
 	for _, slot := range step.SortedKeys(o.Replica.Transfers) {
 		entry := o.Replica.Transfers[slot]
-		if entry.Record.Name == name && entry.Record.Phase.IsPending() && !b.ChangesTransfer(slot) {
-			o.transfers.WriteTransferStep(b, slot, sharding.TransferStep{
+		if entry.Record.Name == name && entry.Record.Phase.IsPending() && !batch.ChangesTransfer(slot) {
+			o.transfers.WriteTransferStep(batch, slot, sharding.TransferStep{
 				Phase:  storage.TransferAborted,
 				Reason: sharding.ReasonOperatorAbort,
 			})
@@ -144,7 +144,8 @@
 	}
 }
 
-// requestedShard is the shard to transfer: the one that a request names, or one of the source.
+// requestedShard returns the shard to transfer: the shard that a request names, or else the smallest
+// transferable shard of the source.
 func (o *OperatorRequests) requestedShard(request *TransferRequest) (storage.ShardID, *RequestError) {
 	if request.Shard == "" {
 		return o.smallestTransferableShard(request)
@@ -164,8 +165,8 @@
 	return request.Shard, nil
 }
 
-// smallestTransferableShard is the shard of the source with the fewest machines, of those that are
-// not being transferred.
+// smallestTransferableShard returns the shard with the fewest machines among the source's shards that
+// are not being transferred.
 func (o *OperatorRequests) smallestTransferableShard(
 	request *TransferRequest,
 ) (smallest storage.ShardID, err *RequestError) {
@@ -186,7 +187,7 @@
 	return smallest, nil
 }
 
-// isTransferableFrom tells whether a shard belongs to the living incarnation of a controller, and is
+// isTransferableFrom reports whether a shard belongs to the live incarnation of a controller and is
 // not being transferred.
 func (o *OperatorRequests) isTransferableFrom(source protocol.ControllerID, id storage.ShardID) bool {
 	owner := o.Replica.Shards[id].Owner
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// maxWaitingRequests bounds the submissions that are not on record yet, and the deferred requests.
-	// Requests beyond that are rejected, and the user is to retry.
+	// maxWaitingRequests limits the submissions that are not recorded yet, and separately the deferred
+	// requests. Further requests are rejected, and the user must retry.
 	maxWaitingRequests = 2000
 
-	// retryAfterSeconds is the Retry-After of a rejected request.
+	// retryAfterSeconds is the Retry-After header of a rejected request.
 	retryAfterSeconds = 1
 
-	// maxLoggedBodyBytes is how much of an invalid submission goes into the log.
+	// maxLoggedBodyBytes is the number of bytes of an invalid submission that are logged.
 	maxLoggedBodyBytes = 600
 )
 
-// Texts of errors that users see.
+// Error messages for users.
 const (
 	messageUnavailable = "cannot decide now"
 	messageNoSuchJob   = "no such job"
@@ -32,8 +32,8 @@
 	messageNeverRuns   = "can never run"
 )
 
-// UserRequests answers users' requests: to submit, query or cancel a job. Those that need a newer
-// replica are deferred, and jobs wait here until they are on record.
+// UserRequests answers users' requests to submit, query or cancel a job. It defers requests that need
+// a newer replica, and holds submitted jobs until they are recorded in the store.
 type UserRequests struct {
 	*step.Context
 
@@ -49,7 +49,7 @@
 	revisionRead revisionRead
 }
 
-// newUserRequests makes a part with no request in it.
+// newUserRequests returns a UserRequests that holds no requests.
 func newUserRequests(ctx *step.Context) *UserRequests {
 	return &UserRequests{
 		Context:     ctx,
@@ -57,7 +57,7 @@
 	}
 }
 
-// OnUserInput handles a request, and answers it if that can be done at once.
+// OnUserInput handles a request, and answers it if that is possible at once.
 func (u *UserRequests) OnUserInput(input step.UserInput) {
 	switch {
 	case input.Type == protocol.RequestSubmit:
@@ -70,7 +70,8 @@
 	}
 }
 
-// onSubmitInput checks the description of a submitted job.
+// onSubmitInput checks the description of a submitted job, and handles the submission if the
+// description is valid.
 func (u *UserRequests) onSubmitInput(input step.UserInput) {
 	job, err := protocol.ParseJob(input.Body)
 	if err != nil {
@@ -83,11 +84,12 @@
 		u.replyError(input.RequestID, http.StatusBadRequest, messageJobTooLarge)
 		return
 	}
-	u.onSubmit(input.RequestID, job)
+	u.onValidSubmission(input.RequestID, job)
 }
 
-// onJobInput handles a request for a job that is not in a final state here. A cancellation of a job that is
-// known to exist begins at once; the answer waits for its confirmation either way.
+// onJobInput handles a query or a cancellation of a job that is not in a final state in the replica.
+// The cancellation of a job that is known to exist begins at once. The answer to a cancellation waits
+// for its confirmation in either case.
 func (u *UserRequests) onJobInput(input step.UserInput) {
 	isKnown := u.Replica.Jobs[input.Job] != nil
 	if input.Type == protocol.RequestCancel && isKnown && !u.replication.StoreUnavailable() {
@@ -101,8 +103,8 @@
 	})
 }
 
-// replyIfFinal answers a request from the replica alone if the job is in a final state, which never
-// changes.
+// replyIfFinal answers a request from the replica alone if the job is in a final state, because such a
+// state never changes. It reports whether it answered.
 func (u *UserRequests) replyIfFinal(
 	requestID step.RequestID, requestType protocol.RequestType, id protocol.JobID,
 ) bool {
@@ -114,7 +116,8 @@
 	return true
 }
 
-// jobStatus is what the replica says of a job, as the answer to a type of request.
+// jobStatus returns the status of a job according to the replica. The counts of tasks are set only for
+// a query.
 func (u *UserRequests) jobStatus(
 	id protocol.JobID, record *storage.JobRecord, requestType protocol.RequestType,
 ) protocol.JobStatus {
@@ -137,7 +140,7 @@
 	return status
 }
 
-// runningTasks counts the tasks of a job that are assigned to machines.
+// runningTasks returns the number of tasks of a job that are assigned to machines.
 func (u *UserRequests) runningTasks(id protocol.JobID) int {
 	running := 0
 	for machineID := range u.Replica.MachinesWithJob(id) {
@@ -148,11 +151,12 @@
 	return running
 }
 
+// replyError answers a request with an error message.
 func (u *UserRequests) replyError(requestID step.RequestID, status int, message string) {
 	u.Reply(requestID, status, step.ErrorResponse{Error: message})
 }
 
-// rejectUnavailable answers that the request cannot be decided now and is to be retried.
+// rejectUnavailable answers that the request cannot be decided now and must be retried.
 func (u *UserRequests) rejectUnavailable(requestID step.RequestID) {
 	u.Emit(step.Reply{
 		RequestID:         requestID,
@@ -168,13 +172,13 @@
 	u.replyToDeferred()
 }
 
-// ExpireUserRequests gives up on requests that have waited too long. While the store is unavailable
-// none is kept: the user is better off retrying at another controller at once.
+// ExpireUserRequests rejects requests that have waited too long. While the store is unavailable it
+// rejects all requests, because the user is better served by retrying with another controller at once.
 func (u *UserRequests) ExpireUserRequests() {
 	unavailable := u.replication.StoreUnavailable()
 	isExpired := func(receivedAt protocol.Instant) bool {
 		return unavailable || u.Since(receivedAt) > u.Config.UserRequestTimeout
 	}
-	u.expireSubmissions(isExpired)
-	u.expireDeferred(isExpired)
+	u.rejectExpiredSubmissions(isExpired)
+	u.rejectExpiredDeferredRequests(isExpired)
 }
