--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -6,30 +6,31 @@
 )
 
 const (
-	// maxTasksPerWrite bounds the tasks of an array that one write assigns to a machine.
+	// maxTasksPerWrite is the maximum number of tasks of an array that one write assigns to a machine.
 	maxTasksPerWrite = 200
-	// maxReservedTasks is for how many tasks of a starved array machines are reserved: the first
-	// task that is placed ends the starvation.
+	// maxReservedTasks is the maximum number of tasks of a starved array that machines are reserved for.
+	// The first task that is placed ends the starvation, so that a few are enough.
 	maxReservedTasks = 4
 )
 
-// anyZone is the list of zones for tasks that are not bound to one.
+// anyZone is the list of zones for tasks that may run in any zone.
 var anyZone = []protocol.Zone{""}
 
-// arrayPlacer places tasks of one array in a pass.
+// arrayPlacer places the tasks of one array in a planning pass.
 type arrayPlacer struct {
 	scheduler      *Scheduler
 	batch          *commit.Batch
 	job            *PendingJob
 	candidates     []*Candidate
-	unplacedTasks  int   // tasks that have no machine
-	placeableTasks int   // how many of them may be placed now
-	canWrite       bool  // this incarnation writes the job's placements now
-	pendingTasks   []int // indices of the tasks to place, if canWrite
+	unplacedTasks  int   // tasks without a machine
+	placeableTasks int   // number of unplaced tasks that may be placed in this call
+	canWrite       bool  // whether this incarnation may write the job's placements now
+	pendingTasks   []int // indexes of the tasks to place, if canWrite
 }
 
-// placeArray places up to maxTasks tasks of an array. With ownerShards only the shards of the
-// job's owner are used, and what is left waits; else it is unmet demand.
+// placeArray places up to maxTasks tasks of an array. With scope ownerShards it uses only shards of
+// the job's owner and leaves the other tasks to a later call. With scope allShards and unlimited
+// maxTasks it records tasks without a machine as backfill reservations or unmet demand.
 func (s *Scheduler) placeArray(
 	batch *commit.Batch, job *PendingJob, candidates []*Candidate, maxTasks int, scope shardScope,
 ) {
@@ -50,7 +51,7 @@
 		return
 	}
 	if job.isStarved && job.placedTasks == 0 && placer.placeableTasks > 0 {
-		// Its tasks fit nowhere while others take all capacity as it becomes free.
+		// The tasks of the job fit nowhere because other jobs take all capacity as it becomes free.
 		s.gangs.reserveForStarvedJob(batch, job, candidates, anyZone, min(placer.placeableTasks, maxReservedTasks))
 	}
 	if isUnbounded := maxTasks == protocol.MaxTasks; isUnbounded {
@@ -64,8 +65,8 @@
 	spec := job.record.Spec
 	placer := &arrayPlacer{scheduler: s, batch: batch, job: job, candidates: candidates, unplacedTasks: job.unplacedTasks()}
 	quota := s.queue.quotaHeadroom(candidates, spec)
-	// The encoded set of done tasks must fit the job's record: gaps in it are bounded by the
-	// tasks in progress.
+	// The encoded set of done tasks must fit the job's record. The number of tasks in progress bounds
+	// the number of gaps in the set.
 	recordHeadroom := max(s.acquirer.maxTasksInProgress(spec.TaskCount)-job.placedTasks, 0)
 	placer.placeableTasks = min(placer.unplacedTasks, maxTasks, quota, recordHeadroom)
 	placer.canWrite = s.acquirer.canPlaceNow(batch, job)
@@ -76,7 +77,7 @@
 	return placer
 }
 
-// placeOnMachine places as many tasks of the array on the machine as fit.
+// placeOnMachine places as many tasks of the array on a machine as fit there.
 func (p *arrayPlacer) placeOnMachine(machine *Candidate) {
 	spec := p.job.record.Spec
 	count := min(machine.free.CapacityFor(spec), p.placeableTasks, p.job.zoneHeadroom(machine.record.Zone))
@@ -96,8 +97,9 @@
 	p.placeableTasks -= count
 }
 
-// recordUnplacedTasks handles tasks that may be placed and have found no machine. Those that can wait for
-// machines in use get a backfill reservation; the rest is demand, reported by the job's owner.
+// recordUnplacedTasks handles tasks that may be placed but have no machine. It makes backfill
+// reservations for those that can wait for busy machines. The job's owner records the others as
+// unmet demand.
 func (p *arrayPlacer) recordUnplacedTasks() {
 	tasks := min(p.unplacedTasks, p.placeableTasks)
 	if tasks <= 0 {
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -9,19 +9,19 @@
 	"tillerarch/internal/protocol"
 )
 
-// No machines are provisioned for tasks that can wait until a machine in use is predicted to be free.
+// No machine is provisioned for tasks that can wait until a busy machine is predicted to be free.
 const (
-	// backfillSlackFraction is the part of a job's slack that may be spent on waiting for
-	// machines in use. Run times are estimates, so the rest stays in reserve.
+	// backfillSlackFraction is the fraction of a job's slack that its tasks may spend on waiting for busy
+	// machines. Run times are estimates, so the rest is kept in reserve.
 	backfillSlackFraction = 0.5
-	// bootWaitFraction is the part of the shortest boot that is waited in any case: a machine
-	// that is provisioned now would come later.
+	// bootWaitFraction is the fraction of the shortest boot time for which tasks may wait whatever their
+	// slack, because a machine that is provisioned now would be up later than that.
 	bootWaitFraction = 0.5
-	// overrunFraction is the part of a task's estimated run time that one which has run longer
-	// than estimated is expected to need still.
+	// overrunFraction is the expected remaining run time of a task that has exceeded its estimated run
+	// time, as a fraction of the estimate.
 	overrunFraction = 0.25
-	// endDetectionDivisor: a task's end is known here 1/endDetectionDivisor of a heartbeat interval
-	// later.
+	// endDetectionDivisor divides the heartbeat interval. The quotient is the expected delay until the
+	// controller learns that a task has ended.
 	endDetectionDivisor = 4
 )
 
@@ -35,12 +35,12 @@
 	jobs    *agents.JobTable
 }
 
-// reserveBackfill reserves what will be free soon enough for up to that many tasks of a job, and tells
-// for how many it has done so.
+// reserveBackfill makes backfill reservations for up to the given number of tasks of a job on machines
+// that will be free soon enough, and returns the number of tasks that have a reservation.
 func (bp *backfillPlanner) reserveBackfill(job *PendingJob, candidates []*Candidate, tasks int) int {
 	spec := job.record.Spec
 	if spec.Zone != "" || spec.SingleZone || spec.SpreadZones {
-		return 0 // where its tasks may be depends on more than capacity
+		return 0 // capacity alone does not decide where the tasks may run
 	}
 	deadline := bp.Now.Monotonic.Add(bp.maxCapacityWait(job))
 	reserved := 0
@@ -59,7 +59,7 @@
 	return reserved
 }
 
-// canBackfillOn tells whether tasks of the job could run on the machine once others there have ended.
+// canBackfillOn reports whether tasks of the job could run on the machine once other tasks there have ended.
 func (bp *backfillPlanner) canBackfillOn(job *PendingJob, machine *Candidate) bool {
 	if machine.isProvisioning || machine.isUnschedulable || job.avoidedTypes[machine.record.MachineType] {
 		return false
@@ -68,7 +68,7 @@
 	return catalog.MachineTypeCapacity(machine.machineType, spec) > 0 && bp.lister.isMachineAllowed(spec, machine)
 }
 
-// maxCapacityWait is how long a job's tasks may wait for machines that are in use.
+// maxCapacityWait returns how long a job's tasks may wait for busy machines.
 func (bp *backfillPlanner) maxCapacityWait(job *PendingJob) time.Duration {
 	shortestBoot := bp.catalog.ShortestTime(job.record.Spec, func(machineType *protocol.MachineType) time.Duration {
 		return protocol.Seconds(machineType.BootSeconds)
@@ -82,8 +82,8 @@
 	return max(slackWait, bootWait)
 }
 
-// capacityByDeadline tells how many tasks of a job could start on a machine by the deadline, besides those that
-// have a backfill reservation there.
+// capacityByDeadline returns how many tasks of a job could start on a machine by the deadline, in
+// addition to those that have a backfill reservation there.
 func (bp *backfillPlanner) capacityByDeadline(machine *Candidate, spec *protocol.Job, deadline protocol.Instant) int {
 	free := machine.free.Without(machine.backfillReservation)
 	for i := range machine.allocations {
@@ -94,7 +94,7 @@
 	return free.CapacityFor(spec)
 }
 
-// estimatedEnd estimates when the tasks of an allocation will have ended.
+// estimatedEnd estimates when all tasks of an allocation will have ended.
 func (bp *backfillPlanner) estimatedEnd(machine *Candidate, alloc *allocation) protocol.Instant {
 	now := bp.Now.Monotonic
 	if alloc.spec.IsService() {
@@ -111,7 +111,7 @@
 	return max(endAt, now.Add(minRemaining))
 }
 
-// assignmentKey is the key under which an allocation's start is remembered.
+// assignmentKey returns the key under which package agents keeps the start time of an allocation.
 func assignmentKey(machine *Candidate, alloc *allocation) agents.AssignmentKey {
 	return agents.AssignmentKey{Machine: machine.id, Job: alloc.job, Attempt: alloc.attempt}
 }
--- a/internal/coordination/scheduling/candidate.go
+++ b/internal/coordination/scheduling/candidate.go
@@ -9,50 +9,50 @@
 	"tillerarch/internal/storage"
 )
 
-// Candidate is a machine as one planning pass sees it: a snapshot, which the pass only reads,
-// and what the pass has planned on the machine so far.
+// Candidate is a machine in one planning pass. It consists of a snapshot, which the pass only reads,
+// and of what the pass has planned on the machine so far.
 type Candidate struct {
 	machineSnapshot
 	plannedUse
 }
 
-// machineSnapshot is what is known of a machine at the start of the pass.
+// machineSnapshot is the state of a machine at the start of the pass.
 type machineSnapshot struct {
 	id                  protocol.MachineID
 	record              *storage.MachineRecord
 	machineType         *protocol.MachineType
-	state               *agents.MachineState // nil: this process remembers nothing of the machine
-	isProvisioning      bool                 // not up yet: nothing can be assigned to it
-	isNearSpotPeriodEnd bool                 // the end of its spot period is so close that it takes no new task
+	state               *agents.MachineState // nil if this process has no state of the machine
+	isProvisioning      bool                 // the machine is not up yet, so nothing can be assigned to it
+	isNearSpotPeriodEnd bool                 // the spot period ends too soon for new tasks
 }
 
-// plannedUse starts with what the records assign to the machine; placing a task adds to it.
-// What a preemption would free is computed on a copy of free.
+// plannedUse starts with the assignments of the machine's record and grows as the pass places tasks.
+// The effect of a preemption is computed on a copy of free.
 type plannedUse struct {
 	free            catalog.Resources
-	isUnschedulable bool // takes no new task: closed, or reserved for a starved job
+	isUnschedulable bool // takes no new tasks because it is closed or reserved for a starved job
 	allocations     []allocation
-	// Resources for tasks that are to start when running ones end.
+	// backfillReservation is reserved for tasks that are to start when running tasks end.
 	backfillReservation catalog.Resources
 }
 
-// concurrentFetches is how many fetches share a machine's rate if one more image is fetched while one is
-// under way already.
+// concurrentFetches is the number of image fetches that share a machine's fetch rate when a second fetch
+// starts while one is in progress.
 const concurrentFetches = 2
 
-// allocation is what the tasks of one attempt of a job take of a machine.
+// allocation is the resources that the tasks of one attempt of a job occupy on a machine.
 type allocation struct {
 	job        protocol.JobID
-	attempt    protocol.Attempt // 0: planned in this pass and not written
+	attempt    protocol.Attempt // 0 if planned in this pass and not written
 	count      int
 	spec       *protocol.Job
 	precedence int
 }
 
-// cores is what the tasks take together.
+// cores returns the number of cores that the tasks occupy together.
 func (a *allocation) cores() float64 { return float64(a.count) * a.spec.Cores }
 
-// imageFetchTime is how long the machine takes until it has the job's image.
+// imageFetchTime returns the time until the machine has the job's image, or 0 if it has the image.
 func (c *Candidate) imageFetchTime(spec *protocol.Job) time.Duration {
 	if c.state.HasImage(spec.Image) {
 		return 0
@@ -64,7 +64,7 @@
 	return fetch
 }
 
-// pricePerCore is the price of a core of the machine.
+// pricePerCore returns the price of the machine per core.
 func (c *Candidate) pricePerCore() float64 {
 	price := c.machineType.OnDemandPrice
 	if c.record.Spot {
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -11,12 +11,12 @@
 	"tillerarch/internal/storage"
 )
 
-// provisioningIDPrefix starts the ID of a candidate that has no machine yet; no machine's ID
-// begins with it.
+// provisioningIDPrefix is the prefix of the ID of a candidate that has no machine yet. No machine's ID
+// starts with it.
 const provisioningIDPrefix = "~"
 
-// expectedProvisioning is how many machines being provisioned the candidate list has space for
-// before it grows.
+// expectedProvisioning is the number of provisioning machines for which the candidate list has initial
+// capacity.
 const expectedProvisioning = 16
 
 // candidateLister lists machines with their free capacity as candidates for placement.
@@ -35,8 +35,8 @@
 	nextFleetLogAt protocol.Instant
 }
 
-// listCandidates lists all machines as the batch leaves them, by ID, followed by those that are
-// being provisioned.
+// listCandidates returns all machines in the state that the batch leaves them in, sorted by ID, followed
+// by the machines that are being provisioned.
 func (l *candidateLister) listCandidates(batch *commit.Batch) []*Candidate {
 	machines := l.Replica.SortedMachines()
 	listing := l.newListing(batch)
@@ -56,7 +56,7 @@
 	return append(candidates, l.provisioningCandidates()...)
 }
 
-// isMachineAllowed tells whether tasks of a job may be on the machine at all.
+// isMachineAllowed reports whether the job's constraints allow its tasks on the machine.
 func (l *candidateLister) isMachineAllowed(spec *protocol.Job, machine *Candidate) bool {
 	if !spec.AllowsPlacement(machine.record.MachineType, machine.record.Zone) {
 		return false
@@ -64,14 +64,15 @@
 	return !machine.record.Spot || l.spot.CanUseSpot(spec, machine.machineType)
 }
 
-// awaitsHeartbeat tells whether a placement on an owned machine reaches its agent only with the answer
-// to its next heartbeat: none is deferred here that could be answered now.
+// awaitsHeartbeat reports whether a placement on the machine would reach its agent only with the response
+// to the next heartbeat: this controller owns the machine, has state of it, and holds no deferred
+// heartbeat request that it could answer now.
 func (l *candidateLister) awaitsHeartbeat(machine *Candidate) bool {
 	state := l.agents.Lookup(machine.id)
 	return machine.record.Owner == l.lease.Incarnation() && state != nil && state.DeferredRequest == 0
 }
 
-// candidateListing holds the lookups that one listing shares among all machines.
+// candidateListing holds the lookup tables that one call of listCandidates shares among all machines.
 type candidateListing struct {
 	lister         *candidateLister
 	batch          *commit.Batch
@@ -100,7 +101,7 @@
 	return listing
 }
 
-// newCandidateFromRecord makes the newCandidateFromRecord of a machine on record.
+// newCandidateFromRecord returns the candidate for a machine that has a record.
 func (c *candidateListing) newCandidateFromRecord(
 	id protocol.MachineID, record *storage.MachineRecord, machineType *protocol.MachineType,
 ) *Candidate {
@@ -124,19 +125,19 @@
 	return machine
 }
 
-// isClosedToNewTasks tells whether the machine takes no new task, whatever its resources are.
+// isClosedToNewTasks reports whether the machine takes no new tasks, whatever its free resources.
 func (c *candidateListing) isClosedToNewTasks(id protocol.MachineID, record *storage.MachineRecord) bool {
 	return record.Terminating || record.Cordoned || !c.liveOwners[record.Owner] ||
 		c.quiescedShards[record.Shard] || c.lister.terminator.IsTerminating(id)
 }
 
-// addAssignments allocates what the records assign to the machine.
+// addAssignments subtracts the assignments of the machine's record from its free resources.
 func (c *candidateListing) addAssignments(machine *Candidate) {
 	for i := range machine.record.Assignments {
 		assigned := &machine.record.Assignments[i]
 		job := c.batch.JobRecord(assigned.Job)
 		if job == nil || job.Spec == nil {
-			machine.isUnschedulable = true // how much its tasks take is unknown
+			machine.isUnschedulable = true // the resources of the tasks are unknown
 			continue
 		}
 		count := assigned.Tasks.Len()
@@ -151,7 +152,7 @@
 	}
 }
 
-// precedenceOf is Queue.precedenceOf, computed once for each job.
+// precedenceOf returns Queue.precedenceOf of a job, which it computes once per job.
 func (c *candidateListing) precedenceOf(spec *protocol.Job) int {
 	precedence, ok := c.precedences[spec]
 	if !ok {
@@ -161,8 +162,8 @@
 	return precedence
 }
 
-// markUnusableSpot closes a spot machine while its price is above the threshold, and near the end of
-// its period.
+// markUnusableSpot marks a spot machine as unschedulable while its price is above the threshold and near
+// the end of its spot period.
 func (c *candidateListing) markUnusableSpot(machine *Candidate) {
 	lister, record := c.lister, machine.record
 	age := step.MillisToDuration(lister.Now.Wall - record.AddedAt)
@@ -175,7 +176,7 @@
 	}
 }
 
-// provisioningCandidates lists the machines of provision requests that are not on record yet.
+// provisioningCandidates returns candidates for the requested machines that have no record yet.
 func (l *candidateLister) provisioningCandidates() []*Candidate {
 	var candidates []*Candidate
 	for _, request := range l.provisioner.PendingRequests() {
@@ -191,7 +192,7 @@
 	return candidates
 }
 
-// newProvisioningCandidate makes the candidate of a machine that has been requested and is not on record.
+// newProvisioningCandidate returns the candidate for a requested machine that has no record yet.
 func newProvisioningCandidate(request string, pool provisioning.PoolKey, machineType *protocol.MachineType) *Candidate {
 	record := &storage.MachineRecord{MachineType: pool.MachineType, Zone: pool.Zone, Spot: pool.Spot}
 	return &Candidate{
--- a/internal/coordination/scheduling/contention.go
+++ b/internal/coordination/scheduling/contention.go
@@ -11,18 +11,18 @@
 	"tillerarch/internal/protocol"
 )
 
-// Some tasks fit only certain machine types. While such tasks wait, jobs for which a cheaper type can
-// be provisioned in time avoid these types: else small tasks of higher priority fill the machines, and
-// dearer large ones are provisioned.
+// Some tasks fit only certain machine types. While such tasks wait, jobs that can get a cheaper type in
+// time avoid these types. Otherwise small tasks of higher priority would fill the machines, and more
+// expensive large machines would be provisioned.
 const (
-	// bootTimeFactor is how many times its usual boot time a machine is assumed to take.
+	// bootTimeFactor is the assumed boot time of a machine as a multiple of the usual boot time of its type.
 	bootTimeFactor = 1.2
-	// contentionWindow is for how long a type counts as contended after the last plan that left
-	// tasks without it.
+	// contentionWindow is how long a type counts as contended after the last plan that left tasks waiting
+	// for it.
 	contentionWindow = 2 * time.Second
 )
 
-// contentionTracker records for which machine types tasks wait, and which jobs are to avoid them.
+// contentionTracker records the machine types that tasks wait for and decides which jobs avoid them.
 type contentionTracker struct {
 	*step.Context
 
@@ -31,7 +31,7 @@
 	provisioner *provisioning.Provisioner
 	spot        *catalog.SpotPricing
 
-	lastContendedAt map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of a type
+	lastContendedAt map[protocol.MachineTypeName]protocol.Instant // when tasks last found no machine of the type
 }
 
 func newContentionTracker(ctx *step.Context) *contentionTracker {
@@ -49,7 +49,7 @@
 	}
 }
 
-// contendedTypes lists the types that tasks have waited for within contentionWindow.
+// contendedTypes returns the machine types that tasks have waited for within contentionWindow.
 func (ct *contentionTracker) contendedTypes() map[protocol.MachineTypeName]bool {
 	contended := map[protocol.MachineTypeName]bool{}
 	for name, contendedAt := range ct.lastContendedAt {
@@ -60,7 +60,7 @@
 	return contended
 }
 
-// typesToAvoid lists the types that a job leaves to others which wait for them.
+// typesToAvoid returns the contended machine types that a job leaves to the jobs that wait for them.
 func (ct *contentionTracker) typesToAvoid(job *PendingJob) map[protocol.MachineTypeName]bool {
 	avoided := map[protocol.MachineTypeName]bool{}
 	contended := ct.plan.pass.contendedTypes
@@ -79,9 +79,9 @@
 	return avoided
 }
 
-// preferredTypes lists the types that a job's tasks are to be provisioned on: the cheapest one that
-// is available, and those that would cost less but are not. bootsInTime tells whether new
-// machines of the available one are up before the tasks have to start.
+// preferredTypes returns the machine types on which a job's tasks would be provisioned: the cheapest
+// available type, preceded by the cheaper types that are unavailable. The result bootsInTime reports
+// whether new machines of the available type are up before the tasks have to start.
 func (ct *contentionTracker) preferredTypes(job *PendingJob) (types []protocol.MachineTypeName, bootsInTime bool) {
 	for _, option := range ct.provisionOptions(job.record.Spec) {
 		types = append(types, option.machineType.Name)
@@ -92,7 +92,7 @@
 	return types, false
 }
 
-// bootsInTime tells whether a machine of the type that is provisioned now is up before the job's
+// bootsInTime reports whether a machine of the type that is provisioned now is up before the job's
 // tasks have to start.
 func (ct *contentionTracker) bootsInTime(job *PendingJob, machineType *protocol.MachineType) bool {
 	if job.isLate || job.isStarved {
@@ -103,14 +103,14 @@
 	return startDelay <= job.timeUntilLatestStart(ct.Now)
 }
 
-// provisionOption is a machine type, spot or on demand, that a job may be served by.
+// provisionOption is a machine type, either spot or on demand, that could run tasks of a job.
 type provisionOption struct {
 	machineType *protocol.MachineType
 	costPerTask float64
-	isAvailable bool // the cloud may have some
+	isAvailable bool // the cloud may have capacity
 }
 
-// provisionOptions lists how a job could be served, cheapest first.
+// provisionOptions returns the options to provision machines for a job, cheapest first.
 func (ct *contentionTracker) provisionOptions(spec *protocol.Job) []provisionOption {
 	var options []provisionOption
 	types := ct.catalog.MachineTypes()
@@ -139,8 +139,8 @@
 	return options
 }
 
-// isTypeAvailable tells whether the cloud may have a machine of a type in a zone that the job
-// allows.
+// isTypeAvailable reports whether the cloud may have capacity for the machine type in a zone that the
+// job allows.
 func (ct *contentionTracker) isTypeAvailable(machineType *protocol.MachineType, spec *protocol.Job, spot bool) bool {
 	return slices.ContainsFunc(machineType.Zones, func(zone protocol.Zone) bool {
 		pool := provisioning.PoolKey{MachineType: machineType.Name, Zone: zone, Spot: spot}
--- a/internal/coordination/scheduling/fleet_log.go
+++ b/internal/coordination/scheduling/fleet_log.go
@@ -7,10 +7,10 @@
 	"tillerarch/internal/coordination/provisioning"
 )
 
-// fleetLogInterval is the time between two log entries on the fleet's utilization.
+// fleetLogInterval is the time between two log entries about the utilization of the fleet.
 const fleetLogInterval = 10 * time.Second
 
-// poolUtilization sums up the machines of one type, spot or on demand.
+// poolUtilization is the total utilization of the machines of one type, either spot or on demand.
 type poolUtilization struct {
 	running, provisioning, nearSpotPeriodEnd, unschedulable int
 
@@ -33,7 +33,7 @@
 	u.allocatedCores += machine.machineType.Cores - machine.free.Cores
 }
 
-// logFleet logs at each fleetLogInterval what is provisioned and how much of it is in use.
+// logFleet logs the provisioned machines and their utilization once per fleetLogInterval.
 func (l *candidateLister) logFleet(candidates []*Candidate) {
 	if l.Now.Monotonic < l.nextFleetLogAt {
 		return
--- a/internal/coordination/scheduling/gang_distribution.go
+++ b/internal/coordination/scheduling/gang_distribution.go
@@ -7,18 +7,18 @@
 	"tillerarch/internal/protocol"
 )
 
-// provisioningMachineCost is what a machine that is not up yet costs a gang, in machines: one
-// that runs is better than any saving in their number.
+// provisioningMachineCost is the cost of a machine that is not up yet, in running machines. A running
+// machine is better than any reduction of the number of machines.
 const provisioningMachineCost = 1000
 
-// placement is a number of tasks of a job on a machine.
+// placement is a number of tasks of a job on one machine.
 type placement struct {
 	machine *Candidate
 	count   int
 }
 
-// placementCost compares placements of one gang: the fewer machines the better, and none that
-// has to boot.
+// placementCost returns the cost by which placements of one gang are compared. Fewer machines cost less,
+// and machines that still have to boot cost most.
 func placementCost(placements []placement) float64 {
 	cost := 0.0
 	for _, chosen := range placements {
@@ -30,15 +30,15 @@
 	return cost
 }
 
-// hasFreeCapacity tells whether the tasks fit now.
+// hasFreeCapacity reports whether the free capacity of each machine suffices for its tasks.
 func hasFreeCapacity(placements []placement, spec *protocol.Job) bool {
 	return !slices.ContainsFunc(placements, func(chosen placement) bool {
 		return chosen.machine.free.CapacityFor(spec) < chosen.count
 	})
 }
 
-// distributeOnFreeCapacity distributes tasks over the free capacity of a zone (any, if empty); nil: they
-// do not fit.
+// distributeOnFreeCapacity distributes tasks over the free capacity of a zone, or of all zones if zone
+// is empty. It returns nil if the tasks do not fit.
 func (g *gangScheduler) distributeOnFreeCapacity(
 	batch *commit.Batch, job *PendingJob, zone protocol.Zone, tasks int,
 ) []placement {
@@ -48,8 +48,9 @@
 	})
 }
 
-// distributeTasks distributes tasks over the machines of a zone (any, if empty), first come first
-// served, by the capacity that each is said to have; nil: they do not fit.
+// distributeTasks distributes tasks over the machines of a zone, or of all zones if zone is empty. It
+// fills the machines in the given order up to the result of capacity, and returns nil if the tasks do
+// not fit.
 func (g *gangScheduler) distributeTasks(
 	job *PendingJob, machines []*Candidate, zone protocol.Zone, tasks int, capacity func(*Candidate) int,
 ) []placement {
@@ -78,7 +79,8 @@
 	return placements
 }
 
-// distributeInFirstZone distributes tasks over the machines of the first zone that takes them all.
+// distributeInFirstZone distributes tasks over the machines of the first zone that has capacity for all
+// of them. It returns nil if no zone has.
 func (g *gangScheduler) distributeInFirstZone(
 	job *PendingJob, machines []*Candidate, zones []protocol.Zone, tasks int, capacity func(*Candidate) int,
 ) []placement {
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -8,20 +8,22 @@
 	"tillerarch/internal/protocol"
 )
 
-// preemptionSeconds is how long it takes to stop what runs on a machine and to write it.
+// preemptionSeconds is the time that it takes to stop the tasks on a machine and to write the change to
+// the store.
 const preemptionSeconds = 6
 
-// gangPlacer places one gang, of which no task is placed, in a pass.
+// gangPlacer places one gang that has no placed task in a planning pass.
 type gangPlacer struct {
 	gangs      *gangScheduler
 	batch      *commit.Batch
 	job        *PendingJob
 	candidates []*Candidate
-	zones      []protocol.Zone // any of which may take all its tasks
+	zones      []protocol.Zone // zones, each of which may take all tasks
 	tasks      int
 }
 
-// placeOrPreempt writes a placement of the gang, plans one that cannot be written now, or preempts for it.
+// placeOrPreempt writes placements of the gang, plans placements that cannot be written now, or preempts
+// tasks for the gang.
 func (p *gangPlacer) placeOrPreempt() {
 	chosen := p.choosePlacements()
 	switch {
@@ -34,13 +36,14 @@
 	}
 }
 
-// choosePlacements chooses where the tasks of the gang go; nil: tasks are to be preempted for them first.
+// choosePlacements returns the placements of the gang's tasks. It returns nil if tasks have to be
+// preempted first or the gang fits nowhere.
 func (p *gangPlacer) choosePlacements() []placement {
 	onFree := p.cheapestOnFreeCapacity()
 	preemptor := p.gangs.preemptor
 	if reservation := preemptor.currentReservation(p.job, p.candidates, p.tasks); reservation != nil {
 		if !hasFreeCapacity(reservation, p.job.record.Spec) {
-			return nil // until what runs there has been stopped
+			return nil // until the tasks there have been stopped
 		}
 		return reservation
 	}
@@ -50,7 +53,8 @@
 	return onFree
 }
 
-// cheapestOnFreeCapacity distributes the gang over free capacity, in the zone where that costs least.
+// cheapestOnFreeCapacity distributes the gang over free capacity in the zone with the lowest cost. It
+// returns nil if the gang does not fit.
 func (p *gangPlacer) cheapestOnFreeCapacity() []placement {
 	var best []placement
 	for _, zone := range p.zones {
@@ -62,9 +66,8 @@
 	return best
 }
 
-// isPreemptionQuicker tells whether the gang starts sooner if tasks of lower priority are
-// stopped: that is quicker than to wait for a machine that boots, or for an image where others
-// have it.
+// isPreemptionQuicker reports whether the gang starts sooner if tasks of lower priority are stopped.
+// Preemption is quicker than waiting for a machine to boot, or for an image that other machines have.
 func (p *gangPlacer) isPreemptionQuicker(placements []placement) bool {
 	if !p.gangs.preemptor.fitsJobRecord(placements) {
 		return false
@@ -78,13 +81,13 @@
 	return mustBoot && p.cheapestPreemption(false) != nil
 }
 
-// waitsForBoot tells whether a machine is not up yet.
+// waitsForBoot reports whether one of the machines is not up yet.
 func waitsForBoot(placements []placement) bool {
 	return slices.ContainsFunc(placements, func(chosen placement) bool { return chosen.machine.isProvisioning })
 }
 
-// waitsForImage tells whether a machine takes longer to fetch the image than a preemption takes
-// elsewhere.
+// waitsForImage reports whether one of the machines takes longer to fetch the image than a preemption
+// takes on another machine.
 func waitsForImage(placements []placement, spec *protocol.Job) bool {
 	return slices.ContainsFunc(placements, func(chosen placement) bool {
 		isSlowFetch := catalog.ImageFetchSeconds(chosen.machine.machineType, spec) > preemptionSeconds
@@ -92,8 +95,8 @@
 	})
 }
 
-// canWritePlacements tells whether this incarnation writes the placement now. A gang too large for one
-// transaction is written in several; no task of it starts before the last one is written.
+// canWritePlacements reports whether this incarnation can write the placements now. A gang that is too
+// large for one transaction is written in several, and none of its tasks starts before the last write.
 func (p *gangPlacer) canWritePlacements(placements []placement) bool {
 	gangs := p.gangs
 	if waitsForBoot(placements) || !gangs.acquirer.canPlaceNow(p.batch, p.job) {
@@ -117,7 +120,7 @@
 	return false
 }
 
-// writePlacements writes as much of the placement as the transaction takes.
+// writePlacements writes as many of the placements as fit in the transaction.
 func (p *gangPlacer) writePlacements(placements []placement) {
 	gangs, job := p.gangs, p.job
 	pending := gangs.acquirer.pendingTasks(p.batch, job, p.tasks)
@@ -134,7 +137,7 @@
 	}
 }
 
-// planPlacements records in the planPlacements a placement that is not written in this pass.
+// planPlacements records in the plan placements that are not written in this pass.
 func (p *gangPlacer) planPlacements(placements []placement) {
 	for _, chosen := range placements {
 		p.job.recordAllocation(chosen.machine, chosen.count, 0)
@@ -144,8 +147,8 @@
 }
 
 // preemptForGang reserves machines for a gang that fits nowhere, while their owners stop tasks of lower
-// priority there. The job's owner chooses the machines and records its choice: if each owner of
-// machines chose for itself, two could preemptForGang for one gang.
+// priority there. The job's owner chooses the machines and records the choice in the store. If each
+// owner of machines chose by itself, two owners could preempt for one gang.
 func (p *gangPlacer) preemptForGang() {
 	gangs, job := p.gangs, p.job
 	canWrite := gangs.acquirer.canWritePlacements(p.batch, job)
@@ -168,8 +171,8 @@
 	}
 }
 
-// choosePreemption chooses the machines on which tasks are stopped for the gang, and records the
-// choice; nil: there are none, and the gang is unmet demand.
+// choosePreemption chooses the machines on which tasks are stopped for the gang, and records the choice.
+// If there are none, it records the gang as unmet demand and returns nil.
 func (p *gangPlacer) choosePreemption() []placement {
 	placements := p.cheapestPreemption(true)
 	if placements == nil {
@@ -185,14 +188,14 @@
 	return placements
 }
 
-// cheapestPreemption chooses the machines on which the least work is lost; with requireImage,
-// among those that have the image. nil: there are not enough.
+// cheapestPreemption returns placements on the machines that lose the least work. With requireImage, it
+// considers only machines that have the image. It returns nil if there are too few machines.
 func (p *gangPlacer) cheapestPreemption(requireImage bool) []placement {
 	return p.gangs.preemptor.cheapestPreemption(p.job, p.candidates, p.zones, p.tasks, requireImage)
 }
 
-// preemptOnMachine stops as many tasks on a reserved machine as the gang's tasks there need. The choice must
-// be on record before anything is stopped for it.
+// preemptOnMachine stops as many tasks on a reserved machine as the gang's tasks need there. The store
+// must contain the reservation before any task is stopped for it.
 func (p *gangPlacer) preemptOnMachine(chosen placement) {
 	recorded := p.gangs.Replica.Jobs[p.job.id].Record.ReservedMachines
 	isReserved := slices.Contains(recorded, chosen.machine.id)
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -8,7 +8,7 @@
 	"tillerarch/internal/protocol"
 )
 
-// gangScheduler places gangs: all tasks of a job or none.
+// gangScheduler places gangs, which run either all of their tasks or none.
 type gangScheduler struct {
 	*step.Context
 
@@ -42,7 +42,7 @@
 	placer.placeOrPreempt()
 }
 
-// retainGangMachines keeps the machines on which a gang has tasks.
+// retainGangMachines retains the machines on which a gang has tasks.
 func (g *gangScheduler) retainGangMachines(job *PendingJob, candidates []*Candidate) {
 	for _, machine := range candidates {
 		for i := range machine.allocations {
@@ -53,8 +53,9 @@
 	}
 }
 
-// completeGang writes what is missing of a gang that did not fit one transaction. An attempt that
-// has lost a task is not completed: its other tasks end, and the gang restarts as a whole.
+// completeGang writes the missing tasks of a gang that did not fit in one transaction. It does not
+// complete an attempt that has lost a task. The other tasks of that attempt end, and the gang restarts
+// as a whole.
 func (g *gangScheduler) completeGang(batch *commit.Batch, job *PendingJob) {
 	unplaced := job.unplacedTasks()
 	attempts := attemptsOf(g.jobs, job.id)
