--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// successorDelay is how long an incarnation must have expired before its successor acquires
-	// its jobs.
+	// successorDelay is how long an incarnation must have been expired before its successor acquires its
+	// jobs.
 	successorDelay = 500 * time.Millisecond
-	// anyControllerDelay is when any controller may acquire them, should the successor not.
+	// anyControllerDelay is how long an incarnation must have been expired before any controller may
+	// acquire its jobs, in case the successor does not.
 	anyControllerDelay = 10 * time.Second
 )
 
-// jobAcquirer acquires jobs for this controller and tells which of their tasks are to be placed.
+// jobAcquirer acquires jobs for this controller and determines which of their tasks are to be placed.
 type jobAcquirer struct {
 	*step.Context
 
@@ -31,8 +32,8 @@
 	ownership *ownership.Manager
 }
 
-// acquireJob acquires a job whose owner has expired, and reserves a further block of attempt numbers for
-// an owned one that has few left.
+// acquireJob acquires a job whose owner has expired. For a job that this incarnation owns already, it
+// reserves another block of attempt numbers if few are left.
 func (ja *jobAcquirer) acquireJob(batch *commit.Batch, job *PendingJob) {
 	self := ja.lease.Incarnation()
 	attempts := attemptsOf(ja.jobs, job.id)
@@ -56,8 +57,8 @@
 	job.record = record
 }
 
-// mayAcquireJob tells whether the job's owner has expired for so long that this controller may acquire the
-// job.
+// mayAcquireJob reports whether the job's owner has been expired for long enough that this controller may
+// acquire the job.
 func (ja *jobAcquirer) mayAcquireJob(job *PendingJob) bool {
 	expiredAt, isExpired := ja.ownership.ExpiredSince(job.record.Owner)
 	if !isExpired || ja.Since(expiredAt) < successorDelay {
@@ -66,8 +67,8 @@
 	return ja.ownership.IsSuccessor(storage.JobKey(job.id)) || ja.Since(expiredAt) >= anyControllerDelay
 }
 
-// canWritePlacements tells whether this incarnation may write placements of the job now. The
-// replica must contain all that was written before the job was acquired.
+// canWritePlacements reports whether this incarnation may write placements of the job now. The replica
+// must contain all writes that precede the acquisition of the job.
 func (ja *jobAcquirer) canWritePlacements(batch *commit.Batch, job *PendingJob) bool {
 	self := ja.lease.Incarnation()
 	entry := ja.Replica.Jobs[job.id]
@@ -79,14 +80,15 @@
 	return isReplicaUpToDate && batch.JobRecord(job.id).Owner == self
 }
 
-// canPlaceNow tells whether this incarnation may write placements of the job now, and the job is not
+// canPlaceNow reports whether this incarnation may write placements of the job now and the job is not
 // backing off.
 func (ja *jobAcquirer) canPlaceNow(batch *commit.Batch, job *PendingJob) bool {
 	isBackingOff := attemptsOf(ja.jobs, job.id).isBackingOff(ja.Now.Monotonic)
 	return ja.canWritePlacements(batch, job) && !isBackingOff
 }
 
-// pendingTasks lists up to limit tasks that are neither done nor assigned, in order.
+// pendingTasks returns the indexes of up to limit tasks that are neither done nor assigned, in
+// ascending order.
 func (ja *jobAcquirer) pendingTasks(batch *commit.Batch, job *PendingJob, limit int) []int {
 	covered := batch.DoneTasks(job.id)
 	addAssigned := func(record *storage.MachineRecord) {
@@ -108,14 +110,14 @@
 	return covered.FirstMissing(job.record.Spec.TaskCount, limit)
 }
 
-// maxTasksInProgress tells how many tasks of a job may be in progress so that the set of done
-// ones fits the job's record, in whatever order they end.
+// maxTasksInProgress returns the maximum number of a job's tasks that may be in progress at the same
+// time, so that the set of done tasks fits the job's record in whatever order the tasks end.
 func (ja *jobAcquirer) maxTasksInProgress(tasks int) int {
 	const (
-		tasksPerBase64Byte  = 6 // the packed format may write a bit for each task, as base64
-		packedIntervalBytes = 6 // two varints of two bytes at most, for most intervals, as base64
-		separatorBytes      = 2 // of an interval in the plain format: "lo-hi,"
-		// The shortest interval that is written as one has two tasks, and a gap after it.
+		tasksPerBase64Byte  = 6 // the packed format may write one bit per task, in base64
+		packedIntervalBytes = 6 // in base64; most intervals need at most two varints of two bytes
+		separatorBytes      = 2 // per interval in the plain format, "lo-hi,"
+		// tasksPerInterval is the length of the shortest interval, which is two tasks and the gap after them.
 		tasksPerInterval = 3
 	)
 	intervalBytes := 2*len(strconv.Itoa(tasks)) + separatorBytes
--- a/internal/coordination/scheduling/job_attempts.go
+++ b/internal/coordination/scheduling/job_attempts.go
@@ -10,42 +10,40 @@
 )
 
 const (
-	// minAttemptsLeft is how many attempt numbers of a block may be left before the next block
-	// is reserved, so that placing does not wait for it.
+	// minAttemptsLeft is the number of unused attempt numbers at which the next block is reserved, so that
+	// placements do not wait for the block.
 	minAttemptsLeft = 8
-	// undelayedPlacementsPerTask is how often each task of a job may be placed, on average, before
-	// further placements are delayed: such a job may fail everywhere until its user cancels it.
+	// undelayedPlacementsPerTask is how often each task of a job may be placed, on average, before further
+	// placements are delayed. The tasks of such a job may fail everywhere until its user cancels the job.
 	undelayedPlacementsPerTask = 4
-	// placementBackoffStep is by how much each further round of placements is delayed.
+	// placementBackoffStep is the additional delay of each further round of placements.
 	placementBackoffStep = 5 * time.Second
-	// maxPlacementBackoff is the longest such delay.
+	// maxPlacementBackoff is the maximum delay of a round of placements.
 	maxPlacementBackoff = 30 * time.Second
-	// gangWriteTimeout is how long an attempt of a gang may be incomplete and still count as
-	// being written.
+	// gangWriteTimeout is how long an attempt of a gang may be incomplete and still count as being written.
 	gangWriteTimeout = 2 * time.Second
-	// EarlyExitWindow is the time from its placement within which the end of a replica counts as
-	// a failure.
+	// EarlyExitWindow is the time after its placement in which the end of a replica counts as a failure.
 	EarlyExitWindow = 20 * time.Second
-	// minRestartBackoff is the delay before the next replica after a first early exit; it
-	// doubles with each further one.
+	// minRestartBackoff is the delay before the next replica after the first early exit. Each further early
+	// exit doubles the delay.
 	minRestartBackoff = time.Second
-	// MaxRestartBackoff is the longest delay before the next replica of a job that fails again
-	// and again.
+	// MaxRestartBackoff is the maximum delay before the next replica of a job that fails repeatedly.
 	MaxRestartBackoff = 30 * time.Second
-	// maxBackoffDoublings keeps the shift within a time.Duration.
+	// maxBackoffDoublings keeps the shift within the range of time.Duration.
 	maxBackoffDoublings = 8
 )
 
-// jobAttempts are the fields of a job's state, kept by package agents in JobTable, that
-// scheduling reads and writes:
+// jobAttempts accesses the fields of a job's state in agents.JobTable that scheduling reads and writes:
 //
-//   - NextAttempt, AttemptsEnd, AttemptsOwner: the block of attempt numbers that this
-//     incarnation has reserved in the job's record and not yet used;
-//   - TaskPlacements, PlacementNotBefore: how many tasks were placed, and the delay of further placements;
-//   - ConsecutiveEarlyExits, FailedMachines: failures of replicas in a row;
+//   - NextAttempt, AttemptsEnd, AttemptsOwner: the block of attempt numbers that this incarnation has
+//     reserved in the job's record, and the next unused number;
+//   - TaskPlacements, PlacementNotBefore: the number of placements of tasks, and the earliest time of
+//     the next placement;
+//   - ConsecutiveEarlyExits, FailedMachines: the consecutive failures of service replicas, and the
+//     machines where tasks failed;
 //   - GangAttemptInProgress: the attempt of a gang whose placement takes several transactions.
 //
-// GangIncompleteAt is read only.
+// It only reads GangIncompleteAt.
 type jobAttempts struct {
 	jobs *agents.JobTable
 	id   protocol.JobID
@@ -55,8 +53,8 @@
 	return jobAttempts{jobs: jobs, id: id}
 }
 
-// loadAttemptBlock loads the last block that the job's record reserves for owner, unless its numbers are in
-// use already.
+// loadAttemptBlock loads the last block of attempt numbers that the job's record reserves for owner,
+// unless that block is loaded already.
 func (a jobAttempts) loadAttemptBlock(owner storage.Incarnation, record *storage.JobRecord) {
 	state := a.jobs.JobState(a.id)
 	if state.AttemptsOwner == owner && record.NextAttempt <= state.AttemptsEnd {
@@ -67,28 +65,28 @@
 	state.AttemptsEnd = record.NextAttempt
 }
 
-// hasSpareAttempts tells whether enough attempt numbers are left to do without a new block.
+// hasSpareAttempts reports whether enough attempt numbers are left to go on without a new block.
 func (a jobAttempts) hasSpareAttempts() bool {
 	state := a.jobs.JobState(a.id)
 	return state.AttemptsEnd-state.NextAttempt > minAttemptsLeft
 }
 
-// hasUnusedAttempt tells whether owner has an attempt number left.
+// hasUnusedAttempt reports whether owner has an unused attempt number.
 func (a jobAttempts) hasUnusedAttempt(owner storage.Incarnation) bool {
 	state := a.jobs.JobState(a.id)
 	return state.AttemptsOwner == owner && state.NextAttempt < state.AttemptsEnd
 }
 
-// nextAttempt is the attempt number of the nextAttempt placement.
+// nextAttempt returns the attempt number of the next placement.
 func (a jobAttempts) nextAttempt() protocol.Attempt { return a.jobs.JobState(a.id).NextAttempt }
 
-// isBackingOff tells whether placements of the job are delayed.
+// isBackingOff reports whether placements of the job are delayed.
 func (a jobAttempts) isBackingOff(now protocol.Instant) bool {
 	return now < a.jobs.JobState(a.id).PlacementNotBefore
 }
 
-// recordPlacement counts placed tasks. A job whose tasks have to be placed again and again is delayed
-// ever more; replicas have a backoff of their own.
+// recordPlacement counts placed tasks. It delays a job whose tasks have to be placed repeatedly, longer
+// with each round. Service replicas have a separate backoff.
 func (a jobAttempts) recordPlacement(spec *protocol.Job, tasks int, attempt protocol.Attempt, now protocol.Instant) {
 	state := a.jobs.JobState(a.id)
 	state.NextAttempt = max(state.NextAttempt, attempt+1)
@@ -101,8 +99,8 @@
 	state.PlacementNotBefore = now.Add(min(backoff, maxPlacementBackoff))
 }
 
-// recordEarlyExit records that a replica failed soon after its start, and returns the delay before
-// the next one.
+// recordEarlyExit records that a replica failed soon after its start, and returns the delay before the
+// next replica.
 func (a jobAttempts) recordEarlyExit(now protocol.Instant) (backoff time.Duration) {
 	state := a.jobs.JobState(a.id)
 	backoff = min(minRestartBackoff<<min(state.ConsecutiveEarlyExits, maxBackoffDoublings), MaxRestartBackoff)
@@ -126,8 +124,8 @@
 // finishGangWrite records that all tasks of the gang are placed.
 func (a jobAttempts) finishGangWrite() { a.jobs.JobState(a.id).GangAttemptInProgress = 0 }
 
-// isWritingGang tells whether an attempt of a gang is still being written. One that has lost a
-// task is incomplete for longer.
+// isWritingGang reports whether an attempt of a gang is still being written. An attempt that is
+// incomplete for longer than gangWriteTimeout has lost a task.
 func (a jobAttempts) isWritingGang(attempt protocol.Attempt, now protocol.Instant) bool {
 	state := a.jobs.JobState(a.id)
 	if attempt == 0 || attempt != state.GangAttemptInProgress {
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of placement, connected with each other.
+// Parts holds the components of this package, connected with each other.
 type Parts struct {
 	Queue     *Queue
 	Plan      *Plan
@@ -24,7 +24,7 @@
 	preemptor  *preemptor
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New creates the components. They can be used once Connect has connected them with other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Queue:      &Queue{Context: ctx},
@@ -65,7 +65,7 @@
 	return parts
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies holds the components of other packages that this package needs.
 type Dependencies struct {
 	Catalog     *catalog.Catalog
 	Agents      *agents.Table
@@ -81,7 +81,7 @@
 	Stopper     *agents.TaskStopper
 }
 
-// Connect gives the parts what they need of other packages.
+// Connect connects the components with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Queue.catalog = dependencies.Catalog
 	p.lister.agents = dependencies.Agents
--- a/internal/coordination/scheduling/pending_job.go
+++ b/internal/coordination/scheduling/pending_job.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/storage"
 )
 
-// PendingJob is an unfinished job in one planning pass: where it stands in the queue, when its
-// tasks have to start, and how far its placement is.
+// PendingJob is an unfinished job in one planning pass. It consists of the job's position in the queue,
+// the time when its tasks have to start, and the progress of its placement.
 type PendingJob struct {
 	id     protocol.JobID
 	record *storage.JobRecord
@@ -18,33 +18,33 @@
 	placementProgress
 }
 
-// queuePosition decides in which order jobs are served. It is fixed once the queue is sorted.
+// queuePosition determines the order in which jobs are served. It is fixed once the queue is sorted.
 type queuePosition struct {
-	precedence      int             // Queue.precedenceOf: a smaller one may preempt a larger one
-	queuePrecedence int             // by which it is served: precedence, or less if promoted
-	dueAt           protocol.Millis // the first objective that can still be met
-	isLate          bool            // no objective can be met any more
-	isStarved       bool            // has waited so long without a start that it goes before all others
+	precedence      int             // from Queue.precedenceOf; a smaller one may preempt a larger one
+	queuePrecedence int             // the precedence in the queue, which is smaller than precedence if the job is promoted
+	dueAt           protocol.Millis // due time of the first objective that can still be met
+	isLate          bool            // no objective can be met anymore
+	isStarved       bool            // has waited so long without a start that it precedes all other jobs
 	isLongRunning   bool            // has been unfinished for so long that it gets a part of the fleet first
 }
 
-// startDeadline is when the job's tasks have to start.
+// startDeadline is the time when the job's tasks have to start.
 type startDeadline struct {
 	latestStart        protocol.Millis // for all objectives that can still be met
-	initialLatestStart protocol.Millis // the same at the submission
-	isUrgent           bool            // they have to start sooner than provisioned machines can be relied on
+	initialLatestStart protocol.Millis // latestStart as of the submission
+	isUrgent           bool            // the tasks have to start sooner than provisioned machines can be relied on
 }
 
-// placementProgress counts the job's tasks; placing tasks advances it during the pass.
+// placementProgress counts the job's tasks. Each placement advances it during the pass.
 type placementProgress struct {
 	doneTasks    int
-	placedTasks  int // on record and planned in this pass
+	placedTasks  int // recorded in the store, or planned in this pass
 	tasksByZone  map[protocol.Zone]int
-	avoidedTypes map[protocol.MachineTypeName]bool // nil: not decided yet
+	avoidedTypes map[protocol.MachineTypeName]bool // nil if not determined yet
 }
 
-// isServedBefore orders the queue: starved jobs by age, then all others by precedence, lateness
-// and due time.
+// isServedBefore reports whether the job precedes another one in the queue. Starved jobs precede all
+// others, ordered by age. All other jobs are ordered by precedence, lateness and due time.
 func (j *PendingJob) isServedBefore(other *PendingJob) bool {
 	switch {
 	case j.isStarved != other.isStarved:
@@ -61,23 +61,23 @@
 	return j.id < other.id
 }
 
-// hasSamePrecedence tells whether only their due times put one job before the other.
+// hasSamePrecedence reports whether only the due times and IDs decide the order of the two jobs.
 func (j *PendingJob) hasSamePrecedence(other *PendingJob) bool {
 	return j.queuePrecedence == other.queuePrecedence && j.isLate == other.isLate && !j.isStarved && !other.isStarved
 }
 
-// timeUntilLatestStart is how long the job's tasks may still wait before an objective is missed.
+// timeUntilLatestStart returns how long the job's tasks can still wait before an objective is missed.
 func (j *PendingJob) timeUntilLatestStart(now step.Now) time.Duration {
 	return step.MillisToDuration(j.latestStart - now.Wall)
 }
 
-// unplacedTasks counts the tasks that are neither done nor placed.
+// unplacedTasks returns the number of tasks that are neither done nor placed.
 func (j *PendingJob) unplacedTasks() int {
 	return j.record.Spec.TaskCount - j.doneTasks - j.placedTasks
 }
 
-// zoneHeadroom tells how many more tasks of the job may be in the zone. A job that spreads over
-// zones has at most half of its tasks in one of them.
+// zoneHeadroom returns how many more tasks of the job may run in the zone. A job that spreads over zones
+// has at most half of its tasks in one zone.
 func (j *PendingJob) zoneHeadroom(zone protocol.Zone) int {
 	spec := j.record.Spec
 	if spec.SingleZone {
@@ -93,10 +93,11 @@
 	return protocol.MaxTasks
 }
 
-// halfRoundedUp is half of a number of tasks, rounded up.
+// halfRoundedUp returns half of a number of tasks, rounded up.
 func halfRoundedUp(tasks int) int { return (tasks + 1) / 2 }
 
-// pinnedZone is the zone that the job is bound to by its placed tasks, empty if it is free.
+// pinnedZone returns the zone that the job's placed tasks bind it to. It returns an empty zone if the
+// job is not bound.
 func (j *PendingJob) pinnedZone() protocol.Zone {
 	if j.record.Spec.SingleZone {
 		for zone, tasks := range j.tasksByZone {
@@ -108,8 +109,8 @@
 	return ""
 }
 
-// recordAllocation allocates tasks of the job on the machine; attempt is 0 unless they are written
-// under that number.
+// recordAllocation allocates tasks of the job on the machine. The attempt is the number under which they
+// are written, or 0 if they are not written yet.
 func (j *PendingJob) recordAllocation(machine *Candidate, count int, attempt protocol.Attempt) {
 	machine.free.Allocate(j.record.Spec, count)
 	machine.allocations = append(machine.allocations, allocation{
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// longRunningDivisor: 1/longRunningDivisor of the fleet's cores goes to long-running arrays first.
+	// longRunningDivisor divides the cores of the fleet. The quotient goes to long-running arrays first.
 	longRunningDivisor = 4
-	// minCoresPerTask is what a task counts as at least, so that tasks that ask for no core are
-	// bounded too.
+	// minCoresPerTask is the minimum number of cores that a task counts as, so that tasks that request no
+	// cores are bounded too.
 	minCoresPerTask = 0.01
 )
 
-// Scheduler plans where pending tasks go, and writes the placements of jobs that this controller
+// Scheduler plans the placement of pending tasks, and writes the placements of jobs that this controller
 // owns.
 type Scheduler struct {
 	*step.Context
@@ -47,15 +47,15 @@
 	}
 }
 
-// RetainsIdleMachine tells whether an idle machine is kept for work that cannot wait until
-// another one is provisioned.
+// RetainsIdleMachine reports whether an idle machine is retained for work that cannot wait until another
+// machine is provisioned.
 func (s *Scheduler) RetainsIdleMachine(id protocol.MachineID) bool {
 	return s.warmPool.shouldRetainMachine(id)
 }
 
-// PlacePendingJobs plans where all pending tasks go, in queue order, and writes those placements
-// that belong to jobs of this incarnation. Jobs of other owners are planned just the same, so
-// that all controllers leave the same capacity to them.
+// PlacePendingJobs plans the placement of all pending tasks in queue order, and writes the placements of
+// jobs that this incarnation owns. It plans jobs of other owners in the same way, so that all controllers
+// leave the same capacity to them.
 func (s *Scheduler) PlacePendingJobs(batch *commit.Batch) {
 	s.plan.reset()
 	if len(s.catalog.MachineTypes()) == 0 {
@@ -82,17 +82,18 @@
 	}
 }
 
-// schedulableCandidates lists the candidates that take new tasks, in a slice of its own.
+// schedulableCandidates returns the candidates that take new tasks, in a new slice.
 func schedulableCandidates(candidates []*Candidate) []*Candidate {
 	isUnschedulable := func(machine *Candidate) bool { return machine.isUnschedulable }
 	return slices.DeleteFunc(slices.Clone(candidates), isUnschedulable)
 }
 
-// placeSamePrecedence places jobs that differ in their due times only. Where the last transaction could
-// not hold all changes, the capacity of a shard goes first to arrays of the shard's owner, and then to
-// those of others: a controller writes its own shards all the time, whereas a shard of another
-// controller takes one operation more, which may come late while the capacity is idle. Otherwise the
-// order of due times alone serves better.
+// placeSamePrecedence places jobs that differ only in their due times.
+//
+// If the last transaction could not hold all changes, the capacity of a shard goes first to arrays of the
+// shard's owner, and then to other arrays. A controller writes its own shards all the time, whereas a
+// shard of another controller takes one more operation, which may come late and leave the capacity idle.
+// Otherwise the jobs are placed by due time alone, which serves them better.
 func (s *Scheduler) placeSamePrecedence(batch *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	ownerShardsFirst := len(jobs) > 1 && s.committer.IsBatchPartial()
 	for _, job := range jobs {
@@ -113,9 +114,9 @@
 	}
 }
 
-// placeLongRunningArrays gives a part of the fleet's cores to arrays that have been unfinished for very
-// long, oldest first. By due time they would always come after newer ones; if they got all that they
-// ask for, the newer ones would be late, too.
+// placeLongRunningArrays assigns a part of the fleet's cores to arrays that have been unfinished for very
+// long, oldest first. By due time these arrays would always follow newer ones. If they got all the cores
+// that they request, the newer arrays would be late too.
 func (s *Scheduler) placeLongRunningArrays(batch *commit.Batch, jobs []*PendingJob, candidates []*Candidate) {
 	var longRunning []*PendingJob
 	for _, job := range jobs {
--- a/internal/coordination/scheduling/placement_writes.go
+++ b/internal/coordination/scheduling/placement_writes.go
@@ -9,12 +9,12 @@
 	"tillerarch/internal/storage"
 )
 
-// minExpediteInterval is the shortest heartbeat interval that makes it worth a write to ask for a
-// heartbeat at once.
+// minExpediteInterval is the shortest heartbeat interval at which an immediate heartbeat is worth a
+// write.
 const minExpediteInterval = 4 * time.Second
 
-// planTasks plans count tasks on a machine, and writes them if writeNow is set. tasks are their
-// indices if this incarnation writes the job's placements at all, nil if not.
+// planTasks plans count tasks on a machine, and writes them if writeNow is set. tasks are the indexes of
+// the tasks, or nil if this incarnation does not write the job's placements.
 func (s *Scheduler) planTasks(
 	batch *commit.Batch, job *PendingJob, machine *Candidate, count int, writeNow bool, tasks []int,
 ) {
@@ -30,12 +30,13 @@
 	s.plan.retainMachine(machine)
 }
 
-// isRemote tells whether another controller owns the machine.
+// isRemote reports whether another controller owns the machine.
 func (s *Scheduler) isRemote(machine *Candidate) bool {
 	return machine.record.Owner != s.lease.Incarnation()
 }
 
-// writeTasks assigns tasks to a machine, and expedites its next heartbeat if they cannot wait for it.
+// writeTasks assigns tasks to a machine, and expedites the next heartbeat of the machine's agent if the
+// tasks cannot wait for it.
 func (s *Scheduler) writeTasks(batch *commit.Batch, job *PendingJob, machine *Candidate, count int, tasks []int) {
 	attempt := attemptsOf(s.jobs, job.id).nextAttempt()
 	batch.AssignTasks(machine.id, job.id, tasks, attempt)
@@ -45,15 +46,15 @@
 	}
 }
 
-// needsExpeditedHeartbeat tells whether the machine's agent may not receive its tasks before its next heartbeat.
-// Whether another owner has deferred a heartbeat of it is not known here; for a replica it is taken
-// not to have.
+// needsExpeditedHeartbeat reports whether the machine's agent might not receive its tasks before its next
+// heartbeat. This controller does not know whether another owner has deferred a heartbeat of the agent.
+// For service replicas it assumes that the owner has not.
 func (s *Scheduler) needsExpeditedHeartbeat(job *PendingJob, machine *Candidate) bool {
 	return s.lister.awaitsHeartbeat(machine) || job.record.Spec.IsService() && s.isRemote(machine)
 }
 
-// expediteHeartbeat makes the machine's agent send a heartbeat as soon as the placement is on record. A
-// gang waits for the last of its machines: with heartbeats some seconds apart that is nearly
+// expediteHeartbeat makes the machine's agent send a heartbeat as soon as the placement is recorded in the
+// store. A gang waits for the last of its machines. With heartbeats several seconds apart, that is nearly
 // a whole interval each time.
 func (s *Scheduler) expediteHeartbeat(batch *commit.Batch, id protocol.MachineID) {
 	if s.Config.HeartbeatInterval >= minExpediteInterval {
@@ -61,26 +62,26 @@
 	}
 }
 
-// fitsTransaction tells whether a placement on the machine fits the transaction.
+// fitsTransaction reports whether a placement on the machine fits in the transaction.
 func (s *Scheduler) fitsTransaction(batch *commit.Batch, machine *Candidate, spec *protocol.Job) bool {
 	writes := batch.OpsNeeded(machine.id)
 	if s.mustLockQuota(batch, spec.Team) {
 		writes++
 		if s.Replica.Revision < protocol.Revision(s.Replica.QuotaRevisions[spec.Team]) {
-			return false // the team's usage in the replica is not the newest
+			return false // the replica does not have the team's latest usage
 		}
 	}
 	return batch.HasCapacity(writes) && batch.HasShardHeadroom(machine.record)
 }
 
-// mustLockQuota tells whether a placement needs the team's quota lock and the batch has it not
-// yet: two controllers must not use up one limit at the same time.
+// mustLockQuota reports whether a placement needs the team's quota lock and the batch does not hold it
+// yet. The lock prevents two controllers from using up one limit at the same time.
 func (s *Scheduler) mustLockQuota(batch *commit.Batch, team string) bool {
 	return s.Config.Quotas[team].HasLimit() && !batch.LocksQuota(team)
 }
 
-// recordPlacement makes the batch with a written placement depend on the revision of the job, and on
-// that of the team's quota where the team has a limit.
+// recordPlacement makes the batch, which contains the placement, conditional on the revision of the job
+// and, if the team has a limit, on the revision of the team's quota.
 func (s *Scheduler) recordPlacement(
 	batch *commit.Batch, job *PendingJob, machine *Candidate, count int, attempt protocol.Attempt,
 ) {
--- a/internal/coordination/scheduling/plan.go
+++ b/internal/coordination/scheduling/plan.go
@@ -8,67 +8,70 @@
 	"tillerarch/internal/protocol"
 )
 
-// Plan is the outcome of the scheduler's last planning pass.
+// Plan is the result of the scheduler's last planning pass.
 //
-// Scheduler.PlacePendingJobs starts it anew with reset. The schedulers of arrays, gangs and
-// services fill the outcome during the pass; it outlives the pass and is read until the next
-// one by the commit cycle, by provisioning (demand, machines to retain) and by the handling of
-// heartbeats (machines with pending placements). Demand and pending gang operations are reset
-// earlier, by their reader. The field pass is used during the pass only.
+// Scheduler.PlacePendingJobs resets the plan, and the schedulers of arrays, gangs and services fill it
+// during the pass. Until the next pass, the commit cycle, provisioning (demand, machines to retain) and
+// the heartbeat handlers (machines with pending placements) read it. The readers of the demand and of the
+// pending gang operations reset these earlier. The field pass is used only during the pass.
 type Plan struct {
 	*step.Context
 
 	computedAt   protocol.Instant
 	unmetDemands []provisioning.UnmetDemand
-	// Machines that the plan uses.
+	// retainedMachines holds the machines that the plan uses.
 	retainedMachines map[protocol.MachineID]bool
-	// Machines on which tasks are planned that are not written.
+	// pendingPlacements holds the machines on which tasks are planned but not written.
 	pendingPlacements map[protocol.MachineID]bool
-	// Tasks of owned jobs are to be written to other controllers' shards.
+	// hasPendingRemotePlacements is set if tasks of owned jobs are to be written to other controllers'
+	// shards.
 	hasPendingRemotePlacements bool
-	// Operations that a gang needs and that the last batch had no capacity for; kept
-	// across passes until TakePendingGangOps.
+	// pendingGangOps is the number of operations that a gang needs and for which the last batch had no
+	// capacity. It is kept across passes until TakePendingGangOps.
 	pendingGangOps int
 
 	pass planningPass
 }
 
-// planningPass is what the steps of one pass share.
+// planningPass is the state that the steps of one pass share.
 type planningPass struct {
-	// Schedulable machines; those that are full are dropped as the pass finds them.
+	// availableCandidates holds the schedulable machines. The pass removes full machines as it finds them.
 	availableCandidates []*Candidate
-	// Types that tasks have waited for lately, as at the start of the pass.
+	// contendedTypes holds the machine types that tasks have recently waited for, as of the start of the
+	// pass.
 	contendedTypes map[protocol.MachineTypeName]bool
-	// Precedences in which a job has machines reserved: at most one job of each.
+	// reservedPrecedences holds the precedences in which a starved job has reserved machines. At most one
+	// job of each precedence may have reserved machines.
 	reservedPrecedences map[int]bool
 }
 
-// ExpectsPlacement tells whether the plan has tasks for a machine that are not on record yet.
+// ExpectsPlacement reports whether the plan has tasks for a machine that are not recorded in the store.
 func (plan *Plan) ExpectsPlacement(id protocol.MachineID) bool {
 	return plan.pendingPlacements[id]
 }
 
-// RetainsMachine tells whether the plan uses a machine.
+// RetainsMachine reports whether the plan uses a machine.
 func (plan *Plan) RetainsMachine(id protocol.MachineID) bool {
 	return plan.retainedMachines[id]
 }
 
-// Age is the time since the plan was computed.
+// Age returns the time since the plan was computed.
 func (plan *Plan) Age() time.Duration { return plan.Since(plan.computedAt) }
 
-// NextPlanTime is the earliest time of the next plan.
+// NextPlanTime returns the earliest time of the next plan.
 func (plan *Plan) NextPlanTime() protocol.Instant {
 	return plan.computedAt.Add(plan.Config.MinCommitInterval)
 }
 
-// Demands lists the demand that no machine can take. It belongs to the plan, which fills it
-// anew; its order may be changed.
+// Demands returns the tasks for which no machine has capacity. The slice belongs to the plan, which
+// reuses it. The caller may reorder the elements.
 func (plan *Plan) Demands() []provisioning.UnmetDemand { return plan.unmetDemands }
 
-// ClearDemands drops the demand once machines have been requested for it.
+// ClearDemands removes the demand once machines have been requested for it.
 func (plan *Plan) ClearDemands() { plan.unmetDemands = plan.unmetDemands[:0] }
 
-// PendingGangOps is how many operations a gang needs that the last batch had no capacity for.
+// PendingGangOps returns the number of operations that a gang needs and for which the last batch had no
+// capacity.
 func (plan *Plan) PendingGangOps() int { return plan.pendingGangOps }
 
 // TakePendingGangOps returns PendingGangOps and resets it.
@@ -78,11 +81,11 @@
 	return ops
 }
 
-// HasPendingRemotePlacements tells whether tasks of owned jobs are still to be recorded on shards of
+// HasPendingRemotePlacements reports whether tasks of owned jobs are still to be written to shards of
 // other controllers.
 func (plan *Plan) HasPendingRemotePlacements() bool { return plan.hasPendingRemotePlacements }
 
-// reset drops the outcome of the pass before.
+// reset discards the result of the previous pass, except for the pending gang operations.
 func (plan *Plan) reset() {
 	plan.computedAt = plan.Now.Monotonic
 	plan.retainedMachines = map[protocol.MachineID]bool{}
@@ -96,13 +99,13 @@
 	plan.retainedMachines[machine.id] = true
 }
 
-// expectPlacement records that tasks are planned on the machine that are not written in this pass.
+// expectPlacement records that the plan has tasks for the machine that this pass does not write.
 func (plan *Plan) expectPlacement(machine *Candidate) {
 	plan.pendingPlacements[machine.id] = true
 }
 
-// addDemand records tasks that no machine can take; zone is the only one they may be in, if not
-// empty.
+// addDemand records tasks for which no machine has capacity. If zone is not empty, the tasks may run
+// only there.
 func (plan *Plan) addDemand(job *PendingJob, tasks int, zone protocol.Zone, isUrgent bool) {
 	plan.unmetDemands = append(plan.unmetDemands, provisioning.UnmetDemand{
 		Job:         job.id,
--- a/internal/coordination/scheduling/preemption.go
+++ b/internal/coordination/scheduling/preemption.go
@@ -11,10 +11,10 @@
 	"tillerarch/internal/protocol"
 )
 
-// reservedMachineBytes is what a reserved machine takes of a job's record.
+// reservedMachineBytes is the encoded size of one reserved machine in a job's record.
 const reservedMachineBytes = 14
 
-// preemptor finds the tasks whose preemption costs least, and stops them.
+// preemptor finds the tasks that cost least to preempt, and stops them.
 type preemptor struct {
 	*step.Context
 
@@ -25,7 +25,8 @@
 	stopper *agents.TaskStopper
 }
 
-// currentReservation is the reservation on record, as long as the tasks fit it; nil: they do not.
+// currentReservation returns placements on the machines that the job's record reserves. It returns nil
+// if there is no reservation or the tasks do not fit there anymore.
 func (p *preemptor) currentReservation(job *PendingJob, candidates []*Candidate, tasks int) []placement {
 	if len(job.record.ReservedMachines) == 0 {
 		return nil
@@ -34,8 +35,9 @@
 	return p.gangs.distributeTasks(job, job.reservedCandidates(candidates), "", tasks, capacity)
 }
 
-// cheapestPreemption chooses the machines on which the least work is lost; with requireImage,
-// among those that have the image.
+// cheapestPreemption returns placements on the machines that lose the least work, all in one of the zones.
+// With requireImage, it considers only machines that have the image. It returns nil if the tasks fit in
+// none of the zones.
 func (p *preemptor) cheapestPreemption(
 	job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int, requireImage bool,
 ) []placement {
@@ -53,7 +55,7 @@
 	return p.gangs.distributeInFirstZone(job, machines, zones, tasks, capacity)
 }
 
-// canPreemptOn tells whether tasks may be preempted on a machine for the job.
+// canPreemptOn reports whether tasks on a machine may be preempted for the job.
 func canPreemptOn(machine *Candidate, spec *protocol.Job, requireImage bool) bool {
 	if machine.isUnschedulable || machine.isProvisioning || !machine.machineType.CanFitTask(spec) {
 		return false
@@ -61,13 +63,13 @@
 	return !requireImage || machine.state.HasImage(spec.Image)
 }
 
-// fitsJobRecord tells whether a reservation fits the job's record. The store would
-// reject one that does not, with all else that is in its transaction.
+// fitsJobRecord reports whether a reservation fits the job's record. The store would reject a record that
+// is too large, together with everything else in its transaction.
 func (p *preemptor) fitsJobRecord(placements []placement) bool {
 	return len(placements) <= p.limits.JobRecordBudget()/reservedMachineBytes
 }
 
-// capacityAfterPreemption tells how many tasks of the job fit once all victims are stopped.
+// capacityAfterPreemption returns how many tasks of the job fit on a machine once all victims are stopped.
 func (p *preemptor) capacityAfterPreemption(machine *Candidate, job *PendingJob) int {
 	if machine.isProvisioning {
 		return 0
@@ -79,8 +81,8 @@
 	return free.CapacityFor(job.record.Spec)
 }
 
-// preemptionCost is what a preemption on a machine costs, in core-seconds: work lost, and cores
-// that wait for checkpoints or for the image.
+// preemptionCost returns the cost of a preemption on a machine in core-seconds: the lost work, and the
+// time that cores wait for checkpoints or for the image.
 func (p *preemptor) preemptionCost(machine *Candidate, job *PendingJob) float64 {
 	spec := job.record.Spec
 	free, cost, waitSeconds := machine.free, 0.0, 0.0
--- a/internal/coordination/scheduling/preemption_stops.go
+++ b/internal/coordination/scheduling/preemption_stops.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// minPreemptorAge is the age from which a job preempts.
+	// minPreemptorAge is the minimum age of a job that preempts tasks of other jobs.
 	minPreemptorAge protocol.Millis = 500
-	// checkpointMarginSeconds is added to the time that a task needs to save its checkpoint.
+	// checkpointMarginSeconds is the time that a task gets to stop in addition to the time that it needs to
+	// save its checkpoint.
 	checkpointMarginSeconds = 0.5
 )
 
-// preemptTasks stops up to maxTasks tasks of an allocation on an owned machine for a job of higher
-// priority; those that are being stopped already are included. A gang with a common checkpoint is
-// stopped as a whole, on all its machines.
+// preemptTasks stops tasks of an allocation on an owned machine for a job of higher priority, until
+// maxTasks are being stopped, including those that were being stopped before. It stops a gang with a
+// common checkpoint as a whole, on all its machines.
 func (p *preemptor) preemptTasks(machine *Candidate, victim *allocation, preemptedFor *PendingJob, maxTasks int) {
 	if !p.lease.OwnsMachine(machine.record) || p.Now.Wall-preemptedFor.record.SubmittedAt < minPreemptorAge {
 		return
@@ -37,12 +38,12 @@
 	}
 }
 
-// stopsAsGang tells whether the tasks of a job save a common checkpoint before they stop.
+// stopsAsGang reports whether the tasks of a job save a common checkpoint before they stop.
 func stopsAsGang(spec *protocol.Job) bool {
 	return spec.IsGang() && spec.TaskCount > 1 && spec.CanCheckpoint()
 }
 
-// checkpointGrace is how many seconds a task is given to stop.
+// checkpointGrace returns the time in seconds that a task has to stop.
 func checkpointGrace(spec *protocol.Job) float64 {
 	if !spec.CanCheckpoint() {
 		return 0
@@ -50,7 +51,7 @@
 	return spec.CheckpointSaveSeconds + checkpointMarginSeconds
 }
 
-// stopTasks stops tasks of an assignment until maxTasks are being stopped, and tells how many are.
+// stopTasks stops tasks of an assignment until maxTasks are being stopped, and returns how many are.
 func (p *preemptor) stopTasks(
 	state *agents.MachineState, assigned *storage.Assignment, maxTasks int, grace float64, reason string,
 ) (stopping int) {
