--- a/internal/coordination/scheduling/gang_distribution.go
+++ b/internal/coordination/scheduling/gang_distribution.go
@@ -80,7 +80,7 @@
 }
 
 // distributeInFirstZone distributes tasks over the machines of the first zone that has capacity for all
-// of them. It returns nil if no zone has.
+// of them. An empty zone includes all machines. It returns nil if the tasks fit in none of the zones.
 func (g *gangScheduler) distributeInFirstZone(
 	job *PendingJob, machines []*Candidate, zones []protocol.Zone, tasks int, capacity func(*Candidate) int,
 ) []placement {
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	// guaranteedPrecedence puts teams within their guarantee before every priority.
+	// guaranteedPrecedence ranks jobs of teams within their guarantee before every priority.
 	guaranteedPrecedence = -1
-	// startLeadFactor is how many times the least run time of a job's tasks is set aside for
-	// them where a late end would miss an objective.
+	// startLeadFactor is the multiple of the minimum run time of a job's tasks that is set aside for them
+	// before the time by which they have to end.
 	startLeadFactor = 3
-	// defaultDueAfter is the due time, counted from the submission, of a job that has no
-	// objective or has missed all of them.
+	// defaultDueAfter is the time from the submission until the due time of a job that has no objective or
+	// has missed all of them.
 	defaultDueAfter protocol.Millis = 600_000
-	// promotionDivisor: a job of low priority is served like the priority above for the last
-	// 1/promotionDivisor of the time within which its tasks should start.
+	// promotionDivisor divides the time within which the tasks of a job of low priority should start. For
+	// the quotient at the end of that time, the job is served like the next higher priority.
 	promotionDivisor = 3
-	// longRunningFactor is how many times the aging threshold an array must have been unfinished
+	// longRunningFactor is the multiple of the aging threshold for which an array must have been unfinished
 	// before a part of the fleet goes to it first.
 	longRunningFactor = 2
 	// estimateErrorFactor is the factor by which estimated run times are often too long.
 	estimateErrorFactor = 2
-	// expediteSlackIntervals is the slack, in heartbeat intervals, below which a job's tasks cannot wait
-	// for the next heartbeat of their machines.
+	// expediteSlackIntervals is the slack, in heartbeat intervals, below which a job's tasks cannot wait for
+	// the next heartbeat of their machines.
 	expediteSlackIntervals = 2
 )
 
-// Queue orders unfinished jobs by the precedence in which they are served.
+// Queue orders unfinished jobs by precedence.
 type Queue struct {
 	*step.Context
 
 	catalog *catalog.Catalog
 }
 
-// ListPendingJobs lists the unfinished jobs in the order in which they are served.
+// ListPendingJobs returns the unfinished jobs in the order in which they are served.
 func (q *Queue) ListPendingJobs(batch *commit.Batch, candidates []*Candidate) []*PendingJob {
 	byID := map[protocol.JobID]*PendingJob{}
 	var jobs []*PendingJob
@@ -58,7 +58,7 @@
 	return jobs
 }
 
-// newPendingJob makes the queue's entry of a job; nil: no task of it is to be placed.
+// newPendingJob returns the queue's entry for a job, or nil if no task of the job is to be placed.
 func (q *Queue) newPendingJob(batch *commit.Batch, id protocol.JobID) *PendingJob {
 	record := batch.JobRecord(id)
 	if record.State.IsTerminal() || record.CancelRequested || record.Spec == nil {
@@ -79,7 +79,7 @@
 	return job
 }
 
-// countPlacedTasks counts for each job the tasks that the records assign.
+// countPlacedTasks counts for each job the tasks that the records assign to machines.
 func countPlacedTasks(byID map[protocol.JobID]*PendingJob, candidates []*Candidate) {
 	for _, machine := range candidates {
 		for i := range machine.allocations {
@@ -92,7 +92,7 @@
 	}
 }
 
-// classifyByAge marks a job that is starved or long-running.
+// classifyByAge determines whether a job is starved or long-running.
 func (q *Queue) classifyByAge(job *PendingJob) {
 	waited := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
 	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
@@ -101,8 +101,9 @@
 	job.isLongRunning = waited > longRunningFactor*q.Config.AgingThreshold && !job.isStarved && isArray
 }
 
-// precedenceOf is the rank of a job by its priority and its team's guarantee: a smaller one goes first
-// and may preempt a larger one. Jobs of a team within its guarantee go before all others.
+// precedenceOf returns the rank of a job by its priority and its team's guarantee. A job of smaller
+// precedence is served first and may preempt jobs of larger precedence. Jobs of a team within its
+// guarantee precede all others.
 func (q *Queue) precedenceOf(spec *protocol.Job) int {
 	if q.isWithinGuarantee(spec.Team) {
 		return guaranteedPrecedence
@@ -110,7 +111,7 @@
 	return spec.Priority.Precedence()
 }
 
-// isWithinGuarantee tells whether a team's unfinished jobs fit into its guarantee. With one team only,
+// isWithinGuarantee reports whether a team's unfinished jobs fit within its guarantee. With only one team,
 // a guarantee has no effect.
 func (q *Queue) isWithinGuarantee(team string) bool {
 	quota := q.Config.Quotas[team]
@@ -130,14 +131,14 @@
 		accelerators <= quota.GuaranteedAccelerators+catalog.Epsilon
 }
 
-// computeDeadlines finds by when a job is to be served: the first objective of its class, or of
-// its own deadline, that can still be met. A job that has missed all of them goes last within
-// its precedence. A job of low priority whose tasks should start soon is served like the
-// priority above: it preempts no task for that, but gets some of what becomes free.
+// computeDeadlines sets the due time and the latest start of a job, by the first objective of its class,
+// or of its own deadline, that can still be met. A job that has missed all objectives is served last
+// within its precedence. A job of low priority whose tasks should start soon is served like the next
+// higher priority. It preempts no tasks for that, but gets some of the capacity that becomes free.
 func (q *Queue) computeDeadlines(job *PendingJob) {
 	spec, submittedAt := job.record.Spec, job.record.SubmittedAt
 	if spec.IsService() {
-		// No replica can wait, whether the objectives of the first ones were met or not.
+		// No replica can wait, whether or not the objectives of the first replicas were met.
 		job.dueAt, job.latestStart, job.initialLatestStart = submittedAt, q.Now.Wall, submittedAt
 		return
 	}
@@ -164,8 +165,8 @@
 	}
 }
 
-// applyObjective applies an objective: the job has to meet it within target of its submission, and its
-// tasks have to run for leadTime before that.
+// applyObjective applies an objective that the job has to meet within target of its submission. The
+// job's tasks have to run for leadTime before that.
 func (q *Queue) applyObjective(job *PendingJob, target, leadTime time.Duration) {
 	lead := protocol.Millis(leadTime.Milliseconds())
 	dueAt := job.record.SubmittedAt + protocol.Millis(target.Milliseconds())
@@ -180,8 +181,8 @@
 	}
 }
 
-// promoteNearStart serves a job like the priority above while little of the time is left within
-// which its tasks should start. None is promoted to the highest priority, 0.
+// promoteNearStart serves a job like the next higher priority while little is left of the time within
+// which its tasks should start. It promotes no job to the highest priority, which is 0.
 func (q *Queue) promoteNearStart(job *PendingJob, target time.Duration) {
 	startWithin := protocol.Millis(target.Milliseconds())
 	remaining := job.record.SubmittedAt + startWithin - q.Now.Wall
@@ -190,21 +191,21 @@
 	}
 }
 
-// shouldExpediteHeartbeats tells whether a job's tasks have to start sooner than all machines send a
-// heartbeat by themselves.
+// shouldExpediteHeartbeats reports whether a job's tasks have to start before all machines send a heartbeat
+// by themselves.
 func (q *Queue) shouldExpediteHeartbeats(job *PendingJob) bool {
 	return !job.isLate && job.timeUntilLatestStart(q.Now) < expediteSlackIntervals*q.Config.HeartbeatInterval
 }
 
-// needsWarmCapacity tells whether a job's tasks have to start sooner than machines that are
-// provisioned for them can be relied on.
+// needsWarmCapacity reports whether a job's tasks have to start sooner than machines that are provisioned
+// for them can be relied on.
 func (q *Queue) needsWarmCapacity(job *PendingJob) bool {
 	slack := step.MillisToDuration(job.initialLatestStart - job.record.SubmittedAt)
 	provisioningTime := q.catalog.ProvisioningTime(job.record.Spec)
 	return slack < time.Duration(q.Config.IdleTimeoutFactor*float64(provisioningTime))
 }
 
-// quotaHeadroom tells how many more tasks of the job its team's limit allows.
+// quotaHeadroom returns how many more tasks of the job its team's limit allows.
 func (q *Queue) quotaHeadroom(candidates []*Candidate, spec *protocol.Job) int {
 	quota := q.Config.Quotas[spec.Team]
 	if !quota.HasLimit() {
@@ -221,7 +222,7 @@
 	return max(tasks, 0)
 }
 
-// teamUsage sums up what a team's tasks take, placed and planned.
+// teamUsage returns the total resources of a team's tasks, both placed and planned.
 func teamUsage(candidates []*Candidate, team string) (cores, accelerators float64) {
 	for _, machine := range candidates {
 		for i := range machine.allocations {
@@ -234,7 +235,7 @@
 	return cores, accelerators
 }
 
-// fittingTasks tells how many tasks fit into an amount.
+// fittingTasks returns the number of tasks for which an amount of a resource suffices.
 func fittingTasks(amount, perTask float64) int {
 	return int(math.Floor(amount/perTask + catalog.Epsilon))
 }
--- a/internal/coordination/scheduling/replica_placer.go
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -9,32 +9,32 @@
 	"tillerarch/internal/storage"
 )
 
-// replicaLimit says how many replicas of a job a machine may have.
+// replicaLimit is a limit on the number of replicas of a job on one machine.
 type replicaLimit int
 
 const (
-	// halfOfReplicas: as long as there are others, the loss of one machine must not stop the
-	// service.
+	// halfOfReplicas applies as long as there are other machines, because the loss of one machine must
+	// not stop the service.
 	halfOfReplicas replicaLimit = iota
 	oneReplica
 	allReplicas
 )
 
-// replicaPlacer places the replicas of one job in a pass.
+// replicaPlacer places the replicas of one job in a planning pass.
 type replicaPlacer struct {
 	services          *ServiceScheduler
 	batch             *commit.Batch
 	job               *PendingJob
 	candidates        []*Candidate
 	limit             replicaLimit
-	canWrite          bool  // this incarnation writes the job's placements now
-	pendingReplicas   []int // indices of the replicas to place, if canWrite
+	canWrite          bool  // whether this incarnation may write the job's placements now
+	pendingReplicas   []int // indexes of the replicas to place, if canWrite
 	remainingReplicas int
-	replicasByMachine map[protocol.MachineID]int // of the job, on record and planned
-	usedReservations  map[protocol.MachineID]int // replicas that the recorded reservation has been used for
+	replicasByMachine map[protocol.MachineID]int // replicas of the job, recorded and planned
+	usedReservations  map[protocol.MachineID]int // replicas that use the recorded reservation
 }
 
-// machineFilter tells whether a machine is eligible.
+// machineFilter reports whether a machine is eligible.
 type machineFilter func(*Candidate) bool
 
 func (s *ServiceScheduler) newReplicaPlacer(
@@ -62,7 +62,7 @@
 	return placer
 }
 
-// replicaHeadroom is how many more replicas of the job the machine should have.
+// replicaHeadroom returns how many more replicas of the job may run on the machine.
 func (p *replicaPlacer) replicaHeadroom(machine *Candidate) int {
 	replicas := p.job.record.Spec.TaskCount
 	switch p.limit {
@@ -76,12 +76,12 @@
 	return min(headroom, p.remainingReplicas, p.job.zoneHeadroom(machine.record.Zone))
 }
 
-// preemptionHeadroom is headroomOn, as far as a preemption frees the capacity for it.
+// preemptionHeadroom returns the part of replicaHeadroom for which a preemption frees capacity.
 func (p *replicaPlacer) preemptionHeadroom(machine *Candidate) int {
 	return min(p.services.preemptor.capacityAfterPreemption(machine, p.job), p.replicaHeadroom(machine))
 }
 
-// placeOnFreeCapacity places replicas where there is free capacity.
+// placeOnFreeCapacity places replicas on eligible machines that have free capacity.
 func (p *replicaPlacer) placeOnFreeCapacity(isEligible machineFilter) {
 	if p.remainingReplicas <= 0 {
 		return
@@ -94,7 +94,7 @@
 	}
 }
 
-// placeOnMachine places replicas on a machine that has the capacity for them.
+// placeOnMachine places replicas on a machine that has capacity for them.
 func (p *replicaPlacer) placeOnMachine(machine *Candidate, count int) {
 	scheduler := p.services.scheduler
 	canAssign := p.canWrite && !machine.isProvisioning
@@ -104,7 +104,8 @@
 	p.remainingReplicas -= count
 }
 
-// takePendingReplicas takes the next replicas to place; nil: this incarnation does not write them.
+// takePendingReplicas removes and returns the indexes of the next replicas to place. It returns nil if
+// this incarnation does not write them.
 func (p *replicaPlacer) takePendingReplicas(count int) []int {
 	if !p.canWrite {
 		return nil
@@ -114,9 +115,9 @@
 	return next
 }
 
-// placeByPreemption preempts tasks of lower priority on owned machines. The owner of the job chooses
-// among its own machines only: so no other controller preempts for the same replicas, and the choice
-// need not be recorded first.
+// placeByPreemption preempts tasks of lower priority on owned machines. The job's owner chooses only among
+// its own machines. Therefore no other controller preempts for the same replicas, and the choice need not
+// be recorded first.
 func (p *replicaPlacer) placeByPreemption(isEligible machineFilter) {
 	if p.remainingReplicas <= 0 || !p.canWrite {
 		return
@@ -129,9 +130,9 @@
 	}
 }
 
-// placeByReservation preempts on machines of other controllers, too, where owned machines do not
-// suffice: the job's owner records its choice, a machine once for each replica, and the machines'
-// owners stop tasks there.
+// placeByReservation also preempts on machines of other controllers, where owned machines do not suffice.
+// The job's owner records its choice, in which a machine occurs once per replica, and the owners of the
+// machines stop tasks there.
 func (p *replicaPlacer) placeByReservation(isEligible machineFilter) {
 	if p.remainingReplicas <= 0 {
 		return
@@ -156,15 +157,15 @@
 	}
 }
 
-// reservedMachines lists the machines whose recorded reservation this pass has not used up.
+// reservedMachines returns the eligible machines whose recorded reservation this pass has not used up.
 func (p *replicaPlacer) reservedMachines(isEligible machineFilter) []*Candidate {
 	return p.cheapestToPreempt(func(machine *Candidate) bool {
 		return p.unusedReservation(p.job.record, machine) > 0 && isEligible(machine)
 	})
 }
 
-// unusedReservation counts the replicas that a job's record reserves a machine for and that this
-// pass has not planned there yet.
+// unusedReservation returns the number of replicas for which a job's record reserves the machine and that
+// this pass has not planned there yet.
 func (p *replicaPlacer) unusedReservation(record *storage.JobRecord, machine *Candidate) int {
 	unused := -p.usedReservations[machine.id]
 	for _, id := range record.ReservedMachines {
@@ -175,8 +176,8 @@
 	return unused
 }
 
-// reserveForPreemption records machines to preempt on, if they are for more replicas than the recorded
-// reservation; nil: they are not.
+// reserveForPreemption records machines to preempt on, if they have room for more replicas than the
+// recorded reservation, and returns these machines. Otherwise it returns nil.
 func (p *replicaPlacer) reserveForPreemption(isEligible machineFilter, reservedReplicas int) []*Candidate {
 	var placements []placement
 	remaining := p.remainingReplicas
@@ -197,8 +198,8 @@
 	return slices.Compact(machines)
 }
 
-// cheapestToPreempt lists machines on which tasks of lower priority can be stopped for replicas,
-// those first where that costs least.
+// cheapestToPreempt returns the eligible machines on which tasks of lower priority can be stopped for
+// replicas, lowest cost first.
 func (p *replicaPlacer) cheapestToPreempt(isEligible machineFilter) []*Candidate {
 	preemptor := p.services.preemptor
 	cost := map[*Candidate]float64{}
@@ -216,7 +217,7 @@
 	return machines
 }
 
-// mayPreemptOn tells whether tasks may be preempted on a machine for the replicas.
+// mayPreemptOn reports whether tasks on a machine may be preempted for the replicas.
 func (p *replicaPlacer) mayPreemptOn(machine *Candidate) bool {
 	if machine.isProvisioning || machine.isUnschedulable || p.job.avoidedTypes[machine.record.MachineType] {
 		return false
@@ -224,8 +225,8 @@
 	return p.services.lister.isMachineAllowed(p.job.record.Spec, machine)
 }
 
-// preemptOnMachine plans up to limit replicas on a machine, and stops tasks of lower priority there if the
-// choice is decided and this incarnation owns the machine.
+// preemptOnMachine plans up to limit replicas on a machine. If the choice of the machine is decided and
+// this incarnation owns it, preemptOnMachine stops tasks of lower priority there.
 func (p *replicaPlacer) preemptOnMachine(machine *Candidate, limit int, isDecided bool) {
 	count := min(p.preemptionHeadroom(machine), limit)
 	if count <= 0 {
--- a/internal/coordination/scheduling/replica_preemption.go
+++ b/internal/coordination/scheduling/replica_preemption.go
@@ -1,6 +1,6 @@
 package scheduling
 
-// replicaSecondCost is what a second until a replica runs is worth, in core-seconds of other work.
+// replicaSecondCost is the cost of a second until a replica runs, in core-seconds of other work.
 const replicaSecondCost = 10
 
 // preemptForReplicas stops as few tasks of lower priority on an owned machine as the replicas need.
@@ -18,9 +18,9 @@
 	}
 }
 
-// replicaStartCost is what it takes until one replica runs on a machine, in core-seconds: work
-// lost, and time. Tasks that are being stopped cost nothing more, so that later passes make the
-// same choice.
+// replicaStartCost returns the cost until one replica runs on a machine, in core-seconds. It consists of
+// lost work and of waiting time. Tasks that are being stopped already lose no more work, so that later
+// passes make the same choice.
 func (p *preemptor) replicaStartCost(machine *Candidate, job *PendingJob) float64 {
 	free, cost, waitSeconds := machine.free, 0.0, 0.0
 	for _, victim := range p.victimsStoppingFirst(machine, job) {
--- a/internal/coordination/scheduling/reservations.go
+++ b/internal/coordination/scheduling/reservations.go
@@ -9,11 +9,11 @@
 	"tillerarch/internal/protocol"
 )
 
-// reserveForStarvedJob reserves machines for a job that has waited too long and fits nowhere, until what
-// runs there has ended: nothing more is placed on them. Without it smaller jobs of the same precedence
-// would take all capacity as it becomes free. Only one job of a precedence has a reservation, so that
-// few machines are left empty; the result tells whether it is this one. The choice is on record, so that
-// all controllers leave these machines alone.
+// reserveForStarvedJob reserves machines for a job that has waited too long and fits nowhere. No more tasks
+// are placed on these machines until the tasks that run there have ended. Without the reservation, smaller
+// jobs of the same precedence would take all capacity as it becomes free. Only one job of a precedence has
+// a reservation, so that few machines are left empty. The result reports whether it is this job. The store
+// contains the reservation, so that no controller places tasks on these machines.
 func (g *gangScheduler) reserveForStarvedJob(
 	batch *commit.Batch, job *PendingJob, candidates []*Candidate, zones []protocol.Zone, tasks int,
 ) bool {
@@ -41,8 +41,8 @@
 	return true
 }
 
-// capacityWhenDrained tells how many tasks of the job a machine takes once all tasks have ended
-// that the job may preempt or that have its precedence.
+// capacityWhenDrained returns how many tasks of the job fit on a machine once all tasks have ended that the
+// job may preempt or that have its precedence.
 func capacityWhenDrained(machine *Candidate, job *PendingJob) int {
 	if machine.isProvisioning {
 		return 0
@@ -56,8 +56,8 @@
 	return free.CapacityFor(job.record.Spec)
 }
 
-// rankByDrainTime lists the machines by the time, in seconds of the whole machine, that what runs
-// there still needs: the emptiest first, and those whose tasks have run longest.
+// rankByDrainTime returns the machines ordered by the remaining run time of their tasks, in seconds of the
+// whole machine. Machines with few tasks, and those whose tasks have run longest, come first.
 func (g *gangScheduler) rankByDrainTime(candidates []*Candidate) []*Candidate {
 	remaining := map[*Candidate]float64{}
 	for _, machine := range candidates {
@@ -74,8 +74,8 @@
 	return machines
 }
 
-// recordReservation records the machines that are reserved for a job. The batch must have capacity for
-// it.
+// recordReservation writes the machines that are reserved for a job to the job's record. The batch must
+// have capacity for the change.
 func recordReservation(batch *commit.Batch, id protocol.JobID, placements []placement, message string) {
 	record := batch.MutableJob(id)
 	record.ReservedMachines = nil
@@ -85,7 +85,7 @@
 	batch.Log(slog.LevelInfo, message, "job", string(id), "machines", record.ReservedMachines)
 }
 
-// reservedCandidates lists the machines that the job's record reserves.
+// reservedCandidates returns the candidates that the job's record reserves.
 func (j *PendingJob) reservedCandidates(candidates []*Candidate) []*Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
 		return !slices.Contains(j.record.ReservedMachines, machine.id)
--- a/internal/coordination/scheduling/scoring.go
+++ b/internal/coordination/scheduling/scoring.go
@@ -8,34 +8,34 @@
 	"tillerarch/internal/coordination/commit"
 )
 
-// A candidate's score is in seconds of delay: the time until the task runs there, and what the placement
-// costs others, converted to an equally bad delay. The lowest score is the best.
+// A candidate's score is a delay in seconds: the time until the task runs there, plus the cost of the
+// placement to other tasks, converted to an equally bad delay. The candidate with the lowest score is best.
 const (
-	// sizePenaltyPerCore and sizePenaltyPerAccelerator put small machine types first, so that
-	// large ones stay free for what fits nowhere else: a core more is as bad as ten seconds.
+	// sizePenaltyPerCore and sizePenaltyPerAccelerator prefer small machine types, so that large ones
+	// stay free for tasks that fit nowhere else. One more core is as bad as a delay of ten seconds.
 	sizePenaltyPerCore        = 10
 	sizePenaltyPerAccelerator = 1000
-	// provisioningPenalty puts machines that are not up yet after all that are.
+	// provisioningPenalty ranks machines that are not up yet after all machines that are.
 	provisioningPenalty = 1e6
-	// maxImagePenalty bounds the delay of an image's fetch: the longest counts like six cores.
+	// maxImagePenalty bounds the delay for fetching an image. The longest fetch counts like six cores.
 	maxImagePenalty = 60
-	// spotBonus prefers spot machines, which are cheaper, to on-demand ones of the same size.
+	// spotBonus prefers spot machines, which are cheaper, to on-demand machines of the same size.
 	spotBonus = 5
-	// spotReplicaPenalty puts spot machines after all others for replicas: as these never end,
-	// every preemption of a machine hits them.
+	// spotReplicaPenalty ranks spot machines after all others for replicas. Replicas never end, so every
+	// preemption of a spot machine by the cloud hits them.
 	spotReplicaPenalty = 400
-	// slowMachinePenalty puts slow machines after all others of their size: they are still used
-	// when there is no other, and as they are idle first they are scaled in first.
+	// slowMachinePenalty ranks slow machines after all others of their size. They are still used when there
+	// are no others. As they become idle first, they are scaled in first.
 	slowMachinePenalty = 120
-	// remoteShardPenalty prefers shards of the job's owner: writing another controller's shard
-	// conflicts with its owner, which writes it all the time.
+	// remoteShardPenalty prefers shards of the job's owner. A write to another controller's shard conflicts
+	// with the writes of its owner, which writes it all the time.
 	remoteShardPenalty = 8
-	// extraWritePenalty prefers shards that the batch changes already: another one takes one
-	// operation more of the store's write rate.
+	// extraWritePenalty prefers shards that the batch changes already. Any other shard costs one more
+	// operation of the store's write rate.
 	extraWritePenalty = 1
 )
 
-// scoreCandidate ranks a machine for a task of the job, in seconds of delay.
+// scoreCandidate returns the score of a machine for a task of the job, in seconds of delay.
 func (s *Scheduler) scoreCandidate(batch *commit.Batch, job *PendingJob, machine *Candidate) float64 {
 	spec := job.record.Spec
 	score := machine.machineType.Cores*sizePenaltyPerCore + machine.machineType.Accelerators*sizePenaltyPerAccelerator
@@ -68,7 +68,7 @@
 	return score
 }
 
-// shardScope says on whose shards machines may be.
+// shardScope restricts the shards whose machines may be used.
 type shardScope int
 
 const (
@@ -76,8 +76,8 @@
 	ownerShards
 )
 
-// rankedCandidates lists the machines that can take a task of the job, best first, machines of
-// one shard together. With ownerShards, only shards of the job's owner count.
+// rankedCandidates returns the machines that can take a task of the job, best first, with machines of one
+// shard next to each other. With scope ownerShards, it considers only shards of the job's owner.
 func (s *Scheduler) rankedCandidates(batch *commit.Batch, job *PendingJob, scope shardScope) []*Candidate {
 	type scoredCandidate struct {
 		machine *Candidate
@@ -87,7 +87,7 @@
 	available := s.plan.pass.availableCandidates[:0]
 	for _, machine := range s.plan.pass.availableCandidates {
 		if machine.isFull() {
-			continue // for all jobs that come later, too
+			continue // nor can any later job use the machine
 		}
 		available = append(available, machine)
 		if scope == ownerShards && machine.record.Owner != job.record.Owner {
@@ -111,12 +111,12 @@
 	return machines
 }
 
-// isFull tells whether no task at all fits.
+// isFull reports whether no task fits on the machine.
 func (c *Candidate) isFull() bool {
 	return c.free.Cores <= catalog.Epsilon || c.free.MemoryGB <= catalog.Epsilon
 }
 
-// canTakeTask tells whether the machine has capacity for a task of the job, and may be used for it.
+// canTakeTask reports whether the machine has capacity for a task of the job and may be used for it.
 func (s *Scheduler) canTakeTask(job *PendingJob, machine *Candidate) bool {
 	spec := job.record.Spec
 	return !job.avoidedTypes[machine.record.MachineType] && machine.free.CapacityFor(spec) > 0 &&
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// slowImageFetch is a fetch that takes longer than a preemption on a machine that has the
-	// image.
+	// slowImageFetch is the duration of an image fetch from which a preemption on a machine that has the
+	// image is faster.
 	slowImageFetch = 3 * time.Second
-	// largeTypeFactor is how many times the cores of the smallest type that fits a machine type
-	// may have to take replicas before all others are full: a replica never ends, and would
-	// keep gangs off a large machine permanently.
+	// largeTypeFactor bounds the machine types on which replicas are placed before all others are full, as a
+	// multiple of the cores of the smallest type that fits. A replica never ends, and would keep gangs off a
+	// large machine permanently.
 	largeTypeFactor = 4
-	// unboundedRuntime is the run time that is assumed for tasks that do not end.
+	// unboundedRuntime is the assumed run time of tasks that do not end.
 	unboundedRuntime = 24 * time.Hour
 )
 
 // ServiceScheduler places the replicas of services.
 //
-// The tasks of a service are replicas that run until their user cancels the job. It is never
-// done, has no end to plan with, and every second in which a replica does not run counts. So
-// replicas are urgent at all times, go where their image is already, and preempt tasks of lower
-// priority where that is quicker than to fetch an image or to provision a machine.
+// The tasks of a service are replicas that run until their user cancels the job. A service is never done,
+// has no expected end, and loses every second in which a replica does not run. Replicas are therefore
+// always urgent, are placed where their image is present, and preempt tasks of lower priority where that is
+// quicker than to fetch an image or to provision a machine.
 type ServiceScheduler struct {
 	*step.Context
 
@@ -45,9 +45,9 @@
 	scheduler *Scheduler
 }
 
-// RecordExitedReplicas finds replicas that have left a machine's record while the machine and its
-// agent epoch go on: they have ended by themselves, or were stopped. All controllers see it,
-// so the one that places the next ones knows for how long the last ones ran.
+// RecordExitedReplicas finds replicas that are no longer assigned to a machine, while the machine and its
+// agent epoch continue. These replicas have ended by themselves or were stopped. All controllers observe
+// the change, so that the controller that places the next replicas knows how long the last ones ran.
 func (s *ServiceScheduler) RecordExitedReplicas(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if after.AgentEpoch != before.AgentEpoch {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// isRunningService tells whether a job is a service that its user has not cancelled.
+// isRunningService reports whether a job is a service that its user has not cancelled.
 func (s *ServiceScheduler) isRunningService(id protocol.JobID) bool {
 	entry := s.Replica.Jobs[id]
 	if entry == nil || entry.Record.Spec == nil || !entry.Record.Spec.IsService() {
@@ -73,7 +73,7 @@
 	return !entry.Record.IsCancelledOrPending()
 }
 
-// remainingTasks counts the tasks that a later record of the machine still has of an assignment.
+// remainingTasks returns the number of an assignment's tasks that a later record of the machine contains.
 func remainingTasks(after *storage.MachineRecord, assigned *storage.Assignment) int {
 	remaining := 0
 	for current := range after.AssignmentsOf(assigned.Job) {
@@ -84,8 +84,8 @@
 	return remaining
 }
 
-// onReplicasExited handles replicas that have ended some time after they were placed. A service whose
-// replicas end soon is placed ever less often, so that it does not use up the write rate.
+// onReplicasExited handles replicas that ended some time after their placement. It places a service whose
+// replicas end soon less and less often, so that the service does not use up the write rate.
 func (s *ServiceScheduler) onReplicasExited(id protocol.JobID, runtime time.Duration) {
 	attempts := attemptsOf(s.jobs, id)
 	if runtime > EarlyExitWindow {
@@ -96,8 +96,9 @@
 	s.Log(slog.LevelInfo, "replica exited early", "job", string(id), "backoff_seconds", backoff.Seconds())
 }
 
-// placeReplicas places the replicas of a service that do not run: first where they start soonest, then
-// where that takes longer, and at last several on one machine, which is better than not to run.
+// placeReplicas places the replicas of a service that do not run. It first uses machines on which they
+// start soonest, then machines on which that takes longer, and finally places several replicas on one
+// machine, which is better than not running them.
 func (s *ServiceScheduler) placeReplicas(batch *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	spec := job.record.Spec
 	replicas := min(spec.TaskCount-job.placedTasks, s.queue.quotaHeadroom(candidates, spec))
@@ -112,8 +113,8 @@
 	placer.placeOnFreeCapacity(fetchesQuickly)
 	placer.placeByPreemption(fetchesQuickly)
 	placer.placeByReservation(fetchesQuickly)
-	// One on each machine that has to fetch the image: the more machines have it, the more of the
-	// next replicas can start at once.
+	// Place at most one replica on each machine that has to fetch the image. The more machines have the image,
+	// the more of the next replicas can start at once.
 	placer.limit = oneReplica
 	placer.placeOnFreeCapacity(anyMachine)
 	placer.limit = halfOfReplicas
@@ -130,7 +131,7 @@
 	}
 }
 
-// largeMachineTypes lists the machine types that replicas avoid as long as others have capacity.
+// largeMachineTypes returns the machine types that replicas avoid as long as other types have capacity.
 func (s *ServiceScheduler) largeMachineTypes(spec *protocol.Job) map[protocol.MachineTypeName]bool {
 	types := s.catalog.MachineTypes()
 	smallest := 0.0
--- a/internal/coordination/scheduling/victims.go
+++ b/internal/coordination/scheduling/victims.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// replicaStopCostSeconds is what stopping a replica is taken to cost, in seconds of its run.
+	// replicaStopCostSeconds is the assumed cost of stopping a replica, in seconds of its run time.
 	replicaStopCostSeconds = 60
-	// minRemainingSeconds is for how long a task is expected to run at least, however long it has
-	// run already.
+	// minRemainingSeconds is the minimum expected remaining run time of a task, however long it has run.
 	minRemainingSeconds = 5
 )
 
-// victims lists the allocations of lower priority on a machine, the least loss per core first.
+// victims returns the allocations of lower priority on a machine, least loss per core first.
 func (p *preemptor) victims(machine *Candidate, job *PendingJob) []*allocation {
 	var victims []*allocation
 	for i := range machine.allocations {
@@ -32,8 +31,8 @@
 	return victims
 }
 
-// victimsStoppingFirst lists the victims on a machine, those with the most tasks that are being stopped
-// already first.
+// victimsStoppingFirst returns the victims on a machine, ordered by the number of tasks that are being
+// stopped already, largest number first.
 func (p *preemptor) victimsStoppingFirst(machine *Candidate, job *PendingJob) []*allocation {
 	victims := p.victims(machine, job)
 	slices.SortStableFunc(victims, func(left, right *allocation) int {
@@ -42,7 +41,7 @@
 	return victims
 }
 
-// countStoppingTasks counts the tasks that a stop is requested for.
+// countStoppingTasks returns the number of tasks for which a stop is requested.
 func countStoppingTasks(machine *Candidate, alloc *allocation) int {
 	if machine.state == nil {
 		return 0
@@ -50,7 +49,7 @@
 	return machine.state.CountStopRequests(alloc.job, alloc.attempt)
 }
 
-// lostWork is the work, in core-seconds, that stopping the tasks would throw away.
+// lostWork returns the work, in core-seconds, that is lost if the tasks are stopped.
 func (p *preemptor) lostWork(machine *Candidate, alloc *allocation) float64 {
 	if alloc.spec.CanCheckpoint() {
 		return alloc.cores() * alloc.spec.CheckpointSaveSeconds
@@ -61,7 +60,7 @@
 	return alloc.cores() * p.runningSeconds(machine, alloc)
 }
 
-// expectedRemainingSeconds is for how many seconds more tasks are expected to run.
+// expectedRemainingSeconds returns the expected remaining run time of the tasks.
 func (p *preemptor) expectedRemainingSeconds(machine *Candidate, alloc *allocation) float64 {
 	if alloc.spec.IsService() {
 		return unboundedRuntime.Seconds()
@@ -69,7 +68,7 @@
 	return max(alloc.spec.EstimatedRunSeconds-p.runningSeconds(machine, alloc), minRemainingSeconds)
 }
 
-// runningSeconds is for how many seconds tasks have been assigned, as far as it is known.
+// runningSeconds returns the time since the tasks were assigned, or 0 if that is unknown.
 func (p *preemptor) runningSeconds(machine *Candidate, alloc *allocation) float64 {
 	assignedAt, isKnown := p.agents.AssignedSince(assignmentKey(machine, alloc))
 	if !isKnown {
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -10,25 +10,26 @@
 	"tillerarch/internal/protocol"
 )
 
-// peakDecayPeriod is how long a peak is remembered.
+// peakDecayPeriod is how long a peak is remembered. Each update of the peaks reduces them by the fraction
+// of the period that has passed since the last update.
 const peakDecayPeriod = 5 * time.Minute
 
-// warmPool decides which idle machines are kept for work that cannot wait until a machine is
-// provisioned for it: as many as such work had in use at its peak. All others are scaled in
-// early. Every controller computes the same from the same records.
+// warmPool selects the idle machines that are retained for work that cannot wait until a machine is
+// provisioned for it. It retains as many as such work used at its peak. All other idle machines are scaled
+// in early. Every controller computes the same result from the same records.
 type warmPool struct {
 	classes         map[string]*urgentClass
-	totalPeakCores  float64 // the most cores that unfinished work asked for; it decays
-	urgentPeakCores float64 // and the most that urgent work did
+	totalPeakCores  float64 // decaying peak of the cores that unfinished work requests
+	urgentPeakCores float64 // decaying peak of the cores that urgent work requests
 	observedAt      protocol.Instant
 	retained        map[protocol.MachineID]bool
 }
 
-// urgentClass is the urgent work of one class.
+// urgentClass is the urgent work of one job class.
 type urgentClass struct {
-	newestSpec   *protocol.Job // of its newest job: what a task takes
+	newestSpec   *protocol.Job // spec of the newest job, which determines the resources of a task
 	currentTasks float64       // unfinished tasks
-	peakTasks    float64       // the most at once; it decays
+	peakTasks    float64       // decaying peak of currentTasks
 }
 
 func newWarmPool() warmPool { return warmPool{classes: map[string]*urgentClass{}} }
@@ -56,8 +57,8 @@
 	w.urgentPeakCores = max(w.urgentPeakCores*decay, urgentCores)
 }
 
-// expectedTasks counts the tasks of a job that ask for a machine now or later. A replica that
-// runs does not.
+// expectedTasks returns the number of a job's tasks that need a machine now or later. Running replicas do
+// not need one.
 func expectedTasks(job *PendingJob) float64 {
 	tasks := float64(job.record.Spec.TaskCount - job.doneTasks)
 	if job.record.Spec.IsService() {
@@ -77,7 +78,7 @@
 	class.currentTasks += tasks
 }
 
-// selectRetainedMachines picks the idle machines that are kept, the cheapest first.
+// selectRetainedMachines selects the idle machines to retain, cheapest first.
 func (w *warmPool) selectRetainedMachines(candidates []*Candidate, isAllowed func(*protocol.Job, *Candidate) bool) {
 	w.retained = map[protocol.MachineID]bool{}
 	idle := cheapestIdleMachines(candidates)
@@ -97,7 +98,7 @@
 	}
 }
 
-// cheapestIdleMachines lists the machines that run nothing and could be scaled in, the cheapest per core
+// cheapestIdleMachines returns the machines that run nothing and could be scaled in, cheapest per core
 // first.
 func cheapestIdleMachines(candidates []*Candidate) []*Candidate {
 	idle := slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
@@ -109,8 +110,8 @@
 	return idle
 }
 
-// shouldRetainMachine tells whether an idle machine is kept for urgent work. Where that is half of all
-// work or more, every machine is.
+// shouldRetainMachine reports whether an idle machine is retained for urgent work. If urgent work is at
+// least half of all work, every machine is retained.
 func (w *warmPool) shouldRetainMachine(id protocol.MachineID) bool {
 	return w.retained[id] || 2*w.urgentPeakCores >= w.totalPeakCores
 }
