--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -10,25 +10,25 @@
 	"tillerarch/internal/storage"
 )
 
-// Bounds of the direct calls in flight. After a failover hundreds of agents need the
-// new fencing token, and each call takes a socket. The bound grows with the fleet, as does the number
-// of machines that hang at once, each of which occupies a call for seconds.
+// Limits of the direct calls in flight. After a failover hundreds of agents need the new fencing
+// token, and each call uses a socket. The limit grows with the fleet because the number of machines
+// that hang at the same time does too, and each of those occupies a call for seconds.
 const (
-	minAgentCalls        = 24
-	machinesPerAgentCall = 32 // one call for so many machines on record
-	// adoptionCallFactor raises the bound for the agents of machines that are on no record: they
-	// get no response before they have answered.
+	minAgentCalls        = 24 // lower bound of the limit
+	machinesPerAgentCall = 32 // the limit is one call for this many recorded machines
+	// adoptionCallFactor multiplies the limit for the agents of machines without a record, because
+	// those agents get no response before they have answered a probe.
 	adoptionCallFactor = 2
 )
 
-// Least times between direct calls to one agent.
+// Minimum intervals between direct calls to one agent.
 const (
-	stopCallInterval     = time.Second     // of calls that stop tasks
-	tokenCallInterval    = 2 * time.Second // of calls that show the fencing token, or test delivery
-	unownedProbeInterval = 2 * time.Second // of probes of an agent whose machine another controller owns
+	stopCallInterval     = time.Second     // for calls that stop tasks
+	tokenCallInterval    = 2 * time.Second // for calls that show the fencing token or test delivery
+	unownedProbeInterval = 2 * time.Second // for probes of agents whose machines another controller owns
 )
 
-// Caller sends commands and probes directly to agents and bounds how many are in flight.
+// Caller sends commands and probes directly to agents and limits the number of calls in flight.
 type Caller struct {
 	*step.Context
 
@@ -39,7 +39,7 @@
 	agentCallsInFlight int
 }
 
-// OnAgentResult takes the status that answers a direct call.
+// OnAgentResult processes the result of a direct call: the status of the agent, or an error.
 func (ac *Caller) OnAgentResult(result step.AgentResult) {
 	ac.agentCallsInFlight--
 	ok := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
@@ -61,7 +61,8 @@
 		}
 	case !ok:
 	case entry != nil:
-		// The agent was probed because its owner sends no status. What it shows is no less true.
+		// The agent was probed because the owner of its machine sends no peer status. What the
+		// agent reports is valid nevertheless.
 		if state.isNewerThanLatest(result.Heartbeat) {
 			state.RecordHeartbeat(result.Heartbeat, ac.Now.Monotonic)
 		}
@@ -73,7 +74,7 @@
 	}
 }
 
-// onOwnedAgentStatus takes the answer of an agent whose machine this controller owns.
+// onOwnedAgentStatus processes the status of an agent whose machine this controller owns.
 func (ac *Caller) onOwnedAgentStatus(state *MachineState, heartbeat *protocol.Heartbeat) {
 	if state.isNewerThanLatest(heartbeat) {
 		state.RecordHeartbeat(heartbeat, ac.Now.Monotonic)
@@ -81,7 +82,8 @@
 	}
 }
 
-// onOwnedAgentFailure takes in that an agent whose machine this controller owns did not answer.
+// onOwnedAgentFailure records that an agent whose machine this controller owns did not answer a direct
+// call.
 func (ac *Caller) onOwnedAgentFailure(state *MachineState) {
 	state.recordCallFailure(state.callStartedAt)
 	ac.agents.markSuspect(state)
@@ -91,8 +93,9 @@
 	}
 }
 
-// ProbeUnownedAgent asks the agent of a machine for its status whose owner has sent none for a
-// while, unless it was asked a moment ago or too many calls are in flight.
+// ProbeUnownedAgent requests the status of an agent because the controller that owns its machine has
+// sent no peer status for a while. It does nothing if the agent was called within
+// unownedProbeInterval, if its address is unknown, or if too many calls are in flight.
 func (ac *Caller) ProbeUnownedAgent(state *MachineState, addr string) {
 	if state.isCallInFlight || ac.Since(state.callStartedAt) <= unownedProbeInterval || addr == "" || !ac.hasCapacity() {
 		return
@@ -100,7 +103,8 @@
 	ac.startProbe(state, addr)
 }
 
-// probeForAdoption asks the agent of a machine that is on no record for its status, once.
+// probeForAdoption requests the status of the agent of a machine without a record, until the agent
+// has answered once.
 func (ac *Caller) probeForAdoption(state *MachineState, addr string) {
 	hasCapacity := ac.agentCallsInFlight < adoptionCallFactor*ac.maxAgentCalls()
 	if state.isCallInFlight || state.HasAnsweredProbe || addr == "" || !hasCapacity {
@@ -109,8 +113,8 @@
 	ac.startProbe(state, addr)
 }
 
-// tryProbe sends a probe to the agent of a machine of which nothing else is remembered here,
-// unless too many calls are in flight.
+// tryProbe sends a probe to the agent of a machine without creating a state for the machine. It
+// reports whether it sent the probe, which it does unless too many calls are in flight.
 func (ac *Caller) tryProbe(id protocol.MachineID, addr string) bool {
 	if !ac.hasCapacity() {
 		return false
@@ -119,18 +123,21 @@
 	return true
 }
 
+// startProbe sends a probe and records it in the machine's state.
 func (ac *Caller) startProbe(state *MachineState, addr string) {
 	state.beginCall(ac.Now.Monotonic)
 	ac.emitProbe(state.ID, addr)
 }
 
+// emitProbe sends a probe and counts it as a call in flight.
 func (ac *Caller) emitProbe(id protocol.MachineID, addr string) {
 	ac.agentCallsInFlight++
 	ac.Emit(step.ProbeAgent{Machine: id, Addr: addr})
 }
 
-// sendCommands calls an agent, at most one call at a time. Without commands the call only shows
-// the fencing token and asks for the status, and counts against the bound.
+// sendCommands calls the agent of an owned machine unless a call to it is in flight or began less than
+// minInterval ago. A call without commands only shows the fencing token and requests the status; it
+// is not sent while the limit of calls in flight is reached.
 func (ac *Caller) sendCommands(
 	entry *storage.Machine, state *MachineState, commands []protocol.Command, minInterval time.Duration,
 ) {
@@ -162,9 +169,10 @@
 	})
 }
 
+// maxAgentCalls returns the limit of direct calls in flight.
 func (ac *Caller) maxAgentCalls() int {
 	return max(minAgentCalls, len(ac.Replica.Machines)/machinesPerAgentCall)
 }
 
-// hasCapacity tells whether another direct call may start.
+// hasCapacity reports whether another direct call may start.
 func (ac *Caller) hasCapacity() bool { return ac.agentCallsInFlight < ac.maxAgentCalls() }
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -7,20 +7,20 @@
 	"tillerarch/internal/storage"
 )
 
-// RemovalRecorder remembers machines that have left the records.
+// RemovalRecorder records that the record of a machine was deleted.
 type RemovalRecorder interface {
 	RecordRemoval(id protocol.MachineID)
 }
 
-// AssignmentKey names the tasks of a job that one attempt has on a machine.
+// AssignmentKey identifies the tasks of one attempt of a job that are assigned to a machine.
 type AssignmentKey struct {
 	Machine protocol.MachineID
 	Job     protocol.JobID
 	Attempt protocol.Attempt
 }
 
-// Table holds what this process remembers of machines and their agents beyond the records:
-// heartbeats, reachability, deferred responses, cached images.
+// Table holds the in-memory state of machines and their agents that is not part of the records:
+// heartbeats, reachability, deferred responses and cached images.
 type Table struct {
 	*step.Context
 
@@ -28,8 +28,8 @@
 	removals RemovalRecorder
 
 	machineStates      map[protocol.MachineID]*MachineState
-	deferredHeartbeats map[protocol.MachineID]bool // those whose heartbeats wait for their responses
-	awaitingOwner      map[protocol.MachineID]bool // those of them that wait for an owner
+	deferredHeartbeats map[protocol.MachineID]bool // machines whose heartbeat waits for its response
+	awaitingOwner      map[protocol.MachineID]bool // machines in deferredHeartbeats that wait for an owner
 	assignedAt         map[AssignmentKey]protocol.Instant
 }
 
@@ -43,10 +43,10 @@
 	}
 }
 
-// Lookup gives what is remembered of a machine, nil for nothing.
+// Lookup returns the state of a machine, or nil if the table has none.
 func (at *Table) Lookup(id protocol.MachineID) *MachineState { return at.machineStates[id] }
 
-// MachineState gives what is remembered of a machine, and begins to remember it if need be.
+// MachineState returns the state of a machine and creates it if the table has none.
 func (at *Table) MachineState(id protocol.MachineID) *MachineState {
 	state := at.machineStates[id]
 	if state == nil {
@@ -56,8 +56,8 @@
 	return state
 }
 
-// TrackOwnedMachine gives the state of a machine that this controller owns. It begins anew if
-// the ownership on record is another one than before.
+// TrackOwnedMachine returns the state of a machine that this controller owns. It resets the state
+// if the recorded ownership differs from the tracked one.
 func (at *Table) TrackOwnedMachine(entry *storage.Machine, id protocol.MachineID) *MachineState {
 	state := at.MachineState(id)
 	if !state.matchesRecord(&entry.Record) {
@@ -67,15 +67,16 @@
 	return state
 }
 
-// AssignedSince tells since when tasks of one attempt have been assigned to a machine, as far
-// as this process has seen.
+// AssignedSince returns when this process first saw the tasks of one attempt assigned to a machine,
+// and reports whether it saw them at all.
 func (at *Table) AssignedSince(key AssignmentKey) (since protocol.Instant, isKnown bool) {
 	since, isKnown = at.assignedAt[key]
 	return since, isKnown
 }
 
-// RecordAssignments takes in a change of a machine's record: since when tasks have been assigned
-// to the machine, and which images it has.
+// RecordAssignments processes a change of a machine's record. It records when tasks were assigned to
+// the machine, and that the machine has the images of their jobs. A nil before means that the record
+// is new, a nil after that it was deleted.
 func (at *Table) RecordAssignments(id protocol.MachineID, before, after *storage.MachineRecord) {
 	if before != nil {
 		for i := range before.Assignments {
@@ -112,10 +113,11 @@
 	return false
 }
 
-// ForgetAssignments drops since when tasks have been on machines.
+// ForgetAssignments deletes the times at which tasks were assigned to machines.
 func (at *Table) ForgetAssignments() { clear(at.assignedAt) }
 
-// PruneMachineStates drops what is remembered of machines that are on no record.
+// PruneMachineStates deletes the states of machines without a record, except of those whose
+// heartbeat waits for its response.
 func (at *Table) PruneMachineStates() {
 	for id, state := range at.machineStates {
 		if at.Replica.Machines[id] == nil && !state.isDeferred() {
@@ -124,7 +126,8 @@
 	}
 }
 
-// ForgetUnrecordedMachines forgets the machines of an earlier replica that this one does not have.
+// ForgetUnrecordedMachines deletes the states of machines that an earlier replica has and the
+// current one lacks.
 func (at *Table) ForgetUnrecordedMachines(earlier *storage.Replica) {
 	for _, entry := range earlier.SortedMachines() {
 		if at.Replica.Machines[entry.ID] == nil {
@@ -133,7 +136,8 @@
 	}
 }
 
-// OnMachinesRemoved forgets machines that have left the records.
+// OnMachinesRemoved deletes the states of machines whose records were deleted, and passes those
+// machines on to the RemovalRecorder.
 func (at *Table) OnMachinesRemoved() {
 	for _, id := range at.Replica.PopRemovedMachines() {
 		at.removals.RecordRemoval(id)
@@ -141,7 +145,8 @@
 	}
 }
 
-// forgetMachine drops what is remembered of a machine. A heartbeat that waits is redirected.
+// forgetMachine deletes the state of a machine. If its heartbeat waits for a response, the agent is
+// redirected to any controller.
 func (at *Table) forgetMachine(id protocol.MachineID) {
 	if state := at.machineStates[id]; state != nil {
 		at.dropDeferredRequest(state)
--- a/internal/coordination/agents/commands.go
+++ b/internal/coordination/agents/commands.go
@@ -5,20 +5,20 @@
 	"tillerarch/internal/storage"
 )
 
-// commandList collects the commands for one agent.
+// commandList builds the list of commands for one agent.
 type commandList struct {
 	handler *HeartbeatHandler
 	state   *MachineState
 	record  *storage.MachineRecord
 
-	isHeartbeatCurrent bool // the latest heartbeat is under the recorded epochs
-	isReplicaUpToDate  bool // the replica is
+	isHeartbeatCurrent bool // whether the latest heartbeat shows the recorded shard epoch and agent epoch
+	isReplicaUpToDate  bool
 	commands           []protocol.Command
 }
 
-// commandsFor lists what the agent is to do. Only a response to a heartbeat may start tasks or
-// have ended ones forgotten: agents never carry out a response late, while a direct call may
-// arrive after its sender has lost the machine.
+// commandsFor returns the commands for an agent. Only a response to a heartbeat may start tasks or
+// have exited tasks forgotten. An agent never executes a late response, but a direct call may arrive
+// after its sender has lost the ownership of the machine.
 func (h *HeartbeatHandler) commandsFor(
 	entry *storage.Machine, state *MachineState, inResponse bool,
 ) []protocol.Command {
@@ -36,14 +36,14 @@
 	return list.commands
 }
 
-// addStopsAndForgets goes through the tasks that the agent shows.
+// addStopsAndForgets adds the stop and forget commands for the tasks in the latest heartbeat.
 func (l *commandList) addStopsAndForgets(inResponse bool) {
 	for i := range l.state.LatestHeartbeat.Tasks {
 		status := &l.state.LatestHeartbeat.Tasks[i]
 		attempt, ok := l.record.AttemptOf(status.Task)
 		isAssigned := ok && attempt == status.Attempt
 		if status.State == protocol.TaskExited {
-			// While it is assigned its end is not on record yet, and the agent must go on showing it.
+			// The exit of an assigned task is not recorded yet, so the agent must keep reporting it.
 			if inResponse && l.isHeartbeatCurrent && !isAssigned && l.isReplicaUpToDate {
 				l.commands = append(l.commands, protocol.Command{
 					Type:    protocol.CommandForget,
@@ -64,7 +64,7 @@
 	}
 }
 
-// stopGracePeriod tells whether a live task must stop, and in what time.
+// stopGracePeriod reports whether a live task must stop, and returns its grace period.
 func (l *commandList) stopGracePeriod(status *protocol.TaskStatus, isAssigned bool) (seconds float64, mustStop bool) {
 	if !isAssigned && l.isReplicaUpToDate || l.handler.cancellations.CancelRequested(status.Task.Job) {
 		return 0, true
@@ -74,13 +74,13 @@
 	}
 	seconds = l.state.stopRequests[status.Task].graceSeconds
 	if status.State == protocol.TaskSaving && seconds != 0 {
-		return 0, false // it is stopping already
+		return 0, false // the task is stopping already
 	}
 	return seconds, true
 }
 
-// mayStart tells whether the agent may get any start command at all. The replica must be up
-// to date: an old one may show tasks that have been taken back, or jobs that are being cancelled.
+// mayStart reports whether the agent may get any start command. The replica must be up to date,
+// because an outdated one may show tasks that have been requeued or jobs that are being cancelled.
 func (l *commandList) mayStart() bool {
 	return l.isReplicaUpToDate &&
 		l.state.LatestHeartbeat.AgentEpoch == l.record.AgentEpoch &&
@@ -89,7 +89,7 @@
 		!l.handler.transfers.IsQuiesced(l.record.Shard)
 }
 
-// addStarts goes through the tasks that are assigned to the machine.
+// addStarts adds the start commands for the tasks that are assigned to the machine.
 func (l *commandList) addStarts() {
 	for i := range l.record.Assignments {
 		assignment := &l.record.Assignments[i]
@@ -110,7 +110,8 @@
 	}
 }
 
-// mayStartAttempt tells whether the job lets tasks of an attempt start.
+// mayStartAttempt reports whether the state of the job allows the tasks of an assignment to start. The
+// tasks of a gang may start only when the whole gang is assigned.
 func (l *commandList) mayStartAttempt(assignment *storage.Assignment) bool {
 	job := l.handler.Replica.Jobs[assignment.Job]
 	if job == nil || job.Record.State.IsTerminal() || l.handler.cancellations.CancelRequested(assignment.Job) ||
@@ -120,7 +121,7 @@
 	return !job.Record.Spec.IsGang() || l.handler.jobs.isGangFullyAssigned(assignment.Job, &job.Record, assignment.Attempt)
 }
 
-// mayStartTask tells whether one task that is assigned may start now.
+// mayStartTask reports whether one assigned task may start now.
 func (l *commandList) mayStartTask(task protocol.Task, attempt protocol.Attempt) bool {
 	if l.state.isStartWithheld(task, attempt) {
 		return false
@@ -129,7 +130,7 @@
 	if status == nil {
 		return true
 	}
-	// It is here already, or an earlier attempt must be forgotten first. The command for that
-	// goes into the same response, ahead of the start, if the heartbeat is current.
+	// The agent already has this attempt, or must forget an earlier one first. If the heartbeat is
+	// current, the same response has the forget command ahead of the start.
 	return status.Attempt != attempt && status.State == protocol.TaskExited && l.isHeartbeatCurrent
 }
--- a/internal/coordination/agents/commands_in_flight.go
+++ b/internal/coordination/agents/commands_in_flight.go
@@ -4,23 +4,23 @@
 	"tillerarch/internal/protocol"
 )
 
-// commandsInFlight is what was sent to the agent, or is to be sent, and may not have been carried
-// out yet.
+// commandsInFlight holds the commands that were sent to the agent, or will be sent, and that the agent
+// may not have executed yet.
 type commandsInFlight struct {
-	// InflightStarts are the starts in the last response that the agent may not have carried out
-	// yet. A heartbeat that lacks these tasks proves nothing.
+	// InflightStarts holds the starts in the last response that the agent may not have executed yet.
+	// A heartbeat without such a task is no evidence that the task will not run.
 	InflightStarts map[protocol.Task]protocol.Attempt
-	// revokedAttempts are the attempts that are being taken back. They are never started from
-	// then on: the transaction that takes them back may still be applied.
+	// revokedAttempts holds the attempts that are being requeued. They are never started again,
+	// because the transaction that requeues them may still be applied.
 	revokedAttempts map[protocol.Task]protocol.Attempt
-	// stopRequests are the tasks that are to stop.
+	// stopRequests holds the tasks that must stop.
 	stopRequests map[protocol.Task]stopRequest
 
-	callStartedAt  protocol.Instant // of the last direct call
-	isCallInFlight bool
+	callStartedAt  protocol.Instant // start of the last direct call
+	isCallInFlight bool             // whether the last direct call has no result yet
 }
 
-// stopRequest asks for one attempt of a task to stop within a grace period.
+// stopRequest is a request to stop one attempt of a task within a grace period.
 type stopRequest struct {
 	attempt      protocol.Attempt
 	graceSeconds float64
@@ -32,13 +32,13 @@
 	c.stopRequests = map[protocol.Task]stopRequest{}
 }
 
-// HasStopRequest tells whether this attempt of a task is to stop.
+// HasStopRequest reports whether a stop of this attempt of a task has been requested.
 func (c *commandsInFlight) HasStopRequest(task protocol.Task, attempt protocol.Attempt) bool {
 	stop, ok := c.stopRequests[task]
 	return ok && stop.attempt == attempt
 }
 
-// CountStopRequests counts the tasks of one attempt of a job that are to stop.
+// CountStopRequests returns the number of tasks of one attempt of a job whose stop has been requested.
 func (c *commandsInFlight) CountStopRequests(job protocol.JobID, attempt protocol.Attempt) int {
 	count := 0
 	for task, stop := range c.stopRequests {
@@ -49,9 +49,9 @@
 	return count
 }
 
-// isStartWithheld tells whether an attempt of a task must not be started: it, or a later one, is being
-// taken back or has been asked to stop. A stop of an earlier attempt, which may have ended unseen
-// with its agent epoch, does not hold back the next one.
+// isStartWithheld reports whether an attempt of a task must not be started because this attempt or a
+// later one is being requeued or was requested to stop. A stop request for an earlier attempt does not
+// withhold the next one, because the earlier attempt may have ended unobserved with its agent epoch.
 func (c *commandsInFlight) isStartWithheld(task protocol.Task, attempt protocol.Attempt) bool {
 	if revoked, ok := c.revokedAttempts[task]; ok && revoked >= attempt {
 		return true
@@ -60,7 +60,8 @@
 	return ok && stop.attempt >= attempt
 }
 
-// dropOutdatedStopRequests drops the stops of tasks that the agent shows with another attempt.
+// dropOutdatedStopRequests deletes the stop requests of tasks that the agent shows with another
+// attempt.
 func (c *commandsInFlight) dropOutdatedStopRequests(statuses map[protocol.Task]*protocol.TaskStatus) {
 	for task, stop := range c.stopRequests {
 		if status := statuses[task]; status != nil && status.Attempt != stop.attempt {
@@ -69,7 +70,8 @@
 	}
 }
 
-// showsInflightStart tells whether a heartbeat shows any start that was in flight, or none was.
+// showsInflightStart reports whether a heartbeat shows at least one task whose start was in flight, or
+// no start was in flight.
 func (c *commandsInFlight) showsInflightStart(heartbeat *protocol.Heartbeat) bool {
 	if len(c.InflightStarts) == 0 {
 		return true
@@ -83,7 +85,7 @@
 	return false
 }
 
-// beginCall notes that a direct call starts.
+// beginCall records that a direct call starts.
 func (c *commandsInFlight) beginCall(now protocol.Instant) {
 	c.isCallInFlight, c.callStartedAt = true, now
 }
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -8,9 +8,9 @@
 	"tillerarch/internal/storage"
 )
 
-// What keeps an assigned task from being started: a stop or a requeue of this
-// attempt, not of an earlier one. (A stop whose task ended with its agent epoch must
-// not withhold the task's next attempt on that machine for ever.)
+// TestStartCommandsWithheld checks that a stop or a requeue withholds the start of the same attempt and
+// not of a later one. It guards against a stop whose task ended with its agent epoch and which then
+// withholds the task's next attempt on that machine permanently.
 func TestStartCommandsWithheld(t *testing.T) {
 	const assigned = protocol.Attempt(5)
 	for _, test := range []struct {
@@ -20,9 +20,9 @@
 		commandsLost bool
 		want         bool
 	}{
-		{"nothing", 0, 0, false, true},
-		{"stop of an earlier attempt", 4, 0, false, true},
-		{"stop of this attempt", 5, 0, false, false},
+		{"nothing withholds the start", 0, 0, false, true},
+		{"earlier attempt stopped", 4, 0, false, true},
+		{"this attempt stopped", 5, 0, false, false},
 		{"earlier attempt revoked", 0, 4, false, true},
 		{"this attempt revoked", 0, 5, false, false},
 		{"responses do not reach the agent", 0, 0, true, false},
@@ -51,7 +51,7 @@
 				}
 			}
 			if (starts == 1) != test.want {
-				t.Errorf("%d starts", starts)
+				t.Errorf("got %d start commands, want one: %v", starts, test.want)
 			}
 		})
 	}
--- a/internal/coordination/agents/deferred_response.go
+++ b/internal/coordination/agents/deferred_response.go
@@ -7,22 +7,22 @@
 	"tillerarch/internal/protocol"
 )
 
-// deferredResponse is the request of an agent whose response waits.
+// deferredResponse is the heartbeat request of an agent whose response is deferred.
 type deferredResponse struct {
-	DeferredRequest  step.RequestID // 0: none waits
-	deferredAt       protocol.Instant
-	awaitsOwnership  bool // it waits until this controller owns the machine
-	HasAnsweredProbe bool // the agent of a machine that is on no record has answered a probe from here
+	DeferredRequest  step.RequestID   // the waiting request, zero if none waits
+	deferredAt       protocol.Instant // when the request was received
+	awaitsOwnership  bool             // whether the request waits until the machine has an owner
+	HasAnsweredProbe bool             // whether the agent of a machine without a record has answered a probe
 }
 
-// isDeferred tells whether a heartbeat waits for its response.
+// isDeferred reports whether a heartbeat waits for its response.
 func (d *deferredResponse) isDeferred() bool { return d.DeferredRequest != 0 }
 
-// AwaitingOwner lists the machines whose deferred heartbeats wait until an owner is on record.
-// It is not to be changed.
+// AwaitingOwner returns the machines whose deferred heartbeats wait until an owner is recorded. The
+// caller must not modify the map.
 func (at *Table) AwaitingOwner() map[protocol.MachineID]bool { return at.awaitingOwner }
 
-// deferResponse lets a heartbeat wait for its response.
+// deferResponse defers the response to a heartbeat.
 func (at *Table) deferResponse(state *MachineState, requestID step.RequestID, awaitsOwnership bool) {
 	state.DeferredRequest, state.deferredAt, state.awaitsOwnership = requestID, at.Now.Monotonic, awaitsOwnership
 	at.deferredHeartbeats[state.ID] = true
@@ -31,7 +31,8 @@
 	}
 }
 
-// popDeferredRequest gives the waiting heartbeat to whoever answers it now.
+// popDeferredRequest removes the waiting request of a machine and returns it. The caller must answer
+// the request.
 func (at *Table) popDeferredRequest(state *MachineState) step.RequestID {
 	requestID := state.DeferredRequest
 	state.DeferredRequest = 0
@@ -40,19 +41,20 @@
 	return requestID
 }
 
-// dropDeferredRequest sends the agent whose heartbeat waits, if one does, to any controller.
+// dropDeferredRequest redirects the agent to any controller if its heartbeat waits for a response.
 func (at *Table) dropDeferredRequest(state *MachineState) {
 	if state.isDeferred() {
 		at.redirectDeferred(state, "")
 	}
 }
 
-// redirectDeferred answers the waiting heartbeat with the name of the machine's owner.
+// redirectDeferred answers the waiting heartbeat with a redirect to the machine's owner.
 func (at *Table) redirectDeferred(state *MachineState, owner protocol.ControllerID) {
 	at.replyRedirect(at.popDeferredRequest(state), owner)
 }
 
-// replyRedirect sends an agent to another controller, or to any if the owner is unknown.
+// replyRedirect redirects an agent to the owner of its machine, or to any controller if the owner is
+// empty.
 func (at *Table) replyRedirect(requestID step.RequestID, owner protocol.ControllerID) {
 	at.Reply(requestID, http.StatusMisdirectedRequest, protocol.Redirect{Controller: owner})
 }
--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -13,7 +13,7 @@
 	"tillerarch/internal/storage"
 )
 
-// Names of the one machine and job of these tests, and the epoch of the machine's shard.
+// Identifiers of the one machine and the one job of these tests, and the epoch of the machine's shard.
 const (
 	testController = steptest.ControllerID
 	testMachine    = "m-1"
@@ -21,8 +21,8 @@
 	testShardEpoch = storage.ShardEpoch(3)
 )
 
-// fixture is the parts of this package on a registered controller whose replica is up to date.
-// Later packages are replaced by fakes.
+// fixture holds the components of this package on a registered controller whose replica is up to date.
+// Fakes replace the packages that depend on this one.
 type fixture struct {
 	steptest.Fixture
 	*Parts
@@ -68,26 +68,26 @@
 	return f
 }
 
-// advance lets time pass, and drops the effects so far.
+// advance advances the clock and deletes the effects emitted so far.
 func (f *fixture) advance(d time.Duration) {
 	f.Advance(d)
 	f.Effects = nil
 }
 
-// addOwnedMachine puts the machine on record as owned by this controller.
+// addOwnedMachine adds the record of a machine that this controller owns, and returns its entry and state.
 func (f *fixture) addOwnedMachine(t *testing.T, record storage.MachineRecord) (*storage.Machine, *MachineState) {
 	t.Helper()
 	entry := f.PutMachine(t, f.commit.Lease.Incarnation(), testShardEpoch, testMachine, record)
 	return entry, f.Table.TrackOwnedMachine(entry, testMachine)
 }
 
-// putJob puts the job on record.
+// putJob adds the record of the job.
 func (f *fixture) putJob(t *testing.T, record string) {
 	t.Helper()
 	f.Put(t, storage.JobKey(testJob), []byte(record), 2)
 }
 
-// receive handles a heartbeat as one step does.
+// receive processes a heartbeat as one step of the controller does.
 func (f *fixture) receive(heartbeat *protocol.Heartbeat) {
 	f.Heartbeats.OnHeartbeat(step.HeartbeatInput{
 		RequestID: step.RequestID(heartbeat.Sequence),
@@ -96,17 +96,19 @@
 	f.Heartbeats.ResolveDeferredHeartbeats()
 }
 
-// tick looks after the machines and the deferred heartbeats as one step does.
+// tick checks the machines and the deferred heartbeats as one step of the controller does.
 func (f *fixture) tick() {
 	f.ShouldRecheckDeferredHeartbeats = true
 	f.Monitor.TickMachines()
 	f.Heartbeats.ResolveDeferredHeartbeats()
 }
 
+// fakeCancellations holds the jobs whose cancellation has been requested.
 type fakeCancellations map[protocol.JobID]bool
 
 func (f fakeCancellations) CancelRequested(id protocol.JobID) bool { return f[id] }
 
+// fakeScaleIn never terminates a machine.
 type fakeScaleIn struct{}
 
 func (fakeScaleIn) BeginScaleInReview(int)                                {}
--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -11,22 +11,23 @@
 	"tillerarch/internal/storage"
 )
 
-// CancellationChecker knows the jobs whose cancellation has been requested.
+// CancellationChecker reports whether the cancellation of a job has been requested.
 type CancellationChecker interface {
 	CancelRequested(id protocol.JobID) bool
 }
 
-// PlacementForecast knows the machines for which a placement is about to be recorded.
+// PlacementForecast reports whether the plan has tasks for a machine that are not recorded yet.
 type PlacementForecast interface {
 	ExpectsPlacement(id protocol.MachineID) bool
 }
 
-// QuiesceChecker knows the shards on which nothing new may begin.
+// QuiesceChecker reports whether a shard is quiesced, so that no task may be started on its machines.
 type QuiesceChecker interface {
 	IsQuiesced(id storage.ShardID) bool
 }
 
-// HeartbeatHandler handles heartbeats: it decides when to answer one, and with which commands.
+// HeartbeatHandler processes heartbeats. It decides when to answer each heartbeat and with which
+// commands.
 type HeartbeatHandler struct {
 	*step.Context
 
@@ -42,10 +43,11 @@
 	transfers     QuiesceChecker
 }
 
-// ownerWaitTimeout is how long the heartbeat of a machine without owner waits for one.
+// ownerWaitTimeout is how long the heartbeat of a machine without a live owner waits for an owner.
 const ownerWaitTimeout = 2500 * time.Millisecond
 
-// OnHeartbeat handles an agent's heartbeat.
+// OnHeartbeat processes the heartbeat of an agent. It answers the heartbeat at once or defers the
+// response.
 func (h *HeartbeatHandler) OnHeartbeat(input step.HeartbeatInput) {
 	heartbeat, err := protocol.ParseHeartbeat(input.Body)
 	if err != nil {
@@ -64,8 +66,9 @@
 	}
 }
 
-// onUnownedHeartbeat handles the heartbeat of a machine that this controller does not own, or
-// that is on no record (nil entry): it is redirected, or waits until there is an owner.
+// onUnownedHeartbeat processes the heartbeat of a machine that this controller does not own, or that
+// has no record if entry is nil. It redirects the agent, or defers the response until the machine has
+// an owner.
 func (h *HeartbeatHandler) onUnownedHeartbeat(
 	requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat,
 ) {
@@ -88,18 +91,18 @@
 	state.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
 	h.agents.deferResponse(state, requestID, true)
 	if entry == nil {
-		// A copy of a heartbeat may outlive its machine. Only an agent that answers shows that
-		// the machine still exists.
+		// A delayed copy of a heartbeat may arrive after its machine was terminated. Only an answer
+		// of the agent is evidence that the machine still exists.
 		h.calls.probeForAdoption(state, heartbeat.Addr)
 	}
 }
 
-// onOwnedHeartbeat handles the heartbeat of a machine that this controller owns.
+// onOwnedHeartbeat processes the heartbeat of a machine that this controller owns.
 func (h *HeartbeatHandler) onOwnedHeartbeat(
 	requestID step.RequestID, entry *storage.Machine, heartbeat *protocol.Heartbeat,
 ) {
 	if heartbeat.FencingToken > entry.Record.FencingToken {
-		// Another controller has raised the token by now, whatever the replica says.
+		// Another controller has raised the token, and the replica does not show its write yet.
 		h.agents.replyRedirect(requestID, "")
 		return
 	}
@@ -111,8 +114,8 @@
 	h.agents.dropDeferredRequest(state)
 	state.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
 	h.processDeliveryEvidence(state, heartbeat)
-	// An agent has one heartbeat in flight at a time: it has carried out the last response, or
-	// dropped it, before it sent this one. From here on what this heartbeat lacks is proof.
+	// An agent has one heartbeat in flight at a time, so it has executed or dropped the last response
+	// before it sent this heartbeat. A task that this heartbeat lacks therefore does not run.
 	clear(state.InflightStarts)
 	if state.isNewerThanLatest(heartbeat) {
 		state.RecordHeartbeat(heartbeat, h.Now.Monotonic)
@@ -124,8 +127,8 @@
 	}
 }
 
-// isDelayedOrDuplicate tells whether a heartbeat was delivered after one that its agent sent later, or the
-// same again. Its agent no longer waits for the response, so nothing may rest on it.
+// isDelayedOrDuplicate reports whether a heartbeat was delivered after a later heartbeat of its agent,
+// or a second time. The agent no longer waits for the response, so no decision may depend on it.
 func (h *HeartbeatHandler) isDelayedOrDuplicate(
 	entry *storage.Machine, state *MachineState, heartbeat *protocol.Heartbeat,
 ) bool {
@@ -133,9 +136,9 @@
 		entry != nil && heartbeat.AgentEpoch < entry.Record.AgentEpoch
 }
 
-// processDeliveryEvidence notices an agent whose heartbeats arrive while responses may not reach
-// it: it does not show the token, nor the starts, that the last response had, or it has begun a
-// new agent epoch. Whether commands arrive is then tested with a direct call.
+// processDeliveryEvidence detects an agent whose heartbeats arrive while responses may not reach it.
+// Such a heartbeat lacks the token or all the starts of the last response, or shows a new agent epoch.
+// The agent is then suspect, and Monitor tests with a direct call whether commands arrive.
 func (h *HeartbeatHandler) processDeliveryEvidence(state *MachineState, heartbeat *protocol.Heartbeat) {
 	hasNewEpoch := state.deliveryAgentEpoch != 0 && heartbeat.AgentEpoch > state.deliveryAgentEpoch
 	showsDelivery := heartbeat.FencingToken >= state.answeredToken && state.showsInflightStart(heartbeat)
@@ -148,8 +151,8 @@
 	state.awaitsDelivery, state.deliveryAgentEpoch = false, heartbeat.AgentEpoch
 }
 
-// ResolveDeferredHeartbeats answers the heartbeats that need not wait any longer, if anything
-// has changed that they may wait for.
+// ResolveDeferredHeartbeats answers or redirects the deferred heartbeats that need not wait any longer.
+// It checks them only after a change that they may wait for.
 func (h *HeartbeatHandler) ResolveDeferredHeartbeats() {
 	if !h.ShouldRecheckDeferredHeartbeats {
 		return
@@ -165,7 +168,7 @@
 	}
 }
 
-// resolveUnowned looks after a heartbeat that came while no live incarnation owned its machine.
+// resolveUnowned checks a deferred heartbeat that arrived while no live incarnation owned its machine.
 func (h *HeartbeatHandler) resolveUnowned(entry *storage.Machine, state *MachineState) {
 	switch {
 	case entry != nil && h.lease.OwnsMachine(&entry.Record):
@@ -185,7 +188,7 @@
 	}
 }
 
-// resolveOwned looks after a heartbeat that came while this controller owned its machine.
+// resolveOwned checks a deferred heartbeat that arrived while this controller owned its machine.
 func (h *HeartbeatHandler) resolveOwned(entry *storage.Machine, state *MachineState) {
 	isOwned := entry != nil && h.lease.OwnsMachine(&entry.Record)
 	switch {
@@ -198,7 +201,8 @@
 	}
 }
 
-// answerHeartbeat answers the deferred heartbeat with the commands.
+// answerHeartbeat answers the deferred heartbeat with the commands for the agent. It redirects the
+// agent instead if the replica may lack writes of the previous owner.
 func (h *HeartbeatHandler) answerHeartbeat(entry *storage.Machine, state *MachineState) {
 	if h.isReplicaBehindOwnership(state) {
 		h.agents.dropDeferredRequest(state)
@@ -207,7 +211,7 @@
 	commands := h.commandsFor(entry, state, true)
 	for _, command := range commands {
 		if command.Type == protocol.CommandStart {
-			// Until the next heartbeat the task's absence proves nothing.
+			// Until the next heartbeat, the absence of the task is no evidence that it will not run.
 			state.InflightStarts[command.Task] = command.Attempt
 		}
 	}
--- a/internal/coordination/agents/image_cache.go
+++ b/internal/coordination/agents/image_cache.go
@@ -1,6 +1,6 @@
 package agents
 
-// imageCache is the images that a machine has, as far as its assignments tell.
+// imageCache lists the images on a machine's local disk, as derived from the machine's assignments.
 type imageCache struct {
 	images []cachedImage // most recently used last
 }
@@ -11,6 +11,7 @@
 	sizeGB float64
 }
 
+// contains reports whether the machine has an image.
 func (c *imageCache) contains(name string) bool {
 	for i := range c.images {
 		if c.images[i].name == name {
@@ -20,7 +21,7 @@
 	return false
 }
 
-// MeanImageGB is the mean size of the images, 0 if there is none.
+// MeanImageGB returns the mean size of the images, or 0 if there are none.
 func (c *imageCache) MeanImageGB() float64 {
 	if len(c.images) == 0 {
 		return 0
@@ -32,8 +33,8 @@
 	return totalGB / float64(len(c.images))
 }
 
-// recordUse makes an image the most recently used one, and evicts the least recently used ones that
-// the disk does not hold beside it.
+// recordUse makes an image the most recently used one and evicts the least recently used images that
+// no longer fit on the disk.
 func (c *imageCache) recordUse(name string, sizeGB, diskGB float64) {
 	for i := range c.images {
 		if c.images[i].name == name {
--- a/internal/coordination/agents/job_state.go
+++ b/internal/coordination/agents/job_state.go
@@ -7,60 +7,62 @@
 	"tillerarch/internal/storage"
 )
 
-// JobState is what this process remembers of a job beyond its record.
+// JobState is the in-memory state of a job that is not part of its record.
 type JobState struct {
 	attemptBlock
 	runtimeStatistics
 	gangCompleteness
 	jobFailures
 
-	TaskPlacements int // tasks placed so far, each time counted
+	TaskPlacements int // number of task placements so far; a task that was placed twice counts twice
 }
 
-// attemptBlock is the attempts that the job's owner has set aside on record, to give them to
-// tasks without another write.
+// attemptBlock is the range of attempt numbers that the job's owner has reserved in the job's record,
+// so that it can assign them to tasks without another write.
 type attemptBlock struct {
-	NextAttempt   protocol.Attempt
-	AttemptsEnd   protocol.Attempt    // first that is no longer set aside
-	AttemptsOwner storage.Incarnation // for which they were set aside
+	NextAttempt   protocol.Attempt    // next attempt to use
+	AttemptsEnd   protocol.Attempt    // first attempt after the reserved range
+	AttemptsOwner storage.Incarnation // incarnation that reserved the range
 }
 
-// runtimeStatistics is how long the job's tasks ran that were seen from start to end.
+// runtimeStatistics holds the run times of the job's tasks that were observed from start to end.
 type runtimeStatistics struct {
 	measuredTasks   int
-	measuredRuntime time.Duration // of all of them
+	measuredRuntime time.Duration // sum over the measured tasks
 }
 
-// hasEnoughSamples tells whether the statistics say anything.
+// hasEnoughSamples reports whether enough tasks were measured for the mean to be used.
 func (s *runtimeStatistics) hasEnoughSamples() bool { return s.measuredTasks >= minRuntimeSamples }
 
-// meanRuntime is the mean run time. At least one task must have been measured.
+// meanRuntime returns the mean run time. At least one task must have been measured.
 func (s *runtimeStatistics) meanRuntime() time.Duration {
 	return s.measuredRuntime / time.Duration(s.measuredTasks)
 }
 
-// ratioToMean is a run time as a multiple of the mean, which counts as a second at least.
+// ratioToMean returns a run time as a multiple of the mean. A mean below one second counts as one
+// second. At least one task must have been measured.
 func (s *runtimeStatistics) ratioToMean(runtime time.Duration) float64 {
 	return runtime.Seconds() / max(s.measuredRuntime.Seconds()/float64(s.measuredTasks), 1)
 }
 
+// recordRuntime adds the run time of one task.
 func (s *runtimeStatistics) recordRuntime(runtime time.Duration) {
 	s.measuredTasks++
 	s.measuredRuntime += runtime
 }
 
-// gangCompleteness is whether all tasks of a gang are assigned with one attempt.
+// gangCompleteness records whether all tasks of a gang are assigned with one attempt.
 type gangCompleteness struct {
-	GangIncompleteAt      protocol.Instant // since when the highest attempt is incomplete; 0: it is complete
-	checkedAttempt        protocol.Attempt // the highest attempt when that was looked at
-	GangAttemptInProgress protocol.Attempt // whose assignment takes several transactions
+	GangIncompleteAt      protocol.Instant // since when the highest attempt is incomplete, zero if it is complete
+	checkedAttempt        protocol.Attempt // the highest attempt at the last check
+	GangAttemptInProgress protocol.Attempt // the attempt whose assignment takes several transactions
 }
 
-// gangIncompleteTimeout is how long an attempt of a gang may be incomplete before it cannot be
-// one that is still being written.
+// gangIncompleteTimeout is how long an attempt of a gang may be incomplete. An attempt that is still
+// being written is complete sooner.
 const gangIncompleteTimeout = 3 * time.Second
 
-// recordCompleteness takes in whether the highest attempt is complete now.
+// recordCompleteness records whether attempt, the highest one, is complete now.
 func (g *gangCompleteness) recordCompleteness(attempt protocol.Attempt, isComplete bool, now protocol.Instant) {
 	if isComplete {
 		g.GangIncompleteAt = 0
@@ -70,19 +72,21 @@
 	g.checkedAttempt = attempt
 }
 
-// isIncompleteTooLong tells whether an attempt has been incomplete for too long.
+// isIncompleteTooLong reports whether an attempt has been incomplete for longer than
+// gangIncompleteTimeout.
 func (g *gangCompleteness) isIncompleteTooLong(attempt protocol.Attempt, now protocol.Instant) bool {
 	return g.GangIncompleteAt != 0 && g.checkedAttempt == attempt && now.Sub(g.GangIncompleteAt) > gangIncompleteTimeout
 }
 
-// jobFailures is what keeps a job's tasks from being placed again at once.
+// jobFailures holds the failures that delay further placements of a job's tasks.
 type jobFailures struct {
-	FailedMachines        map[protocol.MachineID]bool // where its tasks ended with an error
-	ConsecutiveEarlyExits int                         // replicas that ended soon after their start, in a row
-	PlacementNotBefore    protocol.Instant            // of the next placement
+	FailedMachines        map[protocol.MachineID]bool // machines where a task of the job ended with an error
+	ConsecutiveEarlyExits int                         // service replicas in a row that ended soon after their start
+	PlacementNotBefore    protocol.Instant            // earliest time of the next placement
 }
 
-// isGracefullyStopped tells whether an attempt of a gang is to stop gracefully, as is on record.
+// isGracefullyStopped reports whether the job's record says that an attempt of a gang must stop
+// gracefully.
 func isGracefullyStopped(record *storage.JobRecord, attempt protocol.Attempt) bool {
 	return record.GracefulStopAttempt > 0 && record.GracefulStopAttempt >= attempt
 }
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// JobTable holds what this process remembers of jobs beyond their records: attempts, run times,
-// incomplete gangs, failures.
+// JobTable holds the in-memory state of jobs that is not part of their records: reserved attempts, run
+// times, incomplete gangs and failures.
 type JobTable struct {
 	*step.Context
 
@@ -25,7 +25,7 @@
 	}
 }
 
-// JobState gives what is remembered of a job, and begins to remember it if need be.
+// JobState returns the state of a job and creates it if the table has none.
 func (jt *JobTable) JobState(id protocol.JobID) *JobState {
 	state := jt.jobStates[id]
 	if state == nil {
@@ -35,7 +35,7 @@
 	return state
 }
 
-// ForgetFinishedJobs drops what is remembered of jobs that are over.
+// ForgetFinishedJobs deletes the states of finished jobs.
 func (jt *JobTable) ForgetFinishedJobs() {
 	for id := range jt.jobStates {
 		if jt.canForget(id) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// canForget tells whether a job is off the records, done, or cancelled with no task left on a machine.
+// canForget reports whether a job has no record, is done, or is cancelled with no task left on a
+// machine.
 func (jt *JobTable) canForget(id protocol.JobID) bool {
 	entry := jt.Replica.Jobs[id]
 	if entry == nil || entry.Record.State == protocol.JobDone {
@@ -53,7 +54,8 @@
 	return entry.Record.State.IsTerminal() && len(jt.Replica.MachinesWithJob(id)) == 0
 }
 
-// EstimatedRuntime is how long a task of the job runs: as measured here, else as its user estimates.
+// EstimatedRuntime returns the mean run time of the job's tasks if enough of them were measured, and
+// the estimate in the job's description otherwise.
 func (jt *JobTable) EstimatedRuntime(id protocol.JobID, spec *protocol.Job) time.Duration {
 	if state := jt.jobStates[id]; state != nil && state.hasEnoughSamples() {
 		return state.meanRuntime()
@@ -61,8 +63,8 @@
 	return protocol.Seconds(spec.EstimatedRunSeconds)
 }
 
-// recordTaskRuntime takes in how long a task ran that has completed on a machine, if it was seen
-// to start there.
+// recordTaskRuntime records the run time of a task that has completed on a machine, if this controller
+// saw the task start there.
 func (jt *JobTable) recordTaskRuntime(state *MachineState, task protocol.Task) {
 	startedAt := state.runningSince[task]
 	if startedAt == 0 || startedAt == startTimeUnknown {
@@ -73,14 +75,14 @@
 		jt.Log(slog.LevelInfo, "machine slow state changed", "machine", string(state.ID),
 			"enabled", state.Slowdown.IsSlow(), "runtime_ratio", state.Slowdown.ratio)
 	}
-	// Slow machines do not set the measure.
+	// Run times on slow machines are left out of the job's mean.
 	if !state.Slowdown.IsSlow() {
 		jobState.recordRuntime(runtime)
 	}
 }
 
-// HighestAttempt is the highest attempt with which tasks of the job are assigned, as the batch
-// would leave the records (nil: as they are).
+// HighestAttempt returns the highest attempt with which tasks of the job are assigned, or 0 if no task
+// is assigned. It reads the records as the batch changes them, or as they are if the batch is nil.
 func (jt *JobTable) HighestAttempt(id protocol.JobID, batch *commit.Batch) (attempt protocol.Attempt) {
 	for machineID := range jt.Replica.MachinesWithJob(id) {
 		record := &jt.Replica.Machines[machineID].Record
@@ -94,7 +96,7 @@
 	return attempt
 }
 
-// trackIncompleteGangs looks since when gangs have been assigned in part only.
+// trackIncompleteGangs records since when gangs have been only partly assigned.
 func (jt *JobTable) trackIncompleteGangs() {
 	for id, entry := range jt.Replica.UnfinishedJobs {
 		if !spansSeveralTasks(entry.Record.Spec) {
@@ -106,8 +108,8 @@
 	}
 }
 
-// isGangFullyAssigned tells whether every task of the gang is assigned with the attempt
-// or done: only then may any of them start.
+// isGangFullyAssigned reports whether every task of the gang is done, or assigned with the attempt to a
+// machine that is not terminating. No task of a gang may start before.
 func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
 	covered := jt.Replica.CompletedTasks(id)
 	for machineID := range jt.Replica.MachinesWithJob(id) {
@@ -124,11 +126,11 @@
 	return covered.Len() == record.Spec.TaskCount
 }
 
-// isGangBroken tells whether an attempt of a gang has been incomplete for too long to be one
-// that is still being written.
+// isGangBroken reports whether an attempt of a gang has been incomplete for longer than its assignment
+// takes to be written.
 func (jt *JobTable) isGangBroken(id protocol.JobID, attempt protocol.Attempt) bool {
 	return jt.JobState(id).isIncompleteTooLong(attempt, jt.Now.Monotonic)
 }
 
-// spansSeveralTasks tells whether a job is a gang whose tasks depend on each other.
+// spansSeveralTasks reports whether a job is a gang of more than one task.
 func spansSeveralTasks(spec *protocol.Job) bool { return spec.IsGang() && spec.TaskCount > 1 }
--- a/internal/coordination/agents/job_table_test.go
+++ b/internal/coordination/agents/job_table_test.go
@@ -9,19 +9,20 @@
 	"tillerarch/internal/storage"
 )
 
-// A machine that is merely slow is known by its tasks against others of their jobs.
+// TestSlowMachine checks that a machine counts as slow if its tasks run longer than other tasks of the
+// same jobs.
 func TestSlowMachine(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		seconds       []int // that its tasks run; others take 10
-		startedBefore bool  // its tasks had started before this ownership
+		seconds       []int // run times of the machine's tasks; the mean of the job is 10
+		startedBefore bool  // the machine's tasks started before this ownership
 		want          bool
 	}{
-		{"as others", []int{10, 11, 9, 10, 11, 10}, false, false},
+		{"as fast as other machines", []int{10, 11, 9, 10, 11, 10}, false, false},
 		{"one long task", []int{10, 40, 10, 10, 10, 10}, false, false},
-		{"all slow", []int{25, 24, 26, 25, 25, 26}, false, true},
-		{"slow, not seen to start", []int{25, 24, 26, 25, 25, 26}, true, false},
-		{"was slow, has recovered", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
+		{"all tasks slow", []int{25, 24, 26, 25, 25, 26}, false, true},
+		{"all tasks slow, starts not observed", []int{25, 24, 26, 25, 25, 26}, true, false},
+		{"recovered after slow tasks", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -51,7 +52,7 @@
 				f.Jobs.recordTaskRuntime(state, task)
 			}
 			if got := state.Slowdown.IsSlow(); got != test.want {
-				t.Errorf("slow %v, %.2f times", got, state.Slowdown.ratio)
+				t.Errorf("IsSlow() = %v with a run time ratio of %.2f, want %v", got, state.Slowdown.ratio, test.want)
 			}
 		})
 	}
--- a/internal/coordination/agents/machine_health.go
+++ b/internal/coordination/agents/machine_health.go
@@ -6,32 +6,34 @@
 	"tillerarch/internal/protocol"
 )
 
-// machineHealth is what speaks against placing more tasks on a machine that is reachable.
+// machineHealth holds the reasons not to place more tasks on a machine that is reachable.
 type machineHealth struct {
 	Slowdown         slowdown
-	jobsWithErrors   map[protocol.JobID]bool // jobs whose tasks failed here since a task was last completed
+	jobsWithErrors   map[protocol.JobID]bool // jobs with a failed task on the machine since a task last completed there
 	quarantinedUntil protocol.Instant
 	IsFaulty         bool
-	preemptionAt     protocol.Instant // when the cloud takes the machine; 0: no notice
+	preemptionAt     protocol.Instant // when the cloud preempts the machine, zero without a preemption notice
 }
 
 const (
-	// quarantineTime is how long a machine gets no task after one has failed there.
+	// quarantineTime is how long a machine gets no new task after a task has failed there.
 	quarantineTime = 20 * time.Second
-	// faultyJobCount is how many jobs must fail on a machine before the fault is the machine's.
+	// faultyJobCount is the number of jobs that must fail on a machine before the machine counts as
+	// faulty.
 	faultyJobCount = 2
-	// minRuntimeSamples is how many tasks must have been measured: one long task says nothing.
+	// minRuntimeSamples is the number of tasks that must have been measured before their run times
+	// are used, because a single long task is no evidence of a slow machine.
 	minRuntimeSamples = 4
-	// slowMachineRatio is the least slowdown of a slow machine: the estimates of one job's
-	// tasks, seen through heartbeats, differ by less.
+	// slowMachineRatio is the slowdown above which a machine counts as slow. The run times of one
+	// job's tasks, as measured through heartbeats, differ by less.
 	slowMachineRatio = 1.8
 )
 
-// isPreempted tells whether the cloud has given notice that it takes the machine.
+// isPreempted reports whether the cloud has announced the preemption of the machine.
 func (h *machineHealth) isPreempted() bool { return h.preemptionAt != 0 }
 
-// recordPreemptionNotice takes in the notice of a heartbeat, nil for none. A later heartbeat may
-// only bring the preemption forward.
+// recordPreemptionNotice records the preemption notice of a heartbeat: the seconds until the
+// preemption, or nil if there is no notice. A later notice can only bring the preemption forward.
 func (h *machineHealth) recordPreemptionNotice(seconds *float64, now protocol.Instant) {
 	if seconds == nil {
 		h.preemptionAt = 0
@@ -43,7 +45,8 @@
 	}
 }
 
-// recordTaskError quarantines the machine, and tells whether that shows it to be faulty.
+// recordTaskError quarantines the machine after a task of a job has failed there. It reports whether
+// the machine has become faulty with this error.
 func (h *machineHealth) recordTaskError(id protocol.JobID, now protocol.Instant) (becameFaulty bool) {
 	h.jobsWithErrors[id] = true
 	h.quarantinedUntil = now.Add(quarantineTime)
@@ -54,18 +57,18 @@
 	return true
 }
 
-// slowdown is how long a machine's tasks run, as a multiple of what others of the same
-// jobs do, smoothed over the last few.
+// slowdown is the run time of a machine's tasks as a multiple of the mean run time of their jobs'
+// tasks. The ratio is a moving average over the last few tasks.
 type slowdown struct {
 	samples int
 	ratio   float64
 }
 
-// IsSlow tells whether a machine is surely slower than its like: a tenth is usual,
-// and tasks differ by themselves.
+// IsSlow reports whether a machine is definitely slower than other machines. A difference of a tenth
+// is normal between machines, and run times also differ between the tasks of a job.
 func (s slowdown) IsSlow() bool { return s.samples >= minRuntimeSamples && s.ratio > slowMachineRatio }
 
-// recordRatio takes in one task, and tells whether the machine has become slow or ceased to be.
+// recordRatio adds the run time ratio of one task, and reports whether the result of IsSlow has changed.
 func (s *slowdown) recordRatio(ratio float64) (hasChanged bool) {
 	wasSlow := s.IsSlow()
 	if s.samples++; s.samples == 1 {
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -5,8 +5,8 @@
 	"tillerarch/internal/storage"
 )
 
-// MachineState is what this process remembers of a machine beyond its record. Each concern is
-// a struct of its own, embedded so that other packages read its exported fields here.
+// MachineState is the in-memory state of a machine that is not part of its record. Each concern has
+// its own struct, which is embedded so that other packages can read its exported fields.
 type MachineState struct {
 	ID protocol.MachineID
 
@@ -22,7 +22,7 @@
 	trackedOwnership
 }
 
-// newMachineState makes the state of a machine of which nothing is known but that it exists.
+// newMachineState returns the state of a machine that has sent no heartbeat yet.
 func newMachineState(id protocol.MachineID, now protocol.Instant) *MachineState {
 	state := &MachineState{ID: id}
 	state.LastContactAt = now
@@ -30,15 +30,16 @@
 	return state
 }
 
-// reset drops what was sent and observed under an earlier ownership. The latest heartbeat stays.
+// reset deletes the commands, observed tasks and task errors of an earlier ownership. It keeps the
+// latest heartbeat.
 func (m *MachineState) reset() {
 	m.commandsInFlight.reset()
 	m.observedTasks.reset()
 	m.jobsWithErrors = map[protocol.JobID]bool{}
 }
 
-// beginOwnership starts a new ownership of the machine: what passed between the agent
-// and an earlier owner proves nothing under a new fencing token.
+// beginOwnership starts a new ownership of the machine. It resets the state because messages between
+// the agent and an earlier owner are no evidence under a new fencing token.
 func (m *MachineState) beginOwnership(record *storage.MachineRecord, revision protocol.Revision, now protocol.Instant) {
 	m.trackedOwnership = trackedOwnership{
 		ownerIncarnation:  record.Owner,
@@ -52,7 +53,8 @@
 	m.confirmDelivery()
 }
 
-// RecordHeartbeat takes in a heartbeat that is newer than all that were processed before.
+// RecordHeartbeat updates the state from a heartbeat that is newer than all heartbeats that were
+// processed before.
 func (m *MachineState) RecordHeartbeat(heartbeat *protocol.Heartbeat, now protocol.Instant) {
 	m.LastContactAt = now
 	m.confirmToken(heartbeat.FencingToken, now)
@@ -61,8 +63,9 @@
 	m.recordPreemptionNotice(heartbeat.PreemptionNoticeSeconds, now)
 }
 
-// AllTasksSatisfy tells whether no start of the assigned tasks is in flight, and the latest
-// heartbeat either lacks each of them or shows it as it should be.
+// AllTasksSatisfy reports whether no start of an assigned task is in flight and isSatisfied holds for
+// the status of each assigned task in the latest heartbeat. A task that the heartbeat lacks counts as
+// satisfied.
 func (m *MachineState) AllTasksSatisfy(
 	assignment *storage.Assignment, isSatisfied func(*protocol.TaskStatus) bool,
 ) bool {
@@ -77,12 +80,13 @@
 	return satisfied
 }
 
-// HasImage tells whether the machine is known to have an image. Nothing is known of a nil machine.
+// HasImage reports whether the machine is known to have an image. It returns false for a nil state.
 func (m *MachineState) HasImage(name string) bool {
 	return m != nil && m.imageCache.contains(name)
 }
 
-// IsFetchingImage tells whether the latest heartbeat shows an image that is being fetched.
+// IsFetchingImage reports whether the latest heartbeat shows a task whose image is being pulled. It
+// returns false for a nil state.
 func (m *MachineState) IsFetchingImage() bool {
 	return m != nil && m.observedTasks.isPullingImage()
 }
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -8,17 +8,19 @@
 	"tillerarch/internal/protocol"
 )
 
-// misdirectedHeartbeat is a heartbeat that came to a controller that does not own its machine.
+// misdirectedHeartbeat is a heartbeat that this controller received although it does not own the
+// machine.
 type misdirectedHeartbeat struct {
 	receivedAt        protocol.Instant
 	agentEpoch        protocol.AgentEpoch
 	sequence          protocol.Sequence
-	hasAgentResponded bool // its agent has answered a probe from here since
-	isAnnounced       bool // its owner has been informed, in this round of peer statuses
+	hasAgentResponded bool // whether the agent has since answered a probe of this controller
+	isAnnounced       bool // whether a peer status of this round has the heartbeat
 }
 
-// MisdirectedHeartbeats remembers heartbeats of machines that another controller owns. If the
-// agent answers a probe from here, the owner is informed: the path between those two may be broken.
+// MisdirectedHeartbeats records heartbeats of machines that another controller owns. If the agent answers
+// a probe of this controller, the owner is informed, because the network path between the agent and the
+// owner may be broken.
 type MisdirectedHeartbeats struct {
 	*step.Context
 
@@ -34,8 +36,9 @@
 	}
 }
 
-// AddMisdirectedHeartbeats adds to a peer status the machines of others whose agents send
-// heartbeats here, in turn, and tells whether there are more.
+// AddMisdirectedHeartbeats adds to a peer status the machines of other controllers whose agents send
+// heartbeats to this controller. If they do not all fit, it reports true, and the next status continues
+// with the rest.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
 	responded := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
 		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
@@ -54,23 +57,23 @@
 		return true
 	}
 	for id, heartbeat := range mh.byMachine {
-		heartbeat.isAnnounced = false // a status may have been lost: they are announced once more
+		heartbeat.isAnnounced = false // announce the heartbeat again, because a status may have been lost
 		mh.byMachine[id] = heartbeat
 	}
 	return false
 }
 
-// misdirectedRetention is how long a misdirected heartbeat is remembered.
+// misdirectedRetention is how long a misdirected heartbeat is kept.
 const misdirectedRetention = 3 * time.Second
 
-// ForgetExpired forgets heartbeats that are too old to say which controller an agent reaches now.
+// ForgetExpired deletes the heartbeats that are too old to show which controller an agent reaches now.
 func (mh *MisdirectedHeartbeats) ForgetExpired() {
 	maps.DeleteFunc(mh.byMachine, func(_ protocol.MachineID, heartbeat misdirectedHeartbeat) bool {
 		return mh.Since(heartbeat.receivedAt) > misdirectedRetention
 	})
 }
 
-// recordProbeAnswer notes that the agent of a machine has answered a probe from here.
+// recordProbeAnswer records that the agent of a machine has answered a probe of this controller.
 func (mh *MisdirectedHeartbeats) recordProbeAnswer(id protocol.MachineID) {
 	if heartbeat, ok := mh.byMachine[id]; ok {
 		heartbeat.hasAgentResponded = true
@@ -78,9 +81,9 @@
 	}
 }
 
-// recordHeartbeat notes the heartbeat of a machine that another incarnation owns, and
-// probes its agent. (An agent that answers nobody, or a late copy, is no reason to hand the
-// machine over.)
+// recordHeartbeat records the heartbeat of a machine that another controller owns and probes the agent.
+// The machine is handed off only if the agent answers, because a delayed copy of a heartbeat, or an agent
+// that answers no controller, is no reason for a hand-off.
 func (mh *MisdirectedHeartbeats) recordHeartbeat(heartbeat *protocol.Heartbeat) {
 	recorded, ok := mh.byMachine[heartbeat.Machine]
 	switch {
@@ -100,11 +103,11 @@
 	}
 }
 
-// minMisdirectedHeartbeats is how many misdirected heartbeats are remembered in a small fleet.
+// minMisdirectedHeartbeats is the limit of recorded misdirected heartbeats in a small fleet.
 const minMisdirectedHeartbeats = 500
 
-// maxMisdirectedHeartbeats bounds the heartbeats that are remembered: a controller that has lost
-// its agents may send all of them here.
+// maxMisdirectedHeartbeats returns the limit of recorded misdirected heartbeats. All agents of another
+// controller may send their heartbeats to this one after that controller has become unreachable.
 func (mh *MisdirectedHeartbeats) maxMisdirectedHeartbeats() int {
 	return max(len(mh.Replica.Machines), minMisdirectedHeartbeats)
 }
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -8,13 +8,16 @@
 	"tillerarch/internal/storage"
 )
 
-// ScaleInEvaluator decides which owned machines are returned to the cloud.
+// ScaleInEvaluator decides which owned machines are terminated because they are no longer needed or
+// have failed. BeginScaleInReview starts a review of all owned machines, and EvaluateScaleIn then
+// evaluates each machine. isIsolated means that so many machines are silent that the network of this
+// controller is probably at fault.
 type ScaleInEvaluator interface {
 	BeginScaleInReview(silentMachines int)
 	EvaluateScaleIn(entry *storage.Machine, state *MachineState, isIsolated bool)
 }
 
-// Monitor looks after the owned machines at each tick: silence, stops that are due, scale-in.
+// Monitor checks the owned machines at each tick for silence, due task stops and scale-in.
 type Monitor struct {
 	*step.Context
 
@@ -26,23 +29,24 @@
 	scaleIn ScaleInEvaluator
 }
 
-// ownedMachine is a machine that this controller owns, with what is remembered of it.
+// ownedMachine is a machine that this controller owns, with its in-memory state.
 type ownedMachine struct {
 	entry *storage.Machine
 	state *MachineState
 }
 
 const (
-	// minSilentWhenIsolated is the least number of silent machines that tells anything of this
-	// controller's own network.
+	// minSilentWhenIsolated is the minimum number of silent machines for this controller to count as
+	// isolated from the network. Fewer are no evidence of a fault in this controller's own network.
 	minSilentWhenIsolated = 4
-	// staleTokenContactAge is how long nothing has come from an agent that does not show its
-	// token before it is called: most show the token in their next heartbeat.
+	// staleTokenContactAge is the time since the last contact after which an agent that has not shown
+	// the current token is called. Most agents show the token in their next heartbeat.
 	staleTokenContactAge = 500 * time.Millisecond
 )
 
-// TickMachines looks after the owned machines: stops that are due, silence, scale-in, and direct
-// calls to agents that may not have the current fencing token or may not receive commands.
+// TickMachines checks the owned machines. It detects silent machines, stops the tasks that are due,
+// evaluates scale-in, and calls agents that may lack the current fencing token or may not receive
+// commands.
 func (am *Monitor) TickMachines() {
 	am.jobs.trackIncompleteGangs()
 	owned, isCutOff := am.inspectOwnedMachines()
@@ -55,8 +59,8 @@
 	}
 }
 
-// inspectOwnedMachines lists the owned machines and marks the silent ones as suspect. It tells
-// whether so many are silent that this controller must be the one that is cut off.
+// inspectOwnedMachines returns the owned machines and marks the silent ones as suspect. It reports
+// whether so many of them are silent that this controller itself must be isolated from the network.
 func (am *Monitor) inspectOwnedMachines() (owned []ownedMachine, isCutOff bool) {
 	monitored, silent := 0, 0
 	for _, shard := range am.shards.OwnedShards() {
@@ -81,9 +85,10 @@
 	return owned, silent >= minSilentWhenIsolated && 3*silent > 2*monitored // more than two thirds
 }
 
-// mustCallAgent tells whether the agent has to be called directly: to test whether commands
-// arrive, or because it lacks the fencing token. It may still send heartbeats to an earlier
-// owner that is cut off from the store: the higher token makes that one's responses void.
+// mustCallAgent reports whether the agent must be called directly, either to test whether commands
+// arrive or because the agent lacks the current fencing token. Without that token the agent may
+// still send heartbeats to an earlier owner that is isolated from the store. The higher token makes
+// the agent ignore the responses of that owner.
 func (am *Monitor) mustCallAgent(entry *storage.Machine, state *MachineState) bool {
 	if entry.Record.AgentEpoch == 0 {
 		return false
@@ -94,8 +99,8 @@
 	if state.ConfirmedToken >= entry.Record.FencingToken {
 		return false
 	}
-	// Within one shard epoch the agent sends its heartbeats here, and a response that is about to be sent
-	// shows the token as well.
+	// An agent that has shown the current shard epoch sends its heartbeats to this controller. If one of
+	// them waits for its response, the response will show the token.
 	sendsHeartbeatsHere := storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
 	return sendsHeartbeatsHere && !state.isDeferred() || am.Since(state.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/agents/observed_tasks.go
+++ b/internal/coordination/agents/observed_tasks.go
@@ -5,27 +5,29 @@
 	"tillerarch/internal/storage"
 )
 
-// startTimeUnknown stands for the start of a task that began before this ownership.
+// startTimeUnknown represents the start time of a task that started before this ownership.
 const startTimeUnknown protocol.Instant = -1
 
-// observedTasks is what the agent's heartbeats show of its tasks.
+// observedTasks holds the tasks that the agent's heartbeats show.
 type observedTasks struct {
-	LatestHeartbeat *protocol.Heartbeat // nil: none came
-	taskStatuses    map[protocol.Task]*protocol.TaskStatus
+	LatestHeartbeat *protocol.Heartbeat                    // nil before the first heartbeat
+	taskStatuses    map[protocol.Task]*protocol.TaskStatus // statuses in LatestHeartbeat
 
-	firstSeenAt          map[protocol.Task]protocol.Instant // of the tasks that have not exited
-	runningSince         map[protocol.Task]protocol.Instant
-	awaitsFirstHeartbeat bool // none has come under this ownership
+	firstSeenAt          map[protocol.Task]protocol.Instant // when each task that has not exited was first seen
+	runningSince         map[protocol.Task]protocol.Instant // start time or startTimeUnknown
+	awaitsFirstHeartbeat bool                               // no heartbeat has arrived under this ownership
 }
 
+// reset deletes the observations of an earlier ownership, except the latest heartbeat.
 func (o *observedTasks) reset() {
 	o.firstSeenAt = map[protocol.Task]protocol.Instant{}
 	o.runningSince = map[protocol.Task]protocol.Instant{}
 	o.awaitsFirstHeartbeat = true
 }
 
-// CurrentHeartbeat is the latest heartbeat if it was sent under the recorded shard epoch and in the
-// recorded agent epoch, nil otherwise: only then does what it lacks prove anything.
+// CurrentHeartbeat returns the latest heartbeat if it was sent under the recorded shard epoch and in
+// the recorded agent epoch, and nil otherwise. Only in a current heartbeat is the absence of a task
+// evidence that the task does not run.
 func (o *observedTasks) CurrentHeartbeat(record *storage.MachineRecord) *protocol.Heartbeat {
 	if o.LatestHeartbeat == nil || !isUnderRecordedEpochs(o.LatestHeartbeat, record) {
 		return nil
@@ -33,18 +35,18 @@
 	return o.LatestHeartbeat
 }
 
-// isUnderRecordedEpochs tells whether a heartbeat shows the shard epoch and the agent epoch on record.
+// isUnderRecordedEpochs reports whether a heartbeat shows the recorded shard epoch and agent epoch.
 func isUnderRecordedEpochs(heartbeat *protocol.Heartbeat, record *storage.MachineRecord) bool {
 	return storage.ShardEpochOf(heartbeat.FencingToken) == record.ShardEpoch && heartbeat.AgentEpoch == record.AgentEpoch
 }
 
-// isNewerThanLatest tells whether a heartbeat is newer than the one that is remembered.
+// isNewerThanLatest reports whether a heartbeat is newer than LatestHeartbeat.
 func (o *observedTasks) isNewerThanLatest(heartbeat *protocol.Heartbeat) bool {
 	latest := o.LatestHeartbeat
 	return latest == nil || !isStale(heartbeat, latest.AgentEpoch, latest.Sequence)
 }
 
-// recordStatuses takes in the tasks of a heartbeat.
+// recordStatuses makes a heartbeat the latest one and records the tasks that it shows.
 func (o *observedTasks) recordStatuses(heartbeat *protocol.Heartbeat, now protocol.Instant) {
 	o.LatestHeartbeat = heartbeat
 	o.taskStatuses = make(map[protocol.Task]*protocol.TaskStatus, len(heartbeat.Tasks))
@@ -74,7 +76,7 @@
 	}
 }
 
-// showsAllTasks tells whether the latest heartbeat shows all tasks of an assignment.
+// showsAllTasks reports whether the latest heartbeat shows all tasks of an assignment with its attempt.
 func (o *observedTasks) showsAllTasks(assignment *storage.Assignment) bool {
 	showsAll := true
 	assignment.Tasks.Each(func(index int) bool {
@@ -85,7 +87,7 @@
 	return showsAll
 }
 
-// HasLiveTasks tells whether the latest heartbeat shows a task that has not exited.
+// HasLiveTasks reports whether the latest heartbeat shows a task that has not exited.
 func (o *observedTasks) HasLiveTasks() bool {
 	if o.LatestHeartbeat == nil {
 		return false
@@ -98,6 +100,7 @@
 	return false
 }
 
+// isPullingImage reports whether the latest heartbeat shows a task whose image is being pulled.
 func (o *observedTasks) isPullingImage() bool {
 	for _, status := range o.taskStatuses {
 		if status.State == protocol.TaskPullingImage {
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -6,7 +6,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of this package, connected with each other.
+// Parts holds the components of this package, connected with each other.
 type Parts struct {
 	Table       *Table
 	Misdirected *MisdirectedHeartbeats
@@ -18,7 +18,8 @@
 	Jobs        *JobTable
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New returns the components of this package. They can be used after Connect has connected them with
+// the components of other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Table:       newTable(ctx),
@@ -49,7 +50,7 @@
 	return parts
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies holds the components of other packages that this package depends on.
 type Dependencies struct {
 	Catalog             *catalog.Catalog
 	RemovalRecorder     RemovalRecorder
@@ -64,7 +65,7 @@
 	ScaleInEvaluator    ScaleInEvaluator
 }
 
-// Connect gives the parts what they need of other packages.
+// Connect connects the components with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Table.catalog = dependencies.Catalog
 	p.Table.removals = dependencies.RemovalRecorder
--- a/internal/coordination/agents/reachability.go
+++ b/internal/coordination/agents/reachability.go
@@ -6,32 +6,33 @@
 	"tillerarch/internal/protocol"
 )
 
-// reachability is when something came from the agent.
+// reachability records when messages from the agent were last received.
 type reachability struct {
-	LastContactAt   protocol.Instant // any sign of life, or the begin of this ownership
-	lastHeartbeatAt protocol.Instant // last heartbeat that the agent sent by itself, or the begin of this ownership
+	LastContactAt   protocol.Instant // last heartbeat or answer to a direct call, or start of the ownership
+	lastHeartbeatAt protocol.Instant // last heartbeat that the agent sent by itself, or start of the ownership
 }
 
-// heartbeatOrder is the place of the last heartbeat that was processed in the order of all of
-// them. Older ones, and the same again, are late copies.
+// heartbeatOrder is the position of the last processed heartbeat in the order in which the agent sent
+// its heartbeats. A heartbeat at this or an earlier position is a duplicate or was delayed.
 type heartbeatOrder struct {
 	lastAgentEpoch protocol.AgentEpoch
 	lastSequence   protocol.Sequence
 }
 
-// isOutOfOrder tells whether a heartbeat is no newer than the last one that was processed.
+// isOutOfOrder reports whether a heartbeat is no newer than the last processed one.
 func (o *heartbeatOrder) isOutOfOrder(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
 	return agentEpoch < o.lastAgentEpoch || agentEpoch == o.lastAgentEpoch && sequence <= o.lastSequence
 }
 
-// advanceTo records that a heartbeat is being processed.
+// advanceTo records the position of a heartbeat that is being processed.
 func (o *heartbeatOrder) advanceTo(agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) {
 	o.lastAgentEpoch, o.lastSequence = agentEpoch, sequence
 }
 
-// RecordMisdirectedHeartbeat notes the place of a heartbeat that another controller received, and
-// tells whether it is newer than all that were received here. What the agent sent here earlier
-// and arrives later is then stale: it is no sign that the agent reaches this controller.
+// RecordMisdirectedHeartbeat records the position of a heartbeat that another controller received, and
+// reports whether that heartbeat is newer than all heartbeats that this controller received. A
+// heartbeat that the agent sent to this controller earlier and that arrives later is then out of
+// order, and no evidence that the agent still reaches this controller.
 func (o *heartbeatOrder) RecordMisdirectedHeartbeat(
 	agentEpoch protocol.AgentEpoch, sequence protocol.Sequence,
 ) (isNewer bool) {
@@ -42,37 +43,39 @@
 	return true
 }
 
-// isStale tells whether a heartbeat is no newer than the given place in the order.
+// isStale reports whether a heartbeat is no newer than the heartbeat with the given agent epoch and
+// sequence.
 func isStale(heartbeat *protocol.Heartbeat, agentEpoch protocol.AgentEpoch, sequence protocol.Sequence) bool {
 	last := heartbeatOrder{lastAgentEpoch: agentEpoch, lastSequence: sequence}
 	return last.isOutOfOrder(heartbeat.AgentEpoch, heartbeat.Sequence)
 }
 
-// HasMissedHeartbeat tells whether an agent has missed a heartbeat for sure.
+// HasMissedHeartbeat reports whether an agent has definitely missed a heartbeat.
 func (at *Table) HasMissedHeartbeat(state *MachineState) bool {
 	const networkMargin = 1500 * time.Millisecond
 	return !state.isDeferred() && at.TimeSinceContact(state) > at.Config.HeartbeatInterval*5/4+networkMargin
 }
 
-// IsSilent tells whether an agent has missed several heartbeats.
+// IsSilent reports whether an agent has missed several heartbeats.
 func (at *Table) IsSilent(state *MachineState) bool {
 	return !state.isDeferred() && at.TimeSinceContact(state) > at.SilenceTimeout()
 }
 
-// SilenceTimeout is the time in which several heartbeats must have come from an agent that
-// reaches this controller.
+// SilenceTimeout returns the time within which several heartbeats arrive from an agent that reaches
+// this controller.
 func (at *Table) SilenceTimeout() time.Duration {
 	return 2*at.Config.HeartbeatInterval + at.Config.HeartbeatInterval/2 + time.Second
 }
 
-// TimeSinceContact is for how long nothing has come from an agent while this process could
-// have received it: a process pause is not the agent's silence.
+// TimeSinceContact returns the time since the last message from an agent. It excludes the time before
+// the end of the last process pause, during which this process could not have received a message.
 func (at *Table) TimeSinceContact(state *MachineState) time.Duration {
 	return at.Since(max(state.LastContactAt, at.ResumedAt))
 }
 
-// heartbeatsLost tells whether an agent has sent no heartbeat for a while, whatever it says when
-// it is probed: starts go out in responses to heartbeats only, so what is placed there waits.
+// heartbeatsLost reports whether no heartbeat of an agent has arrived for longer than SilenceTimeout,
+// even if the agent answers probes. Starts are sent only in responses to heartbeats, so tasks that are
+// placed on the machine would wait.
 func (at *Table) heartbeatsLost(state *MachineState) bool {
 	return !state.isDeferred() && at.Since(max(state.lastHeartbeatAt, at.ResumedAt)) > at.SilenceTimeout()
 }
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -12,11 +12,11 @@
 	"tillerarch/internal/storage"
 )
 
-// A lease has surely expired only if the agent has shown this owner's epoch,
-// counted from its last answered heartbeat: the machine's own part of the token
-// does not matter, a failover does.
+// TestAgentLeaseExpired checks that a lease counts as expired only if the agent has shown this owner's
+// shard epoch, and that its time counts from the last answered heartbeat. The shard epoch in the token
+// changes with a failover; the machine's counter in the token does not matter.
 func TestAgentLeaseExpired(t *testing.T) {
-	const answerDelay = 3 * time.Second // by then the heartbeat is answered
+	const answerDelay = 3 * time.Second // the heartbeat is answered within this time
 	for _, test := range []struct {
 		name      string
 		confirmed protocol.FencingToken
@@ -24,10 +24,12 @@
 		want      bool
 	}{
 		{"within the lease", testShardEpoch.FencingToken(0), 13 * time.Second, false},
-		{"at its end, clocks may drift", testShardEpoch.FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
-		{"past it", testShardEpoch.FencingToken(0), 16 * time.Second, true},
-		{"past it, before the newest token was shown", testShardEpoch.FencingToken(1), 16 * time.Second, true},
-		{"the agent has shown an earlier owner's only", (testShardEpoch - 1).FencingToken(9), 16 * time.Second, false},
+		{"at the end of the lease, within clock drift",
+			testShardEpoch.FencingToken(0), 14*time.Second + 300*time.Millisecond, false},
+		{"after the lease", testShardEpoch.FencingToken(0), 16 * time.Second, true},
+		{"after the lease, newest token not shown", testShardEpoch.FencingToken(1), 16 * time.Second, true},
+		{"after the lease, only an earlier owner's token shown",
+			(testShardEpoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -44,31 +46,31 @@
 			f.advance(answerDelay)
 			f.tick()
 			if !wasAnswered && steptest.ReplyStatus(f.Effects) != http.StatusOK {
-				t.Fatal("the heartbeat is not answered")
+				t.Fatalf("heartbeat got status %d, want %d", steptest.ReplyStatus(f.Effects), http.StatusOK)
 			}
 			f.advance(test.after - answerDelay)
 			if got := f.Table.IsAgentLeaseExpired(state, &entry.Record); got != test.want {
-				t.Error(got)
+				t.Errorf("IsAgentLeaseExpired() = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Commands count as lost if direct calls fail one after the other while heartbeats arrive. An
-// agent that is silent as well is dead, or cut off in both directions.
+// TestCommandsLost checks that commands count as lost if consecutive direct calls fail while heartbeats
+// arrive. An agent that is silent as well is dead, or unreachable in both directions.
 func TestCommandsLost(t *testing.T) {
-	failed := errors.New("no answer")
+	callError := errors.New("agent does not answer")
 	for _, test := range []struct {
 		name             string
-		calls            []error // results of direct calls, one a second
-		heartbeatsArrive bool    // meanwhile
+		calls            []error // results of consecutive direct calls, each a second after its call
+		heartbeatsArrive bool    // a heartbeat arrives before the result of each call
 		want             bool
 	}{
-		{"one call fails", []error{failed}, true, false},
-		{"two fail, heartbeats come", []error{failed, failed}, true, true},
-		{"two fail, the agent is silent", []error{failed, failed}, false, false},
-		{"one is answered between", []error{failed, nil, failed}, true, false},
-		{"one is answered afterwards", []error{failed, failed, nil}, true, false},
+		{"one call fails", []error{callError}, true, false},
+		{"two calls fail, heartbeats arrive", []error{callError, callError}, true, true},
+		{"two calls fail, agent is silent", []error{callError, callError}, false, false},
+		{"call between two failures is answered", []error{callError, nil, callError}, true, false},
+		{"call after two failures is answered", []error{callError, callError, nil}, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -96,7 +98,7 @@
 				f.Calls.OnAgentResult(result)
 			}
 			if got := state.CommandsLost(); got != test.want {
-				t.Error(got)
+				t.Errorf("CommandsLost() = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -9,23 +9,23 @@
 	"tillerarch/internal/storage"
 )
 
-// TerminationChecker knows the machines whose termination the cloud has confirmed.
+// TerminationChecker reports whether the cloud has confirmed the termination of a machine.
 type TerminationChecker interface {
 	IsTerminationConfirmed(id protocol.MachineID) bool
 }
 
-// Reconciler brings the records of owned machines in line with what their agents show.
+// Reconciler updates the records of owned machines with what their agents report.
 //
-// A task must never run twice, so it is taken back from a machine only on one of these proofs
-// that it does not run there and never will under the same attempt:
+// A task must never run twice. A task is therefore requeued from a machine only with proof that it does
+// not run there and will never run there under the same attempt. Each of these is proof:
 //
-//   - a heartbeat under the recorded shard epoch and agent epoch lacks it, while no start of it is
-//     in flight, or shows that it has exited (reconcileTask);
+//   - a heartbeat under the recorded shard epoch and agent epoch shows that the task has exited, or
+//     lacks the task while no start of it is in flight (reconcileTask);
 //   - the agent has begun a newer agent epoch (adoptAgentEpoch);
-//   - the agent's lease has expired for sure (Table.IsAgentLeaseExpired);
+//   - the agent's lease has definitely expired (Table.IsAgentLeaseExpired);
 //   - the cloud has confirmed the termination of the machine (IsTerminationConfirmed).
 //
-// Time alone proves nothing before the agent has shown the shard epoch on record.
+// Elapsed time is no proof until the agent has shown the recorded shard epoch.
 type Reconciler struct {
 	*step.Context
 
@@ -36,12 +36,11 @@
 	shards        *commit.ShardWriter
 	terminations  TerminationChecker
 
-	nextShardIndex int // of the owned shards, the one to go on with
+	nextShardIndex int // index of the owned shard at which the next transaction begins
 }
 
-// WriteMachines brings the records of owned machines in line with what their
-// agents show, shard by shard. Where a transaction cannot take all, the next
-// one goes on with the shard that was left.
+// WriteMachines adds to a batch the changes of the owned machines' records, shard by shard. If the
+// batch cannot hold all changes, the next one continues with the shard at which this one was full.
 func (r *Reconciler) WriteMachines(batch *commit.Batch) {
 	shards := r.shards.OwnedShards()
 	for i := range shards {
@@ -61,10 +60,11 @@
 	r.committer.SetBatchPartial(false)
 }
 
+// reconcileMachine adds the changes of one machine's record to a batch.
 func (r *Reconciler) reconcileMachine(batch *commit.Batch, id protocol.MachineID, entry *storage.Machine) {
 	record := &entry.Record
 	if batch.ChangesMachine(id) || batch.RemovesMachine(id) || batch.GivesAwayShard(record.Shard) {
-		return // being handed over in this transaction
+		return // another part of this transaction already changes, removes or hands over the machine
 	}
 	state := r.agents.TrackOwnedMachine(entry, id)
 	switch {
@@ -84,8 +84,8 @@
 	r.updateDrain(batch, state, record)
 }
 
-// removeTerminated drops a machine from the records once the cloud has confirmed its termination:
-// only then are its tasks surely gone.
+// removeTerminated deletes a machine's record once the cloud has confirmed the termination. Before
+// that, the machine's tasks may still run.
 func (r *Reconciler) removeTerminated(batch *commit.Batch, id protocol.MachineID, record *storage.MachineRecord) {
 	if !r.terminations.IsTerminationConfirmed(id) || !batch.HasCapacity(batch.OpsNeeded(id)) {
 		return
@@ -94,15 +94,15 @@
 	batch.Log(slog.LevelInfo, "machine removed", "machine", string(id), "tasks", len(record.Assignments))
 }
 
-// hasNewAgentEpoch tells whether the agent has begun an agent epoch that is not on record. A
-// heartbeat with a higher token than the one on record is another owner's to judge.
+// hasNewAgentEpoch reports whether the agent has begun an agent epoch that is not recorded yet. It
+// ignores a heartbeat with a higher token than the recorded one, which only a later owner may process.
 func hasNewAgentEpoch(state *MachineState, record *storage.MachineRecord) bool {
 	heartbeat := state.LatestHeartbeat
 	return heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch && heartbeat.FencingToken <= record.FencingToken
 }
 
-// adoptAgentEpoch records the agent's new epoch and takes all tasks back: an agent kills every task
-// of an earlier epoch before it begins a new one.
+// adoptAgentEpoch records the agent's new epoch and requeues all tasks, because an agent kills every
+// task of an earlier epoch before it begins a new one.
 func (r *Reconciler) adoptAgentEpoch(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
 	isFirstEpoch := record.AgentEpoch == 0
 	if isFirstEpoch && len(record.Assignments) > 0 || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// requeueExpired takes all tasks back from a machine whose agent has killed them, as no response
-// renewed its lease.
+// requeueExpired requeues all tasks of a machine whose agent has killed them because its lease expired,
+// and cordons the machine.
 func (r *Reconciler) requeueExpired(batch *commit.Batch, state *MachineState) {
 	if !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return
@@ -127,7 +127,7 @@
 	updated.Cordoned = true
 }
 
-// requeueAll takes all tasks back from a machine.
+// requeueAll requeues all tasks of a machine.
 func (r *Reconciler) requeueAll(
 	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, reason string,
 ) {
@@ -142,14 +142,15 @@
 	record.Assignments = nil
 }
 
-// requeue takes one task back from a machine.
+// requeue unassigns one task from a machine, so that it can be placed again.
 func (r *Reconciler) requeue(batch *commit.Batch, state *MachineState, task protocol.Task, attempt protocol.Attempt) {
 	batch.MutableMachine(state.ID).Unassign(task)
 	r.revoke(batch, state, task, attempt)
 }
 
-// revoke bars an attempt that is taken back from being started again, from now on: the write may
-// be applied even if its outcome is never known.
+// revoke prevents the attempt of a requeued task from being started again. It does so before the
+// transaction is sent, because the transaction may be applied without this controller ever learning
+// its outcome.
 func (r *Reconciler) revoke(batch *commit.Batch, state *MachineState, task protocol.Task, attempt protocol.Attempt) {
 	state.revokedAttempts[task] = attempt
 	batch.OnSend(func() { delete(state.stopRequests, task) })
@@ -177,7 +178,7 @@
 			return true
 		}
 	case status.Attempt != attempt || status.State != protocol.TaskExited:
-		return true // running, or an old attempt that the next response has forgotten
+		return true // the task is live, or the next response makes the agent forget another attempt
 	}
 	if !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return false
@@ -190,14 +191,14 @@
 	return true
 }
 
-// mustRequeueAbsent tells whether an assigned task that the current heartbeat lacks is to be taken
-// back. That it does not run is proven, unless a start is in flight; that it should not be started
-// again is the question.
+// mustRequeueAbsent reports whether an assigned task that the current heartbeat lacks must be requeued.
+// The heartbeat proves that the task does not run, unless a start of it is in flight. The task is
+// requeued if it must not or cannot be started on the machine.
 func (r *Reconciler) mustRequeueAbsent(
 	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
 ) bool {
 	if _, inFlight := state.InflightStarts[task]; inFlight {
-		return false // the agent may carry it out yet: absence proves nothing
+		return false // the agent may still execute the start, so the absence of the task is no proof
 	}
 	job := batch.JobRecord(task.Job)
 	switch {
@@ -208,25 +209,25 @@
 	case job.Spec.IsGang() && r.jobs.isGangBroken(task.Job, attempt):
 		return true
 	case state.revokedAttempts[task] == attempt:
-		return true // taken back already; that write was refused, or a later one assigned it anew
+		return true // requeued before, but that write was refused or a later one assigned the task again
 	}
 	wasEverSeen := state.firstSeenAt[task] != 0
 	return record.Cordoned && !wasEverSeen && r.cannotStart(state)
 }
 
-// cannotStart tells whether a machine that is drained will start nothing for some time.
+// cannotStart reports whether a cordoned machine will start no task for some time.
 func (r *Reconciler) cannotStart(state *MachineState) bool {
 	return state.isPreempted() || state.IsFaulty || state.CommandsLost() || r.agents.heartbeatsLost(state)
 }
 
-// recordExit takes a task back that the current heartbeat shows as exited. If it was done, that goes
-// into the same transaction: it is neither lost nor run again.
+// recordExit unassigns a task that the current heartbeat shows as exited. If the task is done, the same
+// transaction records that, so that the result is not lost and the task does not run again.
 func (r *Reconciler) recordExit(
 	batch *commit.Batch, state *MachineState, task protocol.Task, status *protocol.TaskStatus,
 ) {
 	job := batch.JobRecord(task.Job)
 	isService := job != nil && job.Spec != nil && job.Spec.IsService()
-	isDone := status.Reason == protocol.ReasonDone && !isService // replicas are never done
+	isDone := status.Reason == protocol.ReasonDone && !isService // service replicas are never done
 	if isDone && job != nil && !job.State.IsTerminal() {
 		batch.RecordTaskDone(state.ID, task)
 		batch.OnSend(func() { r.jobs.recordTaskRuntime(state, task) })
@@ -237,7 +238,7 @@
 	}
 	r.requeue(batch, state, task, status.Attempt)
 	if isService {
-		batch.MarkFailedReplica(task.Job) // how soon it is tried again shows once this is written
+		batch.MarkFailedReplica(task.Job) // the restart delay is determined once this is written
 	}
 	if isDone {
 		return
@@ -249,10 +250,12 @@
 	}
 }
 
-// minFailedMachines is on how many machines a job must fail before the fault is the job's.
+// minFailedMachines is the number of machines on which a job must fail before the errors are attributed
+// to the job.
 const minFailedMachines = 2
 
-// onTaskError tells a faulty machine from a job that fails everywhere.
+// onTaskError attributes a task's error to the job if the job fails on every machine, and to the
+// machine otherwise.
 func (r *Reconciler) onTaskError(state *MachineState, id protocol.JobID) {
 	jobState := r.jobs.JobState(id)
 	jobState.FailedMachines[state.ID] = true
@@ -265,13 +268,13 @@
 	}
 }
 
-// failsEverywhere tells whether a job has failed on several machines and completed nothing.
+// failsEverywhere reports whether a job has failed on several machines and completed no task.
 func (r *Reconciler) failsEverywhere(id protocol.JobID, jobState *JobState) bool {
 	return len(jobState.FailedMachines) >= minFailedMachines &&
 		(r.Replica.Jobs[id] == nil || r.Replica.CompletedTasks(id).IsZero())
 }
 
-// updateDrain records whether the machine takes new tasks.
+// updateDrain records whether the machine accepts new tasks.
 func (r *Reconciler) updateDrain(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
 	drain := r.shouldDrain(state, record)
 	if drain == batch.MachineRecord(state.ID).Cordoned || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
@@ -282,8 +285,8 @@
 		"preempted", state.isPreempted(), "seconds_since_contact", r.Since(state.LastContactAt).Seconds())
 }
 
-// shouldDrain tells whether a machine should take no new tasks: it will be preempted, is faulty,
-// or its agent may not start them.
+// shouldDrain reports whether a machine should get no new tasks because it will be preempted, is
+// faulty or quarantined, or its agent may not receive start commands.
 func (r *Reconciler) shouldDrain(state *MachineState, record *storage.MachineRecord) bool {
 	if state.isPreempted() || state.IsFaulty || r.Now.Monotonic < state.quarantinedUntil {
 		return true
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -9,8 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// An assigned task is taken back only on proof that it does not run on the machine and will not
-// start there.
+// TestRequeueOnlyOnProof checks that an assigned task is requeued only with proof that it does not run
+// on the machine and will not start there. Without proof, the task could run twice.
 func TestRequeueOnlyOnProof(t *testing.T) {
 	const attempt = protocol.Attempt(5)
 	task := protocol.Task{Job: testJob}
@@ -25,49 +25,49 @@
 		}
 	}
 	cancel := func(f *fixture) { f.cancellations[testJob] = true }
-	leasePassed := 20 * time.Second
+	leaseElapsed := 20 * time.Second
 
 	for _, test := range []struct {
 		name     string
 		arrange  func(*fixture, *storage.Machine, *MachineState)
-		want     bool // taken back
-		wantDone string
+		want     bool   // whether the task is requeued
+		wantDone string // tasks that are recorded as done
 	}{
 		{"no heartbeat yet", func(f *fixture, _ *storage.Machine, _ *MachineState) { cancel(f) }, false, ""},
-		{"runs", receiveHeartbeat(status(attempt, protocol.TaskRunning, "")), false, ""},
-		{"not there, its start is in flight", receiveHeartbeat(), false, ""},
-		{"not there, its start is still to be sent", func(f *fixture, entry *storage.Machine, state *MachineState) {
+		{"running", receiveHeartbeat(status(attempt, protocol.TaskRunning, "")), false, ""},
+		{"absent, start in flight", receiveHeartbeat(), false, ""},
+		{"absent, start not sent yet", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			receiveHeartbeat()(f, entry, state)
 			clear(state.InflightStarts)
 		}, false, ""},
-		{"not there, and cancelled", func(f *fixture, entry *storage.Machine, state *MachineState) {
+		{"absent, cancelled", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			cancel(f)
 			receiveHeartbeat()(f, entry, state)
 		}, true, ""},
-		{"not there, cancelled, its start is in flight", func(f *fixture, entry *storage.Machine, state *MachineState) {
+		{"absent, cancelled, start in flight", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			cancel(f)
 			receiveHeartbeat()(f, entry, state)
 			state.InflightStarts[task] = attempt
 		}, false, ""},
-		{"not there, cancelled, a heartbeat after its start lacks it",
+		{"absent from a heartbeat after the start, cancelled",
 			func(f *fixture, entry *storage.Machine, _ *MachineState) {
 				f.receive(steptest.NewHeartbeat(entry, 1)) // answered with the start
 				cancel(f)
 				f.receive(steptest.NewHeartbeat(entry, 2))
 			}, true, ""},
-		{"not there, cancelled, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
+		{"absent, cancelled, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
 			cancel(f)
 			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
 			f.receive(heartbeat)
 		}, false, ""},
-		{"not there, taken back before", func(f *fixture, entry *storage.Machine, state *MachineState) {
+		{"absent, requeued before", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			state.revokedAttempts[task] = attempt
 			receiveHeartbeat()(f, entry, state)
 		}, true, ""},
 		{"done", receiveHeartbeat(status(attempt, protocol.TaskExited, protocol.ReasonDone)), true, "0"},
 		{"failed", receiveHeartbeat(status(attempt, protocol.TaskExited, protocol.ReasonError)), true, ""},
-		{"an earlier attempt is done",
+		{"earlier attempt done",
 			receiveHeartbeat(status(attempt-1, protocol.TaskExited, protocol.ReasonDone)), false, ""},
 		{"newer agent epoch", func(f *fixture, entry *storage.Machine, _ *MachineState) {
 			heartbeat := steptest.NewHeartbeat(entry, 1)
@@ -78,22 +78,22 @@
 			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(f, entry, state)
 			f.advance(3 * time.Second)
 			f.tick()
-			f.advance(leasePassed)
+			f.advance(leaseElapsed)
 		}, true, ""},
-		{"lease passed, a heartbeat is about to be answered", func(f *fixture, entry *storage.Machine, state *MachineState) {
+		{"lease expired, heartbeat waits for its response", func(f *fixture, entry *storage.Machine, state *MachineState) {
 			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(f, entry, state)
 			f.advance(3 * time.Second)
 			f.tick()
-			f.advance(leasePassed)
+			f.advance(leaseElapsed)
 			state.DeferredRequest = 9
 		}, false, ""},
-		{"lease passed, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
+		{"lease expired, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
 			heartbeat := steptest.NewHeartbeat(entry, 1, status(attempt, protocol.TaskRunning, ""))
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
 			f.receive(heartbeat)
 			f.advance(3 * time.Second)
 			f.tick()
-			f.advance(leasePassed)
+			f.advance(leaseElapsed)
 		}, false, ""},
 		{"termination requested", func(_ *fixture, entry *storage.Machine, _ *MachineState) {
 			entry.Record.Terminating = true
@@ -111,18 +111,18 @@
 			test.arrange(f, entry, state)
 			batch := f.commit.ShardWriter.NewBatch(f.Config.TransactionOps)
 			f.Reconciler.WriteMachines(batch)
-			takenBack := batch.RemovesMachine(testMachine) || len(batch.MachineRecord(testMachine).Assignments) == 0
-			if takenBack != test.want {
-				t.Errorf("taken back: %v", takenBack)
+			isRequeued := batch.RemovesMachine(testMachine) || len(batch.MachineRecord(testMachine).Assignments) == 0
+			if isRequeued != test.want {
+				t.Errorf("task requeued: %v, want %v", isRequeued, test.want)
 			}
 			if got := writtenDoneTasks(t, batch.Transaction()); got != test.wantDone {
-				t.Errorf("recorded as done: %q", got)
+				t.Errorf("tasks recorded as done: %q, want %q", got, test.wantDone)
 			}
 		})
 	}
 }
 
-// writtenDoneTasks lists the tasks of the job that a transaction records as done.
+// writtenDoneTasks returns the tasks of the job that a transaction records as done.
 func writtenDoneTasks(t *testing.T, transaction protocol.Transaction) string {
 	t.Helper()
 	written := storage.NewReplica()
--- a/internal/coordination/agents/response_delay.go
+++ b/internal/coordination/agents/response_delay.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// ownershipCatchUpTimeout is how long a heartbeat waits for the replica to show what was
-	// written before this incarnation became the owner.
+	// ownershipCatchUpTimeout is how long a heartbeat waits for the replica to show the writes from
+	// before this incarnation became the owner.
 	ownershipCatchUpTimeout = 3 * time.Second
-	// longestResponseDelay bounds how long a heartbeat with news waits, unless the configuration
-	// says more.
+	// longestResponseDelay limits the delay that maxResponseDelay derives from the heartbeat interval.
+	// Config.MaxResponseDelay may be longer.
 	longestResponseDelay = 3 * time.Second
-	// idleCoresDivisor is the part of a machine's cores that must be free, one in so many, for
-	// the response to wait for a start while tasks run there.
+	// idleCoresDivisor sets how many of a machine's cores must be free for the response to wait for a
+	// start while tasks run on the machine: one core in idleCoresDivisor.
 	idleCoresDivisor = 3
 )
 
-// shouldDeferResponse tells whether the response should wait a moment for a write, so that
-// it can carry the starts that take the place of what has ended.
+// shouldDeferResponse reports whether the response should wait for a write, so that it can contain the
+// starts of the tasks that replace exited ones.
 func (h *HeartbeatHandler) shouldDeferResponse(entry *storage.Machine, state *MachineState) bool {
 	if h.isReplicaBehindOwnership(state) {
 		return h.Since(state.deferredAt) < ownershipCatchUpTimeout
@@ -37,7 +37,7 @@
 	heartbeat, record := state.LatestHeartbeat, &entry.Record
 	showsShardEpoch := storage.ShardEpochOf(heartbeat.FencingToken) == record.ShardEpoch
 	if heartbeat.AgentEpoch != record.AgentEpoch {
-		return showsShardEpoch || record.AgentEpoch == 0 // the new agent epoch is about to be written
+		return showsShardEpoch || record.AgentEpoch == 0 // the new agent epoch will be written next
 	}
 	if !showsShardEpoch {
 		return false
@@ -47,14 +47,14 @@
 		h.shouldDeferIdleResponse(entry, state)
 }
 
-// isReplicaBehindOwnership tells whether the replica may lack what was written before this
-// incarnation became the owner: a job may have been cancelled without its
-// knowledge.
+// isReplicaBehindOwnership reports whether the replica may lack writes from before this incarnation
+// became the owner. For example, it may lack the cancellation of a job.
 func (h *HeartbeatHandler) isReplicaBehindOwnership(state *MachineState) bool {
 	return h.Replica.Revision < state.ownershipRevision
 }
 
-// showsUnrecordedExit tells whether an assigned task has exited, so that its end is to be written.
+// showsUnrecordedExit reports whether a heartbeat shows that an assigned task has exited. The exit is
+// then not recorded yet.
 func showsUnrecordedExit(heartbeat *protocol.Heartbeat, record *storage.MachineRecord) bool {
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
@@ -68,10 +68,10 @@
 	return false
 }
 
-// expectsAssignments tells whether the plan has tasks for the machine that its owner waits to
-// see on record, most often those of a job that another controller owns. The response waits
-// for them within maxResponseDelay: without that a core that has become free stays so for half
-// a heartbeat interval on average, where tasks are short a tenth of all cores.
+// expectsAssignments reports whether the plan has tasks for the machine whose assignment is not recorded
+// yet, most often tasks of a job that another controller owns. The response waits for them up to
+// maxResponseDelay. Otherwise a core that has become free would stay free for half a heartbeat interval
+// on average, which amounts to a tenth of all cores where tasks are short.
 func (h *HeartbeatHandler) expectsAssignments(entry *storage.Machine, state *MachineState) bool {
 	record := &entry.Record
 	if !h.forecast.ExpectsPlacement(state.ID) || !h.replication.IsUpToDate() ||
@@ -80,19 +80,19 @@
 	}
 	for i := range record.Assignments {
 		if h.nonGangSpec(&record.Assignments[i]) == nil || !state.showsAllTasks(&record.Assignments[i]) {
-			return false // there is something to start
+			return false // the response may have a start command
 		}
 	}
 	return true
 }
 
-// acceptsTasks tells whether new tasks may be assigned to a machine.
+// acceptsTasks reports whether new tasks may be assigned to a machine.
 func acceptsTasks(record *storage.MachineRecord, heartbeat *protocol.Heartbeat) bool {
 	return !record.Terminating && !record.Cordoned && heartbeat.PreemptionNoticeSeconds == nil
 }
 
-// nonGangSpec is the job of an assignment, nil if it is unknown or a gang, whose tasks may wait
-// to start for those on other machines.
+// nonGangSpec returns the description of an assignment's job. It returns nil if the job is unknown or is
+// a gang, because the start of a gang's tasks may wait for its tasks on other machines.
 func (h *HeartbeatHandler) nonGangSpec(assignment *storage.Assignment) *protocol.Job {
 	job := h.Replica.Jobs[assignment.Job]
 	if job == nil || job.Record.Spec == nil || job.Record.Spec.IsGang() {
@@ -101,17 +101,16 @@
 	return job.Record.Spec
 }
 
-// maxResponseDelay is how long a heartbeat with news waits for the write. Where heartbeats are
-// far apart it waits longer: the next one, which would take what this response lacks, is that
-// much later.
+// maxResponseDelay returns how long a heartbeat with news waits for the resulting write. The delay grows
+// with the heartbeat interval, because commands that miss this response wait for the next heartbeat.
 func (h *HeartbeatHandler) maxResponseDelay() time.Duration {
 	return max(h.Config.MaxResponseDelay, min(h.Config.HeartbeatInterval*3/8, longestResponseDelay))
 }
 
-// shouldDeferIdleResponse tells whether the response to a machine with free capacity waits for
-// something to do: a start that is written meanwhile goes out at once instead of with the next
-// heartbeat. The agent waits longer than that for a response. While tasks run there it waits
-// only where heartbeats are so far apart that it pays.
+// shouldDeferIdleResponse reports whether the response to a machine with free capacity should wait for a
+// start. A start that is written during the wait is sent at once instead of with the next heartbeat.
+// The agent's own timeout for a response is longer than the wait. While tasks run on the machine, the
+// response waits only if the heartbeat interval is at least twice the maximum wait.
 func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, state *MachineState) bool {
 	heartbeat, record := state.LatestHeartbeat, &entry.Record
 	if h.Since(state.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() ||
@@ -127,8 +126,9 @@
 	return h.hasFreeCoresAndNoCommands(record, state)
 }
 
-// hasFreeCoresAndNoCommands tells whether a good part of the machine is free while there is no
-// command for its agent: all assigned tasks run, and none has exited.
+// hasFreeCoresAndNoCommands reports whether enough of the machine's cores are free, as given by
+// idleCoresDivisor, and there is no command for its agent because the agent shows all assigned tasks
+// and no exited one.
 func (h *HeartbeatHandler) hasFreeCoresAndNoCommands(record *storage.MachineRecord, state *MachineState) bool {
 	machineType := h.catalog.MachineType(record.MachineType)
 	if machineType == nil {
@@ -139,13 +139,13 @@
 		assignment := &record.Assignments[i]
 		spec := h.nonGangSpec(assignment)
 		if spec == nil || !state.showsAllTasks(assignment) {
-			return false // there is something to start
+			return false // the response may have a start command
 		}
 		freeCores -= float64(assignment.Tasks.Len()) * spec.Cores
 	}
 	for i := range state.LatestHeartbeat.Tasks {
 		if state.LatestHeartbeat.Tasks[i].State == protocol.TaskExited {
-			return false // to be forgotten
+			return false // the response may have a forget command
 		}
 	}
 	return freeCores >= machineType.Cores/idleCoresDivisor
--- a/internal/coordination/agents/response_delay_test.go
+++ b/internal/coordination/agents/response_delay_test.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// A response waits while a write may soon give it something to say, not when it has something to
-// say already, or nothing can come.
+// TestResponseDeferred checks that a response waits only while a write may soon result in commands for
+// it, and not if it has commands already or if none can result.
 func TestResponseDeferred(t *testing.T) {
 	const attempt = protocol.Attempt(5)
 	task := protocol.Task{Job: testJob}
@@ -21,37 +21,37 @@
 
 	for _, test := range []struct {
 		name       string
-		isAssigned bool // the task is, on record
+		isAssigned bool // whether the record assigns the task to the machine
 		tasks      []protocol.TaskStatus
 		change     func(*fixture, *storage.Machine, *MachineState, *protocol.Heartbeat)
 		after      time.Duration
-		want       bool
+		want       bool // whether the response waits
 	}{
 		{"idle", false, nil, nil, 0, true},
-		{"idle for long", false, nil, nil, 2600 * time.Millisecond, false},
-		{"idle, about to be preempted", false, nil,
+		{"idle, wait has timed out", false, nil, nil, 2600 * time.Millisecond, false},
+		{"idle, preemption notice", false, nil,
 			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
 				heartbeat.PreemptionNoticeSeconds = &notice
 			}, 0, false},
-		{"idle, drained", false, nil,
+		{"idle, cordoned", false, nil,
 			func(_ *fixture, entry *storage.Machine, _ *MachineState, _ *protocol.Heartbeat) {
 				entry.Record.Cordoned = true
 			}, 0, false},
-		{"a task is to be started", true, nil, nil, 0, false},
-		{"a task runs", true, []protocol.TaskStatus{running}, nil, 0, false},
-		{"the end of a task is to be recorded", true, []protocol.TaskStatus{exited}, nil, 0, true},
-		{"the end of a task is not recorded in time", true,
+		{"assigned task not started yet", true, nil, nil, 0, false},
+		{"task running", true, []protocol.TaskStatus{running}, nil, 0, false},
+		{"exit of a task not recorded yet", true, []protocol.TaskStatus{exited}, nil, 0, true},
+		{"exit of a task not recorded in time", true,
 			[]protocol.TaskStatus{exited}, nil, 800 * time.Millisecond, false},
-		{"a task that is not assigned is to be forgotten", false, []protocol.TaskStatus{exited}, nil, 0, false},
-		{"a new agent epoch is to be recorded", true, nil,
+		{"exit of an unassigned task", false, []protocol.TaskStatus{exited}, nil, 0, false},
+		{"new agent epoch not recorded yet", true, nil,
 			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
 				heartbeat.AgentEpoch++
 			}, 0, true},
-		{"the agent lacks the token", false, nil,
+		{"agent lacks the current token", false, nil,
 			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
 				heartbeat.FencingToken--
 			}, 0, false},
-		{"the replica may lack what the earlier owner wrote", true, nil,
+		{"replica may lack writes of the previous owner", true, nil,
 			func(f *fixture, _ *storage.Machine, state *MachineState, _ *protocol.Heartbeat) {
 				state.ownershipRevision = f.Replica.Revision + 1
 			}, 0, true},
@@ -72,41 +72,44 @@
 			f.receive(heartbeat)
 			if test.after > 0 {
 				if steptest.ReplyStatus(f.Effects) != 0 {
-					t.Fatal("answered at once")
+					t.Fatalf("answered at once with status %d, want a deferred response", steptest.ReplyStatus(f.Effects))
 				}
 				f.advance(test.after)
 				f.tick()
 			}
 			if got := state.isDeferred(); got != test.want || (steptest.ReplyStatus(f.Effects) == 0) != test.want {
-				t.Errorf("deferred %v, reply %d", got, steptest.ReplyStatus(f.Effects))
+				t.Errorf("response deferred: %v with reply status %d, want deferred: %v",
+					got, steptest.ReplyStatus(f.Effects), test.want)
 			}
 		})
 	}
 }
 
-// A controller that takes over a shard answers no heartbeat before its replica has that write: it
-// may lack a cancellation request that the previous owner knew.
+// TestNoResponseBeforeReplicaCatchesUp checks that a controller that takes over a shard answers no
+// heartbeat before its replica includes that write. An older replica may lack a cancellation request
+// that the previous owner recorded.
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
 	f := newFixture(t)
-	// The machine's shard is newer than the replica: an own write that was applied.
+	// The machine's shard is newer than the replica, as after an applied write of this controller.
 	entry, state := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
 	if f.Replica.Revision = 0; state.ownershipRevision == 0 {
-		t.Fatal("the ownership has no revision")
+		t.Fatal("ownership revision is 0, want the revision of the shard")
 	}
 	f.receive(steptest.NewHeartbeat(entry, 1))
 	if status := steptest.ReplyStatus(f.Effects); status != 0 {
-		t.Errorf("answered %d before the replica has caught up", status)
+		t.Errorf("got status %d before the replica has caught up, want no response", status)
 	}
 	f.advance(ownershipCatchUpTimeout + 100*time.Millisecond)
 	f.tick()
 	if status := steptest.ReplyStatus(f.Effects); status != http.StatusMisdirectedRequest {
-		t.Errorf("answered %d at last, the agent should look for another controller", status)
+		t.Errorf("got status %d after the timeout, want %d so that the agent tries another controller",
+			status, http.StatusMisdirectedRequest)
 	}
 	f.receive(steptest.NewHeartbeat(entry, 2))
 	f.Replica.Revision = 9
 	f.advance(2600 * time.Millisecond)
 	f.tick()
 	if status := steptest.ReplyStatus(f.Effects); status != http.StatusOK {
-		t.Errorf("answered %d with a replica that has caught up", status)
+		t.Errorf("got status %d with an up-to-date replica, want %d", status, http.StatusOK)
 	}
 }
--- a/internal/coordination/agents/task_stops.go
+++ b/internal/coordination/agents/task_stops.go
@@ -11,17 +11,19 @@
 )
 
 const (
-	// evictionLeadTime is how long before its machine is preempted a replica is stopped, so that
-	// it can begin elsewhere at once.
+	// evictionLeadTime is how long before the preemption of its machine a service replica is stopped,
+	// in addition to the time to save a checkpoint. The replica can then restart on another machine
+	// at once.
 	evictionLeadTime = 3 * time.Second
-	// preemptionStopMargin is the time for a stop before preemption to reach the agent, beside
-	// two heartbeat intervals.
+	// preemptionStopMargin is the time that a stop before a preemption may take to reach the agent, in
+	// addition to two heartbeat intervals.
 	preemptionStopMargin = time.Second
-	// gangStopExtraSeconds is what a gang's graceful stop gets beside the time to save a checkpoint.
+	// gangStopExtraSeconds is added to the time to save a checkpoint in the grace period of a gang's
+	// graceful stop.
 	gangStopExtraSeconds = 1
 )
 
-// TaskStopper decides which tasks on owned machines must stop, and has them stopped.
+// TaskStopper decides which tasks on owned machines must stop and sends the stop commands.
 type TaskStopper struct {
 	*step.Context
 
@@ -30,7 +32,7 @@
 	heartbeats    *HeartbeatHandler
 	jobs          *JobTable
 
-	gracefulStops map[protocol.JobID]protocol.Attempt // attempts of gangs that are to stop gracefully
+	gracefulStops map[protocol.JobID]protocol.Attempt // attempts of gangs whose graceful stop is not recorded yet
 }
 
 func newTaskStopper(ctx *step.Context) *TaskStopper {
@@ -40,7 +42,8 @@
 	}
 }
 
-// RequestStop notes that a task is to stop. A request with a shorter grace period stays.
+// RequestStop requests the stop of a task. An earlier request for the same attempt stays if its grace
+// period is not longer.
 func (ts *TaskStopper) RequestStop(
 	state *MachineState, task protocol.Task, attempt protocol.Attempt, graceSeconds float64, reason string,
 ) {
@@ -52,17 +55,17 @@
 		"machine", string(state.ID), "reason", reason)
 }
 
-// RequestGracefulStop notes that an attempt of a gang is to stop gracefully, on all its machines.
+// RequestGracefulStop requests the graceful stop of an attempt of a gang on all its machines.
 func (ts *TaskStopper) RequestGracefulStop(id protocol.JobID, attempt protocol.Attempt) {
 	ts.gracefulStops[id] = attempt
 }
 
-// HasGracefulStops tells whether gangs are to be stopped gracefully.
+// HasGracefulStops reports whether the graceful stop of a gang waits to be recorded.
 func (ts *TaskStopper) HasGracefulStops() bool { return len(ts.gracefulStops) > 0 }
 
-// WriteGracefulStops puts the graceful stop of gangs on record. Every owner of a machine
-// with one of the tasks reads it there at once and sends the stop directly, so
-// that all tasks get the stop within Config.GangPeerTimeout.
+// WriteGracefulStops adds the requested graceful stops to the records of the gangs' jobs. Every owner of
+// a machine with a task of the gang reads the record at once and sends the stop directly, so that all
+// tasks receive the stop within Config.GangPeerTimeout.
 func (ts *TaskStopper) WriteGracefulStops(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(ts.gracefulStops) {
 		attempt := ts.gracefulStops[id]
@@ -76,8 +79,8 @@
 	}
 }
 
-// tickTaskStops decides which tasks of an owned machine must stop, and sends the
-// stops directly: the next heartbeat may be seconds away.
+// tickTaskStops decides which tasks of an owned machine must stop. It sends the stops directly because
+// the next heartbeat may be seconds away.
 func (ts *TaskStopper) tickTaskStops(entry *storage.Machine, state *MachineState) {
 	if state.LatestHeartbeat == nil {
 		return
@@ -101,8 +104,8 @@
 	}
 }
 
-// stopIfDue requests the stop of a live task if there is a reason, and tells whether its agent
-// is to be called for it.
+// stopIfDue requests the stop of a live task if there is a reason, and reports whether its agent must be
+// called directly.
 func (ts *TaskStopper) stopIfDue(
 	state *MachineState, status *protocol.TaskStatus, job *storage.JobRecord,
 ) (isUrgent bool) {
@@ -139,8 +142,9 @@
 	return isUrgent
 }
 
-// mustSaveCheckpoint tells whether a task on a machine that is about to be preempted must begin to save
-// its checkpoint now, and still can. Later it would be lost, earlier it would lose work time.
+// mustSaveCheckpoint reports whether a task on a machine that is about to be preempted must begin to
+// save its checkpoint now and still has the time. If the save began later, the checkpoint would be
+// lost. If it began earlier, work time would be lost.
 func (ts *TaskStopper) mustSaveCheckpoint(state *MachineState, spec *protocol.Job, extra time.Duration) bool {
 	if !state.isPreempted() {
 		return false
@@ -151,8 +155,8 @@
 		untilPreemption < saveTime+2*ts.Config.HeartbeatInterval+extra+preemptionStopMargin
 }
 
-// mustEvict tells whether a replica has to leave its machine: it will soon be preempted, or
-// is faulty.
+// mustEvict reports whether a service replica must leave its machine because the machine is faulty or
+// will soon be preempted.
 func (ts *TaskStopper) mustEvict(state *MachineState, spec *protocol.Job) bool {
 	if state.IsFaulty {
 		return true
