--- a/internal/sharding/failover.go
+++ b/internal/sharding/failover.go
@@ -6,19 +6,19 @@
 	"tillerarch/internal/protocol"
 )
 
-// Delays of a failover, counted from when the incarnation was seen to be dead. They grow as
-// the right to the shard weakens, so that the live controllers divide the shards of a dead
-// one among them.
+// Delays before a controller takes over a shard, counted from when it found that the owner had
+// ended. A controller with a weaker claim to the shard waits longer, so that the live
+// controllers divide the shards of a dead controller among them.
 const (
-	successorHeartbeatDelay = time.Second             // successor that an agent of the shard sends heartbeats to
-	successorDelay          = 1500 * time.Millisecond // successor without such a heartbeat
-	heartbeatDelay          = 4 * time.Second         // another controller with such a heartbeat
-	fallbackDelay           = 15 * time.Second        // any controller: nobody else has acted
+	successorHeartbeatDelay = time.Second             // for a successor that an agent of the shard sends heartbeats to
+	successorDelay          = 1500 * time.Millisecond // for a successor without such a heartbeat
+	heartbeatDelay          = 4 * time.Second         // for another controller with such a heartbeat
+	fallbackDelay           = 15 * time.Second        // for any controller, because no other has taken over the shard
 )
 
-// IsFailoverDue tells whether a controller takes over a shard whose owner has been dead for a
-// time. isSuccessor: it is the shard's successor; hasHeartbeat: an agent of the shard waits
-// for a response from it.
+// IsFailoverDue reports whether a controller takes over a shard whose owner has been dead for
+// expiredFor. isSuccessor means that the controller is the successor of the shard, and
+// hasHeartbeat that an agent of the shard waits for a response from the controller.
 func IsFailoverDue(expiredFor time.Duration, isSuccessor, hasHeartbeat bool) bool {
 	switch {
 	case isSuccessor && hasHeartbeat && expiredFor > successorHeartbeatDelay:
@@ -31,9 +31,9 @@
 	return expiredFor > fallbackDelay
 }
 
-// Successor is the live controller of highest rendezvous weight for a key, or empty if none is
-// alive: the keys of a dead controller are spread over all others, and few keys change their
-// successor as controllers come and go.
+// Successor returns the live controller with the highest rendezvous weight for a key. It returns
+// an empty ID if no controller is alive. Rendezvous hashing spreads the keys of a dead controller
+// over all others, and few keys change their successor when controllers start or end.
 func Successor(alive []protocol.ControllerID, key string) protocol.ControllerID {
 	best, bestWeight := protocol.ControllerID(""), uint64(0)
 	for _, controller := range alive {
@@ -45,15 +45,17 @@
 }
 
 // Parameters of the 64-bit FNV-1a hash, and an odd multiplier (2^64 divided by the golden ratio)
-// that spreads its low bits: FNV alone leaves names that differ in their last byte close together.
+// that spreads the low bits of the hash. FNV-1a alone maps names that differ only in their last
+// byte to numbers that are close together.
 const (
 	fnvOffset       = 14695981039346656037
 	fnvPrime        = 1099511628211
 	mixerMultiplier = 0x9e3779b97f4a7c15
 )
 
-// RendezvousWeight mixes two names to a number, for rendezvous hashing. Versions that
-// run side by side must agree on it: it decides which of them is a shard's successor.
+// RendezvousWeight hashes two names to a number, for rendezvous hashing. Versions that run side
+// by side must compute the same weights, because the weights decide which controller is the
+// successor of a shard.
 func RendezvousWeight(a, b string) uint64 {
 	hash := uint64(fnvOffset)
 	for _, s := range [2]string{a, b} {
--- a/internal/sharding/failover_test.go
+++ b/internal/sharding/failover_test.go
@@ -26,14 +26,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := IsFailoverDue(test.expiredFor, test.isSuccessor, test.hasHeartbeat); got != test.want {
-				t.Errorf("%+v: %v", test, got)
+				t.Errorf("IsFailoverDue of %+v is %v, want %v", test, got, test.want)
 			}
 		})
 	}
 }
 
-// A dead controller's keys are spread over the live ones, and those of the live ones keep
-// their successor.
+// The keys of a dead controller are spread over the live controllers, and the keys of the live
+// controllers keep their successor.
 func TestSuccessor(t *testing.T) {
 	all := []protocol.ControllerID{"a", "b", "c", "d"}
 	inherited := map[protocol.ControllerID]int{}
@@ -41,7 +41,7 @@
 		key := fmt.Sprintf("t/p/x-%d", i)
 		before, after := Successor(all, key), Successor(all[:3], key)
 		if before != "d" && before != after {
-			t.Errorf("%s went from %s to %s", key, before, after)
+			t.Errorf("the successor of %s changed from %s to %s, although %s is alive", key, before, after, before)
 		}
 		if before == "d" {
 			inherited[after]++
@@ -49,11 +49,12 @@
 	}
 	for _, controller := range all[:3] {
 		if inherited[controller] < 15 {
-			t.Errorf("%v", inherited)
+			t.Errorf("%s inherited %d keys of the dead controller, want at least 15: %v",
+				controller, inherited[controller], inherited)
 		}
 	}
 	if Successor(nil, "k") != "" {
-		t.Error("a successor although no controller is alive")
+		t.Error("Successor returned a controller although no controller is alive")
 	}
 }
 
@@ -71,7 +72,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := ShouldHandOffShard(test.machines, test.misdirected, test.heartbeating); got != test.want {
-				t.Errorf("%+v: %v", test, got)
+				t.Errorf("ShouldHandOffShard of %+v is %v, want %v", test, got, test.want)
 			}
 		})
 	}
--- a/internal/sharding/handoff.go
+++ b/internal/sharding/handoff.go
@@ -1,12 +1,15 @@
 package sharding
 
-// minMisdirectedMachines is the least number of machines on whose heartbeats a whole shard is
-// handed off: fewer pass one by one.
+// minMisdirectedMachines is the minimum number of misdirected machines for which a shard is handed
+// off as a whole. Fewer machines are handed off one by one.
 const minMisdirectedMachines = 3
 
-// ShouldHandOffShard tells whether a shard passes as a whole to the controller that its agents
-// send heartbeats to: most of its machines do, and more than twice as many as still reach the
-// owner. Machines that are silent everywhere say nothing.
+// ShouldHandOffShard reports whether a shard passes as a whole to the controller that its agents
+// send heartbeats to. machines is the number of machines in the shard, misdirected the number
+// whose heartbeats reach that controller, and heartbeating the number whose heartbeats reach the
+// owner. The misdirected machines must be the majority of all machines, and more than twice as
+// many as those that reach the owner. Machines that reach neither controller are no evidence for
+// either.
 func ShouldHandOffShard(machines, misdirected, heartbeating int) bool {
 	return misdirected >= minMisdirectedMachines &&
 		misdirected > 2*heartbeating &&
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -7,70 +7,71 @@
 	"tillerarch/internal/storage"
 )
 
-// Controller is a controller as the planner sees it.
+// Controller holds the properties of a controller that a rebalance plan depends on.
 type Controller struct {
 	Incarnation storage.Incarnation
-	Eligible    bool    // may get shards: its agents and the store reach it, and it keeps up with its work
-	Overloaded  bool    // falls behind with its work: all it has is better off elsewhere
-	Draining    bool    // drained by an operator: transfers all it has, and gets nothing
-	DemandCores float64 // cores that its unfinished jobs ask for
+	Eligible    bool    // can get shards, because it reaches its agents and the store and keeps up with its work
+	Overloaded  bool    // falls behind with its work, so that any other eligible controller serves its shards better
+	Draining    bool    // is drained by an operator, transfers all its shards and gets none
+	DemandCores float64 // cores that its unfinished jobs request
 }
 
-// Shard is a shard of machines as the planner sees it.
+// Shard holds the properties of a shard of machines that a rebalance plan depends on.
 type Shard struct {
 	ID           storage.ShardID
-	Owner        storage.Incarnation // of a shard in transfer: the target
+	Owner        storage.Incarnation // the target if the shard is in transfer
 	Load         float64
-	TransferCost float64 // what a transfer would hold up
-	Pinned       bool    // not to be transferred: it is in transfer, or a gang is about to be placed on it
+	TransferCost float64 // work that a transfer would delay
+	Pinned       bool    // must stay, because it is in transfer already, is empty or is reserved for a gang
 }
 
-// Snapshot is what a plan is based on.
+// Snapshot is the state of controllers and shards that a plan is based on.
 type Snapshot struct {
-	Self              storage.Incarnation // who plans
+	Self              storage.Incarnation // incarnation of the controller that plans
 	Controllers       []Controller
 	Shards            []Shard
-	IncomingTransfers map[storage.Incarnation]int // open transfers to each controller
+	IncomingTransfers map[storage.Incarnation]int // number of open transfers to each controller
 }
 
-// RebalancePolicy bounds what is planned.
+// RebalancePolicy limits the transfers of a plan and defines the fair share of a controller.
 type RebalancePolicy struct {
-	MaxTransfers         int     // of one plan
-	MaxIncomingTransfers int     // open transfers to one controller
-	DemandWeight         float64 // part of the fair share that follows demand, 0 to 1; the rest is even
+	MaxTransfers         int     // in one plan
+	MaxIncomingTransfers int     // open at the same time to one controller
+	DemandWeight         float64 // fraction of the fair share that follows demand, 0 to 1; the rest is the same for all
 }
 
-// maxTargetLoadRatio is the relative load that a target must lie below to get a shard, as a
-// part of the source's: small differences cause no transfers.
+// maxTargetLoadRatio is the fraction of the source's relative load that the relative load of a
+// target must be below, so that small differences cause no transfers.
 const maxTargetLoadRatio = 0.75
 
-// Transfer is a shard that is to pass from its owner to another controller.
+// Transfer describes the planned transfer of a shard from its owner to another controller.
 type Transfer struct {
 	Shard  storage.ShardID
 	Source storage.Incarnation
 	Target storage.Incarnation
 }
 
-// controllerLoad is what a controller has of the load, and what it should have.
+// controllerLoad holds the current load of a controller and the controller's fair share of all load.
 type controllerLoad struct {
 	Controller
 	currentLoad       float64
-	fairShare         float64 // its part of all load, above 0
+	fairShare         float64 // fraction of all load that the controller should have; above 0 unless DemandWeight is 1
 	incomingTransfers int
 }
 
-// isEvacuating tells whether all that the controller has is better off elsewhere.
+// isEvacuating reports whether the controller should transfer all its shards to other controllers.
 func (l *controllerLoad) isEvacuating() bool { return l.Overloaded || l.Draining }
 
-// relativeLoad is the load by the fair share: the same for all controllers of a balanced fleet.
+// relativeLoad returns the current load divided by the fair share. The relative loads of all
+// controllers are equal if the load is balanced.
 func (l *controllerLoad) relativeLoad() float64 { return l.currentLoad / l.fairShare }
 
-// PlanRebalance lists the transfers that the snapshot's controller should begin as their
-// source. Every controller plans for itself from the same records.
+// PlanRebalance returns the transfers that the controller snapshot.Self should begin as their
+// source. Every controller plans its own transfers from the same records.
 //
-// A transfer leaves both the source's and the target's relative load below what the source's
-// was, so that the sorted relative loads fall with every transfer and any sequence of
-// transfers ends. An evacuating source is the exception; it gets nothing back.
+// After a transfer, the relative loads of both source and target are below the former relative
+// load of the source. The sorted relative loads therefore decrease with every transfer, and any
+// sequence of transfers ends. An evacuating source is the exception, but it gets no shards back.
 func PlanRebalance(snapshot Snapshot, policy RebalancePolicy) []Transfer {
 	loads := computeLoads(snapshot, policy)
 	source := loads[snapshot.Self]
@@ -104,7 +105,7 @@
 	return transfers
 }
 
-// computeLoads sums up the load that each controller has, and its fair share.
+// computeLoads returns the current load and the fair share of each controller.
 func computeLoads(snapshot Snapshot, policy RebalancePolicy) map[storage.Incarnation]*controllerLoad {
 	loads := map[storage.Incarnation]*controllerLoad{}
 	totalDemandCores, remainingControllers := 0.0, 0
@@ -133,8 +134,9 @@
 	return loads
 }
 
-// transferableShards lists the shards that the snapshot's controller may transfer, cheapest
-// first. Among equal ones the order depends on the IDs only, not on that of the snapshot.
+// transferableShards returns the shards that the controller snapshot.Self may transfer, those of
+// the lowest transfer cost first. The order of shards of equal cost depends on their IDs only, not
+// on the order of the snapshot.
 func transferableShards(snapshot Snapshot) []Shard {
 	var transferable []Shard
 	for _, shard := range snapshot.Shards {
@@ -152,8 +154,8 @@
 	return transferable
 }
 
-// selectTarget is the controller of lowest relative load that may get a shard from the source,
-// or nil.
+// selectTarget returns the controller of the lowest relative load that may receive a shard from the
+// source, or nil if there is none.
 func selectTarget(
 	loads map[storage.Incarnation]*controllerLoad,
 	source *controllerLoad,
@@ -174,12 +176,13 @@
 	return best
 }
 
-// mayReceiveShard tells whether the controller may get another shard, whatever the loads.
+// mayReceiveShard reports whether the controller may receive another shard, regardless of the loads.
 func (l *controllerLoad) mayReceiveShard(maxIncoming int) bool {
 	return l.Eligible && !l.isEvacuating() && l.incomingTransfers < maxIncoming && l.fairShare > 0
 }
 
-// precedes orders targets: by relative load, then by name.
+// precedes reports whether l is preferred to other as a target. Targets are ordered by relative
+// load, then by incarnation.
 func (l *controllerLoad) precedes(other *controllerLoad) bool {
 	return cmp.Or(
 		cmp.Compare(l.relativeLoad(), other.relativeLoad()),
@@ -187,7 +190,8 @@
 	) < 0
 }
 
-// improvesBalance tells whether a transfer leaves the target's relative load below the source's.
+// improvesBalance reports whether the target's relative load after the transfer is below the
+// source's before it. The transfer from an evacuating source always counts as an improvement.
 func improvesBalance(source, target *controllerLoad, shardLoad float64) bool {
 	return source.isEvacuating() || (target.currentLoad+shardLoad)/target.fairShare < source.relativeLoad()
 }
--- a/internal/sharding/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -12,6 +12,7 @@
 
 var testPolicy = RebalancePolicy{MaxTransfers: 1, MaxIncomingTransfers: 2}
 
+// shardsOf returns shards of an owner, each with a load of 1.
 func shardsOf(owner storage.Incarnation, count int) (shards []Shard) {
 	for i := range count {
 		shards = append(shards, Shard{ID: storage.ShardID(fmt.Sprintf("%s-%d", owner, i)), Owner: owner, Load: 1})
@@ -38,22 +39,35 @@
 		shards      []Shard
 		incoming    map[storage.Incarnation]int
 		policy      RebalancePolicy
-		wantTarget  storage.Incarnation // empty: no transfer
+		wantTarget  storage.Incarnation // empty if no transfer is expected
 	}{
 		{"target has far fewer", []Controller{controllerA, controllerB}, shards(8, 4), nil, testPolicy, "b#1"},
 		{"target has a little fewer", []Controller{controllerA, controllerB}, shards(8, 6), nil, testPolicy, ""},
 		{"difference of one shard", []Controller{controllerA, controllerB}, shards(2, 1), nil, testPolicy, ""},
-		{"target with the fewest", []Controller{controllerA, controllerB, controllerC}, shards(8, 2), nil, testPolicy, "c#1"},
+		{
+			"target with the fewest",
+			[]Controller{controllerA, controllerB, controllerC}, shards(8, 2), nil, testPolicy, "c#1",
+		},
 		{"ineligible target", []Controller{controllerA, ineligibleB}, shards(8, 0), nil, testPolicy, ""},
 		{
 			"enough incoming transfers",
 			[]Controller{controllerA, controllerB}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, "",
 		},
-		{"overloaded source transfers its last", []Controller{overloadedA, controllerB}, shards(1, 6), nil, testPolicy, "b#1"},
-		{"draining source transfers its last", []Controller{drainingA, controllerB}, shards(1, 6), nil, testPolicy, "b#1"},
+		{
+			"overloaded source transfers its last",
+			[]Controller{overloadedA, controllerB}, shards(1, 6), nil, testPolicy, "b#1",
+		},
+		{
+			"draining source transfers its last",
+			[]Controller{drainingA, controllerB}, shards(1, 6), nil, testPolicy, "b#1",
+		},
 		{"draining target", []Controller{controllerA, drainingB}, shards(8, 0), nil, testPolicy, ""},
 		{"nothing to transfer", []Controller{controllerA, controllerB}, shards(0, 6), nil, testPolicy, ""},
-		{"pinned shard", []Controller{controllerA, controllerB}, []Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, ""},
+		{
+			"pinned shard",
+			[]Controller{controllerA, controllerB},
+			[]Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, "",
+		},
 		{"demand attracts machines", []Controller{controllerA, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
 		{"demand without weight", []Controller{controllerA, demandingB}, shards(6, 6), nil, testPolicy, ""},
 	} {
@@ -66,18 +80,18 @@
 			}, test.policy)
 			if test.wantTarget == "" {
 				if len(transfers) != 0 {
-					t.Errorf("transfers %v", transfers)
+					t.Errorf("transfers %v, want none", transfers)
 				}
 				return
 			}
 			if len(transfers) != 1 || transfers[0].Target != test.wantTarget || transfers[0].Source != "a#1" {
-				t.Errorf("transfers %v, want one to %s", transfers, test.wantTarget)
+				t.Errorf("transfers %v, want one from a#1 to %s", transfers, test.wantTarget)
 			}
 		})
 	}
 }
 
-// The cheapest shard is transferred first.
+// The shard of the lowest transfer cost is transferred first.
 func TestPlanRebalancePicksCheapestShard(t *testing.T) {
 	shards := shardsOf("a#1", 6)
 	for i := range shards {
@@ -89,13 +103,13 @@
 		Shards:      shards,
 	}
 	if transfers := PlanRebalance(snapshot, testPolicy); len(transfers) != 1 || transfers[0].Shard != shards[3].ID {
-		t.Errorf("%v of %v", transfers, shards)
+		t.Errorf("transfers %v, want only the cheapest shard %s of %v", transfers, shards[3].ID, shards)
 	}
 }
 
-// Controllers that plan from the same snapshot, all in the same instant or one after the other,
-// reach a state without transfers: no shard passes back and forth, whatever the demand, and no
-// controller gets what it may not have.
+// Controllers that plan from the same snapshot, all at the same time or one after the other, reach
+// a state without further transfers. No shard passes back and forth, whatever the demand, and no
+// controller gets a shard that it must not get.
 func TestRebalanceConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
@@ -108,7 +122,7 @@
 		rounds := 4*len(snapshot.Shards) + 4
 		for round := 0; ; round++ {
 			if round == rounds {
-				t.Fatalf("still transfers after %d rounds: %+v", round, snapshot)
+				t.Fatalf("transfers are still planned after %d rounds, want none: %+v", round, snapshot)
 			}
 			var transfers []Transfer
 			for _, controller := range snapshot.Controllers {
@@ -132,10 +146,10 @@
 				incomingCounts[transfer.Target]++
 				if shard.Owner != transfer.Source || shard.Pinned || transfer.Source == transfer.Target ||
 					!target.Eligible || target.Overloaded || target.Draining {
-					t.Fatalf("%+v must not be planned: %+v", transfer, snapshot)
+					t.Fatalf("the plan contains the invalid transfer %+v: %+v", transfer, snapshot)
 				}
 				if incomingCounts[transfer.Target] > policy.MaxIncomingTransfers {
-					continue // the revisions of the target's slots let no more through
+					continue // further writes conflict on the revisions of the target's transfer slots
 				}
 				shard.Owner = transfer.Target
 			}
@@ -143,6 +157,7 @@
 	})
 }
 
+// drawSnapshot draws a snapshot of 1 to 5 controllers and up to 40 shards, without Self.
 func drawSnapshot(t *rapid.T) Snapshot {
 	var snapshot Snapshot
 	controllerCount := rapid.IntRange(1, 5).Draw(t, "controllers")
@@ -174,7 +189,7 @@
 	return snapshot
 }
 
-// The same snapshot gives the same plan, in whatever order it is listed.
+// Equal snapshots lead to equal plans, in whatever order a snapshot lists controllers and shards.
 func TestPlanRebalanceIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		snapshot := drawSnapshot(t)
@@ -184,12 +199,12 @@
 		snapshot.Shards = rapid.Permutation(snapshot.Shards).Draw(t, "order of shards")
 		snapshot.Controllers = rapid.Permutation(snapshot.Controllers).Draw(t, "order of controllers")
 		if second := PlanRebalance(snapshot, policy); !slices.Equal(first, second) {
-			t.Fatalf("%v, then %v", first, second)
+			t.Fatalf("plan %v after a change of order, want %v", second, first)
 		}
 	})
 }
 
-// BenchmarkPlanRebalance is one plan over 4,000 machines on shards of 17.
+// BenchmarkPlanRebalance measures one plan for 4,000 machines in shards of 17.
 func BenchmarkPlanRebalance(b *testing.B) {
 	snapshot := Snapshot{Self: "a#1"}
 	for _, owner := range []struct {
--- a/internal/sharding/transfer.go
+++ b/internal/sharding/transfer.go
@@ -6,38 +6,39 @@
 	"tillerarch/internal/storage"
 )
 
-// TransferStatus is a transfer on record as one controller sees it.
+// TransferStatus holds a recorded transfer and what one controller knows about it.
 type TransferStatus struct {
 	Transfer            storage.TransferRecord
-	Self                storage.Incarnation // who sees it
-	Owner               storage.Incarnation // of the shard now; empty: there is no such shard
-	PhaseAge            time.Duration       // since this controller first saw the transfer in its phase
+	Self                storage.Incarnation // incarnation of the controller whose view this is
+	Owner               storage.Incarnation // current owner of the shard, empty if the shard does not exist
+	PhaseAge            time.Duration       // time since this controller first saw the transfer in its phase
 	SourceAlive         bool
 	TargetAlive         bool
-	IsSuccessor         bool // this controller acts if source and target are gone
+	IsSuccessor         bool // this controller completes the transfer if source and target have ended
 	Superseded          bool // an earlier transfer of the shard is open
 	ReservedForGang     bool // machines of the shard are reserved for a gang
-	Quiesced            bool // nothing that the source has sent to the shard's agents is in flight
+	Quiesced            bool // no command of the source to the shard's agents is in flight
 	TargetTokenObserved bool // the shard's agents have shown the target's fencing token
 }
 
-// TransferTimeouts bound how long a transfer may stay in a phase.
+// TransferTimeouts limits the time that a transfer spends in each phase.
 type TransferTimeouts struct {
-	GangPlacement    time.Duration // how long a proposal waits for a gang to be placed first
-	Proposal         time.Duration // after it, a proposal that its source has not accepted is aborted
-	Quiesce          time.Duration // how long machines of a prepared shard get no new task
-	TokenObservation time.Duration // after the commit, how long agents may take to show the token
+	GangPlacement    time.Duration // how long a proposal waits for a gang to be placed on the shard
+	Proposal         time.Duration // how long a proposal waits for its source to accept it, before it is aborted
+	Quiesce          time.Duration // how long the machines of a prepared shard get no new task
+	TokenObservation time.Duration // how long the agents may take to show the target's token after the commit
 }
 
-// TransferStep is what a controller has to write next for a transfer; nothing if Phase is
-// empty.
+// TransferStep is the next write of a controller for a transfer. An empty Phase means that the
+// controller has nothing to write.
 type TransferStep struct {
 	Phase  storage.TransferPhase
-	Reason string // of an abort
+	Reason string // reason of an abort
 }
 
-// Reasons of transfers and of their aborts. They are stored and shown to operators, in the
-// words of the documentation: giver is the source, taker the target, page the shard.
+// Reasons of transfers and of their aborts. The texts are stored and shown to operators, and use
+// the terms of the operators' documentation: the giver is the source, the taker is the target, and
+// a page is a shard.
 const (
 	ReasonShardGone             = "the page is gone"
 	ReasonOwnerChanged          = "the page has another owner"
@@ -54,9 +55,10 @@
 	ReasonMisdirectedHeartbeats = "the workers report there"
 )
 
-// NextStep tells what this controller has to write for an open transfer. Exactly one
-// controller acts while all see the same records; while they don't, the revisions that their
-// transactions are conditional on let one through.
+// NextStep returns the next write of this controller for an open transfer. While all controllers
+// see the same records, exactly one of them is responsible for the transfer. While their replicas
+// differ, several may write, but their transactions are conditional on revisions, so that only one
+// of them succeeds.
 func NextStep(status TransferStatus, timeouts TransferTimeouts) TransferStep {
 	if !status.Transfer.Phase.IsOpen() || !isResponsible(status) {
 		return TransferStep{}
@@ -68,13 +70,14 @@
 		return TransferStep{storage.TransferAborted, reason}
 	}
 	if status.Self != status.Transfer.Source {
-		return TransferStep{} // the owner is dead: the shard's successor takes it over and ends the transfer
+		return TransferStep{} // the source is dead, and the shard's successor takes over the shard and ends the transfer
 	}
 	return stepBeforeCommit(status, timeouts)
 }
 
-// isResponsible tells whether it is for this controller to act: up to the commit the source,
-// after it the target; the other one if that is gone, and the successor if both are.
+// isResponsible reports whether this controller advances the transfer. The source is responsible
+// until the commit, and the target after it. If the responsible controller has ended, the other of
+// the two is responsible, and if both have ended, the successor is.
 func isResponsible(status TransferStatus) bool {
 	primary, primaryAlive := status.Transfer.Source, status.SourceAlive
 	fallback, fallbackAlive := status.Transfer.Target, status.TargetAlive
@@ -91,7 +94,8 @@
 	return status.IsSuccessor
 }
 
-// abortReason is the reason why a pending transfer can't go on, if there is one.
+// abortReason returns the reason why a pending transfer cannot continue. It returns an empty
+// string if the transfer can continue.
 func abortReason(status TransferStatus) string {
 	switch {
 	case status.Owner == "":
@@ -108,7 +112,7 @@
 	return ""
 }
 
-// stepBeforeCommit is the source's next step for a transfer that can go on.
+// stepBeforeCommit returns the source's next step for a pending transfer that can continue.
 func stepBeforeCommit(status TransferStatus, timeouts TransferTimeouts) TransferStep {
 	if status.Transfer.Phase == storage.TransferProposed {
 		switch {
@@ -128,8 +132,9 @@
 	return TransferStep{}
 }
 
-// stepAfterCommit closes a transfer once there is nothing left to wait for: the agents know
-// the target, or have had their time, or the target is dead or no longer the owner.
+// stepAfterCommit returns the step that closes a committed transfer, once there is nothing left to
+// wait for: the agents have shown the target's token, the time for that is over, the target has
+// ended, or the shard has another owner.
 func stepAfterCommit(status TransferStatus, timeouts TransferTimeouts) TransferStep {
 	if status.TargetTokenObserved ||
 		status.Owner != status.Transfer.Target ||
--- a/internal/sharding/transfer_test.go
+++ b/internal/sharding/transfer_test.go
@@ -90,26 +90,27 @@
 				set(&status)
 			}
 			if got := NextStep(status, testTimeouts); got != test.want {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("next step %+v, want %+v", got, test.want)
 			}
 		})
 	}
 }
 
-// transferModel is a transfer in a fleet of three controllers that may die, whose replicas may
-// be behind, and whose writes are conditional on the revision of the transfer.
+// transferModel is a transfer between three controllers. The controllers may die, their replicas
+// may be behind, and their writes are conditional on the revision of the transfer.
 type transferModel struct {
 	transfer      storage.TransferRecord
 	revision      int
 	owner         storage.Incarnation
 	alive         map[storage.Incarnation]bool
-	views         map[storage.Incarnation]TransferStatus // what each controller last read
-	viewRevisions map[storage.Incarnation]int            // and at which revision
+	views         map[storage.Incarnation]TransferStatus // the status that each controller last read
+	viewRevisions map[storage.Incarnation]int            // the revisions at which they read it
 }
 
 var modelIncarnations = []storage.Incarnation{"a#1", "b#1", "c#1"}
 
-// refresh brings a controller's replica up to date.
+// refresh brings the replica of a controller up to date. Facts that are not recorded are drawn at
+// random.
 func (m *transferModel) refresh(incarnation storage.Incarnation, t *rapid.T) {
 	alive := m.aliveIncarnations()
 	m.views[incarnation] = TransferStatus{
@@ -127,7 +128,8 @@
 	m.viewRevisions[incarnation] = m.revision
 }
 
-// applyNextStep lets a controller write what it has to, as of what it last read.
+// applyNextStep writes the next step of a controller, as NextStep returns it for the status that the
+// controller last read.
 func (m *transferModel) applyNextStep(incarnation storage.Incarnation, t *rapid.T) {
 	status, hasView := m.views[incarnation]
 	if !hasView || !m.alive[incarnation] || m.viewRevisions[incarnation] != m.revision {
@@ -139,10 +141,10 @@
 	}
 	canCommit := m.alive[m.transfer.Source] && m.alive[m.transfer.Target] && m.owner == m.transfer.Source
 	if step.Phase == storage.TransferCommitted && !canCommit {
-		return // conflict: it is conditional on the keys of both incarnations and of the shard
+		return // conflict, because a commit is conditional on the keys of both incarnations and of the shard
 	}
 	if !step.Phase.CanFollow(m.transfer.Phase) {
-		t.Fatalf("%s writes %s after %s", incarnation, step.Phase, m.transfer.Phase)
+		t.Fatalf("%s writes the phase %s, which must not follow %s", incarnation, step.Phase, m.transfer.Phase)
 	}
 	if step.Phase == storage.TransferCommitted {
 		m.owner = m.transfer.Target
@@ -151,9 +153,9 @@
 	m.revision++
 }
 
-// Whatever dies, in whatever order and with whatever replicas: phases follow each other as
-// they should, the shard changes its owner by a commit or a failover only, and once nothing
-// else dies some controller brings the transfer to its end.
+// TestTransferModel checks transfers while controllers die in any order and replicas are behind.
+// Only allowed phases follow each other, the shard changes its owner only by a commit or a failover,
+// and once no more controllers die, the live ones end the transfer.
 func TestTransferModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &transferModel{
@@ -176,14 +178,14 @@
 			"act":     func(t *rapid.T) { model.applyNextStep(drawIncarnation(), t) },
 			"expire": func(t *rapid.T) {
 				if incarnation := drawIncarnation(); len(model.aliveIncarnations()) > 1 {
-					model.alive[incarnation] = false // for good: a new process has a new incarnation
+					model.alive[incarnation] = false // permanently, because a new process has a new incarnation
 				}
 			},
 			"take over": func(t *rapid.T) { model.failOver() },
 			"": func(t *rapid.T) {
 				proposed := model.transfer.Phase == storage.TransferProposed
 				if proposed && model.owner == model.transfer.Target && model.alive[model.transfer.Source] {
-					t.Fatalf("the shard has a new owner without a commit: %+v", model)
+					t.Fatalf("the target owns the shard without a commit, although the source is alive: %+v", model)
 				}
 			},
 		})
@@ -191,6 +193,7 @@
 	})
 }
 
+// aliveIncarnations returns the live incarnations in the order of modelIncarnations.
 func (m *transferModel) aliveIncarnations() (incarnations []storage.Incarnation) {
 	for _, incarnation := range modelIncarnations {
 		if m.alive[incarnation] {
@@ -200,8 +203,8 @@
 	return incarnations
 }
 
-// failOver gives the shard of a dead owner to its successor: while the transfer is pending
-// that is the target, if it is alive.
+// failOver makes the successor of a dead owner the owner of the shard. While the transfer is
+// pending, the successor is the target if the target is alive.
 func (m *transferModel) failOver() {
 	alive := m.aliveIncarnations()
 	if m.alive[m.owner] || len(alive) == 0 {
@@ -214,7 +217,7 @@
 	}
 }
 
-// runToCompletion lets the live controllers act until the transfer is at its end.
+// runToCompletion lets the live controllers act until the transfer must have ended.
 func (m *transferModel) runToCompletion(t *rapid.T) {
 	for range 6 {
 		m.failOver()
@@ -228,6 +231,6 @@
 		}
 	}
 	if m.transfer.Phase.IsOpen() {
-		t.Fatalf("the transfer is still open: %+v", m)
+		t.Fatalf("the transfer is still open after the live controllers have acted, want it ended: %+v", m)
 	}
 }
