--- a/internal/coordination/commit/batch_capacity.go
+++ b/internal/coordination/commit/batch_capacity.go
@@ -5,22 +5,22 @@
 	"tillerarch/internal/storage"
 )
 
-// ConditionCount is the number of keys that the transaction depends on so far.
+// ConditionCount returns the number of keys on which the transaction is conditional so far.
 func (b *Batch) ConditionCount() int { return len(b.conditions) }
 
-// OpsLeft is how many more operations the batch may take.
+// OpsLeft returns the number of operations that can still be added to the batch.
 func (b *Batch) OpsLeft() int { return b.opsLeft }
 
-// LimitOps lowers the number of operations that the batch may still take.
+// LimitOps lowers the number of operations that can still be added to at most n.
 func (b *Batch) LimitOps(n int) { b.opsLeft = min(b.opsLeft, n) }
 
-// ReserveOps keeps operations back until they are released.
+// ReserveOps withholds n operations until ReleaseOps releases them.
 func (b *Batch) ReserveOps(n int) { b.opsLeft -= n }
 
-// ReleaseOps gives back operations that were kept back.
+// ReleaseOps makes n operations available that ReserveOps has withheld.
 func (b *Batch) ReleaseOps(n int) { b.opsLeft += n }
 
-// HasCapacity tells whether n more records can be changed, however large they are.
+// HasCapacity reports whether the batch has capacity to change n more records of the maximum size.
 func (b *Batch) HasCapacity(n int) bool {
 	if n == 0 && b.estimatedBytes < protocol.MaxTransactionBytes {
 		return true
@@ -28,19 +28,20 @@
 	return b.hasCapacityFor(n, n*b.shardWriter.limits.WriteLimits().ValueBytes)
 }
 
-// hasCapacityFor tells whether n more records of this size together can be changed.
+// hasCapacityFor reports whether the batch has capacity to change n more records with a total size
+// of size bytes.
 func (b *Batch) hasCapacityFor(n, size int) bool {
 	const conditionsPerRecord = 2
 	return b.opsLeft >= n && b.estimatedBytes+size <= protocol.MaxTransactionBytes &&
 		len(b.conditions)+conditionsPerRecord*n < b.shardWriter.limits.WriteLimits().MaxConditions()
 }
 
-// CanAddMachine tells whether one more machine can be added to the records: a shard and the
-// registry.
+// CanAddMachine reports whether the batch has capacity to add one more machine to the records,
+// which writes a shard and the registry.
 func (b *Batch) CanAddMachine() bool { return b.HasCapacity(2) }
 
-// OpsNeeded counts the operations that a change of a machine, if one is named, and of jobs
-// would add to the batch.
+// OpsNeeded returns the number of operations that a change of a machine and of jobs would add to
+// the batch. An empty machineID means no machine.
 func (b *Batch) OpsNeeded(machineID protocol.MachineID, jobs ...protocol.JobID) int {
 	ops := b.machineWritesNeeded(machineID)
 	for _, job := range jobs {
@@ -65,9 +66,9 @@
 	return 0
 }
 
-// CanWriteMachines tells whether the shards of these machines and one job can be written
-// besides what is in the batch; opsWhenEmpty is how many operations they are if an empty
-// batch could take them, else 0.
+// CanWriteMachines reports whether the batch has capacity to write the shards of these machines and
+// one job in addition to its other changes. opsWhenEmpty is the number of operations that these
+// writes need if an empty batch has capacity for them, and 0 otherwise.
 func (b *Batch) CanWriteMachines(machines []protocol.MachineID) (fits bool, opsWhenEmpty int) {
 	replica, limits := b.shardWriter.Replica, b.shardWriter.limits.WriteLimits()
 	opsToAdd, sizeToAdd := 1, limits.ValueBytes // the job
@@ -86,15 +87,15 @@
 			opsToAdd, sizeToAdd = opsToAdd+shardOps, sizeToAdd+shardSize
 		}
 	}
-	maxOps := limits.TransactionOps * 3 / 4 // the rest is for what a batch takes before placements
+	maxOps := limits.TransactionOps * 3 / 4 // the rest is for changes that are added to a batch before placements
 	if totalOps <= maxOps && totalSize <= protocol.MaxTransactionBytes {
 		opsWhenEmpty = totalOps
 	}
 	return b.hasCapacityFor(opsToAdd, sizeToAdd), opsWhenEmpty
 }
 
-// HasShardHeadroom tells whether the machine's shard can take more assignments: a shard
-// stays well within a value, so that whatever ends there can be written.
+// HasShardHeadroom reports whether the machine's shard can take more assignments. A shard stays
+// well below the maximum size of a value, so that the completion of its tasks can be recorded.
 func (b *Batch) HasShardHeadroom(machine *storage.MachineRecord) bool {
 	size := 0
 	if draft := b.shards[machine.Shard]; draft != nil {
--- a/internal/coordination/commit/batch_changes.go
+++ b/internal/coordination/commit/batch_changes.go
@@ -7,20 +7,20 @@
 	"tillerarch/internal/storage"
 )
 
-// LockQuota rewrites the quota record of a team, so that two placements for it never pass each
-// other.
+// LockQuota rewrites the quota record of a team, so that the store refuses one of two concurrent
+// transactions that place tasks of the team.
 func (b *Batch) LockQuota(team string) {
 	b.reserveWrite(storage.QuotaKey(team), quotaRecordSize)
 	b.lockedTeams[team] = true
 }
 
-// AddJob puts a new job on record.
+// AddJob adds the record of a new job.
 func (b *Batch) AddJob(id protocol.JobID, record *storage.JobRecord) {
 	b.reserveWrite(storage.JobKey(id), newJobRecordSize)
 	b.jobs[id] = record
 }
 
-// MutableJob is the record of a job, to be changed.
+// MutableJob adds the record of a job to the batch and returns it for modification.
 func (b *Batch) MutableJob(id protocol.JobID) *storage.JobRecord {
 	if record := b.jobs[id]; record != nil {
 		return record
@@ -32,7 +32,7 @@
 	return &record
 }
 
-// RecordTaskDone records on the machine's shard that a task is done.
+// RecordTaskDone records in the machine's shard that a task is done.
 func (b *Batch) RecordTaskDone(id protocol.MachineID, task protocol.Task) {
 	draft := b.MutableShard(b.MachineRecord(id).Shard)
 	if done, ok := draft.doneTasks[task.Job]; ok {
@@ -46,7 +46,7 @@
 	b.newlyDoneTasks[task.Job] = b.newlyDoneTasks[task.Job].Add(task.Index)
 }
 
-// DoneTasks is what is done of a job as the batch leaves it.
+// DoneTasks returns the done tasks of a job, including those that the batch records.
 func (b *Batch) DoneTasks(id protocol.JobID) storage.TaskSet {
 	done := b.shardWriter.Replica.CompletedTasks(id)
 	if added, ok := b.newlyDoneTasks[id]; ok {
@@ -55,7 +55,8 @@
 	return done
 }
 
-// CompleteJobIfDone records a job as done once all its tasks are, if there is capacity for it.
+// CompleteJobIfDone records a job as done if all its tasks are done and the batch has capacity for
+// the job's record.
 func (b *Batch) CompleteJobIfDone(id protocol.JobID) {
 	record := b.JobRecord(id)
 	isDone := !record.State.IsTerminal() && b.DoneTasks(id).Len() >= record.Spec.TaskCount
@@ -76,10 +77,10 @@
 	}
 }
 
-// MarkFailedReplica notes that a replica of a service has exited by what the batch records.
+// MarkFailedReplica notes that the batch records the exit of a service replica of a job.
 func (b *Batch) MarkFailedReplica(id protocol.JobID) { b.failedServices[id] = true }
 
-// PutTransfer writes the record of a transfer.
+// PutTransfer writes the transfer record of a slot.
 func (b *Batch) PutTransfer(slot storage.TransferSlot, record *storage.TransferRecord) {
 	if b.transfers[slot] == nil {
 		b.reserveWrite(storage.TransferKey(slot), transferRecordSize)
@@ -87,7 +88,7 @@
 	b.transfers[slot] = record
 }
 
-// DrainChange is what becomes of a controller's drain: no record ends it.
+// DrainChange is a change of a controller's drain. A nil Record ends the drain.
 type DrainChange struct{ Record *storage.DrainRecord }
 
 func (d *DrainChange) operation(controllerID protocol.ControllerID) protocol.Operation {
@@ -100,7 +101,7 @@
 	}
 }
 
-// SetDrain writes or ends a controller's drain.
+// SetDrain starts, changes or ends the drain of a controller.
 func (b *Batch) SetDrain(controllerID protocol.ControllerID, change *DrainChange) {
 	b.reserveWrite(storage.DrainKey(controllerID), drainRecordSize)
 	b.drains[controllerID] = change
--- a/internal/coordination/commit/batch_machines.go
+++ b/internal/coordination/commit/batch_machines.go
@@ -8,7 +8,7 @@
 	"tillerarch/internal/storage"
 )
 
-// MutableMachine is the record of a machine, to be changed.
+// MutableMachine adds the record of a machine to the batch and returns it for modification.
 func (b *Batch) MutableMachine(id protocol.MachineID) *storage.MachineRecord {
 	if record := b.machines[id]; record != nil {
 		return record
@@ -19,8 +19,9 @@
 	return record
 }
 
-// AddMachine puts a machine that is not on record on a shard of this incarnation, with a fencing
-// token above the one that its agent has seen. The caller has asked CanAddMachine.
+// AddMachine adds the record of a new machine to a shard of this incarnation. The machine's fencing
+// token will be higher than seenToken, the one that its agent has seen. Callers must check
+// CanAddMachine first.
 func (b *Batch) AddMachine(id protocol.MachineID, record *storage.MachineRecord, seenToken protocol.FencingToken) {
 	if !b.writesRegistry {
 		b.reserveWrite(storage.RegistryKey, registryRecordSize)
@@ -34,8 +35,9 @@
 	b.putMachine(shardID, id, record)
 }
 
-// findShardFor is an own shard that can take a new machine and has an epoch above the one that
-// its agent has seen, empty if there is none. Shards that are in the batch already come first.
+// findShardFor returns a shard of this incarnation that can take a new machine and whose epoch is
+// above seenEpoch, the one that the machine's agent has seen. It returns an empty ID if there is no
+// such shard. It prefers shards that the batch changes already.
 func (b *Batch) findShardFor(record *storage.MachineRecord, seenEpoch storage.ShardEpoch) storage.ShardID {
 	maxSize := b.shardWriter.limits.WriteLimits().ValueBytes - b.shardWriter.estimateMachineSize(record.MachineType)
 	fits := func(draft *ShardDraft) bool {
@@ -55,11 +57,11 @@
 	return ""
 }
 
-// putMachine puts a machine on a shard, and so under its owner and epoch.
+// putMachine adds a machine to a shard. The machine's record takes the shard's owner and epoch.
 func (b *Batch) putMachine(shardID storage.ShardID, id protocol.MachineID, record *storage.MachineRecord) {
 	const separatorSize = 3
 	draft := b.MutableShard(shardID)
-	draft.MachineIDs = append(slices.Clip(draft.MachineIDs), id) // not in place: the replica has the same list
+	draft.MachineIDs = append(slices.Clip(draft.MachineIDs), id) // the replica shares the list, so append must copy it
 	size := len(record.EncodeLine(id)) + separatorSize
 	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(size)
 	b.estimatedBytes += size
@@ -68,7 +70,7 @@
 	b.machines[id] = record
 }
 
-// RemoveMachine takes a machine off its shard, and so off the records.
+// RemoveMachine removes a machine from its shard and with it the machine's record.
 func (b *Batch) RemoveMachine(id protocol.MachineID) {
 	draft := b.MutableShard(b.MachineRecord(id).Shard)
 	isRemoved := func(other protocol.MachineID) bool { return other == id }
@@ -76,14 +78,14 @@
 	delete(b.machines, id)
 }
 
-// MoveMachine puts a machine on another shard.
+// MoveMachine moves a machine to another shard.
 func (b *Batch) MoveMachine(id protocol.MachineID, shardID storage.ShardID) {
 	record := b.MutableMachine(id)
 	b.RemoveMachine(id)
 	b.putMachine(shardID, id, record)
 }
 
-// RemovesMachine tells whether the batch takes the machine off the records.
+// RemovesMachine reports whether the batch removes the record of a machine.
 func (b *Batch) RemovesMachine(id protocol.MachineID) bool {
 	entry := b.shardWriter.Replica.Machines[id]
 	if entry == nil || b.machines[id] != nil {
@@ -104,8 +106,9 @@
 	b.estimatedBytes += size
 }
 
-// BumpFencingToken raises the machine's own part of its fencing token: its owner sends the token
-// to the agent, which sends a heartbeat at once instead of some seconds later.
+// BumpFencingToken raises the low part of a machine's fencing token, which is the machine's own. The
+// machine's owner then sends the token to the agent, and the agent sends a heartbeat at once
+// instead of some seconds later.
 func (b *Batch) BumpFencingToken(id protocol.MachineID) {
 	record := b.MutableMachine(id)
 	if record.TokenCounter >= storage.MaxTokenCounter {
--- a/internal/coordination/commit/batch_transaction.go
+++ b/internal/coordination/commit/batch_transaction.go
@@ -6,13 +6,14 @@
 	"tillerarch/internal/storage"
 )
 
-// isEmpty tells whether there is nothing worth a transaction: locks and the registry only
-// accompany other changes.
+// isEmpty reports whether the batch has no change that warrants a transaction. Quota locks and the
+// registry only accompany other changes.
 func (b *Batch) isEmpty() bool {
 	return len(b.jobs) == 0 && len(b.shards) == 0 && len(b.transfers)+len(b.drains) == 0
 }
 
-// Transaction encodes the batch. Equal batches give equal transactions: all keys are in order.
+// Transaction returns the encoded batch. Equal batches yield equal transactions, because the keys
+// are sorted.
 func (b *Batch) Transaction() protocol.Transaction {
 	var transaction protocol.Transaction
 	put := func(key string, value []byte) {
@@ -44,7 +45,7 @@
 	return transaction
 }
 
-// shardOperations writes a shard, or deletes one that has nothing on it any more.
+// shardOperations returns the operations that write a shard, or delete it if the draft is empty.
 func (b *Batch) shardOperations(id storage.ShardID, draft *ShardDraft) []protocol.Operation {
 	if !draft.isEmpty() {
 		return b.encodeShard(id, draft)
@@ -55,9 +56,9 @@
 	return nil
 }
 
-// encodeShard writes a shard; one that has outgrown a value in several parts, all of them
-// with the same owner and epoch. The new parts come first: a machine is on some shard at
-// every moment then.
+// encodeShard returns the operations that write a shard. A packed shard that exceeds the maximum
+// size of a value is split into several shards with the same owner and epoch. The new shards come
+// first, so that each machine is on some shard after every operation.
 func (b *Batch) encodeShard(id storage.ShardID, draft *ShardDraft) []protocol.Operation {
 	lines := make([]string, len(draft.MachineIDs))
 	for i, machineID := range draft.MachineIDs {
--- a/internal/coordination/commit/doc.go
+++ b/internal/coordination/commit/doc.go
@@ -1,8 +1,8 @@
-// Package commit keeps this controller in touch with the key-value store: its lease and
-// registration, the replica of the records, the write budget, the storage format, and the
-// transactions that change records.
+// Package commit connects this controller to the key-value store. It maintains the controller's
+// lease and registration, the replica of the records, the write budget and the storage format, and
+// it sends the transactions that change records.
 //
-// It owns the transactions under way, the lease, the store's health, the replica's progress
-// and the layout of shards. A Batch is the only way in which other packages change records.
-// It decides nothing about jobs or machines.
+// The package owns the pending transactions, the lease, the store's health, the progress of the
+// replica and the layout of shards. Other packages change records only through a Batch. The
+// package makes no decisions about jobs or machines.
 package commit
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -5,7 +5,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of this package, connected with each other.
+// Parts holds the components of this package, connected with each other.
 type Parts struct {
 	Store       *StoreHealth
 	Lease       *Lease
@@ -16,7 +16,7 @@
 	ShardWriter *ShardWriter
 }
 
-// New creates the parts. They can be used once they are connected with those of other packages.
+// New returns the components of this package. Connect must be called before they are used.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Store:       &StoreHealth{Context: ctx},
@@ -46,7 +46,7 @@
 	return parts
 }
 
-// Dependencies are what the parts ask of other packages.
+// Dependencies holds the components of other packages that this package uses.
 type Dependencies struct {
 	MachineTracker    MachineTracker
 	StoreReports      StoreReports
@@ -55,7 +55,7 @@
 	TransferTracker   TransferTracker
 }
 
-// Connect gives the parts what they ask of other packages.
+// Connect sets the components of other packages that the parts use.
 func (p *Parts) Connect(d Dependencies) {
 	p.Replication.agents = d.MachineTracker
 	p.Replication.peers = d.StoreReports
