--- a/internal/coordination/commit/committer.go
+++ b/internal/coordination/commit/committer.go
@@ -10,26 +10,29 @@
 )
 
 const (
-	// minRevisionTimeout is how long the replica is waited for before an incarnation registers
-	// or sends a write barrier all the same.
+	// minRevisionTimeout is how long an incarnation waits for the replica to reach the required
+	// revision. After that it registers or sends a write barrier even if the replica is behind.
 	minRevisionTimeout = 2 * time.Second
-	// rebuildDelay is the pause before a transaction that outgrew the limits is built anew.
+	// rebuildDelay is the pause before a transaction that exceeded the limits is built again.
 	rebuildDelay = 100 * time.Millisecond
 )
 
-// Committer sends transactions and handles their outcomes: one at a time, and one beside it for
-// what users ask for, which would otherwise wait behind the bulk of task state changes.
+// Committer sends transactions and handles their outcomes. It sends one transaction at a time,
+// and beside it one for users' requests, which would otherwise wait behind the bulk of task state
+// changes.
 //
-// A transaction of an ended incarnation can never be applied. Each one has a condition on the
-// revision of this controller's registration key (registrationCondition). The key lives as long
-// as the lease under which it was put, and the next incarnation of the controller replaces it:
-// either way its revision changes, and the store refuses whatever was still on its way. So a
-// successor that sees the key gone or replaced has seen all that the incarnation ever wrote.
+// A transaction of an ended incarnation can never be applied, because each transaction has a
+// condition on the revision of this controller's registration key (registrationCondition). The key
+// lives as long as the lease under which it was put, and the next incarnation of the controller
+// replaces it. In both cases the revision of the key changes, and the store refuses all
+// transactions that were still on their way. A successor that sees the key deleted or replaced has
+// therefore seen everything that the incarnation ever wrote.
 //
-// The same key resolves an unknown outcome: such a transaction may be applied now, later or
-// never. The incarnation then rewrites its own key (sendWriteBarrier), which changes the
-// revision too: what was sent before is applied by then, or never will be. It sends nothing
-// else until the replica has reached the revision of the barrier and so shows which.
+// The same key resolves unknown outcomes. A transaction of unknown outcome may be applied now,
+// later or never. The incarnation rewrites its own key (sendWriteBarrier), which changes the
+// revision as well, so the earlier transaction has been applied by then or never will be. The
+// incarnation sends nothing else until the replica has reached the revision of the write barrier
+// and so shows whether the transaction was applied.
 type Committer struct {
 	*step.Context
 
@@ -41,35 +44,38 @@
 	upgrade     *FormatUpgrade
 
 	lastTransactionID    uint64
-	pending              *pendingTransaction // of any kind but users' ones
+	pending              *pendingTransaction // of any kind except userTransaction
 	pendingUser          *pendingTransaction
 	nextCommitAt         protocol.Instant
 	nextUserCommitAt     protocol.Instant
-	hasUnknownOutcome    bool // a transaction had an unknown outcome and no write barrier followed yet
-	isBatchPartial       bool // the last batch could not take all changes of owned shards that were due
+	hasUnknownOutcome    bool // a transaction had an unknown outcome, and no write barrier has been applied since
+	isBatchPartial       bool // the last batch lacked capacity for some due changes of owned shards
 	consecutiveThrottles int
 }
 
-// IsBatchPartial tells whether the last transaction could not take all changes of owned shards
-// that were due.
+// IsBatchPartial reports whether the last batch lacked capacity for some of the changes of owned
+// shards that were due.
 func (c *Committer) IsBatchPartial() bool { return c.isBatchPartial }
 
-// SetBatchPartial records whether the transaction that is being built lacks changes that are due.
+// SetBatchPartial records whether the batch that is being built lacks capacity for some of the
+// changes of owned shards that are due.
 func (c *Committer) SetBatchPartial(partial bool) { c.isBatchPartial = partial }
 
-// HasPendingConditionOn tells whether the transaction under way depends on a key.
+// HasPendingConditionOn reports whether the pending transaction is conditional on a key. It ignores
+// a pending transaction of users' requests.
 func (c *Committer) HasPendingConditionOn(key string) bool {
 	return c.pending != nil && c.pending.hasConditionOn(key)
 }
 
-// ReadyForUserBatch tells whether a batch of users' requests may be sent now.
+// ReadyForUserBatch reports whether a batch of users' requests may be sent now.
 func (c *Committer) ReadyForUserBatch() bool {
 	return c.pendingUser == nil && c.replication.isLoaded && c.Now.Monotonic >= c.nextUserCommitAt &&
 		c.lease.IsRegistered() && !c.hasUnknownOutcome && !c.replication.isBehind()
 }
 
-// PrepareForRecordBatch sends what goes before any batch of records (the registration, a write
-// barrier, the change of the storage format). It tells whether such a batch may be sent now.
+// PrepareForRecordBatch sends the transaction that must precede a batch of records, if one is due:
+// the registration, a write barrier or the change of the storage format. It reports whether a
+// batch of records may be sent now.
 func (c *Committer) PrepareForRecordBatch() bool {
 	if c.pending != nil || !c.replication.isLoaded || c.Now.Monotonic < c.nextCommitAt || !c.lease.isGranted() {
 		return false
@@ -89,7 +95,8 @@
 	return false
 }
 
-// SendUserBatch sends a transaction of users' requests unless there is nothing in it.
+// SendUserBatch sends a batch of users' requests. It sends nothing if the batch is empty or exceeds
+// the write limits or budget.
 func (c *Committer) SendUserBatch(batch *Batch) {
 	if pending, ok := c.prepareTransaction(batch); ok {
 		pending.kind = userTransaction
@@ -98,7 +105,8 @@
 	}
 }
 
-// SendBatch sends a transaction unless there is nothing in it.
+// SendBatch sends a batch of records. It sends nothing if the batch is empty or exceeds the write
+// limits or budget. It logs tokens as the write tokens that were available to the batch.
 func (c *Committer) SendBatch(batch *Batch, tokens int) {
 	pending, ok := c.prepareTransaction(batch)
 	if !ok {
@@ -111,8 +119,8 @@
 	c.sendTransaction(pending)
 }
 
-// prepareTransaction makes the transaction of a batch and takes the tokens for it. It fails if there is
-// nothing to write, or not now.
+// prepareTransaction returns the transaction of a batch and takes the write tokens for it. ok is
+// false if the batch is empty or exceeds the write limits, or if there are too few tokens.
 func (c *Committer) prepareTransaction(batch *Batch) (pending *pendingTransaction, ok bool) {
 	if batch.isEmpty() {
 		return nil, false
@@ -125,8 +133,8 @@
 	return &pendingTransaction{transaction: transaction, logsOnApply: batch.logsOnApply}, true
 }
 
-// enforceWriteLimits tells whether a transaction can be sent. One that can't is built anew,
-// with less in it.
+// enforceWriteLimits reports whether a transaction is within the write limits. A transaction that
+// exceeds them is built again after rebuildDelay, with fewer operations.
 func (c *Committer) enforceWriteLimits(transaction *protocol.Transaction) bool {
 	if c.limits.WriteLimits().Allows(transaction) {
 		return true
@@ -138,7 +146,8 @@
 	return false
 }
 
-// registrationCondition ties a transaction to this incarnation, as Committer says.
+// registrationCondition returns the condition that keeps a transaction from being applied once this
+// incarnation has ended. See Committer.
 func (c *Committer) registrationCondition() protocol.Condition {
 	return protocol.Condition{
 		Key:         storage.ControllerKey(c.Config.ControllerID),
@@ -146,8 +155,8 @@
 	}
 }
 
-// sendRegistration puts this incarnation on record. It replaces an earlier incarnation of the same
-// controller, which was a process on this machine: it has ended or lost its lease.
+// sendRegistration records this incarnation in the store. It replaces an earlier incarnation of the
+// same controller, which was a process on this machine and has ended or lost its lease.
 func (c *Committer) sendRegistration() {
 	if !c.limits.takeWriteTokens(1) {
 		return
@@ -167,8 +176,8 @@
 	})
 }
 
-// sendWriteBarrier rewrites this incarnation's key, so that whatever was sent before is applied
-// by now or never will be.
+// sendWriteBarrier rewrites the registration key of this incarnation. Once the rewrite is applied,
+// every transaction sent before it has been applied or never will be.
 func (c *Committer) sendWriteBarrier() {
 	registered := c.Replica.Controllers[c.Config.ControllerID]
 	if registered == nil || !c.limits.takeWriteTokens(1) {
@@ -186,7 +195,7 @@
 	})
 }
 
-// sendTransaction numbers a transaction and sends it. Its outcome comes with OnCommitResult.
+// sendTransaction numbers a transaction and sends it. OnCommitResult receives its outcome.
 func (c *Committer) sendTransaction(pending *pendingTransaction) {
 	c.lastTransactionID++
 	pending.id, pending.sentAt = c.lastTransactionID, c.Now.Monotonic
--- a/internal/coordination/commit/outcomes.go
+++ b/internal/coordination/commit/outcomes.go
@@ -9,18 +9,19 @@
 	"tillerarch/internal/storage"
 )
 
-// Pauses before the transaction that follows one with this outcome.
+// Pauses before the next transaction, by the outcome of the last one.
 const (
 	conflictDelay       = 20 * time.Millisecond
 	minThrottleDelay    = 50 * time.Millisecond
 	maxThrottleDelay    = time.Second
-	maxThrottleDoubling = 4 // of minThrottleDelay
+	maxThrottleDoubling = 4 // maximum number of times that minThrottleDelay is doubled
 	unavailableDelay    = 300 * time.Millisecond
 	invalidDelay        = 200 * time.Millisecond
 	unknownOutcomeDelay = 200 * time.Millisecond
 )
 
-// OnCommitResult takes in the outcome of a transaction.
+// OnCommitResult handles the outcome of a pending transaction. It ignores outcomes of other
+// transactions.
 func (c *Committer) OnCommitResult(result step.CommitResult) {
 	switch {
 	case c.pendingUser != nil && c.pendingUser.id == result.ID:
@@ -36,7 +37,7 @@
 	}
 }
 
-// recordOutcome takes in what an outcome says of the store and its write budget.
+// recordOutcome updates the store's health and the write rate from an outcome.
 func (c *Committer) recordOutcome(pending *pendingTransaction, result *step.CommitResult) {
 	c.store.RecordContact(pending.sentAt, contactError(result))
 	if result.Outcome != storage.OutcomeThrottled {
@@ -48,8 +49,8 @@
 	}
 }
 
-// contactError is the failure to reach the store that an outcome stands for, nil if the store
-// gave a response.
+// contactError returns the error of a transaction that got no response from the store, or nil if the
+// store responded.
 func contactError(result *step.CommitResult) error {
 	if result.Outcome != storage.OutcomeUnavailable && result.Outcome != storage.OutcomeUnknown {
 		return nil
@@ -60,8 +61,8 @@
 	return result.Err
 }
 
-// handleOutcome draws the consequences of an outcome, and tells how long the next
-// transaction has to wait.
+// handleOutcome updates the replica, the lease and the limits from an outcome. It returns how long
+// the next transaction has to wait.
 func (c *Committer) handleOutcome(pending *pendingTransaction, result *step.CommitResult) (delay time.Duration) {
 	switch result.Outcome {
 	case storage.OutcomeApplied:
@@ -80,7 +81,7 @@
 		delay = c.Jitter(unavailableDelay)
 	case storage.OutcomeInvalid:
 		c.Log(slog.LevelError, "transaction rejected as invalid", "error", result.Err)
-		// Whatever made it too large, a smaller one passes.
+		// Whichever limit the transaction exceeded, a smaller one passes.
 		c.upgrade.onTransactionTooLarge(&pending.transaction)
 		delay = invalidDelay
 	case storage.OutcomeUnknown:
@@ -91,18 +92,19 @@
 	return delay
 }
 
-// onUnknownOutcome sees to it that it becomes certain what happens to a transaction that may be
-// applied now, later or never.
+// onUnknownOutcome arranges for an unknown outcome to be resolved. The transaction may be applied
+// now, later or never.
 func (c *Committer) onUnknownOutcome(pending *pendingTransaction) {
 	if pending.kind == registrationTransaction {
-		// The next registration is under a new lease, so this incarnation's name is never used.
+		// The next registration uses a new lease, so the incarnation of this lease is never used.
 		c.lease.id = 0
 		return
 	}
 	c.hasUnknownOutcome = true
 }
 
-// applyTransaction takes a transaction's changes into the replica.
+// applyTransaction applies the changes of a transaction to the replica and emits the log lines of its
+// batch. For a registration or a write barrier it updates the registration as well.
 func (c *Committer) applyTransaction(pending *pendingTransaction, revision protocol.Revision) {
 	c.Effects = append(c.Effects, pending.logsOnApply...)
 	modRevision := protocol.ModRevision(revision)
@@ -115,7 +117,7 @@
 		c.replication.requireRevision(revision)
 		c.Log(slog.LevelInfo, "controller registered", "incarnation", string(c.lease.incarnation))
 	case writeBarrierTransaction:
-		// Transactions sent before are now either applied, and seen once the replica has
+		// Each transaction sent before has now been applied, and is seen once the replica has
 		// reached this revision, or never will be.
 		c.hasUnknownOutcome = false
 		c.lease.registrationRevision = modRevision
--- a/internal/coordination/commit/pending_transaction.go
+++ b/internal/coordination/commit/pending_transaction.go
@@ -7,17 +7,17 @@
 	"tillerarch/internal/protocol"
 )
 
-// transactionKind says what a transaction is for, and with it what its outcome means.
+// transactionKind is the purpose of a transaction, which determines how its outcome is handled.
 type transactionKind int
 
 const (
 	recordTransaction       transactionKind = iota // changes records of jobs, machines or the format
-	userTransaction                                // holds what users asked for
+	userTransaction                                // holds users' requests
 	registrationTransaction                        // registers this incarnation
 	writeBarrierTransaction                        // resolves unknown outcomes of transactions sent before
 )
 
-// pendingTransaction is a transaction that was sent and has no outcome yet.
+// pendingTransaction is a transaction whose outcome is not known yet.
 type pendingTransaction struct {
 	id          uint64
 	kind        transactionKind
