--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -11,56 +11,58 @@
 )
 
 const (
-	// renewalsPerLease is how often a lease is renewed in the time that it would last, so that
-	// it survives some lost requests.
+	// renewalsPerLease is the number of renewals within the TTL of a lease, so that the lease
+	// survives some lost requests.
 	renewalsPerLease = 4
-	// grantRetryDelay and renewalRetryDelay are the pauses after a failed request; they vary by
-	// a quarter.
+	// grantRetryDelay and renewalRetryDelay are the mean pauses after a failed request. Jitter
+	// varies them by a quarter.
 	grantRetryDelay   = 500 * time.Millisecond
 	renewalRetryDelay = 300 * time.Millisecond
 )
 
-// Lease keeps the store's lease of this process and the incarnation that is registered under it.
-// As long as the lease lives, the incarnation owns what the records say it owns.
+// Lease holds this process's lease in the store and the incarnation that is registered under it.
+// While the lease lives, the incarnation owns whatever the records say that it owns.
 type Lease struct {
 	*step.Context
 
 	store *StoreHealth
 
 	incarnation          storage.Incarnation
-	registrationRevision protocol.ModRevision // of this controller's key while the incarnation is registered; else 0
-	id                   protocol.LeaseID     // of the incarnation, or to register with; 0: none
+	registrationRevision protocol.ModRevision // of this controller's key; 0 if the incarnation is not registered
+	id                   protocol.LeaseID     // lease of the incarnation, or for the next registration; 0 if there is none
 
 	isGranting       bool
-	grantRequestedAt protocol.Instant // of the lease that is being granted
-	grantedAt        protocol.Instant // of the latest lease
-	nextGrantAt      protocol.Instant // earliest next request after a failed one
+	grantRequestedAt protocol.Instant // when the latest lease was requested
+	grantedAt        protocol.Instant // when the latest lease was granted
+	nextGrantAt      protocol.Instant // earliest next grant request after a failed one
 
 	isRenewing         bool
 	renewalRequestedAt protocol.Instant
 	nextRenewalAt      protocol.Instant
 }
 
-// IsRegistered tells whether the store has this incarnation on record, as far as is known.
+// IsRegistered reports whether this incarnation is registered in the store, as far as this process
+// knows.
 func (l *Lease) IsRegistered() bool { return l.registrationRevision != 0 }
 
-// Incarnation is this process under its lease, as registered; empty before the first registration.
+// Incarnation returns the incarnation that this process registered last, or an empty value before the
+// first registration.
 func (l *Lease) Incarnation() storage.Incarnation { return l.incarnation }
 
-// isGranted tells whether this process holds a lease.
+// isGranted reports whether this process holds a lease.
 func (l *Lease) isGranted() bool { return l.id != 0 }
 
-// OwnsMachine tells whether this incarnation owns the machine, as far as it knows.
+// OwnsMachine reports whether a machine's record names this incarnation as the owner.
 func (l *Lease) OwnsMachine(record *storage.MachineRecord) bool {
 	return l.owns(record.Owner)
 }
 
-// owns tells whether an owner on record is this incarnation.
+// owns reports whether owner, as it is named in a record, is this incarnation.
 func (l *Lease) owns(owner storage.Incarnation) bool {
 	return l.incarnation != "" && owner == l.incarnation
 }
 
-// TickLease requests a lease where there is none, and renews it in good time.
+// TickLease requests a lease if there is none, and renews the lease when that is due.
 func (l *Lease) TickLease() {
 	now := l.Now.Monotonic
 	if l.id == 0 && !l.isGranting && now >= l.nextGrantAt {
@@ -81,7 +83,7 @@
 
 func (l *Lease) renewalInterval() time.Duration { return l.Config.LeaseTTL / renewalsPerLease }
 
-// OnGrantLeaseResult takes in a new lease.
+// OnGrantLeaseResult stores a granted lease, or schedules another request after a failure.
 func (l *Lease) OnGrantLeaseResult(result step.GrantLeaseResult) {
 	l.isGranting = false
 	if l.store.RecordContact(l.grantRequestedAt, result.Err) {
@@ -92,7 +94,7 @@
 	}
 }
 
-// OnRenewLeaseResult takes in whether the lease was renewed.
+// OnRenewLeaseResult handles the result of a renewal. It discards the lease if the lease has expired.
 func (l *Lease) OnRenewLeaseResult(result step.RenewLeaseResult) {
 	l.isRenewing = false
 	if errors.Is(result.Err, storage.ErrLeaseExpired) && result.LeaseID == l.id {
@@ -104,10 +106,11 @@
 	}
 }
 
-// discardLease forgets a lease that has expired, and with it the registration.
+// discardLease forgets the lease and the registration under it.
 func (l *Lease) discardLease() { l.registrationRevision, l.id = 0, 0 }
 
-// checkRegistration compares this incarnation with the one that the store has on record.
+// checkRegistration compares this incarnation with the one that is registered in the replica. It
+// discards the lease if the registration is lost.
 func (l *Lease) checkRegistration() {
 	if !l.IsRegistered() {
 		return
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -12,34 +12,39 @@
 )
 
 const (
-	// loadRetryDelay and watchRetryDelay are the pauses after a failed request; they vary by a
-	// quarter.
+	// loadRetryDelay and watchRetryDelay are the mean pauses after a failed request. Jitter varies
+	// them by a quarter.
 	loadRetryDelay  = 500 * time.Millisecond
 	watchRetryDelay = 200 * time.Millisecond
-	// unavailableAfter is how long after the store's last answer it counts as unavailable if
-	// more than one request has failed since.
+	// unavailableAfter is the time since the store's last response after which the store counts
+	// as unavailable if more than one request has failed since.
 	unavailableAfter = time.Second
-	// peerReportWindow is how old the status of another controller may be to tell whether
-	// the store is unavailable for it too.
+	// peerReportWindow is the maximum age of another controller's status that is used to decide
+	// whether the store is unavailable for that controller too.
 	peerReportWindow = 5 * time.Second
 )
 
-// MachineTracker drops what is remembered of machines that the records no longer have.
+// MachineTracker holds state about machines and drops it when the replica is replaced or machines
+// are removed from the records.
 type MachineTracker interface {
+	// ForgetAssignments drops the times at which tasks were assigned to machines.
 	ForgetAssignments()
+	// ForgetUnrecordedMachines drops the state of machines that an earlier replica has and the
+	// current replica lacks.
 	ForgetUnrecordedMachines(earlier *storage.Replica)
+	// OnMachinesRemoved drops the state of machines that have been removed from the records.
 	OnMachinesRemoved()
 }
 
-// StoreReports tells what the other controllers say of the store.
+// StoreReports provides what the other controllers report about the store.
 type StoreReports interface {
-	// PeersReportStoreUnavailable tells whether other controllers have sent a status within a
-	// time, and all of those do not reach the store.
+	// PeersReportStoreUnavailable reports whether at least one other controller has sent a status
+	// within the given time, and none of those that have can reach the store.
 	PeersReportStoreUnavailable(within time.Duration) bool
 }
 
-// Replication keeps the replica of the store's records up to date: the initial load, the watch, and
-// how far both have come.
+// Replication keeps the replica of the store's records up to date. It runs the initial load and the
+// watch, and records their progress.
 type Replication struct {
 	*step.Context
 
@@ -49,36 +54,36 @@
 	peers  StoreReports
 	store  *StoreHealth
 
-	minRevision      protocol.Revision // the replica must have reached this before the next transaction
+	minRevision      protocol.Revision // revision that the replica must reach before the next transaction
 	minRevisionSince protocol.Instant
-	isLoaded         bool              // the replica is complete
-	completeRevision protocol.Revision // the replica is complete once it has reached this
-	hasSnapshot      bool              // there is a replica to watch from; an empty store has revision 0
+	isLoaded         bool              // the replica holds all records
+	completeRevision protocol.Revision // revision from which the replica holds all records
+	hasSnapshot      bool              // a load has succeeded, so the watch can start; an empty store has revision 0
 	upToDateAt       protocol.Instant  // when the replica was last known to be up to date
 
 	isLoading        bool
-	loadRequestedAt  protocol.Instant // of the load under way
+	loadRequestedAt  protocol.Instant // when the latest load was requested
 	isWatching       bool
-	watchRequestedAt protocol.Instant // of the watch request under way
+	watchRequestedAt protocol.Instant // when the latest watch request was sent
 	nextWatchAt      protocol.Instant
-	retryAt          protocol.Instant // of a load or watch request after a failed one
+	retryAt          protocol.Instant // earliest load or watch request after a failed one
 }
 
-// IsLoaded tells whether the replica holds all records.
+// IsLoaded reports whether the replica holds all records.
 func (r *Replication) IsLoaded() bool { return r.isLoaded }
 
-// IsUpToDate tells whether new starts may rest on the replica.
+// IsUpToDate reports whether the replica is recent enough to start tasks from it.
 func (r *Replication) IsUpToDate() bool {
-	// Requests may be answered while the watch has stalled: the replica's own age counts too,
-	// or a task of a job that was cancelled long ago could be started. Both ages count from
-	// when the request was sent: its answer may have lain in a socket while this process was
-	// paused, and its incarnation may have ended meanwhile.
+	// The store may answer other requests while the watch has stalled. The age of the replica
+	// counts too, because otherwise a task of a job that was cancelled long ago could be started.
+	// Both ages count from when the request was sent, because its response may have waited in a
+	// socket while this process was paused, and the incarnation may have ended meanwhile.
 	return r.isLoaded && r.lease.IsRegistered() &&
 		r.Since(r.store.lastAnsweredRequestAt) < r.Config.LeaseTTL/2 &&
 		r.Since(r.upToDateAt) < r.Config.LeaseTTL
 }
 
-// StoreUnavailable tells whether a request to the store would likely fail.
+// StoreUnavailable reports whether a request to the store would probably fail.
 func (r *Replication) StoreUnavailable() bool {
 	sinceResponse := r.Since(r.store.lastResponseAt)
 	return !r.isLoaded ||
@@ -86,13 +91,13 @@
 		sinceResponse > r.Config.LeaseTTL
 }
 
-// StoreUnavailableEverywhere tells whether the store is unavailable, and not for this
-// controller alone as far as the others say.
+// StoreUnavailableEverywhere reports whether the store is unavailable for this controller and for
+// all other controllers that have sent a status within peerReportWindow.
 func (r *Replication) StoreUnavailableEverywhere() bool {
 	return r.StoreUnavailable() && r.peers.PeersReportStoreUnavailable(peerReportWindow)
 }
 
-// TickLoad asks for all records where there is no replica to watch from.
+// TickLoad requests all records if the replica is not loaded and no load or watch is under way.
 func (r *Replication) TickLoad() {
 	if r.isLoaded || r.isLoading || r.isWatching || r.Now.Monotonic < r.retryAt {
 		return
@@ -101,8 +106,9 @@
 	r.Emit(step.LoadRecords{})
 }
 
-// WatchRecords asks for changes again. Each response costs a request of a tight budget, so requests
-// are MinWatchInterval apart unless something waits for the replica.
+// WatchRecords requests the next changes of records. Each response costs a request of a tight budget,
+// so requests are MinWatchInterval apart unless the next transaction or a caller (hasWaiters) waits
+// for the replica.
 func (r *Replication) WatchRecords(hasWaiters bool) {
 	now := r.Now.Monotonic
 	if !r.hasSnapshot || r.isWatching || r.isLoading || now < r.retryAt {
@@ -116,7 +122,8 @@
 	r.Emit(step.Watch{AfterRevision: r.Replica.Revision})
 }
 
-// OnLoadRecordsResult replaces the replica by all records.
+// OnLoadRecordsResult replaces the replica with the loaded records, or schedules a retry after a
+// failure.
 func (r *Replication) OnLoadRecordsResult(result step.LoadRecordsResult) {
 	r.isLoading = false
 	if !r.store.RecordContact(r.loadRequestedAt, result.Err) {
@@ -134,8 +141,8 @@
 		"revision", uint64(result.StartRevision))
 }
 
-// replaceReplica begins a new replica: records that were deleted while this controller did not
-// watch must not stay.
+// replaceReplica builds a new replica from the loaded entries, so that records deleted while this
+// controller did not watch do not remain.
 func (r *Replication) replaceReplica(entries []protocol.Entry) {
 	previous := r.Replica
 	r.Replica = storage.NewReplica()
@@ -147,7 +154,8 @@
 	r.agents.ForgetUnrecordedMachines(previous)
 }
 
-// OnWatchResult takes changes into the replica.
+// OnWatchResult applies the changes of a watch response to the replica. If the store no longer has the
+// requested revision, all records are loaded again.
 func (r *Replication) OnWatchResult(result step.WatchResult) {
 	r.isWatching = false
 	if errors.Is(result.Err, storage.ErrRevisionTooOld) {
@@ -184,7 +192,7 @@
 	r.ShouldRecheckDeferredHeartbeats = true
 }
 
-// applyOperations takes the operations of an applied transaction into the replica.
+// applyOperations applies the operations of an applied transaction to the replica.
 func (r *Replication) applyOperations(operations []protocol.Operation, modRevision protocol.ModRevision) {
 	for _, operation := range operations {
 		if operation.PutKey != "" {
@@ -196,7 +204,8 @@
 	r.agents.OnMachinesRemoved()
 }
 
-// putInReplica puts a record into the replica. The write limits follow the storage format.
+// putInReplica puts a record into the replica. If the record changes the storage format, the write
+// limits follow.
 func (r *Replication) putInReplica(key string, data json.RawMessage, modRevision protocol.ModRevision) {
 	formatBefore := r.limits.StorageFormat()
 	if _, err := r.Replica.Put(key, data, modRevision); err != nil {
@@ -207,10 +216,10 @@
 	}
 }
 
-// isBehind tells whether the replica lacks what the next transaction must have seen.
+// isBehind reports whether the replica has not reached the revision that the next transaction needs.
 func (r *Replication) isBehind() bool { return r.Replica.Revision < r.minRevision }
 
-// requireRevision holds the next transaction back until the replica has reached a revision.
+// requireRevision delays the next transaction until the replica has reached a revision.
 func (r *Replication) requireRevision(revision protocol.Revision) {
 	r.minRevision, r.minRevisionSince = max(r.minRevision, revision), r.Now.Monotonic
 }
