--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/done_tasks.go
@@ -9,12 +9,13 @@
 	"tillerarch/internal/storage"
 )
 
-// ownerCompletionTimeout is how long the owner of a job has to record that all its tasks are
-// done, before another controller does.
+// ownerCompletionTimeout is how long other controllers leave it to the owner of a job to record that
+// all tasks of the job are done.
 const ownerCompletionTimeout = 1500 * time.Millisecond
 
-// ConsolidateDoneTasks records jobs whose tasks are all done, and moves what is done from own
-// shards to the jobs' records: where a shard fills up, or has no machines left.
+// ConsolidateDoneTasks records jobs as done whose tasks are all done. It also moves the done tasks
+// from the shards of this incarnation to the records of their jobs if a shard fills up or has no
+// machines left.
 func (w *ShardWriter) ConsolidateDoneTasks(batch *Batch) {
 	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool {
 		return w.Replica.UnfinishedJobs[id] == nil
@@ -31,8 +32,8 @@
 	}
 }
 
-// completeJob records a job as done if it is this controller's task to do so: as its owner, or
-// if its owner has not done it in time.
+// completeJob records a job as done once all its tasks are, if this incarnation owns the job or its
+// owner has not done so within ownerCompletionTimeout.
 func (w *ShardWriter) completeJob(batch *Batch, id protocol.JobID, record *storage.JobRecord) {
 	isOwner := record.Owner == w.lease.incarnation
 	completeSince, hasCompleteSince := w.completeSince[id]
@@ -46,8 +47,8 @@
 	}
 }
 
-// consolidateShard moves what is done of jobs from a shard to their records, as far as the batch has
-// capacity.
+// consolidateShard moves the done tasks from a shard to the records of their jobs, as far as the
+// batch has capacity.
 func (w *ShardWriter) consolidateShard(batch *Batch, id storage.ShardID) {
 	draft := batch.MutableShard(id)
 	for _, job := range step.SortedKeys(draft.doneTasks) {
@@ -61,9 +62,9 @@
 	}
 }
 
-// needsConsolidation tells whether the done tasks on a shard are to move to their jobs' records:
-// an operation each, so not before the space is needed. A packed shard that is full of machines
-// is split instead.
+// needsConsolidation reports whether the done tasks of a shard should move to the records of their
+// jobs. Each of these records costs an operation, so the done tasks move only once the space is
+// needed. A packed shard that is full of machines is split instead.
 func (w *ShardWriter) needsConsolidation(shard *storage.Shard) bool {
 	limits := w.limits.WriteLimits()
 	if w.limits.StorageFormat() < storage.FormatPacked {
--- a/internal/coordination/commit/shard_draft.go
+++ b/internal/coordination/commit/shard_draft.go
@@ -5,7 +5,7 @@
 	"tillerarch/internal/storage"
 )
 
-// ShardDraft is a shard as a batch leaves it.
+// ShardDraft is a shard with the changes of a batch.
 type ShardDraft struct {
 	Owner         storage.Incarnation
 	Epoch         storage.ShardEpoch
@@ -14,7 +14,8 @@
 	doneTasks     map[protocol.JobID]storage.TaskSet
 }
 
-// draftOf is a shard as it is on record, without its done tasks, to see what it may take.
+// draftOf returns a draft of a shard as it is in the replica. It omits the done tasks, because the
+// draft only serves to estimate what the shard can hold.
 func draftOf(shard *storage.Shard) *ShardDraft {
 	return &ShardDraft{
 		Owner:         shard.Owner,
@@ -26,14 +27,14 @@
 
 func (d *ShardDraft) isEmpty() bool { return len(d.MachineIDs) == 0 && len(d.doneTasks) == 0 }
 
-// ChangeOwner gives the shard another owner. The epoch must be higher than before, so that the
-// fencing tokens of the shard's machines rise with it.
+// ChangeOwner sets another owner and epoch. The epoch must be higher than before, so that the fencing
+// tokens of the shard's machines rise with it.
 func (d *ShardDraft) ChangeOwner(owner storage.Incarnation, epoch storage.ShardEpoch) {
 	d.Owner = owner
 	d.Epoch = epoch
 }
 
-// split splits a shard. What is done stays with the first half.
+// split returns two drafts with half of the machines each. The done tasks stay with the first.
 func (d *ShardDraft) split() (first, second *ShardDraft) {
 	half := len(d.MachineIDs) / 2
 	first = &ShardDraft{Owner: d.Owner, Epoch: d.Epoch, MachineIDs: d.MachineIDs[:half], doneTasks: d.doneTasks}
@@ -41,7 +42,8 @@
 	return first, second
 }
 
-// MutableShard is a shard, to be changed. What is done of jobs that have ended is left out.
+// MutableShard adds a shard to the batch and returns its draft for modification. The draft omits the
+// done tasks of jobs that have ended.
 func (b *Batch) MutableShard(id storage.ShardID) *ShardDraft {
 	if draft := b.shards[id]; draft != nil {
 		return draft
@@ -60,12 +62,12 @@
 		}
 	}
 	b.reserveWrite(storage.ShardKey(id), shard.EncodedSize+shardSizeMargin)
-	b.opsLeft -= ops - 1 // reserveWrite counts one
+	b.opsLeft -= ops - 1 // reserveWrite has counted one operation
 	b.shards[id] = draft
 	return draft
 }
 
-// NewShard begins a shard that is not on record yet.
+// NewShard adds a new shard without machines to the batch and returns its ID.
 func (b *Batch) NewShard(owner storage.Incarnation, epoch storage.ShardEpoch) storage.ShardID {
 	id := b.shardWriter.newShardID()
 	b.reserveWrite(storage.ShardKey(id), shardSizeMargin)
--- a/internal/coordination/commit/shard_layout.go
+++ b/internal/coordination/commit/shard_layout.go
@@ -9,10 +9,10 @@
 	"tillerarch/internal/storage"
 )
 
-// MergeShards puts what is left on a shard that has lost most of its machines onto another
-// shard of this incarnation: each shard costs an operation of its own whenever a task begins or
-// ends there. It merges one at a time, and only to where fencing tokens do not fall. Shards with
-// an open transfer stay as they are until it has ended.
+// MergeShards merges a shard that has lost most of its machines into another shard of this
+// incarnation, because each shard costs an operation of its own whenever a task begins or ends on
+// it. It merges at most one shard every MinRebalanceInterval, and only into a shard where no fencing
+// token falls. Shards with an open transfer stay as they are until the transfer has ended.
 func (w *ShardWriter) MergeShards(batch *Batch) {
 	if w.Now.Monotonic < w.nextShardMergeAt || !batch.HasCapacity(2) {
 		return
@@ -32,14 +32,15 @@
 	}
 }
 
-// mergeCandidate is a shard with the size, in bytes, that it may come to take.
+// mergeCandidate is a shard with the size, in bytes, to which it may grow.
 type mergeCandidate struct {
 	id            storage.ShardID
 	shard         *storage.Shard
 	projectedSize int
 }
 
-// mergeCandidates lists the own shards without an open transfer, the smallest first.
+// mergeCandidates returns the shards of this incarnation without an open transfer, those with the
+// smallest projected size first.
 func (w *ShardWriter) mergeCandidates(batch *Batch) []mergeCandidate {
 	inTransfer := w.transfers.ShardsInTransfer(storage.TransferPhase.IsOpen)
 	var candidates []mergeCandidate
@@ -60,13 +61,13 @@
 	return candidates
 }
 
-// isMergeSource tells whether a shard is so small that it should become part of another one.
+// isMergeSource reports whether a shard is so small that it should be merged into another one.
 func (w *ShardWriter) isMergeSource(batch *Batch, source mergeCandidate) bool {
 	isSmall := source.projectedSize <= maxMergeSourceSize(w.limits.WriteLimits())
 	return isSmall && len(source.shard.Machines) > 0 && !batch.ChangesShard(source.id)
 }
 
-// canMerge tells whether the target can take all that is on the source.
+// canMerge reports whether the source can be merged into the target.
 func (w *ShardWriter) canMerge(batch *Batch, source, target mergeCandidate) bool {
 	if target.id == source.id || batch.ChangesShard(target.id) || len(target.shard.Machines) == 0 {
 		return false
@@ -79,7 +80,7 @@
 		target.shard.EncodedSize+source.shard.EncodedSize <= maxMergedShardSize(limits)
 }
 
-// mergeShard moves all that is on the source to the target.
+// mergeShard moves the machines and the done tasks of the source to the target.
 func (w *ShardWriter) mergeShard(batch *Batch, sourceID, targetID storage.ShardID) {
 	machines := w.Replica.Shards[sourceID].Machines
 	source := batch.MutableShard(sourceID)
@@ -95,7 +96,8 @@
 	batch.Log(slog.LevelInfo, "shards merged", "source", string(sourceID), "count", len(machines), "target", string(targetID))
 }
 
-// SplitShards splits own shards in two that come near the size of a value.
+// SplitShards splits in two the shards of this incarnation that are close to the maximum size of a
+// value.
 func (w *ShardWriter) SplitShards(batch *Batch) {
 	for _, id := range w.OwnedShards() {
 		shard := w.Replica.Shards[id]
@@ -111,8 +113,8 @@
 	}
 }
 
-// shardSplitThreshold is the size, in bytes, from which a shard is split. A packed one changes
-// its size less evenly, and is split before it takes no more tasks.
+// shardSplitThreshold returns the size, in bytes, from which a shard is split. The size of a packed
+// shard changes less evenly, so a packed shard is split at the size at which it stops taking tasks.
 func (w *ShardWriter) shardSplitThreshold() int {
 	limits := w.limits.WriteLimits()
 	if w.limits.StorageFormat() < storage.FormatPacked {
@@ -121,16 +123,16 @@
 	return maxFilledShardSize(limits)
 }
 
-// ReencodeOversizedRecords rewrites what this incarnation is responsible for and what the limits would
-// refuse as it is: shards and jobs written before the format was raised. It takes what capacity
-// the batch has, so a few transactions do; a change that needs such a record before rewrites it
-// the same way.
+// ReencodeOversizedRecords rewrites the shards and jobs of this incarnation that were written before
+// the format was raised and that exceed the write limits as they are. It uses the capacity that the
+// batch has, so a few transactions suffice for all. A change that needs such a record earlier
+// rewrites the record in the same way.
 func (w *ShardWriter) ReencodeOversizedRecords(batch *Batch) {
 	if w.limits.StorageFormat() < storage.FormatPacked {
 		return
 	}
 	maxValueBytes := w.limits.WriteLimits().ValueBytes
-	// Most of the time there are none: only what is found is sorted.
+	// Most of the time there are no oversized shards, so the shards are filtered before sorting.
 	shards := step.SelectKeys(w.Replica.Shards, func(shard *storage.Shard) bool {
 		return shard.Owner == w.lease.incarnation && shard.EncodedSize > maxValueBytes
 	})
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -9,13 +9,14 @@
 	"tillerarch/internal/storage"
 )
 
-// TransferTracker knows the shards that are being transferred.
+// TransferTracker provides the shards that are being transferred.
 type TransferTracker interface {
+	// ShardsInTransfer returns the shards with a transfer in a matching phase.
 	ShardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool
 }
 
-// ShardWriter builds the transactions that change shards of machines, and keeps the shards of this
-// controller at a size that fits a value of the store.
+// ShardWriter creates the batches that change records, and keeps the shards of this controller at a
+// size that fits a value of the store.
 type ShardWriter struct {
 	*step.Context
 
@@ -25,8 +26,8 @@
 	limits    *WriteLimiter
 	transfers TransferTracker
 
-	shardSequence    int                                 // of the shards that this process has named
-	completeSince    map[protocol.JobID]protocol.Instant // since when all tasks of another owner's unfinished job are done
+	shardSequence    int                                 // number of shard IDs that this process has created
+	completeSince    map[protocol.JobID]protocol.Instant // when all tasks of another owner's unfinished job were found done
 	nextShardMergeAt protocol.Instant
 }
 
@@ -37,13 +38,13 @@
 	}
 }
 
-// OwnedShards lists the shards of this incarnation.
+// OwnedShards returns the shards of this incarnation, sorted.
 func (w *ShardWriter) OwnedShards() []storage.ShardID {
 	return step.SelectKeys(w.Replica.Shards, func(shard *storage.Shard) bool { return w.lease.owns(shard.Owner) })
 }
 
-// ShardWriteOps is how many operations it takes to write a shard: one that was written in the
-// plain format may take several parts in the packed one.
+// ShardWriteOps returns the number of operations that are needed to write a shard. A shard that was
+// written in the plain format may have to be split into several shards in the packed format.
 func (w *ShardWriter) ShardWriteOps(id storage.ShardID) int {
 	maxValueBytes := w.limits.WriteLimits().ValueBytes
 	shard := w.Replica.Shards[id]
--- a/internal/coordination/commit/size_estimates.go
+++ b/internal/coordination/commit/size_estimates.go
@@ -6,7 +6,7 @@
 	"tillerarch/internal/storage"
 )
 
-// Estimated sizes of records that are written for the first time, in bytes.
+// Estimated sizes, in bytes, of records that are written for the first time.
 const (
 	quotaRecordSize    = 100
 	registryRecordSize = 100
@@ -15,29 +15,30 @@
 	newJobRecordSize   = 700
 )
 
-// Estimated sizes, in bytes, of what is added to a record, in the plain format.
+// Estimated sizes, in bytes, of additions to a record in the plain format.
 const (
-	assignmentSize   = 24 // of tasks of one job with one attempt
+	assignmentSize   = 24 // tasks of one job with one attempt, without the task indexes
 	assignedTaskSize = 3
-	doneJobSize      = 16 // a job of which no task was done before
+	doneJobSize      = 16 // a job without earlier done tasks on the shard
 	doneTaskSize     = 4
-	mergedJobSize    = 20 // a job's done tasks that move to another shard, besides the tasks
+	mergedJobSize    = 20 // a job's done tasks on the target of a merge, without the tasks themselves
 
 	emptyMachineSize       = 64
 	assignmentsSizePerCore = 18
 )
 
-// Margins for what estimates leave out, in bytes.
+// Margins, in bytes, for what the estimates leave out.
 const (
 	shardSizeMargin = 700
 	jobSizeMargin   = 200
 )
 
-// packedSizeRatio is the part of its plain form that a shard takes in the packed format; it
-// is far less where its machines are alike.
+// packedSizeRatio is the size of a shard in the packed format as a fraction of its size in the plain
+// format. The actual fraction is far lower if the shard's machines are alike.
 const packedSizeRatio = 0.4
 
-// EstimateEncodedSize estimates what plain text takes of a shard, in bytes.
+// EstimateEncodedSize returns the estimated size, in bytes, that data of plainSize bytes in the plain
+// format occupies in a shard in the current format.
 func (w *ShardWriter) EstimateEncodedSize(plainSize int) int {
 	if w.limits.StorageFormat() < storage.FormatPacked {
 		return plainSize
@@ -45,8 +46,8 @@
 	return int(float64(plainSize)*packedSizeRatio) + 1
 }
 
-// estimateMachineSize estimates what a machine of a type takes of a shard: one with more
-// cores has more assignments.
+// estimateMachineSize returns the estimated size, in bytes, that a machine of a type occupies in a
+// shard. A machine with more cores has more assignments.
 func (w *ShardWriter) estimateMachineSize(machineType protocol.MachineTypeName) int {
 	const unknownCores, minCores, maxCores = 4.0, 2, 20
 	cores := unknownCores
@@ -67,9 +68,8 @@
 	return size
 }
 
-// projectShardSize is what a shard may come to take, in bytes. In the packed format it hardly
-// grows with the tasks of its machines, so there it is what the shard takes now, and a quarter
-// more.
+// projectShardSize returns the size, in bytes, to which a shard may grow. A packed shard hardly grows
+// with the tasks of its machines, so its projected size is its present size plus a quarter.
 func (b *Batch) projectShardSize(draft *ShardDraft) int {
 	if b.shardWriter.limits.StorageFormat() < storage.FormatPacked {
 		return b.estimateMachinesSize(draft.MachineIDs)
@@ -77,27 +77,30 @@
 	return addQuarter(draft.EstimatedSize)
 }
 
-// addQuarter makes an estimate a quarter larger: parts of a shard are uneven, and it grows.
+// addQuarter returns an estimate plus a quarter, because the parts of a shard are uneven and the shard
+// grows.
 func addQuarter(size int) int { return size * 5 / 4 }
 
-// Sizes of shards, in bytes, as parts of the value that the store accepts.
+// The following functions return sizes of shards, in bytes, as fractions of the maximum size of a
+// value.
 
-// maxFilledShardSize is the size up to which a shard is filled: what is above is left for what
-// ends there.
+// maxFilledShardSize returns the size up to which a shard takes assignments. The space above is left
+// for recording the tasks that end on the shard.
 func maxFilledShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 7 / 8 }
 
-// maxPlainShardSize is the size from which a shard in the plain format is split.
+// maxPlainShardSize returns the size from which a shard in the plain format is split.
 func maxPlainShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 15 / 16 }
 
-// maxMergeSourceSize is the projected size up to which a shard is merged into another one.
+// maxMergeSourceSize returns the projected size up to which a shard is merged into another one.
 func maxMergeSourceSize(limits step.WriteLimits) int { return limits.ValueBytes / 3 }
 
-// maxMergedShardSize is the size up to which two shards are merged.
+// maxMergedShardSize returns the total encoded size up to which two shards are merged.
 func maxMergedShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
 
-// maxPlainSizeWithDoneTasks is the size from which a shard in the plain format hands its done tasks
-// to the records of their jobs.
+// maxPlainSizeWithDoneTasks returns the size from which the done tasks of a shard in the plain format
+// move to the records of their jobs.
 func maxPlainSizeWithDoneTasks(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
 
-// maxPackedDoneTasksSize is the size of its done tasks from which a packed shard hands them over.
+// maxPackedDoneTasksSize returns the size of done tasks from which the done tasks of a packed shard
+// move to the records of their jobs.
 func maxPackedDoneTasksSize(limits step.WriteLimits) int { return limits.ValueBytes / 4 }
