--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -9,22 +9,23 @@
 	"tillerarch/internal/storage"
 )
 
-// raiseFormatDelay is how long the other controllers leave it to the elected one to raise the
+// raiseFormatDelay is how long the other controllers leave it to the elected controller to raise the
 // format.
 const raiseFormatDelay = 2 * time.Second
 
-// SuccessorElection names the one controller to which a key falls.
+// SuccessorElection elects one controller that is responsible for a key.
 type SuccessorElection interface {
+	// IsSuccessor reports whether this controller is elected for a key.
 	IsSuccessor(key string) bool
 }
 
 // FormatUpgrade raises the storage format once every controller can read the new one.
 //
 // While a deployment is upgraded, controllers of the previous and of this version work on the
-// same records. Each incarnation of this version says in its controller record which format it
-// reads. Once all controllers have been seen to do so, the format on record is raised, and only
-// then is anything written that the previous version could not read. Where no new limits of the
-// store are announced, the plain format serves, and nothing is raised.
+// same records. Each incarnation of this version writes to its controller record which format it
+// can read. Once all controllers have been seen to read the packed format, the format in the store
+// is raised. Only then are records written that the previous version cannot read. If no new limits
+// of the store are announced, the plain format suffices and is kept.
 type FormatUpgrade struct {
 	*step.Context
 
@@ -33,10 +34,10 @@
 	limits    *WriteLimiter
 	election  SuccessorElection
 
-	packedReaders            map[protocol.ControllerID]bool // whether a controller, as last seen, reads the packed format
-	areAnnouncedLimitsActive bool                           // a write within the current limits was refused as too large
-	raisableSince            protocol.Instant               // since when the format could be raised; 0: it cannot
-	warnedIncarnation        storage.Incarnation            // the last one that was reported as too old
+	packedReaders            map[protocol.ControllerID]bool // whether a controller, when last seen, could read the packed format
+	areAnnouncedLimitsActive bool                           // the store refused a write within the current limits as too large
+	raisableSince            protocol.Instant               // when it became possible to raise the format; 0 if it is not
+	warnedIncarnation        storage.Incarnation            // the last incarnation that was logged as incompatible
 }
 
 func newFormatUpgrade(ctx *step.Context) *FormatUpgrade {
@@ -46,8 +47,8 @@
 	}
 }
 
-// RecordFormatSupport records which controllers read the packed format. An incarnation of an
-// older version overrides what was recorded of its controller.
+// RecordFormatSupport records which controllers can read the packed format. An incarnation of an
+// older version overrides what was recorded for its controller earlier.
 func (u *FormatUpgrade) RecordFormatSupport() {
 	for controllerID, controller := range u.Replica.Controllers {
 		readsPacked := controller.Record.ReadableFormat >= storage.FormatPacked
@@ -66,10 +67,10 @@
 	u.Log(slog.LevelError, "incompatible controller version running", "incarnation", string(incarnation))
 }
 
-// canRaiseFormat tells whether the packed format may be written from now on: every
-// controller of the deployment has been seen to read it. That the announced limits are active
-// shows it too, as they come only when the upgrade is over; but it counts for nothing while an
-// incarnation of an older version lives.
+// canRaiseFormat reports whether the packed format may be written from now on, because every
+// controller of the deployment has been seen to read it. Active announced limits show this too,
+// because they take effect only when the upgrade is over. They are no evidence while an incarnation
+// of an older version lives.
 func (u *FormatUpgrade) canRaiseFormat() bool {
 	if u.Config.AnnouncedLimits == nil || u.limits.StorageFormat() >= storage.FormatPacked {
 		return false
@@ -90,7 +91,7 @@
 	return u.packedReaders[u.Config.ControllerID]
 }
 
-// tryRaiseFormat sends the change of the format, and tells whether it did.
+// tryRaiseFormat sends the change of the format if it is due. It reports whether it sent the change.
 func (u *FormatUpgrade) tryRaiseFormat() bool {
 	if !u.canRaiseFormat() {
 		u.raisableSince = 0
@@ -114,8 +115,9 @@
 	return true
 }
 
-// formatChangeConditions ties the change to the keys of all controllers, also of those that are away:
-// one of them may end, and another version start, before the change is applied.
+// formatChangeConditions returns conditions on the format key and on the keys of all controllers. It
+// includes absent controllers, because a controller may end, and one of another version may start,
+// before the change is applied.
 func (u *FormatUpgrade) formatChangeConditions() []protocol.Condition {
 	keys := []string{storage.FormatKey, storage.ControllerKey(u.Config.ControllerID)}
 	for _, controllerID := range u.Config.PeerIDs {
@@ -128,7 +130,8 @@
 	return conditions
 }
 
-// onTransactionTooLarge takes in that the store has refused a transaction as malformed.
+// onTransactionTooLarge handles a transaction that the store refused as invalid. The announced limits
+// are active if the transaction exceeds them. The next transactions are smaller in any case.
 func (u *FormatUpgrade) onTransactionTooLarge(transaction *protocol.Transaction) {
 	if u.Config.AnnouncedLimits != nil && u.limits.StorageFormat() < storage.FormatPacked &&
 		!u.limits.AdmissionLimits().Allows(transaction) {
--- a/internal/coordination/commit/store_health.go
+++ b/internal/coordination/commit/store_health.go
@@ -10,38 +10,39 @@
 	"tillerarch/internal/storage"
 )
 
-// errNoUsableResponse stands for the failure of a transaction that has no error of its own.
-var errNoUsableResponse = errors.New("no usable answer")
+// errNoUsableResponse is the error of a transaction that got no usable response and has no error of
+// its own.
+var errNoUsableResponse = errors.New("store gave no usable response")
 
-// StoreHealth records whether the key-value store answers this process.
+// StoreHealth records whether the key-value store responds to this process.
 type StoreHealth struct {
 	*step.Context
 
-	lastResponseAt        protocol.Instant // when the store last answered
-	lastAnsweredRequestAt protocol.Instant // when the newest request that it has answered was sent
-	consecutiveFailures   int              // requests in a row without an answer
-	firstFailureAt        protocol.Instant // when the first of those failed
+	lastResponseAt        protocol.Instant // when the store last responded
+	lastAnsweredRequestAt protocol.Instant // when the newest request with a response was sent
+	consecutiveFailures   int              // consecutive requests without a response
+	firstFailureAt        protocol.Instant // when the first of consecutiveFailures failed
 }
 
-// IsAnswering tells whether the store has answered within a time and no request has failed
+// IsAnswering reports whether the store has responded within the given time and no request has failed
 // since.
 func (h *StoreHealth) IsAnswering(within time.Duration) bool {
 	return h.HasAnsweredWithin(within) && h.consecutiveFailures == 0
 }
 
-// HasAnsweredWithin tells whether the store has answered within a time, whatever has failed
-// since.
+// HasAnsweredWithin reports whether the store has responded within the given time, even if requests
+// have failed since.
 func (h *StoreHealth) HasAnsweredWithin(within time.Duration) bool {
 	return h.Since(h.lastResponseAt) < within
 }
 
-// HasFailedFor tells whether requests have failed for at least a time, with no answer between.
+// HasFailedFor reports whether requests have failed for at least d without a response in between.
 func (h *StoreHealth) HasFailedFor(d time.Duration) bool {
 	return h.consecutiveFailures > 0 && h.Since(h.firstFailureAt) >= d
 }
 
-// RecordContact records whether the store answered a request that was sent at an instant, and
-// tells whether the request succeeded.
+// RecordContact records whether the store responded to a request that was sent at requestedAt and
+// ended with err. It reports whether the request succeeded.
 func (h *StoreHealth) RecordContact(requestedAt protocol.Instant, err error) bool {
 	if isStoreResponse(err) {
 		h.recordResponse(requestedAt)
@@ -55,7 +56,8 @@
 	return false
 }
 
-// isStoreResponse tells whether the store itself gave this result: some errors are responses.
+// isStoreResponse reports whether the result of a request came from the store. Some errors are
+// responses of the store.
 func isStoreResponse(err error) bool {
 	return err == nil || errors.Is(err, storage.ErrLeaseExpired) || errors.Is(err, storage.ErrRevisionTooOld)
 }
--- a/internal/coordination/commit/write_limiter.go
+++ b/internal/coordination/commit/write_limiter.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// minTransactionOps is the fewest operations that a transaction is cut down to: with fewer,
-	// what is done could not move from a shard to its job.
+	// minTransactionOps is the lowest maximum of operations to which transactions are reduced. With
+	// fewer operations, done tasks could not move from a shard to the record of their job.
 	minTransactionOps = 2
-	// minBurst is the least number of write tokens that can be saved up.
+	// minBurst is the minimum capacity of the token bucket, in write tokens.
 	minBurst = 4
-	// userTokensDivisor is the part of a transaction, one operation in so many, for which write tokens
-	// are left to users' requests.
+	// userTokensDivisor determines the number of write tokens that are reserved for users' requests:
+	// the operations of a full transaction divided by userTokensDivisor.
 	userTokensDivisor = 8
-	// minBatchSeconds is for how long the write budget is saved up for a batch.
+	// minBatchSeconds is the number of seconds for which the write budget is saved up for a batch.
 	minBatchSeconds = 0.5
-	// plainJobRecordReserve is the part of a value, in bytes, that a plain job record leaves to
-	// the description of the job.
+	// plainJobRecordReserve is the number of bytes of a value that a job's record in the plain format
+	// reserves for the job's description.
 	plainJobRecordReserve = 1500
-	// Factors of the write rate: after a refusal, and the least part of an even share of the
-	// store's limit that it is reduced to.
+	// writeRateBackoff is the factor by which a refusal reduces the write rate. minWriteRateShare
+	// is the minimum write rate as a fraction of an even share of the store's limit.
 	writeRateBackoff  = 0.8
 	minWriteRateShare = 0.7
-	// writeRateSteps is the number of successful transactions after which the full rate is
-	// allowed again, starting at none.
+	// writeRateSteps is the number of successful transactions that raise the write rate from zero
+	// to its maximum.
 	writeRateSteps = 100
 )
 
-// WriteLimiter bounds what this controller writes: the rate, and the size of transactions.
+// WriteLimiter limits the write rate and the size of transactions of this controller.
 type WriteLimiter struct {
 	*step.Context
 
 	limiter           *rate.Limiter
-	writeRate         float64 // operations a second that this controller allows itself
-	maxTransactionOps int     // operations that a transaction may have now
+	writeRate         float64 // operations per second that this controller allows itself
+	maxTransactionOps int     // present maximum number of operations in a transaction
 }
 
-// WriteLimits are those that everything written now keeps to. From the moment at which all
-// controllers read the packed format they are the stricter of the current and the announced
-// ones: the announced ones may hold at any time from then on, and nothing tells when.
+// WriteLimits returns the limits for everything that is written now. Once the packed format is in
+// use, because all controllers can read it, they are the stricter of the current and the announced
+// limits. The announced limits may take effect at any time from then on, without notice.
 func (w *WriteLimiter) WriteLimits() step.WriteLimits {
 	if w.StorageFormat() < storage.FormatPacked {
 		return w.Config.CurrentLimits()
@@ -49,7 +49,8 @@
 	return w.AdmissionLimits()
 }
 
-// AdmissionLimits are the limits that the record of a new job must keep to for good.
+// AdmissionLimits returns the limits that the record of a new job must meet permanently. They are the
+// stricter of the current and the announced limits.
 func (w *WriteLimiter) AdmissionLimits() step.WriteLimits {
 	if w.Config.AnnouncedLimits == nil {
 		return w.Config.CurrentLimits()
@@ -57,10 +58,11 @@
 	return w.Config.CurrentLimits().Strictest(*w.Config.AnnouncedLimits)
 }
 
-// StorageFormat is the newest format that may be written.
+// StorageFormat returns the newest format that may be written.
 func (w *WriteLimiter) StorageFormat() storage.Format { return w.Replica.Format.Record.WriteFormat }
 
-// UpdateWriteLimiter makes the write budget follow the limits.
+// UpdateWriteLimiter sets the write rate, the burst and the size of transactions from the present
+// write limits.
 func (w *WriteLimiter) UpdateWriteLimiter() {
 	limits := w.WriteLimits()
 	w.writeRate, w.maxTransactionOps = w.maxWriteRate(limits), limits.TransactionOps
@@ -73,32 +75,33 @@
 	w.limiter.SetBurstAt(w.LimiterTime(), burst)
 }
 
-// maxWriteRate is the most operations a second that this controller may write.
+// maxWriteRate returns the maximum number of operations per second that this controller may write.
 func (w *WriteLimiter) maxWriteRate(limits step.WriteLimits) float64 {
 	return limits.WritesPerSecond * w.Config.WriteBudgetShare
 }
 
-// ReservedUserTokens is the number of write tokens that are left for what users ask for.
+// ReservedUserTokens returns the number of write tokens that are reserved for users' requests.
 func (w *WriteLimiter) ReservedUserTokens() int {
 	return max(w.WriteLimits().TransactionOps/userTokensDivisor, 1)
 }
 
-// Budget is how many operations are allowed now, and how many of them one transaction may have.
+// Budget returns the number of operations that may be written now, and how many of them one
+// transaction may hold.
 func (w *WriteLimiter) Budget() (tokens, maxOps int) {
 	tokens = int(w.limiter.TokensAt(w.LimiterTime()))
 	return tokens, min(tokens, w.maxTransactionOps)
 }
 
-// MinBatchOps is the number of operations from which a batch is worth sending: half a second's
-// budget, or a full transaction.
+// MinBatchOps returns the number of operations from which a batch is worth sending. It is the write
+// budget of minBatchSeconds, but at most a full transaction.
 func (w *WriteLimiter) MinBatchOps() int {
 	limits := w.WriteLimits()
 	return min(limits.TransactionOps, int(limits.WritesPerSecond*w.Config.WriteBudgetShare*minBatchSeconds))
 }
 
-// JobRecordBudget is what a job's record may take besides its description, in bytes. It
-// takes it that the description needs no more than the rest of a value: half of it in the packed
-// format, else plainJobRecordReserve.
+// JobRecordBudget returns the number of bytes that a job's record may occupy besides the job's
+// description. It assumes that the description fits the rest of a value, which is half of the value
+// in the packed format and plainJobRecordReserve in the plain format.
 func (w *WriteLimiter) JobRecordBudget() int {
 	valueBytes := w.WriteLimits().ValueBytes
 	if w.StorageFormat() < storage.FormatPacked {
@@ -107,11 +110,11 @@
 	return valueBytes - valueBytes/2
 }
 
-// takeWriteTokens takes the tokens for n operations, and tells whether there were enough.
+// takeWriteTokens takes the tokens for n operations and reports whether there were enough.
 func (w *WriteLimiter) takeWriteTokens(n int) bool { return w.limiter.AllowN(w.LimiterTime(), n) }
 
-// adaptWriteRate sets how much this controller writes: all share one budget, and how much of
-// it others take shows in refusals only.
+// adaptWriteRate adapts the write rate to the outcome of a transaction. All controllers share one
+// write budget, and only refusals show how much of it the others use.
 func (w *WriteLimiter) adaptWriteRate(wasThrottled bool) {
 	limits := w.WriteLimits()
 	if wasThrottled {
@@ -124,7 +127,8 @@
 	w.limiter.SetLimitAt(w.LimiterTime(), rate.Limit(w.writeRate))
 }
 
-// shrinkTransactions halves what the next transactions may hold, after one that was too large.
+// shrinkTransactions halves the maximum number of operations in a transaction, after a transaction
+// that was too large.
 func (w *WriteLimiter) shrinkTransactions() {
 	w.maxTransactionOps = max(w.maxTransactionOps/2, minTransactionOps)
 }
