--- a/internal/coordination/scheduling/contention_test.go
+++ b/internal/coordination/scheduling/contention_test.go
@@ -10,21 +10,21 @@
 	"tillerarch/internal/protocol"
 )
 
-// While tasks wait that fit one type only, jobs that can have a cheaper type in time leave it to
-// them. Small tasks of high priority used to fill the machines that had been provisioned for
-// large ones, for which the dearest machines were provisioned then.
+// TestContendedMachineTypes checks that, while tasks wait that fit only one machine type, jobs that can get a
+// cheaper type in time avoid that type. Otherwise small tasks of high priority fill the machines that were
+// provisioned for large tasks, and more of the most expensive machines are provisioned.
 func TestContendedMachineTypes(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		waitingCores float64 // of the tasks that found no machine; 0: there are none
-		ago          time.Duration
-		slack        time.Duration
-		isExhausted  bool // the cloud has no small machines
-		want         []protocol.MachineTypeName
+		name            string
+		waitingCores    float64 // of the tasks that found no machine, or 0 if there are none
+		sinceContention time.Duration
+		slack           time.Duration
+		isExhausted     bool // the cloud has no small machines
+		want            []protocol.MachineTypeName
 	}{
 		{"no tasks wait", 0, 0, 90 * time.Second, false, nil},
 		{"large tasks wait", 16, 0, 90 * time.Second, false, []protocol.MachineTypeName{"large"}},
-		{"they did some time ago", 16, 5 * time.Second, 90 * time.Second, false, nil},
+		{"large tasks waited some time ago", 16, 5 * time.Second, 90 * time.Second, false, nil},
 		{"a small machine would come too late", 16, 0, 30 * time.Second, false, nil},
 		{"there are no small machines", 16, 0, 90 * time.Second, true, nil},
 		{"small tasks wait", 4, 0, 90 * time.Second, false, nil},
@@ -34,7 +34,7 @@
 			if test.waitingCores > 0 {
 				fixture.contention.recordContention(fixture.newPendingJob(newArrayJob(test.waitingCores, 20), time.Minute))
 			}
-			fixture.Now.Monotonic = fixture.Now.Monotonic.Add(test.ago)
+			fixture.Now.Monotonic = fixture.Now.Monotonic.Add(test.sinceContention)
 			if test.isExhausted {
 				for _, zone := range smallMachineType.Zones {
 					for _, spot := range []bool{true, false} {
@@ -47,7 +47,7 @@
 			job := fixture.newPendingJob(newArrayJob(4, 20), test.slack)
 			got := slices.Sorted(maps.Keys(fixture.contention.typesToAvoid(job)))
 			if !slices.Equal(got, test.want) {
-				t.Errorf("leaves %v; wanted %v", got, test.want)
+				t.Errorf("avoids types %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -16,14 +16,14 @@
 	"tillerarch/internal/storage"
 )
 
-// Small machines are cheap by the core and slow to boot, large ones the other way round.
+// Small machines are cheaper per core on spot and boot slowly. Large machines boot quickly.
 var (
 	smallMachineType = steptest.SmallMachineType()
 	largeMachineType = steptest.LargeMachineType()
 )
 
-// schedulingFixture is the parts of scheduling with those of the packages below, wired as Core does but
-// without cancellations.
+// schedulingFixture holds the components of this package and of the packages that it needs, connected as
+// in Core but without cancellations.
 type schedulingFixture struct {
 	steptest.Fixture
 	*Parts
@@ -34,8 +34,8 @@
 	provisioning *provisioning.Parts
 }
 
-// newFixtureWithTwoMachineTypes makes the parts of a controller that is registered and up to date,
-// with an empty fleet of two machine types.
+// newFixtureWithTwoMachineTypes returns the components of a controller that is registered and up to date,
+// with two machine types and no machines.
 func newFixtureWithTwoMachineTypes(t *testing.T) *schedulingFixture {
 	t.Helper()
 	fixture := wireParts(steptest.NewFixture(steptest.Config()))
@@ -46,7 +46,7 @@
 	return fixture
 }
 
-// wireParts makes the parts and connects them with each other.
+// wireParts creates the components and connects them with each other.
 func wireParts(base steptest.Fixture) *schedulingFixture {
 	ctx := base.Context
 	offers := catalog.New(ctx)
@@ -133,7 +133,8 @@
 	}
 }
 
-// newPendingJob is a job submitted now whose tasks may wait for slack before they have to start.
+// newPendingJob returns a job that is submitted now and whose tasks can wait for slack before they have to
+// start.
 func (f *schedulingFixture) newPendingJob(spec *protocol.Job, slack time.Duration) *PendingJob {
 	latestStart := f.Now.Wall + protocol.Millis(slack.Milliseconds())
 	job := &PendingJob{
@@ -148,7 +149,7 @@
 	return job
 }
 
-// newCandidate is an empty machine in zone a.
+// newCandidate returns an empty machine in zone a.
 func newCandidate(machineType *protocol.MachineType, id protocol.MachineID, spot bool) *Candidate {
 	return &Candidate{
 		machineSnapshot: machineSnapshot{
@@ -160,7 +161,7 @@
 	}
 }
 
-// addTasks allocates running tasks of a job that were assigned to the machine some time ago.
+// addTasks allocates tasks of a job that have been running on the machine for runningFor.
 func (f *schedulingFixture) addTasks(machine *Candidate, spec *protocol.Job, alloc allocation, runningFor time.Duration) {
 	alloc.spec = spec
 	machine.free.Allocate(spec, alloc.count)
--- a/internal/coordination/scheduling/job_acquisition_test.go
+++ b/internal/coordination/scheduling/job_acquisition_test.go
@@ -9,9 +9,9 @@
 	"tillerarch/internal/storage"
 )
 
-// A job is acquired only once its owner has ended: by its successor after a short delay, and by any
-// other controller after a long one.
-func TestMayAcquire(t *testing.T) {
+// TestMayAcquireJob checks that a job is acquired only once its owner has ended: by the owner's successor after
+// a short delay, and by any other controller after a long delay.
+func TestMayAcquireJob(t *testing.T) {
 	const endedOwner, livingOwner storage.Incarnation = "stall-9#1", "stall-1#1"
 	for _, test := range []struct {
 		name         string
@@ -32,7 +32,7 @@
 			controller := storage.ControllerRecord{Incarnation: livingOwner}
 			fixture.Put(t, storage.ControllerKey(livingOwner.Controller()), storage.MustMarshal(controller), 1)
 			spec := newArrayJob(4, 20)
-			spec.ID = fixture.jobWithSuccessor(t, test.isSuccessor)
+			spec.ID = fixture.jobIDWithSuccessor(t, test.isSuccessor)
 			job := fixture.newPendingJob(spec, time.Minute)
 			job.record.Owner = test.owner
 			fixture.Put(t, storage.JobKey(spec.ID), storage.MustMarshal(job.record), 2)
@@ -40,14 +40,14 @@
 			fixture.acquirer.ownership.TrackExpiredIncarnations()
 			fixture.Now.Monotonic = fixture.Now.Monotonic.Add(test.expiredSince)
 			if got := fixture.acquirer.mayAcquireJob(job); got != test.want {
-				t.Errorf("may acquire: %v, want %v", got, test.want)
+				t.Errorf("mayAcquireJob = %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// jobWithSuccessor gives a job of which this controller is the successor, or is not.
-func (f *schedulingFixture) jobWithSuccessor(t *testing.T, isSuccessor bool) protocol.JobID {
+// jobIDWithSuccessor returns the ID of a job for which ownership.Manager.IsSuccessor returns isSuccessor.
+func (f *schedulingFixture) jobIDWithSuccessor(t *testing.T, isSuccessor bool) protocol.JobID {
 	t.Helper()
 	for number := range 100 {
 		id := protocol.JobID(fmt.Sprint("j-", number))
@@ -55,6 +55,6 @@
 			return id
 		}
 	}
-	t.Fatalf("this controller is the successor of all jobs or of none, want one with %v", isSuccessor)
+	t.Fatalf("no job ID found with IsSuccessor = %v", isSuccessor)
 	return ""
 }
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/storage"
 )
 
-// A placement of a task that has to start before its machine sends a heartbeat by itself makes the
-// machine's agent send one at once; no other placement does.
+// TestExpediteUrgentTasks checks that a placement of tasks that have to start before their machine sends its
+// next heartbeat makes the machine's agent send one immediately, and that no other placement does.
 func TestExpediteUrgentTasks(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -17,9 +17,9 @@
 		isLate bool
 		want   bool
 	}{
-		{"it has to start soon", 8 * time.Second, false, true},
-		{"it can wait for a heartbeat", 60 * time.Second, false, false},
-		{"it is late in any case", time.Second, true, false},
+		{"the tasks have to start soon", 8 * time.Second, false, true},
+		{"the tasks can wait for a heartbeat", 60 * time.Second, false, false},
+		{"the job is late in any case", time.Second, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newFixtureWithTwoMachineTypes(t)
@@ -27,14 +27,14 @@
 			job := fixture.newPendingJob(newArrayJob(4, 20), test.slack)
 			job.isLate = test.isLate
 			if got := fixture.Queue.shouldExpediteHeartbeats(job); got != test.want {
-				t.Errorf("slack %v, late %v: %v", test.slack, test.isLate, got)
+				t.Errorf("shouldExpediteHeartbeats with slack %v, late %v = %v, want the opposite", test.slack, test.isLate, got)
 			}
 		})
 	}
 	for _, test := range []struct {
-		name     string
-		deferred step.RequestID
-		want     bool
+		name            string
+		deferredRequest step.RequestID
+		want            bool
 	}{
 		{"no heartbeat is deferred", 0, true},
 		{"a heartbeat is deferred", 5, false},
@@ -43,16 +43,17 @@
 			fixture := newFixtureWithTwoMachineTypes(t)
 			machine := newCandidate(&smallMachineType, "m-1", false)
 			machine.record.Owner = fixture.commit.Lease.Incarnation()
-			fixture.agents.Table.MachineState("m-1").DeferredRequest = test.deferred
+			fixture.agents.Table.MachineState("m-1").DeferredRequest = test.deferredRequest
 			if got := fixture.lister.awaitsHeartbeat(machine); got != test.want {
-				t.Errorf("heartbeat deferred as %d: %v", test.deferred, got)
+				t.Errorf("awaitsHeartbeat with deferred request %d = %v, want the opposite", test.deferredRequest, got)
 			}
 		})
 	}
 }
 
-// The score puts a machine first on which a task starts sooner, or keeps less from others.
-func TestScore(t *testing.T) {
+// TestScoreCandidate checks that the score prefers machines on which a task starts sooner or leaves more
+// capacity for others.
+func TestScoreCandidate(t *testing.T) {
 	const owner, peer = "stall-0#1", "stall-1#1"
 	newMachine := func(change func(*Candidate)) *Candidate {
 		machine := newCandidate(&smallMachineType, "m-1", false)
@@ -73,7 +74,7 @@
 		{"spot before on demand",
 			func(m *Candidate) { m.record.Spot = true },
 			func(*Candidate) {}},
-		{"a shard of the job's owner before one of a peer",
+		{"a shard of the job's owner before a shard of a peer",
 			func(*Candidate) {},
 			func(m *Candidate) { m.record.Owner = peer }},
 	} {
@@ -85,25 +86,25 @@
 			better := fixture.Scheduler.scoreCandidate(batch, job, newMachine(test.better))
 			worse := fixture.Scheduler.scoreCandidate(batch, job, newMachine(test.worse))
 			if better >= worse {
-				t.Errorf("scores %v and %v", better, worse)
+				t.Errorf("got scores %v and %v, want the first to be lower", better, worse)
 			}
 		})
 	}
 }
 
-// A pass writes what fits of an owned array; of the rest, what can follow on machines in use waits, and
-// the others are demand. Another owner's job is planned but neither written nor reported as
-// demand.
+// TestPlacePendingJobs checks that a pass writes the tasks of an owned array that fit on free machines. Of the
+// other tasks, those that can follow running tasks wait, and the rest is unmet demand. A job of another owner is
+// planned, but it is neither written nor reported as demand.
 func TestPlacePendingJobs(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		machine    storage.MachineRecord
 		isOwned    bool
-		wantTasks  int // written on the machine
+		wantTasks  int // written to the machine's record
 		wantDemand int
-		wantExpect bool // a placement that is not written
+		wantExpect bool // whether the plan has a placement that is not written
 	}{
-		{"owned job, free machine that four more can follow on",
+		{"owned job, free machine on which four more tasks can follow",
 			storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
 		{"owned job, machine not up yet", storage.MachineRecord{}, true, 0, 6, true},
 		{"owned job, cordoned machine", storage.MachineRecord{AgentEpoch: 1, Cordoned: true}, true, 0, 10, false},
@@ -137,13 +138,13 @@
 				demand += unmet.Tasks
 			}
 			if written != test.wantTasks || demand != test.wantDemand {
-				t.Errorf("%d tasks written, demand for %d; wanted %d and %d", written, demand, test.wantTasks, test.wantDemand)
+				t.Errorf("%d tasks written, demand for %d, want %d and %d", written, demand, test.wantTasks, test.wantDemand)
 			}
 			if got := fixture.Plan.ExpectsPlacement("m-1"); got != test.wantExpect {
-				t.Errorf("placement expected: %v", got)
+				t.Errorf("ExpectsPlacement = %v, want the opposite", got)
 			}
 			if got, want := fixture.Plan.RetainsMachine("m-1"), written > 0 || test.wantExpect; got != want {
-				t.Errorf("machine retained: %v", got)
+				t.Errorf("RetainsMachine = %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/preemption_test.go
+++ b/internal/coordination/scheduling/preemption_test.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// Only tasks of lower priority are victims, those first whose stop loses the least work per core:
-// a checkpoint's time for what saves one, else all that has run.
+// TestVictims checks that only tasks of lower priority are victims, ordered by the work per core that is lost if
+// they are stopped: the time to save a checkpoint for tasks that save one, or else their whole run time so far.
 func TestVictims(t *testing.T) {
 	fixture := newFixtureWithTwoMachineTypes(t)
 	fixture.Now.Monotonic = fixture.Now.Monotonic.Add(time.Hour)
@@ -20,7 +20,7 @@
 		job         protocol.JobID
 		precedence  int
 		runningFor  time.Duration
-		saveSeconds float64 // of a checkpoint; 0: it saves none
+		saveSeconds float64 // time to save a checkpoint, or 0 if the task saves none
 	}{
 		{"j-higher", 0, time.Second, 0},
 		{"j-equal", 1, time.Second, 0},
@@ -38,12 +38,12 @@
 		got = append(got, victim.job)
 	}
 	if want := []protocol.JobID{"j-short", "j-checkpoint", "j-long"}; !slices.Equal(got, want) {
-		t.Errorf("victims %v; wanted %v", got, want)
+		t.Errorf("got victims %v, want %v", got, want)
 	}
 	if got := fixture.preemptor.capacityAfterPreemption(machine, job); got != 14 {
-		t.Errorf("%d tasks fit after the preemption; wanted 14", got)
+		t.Errorf("%d tasks fit after the preemption, want 14", got)
 	}
 	if machine.free.Cores != 11 {
-		t.Errorf("the simulation has changed the machine: %v cores are free", machine.free.Cores)
+		t.Errorf("the machine has %v free cores after the computation, want 11 as before", machine.free.Cores)
 	}
 }
--- a/internal/coordination/scheduling/queue_test.go
+++ b/internal/coordination/scheduling/queue_test.go
@@ -9,8 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// Starved jobs go first by age; all others by precedence, then those that can still meet an
-// objective, then by due time and at last by ID.
+// TestQueueOrder checks the order of the queue: starved jobs by age, then all other jobs by precedence, by
+// whether they can still meet an objective, by due time and finally by ID.
 func TestQueueOrder(t *testing.T) {
 	starvedSince := func(submittedAt protocol.Millis) PendingJob {
 		position := queuePosition{isStarved: true, queuePrecedence: 3}
@@ -25,33 +25,34 @@
 		first, second PendingJob
 	}{
 		{"starved before the highest priority", starvedSince(9), queued(0, false, 1)},
-		{"the job that has starved longest", starvedSince(1), starvedSince(2)},
+		{"the job that has starved longest first", starvedSince(1), starvedSince(2)},
 		{"precedence before lateness", queued(1, true, 9), queued(2, false, 1)},
-		{"what can meet an objective before what is late", queued(1, false, 9), queued(1, true, 1)},
-		{"the earlier due time", queued(1, false, 1), queued(1, false, 2)},
-		{"the ID at last", queued(1, false, 1), queued(1, false, 1)},
+		{"a job that can meet an objective before a late job", queued(1, false, 9), queued(1, true, 1)},
+		{"the earlier due time first", queued(1, false, 1), queued(1, false, 2)},
+		{"the smaller ID first", queued(1, false, 1), queued(1, false, 1)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.first.id, test.second.id = "j-1", "j-2"
 			if !test.first.isServedBefore(&test.second) || test.second.isServedBefore(&test.first) {
-				t.Errorf("%+v is not served before %+v", test.first.queuePosition, test.second.queuePosition)
+				t.Errorf("%+v is not served before %+v, want it first", test.first.queuePosition, test.second.queuePosition)
 			}
 		})
 	}
 }
 
-// A team's limit bounds the tasks by cores and by accelerators, those in use included.
+// TestQuotaHeadroom checks that a team's limits on cores and accelerators, less the resources in use, bound the
+// number of further tasks.
 func TestQuotaHeadroom(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		quota step.Quota
-		used  int // tasks of the team
-		want  int
+		name      string
+		quota     step.Quota
+		usedTasks int // running tasks of the team
+		want      int
 	}{
 		{"no limit", step.Quota{}, 1, protocol.MaxTasks},
 		{"nothing in use", step.Quota{MaxCores: 8}, 0, 4},
 		{"some in use", step.Quota{MaxCores: 8}, 3, 1},
-		{"a part of a task is none", step.Quota{MaxCores: 7}, 0, 3},
+		{"a fraction of a task does not count", step.Quota{MaxCores: 7}, 0, 3},
 		{"more in use than the limit", step.Quota{MaxCores: 4}, 3, 0},
 		{"accelerators are scarcer", step.Quota{MaxCores: 8, MaxAccelerators: 2}, 0, 2},
 	} {
@@ -61,15 +62,16 @@
 			spec := newArrayJob(2, 20)
 			spec.Accelerators = 1
 			machine := newCandidate(&largeMachineType, "m-1", false)
-			fixture.addTasks(machine, spec, allocation{job: "j-2", attempt: 1, count: test.used}, 0)
+			fixture.addTasks(machine, spec, allocation{job: "j-2", attempt: 1, count: test.usedTasks}, 0)
 			if got := fixture.Queue.quotaHeadroom([]*Candidate{machine}, spec); got != test.want {
-				t.Errorf("headroom of %d tasks; wanted %d", got, test.want)
+				t.Errorf("got headroom for %d tasks, want %d", got, test.want)
 			}
 		})
 	}
 }
 
-// A job bound to one zone stays in it; one that spreads has at most half of its tasks in a zone.
+// TestZoneHeadroom checks that a single-zone job stays in its zone, and that a job that spreads over zones has at
+// most half of its tasks in one zone.
 func TestZoneHeadroom(t *testing.T) {
 	for _, test := range []struct {
 		name                    string
@@ -79,10 +81,10 @@
 	}{
 		{"no constraint", false, false, 3, 3, protocol.MaxTasks},
 		{"single zone, nothing placed", true, false, 0, 0, protocol.MaxTasks},
-		{"single zone, this one", true, false, 3, 0, protocol.MaxTasks},
-		{"single zone, another one", true, false, 0, 1, 0},
-		{"spread, the half is placed", false, true, 5, 0, 0},
-		{"spread, less than the half is", false, true, 3, 5, 2},
+		{"single zone, tasks in this zone", true, false, 3, 0, protocol.MaxTasks},
+		{"single zone, tasks in another zone", true, false, 0, 1, 0},
+		{"spread, half of the tasks in this zone", false, true, 5, 0, 0},
+		{"spread, less than half of the tasks in this zone", false, true, 3, 5, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newFixtureWithTwoMachineTypes(t)
@@ -91,7 +93,7 @@
 			job := fixture.newPendingJob(spec, time.Minute)
 			job.tasksByZone["a"], job.tasksByZone["b"] = test.inA, test.inB
 			if got := job.zoneHeadroom("a"); got != test.want {
-				t.Errorf("headroom of %d tasks; wanted %d", got, test.want)
+				t.Errorf("got headroom for %d tasks, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/services_test.go
+++ b/internal/coordination/scheduling/services_test.go
@@ -7,20 +7,21 @@
 	"tillerarch/internal/protocol"
 )
 
-// A machine has at most half of a service's replicas unless the limit of the step says otherwise.
+// TestReplicaHeadroom checks that a machine gets at most half of a service's replicas unless the placer's limit
+// is a different one.
 func TestReplicaHeadroom(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		limit   replicaLimit
-		running int // replicas on the machine
-		want    int
+		name            string
+		limit           replicaLimit
+		runningReplicas int // replicas that run on the machine
+		want            int
 	}{
 		{"half of the replicas", halfOfReplicas, 0, 3},
-		{"less those that run there", halfOfReplicas, 2, 1},
-		{"none beyond the half", halfOfReplicas, 3, 0},
-		{"one on a machine", oneReplica, 0, 1},
-		{"one runs there", oneReplica, 1, 0},
-		{"all that remain", allReplicas, 1, 4},
+		{"half of the replicas less the running ones", halfOfReplicas, 2, 1},
+		{"no replica beyond half of them", halfOfReplicas, 3, 0},
+		{"one replica on a machine", oneReplica, 0, 1},
+		{"one replica on a machine where one runs", oneReplica, 1, 0},
+		{"all remaining replicas", allReplicas, 1, 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newFixtureWithTwoMachineTypes(t)
@@ -30,11 +31,11 @@
 				services:          fixture.Services,
 				job:               fixture.newPendingJob(spec, time.Minute),
 				limit:             test.limit,
-				remainingReplicas: 5 - test.running,
-				replicasByMachine: map[protocol.MachineID]int{"m-1": test.running},
+				remainingReplicas: 5 - test.runningReplicas,
+				replicasByMachine: map[protocol.MachineID]int{"m-1": test.runningReplicas},
 			}
 			if got := placer.replicaHeadroom(newCandidate(&smallMachineType, "m-1", false)); got != test.want {
-				t.Errorf("%d more replicas; wanted %d", got, test.want)
+				t.Errorf("got headroom for %d more replicas, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/scheduling/warm_pool_test.go
+++ b/internal/coordination/scheduling/warm_pool_test.go
@@ -8,22 +8,22 @@
 	"tillerarch/internal/protocol"
 )
 
-// Idle machines are kept for work that cannot wait for a boot, the cheapest first, as many as it
-// had at its peak; the others are scaled in early. Where urgent work is most of all, as at
-// deployments with few machines, none is.
+// TestWarmPool checks that idle machines are retained for work that cannot wait for a boot, cheapest first, as
+// many as that work used at its peak, and that the others can be scaled in early. Where urgent work is at least
+// half of all work, as in deployments with few machines, all machines are retained.
 func TestWarmPool(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		peakTasks    int // urgent tasks at the peak
-		currentTasks int // and later
-		slackSeconds int // how long they may wait
-		otherTasks   int // tasks that can wait
+		currentTasks int // urgent tasks after the peak
+		slackSeconds int // how long the urgent tasks can wait
+		otherTasks   int // tasks that can wait for a boot
 		want         []protocol.MachineID
 	}{
 		{"as many as at the peak", 2, 0, 8, 100, []protocol.MachineID{"m-3", "m-4"}},
-		{"less what is there now", 2, 1, 8, 100, []protocol.MachineID{"m-3"}},
+		{"as many as at the peak less the current tasks", 2, 1, 8, 100, []protocol.MachineID{"m-3"}},
 		{"none for work that can wait", 2, 0, 600, 100, nil},
-		{"all where most is urgent", 2, 0, 8, 1, []protocol.MachineID{"m-1", "m-2", "m-3", "m-4"}},
+		{"all where most work is urgent", 2, 0, 8, 1, []protocol.MachineID{"m-1", "m-2", "m-3", "m-4"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newFixtureWithTwoMachineTypes(t)
@@ -51,7 +51,7 @@
 				}
 			}
 			if !slices.Equal(got, test.want) {
-				t.Errorf("%v are kept; wanted %v", got, test.want)
+				t.Errorf("retained machines %v, want %v", got, test.want)
 			}
 		})
 	}
