--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -17,8 +17,7 @@
 
 const owner storage.Incarnation = "stall-0#7" // of the controller under test
 
-// fixture is the package's parts with those that they work on, registered and up to date at
-// revision 2.
+// fixture holds the parts of this package and the parts of other packages that they depend on.
 type fixture struct {
 	steptest.Fixture
 	*Parts
@@ -28,6 +27,7 @@
 	canceller *cancellation.Canceller
 }
 
+// newFixture returns a fixture that has loaded an empty store at revision 1 and is not registered.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	config := steptest.Config()
@@ -85,7 +85,8 @@
 	return f
 }
 
-// newRegisteredFixture is a fixture whose incarnation is on record.
+// newRegisteredFixture returns a fixture whose incarnation is registered, and which is up to date at
+// revision 2.
 func newRegisteredFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixture(t)
@@ -96,7 +97,7 @@
 	return f
 }
 
-// takeEffects gives the effects of a type since the last call, and drops the others.
+// takeEffects returns the effects of type T since the last call, and discards all effects.
 func takeEffects[T step.Effect](f *fixture) []T {
 	taken := steptest.EffectsOf[T](f.Effects)
 	f.Effects = nil
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -11,41 +11,44 @@
 	"tillerarch/internal/storage"
 )
 
-// operatorReply is the error of the one answer to an operator since the last call.
+// operatorReply returns whether an operator's request has been answered since the last call, and the
+// error in the answer. It fails the test if there is more than one answer.
 func (f *fixture) operatorReply(t *testing.T) (isAnswered bool, err error) {
 	t.Helper()
 	answers := 0
 	for _, effect := range f.Effects {
-		switch v := effect.(type) {
+		switch reply := effect.(type) {
 		case TransferReply:
-			err = v.Err
+			err = reply.Err
 			answers++
 		case DrainReply:
-			err = v.Err
+			err = reply.Err
 			answers++
 		}
 	}
 	f.Effects = nil
 	if answers > 1 {
-		t.Fatalf("%d answers to one request", answers)
+		t.Fatalf("%d answers to one request, want at most 1", answers)
 	}
 	return answers == 1, err
 }
 
-// wantRefusal checks that the last request is refused with this reason.
+// wantRefusal checks that the last request is refused with the given reason.
 func (f *fixture) wantRefusal(t *testing.T, reason string, transient bool) {
 	t.Helper()
 	_, err := f.operatorReply(t)
 	var requestErr *RequestError
 	if !errors.As(err, &requestErr) {
-		t.Fatalf("answered %v, want a refusal", err)
+		t.Fatalf("the answer has error %v, want a RequestError", err)
 	}
 	if requestErr.Reason != reason || requestErr.Transient != transient {
-		t.Errorf("refused with %q, transient %v; want %q, %v", requestErr.Reason, requestErr.Transient, reason, transient)
+		t.Errorf("refused with %q, transient %v; want %q, transient %v",
+			requestErr.Reason, requestErr.Transient, reason, transient)
 	}
 }
 
-// putControllers puts two more controllers on record, and a shard of this one.
+// putControllers puts two more controllers, a shard of the controller under test and a shard of an
+// ended incarnation into the replica.
 func (f *fixture) putControllers(t *testing.T) {
 	t.Helper()
 	f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1","m":true}`), 2)
@@ -55,9 +58,9 @@
 	f.Put(t, storage.ShardKey("q"), storage.EncodePlainShard("stall-9#1", 3, []string{record.EncodeLine("m-2")}, nil), 2)
 }
 
-// What an operator reads when a transfer or a drain is refused, word for word.
+// Refused transfers and drains must give the operator the exact reasons listed here.
 func TestOperatorRequestRefusals(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		request   any
 		reason    string
@@ -126,12 +129,12 @@
 			reason:  `no controller "stall-9" is up`,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
 			f.putControllers(t)
-			f.sendRequest(c.request)
+			f.sendRequest(test.request)
 			f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
-			f.wantRefusal(t, c.reason, c.transient)
+			f.wantRefusal(t, test.reason, test.transient)
 		})
 	}
 	t.Run("drain of the last controller", func(t *testing.T) {
@@ -139,7 +142,7 @@
 		f.sendRequest(DrainRequest{Controller: "stall-0", Drain: true})
 		f.wantRefusal(t, `no other controller is up that could take the machines of "stall-0"`, false)
 	})
-	t.Run("transfers not on record", func(t *testing.T) {
+	t.Run("recorded transfers disabled", func(t *testing.T) {
 		f := newRegisteredFixture(t)
 		f.putControllers(t)
 		f.Config.RecordTransfers = false
@@ -153,38 +156,39 @@
 	})
 }
 
+// sendRequest passes a transfer or drain request to the part under test.
 func (f *fixture) sendRequest(request step.Input) {
-	switch v := request.(type) {
+	switch request := request.(type) {
 	case TransferRequest:
-		f.Operators.OnTransferRequest(v)
+		f.Operators.OnTransferRequest(request)
 	case DrainRequest:
-		f.Operators.OnDrainRequest(v)
+		f.Operators.OnDrainRequest(request)
 	}
 }
 
-// A drain is offered to every batch, and answered once it is on record.
-func TestDrainIsAnsweredOnRecord(t *testing.T) {
+// A drain is offered to every batch until it is recorded in the store, and only then answered.
+func TestDrainIsAnsweredOnceRecorded(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
 	f.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
 	for range 2 { // the first transaction may fail
-		b := f.commit.ShardWriter.NewBatch(8)
-		f.Operators.WriteOperatorRequests(b)
-		if !b.ChangesDrain("stall-1") {
+		batch := f.commit.ShardWriter.NewBatch(8)
+		f.Operators.WriteOperatorRequests(batch)
+		if !batch.ChangesDrain("stall-1") {
 			t.Fatal("the drain is not offered to the batch")
 		}
 		if isAnswered, _ := f.operatorReply(t); isAnswered {
-			t.Fatal("answered before it is on record")
+			t.Fatal("the drain is answered before it is recorded")
 		}
 	}
 	f.Put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
 	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
 	if isAnswered, err := f.operatorReply(t); err != nil || !isAnswered {
-		t.Errorf("answered %v with %v once on record", isAnswered, err)
+		t.Errorf("after the drain is recorded: answered %v with error %v, want an answer without error", isAnswered, err)
 	}
 }
 
-// At most 16 requests wait, for 5 s each.
+// At most 16 requests are pending, each for at most 5 s.
 func TestOperatorRequestBounds(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
@@ -193,7 +197,7 @@
 		f.sendRequest(drain)
 	}
 	if isAnswered, _ := f.operatorReply(t); isAnswered {
-		t.Fatal("a request within the bound is answered at once")
+		t.Fatal("one of the first 16 requests is answered at once, want all pending")
 	}
 	f.sendRequest(drain)
 	f.wantRefusal(t, "too many requests wait to be written", true)
@@ -201,36 +205,36 @@
 	f.Advance(5 * time.Second)
 	f.Operators.ExpireOperatorRequests()
 	if isAnswered, _ := f.operatorReply(t); isAnswered {
-		t.Error("a request is given up before its time")
+		t.Error("a request is refused at its timeout, want it refused only after the timeout")
 	}
 	f.Advance(time.Millisecond)
 	f.Operators.ExpireOperatorRequests()
 	replies := takeEffects[DrainReply](f)
 	if len(replies) != 16 {
-		t.Fatalf("%d requests are given up, want 16", len(replies))
+		t.Fatalf("%d requests are refused after their timeout, want 16", len(replies))
 	}
 	for _, reply := range replies {
 		if reply.Err.Error() != "it could not be written in time; ask again under the same name" {
-			t.Errorf("given up with %q", reply.Err)
+			t.Errorf("refused after the timeout with %q, want the write timeout", reply.Err)
 		}
 	}
 }
 
-// Two drains of the same instant must not drain the last two controllers: each write depends on the
-// drain keys of all controllers, and the one that lost is checked again.
+// Two simultaneous drains must not drain the last two controllers. Each write is conditional on the
+// drain keys of all controllers, and a request whose write failed is checked again.
 func TestDrainsExcludeEachOther(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
 	f.Put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
 	f.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
-	b := f.commit.ShardWriter.NewBatch(8)
-	f.Operators.WriteOperatorRequests(b)
-	conditions := b.Transaction().Conditions
+	batch := f.commit.ShardWriter.NewBatch(8)
+	f.Operators.WriteOperatorRequests(batch)
+	conditions := batch.Transaction().Conditions
 	drainRevisions := map[protocol.ControllerID]protocol.ModRevision{"stall-0": 0, "stall-1": 0, "stall-2": 2}
 	for controller, modRevision := range drainRevisions {
 		want := protocol.Condition{Key: storage.DrainKey(controller), ModRevision: modRevision}
 		if !slices.Contains(conditions, want) {
-			t.Errorf("the write does not depend on %+v", want)
+			t.Errorf("the write is not conditional on %+v", want)
 		}
 	}
 	f.Put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
@@ -238,8 +242,8 @@
 	f.wantRefusal(t, `no other controller is up that could take the machines of "stall-1"`, false)
 }
 
-// Without a named shard, the one with the fewest machines is transferred, of those that are not
-// being transferred already.
+// A request that names no shard transfers the source's shard with the fewest machines, except shards
+// that are being transferred already.
 func TestRequestedShard(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putControllers(t)
@@ -264,10 +268,10 @@
 
 	shard, err := f.Operators.requestedShard(&TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"})
 	if err != nil || shard != "r" {
-		t.Errorf("shard %q, error %v; want the smallest that is not being transferred", shard, err)
+		t.Errorf("requested shard is %q with error %v, want the smallest that is not being transferred", shard, err)
 	}
 	_, err = f.Operators.requestedShard(&TransferRequest{Name: "m", Shard: "s", Target: "stall-1"})
 	if want := `the page is on its way with move "first"`; err == nil || err.Reason != want || !err.Transient {
-		t.Errorf("a shard that is being transferred: %v, want %q", err, want)
+		t.Errorf("request for a shard that is being transferred has error %v, want transient %q", err, want)
 	}
 }
--- a/internal/coordination/requests/submissions_test.go
+++ b/internal/coordination/requests/submissions_test.go
@@ -7,10 +7,11 @@
 	"tillerarch/internal/protocol"
 )
 
-// A job is rejected for good only if its quota, or all machines that it may be placed on, are too
-// small for what must run at the same time: all tasks of a gang or service, one of an array.
+// A job is rejected permanently only if its team's quota, or every machine that it may be placed on,
+// is too small for the tasks that must run at the same time: all tasks of a gang or service, one task
+// of an array.
 func TestCanEverRun(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		quota step.Quota
 		job   protocol.Job
@@ -37,15 +38,15 @@
 		{"task larger than any machine", step.Quota{}, protocol.Job{Cores: 5}, false},
 		{"unknown team", step.Quota{}, protocol.Job{Team: "nobody", Cores: 1}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
 			f.listMachineTypes(machineTypes(4))
-			f.Config.Quotas = map[string]step.Quota{"core": c.quota}
-			if c.job.Team == "" {
-				c.job.Team = "core"
+			f.Config.Quotas = map[string]step.Quota{"core": test.quota}
+			if test.job.Team == "" {
+				test.job.Team = "core"
 			}
-			if got := f.Users.canEverRun(&c.job); got != c.want {
-				t.Errorf("can run: %v, want %v", got, c.want)
+			if got := f.Users.canEverRun(&test.job); got != test.want {
+				t.Errorf("canEverRun returns %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -13,35 +13,38 @@
 	"tillerarch/internal/storage"
 )
 
+// testJob is the ID of the job in the tests' requests.
 const testJob protocol.JobID = "j-1"
 
-// jobBody is a submission of the test job: two tasks of as many cores.
+// jobBody returns the body of a submission of testJob with two tasks of the given cores each.
 func jobBody(cores int) []byte {
 	return fmt.Appendf(nil, `{"uid":"j-1","lane":"l","desk":"core","shape":"batch","rank":"low","pieces":2,"cores":%d,
 "accelerators":0,"mem_gb":1,"bundle":"b","pull_gb":0,"together":false,"scatter":false,"loaners":false,
 "reckon_s":1,"bookmark_s":0,"stow_s":0}`, cores)
 }
 
-// machineTypes are types of machines with so many cores each.
+// machineTypes returns one machine type for each number of cores.
 func machineTypes(cores ...float64) []protocol.MachineType {
 	types := []protocol.MachineType{}
-	for _, n := range cores {
-		types = append(types, protocol.MachineType{Name: "s", Cores: n, MemoryGB: 8, Zones: []protocol.Zone{"a"}})
+	for _, machineCores := range cores {
+		types = append(types, protocol.MachineType{Name: "s", Cores: machineCores, MemoryGB: 8, Zones: []protocol.Zone{"a"}})
 	}
 	return types
 }
 
+// listMachineTypes replaces the machine types that the cloud offers.
 func (f *fixture) listMachineTypes(types []protocol.MachineType) {
 	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{MachineTypes: types})
 }
 
+// putJob puts a record of testJob into the replica.
 func (f *fixture) putJob(t *testing.T, record storage.JobRecord, modRevision protocol.ModRevision) {
 	t.Helper()
 	record.Spec = &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}
 	f.Put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, &record), modRevision)
 }
 
-// replyStatuses are the HTTP statuses of the answers since the last call.
+// replyStatuses returns the HTTP statuses of the answers since the last call.
 func (f *fixture) replyStatuses() []int {
 	statuses := []int{}
 	for _, reply := range takeEffects[step.Reply](f) {
@@ -50,29 +53,30 @@
 	return statuses
 }
 
+// wantStatuses checks the HTTP statuses of the answers since the last call.
 func (f *fixture) wantStatuses(t *testing.T, when string, want ...int) {
 	t.Helper()
 	if got := f.replyStatuses(); !slices.Equal(got, want) {
-		t.Errorf("%s: answered %v, want %v", when, got, want)
+		t.Errorf("%s: answered with statuses %v, want %v", when, got, want)
 	}
 }
 
-// An answer waits for a replica that is as new as a revision read after the request came; what that
-// replica says decides.
+// The answer to a deferred request waits until the replica is as new as a revision that was read after
+// the request was received, and is determined by the records of that replica.
 func TestDeferredRequests(t *testing.T) {
 	query := step.UserInput{RequestID: 1, Type: protocol.RequestQuery, Job: testJob}
 	cancel := step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob}
 	submit := func(cores int) step.UserInput {
 		return step.UserInput{RequestID: 1, Type: protocol.RequestSubmit, Body: jobBody(cores)}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name              string
-		before            *storage.JobRecord // of the job as the request comes
+		before            *storage.JobRecord // of the job when the request is received
 		request           step.UserInput
 		after             *storage.JobRecord     // of the job once the replica has caught up
 		newTypes          []protocol.MachineType // replace the cloud's machine types meanwhile, unless nil
-		want              []int
-		isSubmitted       bool // the job waits to be put on record
+		want              []int                  // HTTP statuses of the answers
+		isSubmitted       bool                   // the job waits to be recorded
 		isCancelRequested bool
 	}{
 		{
@@ -112,7 +116,7 @@
 			want:    []int{http.StatusUnprocessableEntity},
 		},
 		{
-			name:    "job too large, accepted elsewhere",
+			name:    "job too large, accepted by another controller",
 			request: submit(5),
 			after:   &storage.JobRecord{Owner: "stall-1#1"},
 			want:    []int{http.StatusOK},
@@ -131,22 +135,22 @@
 			want:     []int{http.StatusServiceUnavailable},
 		},
 		{
-			name:    "job on record with another owner",
+			name:    "job recorded with another owner",
 			before:  &storage.JobRecord{Owner: "stall-1#1"},
 			request: submit(1),
 			after:   &storage.JobRecord{Owner: "stall-1#1"},
 			want:    []int{http.StatusOK},
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
 			f.listMachineTypes(machineTypes(4))
-			if c.before != nil {
-				f.putJob(t, *c.before, 2)
+			if test.before != nil {
+				f.putJob(t, *test.before, 2)
 			}
-			f.Users.OnUserInput(c.request)
+			f.Users.OnUserInput(test.request)
 			if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
-				t.Fatalf("the revision is read %d times, want once", len(reads))
+				t.Fatalf("the store's revision is read %d times, want once", len(reads))
 			}
 			f.Users.ReplyToPendingRequests()
 			f.wantStatuses(t, "before the revision is known")
@@ -157,47 +161,47 @@
 			f.wantStatuses(t, "with an older replica")
 
 			f.Replica.Revision = 9
-			if c.after != nil {
-				f.putJob(t, *c.after, 9)
+			if test.after != nil {
+				f.putJob(t, *test.after, 9)
 			}
-			if c.newTypes != nil {
-				f.listMachineTypes(c.newTypes)
+			if test.newTypes != nil {
+				f.listMachineTypes(test.newTypes)
 			}
 			f.Users.ReplyToPendingRequests()
-			f.wantStatuses(t, "with a replica as new", c.want...)
-			if f.Users.HasSubmissions() != c.isSubmitted {
-				t.Errorf("waits to be put on record: %v, want %v", f.Users.HasSubmissions(), c.isSubmitted)
+			f.wantStatuses(t, "with a replica at the read revision", test.want...)
+			if f.Users.HasSubmissions() != test.isSubmitted {
+				t.Errorf("the job waits to be recorded: %v, want %v", f.Users.HasSubmissions(), test.isSubmitted)
 			}
-			if isWaiting := len(c.want) == 0 && !c.isSubmitted; f.Users.HasDeferredRequests() != isWaiting {
-				t.Errorf("still deferred: %v, want %v", f.Users.HasDeferredRequests(), isWaiting)
+			if isWaiting := len(test.want) == 0 && !test.isSubmitted; f.Users.HasDeferredRequests() != isWaiting {
+				t.Errorf("the request is still deferred: %v, want %v", f.Users.HasDeferredRequests(), isWaiting)
 			}
-			if got := f.canceller.HasRequests(); got != c.isCancelRequested {
-				t.Errorf("cancellation requested: %v, want %v", got, c.isCancelRequested)
+			if got := f.canceller.HasRequests(); got != test.isCancelRequested {
+				t.Errorf("cancellation requested: %v, want %v", got, test.isCancelRequested)
 			}
 		})
 	}
 }
 
-// A cancellation is answered once the job is cancelled, not once it is requested.
+// A cancellation is answered once the job is recorded as cancelled, not once the request is recorded.
 func TestCancelAwaitsConfirmation(t *testing.T) {
 	f := newRegisteredFixture(t)
 	f.putJob(t, storage.JobRecord{Owner: owner}, 2)
 	f.Users.OnUserInput(step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob})
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
 	f.Users.ReplyToPendingRequests()
-	f.wantStatuses(t, "requested")
+	f.wantStatuses(t, "cancellation requested")
 	f.putJob(t, storage.JobRecord{Owner: owner, CancelRequested: true}, 3)
 	f.Replica.Revision = 3
 	f.Users.ReplyToPendingRequests()
-	f.wantStatuses(t, "request on record")
+	f.wantStatuses(t, "cancellation request recorded")
 	f.putJob(t, storage.JobRecord{Owner: owner, State: protocol.JobCancelled}, 4)
 	f.Replica.Revision = 4
 	f.Users.ReplyToPendingRequests()
-	f.wantStatuses(t, "confirmed", http.StatusOK)
+	f.wantStatuses(t, "cancellation confirmed", http.StatusOK)
 }
 
-// A read of the revision counts only for requests that came before it began; a later one needs
-// another read, which all that have come meanwhile share.
+// A read of the revision serves only the requests that were received before the read began. Requests
+// that are received during the read share the next one.
 func TestRevisionReadsAreShared(t *testing.T) {
 	f := newRegisteredFixture(t)
 	query := func(id step.RequestID) {
@@ -207,12 +211,12 @@
 	query(2)
 	query(3)
 	if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
-		t.Fatalf("%d reads for the first request, want 1", len(reads))
+		t.Fatalf("%d reads of the revision for three requests, want 1 until its result arrives", len(reads))
 	}
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
 	f.Users.ReplyToPendingRequests()
 	if replies := takeEffects[step.Reply](f); len(replies) != 1 || replies[0].RequestID != 1 {
-		t.Errorf("answers to %v, want the first request only", replies)
+		t.Errorf("replies after the first read are %v, want only that to the first request", replies)
 	}
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Err: errors.New("no answer")})
 	f.wantStatuses(t, "second read failed", http.StatusServiceUnavailable, http.StatusServiceUnavailable)
@@ -221,10 +225,11 @@
 	}
 }
 
-// Requests that would wait too long, or for a store that is unavailable, are rejected for a retry.
+// Requests that have waited longer than Config.UserRequestTimeout, or that are waiting while the store
+// is unavailable, are rejected with a Retry-After header.
 func TestExpireUserRequests(t *testing.T) {
 	allRejected := slices.Repeat([]int{http.StatusServiceUnavailable}, 3)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		wait       time.Duration
 		storeFails bool
@@ -234,19 +239,19 @@
 		{name: "after the timeout", wait: 1501 * time.Millisecond, want: allRejected},
 		{name: "store unavailable", wait: 1100 * time.Millisecond, storeFails: true, want: allRejected},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
 			f.listMachineTypes(machineTypes(4))
-			for id := range step.RequestID(2) { // of one job, by two users
+			for id := range step.RequestID(2) { // two submissions of one job
 				f.Users.OnUserInput(step.UserInput{RequestID: id + 1, Type: protocol.RequestSubmit, Body: jobBody(1)})
 			}
 			if !f.Users.HasSubmissions() {
-				t.Fatal("the job does not wait to be put on record")
+				t.Fatal("the job does not wait to be recorded")
 			}
 			f.Users.OnUserInput(step.UserInput{RequestID: 3, Type: protocol.RequestQuery, Job: "j-2"})
 			f.Effects = nil
-			f.Advance(c.wait)
-			if c.storeFails {
+			f.Advance(test.wait)
+			if test.storeFails {
 				for range 2 {
 					f.commit.Store.RecordContact(f.Now.Monotonic, errors.New("no answer"))
 				}
@@ -258,15 +263,15 @@
 				statuses = append(statuses, reply.Status)
 				want := string(protocol.Encode(step.ErrorResponse{Error: "cannot decide now"}))
 				if reply.RetryAfterSeconds != 1 || string(reply.Body) != want {
-					t.Errorf("answered %q, to be retried after %d s", reply.Body, reply.RetryAfterSeconds)
+					t.Errorf("answered %q with Retry-After %d s, want \"cannot decide now\" and 1 s", reply.Body, reply.RetryAfterSeconds)
 				}
 			}
-			if !slices.Equal(statuses, c.want) {
-				t.Errorf("answered %v, want %v", statuses, c.want)
+			if !slices.Equal(statuses, test.want) {
+				t.Errorf("answered with statuses %v, want %v", statuses, test.want)
 			}
-			if isLeft := len(c.want) == 0; f.Users.HasSubmissions() != isLeft || f.Users.HasDeferredRequests() != isLeft {
-				t.Errorf("submissions left %v, deferred requests left %v, want %v",
-					f.Users.HasSubmissions(), f.Users.HasDeferredRequests(), isLeft)
+			if isPending := len(test.want) == 0; f.Users.HasSubmissions() != isPending || f.Users.HasDeferredRequests() != isPending {
+				t.Errorf("submissions pending: %v, deferred requests pending: %v, want %v for both",
+					f.Users.HasSubmissions(), f.Users.HasDeferredRequests(), isPending)
 			}
 		})
 	}
