--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -42,8 +42,8 @@
 // OnAgentResult processes the result of a direct call: the status of the agent, or an error.
 func (ac *Caller) OnAgentResult(result step.AgentResult) {
 	ac.agentCallsInFlight--
-	ok := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
-	if ok {
+	hasAnswered := result.Err == nil && result.Heartbeat != nil && result.Heartbeat.Machine == result.Machine
+	if hasAnswered {
 		ac.misdirected.recordProbeAnswer(result.Machine)
 	}
 	state := ac.agents.machineStates[result.Machine]
@@ -54,12 +54,12 @@
 	entry := ac.Replica.Machines[result.Machine]
 	switch {
 	case entry != nil && ac.lease.OwnsMachine(&entry.Record):
-		if ok {
+		if hasAnswered {
 			ac.onOwnedAgentStatus(state, result.Heartbeat)
 		} else {
 			ac.onOwnedAgentFailure(state)
 		}
-	case !ok:
+	case !hasAnswered:
 	case entry != nil:
 		// The agent was probed because the owner of its machine sends no peer status. What the
 		// agent reports is valid nevertheless.
--- a/internal/coordination/agents/agent_table.go
+++ b/internal/coordination/agents/agent_table.go
@@ -104,6 +104,7 @@
 	}
 }
 
+// hasAttempt reports whether a record has an assignment of the same job and attempt.
 func hasAttempt(record *storage.MachineRecord, assignment *storage.Assignment) bool {
 	for i := range record.Assignments {
 		if other := &record.Assignments[i]; other.Job == assignment.Job && other.Attempt == assignment.Attempt {
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -111,7 +111,7 @@
 // isGangFullyAssigned reports whether every task of the gang is done, or assigned with the attempt to a
 // machine that is not terminating. No task of a gang may start before.
 func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
-	covered := jt.Replica.CompletedTasks(id)
+	coveredTasks := jt.Replica.CompletedTasks(id)
 	for machineID := range jt.Replica.MachinesWithJob(id) {
 		machine := jt.Replica.Machines[machineID]
 		if machine.Record.Terminating {
@@ -119,11 +119,11 @@
 		}
 		for assignment := range machine.Record.AssignmentsOf(id) {
 			if assignment.Attempt == attempt {
-				covered = covered.Union(assignment.Tasks)
+				coveredTasks = coveredTasks.Union(assignment.Tasks)
 			}
 		}
 	}
-	return covered.Len() == record.Spec.TaskCount
+	return coveredTasks.Len() == record.Spec.TaskCount
 }
 
 // isGangBroken reports whether an attempt of a gang has been incomplete for longer than its assignment
--- a/internal/coordination/agents/machine_state.go
+++ b/internal/coordination/agents/machine_state.go
@@ -72,9 +72,9 @@
 	satisfied := true
 	assignment.Tasks.Each(func(index int) bool {
 		task := protocol.Task{Job: assignment.Job, Index: index}
-		_, inFlight := m.InflightStarts[task]
+		_, isInFlight := m.InflightStarts[task]
 		status := m.taskStatuses[task]
-		satisfied = !inFlight && (status == nil || isSatisfied(status))
+		satisfied = !isInFlight && (status == nil || isSatisfied(status))
 		return satisfied
 	})
 	return satisfied
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -40,10 +40,10 @@
 // heartbeats to this controller. If they do not all fit, it reports true, and the next status continues
 // with the rest.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
-	responded := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
+	respondedMachines := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
 		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
 	})
-	for _, id := range responded[:min(len(responded), step.MaxMisdirectedPerStatus)] {
+	for _, id := range respondedMachines[:min(len(respondedMachines), step.MaxMisdirectedPerStatus)] {
 		heartbeat := mh.byMachine[id]
 		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, step.MisdirectedHeartbeat{
 			Machine:    id,
@@ -53,7 +53,7 @@
 		heartbeat.isAnnounced = true
 		mh.byMachine[id] = heartbeat
 	}
-	if len(responded) > step.MaxMisdirectedPerStatus {
+	if len(respondedMachines) > step.MaxMisdirectedPerStatus {
 		return true
 	}
 	for id, heartbeat := range mh.byMachine {
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -49,10 +49,10 @@
 // commands.
 func (am *Monitor) TickMachines() {
 	am.jobs.trackIncompleteGangs()
-	owned, isCutOff := am.inspectOwnedMachines()
+	owned, isIsolated := am.inspectOwnedMachines()
 	for _, machine := range owned {
 		am.stopper.tickTaskStops(machine.entry, machine.state)
-		am.scaleIn.EvaluateScaleIn(machine.entry, machine.state, isCutOff)
+		am.scaleIn.EvaluateScaleIn(machine.entry, machine.state, isIsolated)
 		if am.mustCallAgent(machine.entry, machine.state) {
 			am.calls.sendCommands(machine.entry, machine.state, nil, tokenCallInterval)
 		}
@@ -61,8 +61,8 @@
 
 // inspectOwnedMachines returns the owned machines and marks the silent ones as suspect. It reports
 // whether so many of them are silent that this controller itself must be isolated from the network.
-func (am *Monitor) inspectOwnedMachines() (owned []ownedMachine, isCutOff bool) {
-	monitored, silent := 0, 0
+func (am *Monitor) inspectOwnedMachines() (owned []ownedMachine, isIsolated bool) {
+	monitoredCount, silentCount := 0, 0
 	for _, shard := range am.shards.OwnedShards() {
 		for _, id := range am.Replica.Shards[shard].Machines {
 			entry := am.Replica.Machines[id]
@@ -74,15 +74,15 @@
 			if entry.Record.AgentEpoch == 0 || entry.Record.Terminating {
 				continue
 			}
-			monitored++
+			monitoredCount++
 			if am.agents.IsSilent(state) {
-				silent++
+				silentCount++
 				am.agents.markSuspect(state)
 			}
 		}
 	}
-	am.scaleIn.BeginScaleInReview(silent)
-	return owned, silent >= minSilentWhenIsolated && 3*silent > 2*monitored // more than two thirds
+	am.scaleIn.BeginScaleInReview(silentCount)
+	return owned, silentCount >= minSilentWhenIsolated && 3*silentCount > 2*monitoredCount // more than two thirds
 }
 
 // mustCallAgent reports whether the agent must be called directly, either to test whether commands
@@ -101,6 +101,6 @@
 	}
 	// An agent that has shown the current shard epoch sends its heartbeats to this controller. If one of
 	// them waits for its response, the response will show the token.
-	sendsHeartbeatsHere := storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
-	return sendsHeartbeatsHere && !state.isDeferred() || am.Since(state.LastContactAt) > staleTokenContactAge
+	reachesThisController := storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
+	return reachesThisController && !state.isDeferred() || am.Since(state.LastContactAt) > staleTokenContactAge
 }
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -197,7 +197,7 @@
 func (r *Reconciler) mustRequeueAbsent(
 	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
 ) bool {
-	if _, inFlight := state.InflightStarts[task]; inFlight {
+	if _, isInFlight := state.InflightStarts[task]; isInFlight {
 		return false // the agent may still execute the start, so the absence of the task is no proof
 	}
 	job := batch.JobRecord(task.Job)
@@ -276,12 +276,12 @@
 
 // updateDrain records whether the machine accepts new tasks.
 func (r *Reconciler) updateDrain(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
-	drain := r.shouldDrain(state, record)
-	if drain == batch.MachineRecord(state.ID).Cordoned || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
+	mustDrain := r.shouldDrain(state, record)
+	if mustDrain == batch.MachineRecord(state.ID).Cordoned || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return
 	}
-	batch.MutableMachine(state.ID).Cordoned = drain
-	batch.Log(slog.LevelInfo, "machine drain changed", "machine", string(state.ID), "enabled", drain,
+	batch.MutableMachine(state.ID).Cordoned = mustDrain
+	batch.Log(slog.LevelInfo, "machine drain changed", "machine", string(state.ID), "enabled", mustDrain,
 		"preempted", state.isPreempted(), "seconds_since_contact", r.Since(state.LastContactAt).Seconds())
 }
 
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -116,7 +116,7 @@
 				t.Errorf("task requeued: %v, want the opposite", isRequeued)
 			}
 			if got := writtenDoneTasks(t, batch.Transaction()); got != test.wantDone {
-				t.Errorf("tasks recorded as done: %q, want the case's wantDone", got)
+				t.Errorf("tasks recorded as done: %q, want those that the case states", got)
 			}
 		})
 	}
