--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -64,11 +64,11 @@
 ) *arrayPlacer {
 	spec := job.record.Spec
 	placer := &arrayPlacer{scheduler: s, batch: batch, job: job, candidates: candidates, unplacedTasks: job.unplacedTasks()}
-	quota := s.queue.quotaHeadroom(candidates, spec)
+	quotaHeadroom := s.queue.quotaHeadroom(candidates, spec)
 	// The encoded set of done tasks must fit the job's record. The number of tasks in progress bounds
 	// the number of gaps in the set.
 	recordHeadroom := max(s.acquirer.maxTasksInProgress(spec.TaskCount)-job.placedTasks, 0)
-	placer.placeableTasks = min(placer.unplacedTasks, maxTasks, quota, recordHeadroom)
+	placer.placeableTasks = min(placer.unplacedTasks, maxTasks, quotaHeadroom, recordHeadroom)
 	placer.canWrite = s.acquirer.canPlaceNow(batch, job)
 	if placer.canWrite {
 		placer.pendingTasks = s.acquirer.pendingTasks(batch, job, placer.placeableTasks)
--- a/internal/coordination/scheduling/backfill.go
+++ b/internal/coordination/scheduling/backfill.go
@@ -43,20 +43,20 @@
 		return 0 // capacity alone does not decide where the tasks may run
 	}
 	deadline := bp.Now.Monotonic.Add(bp.maxCapacityWait(job))
-	reserved := 0
+	reservedTasks := 0
 	for _, machine := range candidates {
-		if reserved >= tasks {
+		if reservedTasks >= tasks {
 			break
 		}
 		if !bp.canBackfillOn(job, machine) {
 			continue
 		}
-		if count := min(bp.capacityByDeadline(machine, spec, deadline), tasks-reserved); count > 0 {
-			reserved += count
+		if count := min(bp.capacityByDeadline(machine, spec, deadline), tasks-reservedTasks); count > 0 {
+			reservedTasks += count
 			machine.backfillReservation.Allocate(spec, -count)
 		}
 	}
-	return reserved
+	return reservedTasks
 }
 
 // canBackfillOn reports whether tasks of the job could run on the machine once other tasks there have ended.
--- a/internal/coordination/scheduling/candidate.go
+++ b/internal/coordination/scheduling/candidate.go
@@ -57,11 +57,11 @@
 	if c.state.HasImage(spec.Image) {
 		return 0
 	}
-	fetch := protocol.Seconds(catalog.ImageFetchSeconds(c.machineType, spec))
+	fetchTime := protocol.Seconds(catalog.ImageFetchSeconds(c.machineType, spec))
 	if c.state.IsFetchingImage() {
-		fetch *= concurrentFetches
+		fetchTime *= concurrentFetches
 	}
-	return fetch
+	return fetchTime
 }
 
 // pricePerCore returns the price of the machine per core.
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -49,72 +49,72 @@
 // wireParts creates the components and connects them with each other.
 func wireParts(base steptest.Fixture) *schedulingFixture {
 	ctx := base.Context
-	offers := catalog.New(ctx)
-	records := commit.New(ctx)
-	machines := agents.New(ctx)
-	owners := ownership.New(ctx)
-	cloud := provisioning.New(ctx)
-	parts := New(ctx)
-	records.Connect(commit.Dependencies{
-		MachineTracker:    machines.Table,
-		StoreReports:      owners.Peers,
-		SuccessorElection: owners.Manager,
-		Catalog:           offers.Catalog,
-		TransferTracker:   owners.Transfers,
+	catalogParts := catalog.New(ctx)
+	commitParts := commit.New(ctx)
+	agentsParts := agents.New(ctx)
+	ownershipParts := ownership.New(ctx)
+	provisioningParts := provisioning.New(ctx)
+	schedulingParts := New(ctx)
+	commitParts.Connect(commit.Dependencies{
+		MachineTracker:    agentsParts.Table,
+		StoreReports:      ownershipParts.Peers,
+		SuccessorElection: ownershipParts.Manager,
+		Catalog:           catalogParts.Catalog,
+		TransferTracker:   ownershipParts.Transfers,
 	})
-	machines.Connect(agents.Dependencies{
-		Catalog:            offers.Catalog,
-		RemovalRecorder:    cloud.Terminator,
-		Lease:              records.Lease,
-		PlacementForecast:  parts.Plan,
-		Replication:        records.Replication,
-		QuiesceChecker:     owners.Transfers,
-		Committer:          records.Committer,
-		ShardWriter:        records.ShardWriter,
-		TerminationChecker: cloud.Terminator,
-		ScaleInEvaluator:   cloud.Terminator,
+	agentsParts.Connect(agents.Dependencies{
+		Catalog:            catalogParts.Catalog,
+		RemovalRecorder:    provisioningParts.Terminator,
+		Lease:              commitParts.Lease,
+		PlacementForecast:  schedulingParts.Plan,
+		Replication:        commitParts.Replication,
+		QuiesceChecker:     ownershipParts.Transfers,
+		Committer:          commitParts.Committer,
+		ShardWriter:        commitParts.ShardWriter,
+		TerminationChecker: provisioningParts.Terminator,
+		ScaleInEvaluator:   provisioningParts.Terminator,
 	})
-	owners.Connect(ownership.Dependencies{
-		Lease:       records.Lease,
-		Misdirected: machines.Misdirected,
-		Replication: records.Replication,
-		Store:       records.Store,
-		Agents:      machines.Table,
-		Limits:      records.Limits,
-		ShardWriter: records.ShardWriter,
+	ownershipParts.Connect(ownership.Dependencies{
+		Lease:       commitParts.Lease,
+		Misdirected: agentsParts.Misdirected,
+		Replication: commitParts.Replication,
+		Store:       commitParts.Store,
+		Agents:      agentsParts.Table,
+		Limits:      commitParts.Limits,
+		ShardWriter: commitParts.ShardWriter,
 	})
-	cloud.Connect(provisioning.Dependencies{
-		Ownership:    owners.Manager,
-		Replication:  records.Replication,
-		Catalog:      offers.Catalog,
-		Lease:        records.Lease,
-		DemandSource: parts.Plan,
-		Spot:         offers.Spot,
-		Agents:       machines.Table,
-		PlanUse:      parts.Plan,
-		IdlePolicy:   parts.Scheduler,
+	provisioningParts.Connect(provisioning.Dependencies{
+		Ownership:    ownershipParts.Manager,
+		Replication:  commitParts.Replication,
+		Catalog:      catalogParts.Catalog,
+		Lease:        commitParts.Lease,
+		DemandSource: schedulingParts.Plan,
+		Spot:         catalogParts.Spot,
+		Agents:       agentsParts.Table,
+		PlanUse:      schedulingParts.Plan,
+		IdlePolicy:   schedulingParts.Scheduler,
 	})
-	parts.Connect(Dependencies{
-		Catalog:     offers.Catalog,
-		Agents:      machines.Table,
-		Lease:       records.Lease,
-		Provisioner: cloud.Provisioner,
-		Spot:        offers.Spot,
-		Terminator:  cloud.Terminator,
-		Transfers:   owners.Transfers,
-		Jobs:        machines.Jobs,
-		Limits:      records.Limits,
-		Ownership:   owners.Manager,
-		Committer:   records.Committer,
-		Stopper:     machines.Stopper,
+	schedulingParts.Connect(Dependencies{
+		Catalog:     catalogParts.Catalog,
+		Agents:      agentsParts.Table,
+		Lease:       commitParts.Lease,
+		Provisioner: provisioningParts.Provisioner,
+		Spot:        catalogParts.Spot,
+		Terminator:  provisioningParts.Terminator,
+		Transfers:   ownershipParts.Transfers,
+		Jobs:        agentsParts.Jobs,
+		Limits:      commitParts.Limits,
+		Ownership:   ownershipParts.Manager,
+		Committer:   commitParts.Committer,
+		Stopper:     agentsParts.Stopper,
 	})
 	return &schedulingFixture{
 		Fixture:      base,
-		Parts:        parts,
-		catalog:      offers,
-		commit:       records,
-		agents:       machines,
-		provisioning: cloud,
+		Parts:        schedulingParts,
+		catalog:      catalogParts,
+		commit:       commitParts,
+		agents:       agentsParts,
+		provisioning: provisioningParts,
 	}
 }
 
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -39,7 +39,7 @@
 // choosePlacements returns the placements of the gang's tasks. It returns nil if tasks have to be
 // preempted first or the gang fits nowhere.
 func (p *gangPlacer) choosePlacements() []placement {
-	onFree := p.cheapestOnFreeCapacity()
+	onFreeCapacity := p.cheapestOnFreeCapacity()
 	preemptor := p.gangs.preemptor
 	if reservation := preemptor.currentReservation(p.job, p.candidates, p.tasks); reservation != nil {
 		if !hasFreeCapacity(reservation, p.job.record.Spec) {
@@ -47,10 +47,10 @@
 		}
 		return reservation
 	}
-	if onFree != nil && p.isPreemptionQuicker(onFree) {
+	if onFreeCapacity != nil && p.isPreemptionQuicker(onFreeCapacity) {
 		return nil
 	}
-	return onFree
+	return onFreeCapacity
 }
 
 // cheapestOnFreeCapacity distributes the gang over free capacity in the zone with the lowest cost. It
@@ -123,15 +123,15 @@
 // writePlacements writes as many of the placements as fit in the transaction.
 func (p *gangPlacer) writePlacements(placements []placement) {
 	gangs, job := p.gangs, p.job
-	pending := gangs.acquirer.pendingTasks(p.batch, job, p.tasks)
+	pendingTasks := gangs.acquirer.pendingTasks(p.batch, job, p.tasks)
 	attempts := attemptsOf(gangs.jobs, job.id)
 	attempt := attempts.nextAttempt()
 	p.batch.OnSend(func() { attempts.beginGangWrite(attempt) })
 	for _, chosen := range placements {
 		if gangs.scheduler.fitsTransaction(p.batch, chosen.machine, job.record.Spec) {
-			gangs.writeGangTasks(p.batch, job, chosen.machine, pending[:chosen.count], attempt)
+			gangs.writeGangTasks(p.batch, job, chosen.machine, pendingTasks[:chosen.count], attempt)
 		}
-		pending = pending[chosen.count:]
+		pendingTasks = pendingTasks[chosen.count:]
 		job.recordAllocation(chosen.machine, chosen.count, attempt)
 		gangs.plan.retainMachine(chosen.machine)
 	}
@@ -197,8 +197,8 @@
 // preemptOnMachine stops as many tasks on a reserved machine as the gang's tasks need there. The store
 // must contain the reservation before any task is stopped for it.
 func (p *gangPlacer) preemptOnMachine(chosen placement) {
-	recorded := p.gangs.Replica.Jobs[p.job.id].Record.ReservedMachines
-	isReserved := slices.Contains(recorded, chosen.machine.id)
+	recordedMachines := p.gangs.Replica.Jobs[p.job.id].Record.ReservedMachines
+	isReserved := slices.Contains(recordedMachines, chosen.machine.id)
 	free := chosen.machine.free
 	for _, victim := range p.gangs.preemptor.victims(chosen.machine, p.job) {
 		if free.CapacityFor(p.job.record.Spec) >= chosen.count {
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -57,9 +57,9 @@
 // complete an attempt that has lost a task. The other tasks of that attempt end, and the gang restarts
 // as a whole.
 func (g *gangScheduler) completeGang(batch *commit.Batch, job *PendingJob) {
-	unplaced := job.unplacedTasks()
+	unplacedTasks := job.unplacedTasks()
 	attempts := attemptsOf(g.jobs, job.id)
-	if unplaced <= 0 {
+	if unplacedTasks <= 0 {
 		attempts.finishGangWrite()
 		return
 	}
@@ -71,7 +71,7 @@
 	if !attempts.isWritingGang(attempt, g.Now.Monotonic) || isStopping {
 		return
 	}
-	for _, chosen := range g.distributeOnFreeCapacity(batch, job, job.pinnedZone(), unplaced) {
+	for _, chosen := range g.distributeOnFreeCapacity(batch, job, job.pinnedZone(), unplacedTasks) {
 		if chosen.machine.isProvisioning || !g.scheduler.fitsTransaction(batch, chosen.machine, job.record.Spec) {
 			return
 		}
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -72,8 +72,8 @@
 func (ja *jobAcquirer) canWritePlacements(batch *commit.Batch, job *PendingJob) bool {
 	self := ja.lease.Incarnation()
 	entry := ja.Replica.Jobs[job.id]
-	canUseAttempt := attemptsOf(ja.jobs, job.id).hasUnusedAttempt(self)
-	if entry == nil || entry.Record.Owner != self || !canUseAttempt {
+	hasAttempt := attemptsOf(ja.jobs, job.id).hasUnusedAttempt(self)
+	if entry == nil || entry.Record.Owner != self || !hasAttempt {
 		return false
 	}
 	isReplicaUpToDate := ja.Replica.Revision >= protocol.Revision(entry.ModRevision)
@@ -90,24 +90,24 @@
 // pendingTasks returns the indexes of up to limit tasks that are neither done nor assigned, in
 // ascending order.
 func (ja *jobAcquirer) pendingTasks(batch *commit.Batch, job *PendingJob, limit int) []int {
-	covered := batch.DoneTasks(job.id)
+	coveredTasks := batch.DoneTasks(job.id)
 	addAssigned := func(record *storage.MachineRecord) {
 		for assigned := range record.AssignmentsOf(job.id) {
-			covered = covered.Union(assigned.Tasks)
+			coveredTasks = coveredTasks.Union(assigned.Tasks)
 		}
 	}
-	recorded := ja.Replica.MachinesWithJob(job.id)
-	for id := range recorded {
+	recordedMachines := ja.Replica.MachinesWithJob(job.id)
+	for id := range recordedMachines {
 		if !batch.RemovesMachine(id) {
 			addAssigned(batch.MachineRecord(id))
 		}
 	}
 	for id, record := range batch.ChangedMachines() {
-		if !recorded[id] {
+		if !recordedMachines[id] {
 			addAssigned(record)
 		}
 	}
-	return covered.FirstMissing(job.record.Spec.TaskCount, limit)
+	return coveredTasks.FirstMissing(job.record.Spec.TaskCount, limit)
 }
 
 // maxTasksInProgress returns the maximum number of a job's tasks that may be in progress at the same
--- a/internal/coordination/scheduling/pending_job.go
+++ b/internal/coordination/scheduling/pending_job.go
@@ -21,7 +21,7 @@
 // queuePosition determines the order in which jobs are served. It is fixed once the queue is sorted.
 type queuePosition struct {
 	precedence      int             // from Queue.precedenceOf; a smaller one may preempt a larger one
-	queuePrecedence int             // the precedence in the queue, which is smaller than precedence if the job is promoted
+	queuePrecedence int             // precedence in the queue, smaller than precedence if promoted
 	dueAt           protocol.Millis // due time of the first objective that can still be met
 	isLate          bool            // no objective can be met anymore
 	isStarved       bool            // has waited so long without a start that it precedes all other jobs
@@ -44,7 +44,8 @@
 }
 
 // isServedBefore reports whether the job precedes another one in the queue. Starved jobs precede all
-// others, ordered by age. All other jobs are ordered by precedence, lateness and due time.
+// others, ordered by age. All other jobs are ordered by precedence, lateness and due time. The ID is the
+// last criterion.
 func (j *PendingJob) isServedBefore(other *PendingJob) bool {
 	switch {
 	case j.isStarved != other.isStarved:
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -73,12 +73,12 @@
 	}
 	s.placeLongRunningArrays(batch, jobs, candidates)
 	for len(jobs) > 0 {
-		group := 1
-		for group < len(jobs) && jobs[group].hasSamePrecedence(jobs[0]) {
-			group++
+		groupSize := 1
+		for groupSize < len(jobs) && jobs[groupSize].hasSamePrecedence(jobs[0]) {
+			groupSize++
 		}
-		s.placeSamePrecedence(batch, jobs[:group], candidates)
-		jobs = jobs[group:]
+		s.placeSamePrecedence(batch, jobs[:groupSize], candidates)
+		jobs = jobs[groupSize:]
 	}
 }
 
@@ -144,8 +144,8 @@
 			continue
 		}
 		s.acquirer.acquireJob(batch, job)
-		before := job.placedTasks
+		placedBefore := job.placedTasks
 		s.placeArray(batch, job, candidates, allowedTasks, allShards)
-		remainingCores -= float64(job.placedTasks-before) * coresPerTask
+		remainingCores -= float64(job.placedTasks-placedBefore) * coresPerTask
 	}
 }
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -15,7 +15,7 @@
 	// guaranteedPrecedence ranks jobs of teams within their guarantee before every priority.
 	guaranteedPrecedence = -1
 	// startLeadFactor is the multiple of the minimum run time of a job's tasks that is set aside for them
-	// before the time by which they have to end.
+	// if a late end would miss an objective.
 	startLeadFactor = 3
 	// defaultDueAfter is the time from the submission until the due time of a job that has no objective or
 	// has missed all of them.
@@ -94,11 +94,11 @@
 
 // classifyByAge determines whether a job is starved or long-running.
 func (q *Queue) classifyByAge(job *PendingJob) {
-	waited := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
+	waitingTime := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
 	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
-	job.isStarved = waited > q.Config.AgingThreshold && !hasBegun
+	job.isStarved = waitingTime > q.Config.AgingThreshold && !hasBegun
 	isArray := job.record.Spec.Kind == protocol.KindArray
-	job.isLongRunning = waited > longRunningFactor*q.Config.AgingThreshold && !job.isStarved && isArray
+	job.isLongRunning = waitingTime > longRunningFactor*q.Config.AgingThreshold && !job.isStarved && isArray
 }
 
 // precedenceOf returns the rank of a job by its priority and its team's guarantee. A job of smaller
@@ -122,9 +122,9 @@
 	cores, accelerators := 0.0, 0.0
 	for id, entry := range q.Replica.UnfinishedJobs {
 		if spec := entry.Record.Spec; spec.Team == team {
-			remaining := float64(spec.TaskCount - q.Replica.CompletedTasks(id).Len())
-			cores += remaining * spec.Cores
-			accelerators += remaining * spec.Accelerators
+			remainingTasks := float64(spec.TaskCount - q.Replica.CompletedTasks(id).Len())
+			cores += remainingTasks * spec.Cores
+			accelerators += remainingTasks * spec.Accelerators
 		}
 	}
 	return cores <= quota.GuaranteedCores+catalog.Epsilon &&
@@ -168,14 +168,14 @@
 // applyObjective applies an objective that the job has to meet within target of its submission. The
 // job's tasks have to run for leadTime before that.
 func (q *Queue) applyObjective(job *PendingJob, target, leadTime time.Duration) {
-	lead := protocol.Millis(leadTime.Milliseconds())
+	leadMillis := protocol.Millis(leadTime.Milliseconds())
 	dueAt := job.record.SubmittedAt + protocol.Millis(target.Milliseconds())
-	start := dueAt - startLeadFactor*lead
-	job.initialLatestStart = min(job.initialLatestStart, start)
-	if q.Now.Wall < start {
-		job.latestStart = min(job.latestStart, start)
+	latestStart := dueAt - startLeadFactor*leadMillis
+	job.initialLatestStart = min(job.initialLatestStart, latestStart)
+	if q.Now.Wall < latestStart {
+		job.latestStart = min(job.latestStart, latestStart)
 	}
-	canBeMet := q.Now.Wall+lead <= dueAt
+	canBeMet := q.Now.Wall+leadMillis <= dueAt
 	if canBeMet && (job.isLate || dueAt < job.dueAt) {
 		job.dueAt, job.isLate = dueAt, false
 	}
@@ -185,8 +185,8 @@
 // which its tasks should start. It promotes no job to the highest priority, which is 0.
 func (q *Queue) promoteNearStart(job *PendingJob, target time.Duration) {
 	startWithin := protocol.Millis(target.Milliseconds())
-	remaining := job.record.SubmittedAt + startWithin - q.Now.Wall
-	if job.queuePrecedence > 1 && remaining > 0 && promotionDivisor*remaining < startWithin {
+	remainingMillis := job.record.SubmittedAt + startWithin - q.Now.Wall
+	if job.queuePrecedence > 1 && remainingMillis > 0 && promotionDivisor*remainingMillis < startWithin {
 		job.queuePrecedence--
 	}
 }
--- a/internal/coordination/scheduling/replica_placer.go
+++ b/internal/coordination/scheduling/replica_placer.go
@@ -110,9 +110,9 @@
 	if !p.canWrite {
 		return nil
 	}
-	next := p.pendingReplicas[:count]
+	taken := p.pendingReplicas[:count]
 	p.pendingReplicas = p.pendingReplicas[count:]
-	return next
+	return taken
 }
 
 // placeByPreemption preempts tasks of lower priority on owned machines. The job's owner chooses only among
@@ -137,23 +137,23 @@
 	if p.remainingReplicas <= 0 {
 		return
 	}
-	chosen := p.reservedMachines(isEligible)
+	chosenMachines := p.reservedMachines(isEligible)
 	reservedReplicas := 0
-	for _, machine := range chosen {
+	for _, machine := range chosenMachines {
 		reservedReplicas += min(p.preemptionHeadroom(machine), p.unusedReservation(p.job.record, machine))
 	}
 	canRecord := p.canWrite && p.batch.HasCapacity(p.batch.OpsNeeded("", p.job.id))
 	if canRecord && reservedReplicas < p.remainingReplicas {
-		if better := p.reserveForPreemption(isEligible, reservedReplicas); better != nil {
-			chosen = better
+		if newReservation := p.reserveForPreemption(isEligible, reservedReplicas); newReservation != nil {
+			chosenMachines = newReservation
 		}
 	}
-	recorded := p.services.Replica.Jobs[p.job.id].Record.ReservedMachines
-	for _, machine := range chosen {
-		before := p.remainingReplicas
+	recordedMachines := p.services.Replica.Jobs[p.job.id].Record.ReservedMachines
+	for _, machine := range chosenMachines {
+		remainingBefore := p.remainingReplicas
 		limit := p.unusedReservation(p.batch.JobRecord(p.job.id), machine)
-		p.preemptOnMachine(machine, limit, slices.Contains(recorded, machine.id))
-		p.usedReservations[machine.id] += before - p.remainingReplicas
+		p.preemptOnMachine(machine, limit, slices.Contains(recordedMachines, machine.id))
+		p.usedReservations[machine.id] += remainingBefore - p.remainingReplicas
 	}
 }
 
@@ -167,24 +167,25 @@
 // unusedReservation returns the number of replicas for which a job's record reserves the machine and that
 // this pass has not planned there yet.
 func (p *replicaPlacer) unusedReservation(record *storage.JobRecord, machine *Candidate) int {
-	unused := -p.usedReservations[machine.id]
+	unusedReplicas := -p.usedReservations[machine.id]
 	for _, id := range record.ReservedMachines {
 		if id == machine.id {
-			unused++
+			unusedReplicas++
 		}
 	}
-	return unused
+	return unusedReplicas
 }
 
 // reserveForPreemption records machines to preempt on, if they have room for more replicas than the
-// recorded reservation, and returns these machines. Otherwise it returns nil.
+// recorded reservation, and returns these machines. Otherwise, or if they do not fit the job's record, it
+// returns nil.
 func (p *replicaPlacer) reserveForPreemption(isEligible machineFilter, reservedReplicas int) []*Candidate {
 	var placements []placement
-	remaining := p.remainingReplicas
+	remainingReplicas := p.remainingReplicas
 	for _, machine := range p.cheapestToPreempt(isEligible) {
-		for range min(p.preemptionHeadroom(machine), remaining) {
+		for range min(p.preemptionHeadroom(machine), remainingReplicas) {
 			placements = append(placements, placement{machine: machine, count: 1})
-			remaining--
+			remainingReplicas--
 		}
 	}
 	if len(placements) <= reservedReplicas || !p.services.preemptor.fitsJobRecord(placements) {
--- a/internal/coordination/scheduling/reservations.go
+++ b/internal/coordination/scheduling/reservations.go
@@ -59,17 +59,17 @@
 // rankByDrainTime returns the machines ordered by the remaining run time of their tasks, in seconds of the
 // whole machine. Machines with few tasks, and those whose tasks have run longest, come first.
 func (g *gangScheduler) rankByDrainTime(candidates []*Candidate) []*Candidate {
-	remaining := map[*Candidate]float64{}
+	remainingSeconds := map[*Candidate]float64{}
 	for _, machine := range candidates {
 		for i := range machine.allocations {
 			alloc := &machine.allocations[i]
 			usedFraction := alloc.cores() / machine.machineType.Cores
-			remaining[machine] += usedFraction * g.preemptor.expectedRemainingSeconds(machine, alloc)
+			remainingSeconds[machine] += usedFraction * g.preemptor.expectedRemainingSeconds(machine, alloc)
 		}
 	}
 	machines := slices.Clone(candidates)
 	slices.SortStableFunc(machines, func(left, right *Candidate) int {
-		return cmp.Compare(remaining[left], remaining[right])
+		return cmp.Compare(remainingSeconds[left], remainingSeconds[right])
 	})
 	return machines
 }
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -75,13 +75,13 @@
 
 // remainingTasks returns the number of an assignment's tasks that a later record of the machine contains.
 func remainingTasks(after *storage.MachineRecord, assigned *storage.Assignment) int {
-	remaining := 0
+	remainingCount := 0
 	for current := range after.AssignmentsOf(assigned.Job) {
 		if current.Attempt == assigned.Attempt {
-			remaining = current.Tasks.Len()
+			remainingCount = current.Tasks.Len()
 		}
 	}
-	return remaining
+	return remainingCount
 }
 
 // onReplicasExited handles replicas that ended some time after their placement. It places a service whose
@@ -134,19 +134,19 @@
 // largeMachineTypes returns the machine types that replicas avoid as long as other types have capacity.
 func (s *ServiceScheduler) largeMachineTypes(spec *protocol.Job) map[protocol.MachineTypeName]bool {
 	types := s.catalog.MachineTypes()
-	smallest := 0.0
+	smallestCores := 0.0
 	for i := range types {
 		machineType := &types[i]
 		fits := catalog.MachineTypeCapacity(machineType, spec) > 0
-		if fits && (smallest == 0 || machineType.Cores < smallest) {
-			smallest = machineType.Cores
+		if fits && (smallestCores == 0 || machineType.Cores < smallestCores) {
+			smallestCores = machineType.Cores
 		}
 	}
-	large := map[protocol.MachineTypeName]bool{}
+	largeTypes := map[protocol.MachineTypeName]bool{}
 	for i := range types {
-		if types[i].Cores > largeTypeFactor*smallest {
-			large[types[i].Name] = true
+		if types[i].Cores > largeTypeFactor*smallestCores {
+			largeTypes[types[i].Name] = true
 		}
 	}
-	return large
+	return largeTypes
 }
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -27,7 +27,7 @@
 
 // urgentClass is the urgent work of one job class.
 type urgentClass struct {
-	newestSpec   *protocol.Job // spec of the newest job, which determines the resources of a task
+	lastSpec     *protocol.Job // spec of the last urgent job in queue order, which determines the resources of a task
 	currentTasks float64       // unfinished tasks
 	peakTasks    float64       // decaying peak of currentTasks
 }
@@ -74,25 +74,25 @@
 		class = &urgentClass{}
 		w.classes[spec.Class] = class
 	}
-	class.newestSpec = spec
+	class.lastSpec = spec
 	class.currentTasks += tasks
 }
 
 // selectRetainedMachines selects the idle machines to retain, cheapest first.
 func (w *warmPool) selectRetainedMachines(candidates []*Candidate, isAllowed func(*protocol.Job, *Candidate) bool) {
 	w.retained = map[protocol.MachineID]bool{}
-	idle := cheapestIdleMachines(candidates)
+	idleMachines := cheapestIdleMachines(candidates)
 	for _, className := range step.SortedKeys(w.classes) {
 		class := w.classes[className]
-		missing := class.peakTasks - class.currentTasks
-		for _, machine := range idle {
-			if missing <= 0 {
+		missingTasks := class.peakTasks - class.currentTasks
+		for _, machine := range idleMachines {
+			if missingTasks <= 0 {
 				break
 			}
-			capacity := catalog.MachineTypeCapacity(machine.machineType, class.newestSpec)
-			if capacity > 0 && !w.retained[machine.id] && isAllowed(class.newestSpec, machine) {
+			capacity := catalog.MachineTypeCapacity(machine.machineType, class.lastSpec)
+			if capacity > 0 && !w.retained[machine.id] && isAllowed(class.lastSpec, machine) {
 				w.retained[machine.id] = true
-				missing -= float64(capacity)
+				missingTasks -= float64(capacity)
 			}
 		}
 	}
@@ -101,13 +101,13 @@
 // cheapestIdleMachines returns the machines that run nothing and could be scaled in, cheapest per core
 // first.
 func cheapestIdleMachines(candidates []*Candidate) []*Candidate {
-	idle := slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
+	idleMachines := slices.DeleteFunc(slices.Clone(candidates), func(machine *Candidate) bool {
 		return machine.isProvisioning || machine.record.Terminating || len(machine.record.Assignments) > 0
 	})
-	slices.SortFunc(idle, func(left, right *Candidate) int {
+	slices.SortFunc(idleMachines, func(left, right *Candidate) int {
 		return cmp.Or(cmp.Compare(left.pricePerCore(), right.pricePerCore()), cmp.Compare(left.id, right.id))
 	})
-	return idle
+	return idleMachines
 }
 
 // shouldRetainMachine reports whether an idle machine is retained for urgent work. If urgent work is at
