--- a/internal/coordination/ownership/adoption.go
+++ b/internal/coordination/ownership/adoption.go
@@ -10,8 +10,9 @@
 	"tillerarch/internal/storage"
 )
 
-// WriteAdoptions handles the machines without a living owner whose heartbeats are deferred here: those
-// that are on no record are adopted, and the shards of the others fail over when that is due.
+// WriteAdoptions handles the machines without a live owner whose heartbeats this controller has
+// deferred. It adopts machines that have no record, and takes over the shards of the other machines
+// when a failover is due.
 func (mgr *Manager) WriteAdoptions(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(mgr.agents.AwaitingOwner()) {
 		state := mgr.agents.Lookup(id)
@@ -22,15 +23,16 @@
 		if entry == nil {
 			mgr.adoptMachine(batch, id, state)
 		} else if mgr.shouldFailOver(batch, entry.Record.Shard, true) {
-			// The rules of failover hold here, too: if the first controller to receive a heartbeat took
-			// the shard, the first to restart after an outage of all would own the whole fleet.
+			// The delays of a failover apply here, too. If the first controller that receives a heartbeat
+			// took over the shard, the first controller to restart after an outage of all controllers
+			// would own all machines.
 			mgr.failOverShard(batch, entry.Record.Shard, state.LatestHeartbeat.FencingToken)
 		}
 	}
 }
 
-// adoptMachine adds a machine that is on no record. Its agent must have answered a probe: the
-// heartbeat may be a late copy that outlived its machine.
+// adoptMachine adds a machine that has no record, provided that its agent has answered a probe. Without
+// an answer, the heartbeat may be a late copy from a machine that is gone.
 func (mgr *Manager) adoptMachine(batch *commit.Batch, id protocol.MachineID, state *agents.MachineState) {
 	if !state.HasAnsweredProbe {
 		return
--- a/internal/coordination/ownership/doc.go
+++ b/internal/coordination/ownership/doc.go
@@ -1,17 +1,18 @@
-// Package ownership decides which controller owns which shards of machines, and writes the
-// changes:
+// Package ownership decides which controller owns which shards of machines, and writes the changes
+// of ownership:
 //
-//   - failover: the shards of an ended incarnation go to its successors;
-//   - adoption: a machine that sends heartbeats and is on no record is added to a shard of this controller;
-//   - hand-off: the owner gives up machines whose agents send heartbeats to another controller;
-//   - transfer: the owner gives a shard to another controller, to rebalance or when an operator asks.
+//   - Failover: the successors of an ended incarnation take over its shards.
+//   - Adoption: a machine that sends heartbeats and has no record is added to a shard of this controller.
+//   - Hand-off: the owner passes machines to the controller that their agents send heartbeats to.
+//   - Transfer: the owner passes a shard to another controller, to balance the load or at the request
+//     of an operator.
 //
-// It also exchanges status with the other controllers, as ownership depends on who is alive and able
-// to serve more machines.
+// The package also exchanges statuses with the other controllers, because ownership depends on which
+// controllers are alive and able to serve more machines.
 //
-// The rules are in package sharding, which has no state; this package takes the snapshots that they
-// need, and writes what they decide. It owns the status of the peers, the pending hand-off requests,
-// since when incarnations are known to have ended, the detection of overload, and the observed
-// progress of transfers. It changes shards and transfers only through a commit.Batch; it changes no
-// job and assigns no task.
+// Package sharding contains the rules and has no state. Package ownership takes the snapshots that the
+// rules read, and writes the decisions. Its state consists of the statuses of the peers, the pending
+// hand-off requests, the times at which incarnations were found to have ended, the detection of
+// overload, and the observed progress of transfers. It changes shards and transfers only through a
+// commit.Batch. It changes no job and assigns no task.
 package ownership
--- a/internal/coordination/ownership/failover.go
+++ b/internal/coordination/ownership/failover.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// WriteFailovers takes over the shards of ended incarnations whose successor this controller is, or
-// that the successor has not taken over in time.
+// WriteFailovers takes over the shards of ended incarnations if this controller is their successor, or
+// if the successor has not taken them over in time.
 func (mgr *Manager) WriteFailovers(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(mgr.Replica.Shards) {
 		if !batch.ChangesShard(id) && mgr.shouldFailOver(batch, id, false) {
@@ -20,16 +20,17 @@
 	}
 }
 
-// shouldFailOver tells whether to take over a shard now. hasHeartbeat: a machine in it has sent a
-// heartbeat here that waits for an owner.
+// shouldFailOver reports whether this controller takes over a shard in this batch. hasHeartbeat means
+// that a machine of the shard has sent this controller a heartbeat that waits for an owner.
 func (mgr *Manager) shouldFailOver(batch *commit.Batch, id storage.ShardID, hasHeartbeat bool) bool {
 	expiredAt, isExpired := mgr.expiredAt[mgr.Replica.Shards[id].Owner]
 	return isExpired && batch.HasCapacity(mgr.failoverOps(id)) &&
 		sharding.IsFailoverDue(mgr.Since(expiredAt), mgr.isShardSuccessor(id), hasHeartbeat)
 }
 
-// isShardSuccessor tells whether this controller is the one to take over a shard. One in transfer
-// falls to the target, any other to a controller that is not draining if there is one.
+// isShardSuccessor reports whether this controller is the successor for a shard. The successor for a
+// shard in transfer is the target, if it is alive. For any other shard, controllers that are not
+// draining are preferred.
 func (mgr *Manager) isShardSuccessor(id storage.ShardID) bool {
 	if transfer := mgr.pendingTransferOf(id); transfer != nil && mgr.Replica.IsAlive(transfer.Target) {
 		return transfer.Target == mgr.lease.Incarnation()
@@ -39,7 +40,7 @@
 	})
 }
 
-// pendingTransferOf is the transfer of a shard that has not reached its target, nil for none.
+// pendingTransferOf returns the pending transfer of a shard, or nil if there is none.
 func (mgr *Manager) pendingTransferOf(id storage.ShardID) *storage.TransferRecord {
 	if _, transfer := mgr.Replica.OpenTransferOf(id); transfer != nil && transfer.Record.Phase.IsPending() {
 		return &transfer.Record
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// failoverOps is how many operations it takes to take over a shard and end its transfer.
+// failoverOps returns the number of operations that take over a shard and end its pending transfer.
 func (mgr *Manager) failoverOps(id storage.ShardID) int {
 	ops := mgr.shardWriter.ShardWriteOps(id)
 	if mgr.pendingTransferOf(id) != nil {
@@ -56,13 +57,14 @@
 	return ops
 }
 
-// failOverShard makes this incarnation the owner of a shard, with all machines in it, and ends the
-// transfer that the former owner had begun. The epoch rises above the former one and above any
-// that an agent has shown here.
+// failOverShard makes this incarnation the owner of a shard and all its machines, and ends the pending
+// transfer of the shard. The new epoch is above the former epoch and above the epoch of observedToken,
+// the fencing token in the heartbeat of an agent of the shard. observedToken is 0 if no agent has sent
+// this controller a heartbeat.
 func (mgr *Manager) failOverShard(batch *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	draft := batch.MutableShard(id)
 	if draft.Owner == mgr.lease.Incarnation() {
-		return // for another of its machines, earlier in this batch
+		return // taken over earlier in this batch, for another machine of the shard
 	}
 	batch.Log(slog.LevelInfo, "shard failover",
 		"shard", string(id), "count", len(draft.MachineIDs),
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -11,7 +11,7 @@
 
 const endedIncarnation storage.Incarnation = "tiller-9#1"
 
-// putTransfer records a pending transfer of shard p from the ended incarnation.
+// putTransfer puts a record of a pending transfer of shard p from endedIncarnation into the replica.
 func (c *testController) putTransfer(t *testing.T, target storage.Incarnation) storage.TransferSlot {
 	t.Helper()
 	slot := storage.NewTransferSlot(target.Controller(), 0)
@@ -21,8 +21,8 @@
 	return slot
 }
 
-// A shard in transfer falls to its target, whatever its key says; any other to a controller that
-// does not drain.
+// The successor for a shard in transfer is the target, regardless of the rendezvous weights. The
+// successor for any other shard is a controller that is not draining.
 func TestShardSuccessor(t *testing.T) {
 	recordDrain := func(t *testing.T, c *testController, id protocol.ControllerID) {
 		t.Helper()
@@ -52,14 +52,15 @@
 			controller.putShard(t, "p", endedIncarnation, 3, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
 			test.setUp(t, controller)
 			if got := controller.Manager.isShardSuccessor("p"); got != test.want {
-				t.Errorf("successor %v, want %v", got, test.want)
+				t.Errorf("this controller is the successor for the shard: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A failover raises the epoch above the former owner's, and ends the transfer that it had begun: at
-// its target as committed, elsewhere as aborted.
+// A failover raises the epoch of the shard above the former owner's, and ends the transfer that the
+// former owner had begun. The transfer is committed if its target takes over the shard, and aborted if
+// another controller does.
 func TestFailoverEndsTransfer(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -84,13 +85,14 @@
 				return batch
 			}
 			if len(writeFailovers().Transaction().Operations) > 0 {
-				t.Error("taken over before the delay")
+				t.Error("the shard is taken over before the delay of a successor")
 			}
 			controller.Advance(1600 * time.Millisecond)
 			batch := writeFailovers()
 			shard := writtenShards(t, batch)["p"]
 			if shard == nil || shard.Owner != controller.commit.Lease.Incarnation() || shard.Epoch != 4 {
-				t.Fatalf("the shard is written as %+v", shard)
+				t.Fatalf("the shard is written as %+v, want owner %s and epoch 4",
+					shard, controller.commit.Lease.Incarnation())
 			}
 			for _, operation := range batch.Transaction().Operations {
 				if operation.PutKey == storage.TransferKey(slot) {
@@ -98,7 +100,7 @@
 				}
 			}
 			if phase := controller.Replica.Transfers[slot].Record.Phase; phase != test.wantPhase {
-				t.Errorf("the transfer is %s, want %s", phase, test.wantPhase)
+				t.Errorf("the phase of the transfer is %s, want %s", phase, test.wantPhase)
 			}
 		})
 	}
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -12,25 +12,26 @@
 	"tillerarch/internal/storage"
 )
 
-// handOffRequest is a request of another controller for an owned machine whose agent sends heartbeats there.
+// handOffRequest is the request of another controller to take over an owned machine, because the
+// machine's agent sends its heartbeats to that controller.
 type handOffRequest struct {
 	target      storage.Incarnation
 	requestedAt protocol.Instant
-	ownership   agents.Ownership // under which it was requested; it is void under a later one
+	ownership   agents.Ownership // period of ownership in which the request arrived; the request is void in a later one
 }
 
-// misdirectedMachine is an owned machine that is to be handed off.
+// misdirectedMachine is an owned machine that is to be handed off to the target.
 type misdirectedMachine struct {
 	id     protocol.MachineID
 	entry  *storage.Machine
 	target storage.Incarnation
 }
 
-// targetCounts is how many machines of a shard send heartbeats to each other incarnation.
+// targetCounts holds, for each other incarnation, how many machines of one shard send heartbeats to it.
 type targetCounts map[storage.Incarnation]int
 
-// mostFrequent gives the incarnation that most machines name, the first in order among equals, and
-// how many machines name any.
+// mostFrequent returns the incarnation with the highest count, and the total of all counts. Among
+// incarnations with equal counts, it returns the first in alphabetical order.
 func (counts targetCounts) mostFrequent() (target storage.Incarnation, total int) {
 	for _, incarnation := range step.SortedKeys(counts) {
 		total += counts[incarnation]
@@ -41,12 +42,12 @@
 	return target, total
 }
 
-// handOffMargin is how much longer than a heartbeat interval a request is valid: it is repeated at
-// each heartbeat that arrives elsewhere, and its message may be delayed.
+// handOffMargin is the time for which a request stays valid after the heartbeat interval. A request is
+// repeated at each heartbeat that reaches another controller, and its message may be delayed.
 const handOffMargin = 4 * time.Second
 
-// RecordMisdirectedHeartbeats records the owned machines whose agents send heartbeats to the sender of
-// a status, to be handed off.
+// RecordMisdirectedHeartbeats records hand-off requests for the owned machines whose agents, by the
+// status of another controller, send heartbeats to that controller.
 func (mgr *Manager) RecordMisdirectedHeartbeats(status *step.PeerStatus) {
 	heartbeats := status.MisdirectedHeartbeats
 	for _, heartbeat := range heartbeats[:min(len(heartbeats), step.MaxMisdirectedPerStatus)] {
@@ -56,7 +57,7 @@
 		}
 		state := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
 		if !state.RecordMisdirectedHeartbeat(heartbeat.AgentEpoch, heartbeat.Sequence) {
-			continue // a late copy of a heartbeat that was received here
+			continue // a late copy of a heartbeat that this controller has received
 		}
 		mgr.pendingHandOffs[heartbeat.Machine] = handOffRequest{
 			target:      status.Incarnation,
@@ -66,15 +67,15 @@
 	}
 }
 
-// ownsMachine tells whether a machine is on record and owned by this incarnation.
+// ownsMachine reports whether a machine has a record and is owned by this incarnation.
 func (mgr *Manager) ownsMachine(entry *storage.Machine) bool {
 	return entry != nil && mgr.lease.OwnsMachine(&entry.Record)
 }
 
-// HandOffMachines hands machines off to the controllers that their agents send heartbeats to. A shard
-// most of whose machines are misdirected is transferred whole: that is one operation, and a controller
-// that has lost its agents has hundreds of machines to hand off. There is nothing to quiesce, as what this
-// controller sends does not reach those agents.
+// HandOffMachines hands off machines to the controllers that their agents send heartbeats to. A shard
+// is transferred as a whole if most of its machines are misdirected, because such a transfer is one
+// operation and a controller that has lost its agents has hundreds of machines to hand off. The shard
+// is not quiesced, because the messages of this controller do not reach those agents.
 func (mgr *Manager) HandOffMachines(batch *commit.Batch) {
 	machines := mgr.misdirectedMachines()
 	countsByShard := map[storage.ShardID]targetCounts{}
@@ -97,8 +98,8 @@
 	mgr.handOffIndividually(batch, machines)
 }
 
-// misdirectedMachines lists the owned machines whose agents send heartbeats to another controller
-// and not here, and drops the requests that are no longer valid.
+// misdirectedMachines returns the owned machines whose agents send heartbeats to another controller and
+// not to this one. It deletes the requests that are no longer valid.
 func (mgr *Manager) misdirectedMachines() (machines []misdirectedMachine) {
 	for _, id := range step.SortedKeys(mgr.pendingHandOffs) {
 		entry := mgr.Replica.Machines[id]
@@ -106,7 +107,8 @@
 			delete(mgr.pendingHandOffs, id)
 			continue
 		}
-		// This begins a new ownership if the shard has had another owner since the last call.
+		// TrackOwnedMachine begins a new period of ownership if the shard has had another owner since
+		// the last call.
 		state := mgr.agents.TrackOwnedMachine(entry, id)
 		request := mgr.pendingHandOffs[id]
 		if request.ownership != state.Ownership() || mgr.isHandOffOutdated(request) {
@@ -120,12 +122,14 @@
 	return machines
 }
 
-// isHandOffOutdated tells whether a request would have been repeated by now if it were still valid.
+// isHandOffOutdated reports whether a request is older than the time within which it would have been
+// repeated if it were still valid.
 func (mgr *Manager) isHandOffOutdated(request handOffRequest) bool {
 	return mgr.Since(request.requestedAt) > mgr.Config.HeartbeatInterval+handOffMargin
 }
 
-// countResponsive counts the machines of an owned shard whose agents send their heartbeats here.
+// countResponsive returns the number of machines of an owned shard whose agents send their heartbeats
+// to this controller.
 func (mgr *Manager) countResponsive(shard *storage.Shard) (responsive int) {
 	for _, id := range shard.Machines {
 		entry := mgr.Replica.Machines[id]
@@ -140,14 +144,15 @@
 }
 
 const (
-	// machineHandOffOps is how many operations moving a machine between shards takes.
+	// machineHandOffOps is the number of operations that move a machine from one shard to another.
 	machineHandOffOps = 2
-	// maxNewShardPercent is the part of a stored value, in hundredths, that a new shard may fill: the
-	// rest is for the tasks that are assigned to its machines later.
+	// maxNewShardPercent is the percentage of the maximum size of a stored value that a new shard may
+	// fill. The rest is left for the tasks that are assigned to the machines later.
 	maxNewShardPercent = 75
 )
 
-// handOffIndividually moves machines to new shards of the controllers that their agents reach.
+// handOffIndividually moves machines to new shards that belong to the controllers that the machines'
+// agents send heartbeats to. It leaves out machines whose shard is handed off as a whole.
 func (mgr *Manager) handOffIndividually(batch *commit.Batch, machines []misdirectedMachine) {
 	newShards := map[storage.Incarnation]storage.ShardID{}
 	for _, machine := range machines {
@@ -160,7 +165,8 @@
 			newShards[target] = batch.NewShard(target, record.ShardEpoch+1)
 			batch.DependOn(storage.ControllerKey(target.Controller()))
 		}
-		// A fencing token never falls: a machine with as high an epoch waits for a later batch.
+		// A fencing token must never decrease, so a machine whose epoch is not below the epoch of the new
+		// shard waits for a later batch.
 		if batch.Draft(newShards[target]).Epoch > record.ShardEpoch {
 			batch.MoveMachine(machine.id, newShards[target])
 			batch.MutableMachine(machine.id).Cordoned = false
@@ -170,7 +176,8 @@
 	}
 }
 
-// wouldOverflow tells whether a new shard would fill too much of a stored value with a machine more.
+// wouldOverflow reports whether a new shard with one more machine would exceed maxNewShardPercent of
+// the maximum size of a stored value.
 func (mgr *Manager) wouldOverflow(draft *commit.ShardDraft, id protocol.MachineID) bool {
 	machineSize := mgr.shardWriter.EstimateEncodedSize(len(mgr.Replica.EncodedLine(id)))
 	return draft.EstimatedSize+machineSize > mgr.limits.WriteLimits().ValueBytes*maxNewShardPercent/100
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -10,7 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// reportMisdirectedHeartbeats has the other controller report heartbeats that it received.
+// reportMisdirectedHeartbeats records a status in which the other controller reports heartbeats that it
+// has received.
 func (c *testController) reportMisdirectedHeartbeats(heartbeats ...step.MisdirectedHeartbeat) {
 	c.Manager.RecordMisdirectedHeartbeats(&step.PeerStatus{
 		ControllerID:          otherController,
@@ -19,8 +20,8 @@
 	})
 }
 
-// A machine is handed off for a heartbeat that its owner has not received, not for a copy of one
-// that it has.
+// A machine is handed off if another controller receives a heartbeat that the owner has not received. A
+// copy of a heartbeat that the owner has received causes no hand-off.
 func TestHandOffOnMisdirectedHeartbeat(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -44,19 +45,22 @@
 			}
 			controller.agents.Heartbeats.OnHeartbeat(step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(heartbeat)})
 			controller.registerOther(t)
-			controller.reportMisdirectedHeartbeats(step.MisdirectedHeartbeat{Machine: "m-1", AgentEpoch: test.agentEpoch, Sequence: test.sequence})
+			controller.reportMisdirectedHeartbeats(step.MisdirectedHeartbeat{
+				Machine: "m-1", AgentEpoch: test.agentEpoch, Sequence: test.sequence,
+			})
 			if got := controller.Manager.pendingHandOffs["m-1"].target == otherIncarnation; got != test.want {
-				t.Errorf("hand-off pending %v, want %v", got, test.want)
+				t.Errorf("hand-off of m-1 is pending: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A request to hand off a machine holds for the ownership under which it came, for as long as it
-// would be repeated, and while its target lives.
+// A request to hand off a machine is valid in the period of ownership in which it arrived, until it would
+// have been repeated, and while its target is alive.
 func TestHandOffRequestLifetime(t *testing.T) {
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1}
-	const heartbeatMissed = 5 * time.Second // and a request of that age still holds
+	// After heartbeatMissed, the agent has missed a heartbeat and the request is still valid.
+	const heartbeatMissed = 5 * time.Second
 	for _, test := range []struct {
 		name   string
 		change func(t *testing.T, c *testController)
@@ -97,14 +101,14 @@
 			controller.Advance(heartbeatMissed)
 			machines := controller.Manager.misdirectedMachines()
 			if got := len(machines) == 1 && machines[0].target == otherIncarnation; got != test.want {
-				t.Errorf("handed off %v, want %v: %+v", got, test.want, machines)
+				t.Errorf("m-1 is to be handed off: %v, want %v; machines to hand off: %+v", got, test.want, machines)
 			}
 		})
 	}
 }
 
-// putLargeShards puts owned shards of 60 machines on record. It gives heartbeats of the first machines of
-// each, as another controller would report them.
+// putLargeShards puts owned shards of 60 machines into the replica. It returns heartbeats of the first
+// misdirectedPerShard machines of each shard, as another controller would report them.
 func (c *testController) putLargeShards(t *testing.T, shards, misdirectedPerShard int) []step.MisdirectedHeartbeat {
 	t.Helper()
 	const machinesPerShard, tasksPerMachine = 60, 4
@@ -115,7 +119,10 @@
 			id := protocol.MachineID(fmt.Sprintf("m-%06d", shardNumber*machinesPerShard+machineNumber))
 			record := storage.MachineRecord{Address: "10.1.0.1:9000", MachineType: "s", Zone: "a", AgentEpoch: 1}
 			for taskNumber := range tasksPerMachine {
-				record.Assign(protocol.Task{Job: "j-000001", Index: tasksPerMachine*machineNumber + taskNumber}, protocol.Attempt(1000+taskNumber))
+				record.Assign(
+					protocol.Task{Job: "j-000001", Index: tasksPerMachine*machineNumber + taskNumber},
+					protocol.Attempt(1000+taskNumber),
+				)
 			}
 			lines = append(lines, record.EncodeLine(id))
 			if machineNumber < misdirectedPerShard {
@@ -131,7 +138,8 @@
 	return misdirected
 }
 
-// putShardsAtEpoch puts all shards on record again, as if their ownership had begun anew.
+// putShardsAtEpoch puts all shards into the replica again at the given epoch, as if this controller had lost
+// the shards and acquired them again.
 func (c *testController) putShardsAtEpoch(t *testing.T, epoch storage.ShardEpoch) {
 	t.Helper()
 	for id, shard := range c.Replica.Shards {
@@ -143,9 +151,9 @@
 	}
 }
 
-// A controller that has lost its agents transfers their shards whole, and machines that it hands off one
-// by one go to shards that a stored value can hold. (Six hundred machines in one shard were rejected by
-// the store as malformed again and again.)
+// A controller that has lost its agents transfers their shards as a whole. Machines that it hands off one
+// by one go to shards that fit into a stored value. Guards against a hand-off of six hundred machines to
+// one shard, which the store rejected as malformed at every attempt.
 func TestHandOffManyMachines(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
@@ -153,7 +161,7 @@
 		misdirectedPerShard   int
 		wantShardsTransferred bool
 		wantMachinesMoved     bool
-		reacquired            bool // after the heartbeats were received elsewhere
+		reacquired            bool // whether the owner acquires the shards again after the heartbeats were reported
 	}{
 		{"most of each shard", 2, 40, true, false, false},
 		{"some of each shard", 6, 28, false, true, false},
@@ -164,7 +172,7 @@
 			controller.registerOther(t)
 			self := controller.commit.Lease.Incarnation()
 			misdirected := controller.putLargeShards(t, test.shards, test.misdirectedPerShard)
-			controller.Advance(6 * time.Second) // no agent has sent a heartbeat here
+			controller.Advance(6 * time.Second) // no agent has sent this controller a heartbeat
 			controller.reportMisdirectedHeartbeats(misdirected...)
 			if test.reacquired {
 				controller.putShardsAtEpoch(t, 5)
@@ -178,7 +186,7 @@
 					continue
 				}
 				if shard.Owner == "" {
-					t.Error("a shard is transferred to nobody")
+					t.Errorf("shard %s is written without an owner", id)
 				}
 				if controller.Replica.Shards[id] != nil {
 					transferredShards++
@@ -188,11 +196,13 @@
 			}
 			for _, operation := range batch.Transaction().Operations {
 				if len(operation.Value) > controller.Config.ValueBytes {
-					t.Errorf("a value of %d bytes", len(operation.Value))
+					t.Errorf("the value of %s has %d bytes, want at most %d",
+						operation.PutKey, len(operation.Value), controller.Config.ValueBytes)
 				}
 			}
 			if (transferredShards > 0) != test.wantShardsTransferred || (movedMachines > 0) != test.wantMachinesMoved {
-				t.Errorf("%d shards transferred, %d machines moved", transferredShards, movedMachines)
+				t.Errorf("%d shards transferred, want some: %v; %d machines moved, want some: %v",
+					transferredShards, test.wantShardsTransferred, movedMachines, test.wantMachinesMoved)
 			}
 		})
 	}
--- a/internal/coordination/ownership/manager.go
+++ b/internal/coordination/ownership/manager.go
@@ -12,8 +12,9 @@
 	"tillerarch/internal/storage"
 )
 
-// Manager decides when this controller takes over the shards of ended ones, adopts machines, and hands
-// off machines that it cannot serve, and writes the change. Planned transfers are the part of Transfers.
+// Manager decides when this controller takes over the shards of ended incarnations, adopts machines and
+// hands off machines that it cannot serve. It also writes these changes. Transfers is responsible for
+// planned transfers.
 type Manager struct {
 	*step.Context
 
@@ -24,9 +25,9 @@
 	shardWriter *commit.ShardWriter
 	transfers   *Transfers
 
-	expiredAt       map[storage.Incarnation]protocol.Instant // when this process first saw that it had ended
+	expiredAt       map[storage.Incarnation]protocol.Instant // when this process first saw that an owner had ended
 	pendingHandOffs map[protocol.MachineID]handOffRequest
-	lastShedAt      protocol.Instant // when this controller last shed machines (recordShedding)
+	lastShedAt      protocol.Instant // when this controller last shed machines, see recordShedding
 }
 
 func newManager(ctx *step.Context) *Manager {
@@ -37,24 +38,25 @@
 	}
 }
 
-// ExpiredSince tells since when this controller has known that an incarnation has ended.
+// ExpiredSince returns when this controller found that an incarnation had ended. isExpired reports
+// whether the incarnation has ended and still owns shards or jobs.
 func (mgr *Manager) ExpiredSince(incarnation storage.Incarnation) (since protocol.Instant, isExpired bool) {
 	since, isExpired = mgr.expiredAt[incarnation]
 	return since, isExpired
 }
 
-// HasExpiredOwners tells whether shards or jobs belong to incarnations that have ended.
+// HasExpiredOwners reports whether shards or jobs belong to incarnations that have ended.
 func (mgr *Manager) HasExpiredOwners() bool { return len(mgr.expiredAt) > 0 }
 
-// TrackExpiredIncarnations records when each owner of shards or jobs was first seen to have ended.
-// The delays of a failover count from then, so that the successors share the work.
+// TrackExpiredIncarnations records when this controller first saw that an owner of shards or jobs had
+// ended. The delays of a failover count from that time, so that the successors share the work.
 func (mgr *Manager) TrackExpiredIncarnations() {
 	expired := map[storage.Incarnation]bool{}
 	recordIfExpired := func(owner storage.Incarnation) {
 		if mgr.Replica.IsAlive(owner) {
 			return
 		}
-		// That includes the empty owner: a shard without one fails over by the same rules.
+		// The empty owner counts as expired, too: a shard without an owner fails over by the same rules.
 		expired[owner] = true
 		if _, isTracked := mgr.expiredAt[owner]; !isTracked {
 			mgr.expiredAt[owner] = mgr.Now.Monotonic
@@ -73,13 +75,14 @@
 	}
 }
 
-// IsSuccessor tells whether this controller is the one to take over what a key names.
+// IsSuccessor reports whether this controller is the one, among all live controllers, that acts on what
+// a key identifies: for example a record whose owner has ended, or an instance without a record.
 func (mgr *Manager) IsSuccessor(key string) bool {
 	return mgr.isSuccessorAmong(key, func(protocol.ControllerID) bool { return true })
 }
 
-// isSuccessorAmong tells the same where only preferred controllers can be successors, as long as one of
-// them is alive.
+// isSuccessorAmong reports whether this controller is the successor for a key among the preferred
+// controllers, or among all controllers if no preferred controller is alive.
 func (mgr *Manager) isSuccessorAmong(key string, isPreferred func(protocol.ControllerID) bool) bool {
 	var alive, preferred []protocol.ControllerID
 	for controller, entry := range mgr.Replica.Controllers {
@@ -97,21 +100,22 @@
 	return sharding.Successor(alive, key) == mgr.Config.ControllerID
 }
 
-// sheddingCooldown is how long a controller accepts no shards after it has shed machines.
+// sheddingCooldown is the time for which a controller accepts no shards after it has shed machines.
 const sheddingCooldown = time.Minute
 
-// recordShedding records that this controller sheds machines: it hands them off or transfers them as it
-// cannot serve them, because their agents do not reach it or it is overloaded.
+// recordShedding records that this controller sheds machines. A controller sheds machines when it hands
+// them off because their agents do not reach it, or transfers them because it is overloaded.
 func (mgr *Manager) recordShedding() { mgr.lastShedAt = mgr.Now.Monotonic }
 
-// acceptsShards tells whether other controllers may transfer shards to this one.
+// acceptsShards reports whether other controllers may transfer shards to this controller.
 func (mgr *Manager) acceptsShards() bool {
 	hasShedLately := mgr.lastShedAt != 0 && mgr.Since(mgr.lastShedAt) <= sheddingCooldown
 	return !mgr.overload.isFallingBehind() && !hasShedLately
 }
 
-// transferShard makes another incarnation the owner of a shard, with all machines in it. The
-// transaction depends on that incarnation's key: a shard never goes to one that has ended.
+// transferShard makes the target the owner of a shard and all its machines. The transaction is
+// conditional on the key of the target's controller, so that a shard never passes to an incarnation
+// that has ended.
 func (mgr *Manager) transferShard(batch *commit.Batch, id storage.ShardID, target storage.Incarnation, reason string) {
 	draft := batch.MutableShard(id)
 	batch.DependOn(storage.ControllerKey(target.Controller()))
--- a/internal/coordination/ownership/overload.go
+++ b/internal/coordination/ownership/overload.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// overloadTickInterval is a mean interval of ticks that shows a process short of CPU time:
-	// five times what it should be.
+	// overloadTickInterval is the mean interval of ticks at which a process counts as short of CPU time.
+	// It is five times the interval at which ticks are due.
 	overloadTickInterval = 250 * time.Millisecond
-	// maxTickSample bounds what one interval adds to the mean: a process pause is no overload.
+	// maxTickSample limits the contribution of one interval to the mean, because a process pause is no
+	// overload.
 	maxTickSample = time.Second
-	// tickSmoothing is how many ticks the mean extends over, about.
+	// tickSmoothing is the approximate number of ticks that the mean extends over.
 	tickSmoothing = 16
-	// overloadDuration is how long the mean must be too long: a passing peak is no overload.
+	// overloadDuration is the time for which the mean must stay too long, because a short peak is no
+	// overload.
 	overloadDuration = 3 * time.Second
 )
 
-// OverloadDetector detects that this process falls behind. Its ticks are due every 50 ms. A process that
-// is several times slower than the other controllers has them late for seconds on end, and transfers
-// its shards before the leases of its agents expire.
+// OverloadDetector detects that this process falls behind with its work. Ticks are due every 50 ms. In a
+// process that is several times slower than the other controllers, ticks are late for seconds on end.
+// Such a process transfers its shards before the leases of its agents expire.
 type OverloadDetector struct {
 	*step.Context
 
 	lastTickAt       protocol.Instant
 	meanTickInterval time.Duration
-	overloadedSince  protocol.Instant // since when the mean has been too long; 0: it is not
+	overloadedSince  protocol.Instant // when the mean became too long, 0 if it is not too long
 }
 
-// RecordTick updates the mean with the interval since the last tick.
+// RecordTick updates the mean interval with the time since the last tick.
 func (d *OverloadDetector) RecordTick() {
 	interval := min(d.Since(d.lastTickAt), maxTickSample)
 	if d.lastTickAt != 0 {
@@ -44,10 +46,10 @@
 	}
 }
 
-// isFallingBehind tells whether ticks are late now, even if only for a moment.
+// isFallingBehind reports whether the mean interval is too long now, even if only for a moment.
 func (d *OverloadDetector) isFallingBehind() bool { return d.overloadedSince != 0 }
 
-// IsOverloaded tells whether ticks have been late for longer than a passing peak lasts.
+// IsOverloaded reports whether the mean interval has been too long for more than overloadDuration.
 func (d *OverloadDetector) IsOverloaded() bool {
 	return d.isFallingBehind() && d.Since(d.overloadedSince) > overloadDuration
 }
--- a/internal/coordination/ownership/overload_test.go
+++ b/internal/coordination/ownership/overload_test.go
@@ -7,7 +7,8 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Ticks must be late for seconds on end: neither a process pause nor a passing peak is an overload.
+// A process is overloaded only if its ticks are late for seconds on end. Neither a process pause nor a
+// short peak is an overload.
 func TestOverloadDetector(t *testing.T) {
 	const onTime, late = 50 * time.Millisecond, 400 * time.Millisecond
 	type phase struct {
@@ -35,8 +36,9 @@
 				}
 			}
 			if detector.isFallingBehind() != test.wantFallsBehind || detector.IsOverloaded() != test.wantOverloaded {
-				t.Errorf("falls behind %v, overloaded %v after a mean interval of %v",
-					detector.isFallingBehind(), detector.IsOverloaded(), detector.meanTickInterval)
+				t.Errorf("falls behind %v, want %v; overloaded %v, want %v; mean interval %v",
+					detector.isFallingBehind(), test.wantFallsBehind,
+					detector.IsOverloaded(), test.wantOverloaded, detector.meanTickInterval)
 			}
 		})
 	}
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -18,18 +18,18 @@
 const (
 	selfController  protocol.ControllerID = "tiller-0"
 	otherController protocol.ControllerID = "tiller-1"
-	// otherIncarnation is registered by registerOther.
+	// otherIncarnation is the incarnation of otherController that registerOther registers.
 	otherIncarnation storage.Incarnation = "tiller-1#1"
 )
 
-// fakeScaleIn stands for package provisioning, which reviews no machine.
+// fakeScaleIn is an agents.ScaleInEvaluator that evaluates no machine.
 type fakeScaleIn struct{}
 
 func (fakeScaleIn) BeginScaleInReview(int)                                       {}
 func (fakeScaleIn) EvaluateScaleIn(*storage.Machine, *agents.MachineState, bool) {}
 
-// testController has the parts of this package and of those below, for a controller that is
-// registered and up to date.
+// testController holds the parts of this package and of the packages that it depends on, for a
+// controller that is registered and up to date.
 type testController struct {
 	steptest.Fixture
 	*Parts
@@ -37,6 +37,7 @@
 	commit *commit.Parts
 }
 
+// newTestController returns a controller with one machine type, s, in zone a.
 func newTestController(t *testing.T) *testController {
 	t.Helper()
 	config := steptest.Config()
@@ -95,20 +96,20 @@
 	return controller
 }
 
-// put puts a record into the replica, as a change at the next revision.
+// put puts a record into the replica as a change at the next revision.
 func (c *testController) put(t *testing.T, key string, value []byte) {
 	t.Helper()
 	c.Replica.Revision++
 	c.Put(t, key, value, protocol.ModRevision(c.Replica.Revision))
 }
 
-// registerOther puts another controller on record.
+// registerOther registers otherController with otherIncarnation in the replica.
 func (c *testController) registerOther(t *testing.T) {
 	t.Helper()
 	c.put(t, storage.ControllerKey(otherController), fmt.Appendf(nil, `{"r":%q}`, otherIncarnation))
 }
 
-// putShard puts a shard of one machine, m-1, on record.
+// putShard puts a shard with one machine, m-1, into the replica, and returns the machine.
 func (c *testController) putShard(
 	t *testing.T, id storage.ShardID, owner storage.Incarnation, epoch storage.ShardEpoch, record storage.MachineRecord,
 ) *storage.Machine {
@@ -118,7 +119,7 @@
 	return c.Replica.Machines["m-1"]
 }
 
-// writtenShards reads the shards that a batch writes, as a replica would.
+// writtenShards returns the shards that a batch writes, as a replica decodes them.
 func writtenShards(t *testing.T, batch *commit.Batch) map[storage.ShardID]*storage.Shard {
 	t.Helper()
 	written := storage.NewReplica()
--- a/internal/coordination/ownership/parts.go
+++ b/internal/coordination/ownership/parts.go
@@ -7,7 +7,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of the ownership of shards, connected with each other.
+// Parts holds the parts of the package, which are connected with each other.
 type Parts struct {
 	Peers     *Peers
 	Overload  *OverloadDetector
@@ -15,7 +15,7 @@
 	Transfers *Transfers
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New returns new parts. They can be used after a call of Connect.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Peers:     newPeers(ctx),
@@ -32,7 +32,7 @@
 	return parts
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies holds the parts of other packages that the parts of this package use.
 type Dependencies struct {
 	Cancellations *cancellation.Canceller
 	Lease         *commit.Lease
@@ -44,7 +44,7 @@
 	ShardWriter   *commit.ShardWriter
 }
 
-// Connect gives the parts what they need of other packages.
+// Connect connects the parts with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Peers.cancellations = dependencies.Cancellations
 	p.Peers.lease = dependencies.Lease
--- a/internal/coordination/ownership/peers.go
+++ b/internal/coordination/ownership/peers.go
@@ -12,18 +12,21 @@
 )
 
 const (
-	// peerStatusInterval is the mean interval of the statuses that this controller sends.
+	// peerStatusInterval is the mean interval at which this controller sends its status.
 	peerStatusInterval = time.Second
-	// peerStatusBacklogInterval is the same while there are more misdirected heartbeats than fit one status.
+	// peerStatusBacklogInterval is the mean interval while there are more misdirected heartbeats than one
+	// status holds.
 	peerStatusBacklogInterval = 200 * time.Millisecond
-	// peerStatusLifetime is the age up to which a status allows transferring shards to its sender.
+	// peerStatusLifetime is the maximum age of a status that permits transfers to its sender.
 	peerStatusLifetime = 3 * time.Second
-	// storeContactTimeout is how long after its last answer the store counts as reachable.
+	// storeContactTimeout is the time since the last answer of the store after which the store counts as
+	// unreachable.
 	storeContactTimeout = 2 * time.Second
 )
 
-// Peers holds the last status of each other controller, and sends them the status of this one.
-// Statuses may be lost or late: no write may rely on one alone, without the records confirming it.
+// Peers holds the last status of each other controller, and sends the status of this controller to the
+// others. Statuses may be lost or late. No write may rely on a status alone, without the records
+// confirming it.
 type Peers struct {
 	*step.Context
 
@@ -39,7 +42,7 @@
 	isStatusUrgent bool // the next status is due at the next tick
 }
 
-// receivedStatus is a status of another controller, and when it came.
+// receivedStatus is a status of another controller and the time of its arrival.
 type receivedStatus struct {
 	step.PeerStatus
 	receivedAt protocol.Instant
@@ -57,14 +60,15 @@
 	p.lastStatuses[status.ControllerID] = receivedStatus{PeerStatus: *status, receivedAt: p.Now.Monotonic}
 }
 
-// HasHeardFrom tells whether an incarnation has sent its status within a time.
+// HasHeardFrom reports whether the last status of the incarnation's controller came from that
+// incarnation and arrived within the given time.
 func (p *Peers) HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool {
 	status, hasStatus := p.lastStatuses[incarnation.Controller()]
 	return hasStatus && status.Incarnation == incarnation && p.Since(status.receivedAt) < within
 }
 
-// PeersReportStoreUnavailable tells whether other controllers have sent a status within a time, and
-// none of these reaches the store. It is true of a controller without others.
+// PeersReportStoreUnavailable reports whether other controllers have sent a status within the given time
+// and none of them reaches the store. It returns true if there are no other controllers.
 func (p *Peers) PeersReportStoreUnavailable(within time.Duration) bool {
 	isReportedUnavailable := p.Config.PeerCount == 0
 	for _, status := range p.lastStatuses {
@@ -79,10 +83,11 @@
 	return isReportedUnavailable
 }
 
-// ExpediteStatus has the next status sent at the next tick.
+// ExpediteStatus makes the next call of TickStatus send the status, even if it is not due.
 func (p *Peers) ExpediteStatus() { p.isStatusUrgent = true }
 
-// TickStatus sends the status of this controller to the others when that is due.
+// TickStatus sends the status of this controller to the others if it is due or urgent. It is called at
+// each tick.
 func (p *Peers) TickStatus() {
 	now := p.Now.Monotonic
 	if now < p.nextStatusAt && !p.isStatusUrgent {
@@ -106,7 +111,7 @@
 	p.Emit(step.SendPeerStatus{Status: status})
 }
 
-// acceptingShards lists the other incarnations to which shards may be transferred.
+// acceptingShards returns the other incarnations to which shards may be transferred.
 func (p *Peers) acceptingShards() []storage.Incarnation {
 	var accepting []storage.Incarnation
 	for _, status := range p.lastStatuses {
--- a/internal/coordination/ownership/peers_test.go
+++ b/internal/coordination/ownership/peers_test.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// The store counts as unavailable to all if some other controller reports so and none of those that
-// have sent a status lately reaches it.
+// The store counts as unavailable for all controllers if some other controller has sent a recent status
+// and no sender of a recent status reaches the store.
 func TestPeersReportStoreUnavailable(t *testing.T) {
 	type report struct {
 		from      protocol.ControllerID
@@ -38,14 +38,14 @@
 			}
 			ctx.Now.Monotonic = protocol.Instant(time.Minute)
 			if got := peers.PeersReportStoreUnavailable(3 * time.Second); got != test.want {
-				t.Errorf("unavailable for all %v, want %v", got, test.want)
+				t.Errorf("the peers report the store unavailable: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Shards go only to incarnations that are alive, say that they accept them and reach the store, and
-// have said so lately.
+// Shards are transferred only to incarnations that are alive and whose recent status says that they
+// accept shards and reach the store.
 func TestAcceptingShards(t *testing.T) {
 	type status = step.PeerStatus
 	for _, test := range []struct {
@@ -68,7 +68,7 @@
 			controller.Peers.RecordStatus(&test.status)
 			controller.Advance(test.age)
 			if got := len(controller.Peers.acceptingShards()) == 1; got != test.want {
-				t.Errorf("accepts shards %v, want %v", got, test.want)
+				t.Errorf("the other controller accepts shards: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/ownership/quiescence.go
+++ b/internal/coordination/ownership/quiescence.go
@@ -5,17 +5,17 @@
 	"tillerarch/internal/storage"
 )
 
-// isShardQuiescent tells whether no start that this owner has sent to the shard's agents is in flight,
-// and no cancellation is unresolved there. A silent agent is not waited for: it drops a response that
-// it has not carried out within seconds.
+// isShardQuiescent reports whether an owned shard has no start in flight from this controller to its
+// agents and no unresolved cancellation on its machines. Silent agents are not waited for, because an agent
+// discards a response that it has not carried out within seconds.
 func (t *Transfers) isShardQuiescent(shard *storage.Shard) bool {
 	return t.allResponsiveMachinesMatch(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return len(state.InflightStarts) == 0 && t.areCancellationsResolved(entry)
 	})
 }
 
-// areCancellationsResolved tells whether no task of a job whose cancellation is requested can begin
-// on an owned machine any more.
+// areCancellationsResolved reports whether no task of a job with a requested cancellation can start on
+// an owned machine any more.
 func (t *Transfers) areCancellationsResolved(entry *storage.Machine) bool {
 	for i := range entry.Record.Assignments {
 		job := entry.Record.Assignments[i].Job
@@ -26,16 +26,16 @@
 	return true
 }
 
-// isShardTokenConfirmed tells whether the agents of an owned shard know its owner: they have shown a
-// fencing token of its epoch, and so obey no earlier owner.
+// isShardTokenConfirmed reports whether the agents of an owned shard have shown a fencing token of the
+// shard's epoch. From then on they know their owner and obey no earlier one.
 func (t *Transfers) isShardTokenConfirmed(shard *storage.Shard) bool {
 	return t.allResponsiveMachinesMatch(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return storage.ShardEpochOf(state.ConfirmedToken) == entry.Record.ShardEpoch
 	})
 }
 
-// allResponsiveMachinesMatch tells whether a condition is true of all machines of an owned shard that are in service
-// and not silent.
+// allResponsiveMachinesMatch reports whether a condition is true for all machines of an owned shard
+// that are in service and not silent.
 func (t *Transfers) allResponsiveMachinesMatch(
 	shard *storage.Shard, condition func(*storage.Machine, *agents.MachineState) bool,
 ) bool {
@@ -52,7 +52,8 @@
 	return true
 }
 
-// isInService tells whether a machine is owned, has started and is not about to be terminated.
+// isInService reports whether this controller owns a machine, its agent has started, and the machine
+// is not about to be terminated.
 func (t *Transfers) isInService(record *storage.MachineRecord) bool {
 	return t.lease.OwnsMachine(record) && record.AgentEpoch != 0 && !record.Terminating
 }
--- a/internal/coordination/ownership/quiescence_test.go
+++ b/internal/coordination/ownership/quiescence_test.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
-// A shard is quiescent once no start is on its way to an agent that can still carry it out.
+// A shard is quiescent if no start is in flight to an agent that can still carry it out.
 func TestShardQuiescence(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -35,7 +35,7 @@
 			entry := controller.putShard(t, "p", controller.commit.Lease.Incarnation(), 3, record)
 			test.setUp(controller, controller.agents.Table.TrackOwnedMachine(entry, "m-1"))
 			if got := controller.Transfers.isShardQuiescent(controller.Replica.Shards["p"]); got != test.want {
-				t.Errorf("quiescent %v, want %v", got, test.want)
+				t.Errorf("the shard is quiescent: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/ownership/rebalance.go
+++ b/internal/coordination/ownership/rebalance.go
@@ -9,21 +9,22 @@
 	"tillerarch/internal/storage"
 )
 
-// MaxIncomingTransfers is how many transfers to one controller may be open. Each source checks it before
-// it begins one.
+// MaxIncomingTransfers is the maximum number of open transfers to one controller. Each source checks
+// the number before it begins a transfer.
 const MaxIncomingTransfers = 2
 
 const (
-	// maxTransfersPerPlan is one: the new owner writes all that starts and ends on the shard, and the
-	// write rate of each controller is limited.
+	// maxTransfersPerPlan is one, because the new owner writes every start and end of a task on the
+	// shard, and the write rate of each controller is limited.
 	maxTransfersPerPlan = 1
-	// evacuationSpeedup is how much faster an overloaded or draining controller transfers shards.
+	// evacuationSpeedup is the factor by which an overloaded or draining controller transfers shards
+	// more often.
 	evacuationSpeedup = 3
-	// loadPerShard is the same for all shards: they are split and merged to a similar size.
+	// loadPerShard is the same for all shards, because splits and merges keep shards at a similar size.
 	loadPerShard = 1
 )
 
-// Rebalance begins the transfers that package sharding plans for the present load.
+// Rebalance begins the transfers that package sharding plans for the current load.
 func (t *Transfers) Rebalance(batch *commit.Batch) {
 	isOverloaded := t.overload.IsOverloaded()
 	interval, reason := t.rebalanceInterval(isOverloaded)
@@ -52,7 +53,7 @@
 	}
 }
 
-// rebalanceInterval is the least time between two transfers, and why they are made.
+// rebalanceInterval returns the minimum time between two transfers, and the reason for the transfers.
 func (t *Transfers) rebalanceInterval(isOverloaded bool) (interval time.Duration, reason string) {
 	switch interval = t.Config.MinRebalanceInterval; {
 	case isOverloaded:
@@ -63,7 +64,7 @@
 	return interval, sharding.ReasonLoadImbalance
 }
 
-// ShardingSnapshot is the state of shards and controllers from which transfers are planned.
+// ShardingSnapshot returns the state of shards and controllers from which transfers are planned.
 func (t *Transfers) ShardingSnapshot(isOverloaded bool) sharding.Snapshot {
 	incomingCounts, targets := t.openTransferTargets()
 	return sharding.Snapshot{
@@ -74,8 +75,8 @@
 	}
 }
 
-// openTransferTargets counts the open transfers to each incarnation, and gives the target of each
-// shard that has one.
+// openTransferTargets returns the number of open transfers to each incarnation, and the target of each
+// shard that has an open transfer.
 func (t *Transfers) openTransferTargets() (
 	incomingCounts map[storage.Incarnation]int, targets map[storage.ShardID]storage.Incarnation,
 ) {
@@ -89,7 +90,7 @@
 	return incomingCounts, targets
 }
 
-// controllersToBalance lists this controller, and the others that accept shards.
+// controllersToBalance returns this controller and the other controllers that accept shards.
 func (t *Transfers) controllersToBalance(isOverloaded bool) []sharding.Controller {
 	demand := t.demandByOwner()
 	self := t.lease.Incarnation()
@@ -110,7 +111,8 @@
 	return controllers
 }
 
-// shardsToBalance lists all shards. One in transfer counts as owned by the target.
+// shardsToBalance returns all shards. A shard in transfer counts as owned by the target. Empty shards and
+// shards in transfer are pinned, and so are owned shards whose machines are reserved for a gang.
 func (t *Transfers) shardsToBalance(transferTargets map[storage.ShardID]storage.Incarnation) []sharding.Shard {
 	var shards []sharding.Shard
 	reserved := t.machinesReservedForGangs()
@@ -127,8 +129,9 @@
 	return shards
 }
 
-// transferCost is the number of starts in flight that a transfer of an owned shard would delay. pinned:
-// machines in it are reserved for a gang.
+// transferCost returns the number of starts in flight that a transfer of an owned shard would delay.
+// isPinned reports whether machines of the shard are reserved for a gang. Both are zero if transfers
+// are not recorded.
 func (t *Transfers) transferCost(
 	shard *storage.Shard, reserved map[protocol.MachineID]bool,
 ) (cost float64, isPinned bool) {
@@ -146,8 +149,8 @@
 	return cost, false
 }
 
-// demandByOwner is how many cores the unfinished jobs of each controller ask for, empty if demand has no
-// weight in the plan.
+// demandByOwner returns the number of cores that the unfinished tasks of each incarnation's jobs request.
+// Cancelled jobs do not count. The result is empty if demand has no weight in the plan.
 func (t *Transfers) demandByOwner() map[storage.Incarnation]float64 {
 	demand := map[storage.Incarnation]float64{}
 	if t.Config.RebalanceDemandWeight == 0 {
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -10,9 +10,9 @@
 	"tillerarch/internal/storage"
 )
 
-// What is planned is written as a recorded transfer, which quiesces the shard first, or as a change
-// of the owner: where transfers are not recorded, where the target's version does not know them, and
-// where this controller is overloaded and has no time for it.
+// A planned transfer is written as a transfer record, so that the shard is quiesced first, or as a change
+// of the owner. The owner is changed at once if transfers are not recorded, if the version of the target
+// does not know transfer records, or if this controller is overloaded and has no time to quiesce the shard.
 func TestRebalanceWrites(t *testing.T) {
 	for _, test := range []struct {
 		name           string
@@ -20,7 +20,7 @@
 		targetSupports bool
 		overloaded     bool
 		wantRecorded   bool
-		wantTransfer   bool // of the owner
+		wantTransfer   bool // whether the owner of the shard is changed at once
 		wantAccepts    bool // whether this controller accepts shards shortly afterwards
 	}{
 		{"recorded", true, true, false, true, false, true},
@@ -48,14 +48,15 @@
 				}
 			}
 			if controller.Manager.acceptsShards() == test.overloaded {
-				t.Errorf("accepts shards %v while overloaded is %v", test.overloaded, test.overloaded)
+				t.Errorf("this controller accepts shards: %v, want %v, because overloaded is %v",
+					test.overloaded, !test.overloaded, test.overloaded)
 			}
 			controller.Peers.RecordStatus(&step.PeerStatus{
 				ControllerID: otherController, Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true,
 			})
 			batch := controller.commit.ShardWriter.NewBatch(8)
 			controller.Transfers.Rebalance(batch)
-			controller.Transfers.Rebalance(batch) // is not due again
+			controller.Transfers.Rebalance(batch) // writes nothing, because the next rebalance is not due yet
 			transferred, recorded := 0, 0
 			for _, shard := range writtenShards(t, batch) {
 				if shard.Owner == otherIncarnation && shard.Epoch == 4 {
@@ -68,14 +69,15 @@
 				}
 			}
 			if (recorded == 1) != test.wantRecorded || (transferred == 1) != test.wantTransfer || recorded+transferred != 1 {
-				t.Errorf("%d transfers recorded, %d owners changed", recorded, transferred)
+				t.Errorf("%d transfers recorded, want one: %v; %d owners changed, want one: %v",
+					recorded, test.wantRecorded, transferred, test.wantTransfer)
 			}
-			for range 100 { // the overload, if there was one, has passed
+			for range 100 { // until the overload, if there was one, has passed
 				controller.Advance(50 * time.Millisecond)
 				controller.Overload.RecordTick()
 			}
 			if got := controller.Manager.acceptsShards(); got != test.wantAccepts {
-				t.Errorf("accepts shards %v, want %v", got, test.wantAccepts)
+				t.Errorf("this controller accepts shards: %v, want %v", got, test.wantAccepts)
 			}
 		})
 	}
--- a/internal/coordination/ownership/transfer_steps.go
+++ b/internal/coordination/ownership/transfer_steps.go
@@ -11,8 +11,8 @@
 	"tillerarch/internal/storage"
 )
 
-// AdvanceTransfers writes the steps of recorded transfers that fall to this controller by the rules of
-// package sharding.
+// AdvanceTransfers writes the next steps of the recorded transfers for which this controller is
+// responsible by the rules of package sharding.
 func (t *Transfers) AdvanceTransfers(batch *commit.Batch) {
 	if len(t.Replica.Transfers) == 0 {
 		return
@@ -31,7 +31,8 @@
 	}
 }
 
-// observeTransfer tells since when this process has seen the transfer in a slot at its present revision.
+// observeTransfer returns the observation of the transfer in a slot at its current revision. It records a
+// new observation if the transfer has changed.
 func (t *Transfers) observeTransfer(slot storage.TransferSlot) transferObservation {
 	observation := t.observations[slot]
 	if modRevision := t.Replica.Transfers[slot].ModRevision; observation.modRevision != modRevision {
@@ -41,7 +42,8 @@
 	return observation
 }
 
-// transferStatus is a transfer as this controller sees it, without the age of its phase.
+// transferStatus returns the status of the transfer in a slot by the knowledge of this controller. It
+// leaves out the age of the phase. reserved holds the machines that are reserved for gangs.
 func (t *Transfers) transferStatus(
 	slot storage.TransferSlot, reserved map[protocol.MachineID]bool,
 ) sharding.TransferStatus {
@@ -69,8 +71,9 @@
 	return status
 }
 
-// WriteTransferStep writes the next phase of a transfer. If the batch has no capacity for it or changes
-// the shard already, nothing is written, and a later batch does it.
+// WriteTransferStep writes the next phase of a transfer. It writes nothing if the batch has no capacity
+// for the step, or if the step is a commit and the batch changes the shard already. A later batch
+// writes the step then.
 func (t *Transfers) WriteTransferStep(batch *commit.Batch, slot storage.TransferSlot, next sharding.TransferStep) {
 	record := t.Replica.Transfers[slot].Record
 	ops := 1
@@ -101,7 +104,8 @@
 	logTransferStep(batch, &record)
 }
 
-// logTransferStep logs a phase that a transfer enters; only its end is worth an operator's notice.
+// logTransferStep logs the phase that a transfer enters. The end of a transfer is logged at level info for
+// operators, and any other phase at level debug.
 func logTransferStep(batch *commit.Batch, record *storage.TransferRecord) {
 	level := slog.LevelDebug
 	if !record.Phase.IsOpen() {
@@ -114,8 +118,8 @@
 		"duration_ms", int64(max(record.EndedAt-record.ProposedAt, 0)))
 }
 
-// endTransferOnFailover ends the pending transfer of a shard that this incarnation takes over: it is
-// committed if this is its target, and aborted if not.
+// endTransferOnFailover writes the outcome of the pending transfer of a shard that this incarnation takes
+// over. The transfer is committed if this incarnation is its target, and aborted otherwise.
 func (t *Transfers) endTransferOnFailover(batch *commit.Batch, id storage.ShardID) {
 	slot, transfer := t.Replica.OpenTransferOf(id)
 	if transfer == nil || !transfer.Record.Phase.IsPending() || batch.ChangesTransfer(slot) {
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -16,11 +16,11 @@
 
 // Transfers rebalances shards between controllers and advances recorded transfers.
 //
-// Jobs go on running on the machines of a shard in transfer. Where transfers are recorded (setting
-// `moves.recorded`), the source first quiesces the shard: nothing new is placed there, no start is
-// sent, and it waits for a heartbeat of each agent after the last start. Else, and where there is no
-// time for that, the owner changes in one write; the target resolves the commands that were in flight
-// from what the agents report.
+// Jobs continue to run on the machines of a shard in transfer. If transfers are recorded (setting
+// `moves.recorded`), the source first quiesces the shard: it places nothing new on the machines, sends
+// no start, and waits for a heartbeat that each agent has sent after its last start. If transfers are
+// not recorded, or if the source has no time to quiesce the shard, one write changes the owner. The
+// target then resolves the commands in flight from the reports of the agents.
 type Transfers struct {
 	*step.Context
 
@@ -34,10 +34,11 @@
 
 	observations       map[storage.TransferSlot]transferObservation
 	lastRebalanceAt    protocol.Instant // when a transfer was last planned and written
-	lastTransferNumber int              // of the last transfer that this process named
+	lastTransferNumber int              // number in the last transfer name of this process
 }
 
-// transferObservation is since when this process has seen a transfer in its phase.
+// transferObservation holds the revision of a transfer and when this process first saw the transfer at
+// that revision.
 type transferObservation struct {
 	modRevision protocol.ModRevision
 	observedAt  protocol.Instant
@@ -50,14 +51,15 @@
 	}
 }
 
-// OpenTransfer records a transfer in a slot of its target that has no open transfer. An empty name
-// is replaced by a new one. The transaction depends on the keys of both incarnations and the shard.
+// OpenTransfer records a transfer in a slot of its target that has no open transfer. It writes nothing
+// if there is no such slot. An empty name is replaced by a new name. The transaction is conditional on
+// the keys of the shard and of both controllers.
 func (t *Transfers) OpenTransfer(
 	batch *commit.Batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string,
 ) {
 	slot, ok := t.freeTransferSlot(batch, transfer.Target.Controller())
 	if !ok {
-		return // all slots are taken; the caller tries again
+		return // all slots have open transfers, and the caller tries again
 	}
 	if name == "" {
 		name = t.nextTransferName()
@@ -85,7 +87,7 @@
 		"phase", string(phase), "reason", reason)
 }
 
-// ShardsInTransfer lists the shards that have a transfer in a phase that matches.
+// ShardsInTransfer returns the shards that have a transfer in a matching phase.
 func (t *Transfers) ShardsInTransfer(matches func(storage.TransferPhase) bool) map[storage.ShardID]bool {
 	shards := map[storage.ShardID]bool{}
 	for _, transfer := range t.Replica.Transfers {
@@ -96,11 +98,12 @@
 	return shards
 }
 
-// IsPrepared tells whether a shard with a transfer in this phase is quiesced: nothing new may begin in it.
+// IsPrepared reports whether a transfer in the given phase quiesces its shard, so that no task may start
+// on the shard.
 func IsPrepared(phase storage.TransferPhase) bool { return phase == storage.TransferPrepared }
 
-// IsQuiesced tells whether nothing new may begin in a shard. It is called for each heartbeat, so it
-// does not build the set of ShardsInTransfer.
+// IsQuiesced reports whether a shard has a prepared transfer, so that no task may start on the shard. It
+// is called for each heartbeat and therefore does not build the set of ShardsInTransfer.
 func (t *Transfers) IsQuiesced(id storage.ShardID) bool {
 	for _, transfer := range t.Replica.Transfers {
 		if transfer.Record.Shard == id && IsPrepared(transfer.Record.Phase) {
@@ -110,13 +113,14 @@
 	return false
 }
 
-// nextTransferName gives a name that no other transfer has or had.
+// nextTransferName returns a name that no other transfer has or had.
 func (t *Transfers) nextTransferName() string {
 	t.lastTransferNumber++
 	return fmt.Sprintf("%s-%d", t.lease.Incarnation(), t.lastTransferNumber)
 }
 
-// freeTransferSlot gives the slot of a target whose transfer ended first, or that never had one.
+// freeTransferSlot returns the slot of a target whose transfer ended first, or a slot that never had a
+// transfer. Slots that the batch changes are left out. ok reports whether there is a free slot.
 func (t *Transfers) freeTransferSlot(
 	batch *commit.Batch, target protocol.ControllerID,
 ) (best storage.TransferSlot, ok bool) {
@@ -133,23 +137,24 @@
 	return best, ok
 }
 
-// hasOpenTransfer tells whether the transfer in a slot has not ended.
+// hasOpenTransfer reports whether a slot holds a transfer that has not ended.
 func (t *Transfers) hasOpenTransfer(slot storage.TransferSlot) bool {
 	transfer := t.Replica.Transfers[slot]
 	return transfer != nil && transfer.Record.Phase.IsOpen()
 }
 
-// shouldRecordTransfersTo tells whether transfers to an incarnation are recorded: not if its version does
-// not know such records.
+// shouldRecordTransfersTo reports whether transfers to an incarnation are recorded. They are recorded if
+// the setting says so and the version of the target knows such records.
 func (t *Transfers) shouldRecordTransfersTo(target storage.Incarnation) bool {
 	controller := t.Replica.Controllers[target.Controller()]
 	return t.Config.RecordTransfers && controller != nil && controller.Record.SupportsTransfers
 }
 
-// gangWaitTimeout is how long a proposed transfer waits for a gang to be placed in its shard.
+// gangWaitTimeout is the maximum time for which a proposed transfer waits until a gang is placed on its
+// shard.
 const gangWaitTimeout = 10 * time.Second
 
-// transferTimeouts are how long a transfer may stay in each phase.
+// transferTimeouts returns the maximum time of a transfer in each phase.
 func (t *Transfers) transferTimeouts() sharding.TransferTimeouts {
 	quiesceTimeout := t.agents.SilenceTimeout() + t.Config.MaxResponseDelay + t.Config.MaxIdleResponseDelay
 	return sharding.TransferTimeouts{
@@ -160,7 +165,7 @@
 	}
 }
 
-// machinesReservedForGangs lists the machines on which capacity is reserved for gangs.
+// machinesReservedForGangs returns the machines on which capacity is reserved for gangs.
 func (t *Transfers) machinesReservedForGangs() map[protocol.MachineID]bool {
 	reserved := map[protocol.MachineID]bool{}
 	for _, job := range t.Replica.UnfinishedJobs {
--- a/internal/sharding/transfer.go
+++ b/internal/sharding/transfer.go
@@ -70,7 +70,7 @@
 		return TransferStep{storage.TransferAborted, reason}
 	}
 	if status.Self != status.Transfer.Source {
-		return TransferStep{} // the source is dead, and the shard's successor takes over the shard and ends the transfer
+		return TransferStep{} // the source is dead, and the shard's successor ends the transfer by a failover
 	}
 	return stepBeforeCommit(status, timeouts)
 }
