--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -23,7 +23,7 @@
 	nextListAt   protocol.Instant
 }
 
-// PollMachineTypes requests the machine types and their prices again when that is due.
+// PollMachineTypes requests the machine types and their prices if a request is due.
 func (c *Catalog) PollMachineTypes() {
 	if !c.isListing && c.Now.Monotonic >= c.nextListAt {
 		c.isListing = true
@@ -31,8 +31,8 @@
 	}
 }
 
-// OnListMachineTypesResult replaces the list of machine types, or schedules a retry if the cloud did
-// not answer.
+// OnListMachineTypesResult replaces the list of machine types, or schedules a retry if the request
+// failed.
 func (c *Catalog) OnListMachineTypesResult(result step.ListMachineTypesResult) {
 	c.isListing = false
 	if result.Err != nil {
@@ -47,11 +47,11 @@
 	}
 }
 
-// MachineTypes lists what the cloud offers, empty before its first answer. Callers must not change
-// the list.
+// MachineTypes returns the machine types that the cloud offers. The list is empty before the cloud's
+// first response. Callers must not change it.
 func (c *Catalog) MachineTypes() []protocol.MachineType { return c.machineTypes }
 
-// MachineType is the machine type of a name, nil if the cloud does not offer it.
+// MachineType returns the machine type with the given name, or nil if the cloud does not offer it.
 func (c *Catalog) MachineType(name protocol.MachineTypeName) *protocol.MachineType {
 	for i := range c.machineTypes {
 		if c.machineTypes[i].Name == name {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Zones lists, in order, the zones in which the cloud offers any machine type.
+// Zones returns, in ascending order, the zones in which the cloud offers any machine type.
 func (c *Catalog) Zones() []protocol.Zone {
 	var zones []protocol.Zone
 	for i := range c.machineTypes {
@@ -71,16 +71,16 @@
 	return slices.Compact(zones)
 }
 
-// ProvisioningTime is how long it takes until a task of a job runs on a machine that is provisioned
-// for it.
+// ProvisioningTime returns the shortest time until a task of a job can run on a machine that is
+// provisioned for it. It returns 0 if no machine type has capacity for a task.
 func (c *Catalog) ProvisioningTime(job *protocol.Job) time.Duration {
 	return c.ShortestTime(job, func(machineType *protocol.MachineType) time.Duration {
 		return MachineStartupTime(machineType, job)
 	})
 }
 
-// ShortestTime is the least time that a machine type with capacity for a task of a job needs, 0 if
-// there is no such type.
+// ShortestTime returns the shortest time that timeFor returns for any machine type with capacity for
+// a task of a job. It returns 0 if there is no such type.
 func (c *Catalog) ShortestTime(job *protocol.Job, timeFor func(*protocol.MachineType) time.Duration) time.Duration {
 	shortest := time.Duration(0)
 	for i := range c.machineTypes {
--- a/internal/coordination/catalog/doc.go
+++ b/internal/coordination/catalog/doc.go
@@ -1,6 +1,7 @@
-// Package catalog holds what the cloud offers: machine types, their prices and capacities, how long
-// their machines take to start, and whether the spot price rule allows spot machines.
+// Package catalog holds the machine types that the cloud offers, with their prices, capacities and
+// startup times, and decides from spot prices whether spot machines may be used.
 //
-// It owns the last list of machine types and the price thresholds, and has the arithmetic of resources
-// that placement and provisioning share. It reads no record, writes none, and provisions no machine.
+// The package owns the latest list of machine types and the price thresholds. It also provides the
+// arithmetic of resources that placement and provisioning share. It neither reads nor writes records
+// and provisions no machines.
 package catalog
--- a/internal/coordination/catalog/parts.go
+++ b/internal/coordination/catalog/parts.go
@@ -4,13 +4,13 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of what the cloud offers, connected with each other.
+// Parts holds the components of this package, connected with each other.
 type Parts struct {
 	Catalog *Catalog
 	Spot    *SpotPricing
 }
 
-// New makes the parts. They need nothing of other packages.
+// New returns the components of this package. They depend on no other component.
 func New(ctx *step.Context) *Parts {
 	spot := newSpotPricing(ctx)
 	return &Parts{
--- a/internal/coordination/catalog/resources.go
+++ b/internal/coordination/catalog/resources.go
@@ -6,15 +6,15 @@
 	"tillerarch/internal/protocol"
 )
 
-// Epsilon absorbs rounding where amounts of resources are compared: those of the users'
-// requests are decimal fractions.
+// Epsilon absorbs rounding errors where amounts of resources are compared, because users request
+// amounts as decimal fractions.
 const Epsilon = 1e-6
 
-// Resources are amounts of what a machine offers and a task needs. Amounts may be negative where
-// more is allocated than the machine has.
+// Resources holds the amounts of resources that a machine offers or a task needs. An amount is
+// negative if more is allocated than the machine has.
 type Resources struct{ Cores, accelerators, MemoryGB float64 }
 
-// CapacityOf is what an empty machine of a type offers.
+// CapacityOf returns the resources of an empty machine of a type.
 func CapacityOf(machineType *protocol.MachineType) Resources {
 	return Resources{
 		Cores:        machineType.Cores,
@@ -23,13 +23,13 @@
 	}
 }
 
-// MachineTypeCapacity tells how many tasks of a job an empty machine of a type takes.
+// MachineTypeCapacity returns the number of tasks of a job that fit on an empty machine of a type.
 func MachineTypeCapacity(machineType *protocol.MachineType, job *protocol.Job) int {
 	capacity := CapacityOf(machineType)
 	return capacity.CapacityFor(job)
 }
 
-// CapacityFor tells how many tasks of a job the resources suffice for.
+// CapacityFor returns the number of tasks of a job for which the resources suffice.
 func (r *Resources) CapacityFor(job *protocol.Job) int {
 	tasks := protocol.MaxTasks
 	for _, amount := range [3]struct{ free, needed float64 }{
@@ -42,14 +42,15 @@
 	return max(tasks, 0)
 }
 
-// Allocate subtracts what a number of tasks of a job need; a negative number releases it.
+// Allocate subtracts the resources that tasks of a job need. A negative number of tasks releases
+// resources.
 func (r *Resources) Allocate(job *protocol.Job, tasks int) {
 	r.Cores -= float64(tasks) * job.Cores
 	r.accelerators -= float64(tasks) * job.Accelerators
 	r.MemoryGB -= float64(tasks) * job.MemoryGB
 }
 
-// Without is what is left of the resources once others are subtracted.
+// Without returns the resources that are left after other is subtracted.
 func (r Resources) Without(other Resources) Resources {
 	return Resources{
 		Cores:        r.Cores - other.Cores,
--- a/internal/coordination/catalog/spot_pricing.go
+++ b/internal/coordination/catalog/spot_pricing.go
@@ -9,13 +9,13 @@
 	"tillerarch/internal/sharding"
 )
 
-// PriceKey names what has a spot price of its own.
+// PriceKey identifies a machine type in a zone, which has a spot price of its own.
 type PriceKey struct {
 	MachineType protocol.MachineTypeName
 	Zone        protocol.Zone
 }
 
-// SpotPricing decides from observed prices whether spot machines may be used.
+// SpotPricing decides from the observed prices whether spot machines may be used.
 type SpotPricing struct {
 	*step.Context
 
@@ -29,15 +29,17 @@
 	}
 }
 
-// Threshold is the price threshold of a machine type in a zone, nil while no price is known.
+// Threshold returns the price threshold of a machine type in a zone, or nil if no price has been
+// observed.
 func (sp *SpotPricing) Threshold(key PriceKey) *SpotPriceThreshold { return sp.thresholds[key] }
 
-// Thresholds gives all price thresholds. Callers must not change the map.
+// Thresholds returns all price thresholds. Callers must not change the map.
 func (sp *SpotPricing) Thresholds() map[PriceKey]*SpotPriceThreshold { return sp.thresholds }
 
-// CanUseSpot tells whether a job may use spot machines of a type. By the users' DESIGN document
-// these are jobs that save checkpoints. The exception: tasks so short that the expected cost of
-// preemptions is less than what spot saves (docs/design.md).
+// CanUseSpot reports whether a job may use spot machines of a type. The users' DESIGN document allows
+// spot machines for jobs that save checkpoints. Jobs without checkpoints may use them as well if
+// their tasks are so short that the expected cost of preemptions is less than the savings of spot
+// machines (docs/design.md).
 func (sp *SpotPricing) CanUseSpot(job *protocol.Job, machineType *protocol.MachineType) bool {
 	if !job.AllowSpot {
 		return false
@@ -45,8 +47,8 @@
 	return job.CanCheckpoint() || sp.savesDespitePreemptions(job, machineType)
 }
 
-// savesDespitePreemptions compares the part of a task that preemptions lose, at an hourly rate, with
-// the part of its price that a spot machine saves.
+// savesDespitePreemptions reports whether the fraction of a task that preemptions are expected to
+// lose, at the configured hourly rate, is less than the fraction of its price that a spot machine saves.
 func (sp *SpotPricing) savesDespitePreemptions(job *protocol.Job, machineType *protocol.MachineType) bool {
 	if machineType.OnDemandPrice <= 0 {
 		return false
@@ -56,7 +58,8 @@
 	return expectedPreemptions < 1-machineType.SpotPrice/machineType.OnDemandPrice
 }
 
-// observePrices updates the thresholds of a machine type's zones with its current prices.
+// observePrices updates the thresholds of a machine type in all its zones with the type's current
+// prices.
 func (sp *SpotPricing) observePrices(machineType *protocol.MachineType) {
 	now := sp.Now.Monotonic
 	for _, zone := range machineType.Zones {
@@ -75,9 +78,10 @@
 	}
 }
 
-// IsNearPeriodBoundary tells whether a machine of an age is within a margin of the end of its
-// period (paper, Algorithm 1; the users' DESIGN document: it takes no new task). Machines provisioned in
-// one burst would get there together, so each one's period is shifted by an offset from its name.
+// IsNearPeriodBoundary reports whether a machine of the given age is within margin of the end of its
+// period (paper, Algorithm 1). According to the users' DESIGN document, such a machine takes no new
+// task. Machines that are provisioned in one burst would reach the end together, so the period of
+// each machine is shifted by an offset that is derived from the machine's ID.
 func IsNearPeriodBoundary(id protocol.MachineID, age, period, margin time.Duration) bool {
 	if period <= 0 || margin <= 0 || age < 0 {
 		return false
--- a/internal/coordination/catalog/spot_test.go
+++ b/internal/coordination/catalog/spot_test.go
@@ -15,7 +15,8 @@
 	return protocol.Instant(0).Add(protocol.Seconds(seconds))
 }
 
-// The formulas of the paper (3.3.1), with the on-demand price, here 1, for the bid.
+// The threshold follows the formulas of the paper (3.3.1), with the on-demand price, here 1, in place
+// of the bid.
 func TestSpotPriceThreshold(t *testing.T) {
 	const window = 60 * time.Second
 	type observation struct {
@@ -29,14 +30,14 @@
 		firstPrice   float64
 		observations []observation
 	}{
-		{"begins with (current + on-demand) / 2", 0.2, []observation{{10, 0.2, false, 0.6, true}}},
-		{"suspended above it, then (triggering + on-demand) / 2", 0.2, []observation{
+		{"the initial threshold is (current + on-demand) / 2", 0.2, []observation{{10, 0.2, false, 0.6, true}}},
+		{"a price above the threshold suspends and sets (triggering + on-demand) / 2", 0.2, []observation{
 			{10, 0.7, true, 0.85, false},
-			{20, 0.3, false, 0.85, false}, // until recomputed
+			{20, 0.3, false, 0.85, false}, // until the threshold is recomputed
 			{30, 0.9, false, 0.85, false}, // one suspension at a time
 		}},
-		{"at the threshold is not above it", 0.2, []observation{{10, 0.6, false, 0.6, true}}},
-		{"recomputed each window from its average", 0.2, []observation{
+		{"a price at the threshold does not suspend", 0.2, []observation{{10, 0.6, false, 0.6, true}}},
+		{"each window recomputes the threshold from its average price", 0.2, []observation{
 			{10, 0.2, false, 0.6, true}, {20, 0.4, false, 0.6, true},
 			{60, 0.3, false, 0.65, true}, // (0.3 + 1) / 2
 			{120, 0.5, false, 0.65, true},
@@ -44,7 +45,7 @@
 		{"a suspension ends with the window", 0.2, []observation{
 			{10, 0.7, true, 0.85, false}, {60, 0.4, false, 0.85, true},
 		}},
-		{"never allowed above the on-demand price", 0.2, []observation{
+		{"a price above the on-demand price never allows spot", 0.2, []observation{
 			{10, 1.2, true, 1.1, false}, {60, 1.2, true, 1.1, false},
 		}},
 	} {
@@ -54,7 +55,7 @@
 				suspended := threshold.observePrices(instantAt(observed.atSeconds), observed.price, 1)
 				if suspended != observed.wantNewlySuspended || math.Abs(threshold.Value()-observed.wantThreshold) > 1e-9 ||
 					threshold.AllowsSpot() != observed.wantAllowed {
-					t.Errorf("at %v s: newly suspended %v, threshold %v, spot allowed %v",
+					t.Errorf("at %v s: newly suspended %v, threshold %v, spot allowed %v, not as the test case wants",
 						observed.atSeconds, suspended, threshold.Value(), threshold.AllowsSpot())
 				}
 			}
@@ -62,8 +63,8 @@
 	}
 }
 
-// Every machine is near its boundary for the margin in each period, and those provisioned together
-// are not so together.
+// Every machine is near its boundary for as long as the margin in each period. Machines that are
+// provisioned together do not reach their boundaries together.
 func TestIsNearPeriodBoundary(t *testing.T) {
 	const period, margin = 300 * time.Second, 10 * time.Second
 	nearAtSecond := make([]int, 300)
@@ -77,20 +78,21 @@
 			}
 		}
 		if nearSeconds != 10 && nearSeconds != 9 {
-			t.Errorf("%s is near its boundary for %d s", id, nearSeconds)
+			t.Errorf("%s is near its boundary for %d s of a period, want 9 or 10 s", id, nearSeconds)
 		}
 	}
 	for second, machines := range nearAtSecond {
 		if machines > 8 {
-			t.Errorf("%d of 20 machines reach their margin together at %d s", machines, second)
+			t.Errorf("%d of 20 machines are near their boundary at %d s, want at most 8", machines, second)
 		}
 	}
 	if IsNearPeriodBoundary("m-1", time.Minute, period, 0) || IsNearPeriodBoundary("m-1", -time.Second, period, margin) {
-		t.Error("a boundary is near without margin or age")
+		t.Error("a machine is near its boundary although the margin is 0 or the age negative, want false")
 	}
 }
 
-// A new price of one type suspends spot use of that type in its zones, and is logged once for each.
+// A price of one type above the threshold suspends spot use of that type in its zones, and is logged
+// once for each zone.
 func TestCatalogAppliesSpotPrices(t *testing.T) {
 	ctx := &step.Context{
 		Config: step.Config{Tuning: step.DefaultTuning()},
@@ -124,15 +126,16 @@
 		}
 	}
 	if suspensions != 2 || len(parts.Spot.Thresholds()) != 3 {
-		t.Errorf("%d suspensions logged of %d thresholds", suspensions, len(parts.Spot.Thresholds()))
+		t.Errorf("%d suspensions logged of %d thresholds, want 2 of 3", suspensions, len(parts.Spot.Thresholds()))
 	}
 	if zones := parts.Catalog.Zones(); len(zones) != 2 || zones[0] != "a" || zones[1] != "b" {
-		t.Errorf("zones %v", zones)
+		t.Errorf("zones are %v, want [a b]", zones)
 	}
 }
 
-// Spot machines are for jobs that keep checkpoints, or whose tasks are too short to lose more than
-// they save: at 4 preemptions an hour and 60% saved, tasks of less than 540 s.
+// Jobs may use spot machines if they save checkpoints or if their tasks are so short that preemptions
+// cost less than spot machines save. At 4 preemptions per hour and savings of 60%, these are tasks of
+// less than 540 s.
 func TestCanUseSpot(t *testing.T) {
 	ctx := &step.Context{Config: step.Config{Tuning: step.DefaultTuning()}}
 	spot := New(ctx).Spot
@@ -142,14 +145,14 @@
 		job  protocol.Job
 		want bool
 	}{
-		{"not allowed by the user", protocol.Job{EstimatedRunSeconds: 1, CheckpointIntervalSeconds: 30}, false},
-		{"keeps checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 7200, CheckpointIntervalSeconds: 30}, true},
+		{"the user does not allow spot", protocol.Job{EstimatedRunSeconds: 1, CheckpointIntervalSeconds: 30}, false},
+		{"saves checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 7200, CheckpointIntervalSeconds: 30}, true},
 		{"short without checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 539}, true},
 		{"long without checkpoints", protocol.Job{AllowSpot: true, EstimatedRunSeconds: 541}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := spot.CanUseSpot(&test.job, &machineType); got != test.want {
-				t.Errorf("can use spot %v, want %v", got, test.want)
+				t.Errorf("CanUseSpot() = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/catalog/spot_threshold.go
+++ b/internal/coordination/catalog/spot_threshold.go
@@ -6,12 +6,12 @@
 	"tillerarch/internal/protocol"
 )
 
-// SpotPriceThreshold is the THRESHOLD rule (paper, 3.3.1) for one machine type in one zone, as the
-// users' DESIGN document adapts it: the on-demand price stands for the paper's bid, and where the paper
-// takes a checkpoint, new placements on spot machines and their provisioning are suspended until
-// the threshold is recomputed. It is not kept across restarts.
+// SpotPriceThreshold applies the THRESHOLD rule (paper, 3.3.1) to one machine type in one zone, as the
+// users' DESIGN document adapts the rule. The on-demand price takes the place of the paper's bid. Where
+// the paper takes a checkpoint, new placements on spot machines and their provisioning are suspended
+// until the threshold is recomputed. The threshold is not kept across restarts.
 type SpotPriceThreshold struct {
-	SpotPrice     float64 // that was observed last
+	SpotPrice     float64 // the price that was observed last
 	onDemandPrice float64
 
 	value       float64
@@ -19,12 +19,12 @@
 
 	window     time.Duration
 	windowEnd  protocol.Instant
-	priceSum   float64 // of the prices observed in this window
+	priceSum   float64 // sum of the prices observed in this window
 	priceCount int
 }
 
-// newSpotPriceThreshold begins with the mean of the current spot price and the on-demand price
-// (paper, 3.3.1: "also applied when the virtual machine is started").
+// newSpotPriceThreshold returns a threshold that is initially the mean of the current spot price and
+// the on-demand price (paper, 3.3.1: "also applied when the virtual machine is started").
 func newSpotPriceThreshold(
 	window time.Duration, now protocol.Instant, spotPrice, onDemandPrice float64,
 ) *SpotPriceThreshold {
@@ -37,11 +37,11 @@
 	}
 }
 
-// thresholdFor is both formulas of the paper: (price + bid) / 2, for the average price of a window
-// and for the price that triggered a checkpoint.
+// thresholdFor returns (price + bid) / 2. The paper uses this formula twice, for the average price of
+// a window and for the price that triggered a checkpoint.
 func thresholdFor(price, onDemandPrice float64) float64 { return (price + onDemandPrice) / 2 }
 
-// observePrices applies the rule to the current prices. It tells whether they begin a suspension.
+// observePrices applies the rule to the current prices. It reports whether they start a suspension.
 func (t *SpotPriceThreshold) observePrices(now protocol.Instant, spotPrice, onDemandPrice float64) (newlySuspended bool) {
 	t.SpotPrice, t.onDemandPrice = spotPrice, onDemandPrice
 	if now >= t.windowEnd {
@@ -58,7 +58,8 @@
 	return true
 }
 
-// averagePrice is the average of the window that ends, the current price if none was observed in it.
+// averagePrice returns the average price of the window that ends, or the current price if no price was
+// observed in the window.
 func (t *SpotPriceThreshold) averagePrice() float64 {
 	if t.priceCount == 0 {
 		return t.SpotPrice
@@ -66,10 +67,10 @@
 	return t.priceSum / float64(t.priceCount)
 }
 
-// Value is the threshold in force.
+// Value returns the current threshold.
 func (t *SpotPriceThreshold) Value() float64 { return t.value }
 
-// AllowsSpot tells whether spot machines may be provisioned and given tasks.
+// AllowsSpot reports whether spot machines may be provisioned and may take new tasks.
 func (t *SpotPriceThreshold) AllowsSpot() bool {
 	return !t.isSuspended && t.SpotPrice < t.onDemandPrice
 }
