--- a/internal/coordination/commit/committest/register.go
+++ b/internal/coordination/commit/committest/register.go
@@ -1,4 +1,4 @@
-// Package committest helps the tests of the packages that build on package commit.
+// Package committest provides helpers for the tests of packages that use package commit.
 package committest
 
 import (
@@ -15,9 +15,9 @@
 	registeredRevision = 2
 )
 
-// Register brings the parts to the point where the controller holds a lease, has read an empty
-// store and is registered under the lease, with an up-to-date replica of revision 2. It leaves
-// no effect in the context.
+// Register passes inputs to the parts until the controller holds a lease, has loaded an empty store
+// and is registered under the lease. The replica is then up to date at revision 2, and ctx has no
+// effects.
 func Register(t testing.TB, ctx *step.Context, parts *commit.Parts) {
 	t.Helper()
 	parts.Limits.UpdateWriteLimiter()
@@ -28,16 +28,16 @@
 	})
 	ctx.Effects = nil
 	if parts.Committer.PrepareForRecordBatch() {
-		t.Fatal("a batch of records may be sent before the registration")
+		t.Fatal("a batch of records may be sent before the registration, want the registration first")
 	}
 	sent := steptest.EffectsOf[step.Commit](ctx.Effects)
 	if len(sent) != 1 {
-		t.Fatalf("%d transactions sent, want the registration", len(sent))
+		t.Fatalf("%d transactions were sent, want only the registration", len(sent))
 	}
 	parts.Committer.OnCommitResult(steptest.CommittedAt(sent[0].ID, registeredRevision))
 	parts.Replication.OnWatchResult(steptest.UnchangedUntil(loadedRevision, registeredRevision))
 	if !parts.Lease.IsRegistered() || !parts.Replication.IsUpToDate() {
-		t.Fatal("the controller is not registered and up to date")
+		t.Fatal("the controller is not registered or its replica is not up to date")
 	}
 	ctx.Effects = nil
 }
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -34,7 +34,7 @@
 	limits    *WriteLimiter
 	election  SuccessorElection
 
-	packedReaders            map[protocol.ControllerID]bool // whether a controller, when last seen, could read the packed format
+	packedReaders            map[protocol.ControllerID]bool // whether a controller last seen can read the packed format
 	areAnnouncedLimitsActive bool                           // the store refused a write within the current limits as too large
 	raisableSince            protocol.Instant               // when it became possible to raise the format; 0 if it is not
 	warnedIncarnation        storage.Incarnation            // the last incarnation that was logged as incompatible
--- a/internal/coordination/commit/format_upgrade_test.go
+++ b/internal/coordination/commit/format_upgrade_test.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
-// putController puts a live incarnation of a controller on record.
+// putController adds the record of a live incarnation of a controller to the replica.
 func putController(t *testing.T, controller *testController, controllerID protocol.ControllerID, readFormat storage.Format) {
 	t.Helper()
 	key := storage.ControllerKey(controllerID)
@@ -19,20 +19,20 @@
 	controller.Upgrade.RecordFormatSupport()
 }
 
-// The format is raised only once every controller has been seen to read the packed one,
-// and never while an incarnation of an older version lives.
+// The format is raised only once every controller has been seen to read the packed format, and never
+// while an incarnation of an older version lives.
 func TestFormatRaisedOnlyWhenAllCanRead(t *testing.T) {
 	const packed, plain, absent = storage.FormatPacked, storage.FormatPlain, storage.Format(-1)
 	for _, test := range []struct {
 		name         string
-		earlier      []storage.Format // that the two others read earlier
-		now          []storage.Format // and now
+		earlier      []storage.Format // formats that the two other controllers could read earlier
+		now          []storage.Format // formats that they can read now
 		notAnnounced bool             // no limits are announced
-		refused      bool             // a write within the current limits was refused
+		refused      bool             // the store refused a write within the current limits
 		want         bool
 	}{
 		{
-			name:    "all read it",
+			name:    "all controllers read the packed format",
 			earlier: []storage.Format{absent, absent},
 			now:     []storage.Format{packed, packed},
 			want:    true,
@@ -45,38 +45,38 @@
 			want:         false,
 		},
 		{
-			name:    "one is old",
+			name:    "one controller is of the older version",
 			earlier: []storage.Format{absent, absent},
 			now:     []storage.Format{packed, plain},
 			want:    false,
 		},
 		{
-			name:    "one has not been seen",
+			name:    "one controller has not been seen",
 			earlier: []storage.Format{absent, absent},
 			now:     []storage.Format{packed, absent},
 			want:    false,
 		},
 		{
-			name:    "one was seen to read it and is away",
+			name:    "one controller that read the packed format is away",
 			earlier: []storage.Format{packed, packed},
 			now:     []storage.Format{packed, absent},
 			want:    true,
 		},
 		{
-			name:    "one came back old",
+			name:    "one controller returned with the older version",
 			earlier: []storage.Format{packed, packed},
 			now:     []storage.Format{packed, plain},
 			want:    false,
 		},
 		{
-			name:    "the announced limits are active, one has not been seen",
+			name:    "the announced limits are active, one controller has not been seen",
 			earlier: []storage.Format{absent, absent},
 			now:     []storage.Format{packed, absent},
 			refused: true,
 			want:    true,
 		},
 		{
-			name:    "the announced limits seem to be active, one is old",
+			name:    "the announced limits seem to be active, one controller is of the older version",
 			earlier: []storage.Format{absent, absent},
 			now:     []storage.Format{packed, plain},
 			refused: true,
@@ -103,14 +103,14 @@
 				}
 			}
 			if got := controller.Upgrade.canRaiseFormat(); got != test.want {
-				t.Errorf("can be raised: %v", got)
+				t.Errorf("canRaiseFormat() = %v, want the opposite", got)
 			}
 		})
 	}
 }
 
-// A transaction that the store calls too large is never sent again as it is, and shows that the
-// announced limits are active if it kept to the current ones.
+// After a transaction that the store refuses as too large, the next transactions are smaller. The
+// refusal shows that the announced limits are active if the transaction exceeded only these.
 func TestTooLargeTransaction(t *testing.T) {
 	controller := newReadyController(t)
 	controller.Config.AnnouncedLimits = steptest.AnnouncedLimits()
@@ -119,11 +119,12 @@
 	large := &protocol.Transaction{Operations: []protocol.Operation{{PutKey: "k", Value: make([]byte, 3000)}}}
 	opsBefore := limits.maxTransactionOps
 	if upgrade.onTransactionTooLarge(small); upgrade.areAnnouncedLimitsActive {
-		t.Error("a small transaction that is refused says nothing of the limits")
+		t.Error("announced limits are active after a refusal of a small transaction, want inactive")
 	}
 	upgrade.onTransactionTooLarge(large)
 	ops := limits.maxTransactionOps
 	if !upgrade.areAnnouncedLimitsActive || ops >= opsBefore || ops < minTransactionOps {
-		t.Errorf("announced limits active %v, %d operations in the next transaction", upgrade.areAnnouncedLimitsActive, ops)
+		t.Errorf("announced limits active is %v, want true; next transaction has up to %d operations, want fewer than before",
+			upgrade.areAnnouncedLimitsActive, ops)
 	}
 }
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -14,14 +14,14 @@
 
 var errUnreachable = errors.New("store unreachable")
 
-// fakeMachineTracker stands for package agents, which tracks no machine.
+// fakeMachineTracker is a MachineTracker that holds no state.
 type fakeMachineTracker struct{}
 
 func (fakeMachineTracker) ForgetAssignments()                        {}
 func (fakeMachineTracker) ForgetUnrecordedMachines(*storage.Replica) {}
 func (fakeMachineTracker) OnMachinesRemoved()                        {}
 
-// testController is the parts of this package, driven as the core drives them.
+// testController connects the parts of this package and passes inputs to them as the core does.
 type testController struct {
 	steptest.Fixture
 	*Parts
@@ -48,7 +48,7 @@
 	return controller
 }
 
-// newReadyController brings a controller to the point where it is registered and up to date.
+// newReadyController returns a controller that is registered and has an up-to-date replica.
 func newReadyController(t *testing.T) *testController {
 	t.Helper()
 	controller := newTestController()
@@ -56,17 +56,18 @@
 	controller.advance(0, step.GrantLeaseResult{LeaseID: 7})
 	registration := sentTransaction(controller.advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
 	if registration == nil {
-		t.Fatal("the controller does not register")
+		t.Fatal("no registration was sent after the records were loaded")
 	}
 	controller.advance(0, steptest.CommittedAt(registration.ID, 2))
 	controller.advance(0, steptest.UnchangedUntil(1, 2))
 	if !controller.Lease.IsRegistered() || !controller.Replication.IsUpToDate() {
-		t.Fatal("the controller is not registered and up to date")
+		t.Fatal("the controller is not registered or its replica is not up to date")
 	}
 	return controller
 }
 
-// advance lets time pass and passes an input to the part that it is for.
+// advance advances the clock, passes an input to the part that handles it and returns the effects of
+// the step.
 func (c *testController) advance(after time.Duration, in step.Input) []step.Effect {
 	c.Advance(after)
 	c.Effects = nil
@@ -92,7 +93,7 @@
 	return c.Effects
 }
 
-// sentTransaction is the transaction among the effects of a step, nil if there is none.
+// sentTransaction returns the first transaction among the effects of a step, or nil if there is none.
 func sentTransaction(effects []step.Effect) *step.Commit {
 	if sent := steptest.EffectsOf[step.Commit](effects); len(sent) > 0 {
 		return &sent[0]
--- a/internal/coordination/commit/lease_test.go
+++ b/internal/coordination/commit/lease_test.go
@@ -10,35 +10,35 @@
 	"tillerarch/internal/storage"
 )
 
-// A lease is requested until there is one, with a pause after a failure, and renewed several
-// times in the time that it would last.
+// A lease is requested until one is granted, with a pause after a failure. It is renewed several times
+// within its TTL.
 func TestLeaseIsGrantedAndRenewed(t *testing.T) {
 	controller := newTestController()
 	if !steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})) {
-		t.Fatal("no lease is requested")
+		t.Fatal("no lease was requested on the first tick")
 	}
 	if steptest.HasEffect[step.GrantLease](controller.advance(time.Second, step.Tick{})) {
-		t.Error("a second lease is requested while the first is being granted")
+		t.Error("a second lease was requested while the first request was pending")
 	}
 	controller.advance(0, step.GrantLeaseResult{Err: errUnreachable})
 	if steptest.HasEffect[step.GrantLease](controller.advance(grantRetryDelay/2, step.Tick{})) {
-		t.Error("requested again at once")
+		t.Error("a lease was requested again before the retry delay")
 	}
 	if !steptest.HasEffect[step.GrantLease](controller.advance(grantRetryDelay, step.Tick{})) {
-		t.Error("not requested again")
+		t.Error("no lease was requested again after the retry delay")
 	}
 	controller.advance(0, step.GrantLeaseResult{LeaseID: 7})
 	interval := controller.Config.LeaseTTL / renewalsPerLease
 	if steptest.HasEffect[step.RenewLease](controller.advance(interval, step.Tick{})) {
-		t.Error("renewed at once")
+		t.Error("the lease was renewed before the renewal interval had passed")
 	}
 	if !steptest.HasEffect[step.RenewLease](controller.advance(time.Millisecond, step.Tick{})) {
-		t.Error("not renewed")
+		t.Error("the lease was not renewed after the renewal interval")
 	}
 }
 
-// A controller whose lease has expired, or whose key another incarnation has replaced, is no
-// longer registered, and requests another lease.
+// A controller is no longer registered and requests another lease if its lease has expired or its
+// registration key has been deleted or replaced.
 func TestRegistrationIsLost(t *testing.T) {
 	key := storage.ControllerKey("stall-0")
 	successor := storage.MustMarshal(storage.ControllerRecord{Incarnation: "stall-0#8"})
@@ -53,7 +53,7 @@
 			want:  true,
 		},
 		{
-			name:  "the store does not answer",
+			name:  "the store does not respond",
 			input: step.RenewLeaseResult{LeaseID: 7, Err: errUnreachable},
 			want:  true,
 		},
@@ -88,10 +88,10 @@
 			controller := newReadyController(t)
 			controller.advance(0, test.input)
 			if got := controller.Lease.IsRegistered(); got != test.want {
-				t.Errorf("registered: %v", got)
+				t.Errorf("IsRegistered() = %v, want the opposite", got)
 			}
 			if got := steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})); got == test.want {
-				t.Errorf("another lease requested: %v", got)
+				t.Errorf("another lease requested is %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/coordination/commit/replication_test.go
+++ b/internal/coordination/commit/replication_test.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/coordination/step/steptest"
 )
 
-// New starts rest on a replica that is known to be up to date. Answered requests alone do not
-// show that: the watch may have stalled while a job is cancelled.
+// Tasks are started only from a replica that is known to be up to date. Answered requests are no
+// evidence of that, because the watch may have stalled while a job is cancelled.
 func TestIsUpToDate(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -36,7 +36,7 @@
 				}
 			}
 			if got := controller.Replication.IsUpToDate(); got != test.want {
-				t.Errorf("up to date: %v", got)
+				t.Errorf("IsUpToDate() = %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/coordination/commit/shard_layout_test.go
+++ b/internal/coordination/commit/shard_layout_test.go
@@ -9,23 +9,23 @@
 	"tillerarch/internal/storage"
 )
 
-// A shard that has lost most of its machines is merged into another, with all that it knows to
-// be done; never where a machine's fencing token would fall.
+// A shard that has lost most of its machines is merged into another shard, with all its done tasks. It
+// is never merged into a shard where the fencing token of a machine would fall.
 func TestMergeShards(t *testing.T) {
 	for _, test := range []struct {
 		name                   string
-		smallCount, largeCount int // machines on each
+		smallCount, largeCount int // number of machines on each shard
 		smallEpoch, largeEpoch storage.ShardEpoch
-		doneGaps               int // between the done tasks on the large one
+		doneGaps               int // number of gaps between the done tasks on the large shard
 		want                   bool
 	}{
-		{name: "one has few", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: true},
-		{name: "the other's epoch is higher", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 4, want: true},
-		{name: "the other's epoch is lower", smallCount: 5, largeCount: 30, smallEpoch: 4, largeEpoch: 3, want: false},
-		{name: "both have many", smallCount: 30, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: false},
-		{name: "the other is full", smallCount: 5, largeCount: 56, smallEpoch: 3, largeEpoch: 3, want: false},
+		{name: "one shard has few machines", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: true},
+		{name: "the epoch of the large shard is higher", smallCount: 5, largeCount: 30, smallEpoch: 3, largeEpoch: 4, want: true},
+		{name: "the epoch of the large shard is lower", smallCount: 5, largeCount: 30, smallEpoch: 4, largeEpoch: 3, want: false},
+		{name: "both shards have many machines", smallCount: 30, largeCount: 30, smallEpoch: 3, largeEpoch: 3, want: false},
+		{name: "the large shard is full", smallCount: 5, largeCount: 56, smallEpoch: 3, largeEpoch: 3, want: false},
 		{
-			name:       "the other has some done tasks",
+			name:       "the large shard has some done tasks",
 			smallCount: 5,
 			largeCount: 30,
 			smallEpoch: 3,
@@ -34,7 +34,7 @@
 			want:       true,
 		},
 		{
-			name:       "the other is full of done tasks",
+			name:       "the large shard is full of done tasks",
 			smallCount: 5,
 			largeCount: 30,
 			smallEpoch: 3,
@@ -72,7 +72,7 @@
 			controller.ShardWriter.MergeShards(batch)
 			transaction := batch.Transaction()
 			if merged := len(transaction.Operations) == 2; merged != test.want {
-				t.Errorf("merged %v", merged)
+				t.Errorf("merged is %v, want the opposite", merged)
 			}
 			if !test.want {
 				return
@@ -82,7 +82,8 @@
 			done := replica.CompletedTasks("j-1").String()
 			isComplete := len(replica.Machines) == machineCount && len(replica.PopRemovedMachines()) == 0
 			if len(replica.Shards) != 1 || !isComplete || done != wantDone {
-				t.Errorf("%d shards, %d of %d machines, done %s", len(replica.Shards), len(replica.Machines), machineCount, done)
+				t.Errorf("after the merge: %d shards, want 1; %d of %d machines; done tasks %s",
+					len(replica.Shards), len(replica.Machines), machineCount, done)
 			}
 		})
 	}
--- a/internal/coordination/commit/store_health_test.go
+++ b/internal/coordination/commit/store_health_test.go
@@ -9,7 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// Some errors are responses of the store: it is available, though the request failed.
+// Some errors are responses of the store. The store then counts as available although the request
+// failed.
 func TestRecordContact(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -25,10 +26,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			health := newReadyController(t).Store
 			if got := health.RecordContact(health.Now.Monotonic, test.err); got != test.wantSuccess {
-				t.Errorf("success: %v", got)
+				t.Errorf("RecordContact() = %v, want the opposite", got)
 			}
 			if got := health.IsAnswering(time.Second); got != test.wantAnswering {
-				t.Errorf("answering: %v", got)
+				t.Errorf("IsAnswering() = %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/coordination/commit/write_limiter_test.go
+++ b/internal/coordination/commit/write_limiter_test.go
@@ -8,8 +8,8 @@
 	"tillerarch/internal/storage"
 )
 
-// The limits on what is written are the current ones until the format is raised, and the
-// stricter of both from then on.
+// The write limits are the current limits until the format is raised, and the stricter of the current
+// and the announced limits from then on.
 func TestWriteLimitsFollowFormat(t *testing.T) {
 	controller := newReadyController(t)
 	controller.Config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 1000, TransactionOps: 4, ValueBytes: 2048}
@@ -17,12 +17,13 @@
 	current := step.WriteLimits{WritesPerSecond: 100, TransactionOps: 8, ValueBytes: 8192}
 	stricter := step.WriteLimits{WritesPerSecond: 100, TransactionOps: 4, ValueBytes: 2048}
 	if got := limits.WriteLimits(); got != current {
-		t.Errorf("before: %+v", got)
+		t.Errorf("limits before the format is raised are %+v, want the current limits", got)
 	}
 	packed := storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked})
 	controller.Replication.putInReplica(storage.FormatKey, packed, 50)
 	if got := limits.WriteLimits(); got != stricter || limits.maxTransactionOps != 4 {
-		t.Errorf("after: %+v, %d operations in a transaction", got, limits.maxTransactionOps)
+		t.Errorf("limits after the format is raised are %+v, want the stricter ones; %d operations in a transaction, want 4",
+			got, limits.maxTransactionOps)
 	}
 	value := func(n int) protocol.Operation { return protocol.Operation{PutKey: "k", Value: make([]byte, n)} }
 	for _, test := range []struct {
@@ -59,14 +60,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			transaction := &protocol.Transaction{Conditions: make([]protocol.Condition, test.conditions), Operations: test.operations}
 			if got := limits.WriteLimits().Allows(transaction); got != test.want {
-				t.Errorf("%d operations, %d conditions: allowed %v", len(test.operations), test.conditions, got)
+				t.Errorf("%d operations, %d conditions: Allows() = %v, want the opposite", len(test.operations), test.conditions, got)
 			}
 		})
 	}
 }
 
-// Controllers find their shares of the store's write limit by refusals, and none is driven
-// below most of an even share.
+// Refusals reduce the write rate of a controller, but not below minWriteRateShare of an even share of
+// the store's write limit.
 func TestWriteRateAdapts(t *testing.T) {
 	controller := newReadyController(t)
 	controller.Config.PeerCount = 3
@@ -74,18 +75,18 @@
 	full := limits.writeRate
 	limits.adaptWriteRate(true)
 	if limits.writeRate >= full {
-		t.Errorf("%v after a refusal, %v before", limits.writeRate, full)
+		t.Errorf("write rate is %v after a refusal, want less than the %v before", limits.writeRate, full)
 	}
 	for range 100 {
 		limits.adaptWriteRate(true)
 	}
 	if want := 100.0 / 4 * minWriteRateShare; limits.writeRate != want {
-		t.Errorf("%v after many refusals, want %v", limits.writeRate, want)
+		t.Errorf("write rate is %v after many refusals, want %v", limits.writeRate, want)
 	}
 	for range 2 * writeRateSteps {
 		limits.adaptWriteRate(false)
 	}
 	if limits.writeRate != full {
-		t.Errorf("%v after many successes, want %v", limits.writeRate, full)
+		t.Errorf("write rate is %v after many successes, want %v", limits.writeRate, full)
 	}
 }
