--- a/internal/coordination/catalog/spot_pricing.go
+++ b/internal/coordination/catalog/spot_pricing.go
@@ -22,6 +22,7 @@
 	thresholds map[PriceKey]*SpotPriceThreshold
 }
 
+// newSpotPricing returns a SpotPricing without observed prices.
 func newSpotPricing(ctx *step.Context) *SpotPricing {
 	return &SpotPricing{
 		Context:    ctx,
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -32,7 +32,7 @@
 	writesRegistry bool // the batch adds a machine to the records
 
 	newlyDoneTasks map[protocol.JobID]storage.TaskSet // tasks that the batch records as done
-	failedServices map[protocol.JobID]bool            // services whose failed replicas the batch records
+	failedServices map[protocol.JobID]bool            // services of which the batch records a replica's exit
 	onSend         []func()                           // functions to call when the transaction is sent
 	logsOnApply    []step.Effect                      // log lines to emit once the transaction is applied
 }
--- a/internal/coordination/commit/batch_capacity.go
+++ b/internal/coordination/commit/batch_capacity.go
@@ -11,7 +11,7 @@
 // OpsLeft returns the number of operations that can still be added to the batch.
 func (b *Batch) OpsLeft() int { return b.opsLeft }
 
-// LimitOps lowers the number of operations that can still be added to at most n.
+// LimitOps lowers the number of operations that OpsLeft returns to n if the number is higher.
 func (b *Batch) LimitOps(n int) { b.opsLeft = min(b.opsLeft, n) }
 
 // ReserveOps withholds n operations until ReleaseOps releases them.
@@ -52,6 +52,8 @@
 	return ops
 }
 
+// machineWritesNeeded returns the number of operations that a change of a machine would add to the
+// batch.
 func (b *Batch) machineWritesNeeded(id protocol.MachineID) int {
 	if id == "" || b.machines[id] != nil {
 		return 0
--- a/internal/coordination/commit/batch_changes.go
+++ b/internal/coordination/commit/batch_changes.go
@@ -91,6 +91,7 @@
 // DrainChange is a change of a controller's drain. A nil Record ends the drain.
 type DrainChange struct{ Record *storage.DrainRecord }
 
+// operation returns the operation that writes or deletes the drain record of a controller.
 func (d *DrainChange) operation(controllerID protocol.ControllerID) protocol.Operation {
 	if d.Record == nil {
 		return protocol.Operation{DeleteKey: storage.DrainKey(controllerID)}
--- a/internal/coordination/commit/batch_transaction.go
+++ b/internal/coordination/commit/batch_transaction.go
@@ -50,7 +50,7 @@
 	if !draft.isEmpty() {
 		return b.encodeShard(id, draft)
 	}
-	if isOnRecord := b.conditions[storage.ShardKey(id)] != 0; isOnRecord {
+	if isRecorded := b.conditions[storage.ShardKey(id)] != 0; isRecorded {
 		return []protocol.Operation{{DeleteKey: storage.ShardKey(id)}}
 	}
 	return nil
--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/done_tasks.go
@@ -21,7 +21,7 @@
 		return w.Replica.UnfinishedJobs[id] == nil
 	})
 	for _, id := range step.SortedKeys(w.Replica.UnfinishedJobs) {
-		w.completeJob(batch, id, &w.Replica.UnfinishedJobs[id].Record)
+		w.completeJobIfResponsible(batch, id, &w.Replica.UnfinishedJobs[id].Record)
 	}
 	for _, id := range w.OwnedShards() {
 		shard := w.Replica.Shards[id]
@@ -32,9 +32,9 @@
 	}
 }
 
-// completeJob records a job as done once all its tasks are, if this incarnation owns the job or its
+// completeJobIfResponsible records a job as done once all its tasks are, if this incarnation owns the job or its
 // owner has not done so within ownerCompletionTimeout.
-func (w *ShardWriter) completeJob(batch *Batch, id protocol.JobID, record *storage.JobRecord) {
+func (w *ShardWriter) completeJobIfResponsible(batch *Batch, id protocol.JobID, record *storage.JobRecord) {
 	isOwner := record.Owner == w.lease.incarnation
 	completeSince, hasCompleteSince := w.completeSince[id]
 	switch {
--- a/internal/coordination/commit/format_upgrade.go
+++ b/internal/coordination/commit/format_upgrade.go
@@ -34,7 +34,7 @@
 	limits    *WriteLimiter
 	election  SuccessorElection
 
-	packedReaders            map[protocol.ControllerID]bool // whether a controller last seen can read the packed format
+	packedReaders            map[protocol.ControllerID]bool // whether a controller could read the packed format when last seen
 	areAnnouncedLimitsActive bool                           // the store refused a write within the current limits as too large
 	raisableSince            protocol.Instant               // when it became possible to raise the format; 0 if it is not
 	warnedIncarnation        storage.Incarnation            // the last incarnation that was logged as incompatible
@@ -59,6 +59,8 @@
 	}
 }
 
+// warnIncompatible logs that an incarnation cannot read the records. It logs an incarnation once,
+// unless it has logged another one since.
 func (u *FormatUpgrade) warnIncompatible(incarnation storage.Incarnation) {
 	if u.warnedIncarnation == incarnation {
 		return
--- a/internal/coordination/commit/harness_test.go
+++ b/internal/coordination/commit/harness_test.go
@@ -29,6 +29,7 @@
 	catalog *catalog.Catalog
 }
 
+// newTestController returns a controller that is not registered.
 func newTestController() *testController {
 	base := steptest.NewFixture(steptest.Config())
 	controller := &testController{
--- a/internal/coordination/commit/lease.go
+++ b/internal/coordination/commit/lease.go
@@ -76,11 +76,13 @@
 	}
 }
 
+// isRenewalDue reports whether the lease should be renewed now.
 func (l *Lease) isRenewalDue() bool {
 	return l.id != 0 && !l.isRenewing && l.Now.Monotonic >= l.nextRenewalAt &&
 		l.Since(l.grantedAt) > l.renewalInterval()
 }
 
+// renewalInterval returns the mean time between two renewals.
 func (l *Lease) renewalInterval() time.Duration { return l.Config.LeaseTTL / renewalsPerLease }
 
 // OnGrantLeaseResult stores a granted lease, or schedules another request after a failure.
--- a/internal/coordination/commit/pending_transaction.go
+++ b/internal/coordination/commit/pending_transaction.go
@@ -26,6 +26,7 @@
 	logsOnApply []step.Effect
 }
 
+// hasConditionOn reports whether the transaction is conditional on a key.
 func (t *pendingTransaction) hasConditionOn(key string) bool {
 	return slices.ContainsFunc(t.transaction.Conditions, func(condition protocol.Condition) bool {
 		return condition.Key == key
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -180,6 +180,7 @@
 	r.lease.checkRegistration()
 }
 
+// applyEvents applies the events of a watch response to the replica.
 func (r *Replication) applyEvents(events []protocol.Event) {
 	for _, event := range events {
 		if event.PutKey != "" {
--- a/internal/coordination/commit/shard_draft.go
+++ b/internal/coordination/commit/shard_draft.go
@@ -14,8 +14,8 @@
 	doneTasks     map[protocol.JobID]storage.TaskSet
 }
 
-// draftOf returns a draft of a shard as it is in the replica. It omits the done tasks, because the
-// draft only serves to estimate what the shard can hold.
+// draftOf returns a draft of a shard as it is in the replica, without its done tasks. Such a draft
+// suffices to estimate what the shard can hold.
 func draftOf(shard *storage.Shard) *ShardDraft {
 	return &ShardDraft{
 		Owner:         shard.Owner,
@@ -25,6 +25,7 @@
 	}
 }
 
+// isEmpty reports whether the shard has neither machines nor done tasks.
 func (d *ShardDraft) isEmpty() bool { return len(d.MachineIDs) == 0 && len(d.doneTasks) == 0 }
 
 // ChangeOwner sets another owner and epoch. The epoch must be higher than before, so that the fencing
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -27,7 +27,7 @@
 	transfers TransferTracker
 
 	shardSequence    int                                 // number of shard IDs that this process has created
-	completeSince    map[protocol.JobID]protocol.Instant // when all tasks of another owner's unfinished job were found done
+	completeSince    map[protocol.JobID]protocol.Instant // when all tasks of an unfinished job of another owner were found done
 	nextShardMergeAt protocol.Instant
 }
 
@@ -55,6 +55,7 @@
 	return max((size+maxValueBytes-1)/maxValueBytes, 1)
 }
 
+// newShardID returns an ID that no shard has had before.
 func (w *ShardWriter) newShardID() storage.ShardID {
 	w.shardSequence++
 	return storage.ShardID(fmt.Sprintf("%s-%d", w.lease.incarnation, w.shardSequence))
--- a/internal/coordination/commit/size_estimates.go
+++ b/internal/coordination/commit/size_estimates.go
@@ -58,6 +58,7 @@
 	return w.EstimateEncodedSize(emptyMachineSize + assignmentsSizePerCore*int(cores))
 }
 
+// estimateMachinesSize returns the estimated size, in bytes, that machines occupy in a shard.
 func (b *Batch) estimateMachinesSize(ids []protocol.MachineID) int {
 	size := 0
 	for _, id := range ids {
--- a/internal/coordination/commit/store_health.go
+++ b/internal/coordination/commit/store_health.go
@@ -62,6 +62,7 @@
 	return err == nil || errors.Is(err, storage.ErrLeaseExpired) || errors.Is(err, storage.ErrRevisionTooOld)
 }
 
+// recordResponse records that the store responded to a request that was sent at requestedAt.
 func (h *StoreHealth) recordResponse(requestedAt protocol.Instant) {
 	if h.consecutiveFailures > 0 {
 		h.Log(slog.LevelInfo, "store available again", "count", h.consecutiveFailures)
--- a/internal/coordination/commit/write_limiter.go
+++ b/internal/coordination/commit/write_limiter.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// minTransactionOps is the lowest maximum of operations to which transactions are reduced. With
-	// fewer operations, done tasks could not move from a shard to the record of their job.
+	// minTransactionOps is the lowest value to which the maximum number of operations in a
+	// transaction is reduced. With fewer operations, done tasks could not move from a shard to the
+	// record of their job.
 	minTransactionOps = 2
 	// minBurst is the minimum capacity of the token bucket, in write tokens.
 	minBurst = 4
