--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -87,7 +87,7 @@
 
 func (c *Canceller) isCancelOnRecord(id protocol.JobID) bool {
 	entry := c.Replica.Jobs[id]
-	return entry != nil && entry.Record.IsCancelledOrPending()
+	return entry != nil && entry.Record.IsCancelledOrCancelling()
 }
 
 // timeSinceCancelRequest is for how long CancelRequested has been true. Once the confirmation is on
--- a/internal/coordination/ownership/rebalance.go
+++ b/internal/coordination/ownership/rebalance.go
@@ -157,7 +157,7 @@
 		return demand
 	}
 	for id, job := range t.Replica.UnfinishedJobs {
-		if job.Record.IsCancelledOrPending() {
+		if job.Record.IsCancelledOrCancelling() {
 			continue
 		}
 		unfinishedTasks := job.Record.Spec.TaskCount - t.Replica.CompletedTasks(id).Len()
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -70,7 +70,7 @@
 	if entry == nil || entry.Record.Spec == nil || !entry.Record.Spec.IsService() {
 		return false
 	}
-	return !entry.Record.IsCancelledOrPending()
+	return !entry.Record.IsCancelledOrCancelling()
 }
 
 // remainingTasks returns the number of an assignment's tasks that a later record of the machine contains.
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -63,8 +63,8 @@
 	TaskCount       int             `json:"k,omitempty"` // of a done job
 }
 
-// IsCancelledOrPending tells whether the job is cancelled, or its cancellation requested.
-func (r *JobRecord) IsCancelledOrPending() bool {
+// IsCancelledOrCancelling tells whether the job is cancelled, or its cancellation requested.
+func (r *JobRecord) IsCancelledOrCancelling() bool {
 	return r.CancelRequested || r.State == protocol.JobCancelled
 }
 
@@ -106,7 +106,7 @@
 func (m *MachineRecord) AttemptOf(task protocol.Task) (protocol.Attempt, bool) {
 	for i := range m.Assignments {
 		assignment := &m.Assignments[i]
-		if assignment.Job == task.Job && assignment.Tasks.Has(task.Index) {
+		if assignment.Job == task.Job && assignment.Tasks.Contains(task.Index) {
 			return assignment.Attempt, true
 		}
 	}
@@ -145,7 +145,7 @@
 func (m *MachineRecord) Unassign(task protocol.Task) {
 	for i := range m.Assignments {
 		assignment := &m.Assignments[i]
-		if assignment.Job != task.Job || !assignment.Tasks.Has(task.Index) {
+		if assignment.Job != task.Job || !assignment.Tasks.Contains(task.Index) {
 			continue
 		}
 		if assignment.Tasks = assignment.Tasks.Remove(task.Index); assignment.Tasks.IsZero() {
--- a/internal/storage/taskset.go
+++ b/internal/storage/task_set.go
@@ -26,8 +26,8 @@
 	return sort.Search(len(s.intervals), func(i int) bool { return s.intervals[i].hi >= n })
 }
 
-// Has tells whether n is in the set.
-func (s TaskSet) Has(n int) bool {
+// Contains tells whether n is in the set.
+func (s TaskSet) Contains(n int) bool {
 	i := s.search(n)
 	return i < len(s.intervals) && s.intervals[i].lo <= n
 }
@@ -46,7 +46,7 @@
 
 // Add is the set with n.
 func (s TaskSet) Add(n int) TaskSet {
-	if s.Has(n) {
+	if s.Contains(n) {
 		return s
 	}
 	i := s.search(n)
@@ -67,7 +67,7 @@
 
 // Remove is the set without n.
 func (s TaskSet) Remove(n int) TaskSet {
-	if !s.Has(n) {
+	if !s.Contains(n) {
 		return s
 	}
 	i := s.search(n)
--- a/internal/storage/taskset_test.go
+++ b/internal/storage/task_set_test.go
@@ -29,8 +29,8 @@
 			t.Fatalf("step %d: %s has %d, want %d", step, set, set.Len(), len(want))
 		}
 		for n := range indexes {
-			if back.Has(n) != want[n] {
-				t.Fatalf("step %d: %s, %d is %v", step, set, n, back.Has(n))
+			if back.Contains(n) != want[n] {
+				t.Fatalf("step %d: %s, %d is %v", step, set, n, back.Contains(n))
 			}
 		}
 		if missing := len(set.FirstMissing(indexes, indexes)); missing != indexes-len(want) {
