--- a/internal/coordination/ownership/failover.go
+++ b/internal/coordination/ownership/failover.go
@@ -59,8 +59,8 @@
 
 // failOverShard makes this incarnation the owner of a shard and all its machines, and ends the pending
 // transfer of the shard. The new epoch is above the former epoch and above the epoch of observedToken,
-// the fencing token in the heartbeat of an agent of the shard. observedToken is 0 if no agent has sent
-// this controller a heartbeat.
+// the fencing token in the heartbeat of an agent of the shard. observedToken is 0 if the failover does
+// not result from a heartbeat.
 func (mgr *Manager) failOverShard(batch *commit.Batch, id storage.ShardID, observedToken protocol.FencingToken) {
 	draft := batch.MutableShard(id)
 	if draft.Owner == mgr.lease.Incarnation() {
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -9,6 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
+// endedIncarnation is an incarnation that is not registered.
 const endedIncarnation storage.Incarnation = "tiller-9#1"
 
 // putTransfer puts a record of a pending transfer of shard p from endedIncarnation into the replica.
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -109,11 +109,11 @@
 
 // putLargeShards puts owned shards of 60 machines into the replica. It returns heartbeats of the first
 // misdirectedPerShard machines of each shard, as another controller would report them.
-func (c *testController) putLargeShards(t *testing.T, shards, misdirectedPerShard int) []step.MisdirectedHeartbeat {
+func (c *testController) putLargeShards(t *testing.T, shardCount, misdirectedPerShard int) []step.MisdirectedHeartbeat {
 	t.Helper()
 	const machinesPerShard, tasksPerMachine = 60, 4
 	var misdirected []step.MisdirectedHeartbeat
-	for shardNumber := range shards {
+	for shardNumber := range shardCount {
 		var lines []string
 		for machineNumber := range machinesPerShard {
 			id := protocol.MachineID(fmt.Sprintf("m-%06d", shardNumber*machinesPerShard+machineNumber))
@@ -152,8 +152,8 @@
 }
 
 // A controller that has lost its agents transfers their shards as a whole. Machines that it hands off one
-// by one go to shards that fit into a stored value. Guards against a hand-off of six hundred machines to
-// one shard, which the store rejected as malformed at every attempt.
+// by one go to shards that fit into a stored value. The test guards against a hand-off of six hundred
+// machines to one shard, which the store rejected as malformed at every attempt.
 func TestHandOffManyMachines(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
--- a/internal/coordination/ownership/ownership_test.go
+++ b/internal/coordination/ownership/ownership_test.go
@@ -42,8 +42,8 @@
 	t.Helper()
 	config := steptest.Config()
 	config.ControllerID = selfController
-	base := steptest.NewFixture(config)
-	ctx := base.Context
+	fixture := steptest.NewFixture(config)
+	ctx := fixture.Context
 	catalogParts, commitParts, agentParts := catalog.New(ctx), commit.New(ctx), agents.New(ctx)
 	cancellationParts, parts := cancellation.New(ctx), New(ctx)
 	terminations := steptest.FakeTerminations{}
@@ -88,7 +88,7 @@
 		Limits:        commitParts.Limits,
 		ShardWriter:   commitParts.ShardWriter,
 	})
-	controller := &testController{Fixture: base, Parts: parts, agents: agentParts, commit: commitParts}
+	controller := &testController{Fixture: fixture, Parts: parts, agents: agentParts, commit: commitParts}
 	committest.Register(t, ctx, commitParts)
 	catalogParts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{{Name: "s", Cores: 4, MemoryGB: 8, Zones: []protocol.Zone{"a"}}},
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -15,13 +15,13 @@
 // does not know transfer records, or if this controller is overloaded and has no time to quiesce the shard.
 func TestRebalanceWrites(t *testing.T) {
 	for _, test := range []struct {
-		name           string
-		recordSetting  bool
-		targetSupports bool
-		overloaded     bool
-		wantRecorded   bool
-		wantTransfer   bool // whether the owner of the shard is changed at once
-		wantAccepts    bool // whether this controller accepts shards shortly afterwards
+		name                    string
+		recordSetting           bool
+		targetSupportsTransfers bool
+		overloaded              bool
+		wantRecorded            bool
+		wantOwnerChanged        bool // whether the owner of the shard is changed at once
+		wantAcceptsShards       bool // whether this controller accepts shards shortly afterwards
 	}{
 		{"recorded", true, true, false, true, false, true},
 		{"the setting is off", false, true, false, false, true, true},
@@ -31,7 +31,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			controller := newTestController(t)
 			controller.Config.RecordTransfers = test.recordSetting
-			target := storage.ControllerRecord{Incarnation: otherIncarnation, SupportsTransfers: test.targetSupports}
+			target := storage.ControllerRecord{Incarnation: otherIncarnation, SupportsTransfers: test.targetSupportsTransfers}
 			controller.put(t, storage.ControllerKey(otherController), storage.MustMarshal(target))
 			self := controller.commit.Lease.Incarnation()
 			for i := range 4 {
@@ -68,7 +68,7 @@
 					recorded++
 				}
 			}
-			if (recorded == 1) != test.wantRecorded || (transferred == 1) != test.wantTransfer || recorded+transferred != 1 {
+			if (recorded == 1) != test.wantRecorded || (transferred == 1) != test.wantOwnerChanged || recorded+transferred != 1 {
 				t.Errorf("%d transfers recorded and %d owners changed, want exactly one in total, as the case says",
 					recorded, transferred)
 			}
@@ -76,8 +76,8 @@
 				controller.Advance(50 * time.Millisecond)
 				controller.Overload.RecordTick()
 			}
-			if got := controller.Manager.acceptsShards(); got != test.wantAccepts {
-				t.Errorf("this controller accepts shards: %v, want %v", got, test.wantAccepts)
+			if got := controller.Manager.acceptsShards(); got != test.wantAcceptsShards {
+				t.Errorf("this controller accepts shards: %v, want %v", got, test.wantAcceptsShards)
 			}
 		})
 	}
--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -51,15 +51,14 @@
 	}
 }
 
-// OpenTransfer records a transfer in a slot of its target that has no open transfer. It writes nothing
-// if there is no such slot. An empty name is replaced by a new name. The transaction is conditional on
+// OpenTransfer records a transfer in a free slot of its target. It writes nothing if no slot is free. An empty name is replaced by a new name. The transaction is conditional on
 // the keys of the shard and of both controllers.
 func (t *Transfers) OpenTransfer(
 	batch *commit.Batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string,
 ) {
 	slot, ok := t.freeTransferSlot(batch, transfer.Target.Controller())
 	if !ok {
-		return // all slots have open transfers, and the caller tries again
+		return // no slot is free, and the caller tries again
 	}
 	if name == "" {
 		name = t.nextTransferName()
--- a/internal/sharding/transfer_test.go
+++ b/internal/sharding/transfer_test.go
@@ -23,7 +23,7 @@
 	commit := TransferStep{Phase: storage.TransferCommitted}
 	closeTransfer := TransferStep{Phase: storage.TransferClosed}
 	abort := func(reason string) TransferStep { return TransferStep{storage.TransferAborted, reason} }
-	aged := func(age time.Duration) func(*TransferStatus) {
+	withPhaseAge := func(age time.Duration) func(*TransferStatus) {
 		return func(status *TransferStatus) { status.PhaseAge = age }
 	}
 	reservedFor := func(age time.Duration) func(*TransferStatus) {
@@ -51,12 +51,12 @@
 		{"target does not accept a proposal", storage.TransferProposed, target, nil, noStep},
 		{"gang placement first", storage.TransferProposed, source, setters{reservedFor(9 * time.Second)}, noStep},
 		{"gang placement timed out", storage.TransferProposed, source, setters{reservedFor(11 * time.Second)}, prepare},
-		{"proposal timed out", storage.TransferProposed, source, setters{aged(21 * time.Second)}, abort(ReasonNotAccepted)},
+		{"proposal timed out", storage.TransferProposed, source, setters{withPhaseAge(21 * time.Second)}, abort(ReasonNotAccepted)},
 		{"superseded", storage.TransferProposed, source, setters{superseded}, abort(ReasonSuperseded)},
 		{"not quiesced", storage.TransferPrepared, source, nil, noStep},
 		{"quiesced", storage.TransferPrepared, source, setters{quiesced}, commit},
 		{"quiesced, seen by the target", storage.TransferPrepared, target, setters{quiesced}, noStep},
-		{"quiescing timed out", storage.TransferPrepared, source, setters{aged(11 * time.Second)}, abort(ReasonNotQuiesced)},
+		{"quiescing timed out", storage.TransferPrepared, source, setters{withPhaseAge(11 * time.Second)}, abort(ReasonNotQuiesced)},
 		{"shard gone", storage.TransferPrepared, source, setters{ownedBy("")}, abort(ReasonShardGone)},
 		{"shard has another owner", storage.TransferPrepared, source, setters{ownedBy(third)}, abort(ReasonOwnerChanged)},
 		{"target dead", storage.TransferPrepared, source, setters{targetDead, quiesced}, abort(ReasonTargetGone)},
@@ -70,7 +70,7 @@
 		{"token observed", storage.TransferCommitted, target, setters{tokenObserved}, closeTransfer},
 		{"token observed, seen by the source", storage.TransferCommitted, source, setters{tokenObserved}, noStep},
 		{"target dead after the commit", storage.TransferCommitted, source, setters{targetDead}, closeTransfer},
-		{"token observation timed out", storage.TransferCommitted, target, setters{aged(15 * time.Second)}, closeTransfer},
+		{"token observation timed out", storage.TransferCommitted, target, setters{withPhaseAge(15 * time.Second)}, closeTransfer},
 		{"both dead after the commit", storage.TransferCommitted, third, setters{bothDead, successor}, closeTransfer},
 		{"closed", storage.TransferClosed, target, setters{tokenObserved}, noStep},
 		{"aborted", storage.TransferAborted, source, setters{quiesced}, noStep},
