--- a/internal/coordination/ownership/transfers.go
+++ b/internal/coordination/ownership/transfers.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// OpenTransfer records a transfer in a free slot of its target. It writes nothing if no slot is free. An empty name is replaced by a new name. The transaction is conditional on
-// the keys of the shard and of both controllers.
+// OpenTransfer records a transfer in a free slot of its target. It writes nothing if no slot is free. An
+// empty name is replaced by a new name. The transaction is conditional on the keys of the shard and of
+// both controllers.
 func (t *Transfers) OpenTransfer(
 	batch *commit.Batch, transfer sharding.Transfer, phase storage.TransferPhase, reason, name string,
 ) {
