--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -50,7 +50,7 @@
 			}
 			f.advance(test.after - answerDelay)
 			if got := f.Table.IsAgentLeaseExpired(state, &entry.Record); got != test.want {
-				t.Error(got)
+				t.Errorf("IsAgentLeaseExpired() = %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 				f.Calls.OnAgentResult(result)
 			}
 			if got := state.CommandsLost(); got != test.want {
-				t.Error(got)
+				t.Errorf("CommandsLost() = %v, want %v", got, test.want)
 			}
 		})
 	}
