--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -26,9 +26,9 @@
 	receivedAt protocol.Instant
 }
 
-// Tick updates which requests this controller acknowledges and which are acknowledged by all
-// controllers concerned, and takes over the requests that are due.
-func (c *Canceller) Tick() {
+// UpdateAcknowledgements updates which requests this controller acknowledges and which requests all
+// controllers concerned have acknowledged. It also takes over requests whose requester may have ended.
+func (c *Canceller) UpdateAcknowledgements() {
 	if !c.replication.IsLoaded() {
 		return
 	}
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -112,8 +112,9 @@
 	record.CancelUpdatedAt = c.Now.Wall
 }
 
-// Expire drops requests that could not be put on record for long.
-func (c *Canceller) Expire() {
+// ExpireUnwrittenRequests drops requests that could not be written to the store within
+// unwrittenRequestTimeout.
+func (c *Canceller) ExpireUnwrittenRequests() {
 	for id, requestedAt := range c.requestedAt {
 		if c.Replica.CancellingJobs[id] == nil && c.Since(requestedAt) > unwrittenRequestTimeout {
 			delete(c.requestedAt, id)
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -110,7 +110,7 @@
 			name: "request on record and acknowledged",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, cancelRequested)
-				f.canceller.Tick()
+				f.canceller.UpdateAcknowledgements()
 			},
 			want: confirmation,
 		},
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -175,10 +175,10 @@
 	c.ownership.Overload.RecordTick()
 	c.commit.Replication.TickLoad()
 	c.commit.Lease.TickLease()
-	c.cancellation.Canceller.Tick()
+	c.cancellation.Canceller.UpdateAcknowledgements()
 	c.ownership.Peers.TickStatus()
 	c.requests.Users.ExpireUserRequests()
-	c.cancellation.Canceller.Expire()
+	c.cancellation.Canceller.ExpireUnwrittenRequests()
 	if c.restartTimerIfDue(&c.nextSlowTickAt, slowTickInterval) {
 		c.slowTick()
 	}
@@ -215,7 +215,7 @@
 	if !c.commit.Replication.IsLoaded() || !c.commit.Lease.IsRegistered() {
 		return
 	}
-	c.provisioning.Terminator.ForgetTerminated()
+	c.provisioning.Terminator.ForgetRemovedMachines()
 	c.provisioning.Provisioner.ScaleOut()
 	c.provisioning.Terminator.SendTerminations()
 	c.provisioning.Inventory.PollInstances()
--- a/internal/coordination/provisioning/demand.go
+++ b/internal/coordination/provisioning/demand.go
@@ -26,11 +26,11 @@
 type UnmetDemand struct {
 	Job         protocol.JobID
 	Spec        *protocol.Job
-	Tasks       int
+	TaskCount   int
 	Zone        protocol.Zone // the only zone the tasks may be in; empty: any
 	Precedence  int           // demands of a smaller precedence are served first
 	SubmittedAt protocol.Millis
-	// Urgent demand is requested from all pools at once; other demand from dearer pools only
-	// once cheaper ones are exhausted.
-	Urgent bool
+	// IsUrgent makes the provisioner request machines from all pools at once. For other demand it requests
+	// machines from more expensive pools only once the cheaper ones are exhausted.
+	IsUrgent bool
 }
--- a/internal/coordination/provisioning/parts.go
+++ b/internal/coordination/provisioning/parts.go
@@ -32,16 +32,16 @@
 
 // Dependencies are what the parts need of other packages.
 type Dependencies struct {
-	Ownership     *ownership.Manager
-	Replication   *commit.Replication
-	Catalog       *catalog.Catalog
-	Lease         *commit.Lease
-	DemandSource  DemandSource
-	Spot          *catalog.SpotPricing
-	Agents        *agents.Table
-	Cancellations *cancellation.Canceller
-	PlanUse       PlanUse
-	IdlePolicy    IdlePolicy
+	Ownership      *ownership.Manager
+	Replication    *commit.Replication
+	Catalog        *catalog.Catalog
+	Lease          *commit.Lease
+	DemandSource   DemandSource
+	Spot           *catalog.SpotPricing
+	Agents         *agents.Table
+	Cancellations  *cancellation.Canceller
+	PlanUseChecker PlanUseChecker
+	IdlePolicy     IdlePolicy
 }
 
 // Connect gives the parts what they need of other packages.
@@ -57,7 +57,7 @@
 	p.Terminator.cancellations = d.Cancellations
 	p.Terminator.catalog = d.Catalog
 	p.Terminator.lease = d.Lease
-	p.Terminator.planUse = d.PlanUse
+	p.Terminator.planUse = d.PlanUseChecker
 	p.Terminator.replication = d.Replication
 	p.Terminator.idlePolicy = d.IdlePolicy
 }
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -68,16 +68,16 @@
 	}
 	records.Connect(commit.Dependencies{StoreReports: parts.peers})
 	parts.Connect(Dependencies{
-		Ownership:     ownership.New(ctx).Manager,
-		Replication:   records.Replication,
-		Catalog:       cloud.Catalog,
-		Lease:         records.Lease,
-		DemandSource:  parts.plan,
-		Spot:          cloud.Spot,
-		Agents:        fleet.Table,
-		Cancellations: cancellations.Canceller,
-		PlanUse:       parts.plan,
-		IdlePolicy:    parts.plan,
+		Ownership:      ownership.New(ctx).Manager,
+		Replication:    records.Replication,
+		Catalog:        cloud.Catalog,
+		Lease:          records.Lease,
+		DemandSource:   parts.plan,
+		Spot:           cloud.Spot,
+		Agents:         fleet.Table,
+		Cancellations:  cancellations.Canceller,
+		PlanUseChecker: parts.plan,
+		IdlePolicy:     parts.plan,
 	})
 	return parts
 }
--- a/internal/coordination/provisioning/pools.go
+++ b/internal/coordination/provisioning/pools.go
@@ -33,7 +33,7 @@
 		if tasksPerMachine == 0 {
 			continue
 		}
-		tasks := float64(min(tasksPerMachine, demand.Tasks))
+		tasks := float64(min(tasksPerMachine, demand.TaskCount))
 		for _, zone := range machineType.Zones {
 			if !demand.allowsPool(machineType, zone) {
 				continue
--- a/internal/coordination/provisioning/provision_requests.go
+++ b/internal/coordination/provisioning/provision_requests.go
@@ -33,9 +33,9 @@
 	return PoolKey{MachineType: r.request.Type, Zone: r.request.Zone, Spot: r.request.Spot}
 }
 
-// MachinesToCome is how many machines of the request are on no record yet: as many as were
-// granted or, while there is no answer, as were requested.
-func (r *ProvisionRequest) MachinesToCome(replica *storage.Replica) int {
+// UnrecordedMachineCount returns the number of machines of the request that have no record yet. Until the
+// cloud has answered, this is the number of machines that were requested.
+func (r *ProvisionRequest) UnrecordedMachineCount(replica *storage.Replica) int {
 	if r.granted == nil {
 		return r.request.Count
 	}
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -71,7 +71,7 @@
 
 // provisionForDemand sends the requests for one job's demand, at most one at a time to a pool.
 func (p *Provisioner) provisionForDemand(demand UnmetDemand, pendingPools map[PoolKey]bool, spotCount int) {
-	remaining := demand.Tasks
+	remaining := demand.TaskCount
 	cheapest := 0.0
 	for _, pool := range p.poolsByCost(demand) {
 		if p.IsPoolExhausted(pool.key) {
@@ -80,7 +80,7 @@
 		if cheapest == 0 {
 			cheapest = pool.costPerTask
 		}
-		if remaining <= 0 || !demand.Urgent && pool.costPerTask > cheapest*maxPoolCostRatio {
+		if remaining <= 0 || !demand.IsUrgent && pool.costPerTask > cheapest*maxPoolCostRatio {
 			return
 		}
 		if pendingPools[pool.key] {
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -51,7 +51,7 @@
 				Image:               "b",
 				EstimatedRunSeconds: 20,
 			}
-			demand := UnmetDemand{Job: "j-1", Spec: job, Tasks: 5000, Urgent: c.urgent}
+			demand := UnmetDemand{Job: "j-1", Spec: job, TaskCount: 5000, IsUrgent: c.urgent}
 			parts.Provisioner.provisionForDemand(demand, map[PoolKey]bool{}, 0)
 			got := requestedPools(parts.Effects)
 			slices.Sort(c.want)
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -178,7 +178,7 @@
 			entry := parts.Replica.Machines["m-1"]
 			delete(parts.Replica.Machines, "m-1")
 			parts.agents.Table.PruneMachineStates()
-			parts.Terminator.ForgetTerminated()
+			parts.Terminator.ForgetRemovedMachines()
 			parts.Replica.Machines["m-1"] = entry
 		}, scaleInNone},
 	} {
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -17,8 +17,8 @@
 // list it for as long.
 const terminatedRetention = 90 * time.Second
 
-// PlanUse tells which machines the scheduler's plan uses.
-type PlanUse interface {
+// PlanUseChecker checks whether the scheduler's plan uses a machine.
+type PlanUseChecker interface {
 	RetainsMachine(id protocol.MachineID) bool
 }
 
@@ -37,7 +37,7 @@
 	catalog       *catalog.Catalog
 	inventory     *Inventory
 	lease         *commit.Lease
-	planUse       PlanUse
+	planUse       PlanUseChecker
 	replication   *commit.Replication
 	idlePolicy    IdlePolicy
 
@@ -105,9 +105,9 @@
 	return known
 }
 
-// ForgetTerminated drops the removals that the cloud's list cannot lag behind any more, and the idle
-// periods of forgotten machines.
-func (t *Terminator) ForgetTerminated() {
+// ForgetRemovedMachines forgets the machines whose records were removed so long ago that the cloud no
+// longer lists them. It also forgets the idle periods of machines that the agent table no longer has.
+func (t *Terminator) ForgetRemovedMachines() {
 	for id, at := range t.terminatedAt {
 		if t.Since(at) > terminatedRetention {
 			delete(t.terminatedAt, id)
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -185,7 +185,7 @@
 		if machineType == nil {
 			continue
 		}
-		for range request.MachinesToCome(l.Replica) {
+		for range request.UnrecordedMachineCount(l.Replica) {
 			candidates = append(candidates, newProvisioningCandidate(request.Name(), pool, machineType))
 		}
 	}
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -84,15 +84,15 @@
 		ShardWriter: commitParts.ShardWriter,
 	})
 	provisioningParts.Connect(provisioning.Dependencies{
-		Ownership:    ownershipParts.Manager,
-		Replication:  commitParts.Replication,
-		Catalog:      catalogParts.Catalog,
-		Lease:        commitParts.Lease,
-		DemandSource: schedulingParts.Plan,
-		Spot:         catalogParts.Spot,
-		Agents:       agentsParts.Table,
-		PlanUse:      schedulingParts.Plan,
-		IdlePolicy:   schedulingParts.Scheduler,
+		Ownership:      ownershipParts.Manager,
+		Replication:    commitParts.Replication,
+		Catalog:        catalogParts.Catalog,
+		Lease:          commitParts.Lease,
+		DemandSource:   schedulingParts.Plan,
+		Spot:           catalogParts.Spot,
+		Agents:         agentsParts.Table,
+		PlanUseChecker: schedulingParts.Plan,
+		IdlePolicy:     schedulingParts.Scheduler,
 	})
 	schedulingParts.Connect(Dependencies{
 		Catalog:     catalogParts.Catalog,
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -135,7 +135,7 @@
 			}
 			demand := 0
 			for _, unmet := range fixture.Plan.Demands() {
-				demand += unmet.Tasks
+				demand += unmet.TaskCount
 			}
 			if written != test.wantTasks || demand != test.wantDemand {
 				t.Errorf("%d tasks written, demand for %d, want %d and %d", written, demand, test.wantTasks, test.wantDemand)
--- a/internal/coordination/scheduling/plan.go
+++ b/internal/coordination/scheduling/plan.go
@@ -110,10 +110,10 @@
 	plan.unmetDemands = append(plan.unmetDemands, provisioning.UnmetDemand{
 		Job:         job.id,
 		Spec:        job.record.Spec,
-		Tasks:       tasks,
+		TaskCount:   tasks,
 		Zone:        zone,
 		Precedence:  job.precedence,
 		SubmittedAt: job.record.SubmittedAt,
-		Urgent:      isUrgent,
+		IsUrgent:    isUrgent,
 	})
 }
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -54,16 +54,16 @@
 		ShardWriter:   c.commit.ShardWriter,
 	})
 	c.provisioning.Connect(provisioning.Dependencies{
-		Ownership:     c.ownership.Manager,
-		Replication:   c.commit.Replication,
-		Catalog:       c.catalog.Catalog,
-		Lease:         c.commit.Lease,
-		DemandSource:  c.scheduling.Plan,
-		Spot:          c.catalog.Spot,
-		Agents:        c.agents.Table,
-		Cancellations: c.cancellation.Canceller,
-		PlanUse:       c.scheduling.Plan,
-		IdlePolicy:    c.scheduling.Scheduler,
+		Ownership:      c.ownership.Manager,
+		Replication:    c.commit.Replication,
+		Catalog:        c.catalog.Catalog,
+		Lease:          c.commit.Lease,
+		DemandSource:   c.scheduling.Plan,
+		Spot:           c.catalog.Spot,
+		Agents:         c.agents.Table,
+		Cancellations:  c.cancellation.Canceller,
+		PlanUseChecker: c.scheduling.Plan,
+		IdlePolicy:     c.scheduling.Scheduler,
 	})
 	c.scheduling.Connect(scheduling.Dependencies{
 		Catalog:     c.catalog.Catalog,
