--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -11,90 +11,92 @@
 	"tillerarch/internal/storage"
 )
 
-// registeredAt is the revision of the registration that newReadyCore makes.
+// registeredAt is the revision at which newReadyCore registers the core.
 const registeredAt = 2
 
 // shardEpoch is the epoch of the shard that addOwnedMachine adds.
 const shardEpoch storage.ShardEpoch = 3
 
-// newReadyCore brings a core to the point where it is registered and up to date.
+// newReadyCore returns a core that is registered and up to date, and a function that advances the
+// clocks and then passes an input to the core.
 func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in step.Input) []step.Effect) {
 	t.Helper()
 	now := steptest.StartTime
-	c := New(steptest.Config(), now)
+	core := New(steptest.Config(), now)
 	advance := func(after time.Duration, in step.Input) []step.Effect {
 		now.Monotonic = now.Monotonic.Add(after)
 		now.Wall += protocol.Millis(after.Milliseconds())
-		return c.Step(now, in)
+		return core.Step(now, in)
 	}
 	advance(0, step.Tick{})
 	advance(0, step.GrantLeaseResult{LeaseID: 7})
 	registrations := steptest.EffectsOf[step.Commit](advance(0, step.LoadRecordsResult{StartRevision: 1, EndRevision: 1}))
 	if len(registrations) != 1 {
-		t.Fatalf("%d transactions instead of the registration", len(registrations))
+		t.Fatalf("%d transactions after the records are loaded, want only the registration", len(registrations))
 	}
 	advance(0, steptest.CommittedAt(registrations[0].ID, registeredAt))
 	advance(0, steptest.UnchangedUntil(1, registeredAt))
-	if !c.commit.Lease.IsRegistered() || !c.commit.Replication.IsUpToDate() {
+	if !core.commit.Lease.IsRegistered() || !core.commit.Replication.IsUpToDate() {
 		t.Fatal("the core is not registered and up to date")
 	}
-	return c, advance
+	return core, advance
 }
 
-// fixtureOf gives the shared fixture for the context of a core.
-func fixtureOf(c *Core) steptest.Fixture { return steptest.Fixture{Context: c.ctx} }
+// fixtureOf returns a fixture that works on the context of a core.
+func fixtureOf(core *Core) steptest.Fixture { return steptest.Fixture{Context: core.ctx} }
 
-// addOwnedMachine gives the core a shard with one machine, and the state of that machine.
-func addOwnedMachine(t *testing.T, c *Core, record storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
+// addOwnedMachine adds a shard with one machine that the core owns. It returns the machine and its
+// state.
+func addOwnedMachine(t *testing.T, core *Core, record storage.MachineRecord) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
-	machine := fixtureOf(c).PutMachine(t, c.commit.Lease.Incarnation(), shardEpoch, "m-1", record)
-	return machine, c.agents.Table.TrackOwnedMachine(machine, "m-1")
+	machine := fixtureOf(core).PutMachine(t, core.commit.Lease.Incarnation(), shardEpoch, "m-1", record)
+	return machine, core.agents.Table.TrackOwnedMachine(machine, "m-1")
 }
 
-// A controller whose process was paused reads, when it resumes, answers that lay in its
-// sockets, and nothing from agents that could not reach it: the first do not make its
-// replica up to date, the second does not make its machines silent.
+// When a paused process resumes, the controller reads responses of the store that arrived during the
+// pause, and it has heard nothing from agents that could not reach it. The old responses must not make
+// its replica up to date, and the missing heartbeats must not make its machines silent.
 func TestProcessPause(t *testing.T) {
-	for _, c := range []struct {
-		name               string
-		pause              time.Duration
-		isUpToDate, silent bool
+	for _, test := range []struct {
+		name                 string
+		pause                time.Duration
+		isUpToDate, isSilent bool
 	}{
 		{"no pause", 100 * time.Millisecond, true, false},
 		{"within its lease", 5 * time.Second, false, false},
 		{"past all leases", 48 * time.Second, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
 			watch := func(after time.Duration) {
 				revision := core.ctx.Replica.Revision
 				advance(after, step.WatchResult{AfterRevision: revision, Response: &protocol.WatchResponse{Revision: revision}})
 			}
-			entry, m := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-			advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(steptest.NewHeartbeat(entry, 1))})
-			for range 40 { // all is requested before the pause
+			machine, state := addOwnedMachine(t, core, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			advance(0, step.HeartbeatInput{RequestID: 1, Body: protocol.Encode(steptest.NewHeartbeat(machine, 1))})
+			for range 40 { // the requests that are answered after the pause
 				advance(50*time.Millisecond, step.Tick{})
 			}
-			watch(c.pause)
+			watch(test.pause)
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
 			advance(0, step.Tick{})
-			isUpToDate, silent := core.commit.Replication.IsUpToDate(), core.agents.Table.IsSilent(m)
-			if isUpToDate != c.isUpToDate || silent != c.silent {
-				t.Errorf("up to date %v, silent %v", isUpToDate, silent)
+			isUpToDate, isSilent := core.commit.Replication.IsUpToDate(), core.agents.Table.IsSilent(state)
+			if isUpToDate != test.isUpToDate || isSilent != test.isSilent {
+				t.Errorf("after the pause: replica up to date %v, machine silent %v", isUpToDate, isSilent)
 			}
-			for range 4 { // and what is requested now is answered
+			for range 4 { // requests after the pause are answered
 				advance(600*time.Millisecond, step.Tick{})
 				advance(0, step.RenewLeaseResult{LeaseID: 7})
 				watch(0)
 			}
 			if !core.commit.Replication.IsUpToDate() {
-				t.Error("not up to date again")
+				t.Error("the replica is not up to date again after requests that began after the pause")
 			}
 			for range 10 {
 				advance(time.Second, step.Tick{})
 			}
-			if !core.agents.Table.IsSilent(m) {
-				t.Error("silence after the pause is not noticed")
+			if !core.agents.Table.IsSilent(state) {
+				t.Error("the machine is not silent after more than its timeout without a heartbeat since the pause")
 			}
 		})
 	}
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -14,29 +14,29 @@
 
 var announcedLimits = steptest.AnnouncedLimits()
 
-// putRecord puts a record into the core's replica, as a watch event would.
-func putRecord(t *testing.T, c *Core, key string, value []byte, modRevision protocol.ModRevision) {
+// putRecord puts a record into the core's replica, as a watch event would do.
+func putRecord(t *testing.T, core *Core, key string, value []byte, modRevision protocol.ModRevision) {
 	t.Helper()
-	fixtureOf(c).Put(t, key, value, modRevision)
+	fixtureOf(core).Put(t, key, value, modRevision)
 	if key == storage.FormatKey {
-		c.commit.Limits.UpdateWriteLimiter()
+		core.commit.Limits.UpdateWriteLimiter()
 	}
 }
 
-// raiseFormat puts the packed format on record.
-func raiseFormat(t *testing.T, c *Core) {
+// raiseFormat records the packed format as the write format.
+func raiseFormat(t *testing.T, core *Core) {
 	t.Helper()
-	putRecord(t, c, storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
+	putRecord(t, core, storage.FormatKey, storage.MustMarshal(storage.FormatRecord{WriteFormat: storage.FormatPacked}), 50)
 }
 
-// putOversizedShard puts a shard on record as the version in production could leave it: near a
-// value of 8 KiB, with nothing on it that packs well.
-func putOversizedShard(t *testing.T, c *Core, owner storage.Incarnation) (machines int) {
+// putOversizedShard puts a shard into the replica as the version in production could leave it: close
+// to a value of 8 KiB, with contents that do not pack well. It returns the number of machines.
+func putOversizedShard(t *testing.T, core *Core, owner storage.Incarnation) (machines int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(9, 9))
 	var lines []string
 	for size := 0; size < 7400; machines++ {
-		m := storage.MachineRecord{
+		record := storage.MachineRecord{
 			AgentEpoch:  1,
 			Address:     "10.1.0.1:1",
 			MachineType: "large",
@@ -46,39 +46,40 @@
 		for range 12 {
 			job := protocol.JobID(fmt.Sprintf("j-%06d", rng.IntN(1e6)))
 			task := protocol.Task{Job: job, Index: rng.IntN(1000)}
-			m.Assign(task, protocol.Attempt(rng.IntN(1000)))
+			record.Assign(task, protocol.Attempt(rng.IntN(1000)))
 		}
-		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
+		lines = append(lines, record.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
 		size += len(lines[machines]) + 3
 	}
 	done := map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}
-	putRecord(t, c, storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, done), 60)
+	putRecord(t, core, storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, done), 60)
 	return machines
 }
 
-// A shard that was written before the format was raised can neither be put as it is nor
-// does it pack into one value. It is taken over, or rewritten by its owner, in parts that
-// fit, in one transaction, with no machine lost and all fencing tokens raised alike.
+// A shard that was written before the format was raised may be too large to be written unchanged or
+// packed into one value. It is taken over, or rewritten by its owner, in parts that fit and in one
+// transaction. No machine may be lost, and the fencing tokens of all machines must be raised alike.
 func TestOversizedShardIsSplitOnRewrite(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
-		owner     storage.Incarnation // empty: this incarnation
+		owner     storage.Incarnation // this incarnation if empty
 		wantEpoch storage.ShardEpoch
 	}{
 		{name: "of an expired incarnation", owner: "stall-1#1", wantEpoch: 4},
 		{name: "of this incarnation", owner: "", wantEpoch: 3},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
 			core.ctx.Config.AnnouncedLimits = announcedLimits
-			owner := c.owner
+			owner := test.owner
 			if owner == "" {
 				owner = core.commit.Lease.Incarnation()
 			}
 			raiseFormat(t, core)
 			machineCount := putOversizedShard(t, core, owner)
 			if ops := core.commit.ShardWriter.ShardWriteOps("crowded"); ops < 2 || ops > announcedLimits.TransactionOps {
-				t.Fatalf("%d operations for a shard of %d bytes", ops, core.ctx.Replica.Shards["crowded"].EncodedSize)
+				t.Fatalf("%d operations to write a shard of %d bytes, want at least 2 and at most the announced limit",
+					ops, core.ctx.Replica.Shards["crowded"].EncodedSize)
 			}
 			var sent *step.Commit
 			for i := 0; i < 400 && sent == nil; i++ {
@@ -93,49 +94,50 @@
 				advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, core.ctx.Replica.Revision))
 			}
 			if sent == nil || !announcedLimits.Allows(&sent.Transaction) {
-				t.Fatalf("%+v", sent)
+				t.Fatalf("the transaction that rewrites the shard is %+v, want one within the announced limits", sent)
 			}
 			advance(0, steptest.CommittedAt(sent.ID, 70))
 			if len(core.ctx.Replica.Machines) != machineCount {
-				t.Errorf("%d machines of %d are left", len(core.ctx.Replica.Machines), machineCount)
+				t.Errorf("%d machines are left, want all %d", len(core.ctx.Replica.Machines), machineCount)
 			}
 			for id, machine := range core.ctx.Replica.Machines {
 				record := &machine.Record
 				isOwned := record.Owner == core.commit.Lease.Incarnation()
-				if !isOwned || record.ShardEpoch != c.wantEpoch || len(record.Assignments) == 0 {
-					t.Errorf("%s of %s at epoch %d", id, record.Owner, record.ShardEpoch)
+				if !isOwned || record.ShardEpoch != test.wantEpoch || len(record.Assignments) == 0 {
+					t.Errorf("machine %s has owner %s and shard epoch %d, want this incarnation, the raised epoch and "+
+						"its assignments", id, record.Owner, record.ShardEpoch)
 				}
 			}
 			if got := core.ctx.Replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
-				t.Errorf("done tasks are %v", got)
+				t.Errorf("completed tasks of j-1 are %v, want 6 tasks", got)
 			}
 		})
 	}
 }
 
-// Jobs whose description would leave no space in a record are refused for good.
+// Jobs whose description would leave no space in a record are rejected permanently.
 func TestOversizedJobRejected(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
-	random := func(n int) string {
-		b := make([]byte, n)
-		for i := range b {
-			b[i] = byte('!' + rng.IntN(90))
+	randomString := func(length int) string {
+		text := make([]byte, length)
+		for i := range text {
+			text[i] = byte('!' + rng.IntN(90))
 		}
-		return string(b)
+		return string(text)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name             string
-		machineTypeCount int // whose names make the description long
+		machineTypeCount int // number of machine types, whose names make the description long
 		announced        *step.WriteLimits
 		want             bool
 	}{
-		{name: "a short one", machineTypeCount: 1, announced: announcedLimits, want: true},
+		{name: "short description", machineTypeCount: 1, announced: announcedLimits, want: true},
 		{name: "too long for the announced limits", machineTypeCount: 50, announced: announcedLimits, want: false},
 		{name: "within the current limits", machineTypeCount: 30, announced: nil, want: true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			core, _ := newReadyCore(t)
-			core.ctx.Config.AnnouncedLimits = c.announced
+			core.ctx.Config.AnnouncedLimits = test.announced
 			job := &protocol.Job{
 				ID:        "j-1",
 				Class:     "l",
@@ -145,39 +147,40 @@
 				TaskCount: 1,
 				Image:     "b",
 			}
-			for range c.machineTypeCount {
-				job.MachineTypes = append(job.MachineTypes, protocol.MachineTypeName(random(100)))
+			for range test.machineTypeCount {
+				job.MachineTypes = append(job.MachineTypes, protocol.MachineTypeName(randomString(100)))
 			}
-			if got := core.requests.Users.JobRecordFits(job); got != c.want {
-				t.Errorf("%d machine types: %v", c.machineTypeCount, got)
+			if got := core.requests.Users.JobRecordFits(job); got != test.want {
+				t.Errorf("JobRecordFits returns the wrong result for a job with %d machine types: %v", test.machineTypeCount, got)
 			}
 		})
 	}
 }
 
-// What this incarnation is responsible for is rewritten unasked once the format is raised: a
-// shard as one packed value instead of two halves, and a job whose done tasks have many gaps.
+// Once the format is raised, this incarnation rewrites the records that it owns although nothing in
+// them changes: a shard as one packed value instead of two halves, and a job whose completed tasks have
+// many gaps.
 func TestOwnedRecordsAreReencoded(t *testing.T) {
 	core, advance := newReadyCore(t)
 	core.ctx.Config.AnnouncedLimits = announcedLimits
 	var lines []string
 	for i := range 60 {
-		m := storage.MachineRecord{
+		record := storage.MachineRecord{
 			AgentEpoch:  1,
 			Address:     fmt.Sprintf("10.1.0.%d:9000", i),
 			MachineType: "small",
 			Zone:        "a",
 			AddedAt:     1e12,
 		}
-		lines = append(lines, m.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
+		lines = append(lines, record.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", i))))
 	}
 	shard := storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil)
 	putRecord(t, core, storage.ShardKey("idle"), shard, 40)
 	var done storage.TaskSet
-	for n := 0; n < 1800; n += 2 {
-		done = done.Add(n)
+	for index := 0; index < 1800; index += 2 {
+		done = done.Add(index)
 	}
-	job := storage.JobRecord{
+	jobRecord := storage.JobRecord{
 		Spec: &protocol.Job{
 			ID:        "j-1",
 			Class:     "l",
@@ -191,13 +194,13 @@
 		NextAttempt:    1024,
 		CompletedTasks: done,
 	}
-	putRecord(t, core, storage.JobKey("j-1"), storage.MustMarshal(job), 41)
+	putRecord(t, core, storage.JobKey("j-1"), storage.MustMarshal(jobRecord), 41)
 	raiseFormat(t, core)
 	shardWrites, jobWrites := 0, 0
 	for range 20 {
 		for _, commit := range steptest.EffectsOf[step.Commit](advance(50*time.Millisecond, step.Tick{})) {
 			if !announcedLimits.Allows(&commit.Transaction) {
-				t.Errorf("too large: %d operations", len(commit.Transaction.Operations))
+				t.Errorf("a transaction of %d operations exceeds the announced limits", len(commit.Transaction.Operations))
 			}
 			for _, operation := range commit.Transaction.Operations {
 				switch operation.PutKey {
@@ -213,7 +216,8 @@
 	}
 	isSameDone := core.ctx.Replica.CompletedTasks("j-1").String() == done.String()
 	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || !isSameDone {
-		t.Errorf("the shard is written %d times, the job %d times; %d shards",
+		t.Errorf("the shard is written %d times, the job %d times, %d shards are left; "+
+			"want one write of the shard, any of the job, 1 shard and unchanged completed tasks",
 			shardWrites, jobWrites, len(core.ctx.Replica.Shards))
 	}
 }
--- a/internal/coordination/health_test.go
+++ b/internal/coordination/health_test.go
@@ -9,7 +9,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// reportStoreReachable has other controllers say whether they reach the store.
+// reportStoreReachable passes a status of each peer to input. reachableFromPeers holds whether each
+// peer reaches the store.
 func reportStoreReachable(reachableFromPeers []bool, input func(step.Input)) {
 	for i, reachable := range reachableFromPeers {
 		controller := protocol.ControllerID(rune('a' + i))
@@ -17,20 +18,20 @@
 	}
 }
 
-// What a controller tells the load balancer: whether it can take requests.
+// A controller reports to the load balancer whether it can take requests.
 func TestHealthy(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		peerCount          int
-		reachableFromPeers []bool // whether the store is
-		reachable          bool   // whether it is from here
+		reachableFromPeers []bool // whether each peer reaches the store
+		reachable          bool   // whether this controller reaches the store
 		want               bool
 	}{
-		{"all is well", 2, nil, true, true},
-		{"an outage that all see", 2, []bool{false, false}, false, true},
-		{"it alone is cut off from the store", 2, []bool{false, true}, false, false},
+		{"store reachable", 2, nil, true, true},
+		{"outage that all controllers see", 2, []bool{false, false}, false, true},
+		{"only this controller cut off from the store", 2, []bool{false, true}, false, false},
 		{"no peer sends a status", 2, nil, false, false},
-		{"it is the only controller", 0, nil, false, true},
+		{"only controller", 0, nil, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
@@ -53,18 +54,18 @@
 	}
 }
 
-// A process that begins in an outage takes requests, if only to send users away at once, unless it
-// alone is cut off.
+// A process that starts during an outage of the store takes requests, if only to reject them at once,
+// unless only this process is cut off from the store.
 func TestHealthyDuringStoreOutage(t *testing.T) {
 	for _, test := range []struct {
 		name               string
-		after              time.Duration
-		reachableFromPeers []bool // whether the store is
+		after              time.Duration // from the start of the process
+		reachableFromPeers []bool        // whether each peer reaches the store
 		want               bool
 	}{
-		{"not known yet", time.Second, []bool{false, false}, false},
-		{"an outage that all see", 4 * time.Second, []bool{false, false}, true},
-		{"it alone is cut off", 4 * time.Second, []bool{false, true}, false},
+		{"outage not certain yet", time.Second, []bool{false, false}, false},
+		{"outage that all controllers see", 4 * time.Second, []bool{false, false}, true},
+		{"only this controller cut off from the store", 4 * time.Second, []bool{false, true}, false},
 		{"no peer sends a status", 4 * time.Second, nil, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/overload_test.go
+++ b/internal/coordination/overload_test.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/storage"
 )
 
-// A controller that computes several times slower than the others falls behind, says so, and
-// transfers shards; a pause or a moment's peak is no reason.
+// A controller that runs several times slower than the others falls behind. It detects the overload
+// and transfers shards. A single pause or a short peak is no overload.
 func TestOverloadedController(t *testing.T) {
 	const target storage.Incarnation = "stall-1#1"
 	for _, test := range []struct {
@@ -19,9 +19,9 @@
 		tickIntervals []time.Duration // the last one repeats
 		want          bool
 	}{
-		{"on time", []time.Duration{50 * time.Millisecond}, false},
-		{"slow all the time", []time.Duration{400 * time.Millisecond}, true},
-		{"one pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
+		{"ticks on time", []time.Duration{50 * time.Millisecond}, false},
+		{"ticks always late", []time.Duration{400 * time.Millisecond}, true},
+		{"single pause", []time.Duration{4 * time.Second, 50 * time.Millisecond}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
@@ -49,7 +49,8 @@
 				}
 			}
 			if transferred != test.want || core.ownership.Overload.IsOverloaded() != test.want {
-				t.Errorf("shard transferred %v, overloaded %v", transferred, core.ownership.Overload.IsOverloaded())
+				t.Errorf("shard transferred %v, controller overloaded %v; want both if and only if all ticks are late",
+					transferred, core.ownership.Overload.IsOverloaded())
 			}
 		})
 	}
