--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -130,8 +130,8 @@
 				}
 			}
 			if starts != boolToInt(!test.want) || stops != boolToInt(test.want) || acknowledged != test.want {
-				t.Errorf("%d starts, %d stops, acknowledged %v; want one stop and an acknowledgement if the request binds, "+
-					"else one start", starts, stops, acknowledged)
+				t.Errorf("%d starts, %d stops, acknowledged %v; want one acknowledged stop if the request binds, else one start",
+					starts, stops, acknowledged)
 			}
 
 			advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, 50))
@@ -196,8 +196,8 @@
 				}
 			}
 			if messages > 6 || (intents > 0) != test.isRequester {
-				t.Errorf("%d statuses with %d cancellation requests in 3 s, want at most 6 statuses, "+
-					"and requests only from the controller that drives the cancellation", messages, intents)
+				t.Errorf("%d statuses with %d requests in 3 s, want at most 6, and requests only from the cancellation's driver",
+					messages, intents)
 			}
 		})
 	}
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -104,8 +104,8 @@
 				record := &machine.Record
 				isOwned := record.Owner == core.commit.Lease.Incarnation()
 				if !isOwned || record.ShardEpoch != test.wantEpoch || len(record.Assignments) == 0 {
-					t.Errorf("machine %s has owner %s and shard epoch %d, want this incarnation, the raised epoch and "+
-						"its assignments", id, record.Owner, record.ShardEpoch)
+					t.Errorf("machine %s has owner %s and epoch %d, want this incarnation, epoch as listed and assignments",
+						id, record.Owner, record.ShardEpoch)
 				}
 			}
 			if got := core.ctx.Replica.Shards["crowded"].CompletedTasks["j-1"]; got.Len() != 6 {
@@ -216,8 +216,7 @@
 	}
 	isSameDone := core.ctx.Replica.CompletedTasks("j-1").String() == done.String()
 	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || !isSameDone {
-		t.Errorf("the shard is written %d times, the job %d times, %d shards are left; "+
-			"want one write of the shard, any of the job, 1 shard and unchanged completed tasks",
+		t.Errorf("the shard is written %d times, the job %d times, %d shards are left; want 1, at least 1, 1 and the same done tasks",
 			shardWrites, jobWrites, len(core.ctx.Replica.Shards))
 	}
 }
