--- a/internal/coordination/commit_cycle.go
+++ b/internal/coordination/commit_cycle.go
@@ -41,8 +41,9 @@
 	c.commit.ShardWriter.ReencodeOversizedRecords(batch)
 	c.agents.Stopper.WriteGracefulStops(batch)
 	c.writeOwnershipChanges(batch)
-	// Changes that are not urgent wait until the write limit allows a batch of at least MinBatchOps,
-	// so that a record is written once for many tasks. A few tokens are left for users' requests.
+	// Changes that are not urgent wait until the write limit allows a batch of at least MinBatchOps or
+	// PendingGangOps, whichever is larger, so that a record is written once for many tasks. A few
+	// tokens are left for users' requests.
 	if isPlanDue && tokens >= max(c.commit.Limits.MinBatchOps(), c.scheduling.Plan.PendingGangOps()) {
 		batch.LimitOps(tokens - c.commit.Limits.ReservedUserTokens())
 		c.writePlan(batch)
@@ -74,8 +75,8 @@
 
 // writePlan writes the changes of owned machines and the next plan into the batch.
 func (c *Core) writePlan(batch *commit.Batch) {
-	// A gang is written completely or not at all. A gang that did not fit into the last batch, behind
-	// changes that come all the time, is written first into this batch.
+	// A gang is written completely or not at all. A gang that did not fit into the last batch, because
+	// a steady stream of other changes came before it, is written first into this batch.
 	placesGangFirst := c.scheduling.Plan.TakePendingGangOps() > 0
 	if placesGangFirst {
 		c.scheduling.Scheduler.PlacePendingJobs(batch)
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -26,8 +26,8 @@
 	// slowTickInterval is the time between two checks of machines, ownership and the cloud.
 	slowTickInterval = 200 * time.Millisecond
 
-	// pruneInterval is the time between two removals of the state that is held of machines without a
-	// record and of finished jobs.
+	// pruneInterval is the time between two removals of the state of machines without a record and of
+	// finished jobs.
 	pruneInterval = 2 * time.Second
 
 	// rngStream selects the random sequence of the core.
@@ -199,8 +199,8 @@
 	c.pollCloud()
 }
 
-// pruneMachineAndJobStates removes, once per pruneInterval, the state that is held of machines
-// without a record and of finished jobs.
+// pruneMachineAndJobStates removes, once per pruneInterval, the state of machines without a record and
+// of finished jobs.
 func (c *Core) pruneMachineAndJobStates() {
 	if !c.restartTimerIfDue(&c.nextPruneAt, pruneInterval) {
 		return
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -19,14 +19,14 @@
 
 // newReadyCore returns a core that is registered and up to date, and a function that advances the
 // clocks and then passes an input to the core.
-func newReadyCore(t *testing.T) (*Core, func(after time.Duration, in step.Input) []step.Effect) {
+func newReadyCore(t *testing.T) (*Core, func(after time.Duration, input step.Input) []step.Effect) {
 	t.Helper()
 	now := steptest.StartTime
 	core := New(steptest.Config(), now)
-	advance := func(after time.Duration, in step.Input) []step.Effect {
+	advance := func(after time.Duration, input step.Input) []step.Effect {
 		now.Monotonic = now.Monotonic.Add(after)
 		now.Wall += protocol.Millis(after.Milliseconds())
-		return core.Step(now, in)
+		return core.Step(now, input)
 	}
 	advance(0, step.Tick{})
 	advance(0, step.GrantLeaseResult{LeaseID: 7})
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -12,6 +12,7 @@
 	"tillerarch/internal/storage"
 )
 
+// announcedLimits are the limits that the tests in this file announce.
 var announcedLimits = steptest.AnnouncedLimits()
 
 // putRecord puts a record into the core's replica, as a watch event would do.
@@ -56,9 +57,9 @@
 	return machines
 }
 
-// A shard that was written before the format was raised may be too large to be written unchanged or
-// packed into one value. It is taken over, or rewritten by its owner, in parts that fit and in one
-// transaction. No machine may be lost, and the fencing tokens of all machines must be raised alike.
+// An oversized shard that was written before the format was raised can neither be written unchanged
+// nor be packed into one value. It is taken over, or rewritten by its owner, in parts that fit and in
+// one transaction. No machine may be lost, and the fencing tokens of all machines must be raised alike.
 func TestOversizedShardIsSplitOnRewrite(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -104,7 +105,7 @@
 				record := &machine.Record
 				isOwned := record.Owner == core.commit.Lease.Incarnation()
 				if !isOwned || record.ShardEpoch != test.wantEpoch || len(record.Assignments) == 0 {
-					t.Errorf("machine %s has owner %s and epoch %d, want this incarnation, epoch as listed and assignments",
+					t.Errorf("machine %s has owner %s and epoch %d; want this incarnation, the test's epoch and assignments",
 						id, record.Owner, record.ShardEpoch)
 				}
 			}
@@ -151,7 +152,8 @@
 				job.MachineTypes = append(job.MachineTypes, protocol.MachineTypeName(randomString(100)))
 			}
 			if got := core.requests.Users.JobRecordFits(job); got != test.want {
-				t.Errorf("JobRecordFits returns the wrong result for a job with %d machine types: %v", test.machineTypeCount, got)
+				t.Errorf("JobRecordFits of a job with %d machine types returns %v, want the opposite",
+					test.machineTypeCount, got)
 			}
 		})
 	}
--- a/internal/coordination/health.go
+++ b/internal/coordination/health.go
@@ -11,8 +11,8 @@
 	// counts as healthy although its requests to the store fail.
 	storeContactTolerance = 3 * time.Second
 
-	// peerReportMaxAge is the largest age at which the status of another controller is evidence
-	// whether the store is unavailable to that controller, too.
+	// peerReportMaxAge is the largest age at which the status of another controller shows whether the
+	// store is unavailable to that controller, too.
 	peerReportMaxAge = 3 * time.Second
 )
 
--- a/internal/coordination/health_test.go
+++ b/internal/coordination/health_test.go
@@ -45,7 +45,7 @@
 				revision := core.ctx.Replica.Revision
 				response := &protocol.WatchResponse{Revision: revision}
 				advance(0, step.WatchResult{AfterRevision: revision, Response: response, Err: err})
-				reportStoreReachable(test.reachableFromPeers, func(in step.Input) { advance(0, in) })
+				reportStoreReachable(test.reachableFromPeers, func(input step.Input) { advance(0, input) })
 			}
 			if got := core.Healthy(); got != test.want {
 				t.Errorf("healthy %v, want %v", got, test.want)
@@ -76,7 +76,7 @@
 			for core.ctx.Since(1) < test.after {
 				core.Step(now, step.Tick{})
 				core.Step(now, step.LoadRecordsResult{Err: errStoreUnreachable})
-				reportStoreReachable(test.reachableFromPeers, func(in step.Input) { core.Step(now, in) })
+				reportStoreReachable(test.reachableFromPeers, func(input step.Input) { core.Step(now, input) })
 				now.Monotonic = now.Monotonic.Add(500 * time.Millisecond)
 				core.Step(now, step.Tick{})
 			}
--- a/internal/coordination/requests/deferred_requests.go
+++ b/internal/coordination/requests/deferred_requests.go
@@ -103,15 +103,15 @@
 	u.Emit(step.ReadRevision{})
 }
 
-// replyToDeferred answers the deferred requests that can be answered now.
-func (u *UserRequests) replyToDeferred() {
-	u.deferred = slices.DeleteFunc(u.deferred, u.tryReply)
+// replyToDeferredRequests answers the deferred requests that can be answered now.
+func (u *UserRequests) replyToDeferredRequests() {
+	u.deferred = slices.DeleteFunc(u.deferred, u.tryReplyToDeferred)
 	u.requestRevision()
 }
 
-// tryReply answers a deferred request if that is possible now, and reports whether it did. It must
+// tryReplyToDeferred answers a deferred request if that is possible now, and reports whether it did. It must
 // not defer another request, because the caller is filtering the list of deferred requests.
-func (u *UserRequests) tryReply(request *deferredRequest) (isAnswered bool) {
+func (u *UserRequests) tryReplyToDeferred(request *deferredRequest) (isAnswered bool) {
 	if u.replyIfFinal(request.requestID, request.requestType, request.jobID) {
 		return true
 	}
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -169,7 +169,7 @@
 // ReplyToPendingRequests answers every request that can be answered now.
 func (u *UserRequests) ReplyToPendingRequests() {
 	u.replyToSubmissions()
-	u.replyToDeferred()
+	u.replyToDeferredRequests()
 }
 
 // ExpireUserRequests rejects requests that have waited too long. While the store is unavailable it
--- a/internal/coordination/step/config.go
+++ b/internal/coordination/step/config.go
@@ -52,7 +52,7 @@
 	Tuning
 }
 
-// CurrentLimits returns the store's limits that hold until the announced ones do.
+// CurrentLimits returns the store's limits that apply until the announced limits do.
 func (cfg *Config) CurrentLimits() WriteLimits {
 	return WriteLimits{
 		WritesPerSecond: cfg.WritesPerSecond,
@@ -72,8 +72,10 @@
 
 	// Responses.
 
-	MaxResponseDelay     time.Duration // the response to a heartbeat with news waits at most this long for the write
-	MaxIdleResponseDelay time.Duration // the response to an idle machine waits at most this long for a task
+	// MaxResponseDelay is how long the response to a heartbeat with news may wait for the resulting
+	// write. It may wait longer if HeartbeatInterval is long.
+	MaxResponseDelay     time.Duration
+	MaxIdleResponseDelay time.Duration // the response to an idle machine may wait this long for a task
 	UserRequestTimeout   time.Duration // until a user's request gets its final response
 
 	// Scale-in.
@@ -109,7 +111,7 @@
 	RebalanceDemandWeight float64       // fraction of a controller's share of machines that follows its jobs' demand
 }
 
-// DefaultTuning returns the default settings, which docs/operations.md explains.
+// DefaultTuning returns the default settings. They are explained in docs/operations.md.
 func DefaultTuning() Tuning {
 	return Tuning{
 		LeaseTTL:          6 * time.Second,
--- a/internal/coordination/store_outage_test.go
+++ b/internal/coordination/store_outage_test.go
@@ -13,6 +13,7 @@
 	"tillerarch/internal/storage"
 )
 
+// errStoreUnreachable is the error of every request to the store during an outage.
 var errStoreUnreachable = errors.New("store unreachable")
 
 // A transaction with an unknown outcome is followed by a write barrier. No other transaction is sent
