--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -11,17 +11,18 @@
 	"tillerarch/internal/transport"
 )
 
-// Outcome of a transaction.
+// Outcome is the outcome of a transaction.
 type Outcome int
 
-// Outcomes of transactions. One of unknown outcome may have been applied, or may still be.
+// Outcomes of transactions. A transaction of unknown outcome may have been applied, or may
+// still be applied later.
 const (
 	OutcomeApplied Outcome = iota
 	OutcomeConflict
-	OutcomeThrottled    // 429: not executed
-	OutcomeUnavailable  // 503 or never sent: not executed
+	OutcomeThrottled    // status 429; not executed
+	OutcomeUnavailable  // status 503, or the request was never sent; not executed
 	OutcomeLeaseExpired // not executed
-	OutcomeInvalid      // 400: not executed
+	OutcomeInvalid      // status 400; not executed
 	OutcomeUnknown
 )
 
@@ -37,42 +38,44 @@
 	}[o]
 }
 
-// Caller sends one HTTP request. An error that wraps transport.ErrNotSent says that the
-// request never left this process; any other error leaves open whether it was executed.
+// Caller sends HTTP requests. Call sends one request. An error that wraps transport.ErrNotSent
+// means that the request never left this process. After any other error, the request may or may
+// not have been executed.
 type Caller interface {
 	Call(method, target string, body []byte, timeout time.Duration) (*transport.Response, error)
 }
 
-// Client is the client of the key-value store. Its errors are *RequestError.
+// Client is a client of the key-value store. Its methods return errors of type *RequestError.
 type Client struct {
-	RequestCaller Caller        // requests that are answered at once
-	WatchCaller   Caller        // watches: each occupies a connection until it is answered
-	Timeout       time.Duration // of a request that is answered at once
+	RequestCaller Caller        // sends requests that the store answers at once
+	WatchCaller   Caller        // sends watches, each of which occupies a connection until it is answered
+	Timeout       time.Duration // timeout of a request that the store answers at once
 }
 
-// listTimeoutFactor is how much longer a page of a listing may take than another request: it is
-// large.
+// listTimeoutFactor multiplies Client.Timeout for a page of a listing, because a page is large.
 const listTimeoutFactor = 2
 
-// ErrRevisionTooOld says that the store has compacted the changes that a watch asked for.
+// ErrRevisionTooOld means that the store has compacted the changes that a watch asked for.
 var ErrRevisionTooOld = errors.New("revision too old")
 
-// ErrLeaseExpired says that a lease has ended.
+// ErrLeaseExpired means that a lease has ended.
 var ErrLeaseExpired = errors.New("lease has ended")
 
-// errMalformedResponse is the cause where a response can be read and lacks what it must have.
+// errMalformedResponse is the cause of a RequestError if the response is valid JSON but lacks
+// a required field.
 var errMalformedResponse = errors.New("malformed response")
 
-// leaseExpiredText is how the store names the cause of a 400 for a transaction whose lease
-// has ended.
+// leaseExpiredText is the error text of the store's response, of status 400, to a transaction
+// whose lease has ended.
 const leaseExpiredText = "no such lease"
 
-// RequestError is a request to the key-value store that failed or was answered unexpectedly.
+// RequestError describes a request to the key-value store that failed or got an unexpected
+// response.
 type RequestError struct {
 	Method string
-	Path   string // with its query, which names the key, prefix or lease
-	Status int    // of the response; 0: there was none
-	Err    error  // the cause; nil if the status says it all
+	Path   string // path and query, which name the key, prefix or lease
+	Status int    // status of the response, or 0 if there was none
+	Err    error  // cause, or nil if the status alone explains the failure
 }
 
 func (e *RequestError) Error() string {
@@ -86,44 +89,45 @@
 	return text
 }
 
-// Unwrap gives the cause: transport.ErrNotSent, ErrLeaseExpired and ErrRevisionTooOld are
-// found by errors.Is.
+// Unwrap returns the cause, so that errors.Is finds transport.ErrNotSent, ErrLeaseExpired and
+// ErrRevisionTooOld.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// request is one request to the store.
+// request is a request to the store.
 type request struct {
 	method string
 	path   string
 	body   []byte
 }
 
-// send sends the request; its error says what was tried.
-func (r request) send(caller Caller, timeout time.Duration) (*transport.Response, error) {
-	response, err := caller.Call(r.method, r.path, r.body, timeout)
+// send sends the request and returns its response. The error names the request.
+func (req request) send(caller Caller, timeout time.Duration) (*transport.Response, error) {
+	response, err := caller.Call(req.method, req.path, req.body, timeout)
 	if err != nil {
-		return nil, &RequestError{Method: r.method, Path: r.path, Err: err}
+		return nil, &RequestError{Method: req.method, Path: req.path, Err: err}
 	}
 	return response, nil
 }
 
-// unexpected is the error of a response that is not what the request was sent for.
-func (r request) unexpected(response *transport.Response, cause error) error {
-	return &RequestError{Method: r.method, Path: r.path, Status: response.Status, Err: cause}
+// unexpectedResponseError returns the error of a response that the request must not get.
+func (req request) unexpectedResponseError(response *transport.Response, cause error) error {
+	return &RequestError{Method: req.method, Path: req.path, Status: response.Status, Err: cause}
 }
 
-// decode reads a response that must have a status.
-func (r request) decode(response *transport.Response, status int, into any) error {
+// decodeResponse decodes the body of a response into target. It returns an error if the response
+// has another status than the given one.
+func (req request) decodeResponse(response *transport.Response, status int, target any) error {
 	if response.Status != status {
-		return r.unexpected(response, nil)
+		return req.unexpectedResponseError(response, nil)
 	}
-	if err := json.Unmarshal(response.Body, into); err != nil {
-		return r.unexpected(response, err)
+	if err := json.Unmarshal(response.Body, target); err != nil {
+		return req.unexpectedResponseError(response, err)
 	}
 	return nil
 }
 
-// Commit sends a transaction. The error explains outcomes that the store gives no reason for;
-// it is nil for applied, conflicting, throttled ones, and those whose lease has ended.
+// Commit sends a transaction. The error explains the outcomes OutcomeUnavailable, OutcomeInvalid
+// and OutcomeUnknown, and is nil for all other outcomes.
 func (c *Client) Commit(transaction protocol.Transaction) (Outcome, protocol.TransactionResult, error) {
 	var result protocol.TransactionResult
 	req := request{http.MethodPost, protocol.PathTransaction, protocol.Encode(transaction)}
@@ -138,35 +142,37 @@
 	case http.StatusTooManyRequests:
 		return OutcomeThrottled, result, nil
 	case http.StatusServiceUnavailable:
-		return OutcomeUnavailable, result, req.unexpected(response, nil)
+		return OutcomeUnavailable, result, req.unexpectedResponseError(response, nil)
 	}
 	if err := json.Unmarshal(response.Body, &result); err != nil && response.Status != http.StatusBadRequest {
-		return OutcomeUnknown, result, req.unexpected(response, err)
+		return OutcomeUnknown, result, req.unexpectedResponseError(response, err)
 	}
 	switch {
 	case response.Status == http.StatusOK && result.Revision > 0:
 		return OutcomeApplied, result, nil
 	case response.Status == http.StatusOK:
-		return OutcomeUnknown, result, req.unexpected(response, errMalformedResponse)
+		return OutcomeUnknown, result, req.unexpectedResponseError(response, errMalformedResponse)
 	case response.Status == http.StatusConflict:
 		return OutcomeConflict, result, nil
 	case response.Status == http.StatusBadRequest && result.Error == leaseExpiredText:
 		return OutcomeLeaseExpired, result, nil
 	case response.Status == http.StatusBadRequest:
-		return OutcomeInvalid, result, req.unexpected(response, reasonOf(result))
+		return OutcomeInvalid, result, req.unexpectedResponseError(response, rejectionReason(result))
 	}
-	return OutcomeUnknown, result, req.unexpected(response, nil)
+	return OutcomeUnknown, result, req.unexpectedResponseError(response, nil)
 }
 
-// reasonOf is the reason that the store gives for a rejected transaction, if any.
-func reasonOf(result protocol.TransactionResult) error {
+// rejectionReason returns the reason that the store gives for rejecting a transaction, or nil if
+// it gives none.
+func rejectionReason(result protocol.TransactionResult) error {
 	if result.Error == "" {
 		return nil
 	}
 	return errors.New(result.Error)
 }
 
-// Revision reads the store's revision, from the answer to a read of a missing key.
+// Revision returns the store's current revision. It reads a key that does not exist, because the
+// response to that contains the revision.
 func (c *Client) Revision() (protocol.Revision, error) {
 	req := request{method: http.MethodGet, path: protocol.GetKeyPath(revisionProbeKey)}
 	response, err := req.send(c.RequestCaller, c.Timeout)
@@ -174,13 +180,13 @@
 		return 0, err
 	}
 	var result protocol.TransactionResult
-	if err := req.decode(response, http.StatusNotFound, &result); err != nil {
+	if err := req.decodeResponse(response, http.StatusNotFound, &result); err != nil {
 		return 0, err
 	}
 	return result.Revision, nil
 }
 
-// GrantLease asks for a lease.
+// GrantLease creates a lease that ends unless it is renewed within ttl.
 func (c *Client) GrantLease(ttl time.Duration) (protocol.LeaseID, error) {
 	body := protocol.Encode(protocol.Lease{TTLMillis: ttl.Milliseconds()})
 	req := request{http.MethodPost, protocol.PathLeases, body}
@@ -189,16 +195,16 @@
 		return 0, err
 	}
 	var lease protocol.Lease
-	if err := req.decode(response, http.StatusOK, &lease); err != nil {
+	if err := req.decodeResponse(response, http.StatusOK, &lease); err != nil {
 		return 0, err
 	}
 	if lease.ID == 0 {
-		return 0, req.unexpected(response, errMalformedResponse)
+		return 0, req.unexpectedResponseError(response, errMalformedResponse)
 	}
 	return lease.ID, nil
 }
 
-// RenewLease renews a lease. An error that wraps ErrLeaseExpired says that it has ended.
+// RenewLease renews a lease. An error that wraps ErrLeaseExpired means that the lease has ended.
 func (c *Client) RenewLease(id protocol.LeaseID) error {
 	req := request{http.MethodPost, protocol.RenewLeasePath(id), []byte("{}")}
 	response, err := req.send(c.RequestCaller, c.Timeout)
@@ -206,16 +212,17 @@
 	case err != nil:
 		return err
 	case response.Status == http.StatusNotFound:
-		return req.unexpected(response, ErrLeaseExpired)
+		return req.unexpectedResponseError(response, ErrLeaseExpired)
 	case response.Status != http.StatusOK:
-		return req.unexpected(response, nil)
+		return req.unexpectedResponseError(response, nil)
 	}
 	return nil
 }
 
-// LoadRecords reads all records. Its pages are read at different revisions: together they are
-// complete only with the changes from revision from up to until.
-func (c *Client) LoadRecords() (entries []protocol.Entry, from, until protocol.Revision, err error) {
+// LoadRecords reads all records. It reads the pages of the listing at different revisions, so
+// that the entries are complete only together with the changes after startRevision up to
+// endRevision.
+func (c *Client) LoadRecords() (entries []protocol.Entry, startRevision, endRevision protocol.Revision, err error) {
 	lastKey := ""
 	for first := true; ; first = false {
 		page, err := c.listEntries(lastKey)
@@ -223,30 +230,30 @@
 			return nil, 0, 0, err
 		}
 		if first {
-			from = page.Revision
+			startRevision = page.Revision
 		}
-		until = page.Revision
+		endRevision = page.Revision
 		entries = append(entries, page.Entries...)
 		if !page.HasMore || len(page.Entries) == 0 {
-			return entries, from, until, nil
+			return entries, startRevision, endRevision, nil
 		}
 		lastKey = page.Entries[len(page.Entries)-1].Key
 	}
 }
 
-// listEntries reads the page of records that begins after a key.
+// listEntries reads the page of records whose keys follow the key after.
 func (c *Client) listEntries(after string) (page protocol.EntryPage, err error) {
 	req := request{method: http.MethodGet, path: protocol.ListKeysPath(KeyPrefix, after)}
 	response, err := req.send(c.RequestCaller, listTimeoutFactor*c.Timeout)
 	if err != nil {
 		return page, err
 	}
-	err = req.decode(response, http.StatusOK, &page)
+	err = req.decodeResponse(response, http.StatusOK, &page)
 	return page, err
 }
 
-// Watch waits for changes after a revision. An error that wraps ErrRevisionTooOld says that
-// the store no longer has them.
+// Watch waits up to wait for changes after a revision. An error that wraps
+// ErrRevisionTooOld means that the store no longer has all of these changes.
 func (c *Client) Watch(after protocol.Revision, wait time.Duration) (*protocol.WatchResponse, error) {
 	path := protocol.WatchKeysPath(KeyPrefix, after, int(wait.Milliseconds()))
 	req := request{method: http.MethodGet, path: path}
@@ -255,10 +262,10 @@
 		return nil, err
 	}
 	if response.Status == http.StatusGone {
-		return nil, req.unexpected(response, ErrRevisionTooOld)
+		return nil, req.unexpectedResponseError(response, ErrRevisionTooOld)
 	}
 	var result protocol.WatchResponse
-	if err := req.decode(response, http.StatusOK, &result); err != nil {
+	if err := req.decodeResponse(response, http.StatusOK, &result); err != nil {
 		return nil, err
 	}
 	return &result, nil
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -7,7 +7,7 @@
 //   - records.go, shards.go, transfers.go, drains.go: the records.
 //   - format.go, machine_line.go, shards_packed.go, task_set.go, task_set_compact.go: the
 //     encodings of the records. Every version of the program reads all formats up to its own.
-//     Field names in JSON and in machine lines never change, because other versions read them.
+//     Names in JSON and in machine lines never change, because other versions read them.
 //   - client.go: requests to the store, and the outcome of each request.
 //   - replica.go: lookup of records by key; replica_shards.go: shards and their machines;
 //     machine_index.go and completed_task_index.go: indexes for frequent queries.
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 )
 
-// Format is the version of the records' encodings. Every version of this program reads all
+// Format is the version of the encodings of records. Every version of this program reads all
 // formats up to its own.
 type Format int
 
-// Formats of records. 1 is not in use.
+// Formats of records. The value 1 is not in use.
 const (
-	FormatPlain  Format = 0 // all records in plain JSON
-	FormatPacked Format = 2 // shards and large job records packed, completed tasks compact
+	FormatPlain  Format = 0 // all records are plain JSON
+	FormatPacked Format = 2 // shards and large job records are packed, completed tasks are compact
 )
 
 // FormatRecord is the value of FormatKey.
@@ -21,46 +21,46 @@
 	UpdatedBy   Incarnation `json:"b"`
 }
 
-// jobCompressionThreshold is the size in bytes from which a job's record is packed as a whole.
+// jobCompressionThreshold is the size in bytes from which a job's record is compressed as a whole.
 const jobCompressionThreshold = 1200
 
-// compactJobRecord is a job's record with its completed tasks in compact form.
+// compactJobRecord is a job's record with its completed tasks in their shortest form.
 type compactJobRecord struct {
 	JobRecord
-	CompletedTasks compactTaskSet `json:"v,omitzero"` // hides JobRecord.CompletedTasks
+	CompletedTasks compactTaskSet `json:"v,omitzero"` // replaces JobRecord.CompletedTasks in JSON
 }
 
 // packedJobRecord is a job's record that is compressed as a whole.
 type packedJobRecord struct {
-	Packed string `json:"z"`
+	Packed string `json:"z"` // result of deflate for the JSON of a compactJobRecord
 }
 
-// packedJobPrefix begins the encoded form of a packedJobRecord, and of no other record.
+// packedJobPrefix is the start of every encoded packedJobRecord and of no other record.
 const packedJobPrefix = `{"z":`
 
-// EncodeJob encodes a job's record in a format.
-func EncodeJob(format Format, r *JobRecord) json.RawMessage {
+// EncodeJob encodes a job's record in the given format.
+func EncodeJob(format Format, record *JobRecord) json.RawMessage {
 	if format < FormatPacked {
-		return MustMarshal(r)
+		return MustMarshal(record)
 	}
-	plain := MustMarshal(compactJobRecord{JobRecord: *r, CompletedTasks: compactTaskSet{r.CompletedTasks}})
+	plain := MustMarshal(compactJobRecord{JobRecord: *record, CompletedTasks: compactTaskSet{record.CompletedTasks}})
 	if len(plain) < jobCompressionThreshold {
 		return plain
 	}
 	return MustMarshal(packedJobRecord{deflate(plain)})
 }
 
-// decodeJob reads a job's record in any format.
-func decodeJob(data json.RawMessage) (r JobRecord, err error) {
+// decodeJob decodes a job's record in any format.
+func decodeJob(data json.RawMessage) (record JobRecord, err error) {
 	if bytes.HasPrefix(data, []byte(packedJobPrefix)) {
 		var packed packedJobRecord
 		if err := json.Unmarshal(data, &packed); err != nil {
-			return r, err
+			return record, err
 		}
 		if data, err = inflate(packed.Packed); err != nil {
-			return r, err
+			return record, err
 		}
 	}
-	err = json.Unmarshal(data, &r)
-	return r, err
+	err = json.Unmarshal(data, &record)
+	return record, err
 }
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -2,12 +2,12 @@
 
 import "tillerarch/internal/protocol"
 
-// KeyPrefix begins every key. It is a single prefix so that one watch sees every change and
-// the replica's revision can reach the store's.
+// KeyPrefix is the prefix of all keys. All keys share it so that one watch reports every change
+// and the revision of the replica can reach that of the store.
 const KeyPrefix = "t/"
 
 // Prefixes of the keys of each kind of record. A version that does not know a prefix ignores
-// its keys.
+// the keys that have it.
 const (
 	jobPrefix        = KeyPrefix + "j/"
 	shardPrefix      = KeyPrefix + "p/"
@@ -17,44 +17,45 @@
 	drainPrefix      = KeyPrefix + "d/"
 )
 
-// RegistryKey is written by every transaction that adds a machine. Machines have no keys of
-// their own whose absence a transaction could require; without this key two controllers
-// could put one machine on two shards.
+// RegistryKey is the key that every transaction writes that adds a machine. Machines have no
+// keys of their own whose absence a transaction could require. Without RegistryKey, two
+// controllers could add the same machine to two shards.
 const RegistryKey = KeyPrefix + "roll"
 
-// FormatKey holds the format that may be written. It is raised once every controller of
-// the deployment has been seen to read that format, and never lowered. A version that
+// FormatKey is the key of the format in which records may be written. The format is raised once
+// every controller of the deployment has been seen to read it, and is never lowered. A version that
 // does not know the key ignores it.
 const FormatKey = KeyPrefix + "format"
 
-// revisionProbeKey never exists: reading it returns the store's revision.
+// revisionProbeKey is a key that never exists. The response to a read of it contains the
+// revision of the store.
 const revisionProbeKey = KeyPrefix + "rev"
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(id protocol.JobID) string { return jobPrefix + string(id) }
 
-// ShardKey is the key of a shard of machines.
+// ShardKey returns the key of a shard's record.
 func ShardKey(id ShardID) string { return shardPrefix + string(id) }
 
-// ControllerKey is the key of a controller's live incarnation.
+// ControllerKey returns the key of a controller's record, which names its live incarnation.
 func ControllerKey(controller protocol.ControllerID) string {
 	return controllerPrefix + string(controller)
 }
 
-// QuotaKey is the key that orders the placements of a team that has a limit.
+// QuotaKey returns the key that serializes the placements of a team that has a limit.
 func QuotaKey(team string) string { return quotaPrefix + team }
 
-// TransferKey is the key of a transfer's record.
+// TransferKey returns the key of the transfer record in a slot.
 func TransferKey(slot TransferSlot) string { return transferPrefix + string(slot) }
 
-// DrainKey is the key by which a controller is drained: while it exists, the controller
-// transfers its machines away and receives none, in later incarnations too.
+// DrainKey returns the key that marks a controller as draining. While the key exists, the
+// controller and its later incarnations transfer their machines to others and receive none.
 func DrainKey(controller protocol.ControllerID) string { return drainPrefix + string(controller) }
 
-// recordKind tells which kind of record a key holds.
+// recordKind is the kind of record under a key.
 type recordKind uint8
 
-// Kinds of records. Keys of versions to come are of the unknown kind.
+// Kinds of records. Keys that only later versions use are of unknownKind.
 const (
 	unknownKind recordKind = iota
 	jobKind
@@ -67,17 +68,17 @@
 	formatKind
 )
 
-// recordKey is a parsed key: the kind of its record and, for kinds that have more than one
-// key, the part after the prefix.
+// recordKey is a parsed key.
 type recordKey struct {
 	kind recordKind
-	name string
+	name string // part after the prefix, for kinds that have more than one key
 }
 
-// prefixLength is the length of every prefix above.
+// prefixLength is the length of the prefix of each kind of record, such as jobPrefix.
 const prefixLength = len(KeyPrefix) + 2
 
-// parseKey takes a key apart. This is the only place that maps keys to kinds of records.
+// parseKey splits a key into the kind of its record and its name. Only parseKey maps keys to
+// kinds of records.
 func parseKey(key string) recordKey {
 	if len(key) < prefixLength {
 		return recordKey{}
--- a/internal/storage/machine_index.go
+++ b/internal/storage/machine_index.go
@@ -8,14 +8,14 @@
 	"tillerarch/internal/protocol"
 )
 
-// Machine is a machine's record as the replica has it.
+// Machine is a machine with its record in the replica.
 type Machine struct {
 	ID          protocol.MachineID
 	Record      MachineRecord
-	encodedLine string // a machine whose line stays the same is not parsed again
+	encodedLine string // line from which Record was parsed; an unchanged line is not parsed again
 }
 
-// setIndex maps a key to a set of values. It keeps no empty sets.
+// setIndex maps keys to non-empty sets of values.
 type setIndex[K, V comparable] map[K]map[V]bool
 
 func (x setIndex[K, V]) add(key K, value V) {
@@ -31,19 +31,20 @@
 	}
 }
 
-// machineIndex is what Replica derives from the records of machines.
+// machineIndex holds what the replica derives from the records of machines.
 type machineIndex struct {
-	byJob   setIndex[protocol.JobID, protocol.MachineID] // where a job has assignments
-	sorted  []*Machine                                   // all machines by ID; nil: to be computed
-	removed []protocol.MachineID                         // since PopRemovedMachines was last called
+	byJob           setIndex[protocol.JobID, protocol.MachineID] // machines on which a job has assignments
+	sortedMachines  []*Machine                                   // all machines by ID, or nil if not computed
+	removedMachines []protocol.MachineID                         // removals since the last call of PopRemovedMachines
 }
 
 func newMachineIndex() machineIndex {
 	return machineIndex{byJob: setIndex[protocol.JobID, protocol.MachineID]{}}
 }
 
-// update replaces what a machine's record contributed; before or after may be nil.
-func (x *machineIndex) update(id protocol.MachineID, before, after *MachineRecord) {
+// replaceMachine replaces the index entries of a machine's previous record by those of its new
+// record. Nil represents a missing record.
+func (x *machineIndex) replaceMachine(id protocol.MachineID, before, after *MachineRecord) {
 	if before != nil {
 		for i := range before.Assignments {
 			x.byJob.remove(before.Assignments[i].Job, id)
@@ -56,7 +57,7 @@
 	}
 }
 
-// setMachine changes a machine's record and its indexes; a nil record removes it.
+// setMachine sets a machine's record and updates the indexes. A nil record removes the machine.
 func (r *Replica) setMachine(id protocol.MachineID, record *MachineRecord, line string) {
 	machine := r.Machines[id]
 	var before *MachineRecord
@@ -64,7 +65,7 @@
 		before = &machine.Record
 	}
 	if machine == nil || record == nil || machine.encodedLine != line {
-		r.machineIndex.update(id, before, record)
+		r.machineIndex.replaceMachine(id, before, record)
 		if r.OnMachineChange != nil {
 			r.OnMachineChange(id, before, record)
 		}
@@ -72,37 +73,39 @@
 	switch {
 	case record == nil:
 		delete(r.Machines, id)
-		r.machineIndex.sorted = nil
+		r.machineIndex.sortedMachines = nil
 	case machine == nil:
 		r.Machines[id] = &Machine{id, *record, line}
-		r.machineIndex.sorted = nil
+		r.machineIndex.sortedMachines = nil
 	default:
 		machine.Record, machine.encodedLine = *record, line
 	}
 }
 
-// PopRemovedMachines lists, once, the machines that are no longer on record. It is to be called
-// when all changes of a transaction are applied: a machine that only passes from one shard to
-// another is removed and added again by them.
+// PopRemovedMachines returns the machines that have been removed since the previous call and are
+// still absent. It must be called only after all changes of a transaction have been applied,
+// because a machine that passes from one shard to another is removed and added again.
 func (r *Replica) PopRemovedMachines() []protocol.MachineID {
-	removed := slices.DeleteFunc(r.machineIndex.removed, func(id protocol.MachineID) bool {
+	removed := slices.DeleteFunc(r.machineIndex.removedMachines, func(id protocol.MachineID) bool {
 		return r.Machines[id] != nil
 	})
-	r.machineIndex.removed = nil
+	r.machineIndex.removedMachines = nil
 	return removed
 }
 
-// SortedMachines lists all machines by ID. Callers must not change the list.
+// SortedMachines returns all machines in the order of their IDs. Callers must not change the
+// slice.
 func (r *Replica) SortedMachines() []*Machine {
-	if r.machineIndex.sorted == nil {
-		r.machineIndex.sorted = slices.SortedFunc(maps.Values(r.Machines), func(a, b *Machine) int {
+	if r.machineIndex.sortedMachines == nil {
+		r.machineIndex.sortedMachines = slices.SortedFunc(maps.Values(r.Machines), func(a, b *Machine) int {
 			return strings.Compare(string(a.ID), string(b.ID))
 		})
 	}
-	return r.machineIndex.sorted
+	return r.machineIndex.sortedMachines
 }
 
-// EncodedLine is a machine's encoded line as it is on record; empty if there is none.
+// EncodedLine returns a machine's line as it is encoded in the store, or the empty string if
+// the replica does not have the machine.
 func (r *Replica) EncodedLine(id protocol.MachineID) string {
 	if machine := r.Machines[id]; machine != nil {
 		return machine.encodedLine
@@ -110,8 +113,8 @@
 	return ""
 }
 
-// MachinesWithJob is the set of machines on which a job has assignments. Callers must not
-// change it.
+// MachinesWithJob returns the set of machines on which a job has assignments. Callers must not
+// change the set.
 func (r *Replica) MachinesWithJob(job protocol.JobID) map[protocol.MachineID]bool {
 	return r.machineIndex.byJob[job]
 }
--- a/internal/storage/machine_line.go
+++ b/internal/storage/machine_line.go
@@ -10,14 +10,14 @@
 	"tillerarch/internal/protocol"
 )
 
-// A machine's line has its fields with a blank between them:
+// The line of a machine consists of fields that are separated by spaces:
 //
 //	ID address type zone added-at epoch[+counter] flags [job.attempt.tasks]...
 //
-// An empty field is a dash. Address, type and zone are query-escaped; the time is in
-// milliseconds, base 36.
+// An empty field is written as a dash. Address, type and zone are query-escaped. The time
+// added-at is in milliseconds, in base 36.
 const (
-	lineFields          = 7 // before the assignments
+	lineFields          = 7 // number of fields before the assignments
 	emptyField          = "-"
 	addedAtBase         = 36
 	assignmentSeparator = "."
@@ -31,10 +31,10 @@
 	cordonedFlag    = "x"
 )
 
-// errMalformedLine is the cause of every failure to read a machine's line.
+// errMalformedLine is wrapped by every error about a machine's line that cannot be parsed.
 var errMalformedLine = errors.New("malformed machine line")
 
-// EncodeLine encodes the record as a line of its shard's record.
+// EncodeLine encodes the record of the machine with the given ID as a line of its shard's record.
 func (m *MachineRecord) EncodeLine(id protocol.MachineID) string {
 	agentEpoch := strconv.FormatUint(uint64(m.AgentEpoch), 10)
 	if m.TokenCounter > 0 {
@@ -63,7 +63,7 @@
 	return line.String()
 }
 
-// lineFlags is the flags field of the machine's line.
+// lineFlags returns the flags field of the machine's line. It is empty if no flag is set.
 func (m *MachineRecord) lineFlags() string {
 	flags := ""
 	if m.Spot {
@@ -78,44 +78,44 @@
 	return flags
 }
 
-// machineIDOfLine is the identifier at the start of a machine's line.
+// machineIDOfLine returns the machine ID at the start of a line.
 func machineIDOfLine(line string) protocol.MachineID {
 	id, _, _ := strings.Cut(line, " ")
 	return protocol.MachineID(id)
 }
 
-// parseMachineLine reads what EncodeLine wrote.
-func parseMachineLine(line string) (id protocol.MachineID, m MachineRecord, err error) {
+// parseMachineLine parses a line that EncodeLine has written.
+func parseMachineLine(line string) (id protocol.MachineID, record MachineRecord, err error) {
 	fields := strings.Split(line, " ")
 	if len(fields) < lineFields {
-		return "", m, fmt.Errorf("%w %q: %d fields", errMalformedLine, line, len(fields))
+		return "", record, fmt.Errorf("%w %q: %d fields, want at least %d", errMalformedLine, line, len(fields), lineFields)
 	}
 	id = protocol.MachineID(fields[0])
 	if !id.IsValid() {
-		return "", m, fmt.Errorf("%w %q: machine ID", errMalformedLine, line)
+		return "", record, fmt.Errorf("%w %q: invalid machine ID", errMalformedLine, line)
 	}
-	var names [3]string // address, type, zone
-	for i := range names {
+	var textFields [3]string // address, type, zone
+	for i := range textFields {
 		field := fields[1+i]
 		if field == emptyField {
 			continue
 		}
-		if names[i], err = url.QueryUnescape(field); err != nil {
-			return "", m, fmt.Errorf("%w %q: %w", errMalformedLine, line, err)
+		if textFields[i], err = url.QueryUnescape(field); err != nil {
+			return "", record, fmt.Errorf("%w %q: address, machine type or zone: %w", errMalformedLine, line, err)
 		}
 	}
 	addedAt, err := strconv.ParseInt(fields[4], addedAtBase, 64)
 	if err != nil {
-		return "", m, fmt.Errorf("%w %q: %w", errMalformedLine, line, err)
+		return "", record, fmt.Errorf("%w %q: time added: %w", errMalformedLine, line, err)
 	}
 	agentEpoch, counter, err := parseEpochField(fields[5])
 	if err != nil {
-		return "", m, fmt.Errorf("%w %q: %w", errMalformedLine, line, err)
+		return "", record, fmt.Errorf("%w %q: agent epoch or token counter: %w", errMalformedLine, line, err)
 	}
-	m = MachineRecord{
-		Address:      names[0],
-		MachineType:  protocol.MachineTypeName(names[1]),
-		Zone:         protocol.Zone(names[2]),
+	record = MachineRecord{
+		Address:      textFields[0],
+		MachineType:  protocol.MachineTypeName(textFields[1]),
+		Zone:         protocol.Zone(textFields[2]),
 		AddedAt:      protocol.Millis(addedAt),
 		AgentEpoch:   agentEpoch,
 		TokenCounter: counter,
@@ -126,36 +126,37 @@
 	for _, field := range fields[lineFields:] {
 		assignment, err := parseAssignment(field)
 		if err != nil {
-			return "", m, fmt.Errorf("%w %q: %w", errMalformedLine, line, err)
+			return "", record, fmt.Errorf("%w %q: %w", errMalformedLine, line, err)
 		}
-		m.Assignments = append(m.Assignments, assignment)
+		record.Assignments = append(record.Assignments, assignment)
 	}
-	return id, m, nil
+	return id, record, nil
 }
 
-// parseEpochField reads an agent's epoch and, if it follows, the token counter.
+// parseEpochField parses the field that holds the agent's epoch and the token counter. The
+// returned counter is zero if the field does not contain it.
 func parseEpochField(field string) (epoch protocol.AgentEpoch, counter uint64, err error) {
 	epochText, counterText, hasCounter := strings.Cut(field, counterSeparator)
-	value, err := strconv.ParseUint(epochText, 10, 64)
+	epochValue, err := strconv.ParseUint(epochText, 10, 64)
 	if err == nil && hasCounter {
 		counter, err = strconv.ParseUint(counterText, 10, tokenCounterBits)
 	}
-	return protocol.AgentEpoch(value), counter, err
+	return protocol.AgentEpoch(epochValue), counter, err
 }
 
-// parseAssignment reads the assignment of a machine's line.
+// parseAssignment parses one assignment of a machine's line.
 func parseAssignment(field string) (assignment Assignment, err error) {
 	parts := strings.Split(field, assignmentSeparator)
 	if len(parts) != 3 {
-		return assignment, fmt.Errorf("assignment %q: %d parts", field, len(parts))
+		return assignment, fmt.Errorf("assignment %q: %d parts, want job, attempt and tasks", field, len(parts))
 	}
 	assignment.Job = protocol.JobID(parts[0])
 	if !assignment.Job.IsValid() {
-		return assignment, fmt.Errorf("assignment %q: job ID", field)
+		return assignment, fmt.Errorf("assignment %q: invalid job ID", field)
 	}
 	attempt, err := strconv.ParseUint(parts[1], 10, 64)
 	if err != nil {
-		return assignment, fmt.Errorf("assignment %q: %w", field, err)
+		return assignment, fmt.Errorf("assignment %q: attempt: %w", field, err)
 	}
 	assignment.Attempt = protocol.Attempt(attempt)
 	if err := assignment.Tasks.UnmarshalText([]byte(parts[2])); err != nil {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -9,58 +9,61 @@
 	"tillerarch/internal/protocol"
 )
 
-// RegistryRecord is the value of RegistryKey: who added a machine last.
+// RegistryRecord is the value of RegistryKey.
 type RegistryRecord struct {
-	UpdatedBy Incarnation `json:"b"`
+	UpdatedBy Incarnation `json:"b"` // the incarnation that added a machine last
 }
 
-// Incarnation names one process run of a controller, under one lease: "stall-0#7". It owns
-// machines and jobs, and is never reused.
+// Incarnation is the name of one process run of a controller under one lease, such as
+// "stall-0#7". Incarnations own machines and jobs. A name is never reused.
 type Incarnation string
 
-// NewIncarnation names the incarnation of a controller that holds a lease.
+// NewIncarnation returns the name of the incarnation of a controller that holds a lease.
 func NewIncarnation(controller protocol.ControllerID, lease protocol.LeaseID) Incarnation {
 	return Incarnation(fmt.Sprintf("%s#%d", controller, lease))
 }
 
-// Controller is the controller that the incarnation is a run of.
+// Controller returns the controller of which the incarnation is a run.
 func (i Incarnation) Controller() protocol.ControllerID {
 	controller, _, _ := strings.Cut(string(i), "#")
 	return protocol.ControllerID(controller)
 }
 
-// JobRecord is what the store holds of a job. A done job keeps only State, TaskCount and
-// SubmittedAt.
+// JobRecord is the record of a job in the store. The record of a done job has only State,
+// TaskCount and SubmittedAt.
 type JobRecord struct {
 	Spec  *protocol.Job     `json:"d,omitempty"`
-	State protocol.JobState `json:"s,omitempty"` // empty: neither done nor cancelled
+	State protocol.JobState `json:"s,omitempty"` // empty if the job is neither done nor cancelled
 	Owner Incarnation       `json:"c,omitempty"`
 
-	// NextAttempt is the lowest attempt that has not been reserved: attempts below it are
-	// never given out again, also by a later owner.
+	// NextAttempt is the lowest attempt that has not been reserved. Lower attempts are never
+	// reserved again, not even by a later owner.
 	NextAttempt    protocol.Attempt `json:"n,omitempty"`
 	CompletedTasks TaskSet          `json:"v,omitzero"`
 
 	// GracefulStopAttempt is the highest attempt of a gang whose tasks must checkpoint and
-	// stop, because one of their machines is being preempted: tasks of this and of all lower
-	// attempts stop. It only rises; 0: none has to.
+	// stop because one of their machines is being preempted. The tasks of this attempt and
+	// of all lower attempts stop. The value only rises. Zero means that no attempt has to
+	// stop.
 	GracefulStopAttempt protocol.Attempt `json:"h,omitempty"`
 
-	// ReservedMachines are those on which capacity is reserved for a gang: their owners
-	// preempt tasks of lower priority.
+	// ReservedMachines lists the machines on which capacity is reserved for the job, which is
+	// a gang or a service. The owners of the machines preempt tasks of lower priority there.
+	// A service lists a machine once for each of its replicas.
 	ReservedMachines []protocol.MachineID `json:"m,omitempty"`
 	SubmittedAt      protocol.Millis      `json:"t,omitempty"`
 
-	// CancelRequested says that the user has cancelled the job and that not every controller
-	// that may run a task of it has acknowledged: no task may start, and the job is not
-	// reported as cancelled yet. It is never taken back; it ends with a terminal state.
+	// CancelRequested reports whether the user has cancelled the job and some controller that
+	// may run a task of the job has not acknowledged the cancellation. While it is set, no
+	// task may start and the job is not yet reported as cancelled. A request is never
+	// withdrawn; it ends when State becomes terminal.
 	CancelRequested bool `json:"w,omitempty"`
 
-	// CancelUpdatedAt is the wall clock of the last write of the cancellation: of the request
-	// while CancelRequested is set, of the confirmation once State is JobCancelled. 0 for a
-	// job that was never cancelled.
+	// CancelUpdatedAt is the wall-clock time at which the cancellation was last written: the
+	// request while CancelRequested is set, and the confirmation once State is JobCancelled.
+	// It is zero for a job that was never cancelled.
 	CancelUpdatedAt protocol.Millis `json:"o,omitempty"`
-	TaskCount       int             `json:"k,omitempty"` // of a done job
+	TaskCount       int             `json:"k,omitempty"` // set only for a done job
 }
 
 // IsCancelledOrCancelling tells whether the job is cancelled, or its cancellation requested.
@@ -68,41 +71,43 @@
 	return r.CancelRequested || r.State == protocol.JobCancelled
 }
 
-// Assignment is a set of tasks of one job that run on a machine under one attempt.
+// Assignment is the set of tasks of one job that are assigned to a machine under one attempt.
 type Assignment struct {
 	Job     protocol.JobID
 	Attempt protocol.Attempt
 	Tasks   TaskSet
 }
 
-// MachineRecord is what the store holds of a machine. It is encoded as a line of its shard's
-// record (EncodeLine); Shard, Owner, ShardEpoch and FencingToken are not in the line but
-// follow from the shard.
+// MachineRecord is the record of a machine in the store. EncodeLine encodes it as a line of the
+// shard's record. Shard, Owner, ShardEpoch and FencingToken are not part of the line, because
+// they follow from the shard.
 type MachineRecord struct {
 	Shard        ShardID
 	Owner        Incarnation
 	ShardEpoch   ShardEpoch
 	TokenCounter uint64                // raised to make the agent send a heartbeat at once
-	FencingToken protocol.FencingToken // of ShardEpoch and TokenCounter
-	AgentEpoch   protocol.AgentEpoch   // 0: no heartbeat yet
+	FencingToken protocol.FencingToken // combines ShardEpoch and TokenCounter
+	AgentEpoch   protocol.AgentEpoch   // 0 before the agent's first heartbeat
 	Assignments  []Assignment
 	Address      string
 	MachineType  protocol.MachineTypeName
 	Zone         protocol.Zone
 	Spot         bool
-	Terminating  bool            // may be gone at any moment; gets no task
-	Cordoned     bool            // gets no new task
-	AddedAt      protocol.Millis // when it was provisioned or first seen
+	Terminating  bool            // the machine may disappear at any moment and gets no tasks
+	Cordoned     bool            // the machine gets no new tasks
+	AddedAt      protocol.Millis // when the machine was provisioned or first seen
 }
 
-// Clone copies the record deeply enough that the copy's assignments can be changed.
+// Clone returns a copy of the record. Changes to the list of assignments of the copy do not
+// affect the original.
 func (m *MachineRecord) Clone() *MachineRecord {
 	clone := *m
 	clone.Assignments = append([]Assignment(nil), m.Assignments...)
 	return &clone
 }
 
-// AttemptOf is the attempt under which a task is assigned to the machine, if it is.
+// AttemptOf returns the attempt under which a task is assigned to the machine. It returns false
+// if the task is not assigned to it.
 func (m *MachineRecord) AttemptOf(task protocol.Task) (protocol.Attempt, bool) {
 	for i := range m.Assignments {
 		assignment := &m.Assignments[i]
@@ -113,7 +118,7 @@
 	return 0, false
 }
 
-// AssignmentsOf iterates over the assignments of one job.
+// AssignmentsOf returns an iterator over the assignments of a job to the machine.
 func (m *MachineRecord) AssignmentsOf(job protocol.JobID) iter.Seq[*Assignment] {
 	return func(yield func(*Assignment) bool) {
 		for i := range m.Assignments {
@@ -125,7 +130,8 @@
 	}
 }
 
-// Assign adds a task, to the assignment of its job and attempt if there is one.
+// Assign assigns a task to the machine. It adds the task to the assignment of the same job and
+// attempt, or to a new assignment if there is none.
 func (m *MachineRecord) Assign(task protocol.Task, attempt protocol.Attempt) {
 	for i := range m.Assignments {
 		assignment := &m.Assignments[i]
@@ -141,7 +147,7 @@
 	})
 }
 
-// Unassign removes a task, whatever its attempt.
+// Unassign removes a task from the machine's assignments, whatever its attempt.
 func (m *MachineRecord) Unassign(task protocol.Task) {
 	for i := range m.Assignments {
 		assignment := &m.Assignments[i]
@@ -155,37 +161,37 @@
 	}
 }
 
-// ControllerRecord says which incarnation of a controller is live. Its key is bound to the
-// incarnation's lease: when the lease ends, the store deletes the key, and the incarnation is
-// dead for all others.
+// ControllerRecord names the live incarnation of a controller. Its key is bound to the lease of
+// the incarnation. When the lease ends, the store deletes the key, and all other controllers
+// regard the incarnation as dead.
 type ControllerRecord struct {
 	Incarnation Incarnation `json:"r"`
 
-	// WriteBarrier is changed to cut off transactions of unknown outcome: they are conditional
-	// on this key.
+	// WriteBarrier is changed so that transactions of unknown outcome can no longer be
+	// applied, because they are conditional on this key.
 	WriteBarrier int `json:"f,omitempty"`
 
 	// ReadableFormat is the newest format that the controller's version can read. Versions
-	// before FormatPacked don't have the field.
+	// before FormatPacked do not have the field.
 	ReadableFormat Format `json:"v,omitempty"`
 
-	// SupportsTransfers says that the controller's version acts on transfer records.
+	// SupportsTransfers reports whether the controller's version acts on transfer records.
 	SupportsTransfers bool `json:"m,omitempty"`
 }
 
-// QuotaRecord is the value of a QuotaKey: it differs with each write, so that placements of
-// a team that has a limit follow each other.
+// QuotaRecord is the value of a QuotaKey. Its content differs with each write, so that the
+// placements of a team that has a limit are serialized.
 type QuotaRecord struct {
 	UpdatedBy     Incarnation `json:"b"`
 	TransactionID uint64      `json:"n"`
 }
 
-// MustMarshal encodes a record as JSON. It panics for a type that JSON can't hold, which no
-// record is.
-func MustMarshal(v any) json.RawMessage {
-	b, err := json.Marshal(v)
+// MustMarshal encodes a record as JSON. It panics if JSON cannot represent the type, which is
+// not the case for any record.
+func MustMarshal(record any) json.RawMessage {
+	data, err := json.Marshal(record)
 	if err != nil {
-		panic(fmt.Sprintf("storage: %v", err))
+		panic(fmt.Sprintf("storage: encode record: %v", err))
 	}
-	return b
+	return data
 }
--- a/internal/storage/replica.go
+++ b/internal/storage/replica.go
@@ -7,65 +7,67 @@
 	"tillerarch/internal/protocol"
 )
 
-// maxTombstones bounds the deleted keys that are remembered; beyond it all are forgotten.
+// maxTombstones is the number of tombstones beyond which the replica discards all of them.
 const maxTombstones = 5000
 
 // Versioned is a record with the revision of its last change.
 type Versioned[T any] struct {
 	Record      T
 	ModRevision protocol.ModRevision
-	EncodedSize int // bytes of its encoded form
+	EncodedSize int // size of the encoded record in bytes
 }
 
-// Replica is a copy of all records, complete up to Revision; this process's own writes may be
-// newer. Frequent queries have an index: nothing here walks the whole fleet for one job or
-// one machine.
+// Replica is a copy of all records. It contains all changes up to Revision, and possibly later
+// writes of this process. Frequent queries use an index, so that no query about one job or one
+// machine iterates over the whole fleet.
 type Replica struct {
 	Revision         protocol.Revision
 	Jobs             map[protocol.JobID]*Versioned[JobRecord]
 	Shards           map[ShardID]*Shard
 	Machines         map[protocol.MachineID]*Machine
 	Controllers      map[protocol.ControllerID]*Versioned[ControllerRecord]
-	QuotaRevisions   map[string]protocol.ModRevision // by team
+	QuotaRevisions   map[string]protocol.ModRevision // last changes of the quota keys, by team
 	Transfers        map[TransferSlot]*Versioned[TransferRecord]
 	Drains           map[protocol.ControllerID]*Versioned[DrainRecord]
-	RegistryRevision protocol.ModRevision                     // of RegistryKey
-	Format           Versioned[FormatRecord]                  // of FormatKey
-	UnfinishedJobs   map[protocol.JobID]*Versioned[JobRecord] // neither done nor cancelled
-	CancellingJobs   map[protocol.JobID]*Versioned[JobRecord] // unfinished, with cancellation requested
-
-	// OnMachineChange is called for each machine whose record has changed; before or
-	// after may be nil. May be nil itself.
+	RegistryRevision protocol.ModRevision                     // last change of RegistryKey
+	Format           Versioned[FormatRecord]                  // value of FormatKey
+	UnfinishedJobs   map[protocol.JobID]*Versioned[JobRecord] // jobs that are neither done nor cancelled
+	CancellingJobs   map[protocol.JobID]*Versioned[JobRecord] // unfinished jobs whose cancellation is requested
+
+	// OnMachineChange, if not nil, is called for each machine that is added or removed or
+	// whose encoded line changes. before is nil for an added machine, and after is nil for a
+	// removed one.
 	OnMachineChange func(id protocol.MachineID, before, after *MachineRecord)
 
-	machineIndex   machineIndex
-	completedIndex completedIndex
+	machineIndex       machineIndex
+	completedTaskIndex completedTaskIndex
 
-	// tombstones holds the revisions of deleted shard keys: a watch and this process's own
-	// writes reach the replica in any order, and an older value must not bring a shard back.
+	// tombstones maps deleted shard keys to the revisions of their deletion. Changes from a
+	// watch and this process's own writes reach the replica in any order, and an older value
+	// must not restore a deleted shard.
 	tombstones map[string]protocol.ModRevision
 }
 
-// NewReplica makes an empty replica.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
 	return &Replica{
-		Jobs:           map[protocol.JobID]*Versioned[JobRecord]{},
-		UnfinishedJobs: map[protocol.JobID]*Versioned[JobRecord]{},
-		CancellingJobs: map[protocol.JobID]*Versioned[JobRecord]{},
-		Shards:         map[ShardID]*Shard{},
-		Machines:       map[protocol.MachineID]*Machine{},
-		Controllers:    map[protocol.ControllerID]*Versioned[ControllerRecord]{},
-		QuotaRevisions: map[string]protocol.ModRevision{},
-		Transfers:      map[TransferSlot]*Versioned[TransferRecord]{},
-		Drains:         map[protocol.ControllerID]*Versioned[DrainRecord]{},
-		machineIndex:   newMachineIndex(),
-		completedIndex: newCompletedIndex(),
-		tombstones:     map[string]protocol.ModRevision{},
+		Jobs:               map[protocol.JobID]*Versioned[JobRecord]{},
+		UnfinishedJobs:     map[protocol.JobID]*Versioned[JobRecord]{},
+		CancellingJobs:     map[protocol.JobID]*Versioned[JobRecord]{},
+		Shards:             map[ShardID]*Shard{},
+		Machines:           map[protocol.MachineID]*Machine{},
+		Controllers:        map[protocol.ControllerID]*Versioned[ControllerRecord]{},
+		QuotaRevisions:     map[string]protocol.ModRevision{},
+		Transfers:          map[TransferSlot]*Versioned[TransferRecord]{},
+		Drains:             map[protocol.ControllerID]*Versioned[DrainRecord]{},
+		machineIndex:       newMachineIndex(),
+		completedTaskIndex: newCompletedTaskIndex(),
+		tombstones:         map[string]protocol.ModRevision{},
 	}
 }
 
-// ModRevision is the revision of a key's last change as far as the replica knows; 0 if it has
-// no such key.
+// ModRevision returns the revision of the last change of a key that the replica contains, or 0
+// if the replica does not have the key.
 func (r *Replica) ModRevision(key string) protocol.ModRevision {
 	return r.modRevision(parseKey(key))
 }
@@ -101,22 +103,23 @@
 	return 0
 }
 
-// Put applies a key's value unless the replica has the same or a newer one; applied tells
-// whether it did. A record that can't be read leaves the old one in place.
+// Put applies a key's value unless the replica has the same or a newer one. applied reports
+// whether the value was applied. If the value cannot be decoded, the replica keeps the old
+// record.
 func (r *Replica) Put(key string, data json.RawMessage, revision protocol.ModRevision) (applied bool, err error) {
 	parsed := parseKey(key)
 	if revision <= r.modRevision(parsed) || revision <= r.tombstones[key] {
 		return false, nil
 	}
 	delete(r.tombstones, key)
-	if err := r.put(parsed, data, revision); err != nil {
-		return false, fmt.Errorf("record %s at revision %d: %w", key, revision, err)
+	if err := r.putNewer(parsed, data, revision); err != nil {
+		return false, fmt.Errorf("decode record %s at revision %d: %w", key, revision, err)
 	}
 	return true, nil
 }
 
-// put applies a value that is newer than what the replica has.
-func (r *Replica) put(key recordKey, data json.RawMessage, revision protocol.ModRevision) error {
+// putNewer applies a value that is newer than the one in the replica.
+func (r *Replica) putNewer(key recordKey, data json.RawMessage, revision protocol.ModRevision) error {
 	switch key.kind {
 	case jobKind:
 		return r.putJob(key.job(), data, revision)
@@ -138,12 +141,13 @@
 	return nil
 }
 
-// decodeJSON reads a record that is plain JSON in every format.
+// decodeJSON decodes a record that is plain JSON in every format.
 func decodeJSON[T any](data json.RawMessage) (record T, err error) {
 	err = json.Unmarshal(data, &record)
 	return record, err
 }
 
+// putRecord decodes a record and puts it into a map. After an error the map is unchanged.
 func putRecord[K comparable, T any](
 	records map[K]*Versioned[T],
 	key K,
@@ -168,9 +172,9 @@
 	return nil
 }
 
-// putJob applies a job's record and keeps the indexes of jobs by state.
+// putJob applies a job's record and updates UnfinishedJobs and CancellingJobs.
 func (r *Replica) putJob(id protocol.JobID, data json.RawMessage, revision protocol.ModRevision) error {
-	r.completedIndex.invalidate(id)
+	r.completedTaskIndex.invalidateJob(id)
 	if err := putRecord(r.Jobs, id, data, revision, decodeJob); err != nil {
 		return err
 	}
@@ -187,8 +191,9 @@
 	return nil
 }
 
-// Delete applies a key's deletion unless the replica has a newer value. The keys of quotas,
-// the registry and the format are never deleted by any version; their deletion is ignored.
+// Delete applies a key's deletion unless the replica has the same or a newer revision of the
+// key. Deletions of the keys of quotas, the registry and the format are ignored, because no
+// version deletes them.
 func (r *Replica) Delete(key string, revision protocol.ModRevision) {
 	parsed := parseKey(key)
 	if revision <= r.modRevision(parsed) {
@@ -218,7 +223,7 @@
 	r.tombstones[key] = revision
 }
 
-// IsAlive tells whether an incarnation is the live one of its controller.
+// IsAlive reports whether an incarnation is the live one of its controller.
 func (r *Replica) IsAlive(incarnation Incarnation) bool {
 	entry := r.Controllers[incarnation.Controller()]
 	return incarnation != "" && entry != nil && entry.Record.Incarnation == incarnation
--- a/internal/storage/replica_shards.go
+++ b/internal/storage/replica_shards.go
@@ -7,22 +7,22 @@
 	"tillerarch/internal/protocol"
 )
 
-// Shard is a shard of machines as the replica has it.
+// Shard is a shard of machines in the replica.
 type Shard struct {
 	Owner          Incarnation
 	Epoch          ShardEpoch
 	ModRevision    protocol.ModRevision
-	OwnedSince     protocol.ModRevision // of the change that made Owner its owner, or a later one
-	EncodedSize    int                  // bytes of its encoded form
-	Format         Format               // in which it is encoded
-	packedSize     int                  // bytes in the packed format; 0: not computed yet
-	Machines       []protocol.MachineID // in the order of the encoded form
+	OwnedSince     protocol.ModRevision // revision of the change that made Owner the owner, or of a later change
+	EncodedSize    int                  // size of the encoded record in bytes
+	Format         Format               // format of the encoded record
+	packedSize     int                  // size in bytes in the packed format, or 0 if not computed yet
+	Machines       []protocol.MachineID // in the order of the encoded record
 	CompletedTasks map[protocol.JobID]TaskSet
 }
 
-// putShard applies a shard's record to the shard, its machines and the indexes. A shard with
-// one malformed machine is rejected as a whole.
-func (r *Replica) putShard(id ShardID, data json.RawMessage, revision protocol.ModRevision) error {
+// putShard applies a shard's record to the shard, its machines and the indexes. It rejects the
+// whole record if the line of one machine is malformed.
+func (r *Replica) putShard(shardID ShardID, data json.RawMessage, revision protocol.ModRevision) error {
 	decoded, format, err := decodeShard(data)
 	if err != nil {
 		return err
@@ -40,29 +40,29 @@
 	if err != nil {
 		return err
 	}
-	old := r.Shards[id]
-	if old != nil && old.Owner == shard.Owner && old.Epoch == shard.Epoch {
-		shard.OwnedSince = old.OwnedSince
+	previous := r.Shards[shardID]
+	if previous != nil && previous.Owner == shard.Owner && previous.Epoch == shard.Epoch {
+		shard.OwnedSince = previous.OwnedSince
 	}
-	r.Shards[id] = shard
-	r.completedIndex.replaceShard(id, old, shard)
+	r.Shards[shardID] = shard
+	r.completedTaskIndex.replaceShard(shardID, previous, shard)
 	for i, machineID := range shard.Machines {
-		if r.isOnNewerShard(machineID, id, revision) {
+		if r.isOnNewerShard(machineID, shardID, revision) {
 			continue
 		}
 		record := &records[i]
-		record.Shard, record.Owner, record.ShardEpoch = id, shard.Owner, shard.Epoch
+		record.Shard, record.Owner, record.ShardEpoch = shardID, shard.Owner, shard.Epoch
 		record.FencingToken = shard.Epoch.FencingToken(record.TokenCounter)
 		r.setMachine(machineID, record, decoded.Machines[i])
 	}
-	if old != nil {
-		r.removeUnlisted(id, old, shard)
+	if previous != nil {
+		r.removeUnlistedMachines(shardID, previous, shard)
 	}
 	return nil
 }
 
-// parseShardMachines lists the shard's machines and returns their records. Machines whose
-// line has not changed are not parsed again: a failover changes only owner and epoch.
+// parseShardMachines sets shard.Machines from the lines and returns the records of the machines.
+// It does not parse unchanged lines again, because a failover changes only owner and epoch.
 func (r *Replica) parseShardMachines(shard *Shard, lines []string) ([]MachineRecord, error) {
 	records := make([]MachineRecord, len(lines))
 	for i, line := range lines {
@@ -79,45 +79,45 @@
 	return records, nil
 }
 
-// isOnNewerShard tells whether a machine has moved from a shard to another one in a change
-// after the revision.
-func (r *Replica) isOnNewerShard(machineID protocol.MachineID, id ShardID, revision protocol.ModRevision) bool {
+// isOnNewerShard reports whether a machine is on a shard other than the given one, and that
+// other shard has changed after the given revision.
+func (r *Replica) isOnNewerShard(machineID protocol.MachineID, shardID ShardID, revision protocol.ModRevision) bool {
 	machine := r.Machines[machineID]
-	if machine == nil || machine.Record.Shard == id {
+	if machine == nil || machine.Record.Shard == shardID {
 		return false
 	}
 	current := r.Shards[machine.Record.Shard]
 	return current != nil && current.ModRevision > revision
 }
 
-// deleteShard drops a shard and the machines that are on it.
+// deleteShard removes a shard and its machines from the replica.
 func (r *Replica) deleteShard(id ShardID) {
-	old := r.Shards[id]
-	if old == nil {
+	previous := r.Shards[id]
+	if previous == nil {
 		return
 	}
 	delete(r.Shards, id)
-	r.completedIndex.replaceShard(id, old, nil)
-	r.removeUnlisted(id, old, nil)
+	r.completedTaskIndex.replaceShard(id, previous, nil)
+	r.removeUnlistedMachines(id, previous, nil)
 }
 
-// removeUnlisted removes the machines that a shard no longer lists; current is nil if the
-// shard is gone.
-func (r *Replica) removeUnlisted(id ShardID, old, current *Shard) {
-	for _, machineID := range old.Machines {
+// removeUnlistedMachines removes the machines that the previous version of a shard lists and the
+// current version does not. current is nil if the shard has been deleted.
+func (r *Replica) removeUnlistedMachines(shardID ShardID, previous, current *Shard) {
+	for _, machineID := range previous.Machines {
 		machine := r.Machines[machineID]
-		if machine == nil || machine.Record.Shard != id {
+		if machine == nil || machine.Record.Shard != shardID {
 			continue
 		}
 		if current != nil && slices.Contains(current.Machines, machineID) {
 			continue
 		}
 		r.setMachine(machineID, nil, "")
-		r.machineIndex.removed = append(r.machineIndex.removed, machineID)
+		r.machineIndex.removedMachines = append(r.machineIndex.removedMachines, machineID)
 	}
 }
 
-// PackedShardSize is the size in bytes of a shard in the packed format.
+// PackedShardSize returns the size in bytes of a shard's record in the packed format.
 func (r *Replica) PackedShardSize(id ShardID) int {
 	shard := r.Shards[id]
 	if shard.Format >= FormatPacked {
--- a/internal/storage/shards.go
+++ b/internal/storage/shards.go
@@ -6,52 +6,53 @@
 	"tillerarch/internal/protocol"
 )
 
-// ShardID names a shard of machines: "stall-0#7-3".
+// ShardID is the name of a shard of machines, such as "stall-0#7-3".
 type ShardID string
 
-// ShardEpoch counts the owners of a shard. It is the high part of the fencing tokens of all
-// its machines, so that one write to the shard fences off all earlier owners.
+// ShardEpoch counts the owners of a shard. The epoch is the high part of the fencing tokens of
+// all machines of the shard, so that one write to the shard fences off all earlier owners.
 type ShardEpoch uint64
 
-// tokenCounterBits is the width of a fencing token's low part, which is the machine's own. An
-// agent sends a heartbeat at once when its token rises, so the owner raises the counter of a
-// machine on which it wants to start something soon.
+// tokenCounterBits is the width in bits of the low part of a fencing token, which is a counter
+// of the machine. An agent sends a heartbeat at once when its token rises, so the owner raises
+// the counter of a machine on which it wants to start a task soon.
 const tokenCounterBits = 20
 
-// MaxTokenCounter is the largest counter that the low part holds.
+// MaxTokenCounter is the largest counter that fits the low part of a fencing token.
 const MaxTokenCounter = 1<<tokenCounterBits - 1
 
-// FencingToken is the fencing token of a machine in this epoch.
+// FencingToken returns the fencing token of a machine with the given counter in this epoch.
 func (e ShardEpoch) FencingToken(counter uint64) protocol.FencingToken {
 	return protocol.FencingToken(uint64(e)<<tokenCounterBits | counter)
 }
 
-// ShardEpochOf is the epoch that a token belongs to.
+// ShardEpochOf returns the epoch of a fencing token.
 func ShardEpochOf(token protocol.FencingToken) ShardEpoch {
 	return ShardEpoch(token >> tokenCounterBits)
 }
 
-// encodedShard is the value of a ShardKey in the plain format. Many machines share one key:
-// the store takes some 40 writes a second, and with a key for each of a thousand machines,
-// one change to each would use up that budget. One incarnation owns all machines of a shard
-// in one epoch, so a failover is one write however many machines there are.
+// encodedShard is the value of a ShardKey in the plain format. Many machines share one key
+// because the store accepts only some 40 writes a second. With a key for each of a thousand
+// machines, one change to each machine would use up that budget. One incarnation owns all
+// machines of a shard in one epoch, so that a failover is one write whatever the number of
+// machines.
 type encodedShard struct {
 	Owner    Incarnation `json:"o"`
 	Epoch    ShardEpoch  `json:"b"`
 	Machines []string    `json:"m"` // lines of MachineRecord.EncodeLine
 
-	// CompletedTasks are those that the records of their jobs do not list yet: while an array
-	// runs, its own record need not be written with every shard.
+	// CompletedTasks holds the completed tasks that are not yet in the records of their jobs,
+	// so that the record of a running array need not be written with every shard.
 	CompletedTasks map[protocol.JobID]TaskSet `json:"d,omitempty"`
 }
 
-// packedShard is the value of a ShardKey in the packed format. Its machines are a string where
-// the plain form has a list, so that a version which knows the plain form only reports an
-// unreadable record instead of a shard without machines.
+// packedShard is the value of a ShardKey in the packed format. Its field "m" is a string where
+// the plain format has a list. A version that knows only the plain format therefore reports an
+// unreadable record instead of reading a shard without machines.
 type packedShard struct {
 	Owner  Incarnation `json:"o"`
 	Epoch  ShardEpoch  `json:"b"`
-	Packed string      `json:"m"`
+	Packed string      `json:"m"` // result of packShard
 }
 
 // EncodePlainShard encodes a shard's record in the plain format.
@@ -64,7 +65,7 @@
 	return MustMarshal(encodedShard{owner, epoch, lines, completed})
 }
 
-// EncodeShard encodes a shard's record in a format.
+// EncodeShard encodes a shard's record in the given format.
 func EncodeShard(
 	format Format,
 	owner Incarnation,
@@ -78,7 +79,7 @@
 	return EncodePlainShard(owner, epoch, lines, completed)
 }
 
-// decodeShard reads a shard's record in any format.
+// decodeShard decodes a shard's record in any format and returns that format.
 func decodeShard(data json.RawMessage) (shard encodedShard, format Format, err error) {
 	var decoded struct {
 		encodedShard
@@ -102,21 +103,21 @@
 	return shard, FormatPlain, err
 }
 
-// ShardSummary is a shard's owner, epoch and machines.
+// ShardSummary holds the owner, epoch and machines of a shard.
 type ShardSummary struct {
 	Owner    Incarnation
 	Epoch    ShardEpoch
 	Machines []protocol.MachineID
 }
 
-// DecodeShardSummary reads who owns which machines from a shard's record in any format.
+// DecodeShardSummary decodes the owner, epoch and machines from a shard's record in any format.
 func DecodeShardSummary(data json.RawMessage) (ShardSummary, error) {
-	encoded, _, err := decodeShard(data)
+	shard, _, err := decodeShard(data)
 	if err != nil {
 		return ShardSummary{}, err
 	}
-	summary := ShardSummary{Owner: encoded.Owner, Epoch: encoded.Epoch}
-	for _, line := range encoded.Machines {
+	summary := ShardSummary{Owner: shard.Owner, Epoch: shard.Epoch}
+	for _, line := range shard.Machines {
 		summary.Machines = append(summary.Machines, machineIDOfLine(line))
 	}
 	return summary, nil
--- a/internal/storage/shards_packed.go
+++ b/internal/storage/shards_packed.go
@@ -26,9 +26,9 @@
 // lineColumns is the number of columns: the fields of a line, and its assignments as one.
 const lineColumns = lineFields + 1
 
-// minEncodedSize is the least that a value takes in a column: a byte each for the lengths of
+// minEncodedValueSize is the least that a value takes in a column: a byte each for the lengths of
 // its prefix and its suffix.
-const minEncodedSize = 2
+const minEncodedValueSize = 2
 
 // errMalformedPacked is the cause of every failure to read a packed value.
 var errMalformedPacked = errors.New("malformed packed value")
@@ -38,32 +38,32 @@
 
 // flateWriters keeps writers for reuse: each takes several hundred kilobytes.
 var flateWriters = sync.Pool{New: func() any {
-	w, err := flate.NewWriter(nil, flate.DefaultCompression)
+	writer, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
 		panic(fmt.Sprintf("storage: %v", err))
 	}
-	return w
+	return writer
 }}
 
 // deflate compresses data to text that fits a JSON string as it is.
 func deflate(data []byte) string {
-	var out bytes.Buffer
-	w := flateWriters.Get().(*flate.Writer)
-	defer flateWriters.Put(w)
-	w.Reset(&out)
-	w.Write(data) // neither call can fail: a bytes.Buffer takes everything
-	w.Close()
-	return packedEncoding.EncodeToString(out.Bytes())
+	var compressed bytes.Buffer
+	writer := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(writer)
+	writer.Reset(&compressed)
+	writer.Write(data) // neither call can fail: a bytes.Buffer takes everything
+	writer.Close()
+	return packedEncoding.EncodeToString(compressed.Bytes())
 }
 
 // inflate reverses deflate.
 func inflate(text string) ([]byte, error) {
-	raw, err := packedEncoding.DecodeString(text)
+	compressed, err := packedEncoding.DecodeString(text)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedPacked, err)
 	}
-	r := flate.NewReader(bytes.NewReader(raw))
-	data, err := io.ReadAll(io.LimitReader(r, maxUnpackedSize+1))
+	reader := flate.NewReader(bytes.NewReader(compressed))
+	data, err := io.ReadAll(io.LimitReader(reader, maxUnpackedSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errMalformedPacked, err)
 	}
@@ -154,20 +154,20 @@
 // before, the lengths of the suffixes, and the suffixes.
 func appendColumn(data []byte, values []string) []byte {
 	var suffixes []byte
-	prefixes := make([]int, len(values))
+	prefixLengths := make([]int, len(values))
 	previous := ""
 	for i, value := range values {
 		shared := 0
 		for shared < len(value) && shared < len(previous) && value[shared] == previous[shared] {
 			shared++
 		}
-		prefixes[i] = shared
+		prefixLengths[i] = shared
 		data = binary.AppendUvarint(data, uint64(shared))
 		suffixes = append(suffixes, value[shared:]...)
 		previous = value
 	}
 	for i, value := range values {
-		data = binary.AppendUvarint(data, uint64(len(value)-prefixes[i]))
+		data = binary.AppendUvarint(data, uint64(len(value)-prefixLengths[i]))
 	}
 	return append(data, suffixes...)
 }
@@ -192,7 +192,7 @@
 // readCount reads the number of values in a column. It bounds what readColumn allocates.
 func (r *columnReader) readCount() int {
 	count := r.readUvarint()
-	if minEncodedSize*count > len(r.data) {
+	if minEncodedValueSize*count > len(r.data) {
 		r.failed = true
 		return 0
 	}
@@ -201,21 +201,21 @@
 
 func (r *columnReader) readColumn(count int) []string {
 	values := make([]string, count)
-	prefixes, lengths := make([]int, count), make([]int, count)
-	for i := range prefixes {
-		prefixes[i] = r.readUvarint()
+	prefixLengths, suffixLengths := make([]int, count), make([]int, count)
+	for i := range prefixLengths {
+		prefixLengths[i] = r.readUvarint()
 	}
-	for i := range lengths {
-		lengths[i] = r.readUvarint()
+	for i := range suffixLengths {
+		suffixLengths[i] = r.readUvarint()
 	}
 	previous := ""
 	for i := range values {
-		if r.failed || prefixes[i] > len(previous) || lengths[i] > len(r.data) {
+		if r.failed || prefixLengths[i] > len(previous) || suffixLengths[i] > len(r.data) {
 			r.failed = true
 			return values
 		}
-		values[i] = previous[:prefixes[i]] + string(r.data[:lengths[i]])
-		r.data = r.data[lengths[i]:]
+		values[i] = previous[:prefixLengths[i]] + string(r.data[:suffixLengths[i]])
+		r.data = r.data[suffixLengths[i]:]
 		previous = values[i]
 	}
 	return values
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -21,65 +21,65 @@
 // TaskRange is the set of lo to hi, both included.
 func TaskRange(lo, hi int) TaskSet { return TaskSet{[]interval{{lo, hi}}} }
 
-// search is the index of the first interval that ends at n or later.
-func (s TaskSet) search(n int) int {
-	return sort.Search(len(s.intervals), func(i int) bool { return s.intervals[i].hi >= n })
+// firstIntervalNotBefore is the index of the first interval that ends at n or later.
+func (s TaskSet) firstIntervalNotBefore(index int) int {
+	return sort.Search(len(s.intervals), func(i int) bool { return s.intervals[i].hi >= index })
 }
 
 // Contains tells whether n is in the set.
-func (s TaskSet) Contains(n int) bool {
-	i := s.search(n)
-	return i < len(s.intervals) && s.intervals[i].lo <= n
+func (s TaskSet) Contains(index int) bool {
+	i := s.firstIntervalNotBefore(index)
+	return i < len(s.intervals) && s.intervals[i].lo <= index
 }
 
 // Len is the number of indexes in the set.
 func (s TaskSet) Len() int {
-	n := 0
+	count := 0
 	for _, iv := range s.intervals {
-		n += iv.hi - iv.lo + 1
+		count += iv.hi - iv.lo + 1
 	}
-	return n
+	return count
 }
 
 // IntervalCount is the number of intervals in the set.
 func (s TaskSet) IntervalCount() int { return len(s.intervals) }
 
 // Add is the set with n.
-func (s TaskSet) Add(n int) TaskSet {
-	if s.Contains(n) {
+func (s TaskSet) Add(index int) TaskSet {
+	if s.Contains(index) {
 		return s
 	}
-	i := s.search(n)
-	out := make([]interval, 0, len(s.intervals)+1)
-	out = append(out, s.intervals[:i]...)
-	out = append(out, interval{n, n})
-	out = append(out, s.intervals[i:]...)
-	if i+1 < len(out) && out[i+1].lo == n+1 {
-		out[i].hi = out[i+1].hi
-		out = append(out[:i+1], out[i+2:]...)
+	i := s.firstIntervalNotBefore(index)
+	intervals := make([]interval, 0, len(s.intervals)+1)
+	intervals = append(intervals, s.intervals[:i]...)
+	intervals = append(intervals, interval{index, index})
+	intervals = append(intervals, s.intervals[i:]...)
+	if i+1 < len(intervals) && intervals[i+1].lo == index+1 {
+		intervals[i].hi = intervals[i+1].hi
+		intervals = append(intervals[:i+1], intervals[i+2:]...)
 	}
-	if i > 0 && out[i-1].hi == n-1 {
-		out[i-1].hi = out[i].hi
-		out = append(out[:i], out[i+1:]...)
+	if i > 0 && intervals[i-1].hi == index-1 {
+		intervals[i-1].hi = intervals[i].hi
+		intervals = append(intervals[:i], intervals[i+1:]...)
 	}
-	return TaskSet{out}
+	return TaskSet{intervals}
 }
 
 // Remove is the set without n.
-func (s TaskSet) Remove(n int) TaskSet {
-	if !s.Contains(n) {
+func (s TaskSet) Remove(index int) TaskSet {
+	if !s.Contains(index) {
 		return s
 	}
-	i := s.search(n)
-	out := make([]interval, 0, len(s.intervals)+1)
-	out = append(out, s.intervals[:i]...)
-	if iv := s.intervals[i]; iv.lo < n {
-		out = append(out, interval{iv.lo, n - 1})
+	i := s.firstIntervalNotBefore(index)
+	intervals := make([]interval, 0, len(s.intervals)+1)
+	intervals = append(intervals, s.intervals[:i]...)
+	if iv := s.intervals[i]; iv.lo < index {
+		intervals = append(intervals, interval{iv.lo, index - 1})
 	}
-	if iv := s.intervals[i]; iv.hi > n {
-		out = append(out, interval{n + 1, iv.hi})
+	if iv := s.intervals[i]; iv.hi > index {
+		intervals = append(intervals, interval{index + 1, iv.hi})
 	}
-	return TaskSet{append(out, s.intervals[i+1:]...)}
+	return TaskSet{append(intervals, s.intervals[i+1:]...)}
 }
 
 // Union is the set of what is in either set.
@@ -94,23 +94,23 @@
 	all = append(all, s.intervals...)
 	all = append(all, other.intervals...)
 	sort.Slice(all, func(i, j int) bool { return all[i].lo < all[j].lo })
-	out := all[:1]
+	merged := all[:1]
 	for _, iv := range all[1:] {
-		last := &out[len(out)-1]
+		last := &merged[len(merged)-1]
 		if iv.lo > last.hi+1 {
-			out = append(out, iv)
+			merged = append(merged, iv)
 		} else if iv.hi > last.hi {
 			last.hi = iv.hi
 		}
 	}
-	return TaskSet{out}
+	return TaskSet{merged}
 }
 
 // Each calls f for the indexes in order until f returns false.
-func (s TaskSet) Each(f func(n int) bool) {
+func (s TaskSet) Each(yield func(n int) bool) {
 	for _, iv := range s.intervals {
-		for n := iv.lo; n <= iv.hi; n++ {
-			if !f(n) {
+		for index := iv.lo; index <= iv.hi; index++ {
+			if !yield(index) {
 				return
 			}
 		}
@@ -119,32 +119,32 @@
 
 // FirstMissing lists the first indexes below end that are not in the set, at most count.
 func (s TaskSet) FirstMissing(end, count int) []int {
-	var out []int
+	var missing []int
 	next := 0
-	shared := s.intervals[:len(s.intervals):len(s.intervals)] // append copies: the set stays as it is
-	for _, iv := range append(shared, interval{end, end}) {
-		for ; next < iv.lo && next < end && len(out) < count; next++ {
-			out = append(out, next)
+	intervals := s.intervals[:len(s.intervals):len(s.intervals)] // append copies: the set stays as it is
+	for _, iv := range append(intervals, interval{end, end}) {
+		for ; next < iv.lo && next < end && len(missing) < count; next++ {
+			missing = append(missing, next)
 		}
 		next = iv.hi + 1
 	}
-	return out
+	return missing
 }
 
 // String is the set's encoding as intervals: "0-5,7".
 func (s TaskSet) String() string {
-	var b []byte
+	var text []byte
 	for i, iv := range s.intervals {
 		if i > 0 {
-			b = append(b, ',')
+			text = append(text, ',')
 		}
-		b = strconv.AppendInt(b, int64(iv.lo), 10)
+		text = strconv.AppendInt(text, int64(iv.lo), 10)
 		if iv.hi > iv.lo {
-			b = append(b, '-')
-			b = strconv.AppendInt(b, int64(iv.hi), 10)
+			text = append(text, '-')
+			text = strconv.AppendInt(text, int64(iv.hi), 10)
 		}
 	}
-	return string(b)
+	return string(text)
 }
 
 // MarshalText encodes the set as intervals.
--- a/internal/storage/task_set_compact.go
+++ b/internal/storage/task_set_compact.go
@@ -17,13 +17,13 @@
 
 // compactText is the shortest encoding of the set.
 func (s TaskSet) compactText() string {
-	best := s.String()
+	shortest := s.String()
 	for _, form := range []string{s.runLengthText(), s.bitmapText()} {
-		if len(form) < len(best) {
-			best = form
+		if len(form) < len(shortest) {
+			shortest = form
 		}
 	}
-	return best
+	return shortest
 }
 
 // runLengthText encodes the set as the lengths of gaps and of intervals, the latter less one.
@@ -44,8 +44,8 @@
 		return string(bitmapTag)
 	}
 	bitmap := make([]byte, s.intervals[len(s.intervals)-1].hi/8+1)
-	s.Each(func(n int) bool {
-		bitmap[n/8] |= 1 << (n % 8)
+	s.Each(func(index int) bool {
+		bitmap[index/8] |= 1 << (index % 8)
 		return true
 	})
 	return string(bitmapTag) + packedEncoding.EncodeToString(bitmap)
@@ -65,13 +65,13 @@
 }
 
 func (s *TaskSet) parseBitmap(bitmap []byte) {
-	for n := range 8 * len(bitmap) {
+	for index := range 8 * len(bitmap) {
 		switch last := len(s.intervals) - 1; {
-		case bitmap[n/8]&(1<<(n%8)) == 0:
-		case last >= 0 && s.intervals[last].hi == n-1:
-			s.intervals[last].hi = n
+		case bitmap[index/8]&(1<<(index%8)) == 0:
+		case last >= 0 && s.intervals[last].hi == index-1:
+			s.intervals[last].hi = index
 		default:
-			s.intervals = append(s.intervals, interval{n, n})
+			s.intervals = append(s.intervals, interval{index, index})
 		}
 	}
 }
@@ -79,12 +79,12 @@
 func (s *TaskSet) parseRunLengths(runs []byte) error {
 	next := uint64(0)
 	for len(runs) > 0 {
-		gap, gapBytes := binary.Uvarint(runs)
-		if gapBytes <= 0 {
+		gap, gapSize := binary.Uvarint(runs)
+		if gapSize <= 0 {
 			return fmt.Errorf("%w: truncated gap", errMalformedTaskSet)
 		}
-		length, lengthBytes := binary.Uvarint(runs[gapBytes:])
-		if lengthBytes <= 0 {
+		length, lengthSize := binary.Uvarint(runs[gapSize:])
+		if lengthSize <= 0 {
 			return fmt.Errorf("%w: truncated interval", errMalformedTaskSet)
 		}
 		// Each by itself first: their sum could overflow.
@@ -97,7 +97,7 @@
 		low := next + gap
 		s.intervals = append(s.intervals, interval{int(low), int(low + length)})
 		next = low + length + 1
-		runs = runs[gapBytes+lengthBytes:]
+		runs = runs[gapSize+lengthSize:]
 	}
 	return nil
 }
--- a/internal/storage/transfers.go
+++ b/internal/storage/transfers.go
@@ -17,8 +17,8 @@
 type TransferSlot string
 
 // NewTransferSlot names a slot of the controller that is the target.
-func NewTransferSlot(target protocol.ControllerID, n int) TransferSlot {
-	return TransferSlot(fmt.Sprintf("%s/%d", target, n))
+func NewTransferSlot(target protocol.ControllerID, number int) TransferSlot {
+	return TransferSlot(fmt.Sprintf("%s/%d", target, number))
 }
 
 // TransferPhase is how far a transfer has come.
