--- a/internal/storage/shards_packed.go
+++ b/internal/storage/shards_packed.go
@@ -15,48 +15,52 @@
 	"tillerarch/internal/protocol"
 )
 
-// The packed encoding of a shard holds the same machine lines as the plain one in a fraction
-// of the space: the lines are turned into columns, each value keeps only what differs from
-// the one before, and the whole is compressed. Versions before FormatPacked can't read it, so
-// it is written only once all controllers can.
-
-// maxUnpackedSize bounds, in bytes, what a packed value may expand to, and each number in it.
+// The packed encoding of a shard contains the same machine lines as the plain one in a fraction
+// of the space. The fields of the lines are stored as columns, a value omits the prefix that it
+// shares with the previous value of its column, and the result is compressed. Versions before
+// FormatPacked cannot read the packed encoding, so it is written only once all controllers can
+// read it.
+
+// maxUnpackedSize is the maximum size in bytes to which a packed value may expand, and the
+// maximum of each number in a packed value.
 const maxUnpackedSize = 1 << 20
 
-// lineColumns is the number of columns: the fields of a line, and its assignments as one.
+// lineColumns is the number of columns: one for each field of a line, and one for all its
+// assignments.
 const lineColumns = lineFields + 1
 
-// minEncodedValueSize is the least that a value takes in a column: a byte each for the lengths of
-// its prefix and its suffix.
+// minEncodedValueSize is the minimum size in bytes of a value in a column. The length of the
+// prefix and the length of the suffix occupy at least one byte each.
 const minEncodedValueSize = 2
 
-// errMalformedPacked is the cause of every failure to read a packed value.
+// errMalformedPacked is wrapped by every error about a packed value that cannot be decoded.
 var errMalformedPacked = errors.New("malformed packed value")
 
-// packedEncoding is the encoding of packed values within JSON strings.
+// packedEncoding encodes packed values as text for JSON strings.
 var packedEncoding = base64.RawStdEncoding
 
-// flateWriters keeps writers for reuse: each takes several hundred kilobytes.
+// flateWriters keeps writers for reuse, because each occupies several hundred kilobytes.
 var flateWriters = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(nil, flate.DefaultCompression)
 	if err != nil {
-		panic(fmt.Sprintf("storage: %v", err))
+		panic(fmt.Sprintf("storage: create compressor: %v", err))
 	}
 	return writer
 }}
 
-// deflate compresses data to text that fits a JSON string as it is.
+// deflate compresses data and returns the result as text that needs no escaping in a JSON
+// string.
 func deflate(data []byte) string {
 	var compressed bytes.Buffer
 	writer := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(writer)
 	writer.Reset(&compressed)
-	writer.Write(data) // neither call can fail: a bytes.Buffer takes everything
+	writer.Write(data) // neither Write nor Close can fail, because a bytes.Buffer accepts all data
 	writer.Close()
 	return packedEncoding.EncodeToString(compressed.Bytes())
 }
 
-// inflate reverses deflate.
+// inflate decompresses text that deflate has returned.
 func inflate(text string) ([]byte, error) {
 	compressed, err := packedEncoding.DecodeString(text)
 	if err != nil {
@@ -68,12 +72,12 @@
 		return nil, fmt.Errorf("%w: %w", errMalformedPacked, err)
 	}
 	if len(data) > maxUnpackedSize {
-		return nil, fmt.Errorf("%w: more than %d bytes", errMalformedPacked, maxUnpackedSize)
+		return nil, fmt.Errorf("%w: expands to more than %d bytes", errMalformedPacked, maxUnpackedSize)
 	}
 	return data, nil
 }
 
-// packShard encodes the machine lines and the completed tasks of a shard.
+// packShard encodes the machine lines and the completed tasks of a shard in the packed encoding.
 func packShard(lines []string, completed map[protocol.JobID]TaskSet) string {
 	columns := make([][]string, lineColumns)
 	for _, line := range lines {
@@ -99,7 +103,8 @@
 	return deflate(appendColumn(data, completedEntries))
 }
 
-// unpackShard reverses packShard.
+// unpackShard decodes the machine lines and the completed tasks of a shard that packShard has
+// encoded.
 func unpackShard(text string) (lines []string, completed map[protocol.JobID]TaskSet, err error) {
 	data, err := inflate(text)
 	if err != nil {
@@ -113,7 +118,7 @@
 	}
 	completedEntries := reader.readColumn(reader.readCount())
 	if reader.failed || len(reader.data) > 0 {
-		return nil, nil, fmt.Errorf("%w: damaged columns", errMalformedPacked)
+		return nil, nil, fmt.Errorf("%w: columns are malformed or followed by other data", errMalformedPacked)
 	}
 	for i := range count {
 		line := columns[0][i]
@@ -130,13 +135,14 @@
 	return lines, completed, nil
 }
 
-// parseCompletedEntries reads the completed tasks of a packed shard; nil if there are none.
+// parseCompletedEntries parses the completed tasks of a packed shard. It returns nil if there are
+// none.
 func parseCompletedEntries(entries []string) (map[protocol.JobID]TaskSet, error) {
 	var completed map[protocol.JobID]TaskSet
 	for _, entry := range entries {
 		job, tasksText, ok := strings.Cut(entry, "=")
 		if !ok {
-			return nil, fmt.Errorf("%w: completed tasks %q", errMalformedPacked, entry)
+			return nil, fmt.Errorf("%w: completed tasks %q: no separator", errMalformedPacked, entry)
 		}
 		var tasks TaskSet
 		if err := tasks.UnmarshalText([]byte(tasksText)); err != nil {
@@ -150,8 +156,9 @@
 	return completed, nil
 }
 
-// appendColumn writes values as the lengths of the prefixes that they share with the one
-// before, the lengths of the suffixes, and the suffixes.
+// appendColumn appends a column to data. The column consists of the length of the prefix that
+// each value shares with the previous value, then the lengths of the remaining suffixes, then
+// the suffixes.
 func appendColumn(data []byte, values []string) []byte {
 	var suffixes []byte
 	prefixLengths := make([]int, len(values))
@@ -172,13 +179,15 @@
 	return append(data, suffixes...)
 }
 
-// columnReader reads what appendColumn wrote. After a failure everything it returns is
-// empty.
+// columnReader reads columns that appendColumn has written. After a failure, numbers that could
+// not be read are zero and values that could not be read are empty, so callers must check failed
+// before they use any result.
 type columnReader struct {
-	data   []byte
-	failed bool
+	data   []byte // remaining data
+	failed bool   // whether the data was found to be malformed
 }
 
+// readUvarint reads a number. It fails if the number exceeds maxUnpackedSize.
 func (r *columnReader) readUvarint() int {
 	value, size := binary.Uvarint(r.data)
 	if size <= 0 || value > maxUnpackedSize {
@@ -189,7 +198,8 @@
 	return int(value)
 }
 
-// readCount reads the number of values in a column. It bounds what readColumn allocates.
+// readCount reads the number of values in a column. It fails if the remaining data is too short
+// for that many values, which bounds the memory that readColumn allocates.
 func (r *columnReader) readCount() int {
 	count := r.readUvarint()
 	if minEncodedValueSize*count > len(r.data) {
@@ -199,6 +209,7 @@
 	return count
 }
 
+// readColumn reads a column of count values.
 func (r *columnReader) readColumn(count int) []string {
 	values := make([]string, count)
 	prefixLengths, suffixLengths := make([]int, count), make([]int, count)
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -8,31 +8,33 @@
 	"strings"
 )
 
-// errMalformedTaskSet is the cause of every failure to read a task set.
+// errMalformedTaskSet is wrapped by the errors about a task set that cannot be parsed.
 var errMalformedTaskSet = errors.New("malformed task set")
 
-// interval is a range of task indexes; both ends are in it.
+// interval is the range of the task indexes from lo to hi, both included.
 type interval struct{ lo, hi int }
 
 // TaskSet is a set of task indexes, encoded as "0-5,7". Its intervals are sorted and
-// disjoint. Sets are values: no method but UnmarshalText changes its receiver.
+// disjoint. A TaskSet is used as a value: only UnmarshalText changes its receiver. The zero
+// value is the empty set.
 type TaskSet struct{ intervals []interval }
 
-// TaskRange is the set of lo to hi, both included.
+// TaskRange returns the set of the indexes from lo to hi, both included.
 func TaskRange(lo, hi int) TaskSet { return TaskSet{[]interval{{lo, hi}}} }
 
-// firstIntervalNotBefore is the index of the first interval that ends at n or later.
+// firstIntervalNotBefore returns the position of the first interval that ends at index or
+// later. If there is none, it returns the number of intervals.
 func (s TaskSet) firstIntervalNotBefore(index int) int {
 	return sort.Search(len(s.intervals), func(i int) bool { return s.intervals[i].hi >= index })
 }
 
-// Contains tells whether n is in the set.
+// Contains reports whether index is in the set.
 func (s TaskSet) Contains(index int) bool {
 	i := s.firstIntervalNotBefore(index)
 	return i < len(s.intervals) && s.intervals[i].lo <= index
 }
 
-// Len is the number of indexes in the set.
+// Len returns the number of indexes in the set.
 func (s TaskSet) Len() int {
 	count := 0
 	for _, iv := range s.intervals {
@@ -41,10 +43,10 @@
 	return count
 }
 
-// IntervalCount is the number of intervals in the set.
+// IntervalCount returns the number of intervals in the set.
 func (s TaskSet) IntervalCount() int { return len(s.intervals) }
 
-// Add is the set with n.
+// Add returns a set that contains the indexes of s and index.
 func (s TaskSet) Add(index int) TaskSet {
 	if s.Contains(index) {
 		return s
@@ -65,7 +67,7 @@
 	return TaskSet{intervals}
 }
 
-// Remove is the set without n.
+// Remove returns a set that contains the indexes of s except index.
 func (s TaskSet) Remove(index int) TaskSet {
 	if !s.Contains(index) {
 		return s
@@ -82,7 +84,7 @@
 	return TaskSet{append(intervals, s.intervals[i+1:]...)}
 }
 
-// Union is the set of what is in either set.
+// Union returns the set of the indexes that are in s, in other or in both.
 func (s TaskSet) Union(other TaskSet) TaskSet {
 	if len(s.intervals) == 0 {
 		return other
@@ -106,8 +108,8 @@
 	return TaskSet{merged}
 }
 
-// Each calls f for the indexes in order until f returns false.
-func (s TaskSet) Each(yield func(n int) bool) {
+// Each calls yield for each index of the set in ascending order until yield returns false.
+func (s TaskSet) Each(yield func(index int) bool) {
 	for _, iv := range s.intervals {
 		for index := iv.lo; index <= iv.hi; index++ {
 			if !yield(index) {
@@ -117,11 +119,13 @@
 	}
 }
 
-// FirstMissing lists the first indexes below end that are not in the set, at most count.
+// FirstMissing returns the lowest indexes below end that are not in the set, at most count of
+// them.
 func (s TaskSet) FirstMissing(end, count int) []int {
 	var missing []int
 	next := 0
-	intervals := s.intervals[:len(s.intervals):len(s.intervals)] // append copies: the set stays as it is
+	// The capacity is limited to the length so that append copies the intervals of the set.
+	intervals := s.intervals[:len(s.intervals):len(s.intervals)]
 	for _, iv := range append(intervals, interval{end, end}) {
 		for ; next < iv.lo && next < end && len(missing) < count; next++ {
 			missing = append(missing, next)
@@ -131,7 +135,7 @@
 	return missing
 }
 
-// String is the set's encoding as intervals: "0-5,7".
+// String returns the set encoded as intervals, such as "0-5,7".
 func (s TaskSet) String() string {
 	var text []byte
 	for i, iv := range s.intervals {
@@ -150,10 +154,10 @@
 // MarshalText encodes the set as intervals.
 func (s TaskSet) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// IsZero tells whether the set is empty.
+// IsZero reports whether the set is empty.
 func (s TaskSet) IsZero() bool { return len(s.intervals) == 0 }
 
-// UnmarshalText reads a set encoded as intervals, or in one of the compact forms.
+// UnmarshalText decodes a set that is encoded as intervals or in one of the compact forms.
 func (s *TaskSet) UnmarshalText(text []byte) error {
 	s.intervals = nil
 	if len(text) == 0 {
@@ -168,14 +172,14 @@
 			return fmt.Errorf("%w %q: %w", errMalformedTaskSet, text, err)
 		}
 		if last := len(s.intervals) - 1; last >= 0 && iv.lo <= s.intervals[last].hi {
-			return fmt.Errorf("%w %q: %q is not behind the interval before it", errMalformedTaskSet, text, part)
+			return fmt.Errorf("%w %q: %q does not lie after the previous interval", errMalformedTaskSet, text, part)
 		}
 		s.intervals = append(s.intervals, iv)
 	}
 	return nil
 }
 
-// parseInterval reads "7" or "0-5".
+// parseInterval parses an interval such as "7" or "0-5".
 func parseInterval(text string) (iv interval, err error) {
 	first, last, isRange := strings.Cut(text, "-")
 	if iv.lo, err = strconv.Atoi(first); err != nil {
@@ -188,7 +192,7 @@
 		}
 	}
 	if iv.lo < 0 || iv.hi < iv.lo {
-		return iv, fmt.Errorf("%q is no interval", text)
+		return iv, fmt.Errorf("%q is not an interval of ascending indexes", text)
 	}
 	return iv, nil
 }
--- a/internal/storage/task_set_compact.go
+++ b/internal/storage/task_set_compact.go
@@ -5,17 +5,18 @@
 	"fmt"
 )
 
-// The compact forms are for sets with many gaps, whose intervals would outgrow the size of a
-// value in the store. The first byte names one of two encodings, the rest is base64.
+// The compact forms are for sets with many gaps, whose intervals would exceed the maximum size
+// of a value in the store. The first byte of a compact form names one of two encodings. The rest
+// is base64.
 const (
-	runLengthTag = '~' // lengths of gaps and intervals in turn, as varints
-	bitmapTag    = '*' // one bit for each index, from 0 on
+	runLengthTag = '~' // alternating lengths of gaps and intervals, as varints
+	bitmapTag    = '*' // one bit for each index, starting with index 0
 )
 
-// maxCompactIndex bounds the indexes in a run-length encoded set that is read.
+// maxCompactIndex is the maximum index in a run-length encoded set that is decoded.
 const maxCompactIndex = 1 << 20
 
-// compactText is the shortest encoding of the set.
+// compactText returns the shortest encoding of the set.
 func (s TaskSet) compactText() string {
 	shortest := s.String()
 	for _, form := range []string{s.runLengthText(), s.bitmapText()} {
@@ -26,7 +27,8 @@
 	return shortest
 }
 
-// runLengthText encodes the set as the lengths of gaps and of intervals, the latter less one.
+// runLengthText encodes the set as alternating lengths of gaps and of intervals. An interval's
+// length is encoded less one.
 func (s TaskSet) runLengthText() string {
 	var runs []byte
 	next := 0
@@ -38,7 +40,7 @@
 	return string(runLengthTag) + packedEncoding.EncodeToString(runs)
 }
 
-// bitmapText encodes the set as a bitmap that ends with the byte of the last index.
+// bitmapText encodes the set as a bitmap. The last byte of the bitmap contains the highest index.
 func (s TaskSet) bitmapText() string {
 	if len(s.intervals) == 0 {
 		return string(bitmapTag)
@@ -51,7 +53,8 @@
 	return string(bitmapTag) + packedEncoding.EncodeToString(bitmap)
 }
 
-// parseCompact reads either compact form.
+// parseCompact adds the intervals of a compact form to the empty set s. The first byte of the
+// text must be the tag of one of the two forms.
 func (s *TaskSet) parseCompact(text []byte) error {
 	data, err := packedEncoding.DecodeString(string(text[1:]))
 	if err != nil {
@@ -64,6 +67,7 @@
 	return nil
 }
 
+// parseBitmap adds the intervals of a decoded bitmap to the empty set s.
 func (s *TaskSet) parseBitmap(bitmap []byte) {
 	for index := range 8 * len(bitmap) {
 		switch last := len(s.intervals) - 1; {
@@ -76,23 +80,24 @@
 	}
 }
 
+// parseRunLengths adds the intervals of decoded run lengths to the empty set s.
 func (s *TaskSet) parseRunLengths(runs []byte) error {
 	next := uint64(0)
 	for len(runs) > 0 {
 		gap, gapSize := binary.Uvarint(runs)
 		if gapSize <= 0 {
-			return fmt.Errorf("%w: truncated gap", errMalformedTaskSet)
+			return fmt.Errorf("%w: invalid length of a gap", errMalformedTaskSet)
 		}
 		length, lengthSize := binary.Uvarint(runs[gapSize:])
 		if lengthSize <= 0 {
-			return fmt.Errorf("%w: truncated interval", errMalformedTaskSet)
+			return fmt.Errorf("%w: invalid length of an interval", errMalformedTaskSet)
 		}
-		// Each by itself first: their sum could overflow.
+		// The terms are compared with the limit one by one first, because their sum could overflow.
 		if gap > maxCompactIndex || length > maxCompactIndex || next+gap+length > maxCompactIndex {
-			return fmt.Errorf("%w: indexes above %d", errMalformedTaskSet, maxCompactIndex)
+			return fmt.Errorf("%w: index above %d", errMalformedTaskSet, maxCompactIndex)
 		}
 		if gap == 0 && next > 0 {
-			return fmt.Errorf("%w: intervals without a gap", errMalformedTaskSet)
+			return fmt.Errorf("%w: no gap between two intervals", errMalformedTaskSet)
 		}
 		low := next + gap
 		s.intervals = append(s.intervals, interval{int(low), int(low + length)})
@@ -102,8 +107,8 @@
 	return nil
 }
 
-// compactTaskSet is a set whose JSON form is the shortest one.
+// compactTaskSet is a TaskSet that is encoded in its shortest form.
 type compactTaskSet struct{ TaskSet }
 
-// MarshalText encodes the set in its shortest form.
+// MarshalText encodes the set as intervals or in a compact form, whichever is shortest.
 func (s compactTaskSet) MarshalText() ([]byte, error) { return []byte(s.compactText()), nil }
--- a/internal/storage/transfers.go
+++ b/internal/storage/transfers.go
@@ -7,45 +7,48 @@
 	"tillerarch/internal/protocol"
 )
 
-// TransferSlotsPerController is how many transfers to one controller are kept on record, open
-// and ended. A new transfer replaces an ended one, so that records need no other clean-up.
+// TransferSlotsPerController is the number of transfers to one controller, open or ended, that
+// the store keeps. A new transfer replaces an ended one, so that transfer records need no other
+// clean-up.
 const TransferSlotsPerController = 4
 
-// TransferSlot names the record of a transfer: "stall-1/0". Whoever proposes a transfer to a
-// controller takes a slot of that controller, so that of two proposals made in the same
-// instant the revision of the slot lets one through.
+// TransferSlot is the name of a place for a transfer's record, such as "stall-1/0". A transfer
+// to a controller is proposed in a slot of that controller. If two transfers are proposed in the
+// same slot at the same time, the store accepts only one of them, because the other requires an
+// outdated revision of the slot.
 type TransferSlot string
 
-// NewTransferSlot names a slot of the controller that is the target.
+// NewTransferSlot returns the name of a slot of the target of a transfer. Slots are numbered from
+// 0 to TransferSlotsPerController - 1.
 func NewTransferSlot(target protocol.ControllerID, number int) TransferSlot {
 	return TransferSlot(fmt.Sprintf("%s/%d", target, number))
 }
 
-// TransferPhase is how far a transfer has come.
+// TransferPhase is the phase that a transfer has reached.
 type TransferPhase string
 
 // Phases of a transfer, in their order. Only a pending transfer can be aborted.
 const (
-	TransferProposed  TransferPhase = "proposed"    // requested; nothing has changed
-	TransferPrepared  TransferPhase = "prepared"    // nothing new is placed or started on the shard
+	TransferProposed  TransferPhase = "proposed"    // the transfer is requested; nothing has changed
+	TransferPrepared  TransferPhase = "prepared"    // no new task is placed or started on the shard
 	TransferCommitted TransferPhase = "transferred" // the shard has its new owner
 	TransferClosed    TransferPhase = "closed"      // the shard's agents know the new owner
-	TransferAborted   TransferPhase = "aborted"     // the shard has stayed, or got another owner
+	TransferAborted   TransferPhase = "aborted"     // the shard kept its owner or got one that is not the target
 )
 
-// IsOpen tells whether a controller has yet to act on the transfer.
+// IsOpen reports whether a controller still has to act on the transfer.
 func (p TransferPhase) IsOpen() bool { return p != TransferClosed && p != TransferAborted }
 
-// IsPending tells whether the shard has not changed its owner yet.
+// IsPending reports whether the transfer has neither ended nor changed the shard's owner.
 func (p TransferPhase) IsPending() bool { return p == TransferProposed || p == TransferPrepared }
 
-// CanFollow tells whether one write may bring a record from the previous phase to this one.
+// CanFollow reports whether one write may change a slot's record from the previous phase to p.
 func (p TransferPhase) CanFollow(previous TransferPhase) bool {
 	switch p {
 	case TransferProposed:
 		return !previous.IsOpen()
 	case TransferPrepared:
-		return !previous.IsOpen() || previous == TransferProposed // a source that plans needs no proposal
+		return !previous.IsOpen() || previous == TransferProposed // a source needs no proposal for its own plan
 	case TransferCommitted:
 		return previous.IsPending()
 	case TransferClosed:
@@ -56,24 +59,26 @@
 	return false
 }
 
-// TransferRecord is the transfer of a shard of machines from one incarnation to another. It
-// orders who acts and when; who owns the shard is what the shard's record says, with or
-// without a transfer. So a version that does not know these records may ignore them.
+// TransferRecord describes the transfer of a shard of machines from one incarnation to another.
+// It determines which controller acts when. The owner of the shard is always the one in the
+// shard's record, with or without a transfer. A version that does not know transfer records may
+// therefore ignore them.
 type TransferRecord struct {
-	Name         string          `json:"n"` // unique; a repeated request has the same one
+	Name         string          `json:"n"` // unique; a repeated request has the same name
 	Shard        ShardID         `json:"g"`
 	Source       Incarnation     `json:"f"`
 	Target       Incarnation     `json:"t"`
 	Phase        TransferPhase   `json:"p"`
-	Reason       string          `json:"w,omitempty"` // why it was proposed or aborted; shown to operators
+	Reason       string          `json:"w,omitempty"` // why the transfer was proposed or aborted; shown to operators
 	MachineCount int             `json:"k,omitempty"`
 	ProposedAt   protocol.Millis `json:"b"`
 	PreparedAt   protocol.Millis `json:"h,omitempty"`
 	CommittedAt  protocol.Millis `json:"s,omitempty"`
-	EndedAt      protocol.Millis `json:"e,omitempty"` // closed or aborted
+	EndedAt      protocol.Millis `json:"e,omitempty"` // when the transfer was closed or aborted
 }
 
-// decodeTransfer rejects a record that lacks its shard, an incarnation or a known phase.
+// decodeTransfer decodes a transfer record. It returns an error for a record without a shard,
+// source, target or known phase.
 func decodeTransfer(data json.RawMessage) (TransferRecord, error) {
 	record, err := decodeJSON[TransferRecord](data)
 	if err != nil {
@@ -85,13 +90,14 @@
 		return record, fmt.Errorf("transfer %q: unknown phase %q", record.Name, record.Phase)
 	}
 	if record.Shard == "" || record.Source == "" || record.Target == "" {
-		return record, fmt.Errorf("transfer %q: no shard, source or target", record.Name)
+		return record, fmt.Errorf("transfer %q: shard, source or target is missing", record.Name)
 	}
 	return record, nil
 }
 
-// OpenTransferOf is the open transfer of a shard; the slot is empty if there is none. Of
-// several the first counts, and the controllers that act on the others abort them.
+// OpenTransferOf returns the open transfer of a shard and its slot, or an empty slot and nil if
+// there is none. If a shard has several open transfers, the first one takes effect, and the
+// controllers that act on the others abort them.
 func (r *Replica) OpenTransferOf(shard ShardID) (TransferSlot, *Versioned[TransferRecord]) {
 	var first TransferSlot
 	for slot, entry := range r.Transfers {
@@ -105,7 +111,8 @@
 	return first, r.Transfers[first]
 }
 
-// transferPrecedes orders open transfers of one shard: by when they were proposed, then by slot.
+// transferPrecedes reports whether open transfer A of a shard precedes open transfer B. The
+// earlier proposal comes first; of two proposals at the same time, the lower slot.
 func transferPrecedes(
 	slotA TransferSlot, transferA *Versioned[TransferRecord],
 	slotB TransferSlot, transferB *Versioned[TransferRecord],
