--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -86,7 +86,7 @@
 	w.Rules.CancelTimeout = cancelTimeout
 	w.Store.SetMaxEvents(storeMaxEvents)
 	w.Store.MaxValueBytes = maxValueBytes
-	w.Store.MaxOperations = maxTransactionOps
+	w.Store.MaxTransactionOperations = maxTransactionOps
 	w.Store.WriteRate = writesPerSecond
 	if err := cluster.start(w); err != nil {
 		return nil, err
--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -65,7 +65,7 @@
 		cluster.WithWorld(func(w *simulation.World) {
 			for _, controller := range w.Controllers {
 				if string(controller.ID) == controllerID {
-					machines = w.MachinesOwnedBy(controller)
+					machines = w.OwnedMachineCount(controller)
 				}
 			}
 		})
--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -252,7 +252,7 @@
 			return
 		}
 		var reply protocol.MachineList
-		s.WithWorld(func(w *simulation.World) { reply.Machines = w.Provision(request) })
+		s.WithWorld(func(w *simulation.World) { reply.Machines = w.ProvisionMachines(request) })
 		writeJSON(rw, http.StatusOK, reply)
 	})
 	mux.HandleFunc("POST "+protocol.PathTerminate, func(rw http.ResponseWriter, r *http.Request) {
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -140,7 +140,7 @@
 func (fi *faultInjector) killAtPhaseChanges() {
 	n := 0
 	fi.cluster.WithWorld(func(w *simulation.World) {
-		w.OnTransferRecord(func(record storage.TransferRecord) {
+		w.AddTransferRecordHook(func(record storage.TransferRecord) {
 			if n++; n%killEvery != 0 {
 				return
 			}
@@ -258,7 +258,7 @@
 	cluster.WithWorld(func(w *simulation.World) {
 		jobs.stopped = true
 		w.Rules.FaultsEndedAt = w.Now
-		w.Store.OnRevision = w.History.Apply
+		w.Store.OnRevision = w.History.ApplyRevision
 		for _, id := range jobs.services {
 			w.Cancel(id)
 		}
@@ -307,8 +307,8 @@
 	t.Logf("faults: %v", faults)
 	if h.MachinesTransferred > 0 {
 		t.Logf("quiesced: %s; from begin to end: %s; %.1f machine-seconds without new tasks, %.2f for each machine transferred; %.2f writes of transfers for each machine transferred",
-			quantiles(h.QuiesceTimes), quantiles(h.TransferTimes), h.MachineIdleTime.Seconds(),
-			h.MachineIdleTime.Seconds()/float64(h.MachinesTransferred), float64(h.TransferWrites)/float64(h.MachinesTransferred))
+			quantiles(h.QuiesceTimes), quantiles(h.TransferTimes), h.MachineQuiesceTime.Seconds(),
+			h.MachineQuiesceTime.Seconds()/float64(h.MachinesTransferred), float64(h.TransferWrites)/float64(h.MachinesTransferred))
 	}
 	t.Logf("gangs waited %s; other jobs %s", quantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return j.IsGang() })),
 		quantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return !j.IsGang() })))
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -78,7 +78,7 @@
 	t.Helper()
 	const tasksOfJob = 4
 	w := newFixedWorld(seed, 3, 0)
-	w.traceTo(t)
+	w.traceLogsTo(t)
 	w.addSmallMachines(14, testZones...)
 	var ids []protocol.JobID
 	for i := range cancelledJobs + 1 {
@@ -158,19 +158,19 @@
 // refuseLeaderNow lets the store refuse the controller that is the busiest now, for a while.
 func (w *World) refuseLeaderNow() *Controller {
 	controller := w.busiestController()
-	w.setBetween(0, seconds(14), &controller.RefusedByStore)
+	w.setFlagsBetween(0, seconds(14), &controller.RefusedByStore)
 	return controller
 }
 
 func leaderRefusedThenOutage(w *World) {
 	w.refuseLeaderNow()
 	w.cancelFirstJobs(0.2)
-	w.outage(4, 56)
+	w.scheduleStoreOutage(4, 56)
 }
 
 func leaderRefusedThenOutageWithoutPeers(w *World) {
 	for _, controller := range w.Controllers {
-		w.setFor(seconds(60), &controller.PeersUnreachable)
+		w.setFlagsFor(seconds(60), &controller.PeersUnreachable)
 	}
 	leaderRefusedThenOutage(w)
 }
@@ -178,7 +178,7 @@
 func acknowledgingControllerRestarts(w *World) {
 	leader := w.refuseLeaderNow()
 	w.cancelFirstJobs(0.2)
-	w.outage(4, 56)
+	w.scheduleStoreOutage(4, 56)
 	leader.ScheduleRestart(seconds(5), seconds(0.3))
 }
 
@@ -187,11 +187,11 @@
 func shardsChangeOwnersBetweenSteps(w *World) {
 	leader := w.busiestController()
 	for _, controller := range w.Controllers {
-		w.setFor(seconds(60), &controller.PeersUnreachable)
+		w.setFlagsFor(seconds(60), &controller.PeersUnreachable)
 	}
-	w.setBetween(0, seconds(60), &leader.StoreUnreachable)
+	w.setFlagsBetween(0, seconds(60), &leader.StoreUnreachable)
 	w.cancelFirstJobs(0.2)
-	w.outage(12, 48)
+	w.scheduleStoreOutage(12, 48)
 }
 
 func machinesHangInOutage(w *World) {
@@ -211,7 +211,7 @@
 func machinesHangAndCommanderFails(w *World) {
 	leader := w.busiestController()
 	w.cancelFirstJobs(0.2)
-	w.outage(4, 56)
+	w.scheduleStoreOutage(4, 56)
 	w.After(seconds(0.1), func() {
 		for _, m := range w.sortedMachines() {
 			if len(m.tasks) > 0 && w.Controllers[m.controllerIndex%len(w.Controllers)] == leader {
@@ -244,7 +244,7 @@
 // which the first intent is on record.
 func beginningControllerFails(w *World) {
 	for _, controller := range w.Controllers {
-		w.setFor(seconds(20), &controller.PeersUnreachable)
+		w.setFlagsFor(seconds(20), &controller.PeersUnreachable)
 	}
 	for i := range cancelledJobs {
 		id := jobNumber(i)
@@ -284,7 +284,7 @@
 	w.CloudUnreachable = true
 	w.cancelFirstJobs(0.2)
 	w.After(seconds(62), func() {
-		w.healZone("b")
+		w.endZonePartition("b")
 		w.CloudUnreachable = false
 	})
 }
@@ -292,13 +292,13 @@
 func zonePartitionedInOutage(w *World) {
 	w.partitionZone("b", w.busiestController())
 	w.cancelFirstJobs(0.2)
-	w.outage(12, 48)
-	w.After(seconds(62), func() { w.healZone("b") })
+	w.scheduleStoreOutage(12, 48)
+	w.After(seconds(62), func() { w.endZonePartition("b") })
 }
 
 func leaderAloneWithAgents(w *World) {
 	leader := w.busiestController()
-	w.setFor(seconds(62), &leader.StoreUnreachable, &leader.PeersUnreachable)
+	w.setFlagsFor(seconds(62), &leader.StoreUnreachable, &leader.PeersUnreachable)
 	w.cancelFirstJobs(0.2)
-	w.outage(5, 55)
+	w.scheduleStoreOutage(5, 55)
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -11,8 +11,8 @@
 // maxProvisioned is how many machines the cloud provisions in all.
 const maxProvisioned = 400
 
-// Provision executes a provisioning request. A repeated one gets the machines of the first.
-func (w *World) Provision(request protocol.ProvisionRequest) []protocol.MachineID {
+// ProvisionMachines executes a provisioning request. A repeated one gets the machines of the first.
+func (w *World) ProvisionMachines(request protocol.ProvisionRequest) []protocol.MachineID {
 	if _, known := w.provisioned[request.RequestID]; !known {
 		w.provisioned[request.RequestID] = nil
 		for i := 0; i < request.Count && len(w.Machines) < maxProvisioned; i++ {
@@ -60,7 +60,7 @@
 	}
 	w.After(boot, func() {
 		m.nextHeartbeatAt = w.Now
-		m.loop()
+		m.stepUntilTerminated()
 	})
 	return id
 }
@@ -78,7 +78,7 @@
 func (w *World) PreemptMachine(id protocol.MachineID, notice time.Duration) {
 	if m := w.Machines[id]; m != nil && !m.Terminated {
 		m.preemptAt = w.Now + notice
-		m.changed = true
+		m.hasUnreportedChange = true
 		w.After(notice, func() { w.TerminateMachine(id) })
 	}
 }
--- a/internal/simulation/cluster_faults_test.go
+++ b/internal/simulation/cluster_faults_test.go
@@ -50,7 +50,7 @@
 				w.Advance(seconds(150))
 				w.Rules.CheckFinal(w.Now)
 				checkAllControllersAnswer(t, w, seed, ids)
-				checkNothingTooLarge(t, w, seed)
+				checkNoTransactionTooLarge(t, w, seed)
 				checkRules(t, w, seed)
 				checkJobsEnded(t, w, seed, ids)
 			}
@@ -112,22 +112,22 @@
 }
 
 func oneControllerWithoutStore(w *World) {
-	w.setBetween(seconds(25), seconds(65), &w.Controllers[0].StoreUnreachable)
+	w.setFlagsBetween(seconds(25), seconds(65), &w.Controllers[0].StoreUnreachable)
 }
 
 func oneControllerWithoutAgents(w *World) {
-	w.setBetween(seconds(25), seconds(65), &w.Controllers[1].AgentsUnreachable)
+	w.setFlagsBetween(seconds(25), seconds(65), &w.Controllers[1].AgentsUnreachable)
 }
 
 func storeDownAsControllerCrashes(w *World) {
-	w.outage(30, 20)
+	w.scheduleStoreOutage(30, 20)
 	w.Controllers[2].ScheduleRestart(seconds(33), seconds(5))
 }
 
 func machinesDieAndArePartitioned(w *World) {
 	for i := range 6 {
 		w.After(seconds(20+4*i), func() { w.TerminateMachine(machineID(1 + 2*i)) })
-		w.partitionBetween(seconds(20+5*i), seconds(26+11*i), machineID(2+2*i))
+		w.partitionMachineBetween(seconds(20+5*i), seconds(26+11*i), machineID(2+2*i))
 	}
 }
 
@@ -156,7 +156,7 @@
 func commandsDoNotReachMachines(w *World) {
 	for i := range 8 {
 		m := w.Machines[machineID(1+i)]
-		w.setBetween(seconds(15+5*i), seconds(18+11*i), &m.CommandsLost)
+		w.setFlagsBetween(seconds(15+5*i), seconds(18+11*i), &m.CommandsLost)
 	}
 	w.Controllers[1].ScheduleRestart(seconds(45), seconds(1))
 }
@@ -164,7 +164,7 @@
 func controllersAloneWithAgents(w *World) {
 	w.DuplicateHeartbeatRate = 0.1
 	for i, controller := range w.Controllers {
-		w.setBetween(seconds(20+30*i), seconds(42+30*i), &controller.StoreUnreachable, &controller.PeersUnreachable)
+		w.setFlagsBetween(seconds(20+30*i), seconds(42+30*i), &controller.StoreUnreachable, &controller.PeersUnreachable)
 	}
 }
 
@@ -207,15 +207,15 @@
 func zonePartitionedWithController(w *World) {
 	w.After(seconds(25), func() { w.partitionZone("b", w.Controllers[2]) })
 	w.Controllers[0].ScheduleRestart(seconds(30), 300*time.Millisecond)
-	w.After(seconds(65), func() { w.healZone("b") })
+	w.After(seconds(65), func() { w.endZonePartition("b") })
 }
 
 func everythingAtOnce(w *World) {
 	for i := range 5 {
 		w.Controllers[i%3].ScheduleRestart(seconds(15+13*i), time.Duration(w.Rand.IntN(6000))*time.Millisecond)
-		w.setBetween(seconds(20+11*i), seconds(30+11*i), &w.Controllers[(i+1)%3].StoreUnreachable)
+		w.setFlagsBetween(seconds(20+11*i), seconds(30+11*i), &w.Controllers[(i+1)%3].StoreUnreachable)
 		w.After(seconds(22+6*i), func() { w.TerminateMachine(machineID(1 + 3*i)) })
 	}
-	w.outage(55, 8)
-	w.setBetween(seconds(40), seconds(50), &w.CloudUnreachable)
+	w.scheduleStoreOutage(55, 8)
+	w.setFlagsBetween(seconds(40), seconds(50), &w.CloudUnreachable)
 }
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -127,7 +127,7 @@
 		c.world.StepCosts.add(input, time.Since(startedAt))
 	}
 	for _, e := range effects {
-		c.perform(e)
+		c.performEffect(e)
 	}
 }
 
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -154,7 +154,7 @@
 func (w *World) digestEffects(t *testing.T) *effectDigest {
 	t.Helper()
 	digest := &effectDigest{sum: sha256.New(), kinds: map[byte]int{}}
-	w.Observe = func(at time.Duration, member protocol.ControllerID, e step.Effect) {
+	w.OnEffect = func(at time.Duration, member protocol.ControllerID, e step.Effect) {
 		if _, isLog := e.(step.Log); isLog {
 			return
 		}
@@ -180,7 +180,7 @@
 
 // holds sets a flag from a time on, for a while; both in seconds.
 func (w *World) holds(flag *bool, from, duration float64) {
-	w.setBetween(seconds(from), seconds(from+duration), flag)
+	w.setFlagsBetween(seconds(from), seconds(from+duration), flag)
 }
 
 // requestShardingStatus lets an operator ask for the sharding status again and again, at one
@@ -326,7 +326,7 @@
 			FinishWithin:    []time.Duration{seconds(60)},
 			DeadlineFactors: []float64{1, 2},
 		}}
-		w.limitAllTeams(60)
+		w.setMissingQuotas(60)
 		return w
 	}, play: func(t *testing.T, w *World) {
 		submitMixedJobs(w, 30)
@@ -346,7 +346,7 @@
 			case 3:
 				job.Accelerators, job.Cores = 1, 0.5
 			case 4:
-				job.Class = []string{classFails, classExits}[i/6%2]
+				job.Class = []string{failingClass, exitingClass}[i/6%2]
 			}
 			w.After(seconds(4+4*float64(i)), func() { w.Submit(job) })
 		}
@@ -472,7 +472,7 @@
 		for i, n := range w.Controllers {
 			n.Upgrade(seconds(20+10*float64(i)), seconds(2))
 		}
-		w.After(seconds(60), func() { w.Store.MaxValueBytes, w.Store.MaxOperations = 2048, 6 })
+		w.After(seconds(60), func() { w.Store.MaxValueBytes, w.Store.MaxTransactionOperations = 2048, 6 })
 	}, busy: seconds(100), calm: seconds(70)},
 	{name: "lost-machines-late-copies", world: newMixedWorld, play: func(t *testing.T, w *World) {
 		w.MessageLossRate, w.DuplicateHeartbeatRate = 0.01, 0.4
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -4,7 +4,7 @@
 // cores of package coordination; RemoteController replaces them by processes of their own.
 //
 // The package owns the world (World), its event queue and its random source. It follows
-// docs/PROTOCOL only: what leaves a core goes through Controller.perform and nothing reaches
+// docs/PROTOCOL only: what leaves a core goes through Controller.performEffect and nothing reaches
 // into a core's memory. Its checkers (RuleChecker, HistoryChecker) judge from outside, by what
 // users are told, what is on the machines and what the store holds.
 //
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -19,15 +19,15 @@
 	watchTimeout = 3 * time.Second // of one request of a watch, which is repeated
 )
 
-// perform carries one effect of the core out.
-func (c *Controller) perform(e step.Effect) {
+// performEffect carries one effect of the core out.
+func (c *Controller) performEffect(e step.Effect) {
 	w := c.world
-	if w.Observe != nil {
-		w.Observe(w.Now, c.ID, e)
+	if w.OnEffect != nil {
+		w.OnEffect(w.Now, c.ID, e)
 	}
 	switch v := e.(type) {
 	case step.Reply:
-		c.reply(v)
+		c.replyToRequest(v)
 	case requests.TransferReply:
 		c.replyToOperator(v.RequestID, v)
 	case requests.DrainReply:
@@ -35,7 +35,7 @@
 	case requests.ShardingStatusReply:
 		c.replyToOperator(v.RequestID, v)
 	case step.Log:
-		c.trace(v)
+		c.traceLog(v)
 	case step.SendPeerStatus:
 		c.sendPeerStatus(v)
 	case step.Commit:
@@ -67,7 +67,7 @@
 	}
 }
 
-func (c *Controller) reply(v step.Reply) {
+func (c *Controller) replyToRequest(v step.Reply) {
 	reply := c.pendingReplies[v.RequestID]
 	delete(c.pendingReplies, v.RequestID)
 	if reply != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (c *Controller) trace(v step.Log) {
+func (c *Controller) traceLog(v step.Log) {
 	if c.world.Trace != nil {
 		c.world.Trace(fmt.Sprintf("%8.3f %s %s %v", c.world.Now.Seconds(), c.ID, v.Message, v.Args))
 	}
@@ -267,7 +267,7 @@
 		if c.world.CloudOutOfCapacity {
 			return step.ProvisionMachinesResult{Request: request, NoCapacity: true}
 		}
-		return step.ProvisionMachinesResult{Request: request, Machines: c.world.Provision(request)}
+		return step.ProvisionMachinesResult{Request: request, Machines: c.world.ProvisionMachines(request)}
 	}, step.ProvisionMachinesResult{Request: request, Err: errNoReply})
 }
 
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -84,7 +84,7 @@
 	w.Rules.FaultsEndedAt = w.Now
 	w.Advance(recoveryTime)
 	w.Rules.CheckFinal(w.Now)
-	checkNothingTooLarge(t, w, seed)
+	checkNoTransactionTooLarge(t, w, seed)
 	checkRules(t, w, seed)
 	for _, id := range slices.Sorted(maps.Keys(w.Jobs)) {
 		if !w.FinishedJobs[id] {
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -16,9 +16,9 @@
 func cancelAsStoreRefuses(w *World) {
 	w.submitLongJobs(8, "core", 60)
 	for _, at := range []float64{25, 68} {
-		w.refuseBusiestController(at, 14)
+		w.scheduleRefusalOfBusiestController(at, 14)
 		w.After(seconds(at+0.2), func() { w.cancelRunningJobs(5) })
-		w.outage(at+1, 34)
+		w.scheduleStoreOutage(at+1, 34)
 	}
 }
 
@@ -48,7 +48,7 @@
 	for i := range 4 {
 		w.After(seconds(20+18*i), func() {
 			for _, m := range w.randomMachines(0.6) {
-				w.setFor(seconds(2+8*i), &m.HeartbeatsLost)
+				w.setFlagsFor(seconds(2+8*i), &m.HeartbeatsLost)
 			}
 			w.cancelRunningJobs(2)
 		})
@@ -71,7 +71,7 @@
 }
 
 func quotaFullMachinesLostLeaderChanges(w *World) {
-	w.limitAllTeams(30)
+	w.setMissingQuotas(30)
 	w.submitLongJobs(10, "core", 30)
 	for i := range 10 {
 		job := newArray(protocol.JobID(fmt.Sprintf("j-2%03d", i)), "tight", "standard", 2+i%2, 2, 25)
@@ -111,7 +111,7 @@
 
 func writesAppliedLate(w *World) {
 	w.DelayedWriteRate = 0.35
-	w.reconfigure(func(config *step.Config) {
+	w.restartWithConfig(func(config *step.Config) {
 		config.ValueBytes = 1700 // few machines in a shard: what is planned anew changes other records
 	})
 	w.After(seconds(105), func() { w.DelayedWriteRate = 0 })
@@ -132,7 +132,7 @@
 					for _, after := range []float64{0.35, 1.2, 1.8, 2.6, 4.2} {
 						w.After(seconds(after), func() {
 							for _, controller := range w.Controllers {
-								controller.deliverCopy(body)
+								controller.deliverHeartbeatCopy(body)
 							}
 						})
 					}
@@ -160,7 +160,7 @@
 		w.After(seconds(15+5*i), func() {
 			for _, m := range w.randomMachines(0.1) {
 				if i%3 == 0 {
-					w.setFor(seconds(20), &m.Partitioned)
+					w.setFlagsFor(seconds(20), &m.Partitioned)
 				} else {
 					w.TerminateMachine(m.ID)
 				}
@@ -202,7 +202,7 @@
 	for i := range 10 {
 		w.After(seconds(14+9*i), func() { w.restartBusiestController(seconds([]float64{0.2, 4}[i%2])) })
 	}
-	w.outage(40, 16)
+	w.scheduleStoreOutage(40, 16)
 	w.After(seconds(45), func() { w.cancelRunningJobs(3) })
 }
 
@@ -254,8 +254,8 @@
 	for _, at := range []float64{22, 30, 45.5, 60, 80} {
 		w.After(seconds(at), func() { w.cancelRunningJobs(2) })
 	}
-	w.refuseBusiestController(45, 12)
-	w.outage(48, 45)
+	w.scheduleRefusalOfBusiestController(45, 12)
+	w.scheduleStoreOutage(48, 45)
 }
 
 func commandsOfDeposedLeader(w *World) {
@@ -269,7 +269,7 @@
 				w.After(seconds(0.6), func() { w.restartBusiestController(seconds(0.3)) })
 				return
 			}
-			w.setFor(seconds(12), &controller.StoreUnreachable, &controller.PeersUnreachable)
+			w.setFlagsFor(seconds(12), &controller.StoreUnreachable, &controller.PeersUnreachable)
 		})
 	}
 }
@@ -279,7 +279,7 @@
 	for i := range 2 {
 		w.After(seconds(20+45*i), func() {
 			controller := w.busiestController()
-			w.setFor(seconds(36), &controller.StoreUnreachable, &controller.PeersUnreachable)
+			w.setFlagsFor(seconds(36), &controller.StoreUnreachable, &controller.PeersUnreachable)
 			for _, at := range []float64{0.5, 4, 9, 14} {
 				w.After(seconds(at), func() { w.cancelRunningJobs(2) })
 			}
@@ -310,7 +310,7 @@
 			w.After(seconds(3), func() { w.cancelRunningJobs(3) })
 			w.After(seconds(20), func() { w.cancelRunningJobs(2) })
 		})
-		w.After(seconds(58+45*i), func() { w.healZone(zone) })
+		w.After(seconds(58+45*i), func() { w.endZonePartition(zone) })
 	}
 	w.Controllers[0].ScheduleRestart(seconds(30), seconds(0.4))
 }
@@ -335,9 +335,9 @@
 		w.After(seconds(16+17*i), func() {
 			for k, m := range w.randomMachines(0.6) {
 				if k%2 == 0 {
-					w.setFor(seconds(3+4*i), &m.Partitioned)
+					w.setFlagsFor(seconds(3+4*i), &m.Partitioned)
 				} else {
-					w.setFor(seconds(3+4*i), &m.CommandsLost)
+					w.setFlagsFor(seconds(3+4*i), &m.CommandsLost)
 				}
 			}
 			controller := w.busiestController()
@@ -356,7 +356,7 @@
 			for _, m := range w.randomMachines(1) {
 				body := m.nextHeartbeat()
 				for _, other := range w.otherControllers(controller) {
-					w.After(seconds(2+float64(w.Rand.IntN(12))), func() { other.deliverCopy(body) })
+					w.After(seconds(2+float64(w.Rand.IntN(12))), func() { other.deliverHeartbeatCopy(body) })
 				}
 			}
 			controller.Kill()
--- a/internal/simulation/free_capacity.go
+++ b/internal/simulation/free_capacity.go
@@ -28,13 +28,13 @@
 
 // clusterUsage is what the tasks on all machines use, and what is free for more.
 type clusterUsage struct {
-	free        []freeCapacity
-	coresByTeam map[string]float64
-	placed      map[protocol.Task]bool
+	freeCapacities []freeCapacity
+	coresByTeam    map[string]float64
+	placedTasks    map[protocol.Task]bool
 }
 
-func (w *World) usage() clusterUsage {
-	usage := clusterUsage{coresByTeam: map[string]float64{}, placed: map[protocol.Task]bool{}}
+func (w *World) currentUsage() clusterUsage {
+	usage := clusterUsage{coresByTeam: map[string]float64{}, placedTasks: map[protocol.Task]bool{}}
 	for _, id := range slices.Sorted(maps.Keys(w.Machines)) {
 		m := w.Machines[id]
 		if m.Terminated || m.sequence == 0 {
@@ -54,10 +54,10 @@
 			free.cores -= job.Cores
 			free.memoryGB -= job.MemoryGB
 			usage.coresByTeam[job.Team] += job.Cores
-			usage.placed[t] = true
+			usage.placedTasks[t] = true
 		}
 		if m.preemptAt == 0 && !m.Faulty {
-			usage.free = append(usage.free, free)
+			usage.freeCapacities = append(usage.freeCapacities, free)
 		}
 	}
 	return usage
@@ -65,7 +65,7 @@
 
 // checkPlaceableJobs tells the rules which jobs are pending although machines have room.
 func (w *World) checkPlaceableJobs() {
-	usage := w.usage()
+	usage := w.currentUsage()
 	for _, id := range slices.Sorted(maps.Keys(w.Jobs)) {
 		w.Rules.RecordPlaceable(w.Now, id, w.isPlaceable(w.Jobs[id], usage))
 	}
@@ -79,7 +79,7 @@
 	completed := w.Rules.job(job.ID).completedTasks
 	pending := 0
 	for index := range min(job.TaskCount, maxCountedTasks) {
-		if !completed[index] && !usage.placed[protocol.Task{Job: job.ID, Index: index}] {
+		if !completed[index] && !usage.placedTasks[protocol.Task{Job: job.ID, Index: index}] {
 			pending++
 		}
 	}
@@ -90,7 +90,7 @@
 	limit := w.Rules.QuotaLimits[job.Team]
 	withinQuota := limit == 0 || usage.coresByTeam[job.Team]+float64(need)*job.Cores <= limit+capacityTolerance
 	capacity := 0
-	for _, free := range usage.free {
+	for _, free := range usage.freeCapacities {
 		capacity += free.tasksThatFit(job)
 	}
 	zonesAreSimple := (need == 1 || !job.SingleZone && !job.SpreadZones) && (!job.SpreadZones || job.TaskCount == 1)
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -47,7 +47,7 @@
 // quota.
 func newMixedWorld(t *testing.T, seed uint64) *World {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
-	w.traceTo(t)
+	w.traceLogsTo(t)
 	w.addSmallMachines(8, testZones...)
 	return w
 }
@@ -57,13 +57,13 @@
 func newFixedWorld(seed uint64, controllers, machines int) *World {
 	w := NewWorld(seed, controllers, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
-	w.reconfigure(func(config *step.Config) { config.IdleTimeoutFactor = 100 })
+	w.restartWithConfig(func(config *step.Config) { config.IdleTimeoutFactor = 100 })
 	w.addSmallMachines(machines, "a")
 	return w
 }
 
-// traceTo logs what controllers log, if TRACE is set.
-func (w *World) traceTo(t *testing.T) {
+// traceLogsTo logs what controllers log, if TRACE is set.
+func (w *World) traceLogsTo(t *testing.T) {
 	if os.Getenv("TRACE") != "" {
 		w.Trace = func(line string) { t.Log(line) }
 	}
@@ -77,8 +77,8 @@
 	return ids
 }
 
-// reconfigure changes the configuration of all controllers and restarts them with it.
-func (w *World) reconfigure(change func(*step.Config)) {
+// restartWithConfig changes the configuration of all controllers and restarts them with it.
+func (w *World) restartWithConfig(change func(*step.Config)) {
 	change(&w.Config)
 	for _, controller := range w.Controllers {
 		controller.Start()
@@ -276,38 +276,38 @@
 
 // Faults.
 
-// setBetween sets flags from one time to another, both from now.
-func (w *World) setBetween(from, to time.Duration, flags ...*bool) {
-	w.After(from, func() { setAll(flags, true) })
-	w.After(to, func() { setAll(flags, false) })
+// setFlagsBetween sets flags from one time to another, both from now.
+func (w *World) setFlagsBetween(from, to time.Duration, flags ...*bool) {
+	w.After(from, func() { setFlags(flags, true) })
+	w.After(to, func() { setFlags(flags, false) })
 }
 
-// setFor sets flags now, for a while.
-func (w *World) setFor(duration time.Duration, flags ...*bool) {
-	setAll(flags, true)
-	w.After(duration, func() { setAll(flags, false) })
+// setFlagsFor sets flags now, for a while.
+func (w *World) setFlagsFor(duration time.Duration, flags ...*bool) {
+	setFlags(flags, true)
+	w.After(duration, func() { setFlags(flags, false) })
 }
 
-func setAll(flags []*bool, value bool) {
+func setFlags(flags []*bool, value bool) {
 	for _, flag := range flags {
 		*flag = value
 	}
 }
 
-// outage makes the store unavailable from a time on, for a while; both in seconds.
-func (w *World) outage(from, duration float64) {
-	w.setBetween(seconds(from), seconds(from+duration), &w.Store.Unavailable)
+// scheduleStoreOutage makes the store unavailable from a time on, for a while; both in seconds.
+func (w *World) scheduleStoreOutage(from, duration float64) {
+	w.setFlagsBetween(seconds(from), seconds(from+duration), &w.Store.Unavailable)
 }
 
 // partitionMachines partitions about the given part of the machines now, for a while.
 func (w *World) partitionMachines(fraction float64, duration time.Duration) {
 	for _, m := range w.randomMachines(fraction) {
-		w.setFor(duration, &m.Partitioned)
+		w.setFlagsFor(duration, &m.Partitioned)
 	}
 }
 
-// partitionBetween partitions a machine, if there is one of that id by then.
-func (w *World) partitionBetween(from, to time.Duration, id protocol.MachineID) {
+// partitionMachineBetween partitions a machine, if there is one of that id by then.
+func (w *World) partitionMachineBetween(from, to time.Duration, id protocol.MachineID) {
 	set := func(partitioned bool) func() {
 		return func() {
 			if m := w.Machines[id]; m != nil {
@@ -322,25 +322,25 @@
 // partitionZone cuts a zone off, with a controller in it, from the store, the other controllers
 // and the users.
 func (w *World) partitionZone(zone protocol.Zone, inside *Controller) {
-	setAll(inside.outerLinks(), true)
+	setFlags(inside.nonAgentLinkFaults(), true)
 	w.PartitionedZones[zone] = inside
 }
 
-// healZone ends what partitionZone began.
-func (w *World) healZone(zone protocol.Zone) {
-	setAll(w.PartitionedZones[zone].outerLinks(), false)
+// endZonePartition ends what partitionZone began.
+func (w *World) endZonePartition(zone protocol.Zone) {
+	setFlags(w.PartitionedZones[zone].nonAgentLinkFaults(), false)
 	delete(w.PartitionedZones, zone)
 }
 
-// outerLinks are the faults of all links of a controller but those to agents.
-func (c *Controller) outerLinks() []*bool {
+// nonAgentLinkFaults are the faults of all links of a controller but those to agents.
+func (c *Controller) nonAgentLinkFaults() []*bool {
 	return []*bool{&c.StoreUnreachable, &c.PeersUnreachable, &c.UsersUnreachable}
 }
 
-// refuseBusiestController lets the store refuse the controller that is the busiest at that
+// scheduleRefusalOfBusiestController lets the store refuse the controller that is the busiest at that
 // time, for a while; both in seconds.
-func (w *World) refuseBusiestController(from, duration float64) {
-	w.After(seconds(from), func() { w.setFor(seconds(duration), &w.busiestController().RefusedByStore) })
+func (w *World) scheduleRefusalOfBusiestController(from, duration float64) {
+	w.After(seconds(from), func() { w.setFlagsFor(seconds(duration), &w.busiestController().RefusedByStore) })
 }
 
 // restartIfAlive kills the controller and starts it again after the downtime, unless it is
@@ -364,15 +364,15 @@
 	c.Start()
 }
 
-// deliverCopy gives the controller a copy of a heartbeat, if it is alive.
-func (c *Controller) deliverCopy(heartbeat []byte) {
+// deliverHeartbeatCopy gives the controller a copy of a heartbeat, if it is alive.
+func (c *Controller) deliverHeartbeatCopy(heartbeat []byte) {
 	if c.Alive {
 		c.DeliverHeartbeat(heartbeat, func(int, []byte) {})
 	}
 }
 
-// limitAllTeams gives every team without a quota one.
-func (w *World) limitAllTeams(cores float64) {
+// setMissingQuotas gives every team without a quota one.
+func (w *World) setMissingQuotas(cores float64) {
 	teams := map[string]step.Quota{}
 	for name, team := range w.Config.Quotas {
 		if team.MaxCores == 0 {
@@ -381,7 +381,7 @@
 		teams[name] = team
 		w.Rules.QuotaLimits[name] = team.MaxCores
 	}
-	w.reconfigure(func(config *step.Config) { config.Quotas = teams })
+	w.restartWithConfig(func(config *step.Config) { config.Quotas = teams })
 }
 
 // Checks.
@@ -395,10 +395,10 @@
 	}
 }
 
-// checkNothingTooLarge checks that the store has refused no transaction for its size.
-func checkNothingTooLarge(t *testing.T, w *World, seed uint64) {
+// checkNoTransactionTooLarge checks that the store has refused no transaction for its size.
+func checkNoTransactionTooLarge(t *testing.T, w *World, seed uint64) {
 	t.Helper()
-	if w.Store.RejectedTooLarge > 0 {
-		t.Errorf("seed %d: %d transactions too large", seed, w.Store.RejectedTooLarge)
+	if w.Store.TooLargeTransactions > 0 {
+		t.Errorf("seed %d: %d transactions too large", seed, w.Store.TooLargeTransactions)
 	}
 }
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -26,7 +26,7 @@
 	TransferTimes       []time.Duration // from the proposal to the end
 	TransferWrites      int             // of transfers' records
 	MachinesTransferred int             // each transfer of a machine counts
-	MachineIdleTime     time.Duration   // sum over machines of the time in which they took no new task
+	MachineQuiesceTime  time.Duration   // sum over machines of the time in which they took no new task
 
 	shards           map[storage.ShardID]storage.ShardSummary
 	shardsByMachine  map[protocol.MachineID]map[storage.ShardID]bool
@@ -54,8 +54,8 @@
 	h.OnViolation(fmt.Sprintf("revision %d: ", revision) + fmt.Sprintf(format, args...))
 }
 
-// Apply applies all changes of one revision and checks what they lead to.
-func (h *HistoryChecker) Apply(revision protocol.Revision, changes []protocol.Event) {
+// ApplyRevision applies all changes of one revision and checks what they lead to.
+func (h *HistoryChecker) ApplyRevision(revision protocol.Revision, changes []protocol.Event) {
 	h.Revisions++
 	before := map[storage.ShardID]storage.ShardSummary{}
 	changedMachines := map[protocol.MachineID]bool{}
@@ -187,7 +187,7 @@
 		}
 		h.QuiesceTimes = append(h.QuiesceTimes, quiesced)
 		h.MachinesTransferred += record.MachineCount
-		h.MachineIdleTime += time.Duration(record.MachineCount) * quiesced
+		h.MachineQuiesceTime += time.Duration(record.MachineCount) * quiesced
 	case storage.TransferAborted:
 		h.AbortedByReason[record.Reason]++
 	}
@@ -213,8 +213,8 @@
 	h.ShardsTransferred++
 }
 
-// MachinesOwnedBy counts the machines of a controller.
-func (w *World) MachinesOwnedBy(controller *Controller) (machines int) {
+// OwnedMachineCount counts the machines of a controller.
+func (w *World) OwnedMachineCount(controller *Controller) (machines int) {
 	for _, shard := range w.History.shards {
 		if shard.Owner.Controller() == controller.ID {
 			machines += len(shard.Machines)
@@ -234,9 +234,9 @@
 	return names
 }
 
-// OnTransferRecord calls a callback for each record of a transfer that is written, within the
+// AddTransferRecordHook calls a callback for each record of a transfer that is written, within the
 // write and after the checker. Setting Store.OnRevision to the checker alone ends that.
-func (w *World) OnTransferRecord(callback func(storage.TransferRecord)) {
+func (w *World) AddTransferRecordHook(callback func(storage.TransferRecord)) {
 	before := w.Store.OnRevision
 	w.Store.OnRevision = func(revision protocol.Revision, events []protocol.Event) {
 		before(revision, events)
--- a/internal/simulation/history_checker_test.go
+++ b/internal/simulation/history_checker_test.go
@@ -123,7 +123,7 @@
 			var violations []string
 			h := NewHistoryChecker(func(violation string) { violations = append(violations, violation) })
 			for i, changes := range append(begin[:3:3], c.changes...) {
-				h.Apply(protocol.Revision(i+1), changes)
+				h.ApplyRevision(protocol.Revision(i+1), changes)
 			}
 			if c.command != nil {
 				c.command(h)
--- a/internal/simulation/large_fleet_test.go
+++ b/internal/simulation/large_fleet_test.go
@@ -14,10 +14,10 @@
 	w := newLargeWorld(machines)
 	w.Advance(20 * time.Second)
 	isolated := w.Controllers[0]
-	owned := w.MachinesOwnedBy(isolated)
+	owned := w.OwnedMachineCount(isolated)
 	isolated.AgentsUnreachable = true
 	isolatedAt := w.Now
-	for w.MachinesOwnedBy(isolated) > 0 && w.Now < isolatedAt+w.AgentLeaseTTL {
+	for w.OwnedMachineCount(isolated) > 0 && w.Now < isolatedAt+w.AgentLeaseTTL {
 		w.Advance(time.Second)
 	}
 	expiredLeases := 0
@@ -26,9 +26,9 @@
 			expiredLeases++
 		}
 	}
-	t.Logf("%d machines handed off in %v", owned-w.MachinesOwnedBy(isolated), w.Now-isolatedAt)
-	if owned < machines/5 || w.MachinesOwnedBy(isolated) > 0 || expiredLeases > 0 || len(w.Rules.Violations) > 0 {
+	t.Logf("%d machines handed off in %v", owned-w.OwnedMachineCount(isolated), w.Now-isolatedAt)
+	if owned < machines/5 || w.OwnedMachineCount(isolated) > 0 || expiredLeases > 0 || len(w.Rules.Violations) > 0 {
 		t.Errorf("%d of %d machines are still with a controller that lost its agents %v ago; %d leases expired; broken %v",
-			w.MachinesOwnedBy(isolated), owned, w.Now-isolatedAt, expiredLeases, w.Rules.Violations)
+			w.OwnedMachineCount(isolated), owned, w.Now-isolatedAt, expiredLeases, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -11,8 +11,8 @@
 
 // Classes whose tasks fail on every machine, and whose replicas exit by themselves at once.
 const (
-	classFails = "bad"
-	classExits = "ends"
+	failingClass = "bad"
+	exitingClass = "ends"
 )
 
 // Timers of an agent.
@@ -25,8 +25,8 @@
 	droppedReplyInterval = time.Second            // before the next heartbeat after a dropped reply
 )
 
-// never is when a state ends that has no end of its own.
-const never = time.Duration(1<<63 - 1)
+// stateNeverEnds is when a state ends that has no end of its own.
+const stateNeverEnds = time.Duration(1<<63 - 1)
 
 // taskExecution is an attempt of a task on a machine.
 type taskExecution struct {
@@ -37,9 +37,9 @@
 	stateEndsAt   time.Duration
 }
 
-// isOnMachine reports whether a state counts as running for the rules: the task's program has
+// countsAsRunning reports whether a state counts as running for the rules: the task's program has
 // been started and has not ended.
-func isOnMachine(state protocol.TaskState) bool {
+func countsAsRunning(state protocol.TaskState) bool {
 	return state != protocol.TaskPullingImage && state != protocol.TaskExited
 }
 
@@ -56,33 +56,33 @@
 	HeartbeatsLost bool // it reaches no controller, while direct commands reach it
 	CommandsLost   bool // its heartbeats arrive, while replies and commands do not reach it
 
-	world            *World
-	hung             bool // it stands still and may resume
-	deferredCommands []func()
-	epoch            protocol.AgentEpoch
-	sequence         protocol.Sequence
-	fencingToken     protocol.FencingToken
-	tasks            map[protocol.Task]*taskExecution
-	cachedImages     map[string]bool
-	lastStartAt      time.Duration // when it last accepted a start command
-	leaseRenewedAt   time.Duration // when the last heartbeat with a reply was sent
-	controllerIndex  int           // of the controller that its heartbeats go to
-	heartbeatID      int           // of the heartbeat that awaits its reply
-	awaitingReply    bool
-	heartbeatSentAt  time.Duration
-	nextHeartbeatAt  time.Duration
-	changed          bool          // something is to be reported soon
-	preemptAt        time.Duration // when the cloud takes it; 0: not announced
+	world               *World
+	hung                bool // it stands still and may resume
+	deferredCommands    []func()
+	epoch               protocol.AgentEpoch
+	sequence            protocol.Sequence
+	fencingToken        protocol.FencingToken
+	tasks               map[protocol.Task]*taskExecution
+	cachedImages        map[string]bool
+	lastStartAt         time.Duration // when it last accepted a start command
+	leaseRenewedAt      time.Duration // when the last heartbeat with a reply was sent
+	controllerIndex     int           // of the controller that its heartbeats go to
+	heartbeatID         int           // of the heartbeat that awaits its reply
+	awaitingReply       bool
+	heartbeatSentAt     time.Duration
+	nextHeartbeatAt     time.Duration
+	hasUnreportedChange bool          // something is to be reported soon
+	preemptAt           time.Duration // when the cloud takes it; 0: not announced
 }
 
-// loop plays the machine until it is terminated.
-func (m *Machine) loop() {
+// stepUntilTerminated plays the machine until it is terminated.
+func (m *Machine) stepUntilTerminated() {
 	if m.Terminated {
 		return
 	}
-	m.advance()
+	m.processTimers()
 	m.updateGangs()
-	m.world.After(machineStepInterval, m.loop)
+	m.world.After(machineStepInterval, m.stepUntilTerminated)
 }
 
 func (m *Machine) nextHeartbeat() []byte {
@@ -126,9 +126,9 @@
 
 // setState changes a task's state and tells the rules when it begins or ends to run.
 func (m *Machine) setState(t protocol.Task, execution *taskExecution, state protocol.TaskState) {
-	wasRunning, isRunning := isOnMachine(execution.state), isOnMachine(state)
+	wasRunning, isRunning := countsAsRunning(execution.state), countsAsRunning(state)
 	execution.state = state
-	m.changed = true
+	m.hasUnreportedChange = true
 	switch {
 	case isRunning && !wasRunning:
 		m.world.Rules.RecordTaskStart(m.world.Now, t, m.ID, m.Type, m.Zone, m.Spot)
@@ -171,7 +171,7 @@
 	m.killTasks()
 	m.epoch++
 	m.leaseRenewedAt = m.world.Now
-	m.awaitingReply, m.changed = false, true
+	m.awaitingReply, m.hasUnreportedChange = false, true
 }
 
 // recordLingeringTasks notes which tasks are killed while the machine hangs. Until it resumes
@@ -179,17 +179,17 @@
 // on; for a confirmed cancellation they have not.
 func (m *Machine) recordLingeringTasks() {
 	for t, execution := range m.tasks {
-		if isOnMachine(execution.state) {
-			m.world.Rules.lingering[t] = location{machine: m.ID, zone: m.Zone}
+		if countsAsRunning(execution.state) {
+			m.world.Rules.lingeringTasks[t] = location{machine: m.ID, zone: m.Zone}
 		}
 	}
 }
 
 // clearLingeringTasks ends what recordLingeringTasks noted: the machine resumes or is gone.
 func (m *Machine) clearLingeringTasks() {
-	for t, place := range m.world.Rules.lingering {
+	for t, place := range m.world.Rules.lingeringTasks {
 		if place.machine == m.ID {
-			delete(m.world.Rules.lingering, t)
+			delete(m.world.Rules.lingeringTasks, t)
 		}
 	}
 }
@@ -209,8 +209,8 @@
 	})
 }
 
-// advance lets the machine's time pass.
-func (m *Machine) advance() {
+// processTimers lets the machine's time pass.
+func (m *Machine) processTimers() {
 	now := m.world.Now
 	if m.Terminated {
 		return
@@ -224,14 +224,14 @@
 	for _, t := range m.sortedTasks() {
 		execution := m.tasks[t]
 		if execution.state != protocol.TaskExited && now >= execution.stateEndsAt {
-			m.leaveState(t, execution)
+			m.enterNextState(t, execution)
 		}
 	}
 	if m.awaitingReply && now-m.heartbeatSentAt > replyTimeout {
 		m.awaitingReply = false
 		m.tryNextController()
 	}
-	changeIsDue := m.changed && now-m.heartbeatSentAt >= minHeartbeatGap
+	changeIsDue := m.hasUnreportedChange && now-m.heartbeatSentAt >= minHeartbeatGap
 	if !m.awaitingReply && (now >= m.nextHeartbeatAt || changeIsDue) {
 		m.sendHeartbeat()
 	}
@@ -246,11 +246,11 @@
 	m.epoch++
 	m.leaseRenewedAt = m.world.Now
 	m.awaitingReply = false
-	m.changed = true
+	m.hasUnreportedChange = true
 }
 
-// leaveState takes a task whose state has lasted its time to the next one.
-func (m *Machine) leaveState(t protocol.Task, execution *taskExecution) {
+// enterNextState takes a task whose state has lasted its time to the next one.
+func (m *Machine) enterNextState(t protocol.Task, execution *taskExecution) {
 	job := m.world.Jobs[t.Job]
 	switch execution.state {
 	case protocol.TaskPullingImage:
@@ -267,14 +267,14 @@
 	case protocol.TaskAwaitingGang:
 		m.endTask(t, execution, "alone")
 	case protocol.TaskRunning:
-		if m.Faulty || job.Class == classFails {
+		if m.Faulty || job.Class == failingClass {
 			m.endTask(t, execution, protocol.ReasonError)
 		} else {
 			m.endTask(t, execution, protocol.ReasonDone)
 		}
 	case protocol.TaskSaving:
 		execution.progressSaved = true
-		m.world.SavedTasks[job.ID]++
+		m.world.SavedTaskCounts[job.ID]++
 		m.endTask(t, execution, "stopped")
 	}
 }
@@ -284,15 +284,15 @@
 func (m *Machine) startTask(t protocol.Task, execution *taskExecution, job *protocol.Job) {
 	runTime := job.EstimatedRunSeconds * (0.5 + m.world.Rand.Float64())
 	execution.stateEndsAt = m.world.Now + time.Duration(runTime*float64(time.Second))
-	if job.IsService() && job.Class != classFails && job.Class != classExits && !m.Faulty {
-		execution.stateEndsAt = never
+	if job.IsService() && job.Class != failingClass && job.Class != exitingClass && !m.Faulty {
+		execution.stateEndsAt = stateNeverEnds
 	}
 	m.setState(t, execution, protocol.TaskRunning)
 }
 
 func (m *Machine) sendHeartbeat() {
 	w := m.world
-	m.changed = false
+	m.hasUnreportedChange = false
 	m.awaitingReply, m.heartbeatSentAt = true, w.Now
 	m.nextHeartbeatAt = w.Now + time.Duration((0.75+w.Rand.Float64()/2)*float64(w.HeartbeatInterval))
 	m.heartbeatID++
@@ -361,7 +361,7 @@
 func (m *Machine) raiseToken(token protocol.FencingToken) {
 	if token > m.fencingToken {
 		m.fencingToken = token
-		m.changed = true
+		m.hasUnreportedChange = true
 	}
 }
 
@@ -399,17 +399,17 @@
 	if old != nil && (old.attempt == command.Attempt || old.state != protocol.TaskExited) {
 		return
 	}
-	m.changed = true
+	m.hasUnreportedChange = true
 	execution := &taskExecution{attempt: command.Attempt, state: protocol.TaskPullingImage}
 	m.tasks[command.Task] = execution
-	w.StartCommands++
+	w.StartCommandCount++
 	m.lastStartAt = w.Now
 	job := w.Jobs[command.Task.Job]
 	coresInUse := m.coresInUse(command.Task)
 	switch {
 	case job == nil:
 		execution.state, execution.reason = protocol.TaskExited, protocol.ReasonNotFound
-	case coresInUse+job.Cores > w.CoresOf(m.Type)+capacityTolerance:
+	case coresInUse+job.Cores > w.CoresOfType(m.Type)+capacityTolerance:
 		execution.state, execution.reason = protocol.TaskExited, protocol.ReasonInsufficientResources
 	case !m.cachedImages[job.Image]:
 		execution.stateEndsAt = w.Now + w.ImagePullTime
@@ -441,7 +441,7 @@
 	execution := m.tasks[command.Task]
 	if execution != nil && execution.attempt == command.Attempt && execution.state == protocol.TaskExited {
 		delete(m.tasks, command.Task)
-		m.changed = true
+		m.hasUnreportedChange = true
 	}
 }
 
--- a/internal/simulation/machine_faults_test.go
+++ b/internal/simulation/machine_faults_test.go
@@ -274,7 +274,7 @@
 func newStarvationWorld(controllers int, aging bool) *World {
 	w := NewWorld(41, controllers, testMachineTypes[1:], testTeams())
 	w.CloudOutOfCapacity = true
-	w.reconfigure(func(config *step.Config) {
+	w.restartWithConfig(func(config *step.Config) {
 		config.IdleTimeoutFactor = 100
 		if !aging {
 			config.AgingThreshold = time.Hour
@@ -376,7 +376,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := NewWorld(61, 3, testMachineTypes[:1], testTeams())
 			w.CloudOutOfCapacity = true
-			w.reconfigure(func(config *step.Config) {
+			w.restartWithConfig(func(config *step.Config) {
 				config.IdleTimeoutFactor = 1000
 				config.ValueBytes = 1024 // few machines in a shard
 				config.MinRebalanceInterval = c.minInterval
@@ -412,7 +412,7 @@
 	w := NewWorld(71, 1, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
 	w.Store.MaxValueBytes = 2048
-	w.reconfigure(func(config *step.Config) {
+	w.restartWithConfig(func(config *step.Config) {
 		config.ValueBytes = 2048
 		config.IdleTimeoutFactor = 100
 	})
@@ -422,7 +422,7 @@
 	w.After(seconds(18), func() { w.Submit(newArray("j-3", "l", "low", 4, 4, 5)) })
 	w.Advance(seconds(150))
 	w.Rules.CheckFinal(w.Now)
-	if w.Store.RejectedTooLarge > 0 || len(w.FinishedJobs) != 3 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d transactions too large, done %v, broken %v", w.Store.RejectedTooLarge, w.FinishedJobs, w.Rules.Violations)
+	if w.Store.TooLargeTransactions > 0 || len(w.FinishedJobs) != 3 || len(w.Rules.Violations) > 0 {
+		t.Errorf("%d transactions too large, done %v, broken %v", w.Store.TooLargeTransactions, w.FinishedJobs, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/machine_loss_test.go
+++ b/internal/simulation/machine_loss_test.go
@@ -21,7 +21,7 @@
 	} {
 		w := NewWorld(31, 3, testMachineTypes[:1], testTeams())
 		w.CloudOutOfCapacity = true
-		w.reconfigure(func(config *step.Config) { config.IdleTimeoutFactor = 1000 })
+		w.restartWithConfig(func(config *step.Config) { config.IdleTimeoutFactor = 1000 })
 		w.addSmallMachines(21, "a")
 		job := newArray("j-1", "l", "standard", 60, 1, 30)
 		w.After(10*time.Second, func() { w.Submit(job) })
@@ -33,7 +33,7 @@
 		w.Advance(220 * time.Second)
 		owned := 0
 		for _, controller := range w.Controllers {
-			owned += w.MachinesOwnedBy(controller)
+			owned += w.OwnedMachineCount(controller)
 		}
 		if !w.FinishedJobs[job.ID] || owned != 3 || len(w.Rules.Violations) > 0 {
 			t.Errorf("%s: done %v, %d machines on record of 3 that are left, broken %v", c.name, w.FinishedJobs[job.ID], owned, w.Rules.Violations)
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -32,8 +32,8 @@
 	}
 	w.PreemptMachine(machine, 14*time.Second)
 	w.Advance(14 * time.Second)
-	if w.SavedTasks["j-1"] != 5 {
-		t.Errorf("%d of 5 tasks have saved", w.SavedTasks["j-1"])
+	if w.SavedTaskCounts["j-1"] != 5 {
+		t.Errorf("%d of 5 tasks have saved", w.SavedTaskCounts["j-1"])
 	}
 	w.Advance(100 * time.Second)
 	w.Rules.CheckFinal(w.Now)
@@ -99,7 +99,7 @@
 		scaledIn int      // machines, as faulty
 	}{
 		{"faulty machine", true, []string{"l", "l", "l", "l"}, 1},
-		{"job that fails everywhere", false, []string{"l", classFails}, 0},
+		{"job that fails everywhere", false, []string{"l", failingClass}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newFixedWorld(9, 1, 3)
@@ -114,7 +114,7 @@
 				w.After(seconds(3+25*i), func() { w.Submit(newArray(jobNumber(i), class, "standard", 4, 2, 2)) })
 			}
 			w.Advance(seconds(145))
-			if slices.Contains(c.classes, classFails) {
+			if slices.Contains(c.classes, failingClass) {
 				w.Cancel("j-1") // its user sees that it makes no progress
 			}
 			w.Advance(seconds(5))
@@ -123,7 +123,7 @@
 				t.Errorf("%d scaled in, want %d; %d starts, broken %v", scaledIn, c.scaledIn, w.Rules.TasksStarted, w.Rules.Violations)
 			}
 			for i, class := range c.classes {
-				if class != classFails && !w.FinishedJobs[jobNumber(i)] {
+				if class != failingClass && !w.FinishedJobs[jobNumber(i)] {
 					t.Errorf("%s is not done", jobNumber(i))
 				}
 			}
@@ -147,9 +147,9 @@
 	w.Advance(40 * time.Second)
 	w.Submit(guaranteed)
 	w.Advance(25 * time.Second)
-	if w.Store.RejectedTooLarge > 0 || w.Store.LargestValue > maxValueBytes || w.Rules.TasksStarted < 1000 || len(w.Rules.Violations) > 0 {
+	if w.Store.TooLargeTransactions > 0 || w.Store.LargestValueBytes > maxValueBytes || w.Rules.TasksStarted < 1000 || len(w.Rules.Violations) > 0 {
 		t.Errorf("%d transactions too large, largest value %d, %d starts, broken %v",
-			w.Store.RejectedTooLarge, w.Store.LargestValue, w.Rules.TasksStarted, w.Rules.Violations)
+			w.Store.TooLargeTransactions, w.Store.LargestValueBytes, w.Rules.TasksStarted, w.Rules.Violations)
 	}
 	if !w.FinishedJobs["j-2"] {
 		t.Error("the team did not get its guarantee")
@@ -193,7 +193,7 @@
 func TestPreemption(t *testing.T) {
 	w := NewWorld(6, 1, testMachineTypes[1:], testTeams())
 	w.CloudOutOfCapacity = true
-	w.traceTo(t)
+	w.traceLogsTo(t)
 	w.AddMachine("large", "a", false, 0)
 	low := newArray("j-1", "l", "low", 16, 2, 60)
 	high := newGang("j-2", "l", "high", 1, 30, 5)
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -20,11 +20,11 @@
 	Violations    []string
 	TasksStarted  int
 
-	jobs       map[protocol.JobID]*observedJob
-	locations  map[protocol.Task]location // where a task was started last
-	runCounts  map[protocol.Task]int      // on how many machines it runs
-	commanders map[machineEpoch]string    // process whose commands a machine has accepted
-	lingering  map[protocol.Task]location // see Machine.recordLingeringTasks
+	jobs           map[protocol.JobID]*observedJob
+	locations      map[protocol.Task]location // where a task was started last
+	runCounts      map[protocol.Task]int      // on how many machines it runs
+	commandSenders map[machineEpoch]string    // process whose commands a machine has accepted
+	lingeringTasks map[protocol.Task]location // see Machine.recordLingeringTasks
 }
 
 // machineEpoch is a machine under one epoch of its shard.
@@ -58,13 +58,13 @@
 // NewRuleChecker makes a checker of an empty deployment.
 func NewRuleChecker(cancelTimeout time.Duration) *RuleChecker {
 	return &RuleChecker{
-		CancelTimeout: cancelTimeout,
-		QuotaLimits:   map[string]float64{},
-		jobs:          map[protocol.JobID]*observedJob{},
-		locations:     map[protocol.Task]location{},
-		runCounts:     map[protocol.Task]int{},
-		commanders:    map[machineEpoch]string{},
-		lingering:     map[protocol.Task]location{},
+		CancelTimeout:  cancelTimeout,
+		QuotaLimits:    map[string]float64{},
+		jobs:           map[protocol.JobID]*observedJob{},
+		locations:      map[protocol.Task]location{},
+		runCounts:      map[protocol.Task]int{},
+		commandSenders: map[machineEpoch]string{},
+		lingeringTasks: map[protocol.Task]location{},
 	}
 }
 
@@ -85,10 +85,10 @@
 // epoch there may be only one.
 func (r *RuleChecker) RecordCommand(m protocol.MachineID, token protocol.FencingToken, controller string) {
 	epoch := machineEpoch{machine: m, epoch: storage.ShardEpochOf(token)}
-	if other, ok := r.commanders[epoch]; ok && other != controller {
+	if other, ok := r.commandSenders[epoch]; ok && other != controller {
 		r.recordViolation("two_commanders", "%s accepts commands from %s and from %s in epoch %d", m, other, controller, epoch.epoch)
 	}
-	r.commanders[epoch] = controller
+	r.commandSenders[epoch] = controller
 }
 
 // RecordSubmission notes that a user submits a job.
@@ -216,16 +216,16 @@
 			observed.reportedAt = now // counts once for each timeout
 		}
 	}
-	for t, p := range r.lingering {
+	for t, p := range r.lingeringTasks {
 		if observed := r.job(t.Job); observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
 			r.recordViolation("ran_cancelled", "%s hangs on %s", t, p.machine)
-			delete(r.lingering, t)
+			delete(r.lingeringTasks, t)
 		}
 	}
 	for id, observed := range r.jobs {
 		mustBeAnswered := r.FaultsEndedAt > 0 && observed.accepted && !observed.cancelRequested && observed.unansweredSince > 0
-		if mustBeAnswered && now-max(observed.unansweredSince, r.FaultsEndedAt) > maxUnanswered {
-			r.recordViolation("forgotten", "no request about %s was answered for %v", id, maxUnanswered)
+		if mustBeAnswered && now-max(observed.unansweredSince, r.FaultsEndedAt) > maxUnansweredTime {
+			r.recordViolation("forgotten", "no request about %s was answered for %v", id, maxUnansweredTime)
 			observed.unansweredSince = now
 		}
 	}
@@ -261,7 +261,7 @@
 		observed.placeableSince = 0
 	case observed.placeableSince == 0:
 		observed.placeableSince = now
-	case r.FaultsEndedAt > 0 && now-max(observed.placeableSince, r.FaultsEndedAt) > maxWait:
+	case r.FaultsEndedAt > 0 && now-max(observed.placeableSince, r.FaultsEndedAt) > maxPlaceableWait:
 		r.recordViolation("left_waiting", "%s has been pending %v though capacity is free", id, now-observed.placeableSince)
 		observed.placeableSince = now
 	}
@@ -269,16 +269,16 @@
 
 // Bounds of the rules that PROTOCOL does not have.
 const (
-	maxWait       = 90 * time.Second // for a job to be pending in calm times though capacity is free
-	maxUnanswered = 75 * time.Second // for all requests about a job to get no reply in calm times
-	maxStartDelay = 4 * time.Minute  // for the largest jobs of a class to start
+	maxPlaceableWait  = 90 * time.Second // for a job to be pending in calm times though capacity is free
+	maxUnansweredTime = 75 * time.Second // for all requests about a job to get no reply in calm times
+	maxStartDelay     = 4 * time.Minute  // for the largest jobs of a class to start
 )
 
-// serviceCount is how many jobs of a group there are, and how many were served.
-type serviceCount struct{ all, served int }
+// jobGroupCounts is how many jobs of a group there are, and how many were served.
+type jobGroupCounts struct{ total, served int }
 
-// jobSize is what a job asks for in all. It is never 0.
-func jobSize(job *protocol.Job) float64 {
+// totalRequestedCores is what a job asks for in all. It is never 0.
+func totalRequestedCores(job *protocol.Job) float64 {
 	return float64(job.TaskCount) * max(job.Cores, 1e-9)
 }
 
@@ -306,34 +306,34 @@
 	for _, observed := range r.jobs {
 		if observed.mustBeServed() {
 			class := observed.spec.Class
-			largest[class] = max(largest[class], jobSize(observed.spec))
+			largest[class] = max(largest[class], totalRequestedCores(observed.spec))
 		}
 	}
-	groups := map[string]*serviceCount{}
+	groups := map[string]*jobGroupCounts{}
 	for _, id := range slices.Sorted(maps.Keys(r.jobs)) {
 		observed := r.jobs[id]
 		if !observed.mustBeServed() {
 			continue
 		}
 		names := []string{"class " + observed.spec.Class, "team " + observed.spec.Team}
-		if jobSize(observed.spec) >= largest[observed.spec.Class] {
+		if totalRequestedCores(observed.spec) >= largest[observed.spec.Class] {
 			names = append(names, "the largest of class "+observed.spec.Class)
 			r.checkStartDelay(now, id, observed)
 		}
 		served := r.isServed(id, observed)
 		for _, name := range names {
 			if groups[name] == nil {
-				groups[name] = &serviceCount{}
+				groups[name] = &jobGroupCounts{}
 			}
-			groups[name].all++
+			groups[name].total++
 			if served {
 				groups[name].served++
 			}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		if group := groups[name]; 2*group.served < group.all {
-			r.recordViolation("unserved", "%s: %d of %d jobs", name, group.served, group.all)
+		if group := groups[name]; 2*group.served < group.total {
+			r.recordViolation("unserved", "%s: %d of %d jobs", name, group.served, group.total)
 		}
 	}
 }
--- a/internal/simulation/scale_bench_test.go
+++ b/internal/simulation/scale_bench_test.go
@@ -15,10 +15,10 @@
 	w := NewWorld(77, 3, testMachineTypes, testTeams())
 	w.CloudOutOfCapacity = true
 	w.HeartbeatInterval, w.AgentLeaseTTL = 8*time.Second, 42*time.Second
-	w.Store.MaxOperations = 24
-	w.reconfigure(func(config *step.Config) {
+	w.Store.MaxTransactionOperations = 24
+	w.restartWithConfig(func(config *step.Config) {
 		config.IdleTimeoutFactor = 1000
-		config.WritesPerSecond, config.TransactionOps = 90, w.Store.MaxOperations
+		config.WritesPerSecond, config.TransactionOps = 90, w.Store.MaxTransactionOperations
 		config.HeartbeatInterval, config.AgentLeaseTTL = w.HeartbeatInterval, w.AgentLeaseTTL
 	})
 	for i := range n {
@@ -86,7 +86,7 @@
 					transferred += w.History.ShardsTransferred
 					writes += w.History.TransferWrites
 					machines += w.History.MachinesTransferred
-					idle += w.History.MachineIdleTime
+					idle += w.History.MachineQuiesceTime
 				}
 				slices.Sort(gangs)
 				slices.Sort(others)
@@ -106,7 +106,7 @@
 func newBusyWorld(seed uint64) *World {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
 	w.CloudOutOfCapacity = true
-	w.reconfigure(func(config *step.Config) {
+	w.restartWithConfig(func(config *step.Config) {
 		config.RecordTransfers = true
 		config.ValueBytes = 2500
 		config.IdleTimeoutFactor = 1000
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -73,11 +73,11 @@
 			}
 		}, 50},
 		{"the store is down as its machine dies", 4, nil, func(w *World) {
-			w.setFor(seconds(10), &w.Store.Unavailable)
+			w.setFlagsFor(seconds(10), &w.Store.Unavailable)
 			terminateServiceMachine(w)
 		}, 50},
 		{"a leader is refused", 4, nil, func(w *World) {
-			w.setFor(seconds(20), &w.busiestController().RefusedByStore)
+			w.setFlagsFor(seconds(20), &w.busiestController().RefusedByStore)
 			terminateServiceMachine(w)
 		}, 50},
 		{"spread over zones", 5, func(job *protocol.Job) { job.SpreadZones = true }, terminateServiceMachine, 30},
@@ -140,16 +140,16 @@
 		w.CloudOutOfCapacity = true
 		w.After(seconds(3), func() { w.Submit(newArray("j-2", "l", "standard", 32, 1, 600)) })
 		w.Advance(seconds(15))
-		before, starts := w.placedTasks("j-2"), w.StartCommands
+		before, starts := w.placedTasks("j-2"), w.StartCommandCount
 		job := newService("j-1", 3)
 		job.Priority = c.priority
 		w.Submit(job)
 		w.Advance(seconds(10))
 		after := w.placedTasks("j-2")
 		// One that is stopped without need would be placed again, and start anew.
-		if before != 32 || w.runningReplicas("j-1") != c.running || before-after != c.running || w.StartCommands-starts != c.running || len(w.Rules.Violations) > 0 {
+		if before != 32 || w.runningReplicas("j-1") != c.running || before-after != c.running || w.StartCommandCount-starts != c.running || len(w.Rules.Violations) > 0 {
 			t.Errorf("%s: %d replicas run, %d of %d other tasks left, %d starts, broken %v",
-				c.priority, w.runningReplicas("j-1"), after, before, w.StartCommands-starts, w.Rules.Violations)
+				c.priority, w.runningReplicas("j-1"), after, before, w.StartCommandCount-starts, w.Rules.Violations)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 // A replica that exits as soon as it starts is tried ever less often, and keeps nothing else from
 // running.
 func TestReplicaExitsImmediately(t *testing.T) {
-	for _, class := range []string{classExits, classFails} {
+	for _, class := range []string{exitingClass, failingClass} {
 		w := newMixedWorld(t, 6)
 		job := newService("j-1", 2)
 		job.Class = class
@@ -185,9 +185,9 @@
 		good := newService("j-2", 4)
 		w.After(seconds(30), func() { w.Submit(good) })
 		w.Advance(seconds(40))
-		early := w.StartCommands
+		early := w.StartCommandCount
 		w.Advance(seconds(120))
-		if late := w.StartCommands - early; w.runningReplicas("j-2") != 4 || late < 4 || late > 2*120/20 || w.FinishedJobs["j-1"] {
+		if late := w.StartCommandCount - early; w.runningReplicas("j-2") != 4 || late < 4 || late > 2*120/20 || w.FinishedJobs["j-1"] {
 			t.Errorf("%s: %d starts in two minutes, %d good replicas run, done %v", class, late, w.runningReplicas("j-2"), w.FinishedJobs["j-1"])
 		}
 		if len(w.Rules.Violations) > 0 {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -24,16 +24,16 @@
 
 // Store is the key-value store.
 type Store struct {
-	Unavailable      bool // outage: every request gets 503
-	RejectedTooLarge int  // transactions
-	MaxValueBytes    int
-	MaxOperations    int // of a transaction; it may have four conditions for each
-	LargestValue     int // that a transaction had, in bytes
+	Unavailable              bool // outage: every request gets 503
+	TooLargeTransactions     int  // transactions
+	MaxValueBytes            int
+	MaxTransactionOperations int // of a transaction; it may have four conditions for each
+	LargestValueBytes        int // that a transaction had, in bytes
 
-	WriteRate         float64 // operations a second, in bursts of a second's worth; 0: no limit
-	RejectedThrottled int     // transactions
-	writeBudget       float64 // operations that are accepted at once
-	writeBudgetAt     time.Duration
+	WriteRate             float64 // operations a second, in bursts of a second's worth; 0: no limit
+	ThrottledTransactions int     // transactions
+	writeBudget           float64 // operations that are accepted at once
+	writeBudgetAt         time.Duration
 
 	revision    protocol.Revision
 	entries     map[string]storedEntry
@@ -49,12 +49,12 @@
 // NewStore makes an empty store that keeps the given number of events.
 func NewStore(maxEvents int) *Store {
 	return &Store{
-		MaxValueBytes: maxValueBytes,
-		MaxOperations: maxTransactionOps,
-		entries:       map[string]storedEntry{},
-		leaseExpiry:   map[protocol.LeaseID]time.Duration{},
-		leaseTTL:      map[protocol.LeaseID]time.Duration{},
-		maxEvents:     maxEvents,
+		MaxValueBytes:            maxValueBytes,
+		MaxTransactionOperations: maxTransactionOps,
+		entries:                  map[string]storedEntry{},
+		leaseExpiry:              map[protocol.LeaseID]time.Duration{},
+		leaseTTL:                 map[protocol.LeaseID]time.Duration{},
+		maxEvents:                maxEvents,
 	}
 }
 
@@ -87,7 +87,7 @@
 				delete(s.entries, k)
 				deletion := protocol.Event{DeleteKey: k, ModRevision: protocol.ModRevision(s.revision)}
 				s.appendEvent(deletion)
-				s.notifyObserver([]protocol.Event{deletion})
+				s.notifyOnRevision([]protocol.Event{deletion})
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (s *Store) notifyObserver(events []protocol.Event) {
+func (s *Store) notifyOnRevision(events []protocol.Event) {
 	if s.OnRevision != nil && len(events) > 0 {
 		s.OnRevision(s.revision, events)
 	}
@@ -112,12 +112,12 @@
 		return http.StatusServiceUnavailable, protocol.TransactionResult{}
 	}
 	if s.isTooLarge(transaction) {
-		s.RejectedTooLarge++
+		s.TooLargeTransactions++
 		return http.StatusBadRequest, protocol.TransactionResult{Error: errorTooLarge}
 	}
 	writes := float64(len(transaction.Operations))
 	if s.WriteRate > 0 && s.writeBudget < writes {
-		s.RejectedThrottled++
+		s.ThrottledTransactions++
 		return http.StatusTooManyRequests, protocol.TransactionResult{}
 	}
 	s.writeBudget -= writes
@@ -126,7 +126,7 @@
 			return http.StatusBadRequest, protocol.TransactionResult{Error: "no such lease"}
 		}
 	}
-	if failed := s.failedConditions(transaction); failed != nil {
+	if failed := s.failedConditionKeys(transaction); failed != nil {
 		return http.StatusConflict, protocol.TransactionResult{FailedKeys: failed, Revision: s.revision}
 	}
 	s.revision++
@@ -136,7 +136,7 @@
 		s.appendEvent(event)
 		events = append(events, event)
 	}
-	s.notifyObserver(events)
+	s.notifyOnRevision(events)
 	return http.StatusOK, protocol.TransactionResult{Revision: s.revision}
 }
 
@@ -146,15 +146,15 @@
 	size, valueTooLarge := 0, false
 	for _, operation := range transaction.Operations {
 		size += len(operation.Value) + len(operation.PutKey)
-		s.LargestValue = max(s.LargestValue, len(operation.Value))
+		s.LargestValueBytes = max(s.LargestValueBytes, len(operation.Value))
 		valueTooLarge = valueTooLarge || len(operation.Value) > s.MaxValueBytes
 	}
 	return valueTooLarge || size > maxTransactionBytes ||
-		len(transaction.Operations) > s.MaxOperations || len(transaction.Conditions) > conditionsPerOperation*s.MaxOperations
+		len(transaction.Operations) > s.MaxTransactionOperations || len(transaction.Conditions) > conditionsPerOperation*s.MaxTransactionOperations
 }
 
-// failedConditions lists the keys of conditions that do not hold; nil if all hold.
-func (s *Store) failedConditions(transaction protocol.Transaction) (failed []string) {
+// failedConditionKeys lists the keys of conditions that do not hold; nil if all hold.
+func (s *Store) failedConditionKeys(transaction protocol.Transaction) (failed []string) {
 	for _, condition := range transaction.Conditions {
 		if s.modRevision(condition.Key) != condition.ModRevision {
 			failed = append(failed, condition.Key)
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -46,7 +46,7 @@
 func newTransferRequestWorld(t *testing.T) transferRequestWorld {
 	t.Helper()
 	w := newTransferWorld(t, 3)
-	w.reconfigure(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
+	w.restartWithConfig(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
 	w.Advance(12 * time.Second)
 	cluster := transferRequestWorld{World: w}
 	for _, controller := range w.Controllers {
@@ -192,12 +192,12 @@
 		}
 	}
 	w.Advance(30 * time.Second)
-	if left := w.MachinesOwnedBy(a); left > 0 {
+	if left := w.OwnedMachineCount(a); left > 0 {
 		t.Errorf("%d machines are left", left)
 	}
 	a.restartIfAlive(time.Second)
 	w.Advance(30 * time.Second)
-	if left := w.MachinesOwnedBy(a); left > 0 {
+	if left := w.OwnedMachineCount(a); left > 0 {
 		t.Errorf("%d machines were given to the next incarnation", left)
 	}
 	if r := drain(b, b, true); r.Err != nil {
@@ -210,8 +210,8 @@
 		t.Errorf("drain of an unknown controller: %+v", r)
 	}
 	w.Advance(20 * time.Second)
-	if w.MachinesOwnedBy(a)+w.MachinesOwnedBy(b) > 0 || w.MachinesOwnedBy(c) == 0 {
-		t.Errorf("the controllers own %d, %d and %d machines", w.MachinesOwnedBy(a), w.MachinesOwnedBy(b), w.MachinesOwnedBy(c))
+	if w.OwnedMachineCount(a)+w.OwnedMachineCount(b) > 0 || w.OwnedMachineCount(c) == 0 {
+		t.Errorf("the controllers own %d, %d and %d machines", w.OwnedMachineCount(a), w.OwnedMachineCount(b), w.OwnedMachineCount(c))
 	}
 	for _, controller := range []*Controller{a, b} {
 		if r := drain(c, controller, false); r.Err != nil || r.Status.Draining {
@@ -230,7 +230,7 @@
 // all own about as many; then nothing is transferred any more.
 func TestRebalancingConverges(t *testing.T) {
 	w := newTransferWorld(t, 9)
-	w.reconfigure(func(config *step.Config) { config.ValueBytes = 1024 }) // few machines in a shard
+	w.restartWithConfig(func(config *step.Config) { config.ValueBytes = 1024 }) // few machines in a shard
 	w.Controllers[0].Kill()
 	w.Advance(20 * time.Second)
 	w.Controllers[0].Start()
@@ -288,11 +288,11 @@
 // tasks again after the transfer.
 func TestShardQuiesces(t *testing.T) {
 	w := newTransferWorld(t, 4)
-	w.reconfigure(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
+	w.restartWithConfig(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
 	long := newArray("j-900001", "l", "standard", 20, 2, 60)
 	w.After(8*time.Second, func() { w.Submit(long) })
 	w.Advance(20 * time.Second)
-	started := w.StartCommands
+	started := w.StartCommandCount
 	var preparedAt, committedAt time.Duration
 	w.onTransferPhase(storage.TransferPrepared, func(storage.TransferRecord) { preparedAt = w.Now })
 	w.onTransferPhase(storage.TransferCommitted, func(storage.TransferRecord) { committedAt = w.Now })
@@ -305,12 +305,12 @@
 	if preparedAt == 0 || committedAt <= preparedAt || committedAt-preparedAt > 6*time.Second {
 		t.Errorf("prepared at %v, committed at %v", preparedAt, committedAt)
 	}
-	if w.StartCommands != started || w.Rules.TasksStarted != 20 {
-		t.Errorf("%d starts, %d before the transfers; %d of 20 tasks started", w.StartCommands, started, w.Rules.TasksStarted)
+	if w.StartCommandCount != started || w.Rules.TasksStarted != 20 {
+		t.Errorf("%d starts, %d before the transfers; %d of 20 tasks started", w.StartCommandCount, started, w.Rules.TasksStarted)
 	}
 	w.Advance(120 * time.Second)
 	w.Rules.CheckFinal(w.Now)
-	if !w.FinishedJobs[long.ID] || w.StartCommands != started || len(w.Rules.Violations) > 0 {
-		t.Errorf("done %v, %d starts for %d, broken %v", w.FinishedJobs[long.ID], w.StartCommands, started, w.Rules.Violations)
+	if !w.FinishedJobs[long.ID] || w.StartCommandCount != started || len(w.Rules.Violations) > 0 {
+		t.Errorf("done %v, %d starts for %d, broken %v", w.FinishedJobs[long.ID], w.StartCommandCount, started, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/transfer_scenarios_test.go
+++ b/internal/simulation/transfer_scenarios_test.go
@@ -65,13 +65,13 @@
 
 func storeOutageBetweenPhases(w *World) {
 	w.onEveryTransfer(storage.TransferPrepared, 6, func(storage.TransferRecord) {
-		w.setFor(seconds(9), &w.Store.Unavailable)
+		w.setFlagsFor(seconds(9), &w.Store.Unavailable)
 	})
 }
 
 func sourceLosesStore(w *World) {
 	w.onEveryTransfer(storage.TransferPrepared, 6, func(r storage.TransferRecord) {
-		w.setFor(seconds(15), &w.controllerOf(r.Source).StoreUnreachable)
+		w.setFlagsFor(seconds(15), &w.controllerOf(r.Source).StoreUnreachable)
 	})
 }
 
@@ -109,14 +109,14 @@
 func shardMachinesPartitioned(w *World) {
 	w.onEveryTransfer(storage.TransferPrepared, 3, func(r storage.TransferRecord) {
 		for _, id := range w.shardMachines(r.Shard) {
-			w.setFor(seconds(20), &w.Machines[id].Partitioned)
+			w.setFlagsFor(seconds(20), &w.Machines[id].Partitioned)
 		}
 	})
 }
 
 func sourceLosesAgents(w *World) {
 	w.onEveryTransfer(storage.TransferPrepared, 8, func(r storage.TransferRecord) {
-		w.setFor(seconds(20), &w.controllerOf(r.Source).AgentsUnreachable)
+		w.setFlagsFor(seconds(20), &w.controllerOf(r.Source).AgentsUnreachable)
 	})
 }
 
@@ -133,10 +133,10 @@
 }
 
 func limitsTightenDuringTransfers(w *World) {
-	w.reconfigure(func(config *step.Config) {
+	w.restartWithConfig(func(config *step.Config) {
 		config.AnnouncedLimits = &step.WriteLimits{WritesPerSecond: 28, TransactionOps: 6, ValueBytes: 2048}
 	})
-	w.After(seconds(40), func() { w.Store.MaxValueBytes, w.Store.MaxOperations = 2048, 6 })
+	w.After(seconds(40), func() { w.Store.MaxValueBytes, w.Store.MaxTransactionOperations = 2048, 6 })
 }
 
 func oneControllerOfProductionVersion(w *World) {
--- a/internal/simulation/transfers_random_test.go
+++ b/internal/simulation/transfers_random_test.go
@@ -57,7 +57,7 @@
 // schedule plans the fault.
 func (f fault) schedule(w *World) {
 	controller := w.Controllers[f.controller]
-	setDuring := func(flag *bool) { w.setBetween(f.at, f.at+f.duration, flag) }
+	setDuring := func(flag *bool) { w.setFlagsBetween(f.at, f.at+f.duration, flag) }
 	setRateDuring := func(rate *float64, value float64) {
 		w.After(f.at, func() { *rate = value })
 		w.After(f.at+f.duration, func() { *rate = 0 })
@@ -89,7 +89,7 @@
 // runFaults transfers shards while faults happen, and lists what is wrong in the end.
 func runFaults(seed uint64, faults []fault) (problems []string) {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
-	w.reconfigure(func(config *step.Config) {
+	w.restartWithConfig(func(config *step.Config) {
 		config.RecordTransfers = true
 		config.ValueBytes = 2500
 		config.MinRebalanceInterval = time.Second
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -14,8 +14,8 @@
 // newTransferWorld is a deployment of many small shards in which transfers are on record.
 func newTransferWorld(t *testing.T, seed uint64) *World {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
-	w.traceTo(t)
-	w.reconfigure(func(config *step.Config) {
+	w.traceLogsTo(t)
+	w.restartWithConfig(func(config *step.Config) {
 		config.RecordTransfers = true
 		config.ValueBytes = 2500
 		config.MinRebalanceInterval = time.Second
@@ -27,7 +27,7 @@
 
 // onTransferPhase calls a callback each time a transfer comes to a phase, after the write.
 func (w *World) onTransferPhase(phase storage.TransferPhase, callback func(storage.TransferRecord)) {
-	w.OnTransferRecord(func(record storage.TransferRecord) {
+	w.AddTransferRecordHook(func(record storage.TransferRecord) {
 		if record.Phase == phase {
 			w.After(0, func() { callback(record) })
 		}
@@ -136,7 +136,7 @@
 	for _, m := range w.Machines {
 		m.Partitioned = false
 	}
-	w.Store.OnRevision = w.History.Apply
+	w.Store.OnRevision = w.History.ApplyRevision
 	w.Rules.FaultsEndedAt = w.Now
 }
 
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -32,7 +32,7 @@
 // tightenLimits makes the announced limits those of the store.
 func (w *World) tightenLimits() {
 	w.Store.MaxValueBytes = tightenedLimits.ValueBytes
-	w.Store.MaxOperations = tightenedLimits.TransactionOps
+	w.Store.MaxTransactionOperations = tightenedLimits.TransactionOps
 	w.Store.WriteRate = tightenedLimits.WritesPerSecond
 }
 
@@ -109,14 +109,14 @@
 
 func upgradeWithOutages(w *World) {
 	upgradeInTurn(w)
-	w.outage(25, 9)
-	w.outage(60, 9)
+	w.scheduleStoreOutage(25, 9)
+	w.scheduleStoreOutage(60, 9)
 }
 
 func upgradeWithRefusedLeaders(w *World) {
 	upgradeInTurn(w)
-	w.setBetween(seconds(26), seconds(46), &w.Controllers[0].RefusedByStore)
-	w.setBetween(seconds(70), seconds(90), &w.Controllers[1].RefusedByStore)
+	w.setFlagsBetween(seconds(26), seconds(46), &w.Controllers[0].RefusedByStore)
+	w.setFlagsBetween(seconds(70), seconds(90), &w.Controllers[1].RefusedByStore)
 	for _, at := range []int{27, 46, 71} {
 		w.After(seconds(at), func() { w.cancelRunningJobs(3) })
 	}
@@ -130,7 +130,7 @@
 		m := w.Machines[machineID(2+4*i)]
 		w.After(seconds(20+6*i), func() { m.Hang(seconds(3 + 3*i)) })
 	}
-	w.outage(57, 7)
+	w.scheduleStoreOutage(57, 7)
 	w.Controllers[0].ScheduleRestart(seconds(66), seconds(0.3))
 }
 
@@ -153,7 +153,7 @@
 	w.Advance(seconds(130))
 	w.MessageLossRate, w.DuplicateHeartbeatRate = 0, 0
 	w.Rules.FaultsEndedAt = w.Now
-	rejected := w.Store.RejectedTooLarge
+	rejected := w.Store.TooLargeTransactions
 	w.Advance(seconds(140))
 	w.Rules.CheckFinal(w.Now)
 	checkUpgrade(t, w, seed, rejected)
@@ -174,8 +174,8 @@
 	t.Helper()
 	const maxRejected = 12 // as the limits tighten
 	checkRules(t, w, seed)
-	if w.Store.RejectedTooLarge > rejected {
-		t.Errorf("seed %d: %d transactions too large in calm times", seed, w.Store.RejectedTooLarge-rejected)
+	if w.Store.TooLargeTransactions > rejected {
+		t.Errorf("seed %d: %d transactions too large in calm times", seed, w.Store.TooLargeTransactions-rejected)
 	}
 	if rejected > maxRejected {
 		t.Errorf("seed %d: %d transactions too large", seed, rejected)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -44,16 +44,16 @@
 	CancelAtEndRate        float64 // part of the jobs that are cancelled at the moment of their end
 
 	// Observations.
-	StartCommands int // start commands that agents have accepted
-	FinishedJobs  map[protocol.JobID]bool
-	SavedTasks    map[protocol.JobID]int // tasks that saved their progress when they were stopped
-	StepCosts     StepCosts              // the cost of the cores' steps; nil: not measured
+	StartCommandCount int // start commands that agents have accepted
+	FinishedJobs      map[protocol.JobID]bool
+	SavedTaskCounts   map[protocol.JobID]int // tasks that saved their progress when they were stopped
+	StepCosts         StepCosts              // the cost of the cores' steps; nil: not measured
 
 	// Hooks; each may be nil.
 	OnJobEnd    func(protocol.JobID) // is told of each job's end
 	OnProvision func(*Machine)       // is told of each machine before it boots
 	Trace       func(string)         // is told of each log line of a controller
-	Observe     func(at time.Duration, member protocol.ControllerID, e step.Effect)
+	OnEffect    func(at time.Duration, member protocol.ControllerID, e step.Effect)
 
 	queue         eventQueue
 	seq           int
@@ -98,11 +98,11 @@
 		ImagePullTime:     time.Second,
 		PartitionedZones:  map[protocol.Zone]*Controller{},
 		FinishedJobs:      map[protocol.JobID]bool{},
-		SavedTasks:        map[protocol.JobID]int{},
+		SavedTaskCounts:   map[protocol.JobID]int{},
 		provisioned:       map[string][]protocol.MachineID{},
 	}
 	w.History = NewHistoryChecker(func(violation string) { w.Rules.recordViolation("ownership", "%s", violation) })
-	w.Store.OnRevision = w.History.Apply
+	w.Store.OnRevision = w.History.ApplyRevision
 	for name, t := range teams {
 		w.Rules.QuotaLimits[name] = t.MaxCores
 	}
@@ -138,8 +138,8 @@
 	return protocol.ControllerID(fmt.Sprintf("stall-%d", index))
 }
 
-// CoresOf a machine type; 0 if there is no such type.
-func (w *World) CoresOf(name protocol.MachineTypeName) float64 {
+// CoresOfType a machine type; 0 if there is no such type.
+func (w *World) CoresOfType(name protocol.MachineTypeName) float64 {
 	for _, machineType := range w.MachineTypes {
 		if machineType.Name == name {
 			return machineType.Cores
