--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -10,6 +10,7 @@
 	"tillerarch/internal/transport"
 )
 
+// fakeCaller answers every call with the same response or error.
 type fakeCaller struct {
 	status int
 	body   string
@@ -23,7 +24,8 @@
 	return &transport.Response{Status: c.status, Body: []byte(c.body)}, nil
 }
 
-// An unexpected response is never taken for an outcome: it is unknown, or an error.
+// Tests that an unexpected response does not pass for a known outcome, a revision or a lease. The
+// outcome must be unknown, or the call must return an error.
 func TestUnexpectedResponses(t *testing.T) {
 	for _, test := range []struct {
 		name           string
@@ -49,14 +51,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			client := Client{RequestCaller: test.response, WatchCaller: test.response}
 			if got, _, _ := client.Commit(protocol.Transaction{}); got != test.outcome {
-				t.Errorf("%v, want %v", got, test.outcome)
+				t.Errorf("Commit returned outcome %v, want %v", got, test.outcome)
 			}
 			revision, err := client.Revision()
 			if (err == nil) != test.revisionIsRead || test.revisionIsRead && revision != 431 {
-				t.Errorf("read %v, %v", revision, err)
+				t.Errorf("Revision returned %v and error %v, want 431 for a missing key and an error otherwise", revision, err)
 			}
 			if _, err := client.GrantLease(time.Second); err == nil {
-				t.Error("taken as a lease")
+				t.Error("GrantLease accepted the response, want an error")
 			}
 		})
 	}
@@ -68,7 +70,7 @@
 	}
 }
 
-// Every error of the client says which request failed, with which status, and why.
+// Tests that every error of the client names the request that failed, the status and the cause.
 func TestRequestErrors(t *testing.T) {
 	commit := func(c *Client) error {
 		_, _, err := c.Commit(protocol.Transaction{})
@@ -96,10 +98,10 @@
 		name     string
 		call     func(*Client) error
 		response fakeCaller
-		path     string // how the path begins
+		path     string // start of the path in the error
 		status   int
-		cause    error  // found by errors.Is, if any
-		text     string // part of the text
+		cause    error  // if not nil, the error must wrap it
+		text     string // part of the error text
 	}{
 		{"commit never sent", commit, fakeCaller{err: transport.ErrNotSent}, "/multi", 0, transport.ErrNotSent,
 			"POST /multi: not sent"},
@@ -127,16 +129,16 @@
 			err := test.call(&Client{RequestCaller: test.response, WatchCaller: test.response})
 			var failed *RequestError
 			if !errors.As(err, &failed) {
-				t.Fatalf("%v is no RequestError", err)
+				t.Fatalf("error %v is not a *RequestError", err)
 			}
 			if !strings.HasPrefix(failed.Path, test.path) || failed.Status != test.status {
-				t.Errorf("path %q, status %d", failed.Path, failed.Status)
+				t.Errorf("error has path %q and status %d, want the path and status of the test", failed.Path, failed.Status)
 			}
 			if test.cause != nil && !errors.Is(err, test.cause) {
-				t.Errorf("%v does not wrap %v", err, test.cause)
+				t.Errorf("error %v does not wrap %v", err, test.cause)
 			}
 			if !strings.Contains(err.Error(), test.text) {
-				t.Errorf("%q lacks %q", err, test.text)
+				t.Errorf("error text %q does not contain %q", err, test.text)
 			}
 		})
 	}
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -6,18 +6,18 @@
 	"tillerarch/internal/protocol"
 )
 
-// The replica keeps the revision of every key it knows, takes no older value in, and
-// forgets what is deleted; the registry, quotas and the format are never deleted by any
-// version, and a replica keeps them.
+// Tests that the replica keeps the revision of every key that it knows, rejects older values and
+// removes deleted records. It keeps the registry, quotas and the format after a deletion,
+// because no version deletes them.
 func TestReplicaKeys(t *testing.T) {
 	transfer := string(MustMarshal(TransferRecord{Shard: "p", Source: "a#1", Target: "b#1", Phase: TransferProposed}))
 	for _, test := range []struct {
 		name             string
 		key              string
 		value            string
-		keptAfterDelete  bool
-		keptTombstone    bool
-		malformedAllowed bool // the value is never decoded
+		keptAfterDelete  bool // whether a deletion is ignored
+		keptTombstone    bool // whether the deletion is remembered, so that older values are rejected
+		malformedAllowed bool // whether a malformed value is accepted, because it is never decoded
 	}{
 		{name: "job", key: JobKey("j-1"), value: `{"d":{"uid":"j-1","pieces":1}}`},
 		{name: "shard", key: ShardKey("a#1-1"), value: `{"o":"a#1","b":1,"m":[]}`, keptTombstone: true},
@@ -44,17 +44,17 @@
 				}
 				return applied
 			}
-			expectRevision("before anything", 0)
+			expectRevision("before the first put", 0)
 			if !put(test.value, 5) || put(test.value, 5) || put(test.value, 4) {
 				t.Error("an equal or older value was applied, or a new one was not")
 			}
 			expectRevision("after a put", 5)
 			if _, err := replica.Put(test.key, []byte(`[`), 6); (err == nil) != test.malformedAllowed {
-				t.Errorf("malformed value: %v", err)
+				t.Errorf("Put of a malformed value: error %v, want one unless the value is never decoded", err)
 			}
 			replica.Delete(test.key, 3)
 			if replica.ModRevision(test.key) == 0 {
-				t.Error("an older deletion was applied")
+				t.Error("a deletion older than the value was applied")
 			}
 			before := replica.ModRevision(test.key)
 			replica.Delete(test.key, 9)
@@ -64,28 +64,29 @@
 				expectRevision("after a deletion", 0)
 			}
 			if applied := put(test.value, 8); applied == test.keptTombstone {
-				t.Errorf("a value older than the deletion: applied %v", applied)
+				t.Errorf("a value older than the deletion: applied %v, want it rejected only if the key has a tombstone", applied)
 			}
 		})
 	}
 }
 
-// Keys that this version does not know are taken in and change nothing.
+// Tests that the replica accepts keys that this version does not know, and that they change
+// nothing.
 func TestReplicaUnknownKey(t *testing.T) {
 	for _, key := range []string{"", "t/", "t/j", "t/z/1", "t/rolls", revisionProbeKey, "x/j/j-1"} {
 		replica := NewReplica()
 		if applied, err := replica.Put(key, []byte(`[`), 3); !applied || err != nil {
-			t.Errorf("%q: applied %v, %v", key, applied, err)
+			t.Errorf("Put of unknown key %q: applied %v, error %v; want applied without an error", key, applied, err)
 		}
 		replica.Delete(key, 4)
 		if revision := replica.ModRevision(key); revision != 0 || len(replica.Jobs) != 0 {
-			t.Errorf("%q: revision %d, jobs %v", key, revision, replica.Jobs)
+			t.Errorf("unknown key %q: revision %d and jobs %v, want 0 and no jobs", key, revision, replica.Jobs)
 		}
 	}
 }
 
-// The indexes of unfinished and cancelling jobs follow the jobs' records. What was found of
-// a job's completed tasks stays cached when the job is deleted.
+// Tests that the indexes of unfinished and cancelling jobs follow the jobs' records. The cached
+// set of a job's completed tasks remains when the job is deleted.
 func TestReplicaJobIndexes(t *testing.T) {
 	for _, test := range []struct {
 		name                   string
@@ -108,17 +109,17 @@
 			_, unfinished := replica.UnfinishedJobs["j-1"]
 			_, cancelling := replica.CancellingJobs["j-1"]
 			if unfinished != test.unfinished || cancelling != test.cancelling {
-				t.Errorf("unfinished %v, cancelling %v", unfinished, cancelling)
+				t.Errorf("job is unfinished: %v, cancelling: %v; want the values of the test", unfinished, cancelling)
 			}
 			if completed := replica.CompletedTasks("j-1").String(); completed != "0" {
-				t.Errorf("completed %q", completed)
+				t.Errorf("completed tasks %q, want \"0\"", completed)
 			}
 			replica.Delete(JobKey("j-1"), 3)
 			if len(replica.Jobs)+len(replica.UnfinishedJobs)+len(replica.CancellingJobs) != 0 {
-				t.Errorf("a deleted job stays in an index: %+v", replica)
+				t.Errorf("deleted job remains in an index: %+v", replica)
 			}
 			if completed := replica.CompletedTasks("j-1").String(); completed != "0" {
-				t.Errorf("completed %q after the deletion", completed)
+				t.Errorf("completed tasks %q after the deletion, want \"0\" from the cache", completed)
 			}
 		})
 	}
--- a/internal/storage/machine_line_test.go
+++ b/internal/storage/machine_line_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A machine's line is read as it was written, whatever its fields hold.
+// Tests that the parsed line of a machine equals the encoded record whatever its fields contain,
+// and that malformed lines are rejected.
 func TestMachineLineRoundTrip(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -41,10 +42,10 @@
 			line := want.EncodeLine("m-000001")
 			id, got, err := parseMachineLine(line)
 			if want.Zone == "-" {
-				want.Zone = "" // an empty field and a dash are the same, and neither is a zone
+				want.Zone = "" // the line does not distinguish a dash from an empty field; neither is a zone
 			}
 			if err != nil || id != "m-000001" || fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Errorf("%q: %v, %v, want %v", line, err, got, want)
+				t.Errorf("line %q: error %v, record %v, want machine m-000001 with %v", line, err, got, want)
 			}
 		})
 	}
@@ -62,7 +63,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := parseMachineLine(test.line); !errors.Is(err, errMalformedLine) {
-				t.Errorf("%q was accepted, or without a cause: %v", test.line, err)
+				t.Errorf("line %q: error %v, want one that wraps errMalformedLine", test.line, err)
 			}
 		})
 	}
--- a/internal/storage/replica_bench_test.go
+++ b/internal/storage/replica_bench_test.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// BenchmarkReplicaPutShard is one changed shard of 17 machines: every line differs from the
-// one before, so that all machines are parsed and indexed again.
+// BenchmarkReplicaPutShard measures Put of one changed shard of 17 machines. Every line differs
+// from the previous one, so that all machines are parsed and indexed again.
 func BenchmarkReplicaPutShard(b *testing.B) {
 	var versions [2][]byte
 	for i := range versions {
@@ -23,7 +23,7 @@
 	}
 }
 
-// BenchmarkReplicaFailover is a shard of 17 machines that only changes its owner.
+// BenchmarkReplicaFailover measures Put of a shard of 17 machines of which only the owner changes.
 func BenchmarkReplicaFailover(b *testing.B) {
 	lines, completed := fullShard(17, 2, 2)
 	var versions [2][]byte
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkReplicaModRevision looks up one key of each kind.
+// BenchmarkReplicaModRevision measures the lookup of one key of each kind.
 func BenchmarkReplicaModRevision(b *testing.B) {
 	replica := NewReplica()
 	keys := []string{
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -7,7 +7,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// encodeTestShard encodes a shard of machines "m-<n>"; "m-<n>/<job>" has a task of the job.
+// encodeTestShard returns the encoded record of a shard. An element of machines is "m-<n>" for a
+// machine without tasks, or "m-<n>/<job>" for a machine with a task of the job.
 func encodeTestShard(
 	owner Incarnation,
 	epoch ShardEpoch,
@@ -26,12 +27,12 @@
 	return EncodePlainShard(owner, epoch, lines, completed)
 }
 
-// The indexes follow whatever happens to shards: machines that pass to another shard, get
+// Tests that the indexes follow the changes of shards: machines that pass to another shard, get
 // another owner or are removed, and tasks that complete.
 func TestReplicaShards(t *testing.T) {
 	replica := NewReplica()
-	changes := 0
-	replica.OnMachineChange = func(protocol.MachineID, *MachineRecord, *MachineRecord) { changes++ }
+	changeCount := 0
+	replica.OnMachineChange = func(protocol.MachineID, *MachineRecord, *MachineRecord) { changeCount++ }
 	put := func(key string, data []byte, revision protocol.ModRevision) {
 		t.Helper()
 		if _, err := replica.Put(key, data, revision); err != nil {
@@ -46,16 +47,17 @@
 	put(shardA, encodeTestShard("x#1", 1, completedA, "m-1/j-1", "m-2"), 2)
 	put(shardB, encodeTestShard("y#1", 4, completedB, "m-3/j-1"), 3)
 	onMachines, completed := replica.MachinesWithJob(job), replica.CompletedTasks(job).String()
-	machines := len(replica.SortedMachines())
-	if len(onMachines) != 2 || completed != "0,2-3,5" || machines != 3 || changes != 3 {
-		t.Fatalf("on %v, completed %s, %v machines, %d changes", onMachines, completed, machines, changes)
+	machineCount := len(replica.SortedMachines())
+	if len(onMachines) != 2 || completed != "0,2-3,5" || machineCount != 3 || changeCount != 3 {
+		t.Fatalf("job on %v, completed %s, %v machines, %d changes; want 2 machines with the job, 0,2-3,5, 3 and 3",
+			onMachines, completed, machineCount, changeCount)
 	}
 
-	// A failover changes owner and token of all machines, and parses none of them again.
+	// A failover changes the owner and the fencing token of all machines and parses no line again.
 	put(shardA, encodeTestShard("y#1", 2, completedA, "m-1/j-1", "m-2"), 4)
 	record := replica.Machines["m-2"].Record
-	if record.Owner != "y#1" || record.FencingToken != ShardEpoch(2).FencingToken(0) || changes != 3 {
-		t.Errorf("after the failover %+v, %d changes", record, changes)
+	if record.Owner != "y#1" || record.FencingToken != ShardEpoch(2).FencingToken(0) || changeCount != 3 {
+		t.Errorf("after the failover: %+v, %d changes; want owner y#1, the token of epoch 2 and 3 changes", record, changeCount)
 	}
 
 	// m-1 passes from one shard to the other; m-2 is removed.
@@ -64,30 +66,32 @@
 	removed, shard := replica.PopRemovedMachines(), replica.Machines["m-1"].Record.Shard
 	onMachines = replica.MachinesWithJob(job)
 	if len(removed) != 1 || removed[0] != "m-2" || shard != "b" || len(onMachines) != 2 {
-		t.Errorf("removed %v, m-1 on %q, on %v", removed, shard, onMachines)
+		t.Errorf("removed %v, m-1 on %q, job on %v; want only m-2 removed, m-1 on b and 2 machines", removed, shard, onMachines)
 	}
 	if completed := replica.CompletedTasks(job).String(); completed != "0" {
-		t.Errorf("completed %s after the shards dropped it", completed)
+		t.Errorf("completed %s after the shards no longer list completed tasks, want 0", completed)
 	}
 
-	// Changes that come late change nothing, those of deleted shards included.
+	// An older change that arrives late has no effect, even if the shard has been deleted.
 	replica.Delete(shardB, 7)
 	put(shardB, encodeTestShard("z#1", 9, nil, "m-9"), 6)
 	onMachines, removed = replica.MachinesWithJob(job), replica.PopRemovedMachines()
 	revision := replica.ModRevision(shardB)
 	if len(replica.Machines) != 0 || len(onMachines) != 0 || revision != 0 || len(removed) != 2 {
-		t.Errorf("%v machines, on %v, revision %d, removed %v", len(replica.SortedMachines()), onMachines, revision, removed)
+		t.Errorf("%v machines, job on %v, revision %d, removed %v; want none, none, 0 and 2 removed",
+			len(replica.SortedMachines()), onMachines, revision, removed)
 	}
 
 	// A shard with a malformed machine is rejected as a whole.
 	malformed := []byte(`{"o":"x#1","b":1,"m":["m-5 a b c 1 1 -","nonsense"]}`)
 	if _, err := replica.Put(ShardKey("c"), malformed, 9); err == nil || len(replica.Machines) != 0 {
-		t.Errorf("err %v, machines %v", err, len(replica.SortedMachines()))
+		t.Errorf("shard with a malformed machine: error %v, %v machines; want an error and none",
+			err, len(replica.SortedMachines()))
 	}
 }
 
-// A machine that is on a newer shard stays there when an older change of its former one comes
-// late, and is not among the removed ones.
+// Tests that a machine on a newer shard stays there when an older change of its former shard
+// arrives late, and that the machine is not reported as removed.
 func TestReplicaLateShard(t *testing.T) {
 	replica := NewReplica()
 	for _, change := range []struct {
@@ -106,14 +110,14 @@
 		}
 	}
 	if shard := replica.Machines["m-1"].Record.Shard; shard != "b" {
-		t.Errorf("m-1 is on %q", shard)
+		t.Errorf("m-1 is on shard %q, want b", shard)
 	}
 	if removed := replica.PopRemovedMachines(); len(removed) != 0 {
-		t.Errorf("removed %v", removed)
+		t.Errorf("removed machines %v, want none", removed)
 	}
 }
 
-// The completed tasks that only a shard lists go with the shard.
+// Tests that the completed tasks that only a shard lists are removed with the shard.
 func TestReplicaCompletedTasksOfDeletedShard(t *testing.T) {
 	replica := NewReplica()
 	completed := map[protocol.JobID]TaskSet{"j-1": TaskRange(2, 3)}
@@ -121,10 +125,10 @@
 		t.Fatal(err)
 	}
 	if got := replica.CompletedTasks("j-1").String(); got != "2-3" {
-		t.Errorf("completed %q", got)
+		t.Errorf("completed tasks %q, want 2-3", got)
 	}
 	replica.Delete(ShardKey("a"), 3)
 	if got := replica.CompletedTasks("j-1").String(); got != "" {
-		t.Errorf("completed %q after the shard was deleted", got)
+		t.Errorf("completed tasks %q after the shard was deleted, want none", got)
 	}
 }
--- a/internal/storage/shards_packed_test.go
+++ b/internal/storage/shards_packed_test.go
@@ -10,11 +10,12 @@
 	"tillerarch/internal/protocol"
 )
 
-// fullShard makes the lines of a shard whose machines have many tasks of several jobs.
-func fullShard(machines, jobs, tasks int) (lines []string, completed map[protocol.JobID]TaskSet) {
-	rng := rand.New(rand.NewPCG(1, uint64(machines)))
+// fullShard returns the lines and completed tasks of a shard whose machines have many tasks of
+// several jobs.
+func fullShard(machineCount, jobsPerMachine, tasksPerJob int) (lines []string, completed map[protocol.JobID]TaskSet) {
+	rng := rand.New(rand.NewPCG(1, uint64(machineCount)))
 	completed = map[protocol.JobID]TaskSet{}
-	for i := range machines {
+	for i := range machineCount {
 		record := MachineRecord{
 			AgentEpoch:  1,
 			Address:     fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+2),
@@ -22,9 +23,9 @@
 			Zone:        "kariakoo",
 			AddedAt:     protocol.Millis(1_790_000_000_000 + rng.Int64N(400_000)),
 		}
-		for range jobs {
+		for range jobsPerMachine {
 			job := protocol.JobID(fmt.Sprintf("j-%06d", rng.IntN(40)))
-			for range tasks {
+			for range tasksPerJob {
 				record.Assign(protocol.Task{Job: job, Index: rng.IntN(900)}, protocol.Attempt(1+rng.IntN(30)))
 			}
 			completed[job] = completed[job].Add(rng.IntN(900))
@@ -34,13 +35,13 @@
 	return lines, completed
 }
 
-// A packed shard holds what the plain one does, in a fraction of the space: the tightened
-// size limits of the store rely on it.
+// Tests that a packed shard contains the same as the plain one and is small enough for the
+// tightened size limits of the store, which depend on the small size.
 func TestPackedShardRoundTrip(t *testing.T) {
 	for _, test := range []struct {
-		name                  string
-		machines, jobs, tasks int
-		maxSize               int
+		name                                      string
+		machineCount, jobsPerMachine, tasksPerJob int
+		maxSize                                   int
 	}{
 		{"empty", 0, 0, 0, 100},
 		{"one idle machine", 1, 0, 0, 200},
@@ -49,7 +50,7 @@
 		{"20 idle machines", 20, 0, 0, 700},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			lines, completed := fullShard(test.machines, test.jobs, test.tasks)
+			lines, completed := fullShard(test.machineCount, test.jobsPerMachine, test.tasksPerJob)
 			plain := EncodeShard(FormatPlain, "stall-0#7", 3, lines, completed)
 			packed := EncodeShard(FormatPacked, "stall-0#7", 3, lines, completed)
 			t.Logf("%d bytes plain, %d packed", len(plain), len(packed))
@@ -59,7 +60,7 @@
 			}
 			got, format, err := decodeShard(packed)
 			if err != nil || format != FormatPacked {
-				t.Fatalf("format %d: %v", format, err)
+				t.Fatalf("packed shard decoded in format %d, error %v, want FormatPacked", format, err)
 			}
 			if len(got.Machines) == 0 {
 				got.Machines, want.Machines = nil, nil
@@ -68,49 +69,50 @@
 				got.CompletedTasks, want.CompletedTasks = nil, nil
 			}
 			if !reflect.DeepEqual(got, want) {
-				t.Errorf("%v, want %v", got, want)
+				t.Errorf("packed shard decoded as %v, want %v", got, want)
 			}
 			if len(packed) > test.maxSize {
-				t.Errorf("%d bytes, more than %d", len(packed), test.maxSize)
+				t.Errorf("packed shard has %d bytes, want at most %d", len(packed), test.maxSize)
 			}
 		})
 	}
 }
 
-// Whatever a packed value holds, reading it ends with an error at worst.
+// Tests that the decoding of a damaged packed value returns an error at worst, and does not
+// return a much larger shard.
 func TestDamagedPackedShard(t *testing.T) {
 	lines, completed := fullShard(10, 2, 2)
-	good := packShard(lines, completed)
+	valid := packShard(lines, completed)
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 300 {
-		text := []byte(good)
+		text := []byte(valid)
 		text[rng.IntN(len(text))] = byte('A' + rng.IntN(26))
 		if got, _, err := unpackShard(string(text)); err == nil && len(got) > 1<<16 {
-			t.Fatal("a damaged shard grows")
+			t.Fatal("a damaged shard decodes to more than 65536 machines")
 		}
 	}
 	for _, test := range []struct{ name, text string }{
 		{"empty", ""},
 		{"not compressed", "AAAA"},
 		{"not base64", "not base64!"},
-		{"truncated", good[:len(good)/2]},
+		{"truncated", valid[:len(valid)/2]},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if _, _, err := unpackShard(test.text); !errors.Is(err, errMalformedPacked) {
-				t.Errorf("%q was accepted, or without a cause: %v", test.text, err)
+				t.Errorf("packed value %q: error %v, want one that wraps errMalformedPacked", test.text, err)
 			}
 		})
 	}
 }
 
-// The compact forms of a set hold the same indexes, and stay small however many gaps there
-// are. The sets are drawn one after the other from one sequence of random numbers.
+// Tests that the compact forms of a set contain the same indexes and are small whatever the
+// number of gaps. The sets come one after the other from one sequence of random numbers.
 func TestCompactTaskSet(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for _, test := range []struct {
-		name        string
-		tasks, gaps int
-		maxSize     int
+		name                string
+		taskCount, gapCount int
+		maxSize             int
 	}{
 		{"one task", 1, 0, 10},
 		{"full", 1000, 0, 10},
@@ -120,20 +122,20 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var set TaskSet
-			if test.gaps < test.tasks {
-				set = TaskRange(0, test.tasks-1)
+			if test.gapCount < test.taskCount {
+				set = TaskRange(0, test.taskCount-1)
 			}
-			for range test.gaps {
-				set = set.Remove(rng.IntN(test.tasks))
+			for range test.gapCount {
+				set = set.Remove(rng.IntN(test.taskCount))
 			}
 			for _, text := range []string{set.String(), set.compactText(), set.runLengthText(), set.bitmapText()} {
-				var back TaskSet
-				if err := back.UnmarshalText([]byte(text)); err != nil || back.String() != set.String() {
-					t.Errorf("%v, %q comes back as %q", err, set, back)
+				var decoded TaskSet
+				if err := decoded.UnmarshalText([]byte(text)); err != nil || decoded.String() != set.String() {
+					t.Errorf("error %v, set %q decoded as %q, want no error and the same set", err, set, decoded)
 				}
 			}
 			if size := len(set.compactText()); size > test.maxSize {
-				t.Errorf("%d bytes, more than %d", size, test.maxSize)
+				t.Errorf("compact form has %d bytes, want at most %d", size, test.maxSize)
 			}
 		})
 	}
--- a/internal/storage/task_set_test.go
+++ b/internal/storage/task_set_test.go
@@ -6,39 +6,40 @@
 	"testing"
 )
 
-// Task sets must agree with plain maps whatever is done to them.
+// Tests that a task set contains the same indexes as a map after the same additions and removals.
 func TestTaskSetAgainstMap(t *testing.T) {
-	const indexes = 60
+	const indexCount = 60
 	rng := rand.New(rand.NewPCG(1, 2))
 	var set TaskSet
 	want := map[int]bool{}
 	for step := range 3000 {
-		n := rng.IntN(indexes)
+		index := rng.IntN(indexCount)
 		if rng.IntN(2) == 0 {
-			set = set.Add(n)
-			want[n] = true
+			set = set.Add(index)
+			want[index] = true
 		} else {
-			set = set.Remove(n)
-			delete(want, n)
+			set = set.Remove(index)
+			delete(want, index)
 		}
-		var back TaskSet
-		if err := back.UnmarshalText([]byte(set.String())); err != nil {
+		var decoded TaskSet
+		if err := decoded.UnmarshalText([]byte(set.String())); err != nil {
 			t.Fatal(err)
 		}
-		if set.Len() != len(want) || back.Len() != len(want) {
-			t.Fatalf("step %d: %s has %d, want %d", step, set, set.Len(), len(want))
+		if set.Len() != len(want) || decoded.Len() != len(want) {
+			t.Fatalf("step %d: set %s has length %d, want %d before and after encoding", step, set, set.Len(), len(want))
 		}
-		for n := range indexes {
-			if back.Contains(n) != want[n] {
-				t.Fatalf("step %d: %s, %d is %v", step, set, n, back.Contains(n))
+		for index := range indexCount {
+			if decoded.Contains(index) != want[index] {
+				t.Fatalf("step %d: set %s contains %d: %v, want the opposite", step, set, index, decoded.Contains(index))
 			}
 		}
-		if missing := len(set.FirstMissing(indexes, indexes)); missing != indexes-len(want) {
-			t.Fatalf("%s lacks %d indexes", set, missing)
+		if missing := len(set.FirstMissing(indexCount, indexCount)); missing != indexCount-len(want) {
+			t.Fatalf("FirstMissing of set %s returns %d indexes, want all that are not in the set", set, missing)
 		}
 	}
 }
 
+// Tests that valid encodings of task sets are decoded and malformed ones are rejected.
 func TestTaskSetText(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -58,10 +59,10 @@
 			var set TaskSet
 			err := set.UnmarshalText([]byte(test.text))
 			if (err == nil) != test.valid {
-				t.Errorf("%q: %v", test.text, err)
+				t.Errorf("text %q: error %v, want one only if the text is malformed", test.text, err)
 			}
 			if err != nil && !errors.Is(err, errMalformedTaskSet) {
-				t.Errorf("%q: %v has no cause", test.text, err)
+				t.Errorf("text %q: error %v, want one that wraps errMalformedTaskSet", test.text, err)
 			}
 		})
 	}
