--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -15,10 +15,11 @@
 	"tillerarch/internal/storage"
 )
 
-// adminBackend answers the admin service by asking the core.
+// adminBackend implements admin.Backend. It forwards the requests of the admin service to the core.
 type adminBackend struct{ daemon *daemon }
 
-// serveAdmin serves operators' tools until the context ends. A failure does not end the daemon.
+// serveAdmin serves the admin service at an address until the context ends. It logs a failure, and
+// the daemon keeps running.
 func (d *daemon) serveAdmin(ctx context.Context, address string) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -35,10 +36,11 @@
 	}
 }
 
-// inputFactory makes the input of an operator's request for the number that the request gets.
+// inputFactory returns the input of an operator's request, given the ID of the request.
 type inputFactory func(step.RequestID) step.Input
 
-// callCore hands the core a request of an operator and waits for the reply.
+// callCore passes an operator's request to the core and returns the core's reply. It returns a
+// retryable *admin.RequestError if the input queue is full.
 func (d *daemon) callCore(ctx context.Context, makeInput inputFactory) (step.Effect, error) {
 	reply := make(chan step.Effect, 1)
 	if !d.tryEnqueue(queuedInput{adminRequest: &adminRequest{makeInput: makeInput, reply: reply}}) {
@@ -48,12 +50,13 @@
 	case effect := <-reply:
 		return effect, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("wait for the core: %w", ctx.Err())
+		return nil, fmt.Errorf("wait for the core's reply: %w", ctx.Err())
 	}
 }
 
-// callCoreFor hands the core a request and wants a reply of a type.
-func callCoreFor[Reply step.Effect](
+// callCoreForReply passes an operator's request to the core and returns the reply, which must have
+// type Reply.
+func callCoreForReply[Reply step.Effect](
 	ctx context.Context,
 	d *daemon,
 	makeInput inputFactory,
@@ -64,17 +67,17 @@
 	}
 	reply, ok := effect.(Reply)
 	if !ok {
-		return reply, fmt.Errorf("unexpected answer %T", effect)
+		return reply, fmt.Errorf("core replied with unexpected type %T", effect)
 	}
 	return reply, nil
 }
 
-// GetShardingStatus tells who owns which machines.
+// GetShardingStatus returns the controllers, their shards and the transfers of shards.
 func (b adminBackend) GetShardingStatus(
 	ctx context.Context,
 	_ *admin.ShardingStatusRequest,
 ) (*admin.ShardingStatus, error) {
-	reply, err := callCoreFor[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input {
+	reply, err := callCoreForReply[requests.ShardingStatusReply](ctx, b.daemon, func(id step.RequestID) step.Input {
 		return requests.ShardingStatusRequest{RequestID: id}
 	})
 	if err != nil {
@@ -83,7 +86,7 @@
 	return shardingStatusMessage(&reply), nil
 }
 
-// StartTransfer has a transfer recorded.
+// StartTransfer requests a transfer and returns its record.
 func (b adminBackend) StartTransfer(ctx context.Context, r *admin.TransferRequest) (*admin.Transfer, error) {
 	return b.requestTransfer(ctx, requests.TransferRequest{
 		Name:   r.Name,
@@ -93,9 +96,10 @@
 	})
 }
 
-// SetDraining has a controller's drain recorded, or its end.
+// SetDraining requests the start or the end of a controller's drain and returns the controller's
+// status.
 func (b adminBackend) SetDraining(ctx context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
-	reply, err := callCoreFor[requests.DrainReply](ctx, b.daemon, func(id step.RequestID) step.Input {
+	reply, err := callCoreForReply[requests.DrainReply](ctx, b.daemon, func(id step.RequestID) step.Input {
 		return requests.DrainRequest{RequestID: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
 	})
 	if err != nil {
@@ -108,7 +112,8 @@
 	return &controller, nil
 }
 
-// toRequestError turns the core's refusal of a request into the error of the admin service.
+// toRequestError converts the core's refusal of a request into an error of the admin service.
+// Other errors are returned unchanged.
 func toRequestError(err error) error {
 	var requestErr *requests.RequestError
 	if errors.As(err, &requestErr) {
@@ -117,13 +122,15 @@
 	return err
 }
 
-// AbortTransfer has the abort of a transfer recorded.
+// AbortTransfer requests the abort of a transfer and returns the transfer's record.
 func (b adminBackend) AbortTransfer(ctx context.Context, r *admin.AbortTransferRequest) (*admin.Transfer, error) {
 	return b.requestTransfer(ctx, requests.TransferRequest{Name: r.Name, Abort: true})
 }
 
+// requestTransfer passes a request to start or abort a transfer to the core and returns the
+// transfer's record.
 func (b adminBackend) requestTransfer(ctx context.Context, request requests.TransferRequest) (*admin.Transfer, error) {
-	reply, err := callCoreFor[requests.TransferReply](ctx, b.daemon, func(id step.RequestID) step.Input {
+	reply, err := callCoreForReply[requests.TransferReply](ctx, b.daemon, func(id step.RequestID) step.Input {
 		request.RequestID = id
 		return request
 	})
@@ -137,6 +144,7 @@
 	return &transfer, nil
 }
 
+// shardingStatusMessage converts the core's sharding status into the admin service's message.
 func shardingStatusMessage(r *requests.ShardingStatusReply) *admin.ShardingStatus {
 	status := &admin.ShardingStatus{Revision: uint64(r.Revision), Stale: r.Stale}
 	for i := range r.Controllers {
@@ -164,6 +172,7 @@
 	return status
 }
 
+// controllerMessage converts a controller's status into the admin service's message.
 func controllerMessage(c *requests.ControllerStatus) admin.Controller {
 	return admin.Controller{
 		ID:                string(c.ID),
@@ -175,6 +184,7 @@
 	}
 }
 
+// transferMessage converts a transfer's record into the admin service's message.
 func transferMessage(record *storage.TransferRecord) admin.Transfer {
 	return admin.Transfer{
 		Name:        record.Name,
@@ -191,7 +201,8 @@
 	}
 }
 
-// wallTime is a recorded time as a time of day; none stays the zero time.
+// wallTime converts a recorded time to a time.Time in UTC. Zero, which means none, becomes the zero
+// time.
 func wallTime(at protocol.Millis) time.Time {
 	if at == 0 {
 		return time.Time{}
--- a/cmd/tillerarch/admin_tool.go
+++ b/cmd/tillerarch/admin_tool.go
@@ -17,22 +17,22 @@
 
 // Exit codes of the operators' commands.
 const (
-	exitUsage       = 1 // the command line or the settings are wrong
-	exitRejected    = 2 // it can't be done as it is
-	exitUnavailable = 3 // it may be tried again
-	exitAborted     = 4 // it was begun, and was aborted
+	exitUsage       = 1 // the command line or the settings are invalid
+	exitRejected    = 2 // the request cannot be carried out as it is
+	exitUnavailable = 3 // the request may be retried
+	exitAborted     = 4 // the transfer was started and was aborted
 )
 
-// defaultAdminAddress is where the admin service of a controller is looked for.
+// defaultAdminAddress is the default address of a controller's admin service.
 const defaultAdminAddress = "127.0.0.1:8090"
 
 // tableColumnGap is the number of spaces between two columns.
 const tableColumnGap = 2
 
-// pollInterval is the pause between two looks at what a command waits for.
+// pollInterval is the pause between two requests for the status that a command waits for.
 const pollInterval = 300 * time.Millisecond
 
-// commandError is an error with the exit code that it ends with.
+// commandError is an error with the exit code of the program.
 type commandError struct {
 	code    int
 	message string
@@ -40,24 +40,24 @@
 
 func (e *commandError) Error() string { return e.message }
 
-// exitCode gives the exit code of an error.
+// exitCode returns the exit code of an error. It is exitUsage unless the error is a *commandError.
 func exitCode(err error) int {
-	var command *commandError
-	if errors.As(err, &command) {
-		return command.code
+	var commandErr *commandError
+	if errors.As(err, &commandErr) {
+		return commandErr.code
 	}
 	return exitUsage
 }
 
-// adminTool is what all operators' commands share.
+// adminTool holds the flags that all operators' commands share.
 type adminTool struct {
-	address string
-	asJSON  bool
+	address string // of a controller's admin service, IP:PORT
+	asJSON  bool   // print JSON instead of a table
 }
 
-// withClient calls f with a client of a controller's admin service. What the service refuses
-// gets its exit code.
-func (t *adminTool) withClient(command *cobra.Command, f func(context.Context, *admin.Client) error) error {
+// withClient calls operation with a client of a controller's admin service. It turns the service's
+// refusal of a request into a *commandError with the matching exit code.
+func (t *adminTool) withClient(command *cobra.Command, operation func(context.Context, *admin.Client) error) error {
 	if _, _, err := net.SplitHostPort(t.address); err != nil {
 		message := fmt.Sprintf("--admin: %q is no address of the form IP:PORT", t.address)
 		return &commandError{code: exitUsage, message: message}
@@ -67,7 +67,7 @@
 		return &commandError{code: exitUsage, message: err.Error()}
 	}
 	defer client.Close()
-	err = f(command.Context(), client)
+	err = operation(command.Context(), client)
 	var requestErr *admin.RequestError
 	switch {
 	case errors.As(err, &requestErr) && requestErr.Retryable:
@@ -78,21 +78,21 @@
 	return err
 }
 
-// printResult writes an answer as JSON or as a table.
-func (t *adminTool) printResult(out io.Writer, result any, table func(io.Writer)) error {
+// printResult writes a result as JSON or, with printTable, as a table.
+func (t *adminTool) printResult(out io.Writer, result any, printTable func(io.Writer)) error {
 	if t.asJSON {
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(result)
 	}
-	w := tabwriter.NewWriter(out, 0, 8, tableColumnGap, ' ', 0)
-	table(w)
-	return w.Flush()
+	tableWriter := tabwriter.NewWriter(out, 0, 8, tableColumnGap, ' ', 0)
+	printTable(tableWriter)
+	return tableWriter.Flush()
 }
 
-// pollStatus asks for the sharding status until isDone says so, or the time is over; timeoutReason
-// tells then what is still missing.
-func pollStatus(
+// pollShardingStatus requests the sharding status repeatedly until isDone returns true or an error.
+// After the timeout it returns a retryable error whose reason timeoutReason returns.
+func pollShardingStatus(
 	ctx context.Context,
 	client *admin.Client,
 	timeout time.Duration,
--- a/cmd/tillerarch/agent_calls.go
+++ b/cmd/tillerarch/agent_calls.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// maxAgentClients is the number of agents whose connections are kept.
+	// maxAgentClients is the number of clients above which the next new client replaces all others.
 	maxAgentClients = 200
 
 	connectionsPerAgent = 1
 )
 
-// agentClients are the clients of the machines' agents, by their addresses.
+// agentClients holds the HTTP clients of the machines' agents. It is safe for concurrent use.
 type agentClients struct {
 	mu      sync.Mutex
-	clients map[string]*transport.Client
+	clients map[string]*transport.Client // by agent address
 }
 
 func newAgentClients() *agentClients {
 	return &agentClients{clients: map[string]*transport.Client{}}
 }
 
-// call calls an agent at its own address; it answers with its heartbeat, also where it refuses
-// the commands.
+// call sends a request to the agent at addr and returns the heartbeat in the response. An agent
+// that refuses the commands responds with 409 Conflict and also sends its heartbeat.
 func (a *agentClients) call(method, addr, path string, body []byte) (*protocol.Heartbeat, error) {
-	response, err := a.client(addr).Call(method, path, body, agentTimeout)
+	response, err := a.clientFor(addr).Call(method, path, body, agentTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s at agent %s: %w", method, path, addr, err)
 	}
@@ -43,9 +43,9 @@
 	return heartbeat, nil
 }
 
-// client gives the client of an address. Once there are too many, all are dropped: what is used
-// comes back.
-func (a *agentClients) client(addr string) *transport.Client {
+// clientFor returns the client of an agent's address and creates it if needed. Once there are more
+// than maxAgentClients, all of them are dropped, because those in use are created again.
+func (a *agentClients) clientFor(addr string) *transport.Client {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if client := a.clients[addr]; client != nil {
--- a/cmd/tillerarch/cloud_calls.go
+++ b/cmd/tillerarch/cloud_calls.go
@@ -9,13 +9,14 @@
 	"tillerarch/internal/protocol"
 )
 
-// maxListedInstances ends a list of instances that does not end by itself.
+// maxListedInstances bounds the number of listed instances, in case the cloud's list does not end.
 const maxListedInstances = 100_000
 
-// noCapacityError is the error text by which the cloud says that it has no machines.
+// noCapacityError is the cloud's error text for a provision request when it has no machines left.
 const noCapacityError = "no capacity"
 
-// callCloud calls the cloud and wants a 200.
+// callCloud sends a request to the cloud and returns the body of the response. A response with a
+// status other than 200 is an error. A nil payload sends no body.
 func (d *daemon) callCloud(method, target string, payload any) ([]byte, error) {
 	var body []byte
 	if payload != nil {
@@ -31,6 +32,7 @@
 	return response.Body, nil
 }
 
+// listMachineTypes returns the cloud's machine types.
 func (d *daemon) listMachineTypes() ([]protocol.MachineType, error) {
 	body, err := d.callCloud(http.MethodGet, protocol.PathMachineTypes, nil)
 	if err != nil {
@@ -43,13 +45,15 @@
 	return machineTypes, nil
 }
 
+// terminateMachines requests the termination of machines from the cloud.
 func (d *daemon) terminateMachines(machines []protocol.MachineID) error {
 	_, err := d.callCloud(http.MethodPost, protocol.PathTerminate, protocol.MachineList{Machines: machines})
 	return err
 }
 
-// provisionMachines asks for machines. The core has to tell apart whether the cloud has none,
-// refuses the request, or leaves open whether it has carried it out.
+// provisionMachines requests machines from the cloud. The result distinguishes three failures for
+// the core: the cloud has no machines, the cloud refuses the request, or it is unknown whether the
+// cloud carried the request out.
 func (d *daemon) provisionMachines(request protocol.ProvisionRequest) step.ProvisionMachinesResult {
 	result := step.ProvisionMachinesResult{Request: request}
 	response, err := d.cloud.Call(http.MethodPost, protocol.PathInstances, protocol.Encode(request), cloudTimeout)
@@ -75,6 +79,7 @@
 	return result
 }
 
+// parseGrantedMachines returns the IDs of the machines in the response to a provision request.
 func parseGrantedMachines(body []byte) ([]protocol.MachineID, error) {
 	var granted protocol.MachineList
 	if err := json.Unmarshal(body, &granted); err != nil {
@@ -88,7 +93,7 @@
 	return granted.Machines, nil
 }
 
-// listInstances reads the cloud's list of instances page by page.
+// listInstances returns the cloud's list of instances, which it reads page by page.
 func (d *daemon) listInstances() ([]protocol.Instance, error) {
 	var instances []protocol.Instance
 	after := protocol.MachineID("")
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -19,44 +19,45 @@
 	"tillerarch/internal/transport"
 )
 
-// Bounds of the process.
+// Resource limits of the process.
 const (
 	maxProcs            = 2
 	memoryLimitFraction = 0.6 // of the memory that the platform grants
 	bytesPerMB          = 1 << 20
 
-	// gcPercent trades memory for time: live data is 10 to 20 MB, and most of what a heartbeat
-	// leaves behind is garbage. A larger heap costs memory that is there, and halves the
-	// collector's work.
+	// gcPercent trades memory for processor time. Live data is 10 to 20 MB, and most of what a
+	// heartbeat allocates becomes garbage. The larger heap uses memory that is available, and it
+	// halves the garbage collector's work.
 	gcPercent = 400
 )
 
-// Connections of the process.
+// Connections of the process, per destination, and limits of its HTTP server.
 const (
 	storeConnections = 6
 	watchConnections = 1
 	cloudConnections = 4
 
-	// The server leaves sockets for this process's own calls: one in so many, and some more.
-	ownSocketDivisor  = 8
-	ownSockets        = 24
-	minServerSockets  = 8
-	serverIdleTimeout = 120 * time.Second
-	serverReadTimeout = 10 * time.Second
+	// The server accepts fewer connections than the process has sockets, so that sockets remain for
+	// the process's outbound calls: one in every outboundSocketDivisor, plus extraOutboundSockets.
+	outboundSocketDivisor = 8
+	extraOutboundSockets  = 24
+	minServerSockets      = 8
+	serverIdleTimeout     = 120 * time.Second
+	serverReadTimeout     = 10 * time.Second
 )
 
-// Limits of the request rates. Each controller may use an even part of the store's; the cloud's
-// calls come in bursts at one controller, the one whose jobs need machines, so each may use more
-// than its even part. A 429 is only a delay.
+// Limits of the request rates. Each controller may use an even share of the store's rate. Calls to
+// the cloud come in bursts from the one controller whose jobs need machines, so each controller may
+// use more than an even share of the cloud's rate. A response with status 429 only delays a call.
 const (
-	cloudRateFraction = 0.6
-	minRateBurst      = 2 // requests
+	cloudRateFraction = 0.6 // of the cloud's rate, for each controller
+	minRateBurst      = 2   // requests
 )
 
-// daemon ties the core to the world: it hands the core one input at a time and carries out the
-// effects.
+// daemon runs the core: it passes one input at a time to the core and executes the effects that the
+// core returns.
 type daemon struct {
-	settings  *settings
+	settings  *daemonSettings
 	core      *coordination.Core // used by the event loop only
 	startedAt time.Time
 
@@ -67,54 +68,54 @@
 	peers  []*transport.PeerClient
 
 	inputs               chan queuedInput
-	pendingExchanges     map[step.RequestID]*transport.Exchange // HTTP requests that wait for replies
-	pendingAdminRequests map[step.RequestID]chan<- step.Effect  // operators' requests that wait for replies
+	pendingExchanges     map[step.RequestID]*transport.Exchange // HTTP requests that await replies
+	pendingAdminRequests map[step.RequestID]chan<- step.Effect  // operators' requests that await replies
 	lastRequestID        step.RequestID
 
 	healthy       atomic.Bool
-	lastStepNanos atomic.Int64 // unix nanoseconds of the last step
+	lastStepNanos atomic.Int64 // time of the last step, Unix nanoseconds
 }
 
-// serve runs a controller until it fails.
-func serve(ctx context.Context, s *settings) error {
-	limitProcess(s.memoryMB)
-	return newDaemon(s).run(ctx)
+// serve runs a controller until its server fails, and returns the failure.
+func serve(ctx context.Context, settings *daemonSettings) error {
+	limitProcess(settings.memoryMB)
+	return newDaemon(settings).run(ctx)
 }
 
-// limitProcess bounds what the process takes of the machine.
+// limitProcess limits the processors and the memory that the process uses.
 func limitProcess(memoryMB float64) {
 	runtime.GOMAXPROCS(maxProcs)
 	debug.SetMemoryLimit(int64(memoryMB * memoryLimitFraction * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
 }
 
-// newDaemon makes a daemon that does not run yet.
-func newDaemon(s *settings) *daemon {
-	controllers := float64(len(s.peerAddrs) + 1)
-	storeLimiter := newRateLimiter(s.storeRPS/controllers, s.storeRPS/controllers)
-	cloudLimiter := newRateLimiter(s.cloudRPS*cloudRateFraction, s.cloudRPS)
+// newDaemon returns a daemon that is not yet running.
+func newDaemon(settings *daemonSettings) *daemon {
+	controllers := float64(len(settings.peerAddrs) + 1)
+	storeLimiter := newRateLimiter(settings.storeRPS/controllers, settings.storeRPS/controllers)
+	cloudLimiter := newRateLimiter(settings.cloudRPS*cloudRateFraction, settings.cloudRPS)
 	d := &daemon{
-		settings:  s,
+		settings:  settings,
 		startedAt: time.Now(),
 		store: &storage.Client{
-			RequestCaller: transport.NewClient(s.storeAddr, storeConnections, storeLimiter),
-			WatchCaller:   transport.NewClient(s.storeAddr, watchConnections, storeLimiter),
+			RequestCaller: transport.NewClient(settings.storeAddr, storeConnections, storeLimiter),
+			WatchCaller:   transport.NewClient(settings.storeAddr, watchConnections, storeLimiter),
 			Timeout:       storeTimeout,
 		},
-		cloud:                transport.NewClient(s.cloudAddr, cloudConnections, cloudLimiter),
+		cloud:                transport.NewClient(settings.cloudAddr, cloudConnections, cloudLimiter),
 		agents:               newAgentClients(),
-		inputs:               make(chan queuedInput, max(minQueueLength, s.maxSockets)),
+		inputs:               make(chan queuedInput, max(minQueueLength, settings.maxSockets)),
 		pendingExchanges:     map[step.RequestID]*transport.Exchange{},
 		pendingAdminRequests: map[step.RequestID]chan<- step.Effect{},
 	}
-	for _, addr := range s.peerAddrs {
+	for _, addr := range settings.peerAddrs {
 		d.peers = append(d.peers, transport.NewPeerClient(addr))
 	}
-	d.core = coordination.New(s.core, d.now())
+	d.core = coordination.New(settings.core, d.now())
 	d.server = transport.NewServer(transport.ServerConfig{
-		Addr:        s.listen,
-		PeerAddr:    s.peerListen,
-		MaxConns:    max(s.maxSockets-s.maxSockets/ownSocketDivisor-ownSockets, minServerSockets),
+		Addr:        settings.listen,
+		PeerAddr:    settings.peerListen,
+		MaxConns:    max(settings.maxSockets-settings.maxSockets/outboundSocketDivisor-extraOutboundSockets, minServerSockets),
 		IdleTimeout: serverIdleTimeout,
 		ReadTimeout: serverReadTimeout,
 	}, d.handleRequest)
@@ -122,35 +123,37 @@
 	return d
 }
 
-// newRateLimiter allows so many requests a second, in bursts of up to burst.
+// newRateLimiter returns a limiter that allows rps requests per second in bursts of up to burst
+// requests, or of minRateBurst requests if burst is less.
 func newRateLimiter(rps, burst float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(rps), max(int(burst), minRateBurst))
 }
 
-// run serves until the server fails. The goroutines that it starts end with it; calls under way
-// are left to their timeouts.
+// run serves until the server fails, and returns the failure. It waits for the event loop and the
+// admin service to end. Calls in progress end with their own timeouts.
 func (d *daemon) run(ctx context.Context) error {
-	var loops sync.WaitGroup
-	defer loops.Wait()
+	var backgroundLoops sync.WaitGroup
+	defer backgroundLoops.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
-	failed := make(chan error, 1)
-	go func() { failed <- d.server.Run() }()
-	loops.Go(func() { d.runLoop(ctx) })
+	serverErrors := make(chan error, 1)
+	go func() { serverErrors <- d.server.Run() }()
+	backgroundLoops.Go(func() { d.runEventLoop(ctx) })
 	if d.settings.adminListen != "" {
-		loops.Go(func() { d.serveAdmin(ctx, d.settings.adminListen) })
+		backgroundLoops.Go(func() { d.serveAdmin(ctx, d.settings.adminListen) })
 	}
 	slog.Info("controller started", "version", version,
 		"controller", string(d.settings.core.ControllerID), "listen", d.settings.listen)
-	return fmt.Errorf("listen %s: %w", d.settings.listen, <-failed)
+	return fmt.Errorf("listen %s: %w", d.settings.listen, <-serverErrors)
 }
 
-// now is the time of a step: monotonic since the start of the process, never zero, and wall time.
+// now returns the current time for a step: the monotonic time since the daemon was created, which
+// is never zero, and the wall time.
 func (d *daemon) now() step.Now {
-	t := time.Now()
+	current := time.Now()
 	return step.Now{
-		Monotonic: protocol.Instant(t.Sub(d.startedAt)) + 1,
-		Wall:      protocol.Millis(t.UnixMilli()),
+		Monotonic: protocol.Instant(current.Sub(d.startedAt)) + 1,
+		Wall:      protocol.Millis(current.UnixMilli()),
 	}
 }
--- a/cmd/tillerarch/daemon_test.go
+++ b/cmd/tillerarch/daemon_test.go
@@ -17,28 +17,28 @@
 	"tillerarch/internal/transport"
 )
 
-// newTestDaemon makes a daemon whose cloud is at an address; it does not run.
+// newTestDaemon returns a daemon that is not running and whose cloud is at cloudAddr.
 func newTestDaemon(t *testing.T, cloudAddr string) *daemon {
 	t.Helper()
-	s, err := loadSettings(writeFile(t, "s.toml", goodSettings), "")
+	settings, err := loadSettings(writeFile(t, "s.toml", validSettings), "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.cloudAddr = cloudAddr
-	return newDaemon(s)
+	settings.cloudAddr = cloudAddr
+	return newDaemon(settings)
 }
 
-// What the cloud answers to a provision request tells apart whether it has no machines, refuses
-// the request, or may have carried it out: only then is the request repeated.
+// The result of a provision request distinguishes whether the cloud has no machines, refuses the
+// request, or may have carried it out. Only a request that may have been carried out is repeated.
 func TestProvisionMachines(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		status     int
 		body       string
 		machines   []protocol.MachineID
 		noCapacity bool
 		invalid    bool
-		err        string // part of the error's text; empty: none
+		err        string // part of the error's text; empty if no error is expected
 	}{
 		{
 			name:     "granted",
@@ -59,31 +59,32 @@
 		{name: "invalid request", status: http.StatusBadRequest, body: `{}`, invalid: true},
 		{name: "too many requests", status: http.StatusTooManyRequests, body: `{}`, err: "cloud answered 429"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			cloud := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.Method != http.MethodPost || r.URL.Path != protocol.PathInstances {
-					t.Errorf("%s %s is called", r.Method, r.URL.Path)
+					t.Errorf("unexpected request %s %s, want a provision request", r.Method, r.URL.Path)
 				}
-				w.WriteHeader(c.status)
-				fmt.Fprint(w, c.body)
+				w.WriteHeader(test.status)
+				fmt.Fprint(w, test.body)
 			}))
 			defer cloud.Close()
-			d := newTestDaemon(t, cloud.Listener.Addr().String())
-			result := d.provisionMachines(protocol.ProvisionRequest{RequestID: "r-1", Count: 2})
+			testDaemon := newTestDaemon(t, cloud.Listener.Addr().String())
+			result := testDaemon.provisionMachines(protocol.ProvisionRequest{RequestID: "r-1", Count: 2})
 			if result.Request.RequestID != "r-1" {
-				t.Errorf("the result is of request %q", result.Request.RequestID)
+				t.Errorf(`result has request ID %q, want "r-1"`, result.Request.RequestID)
 			}
-			if !slices.Equal(result.Machines, c.machines) || result.NoCapacity != c.noCapacity || result.Invalid != c.invalid {
-				t.Errorf("machines %v, no capacity %v, invalid %v", result.Machines, result.NoCapacity, result.Invalid)
+			if !slices.Equal(result.Machines, test.machines) || result.NoCapacity != test.noCapacity || result.Invalid != test.invalid {
+				t.Errorf("machines %v, no capacity %v, invalid %v, want the values of the test case",
+					result.Machines, result.NoCapacity, result.Invalid)
 			}
-			if (result.Err != nil) != (c.err != "") || c.err != "" && !strings.Contains(result.Err.Error(), c.err) {
-				t.Errorf("error %v, want one with %q", result.Err, c.err)
+			if (result.Err != nil) != (test.err != "") || test.err != "" && !strings.Contains(result.Err.Error(), test.err) {
+				t.Errorf("error %v, want one that contains %q (empty means none)", result.Err, test.err)
 			}
 		})
 	}
 }
 
-// A call that never left the process is still known as such behind what was tried.
+// The error of a call that was never sent wraps ErrNotSent and names the path of the request.
 func TestCloudCallNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -93,40 +94,41 @@
 	listener.Close()
 	_, err = newTestDaemon(t, addr).callCloud("GET", protocol.PathMachineTypes, nil)
 	if !errors.Is(err, transport.ErrNotSent) || !strings.Contains(err.Error(), protocol.PathMachineTypes) {
-		t.Errorf("error %v, want one that names the path and is ErrNotSent", err)
+		t.Errorf("error %v, want one that names the path and wraps ErrNotSent", err)
 	}
 }
 
-// Agents' clients are kept by address, and not without bound.
+// The client of an agent is reused, and the number of kept clients is bounded.
 func TestAgentClientsBounded(t *testing.T) {
 	agents := newAgentClients()
-	first := agents.client("127.0.0.1:1")
-	if agents.client("127.0.0.1:1") != first {
-		t.Error("a client is made anew")
+	first := agents.clientFor("127.0.0.1:1")
+	if agents.clientFor("127.0.0.1:1") != first {
+		t.Error("a second client was created for the same address, want the first one")
 	}
 	for port := 2; port < 3*maxAgentClients; port++ {
-		agents.client(fmt.Sprintf("127.0.0.1:%d", port))
+		agents.clientFor(fmt.Sprintf("127.0.0.1:%d", port))
 		if len(agents.clients) > maxAgentClients+1 {
-			t.Fatalf("%d clients are kept", len(agents.clients))
+			t.Fatalf("%d clients are kept, want at most one more than maxAgentClients", len(agents.clients))
 		}
 	}
 }
 
-// The event loop ends with its context, and calls that are answered later do not wait for it.
+// The event loop ends with its context. A call whose response arrives later doesn't block on the
+// input queue.
 func TestEventLoopEnds(t *testing.T) {
-	d := newTestDaemon(t, "127.0.0.1:1")
-	d.inputs = make(chan queuedInput) // nothing can wait in it
+	testDaemon := newTestDaemon(t, "127.0.0.1:1")
+	testDaemon.inputs = make(chan queuedInput) // without capacity
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		d.runLoop(ctx)
-		d.enqueue(ctx, step.Tick{})
+		testDaemon.runEventLoop(ctx)
+		testDaemon.enqueue(ctx, step.Tick{})
 	}()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the event loop or the input of a late answer still waits")
+		t.Fatal("the event loop or enqueue still blocks after the context has ended")
 	}
 }
--- a/cmd/tillerarch/event_loop.go
+++ b/cmd/tillerarch/event_loop.go
@@ -13,26 +13,26 @@
 const (
 	tickInterval = 50 * time.Millisecond
 
-	// minQueueLength is the least number of inputs that can wait; the queue grows with the
-	// sockets, each of which may have a request in it.
+	// minQueueLength is the minimum capacity of the input queue. The capacity grows with the number
+	// of sockets, because each socket may have a request in the queue.
 	minQueueLength = 1024
 )
 
-// queuedInput is an input with the request it came from, if any.
+// queuedInput is an input of the core with the request that it comes from, if any.
 type queuedInput struct {
 	input        step.Input
-	exchange     *transport.Exchange
-	adminRequest *adminRequest
+	exchange     *transport.Exchange // nil if the input does not come from an HTTP request
+	adminRequest *adminRequest       // nil if the input does not come from an operator
 }
 
-// adminRequest is a request of an operator's tool: its input is made once it has a number, and
-// the reply is sent to whoever waits for it.
+// adminRequest is a request of an operator's tool. The event loop calls makeInput once the request
+// has an ID, and sends the core's reply on the channel reply.
 type adminRequest struct {
 	makeInput inputFactory
 	reply     chan<- step.Effect
 }
 
-// tryEnqueue queues an input unless the queue is full.
+// tryEnqueue queues an input and reports whether the queue had room for it.
 func (d *daemon) tryEnqueue(queued queuedInput) bool {
 	select {
 	case d.inputs <- queued:
@@ -42,17 +42,18 @@
 	}
 }
 
-// enqueue queues an input that must not be lost while the event loop runs.
-func (d *daemon) enqueue(ctx context.Context, in step.Input) {
+// enqueue queues an input that must not be lost while the event loop runs. It blocks until the
+// queue has room or the context ends.
+func (d *daemon) enqueue(ctx context.Context, input step.Input) {
 	select {
-	case d.inputs <- queuedInput{input: in}:
+	case d.inputs <- queuedInput{input: input}:
 	case <-ctx.Done():
 	}
 }
 
-// runLoop is the event loop: it hands the core one input after the other, a tick now and then,
-// and carries out the effects.
-func (d *daemon) runLoop(ctx context.Context) {
+// runEventLoop passes inputs to the core one after the other, with a tick at every tickInterval, and
+// executes the effects that the core returns. It returns when the context ends.
+func (d *daemon) runEventLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -64,7 +65,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for _, effect := range d.core.Step(d.now(), d.numberInput(queued)) {
+		for _, effect := range d.core.Step(d.now(), d.assignRequestID(queued)) {
 			d.executeEffect(ctx, effect)
 		}
 		d.healthy.Store(d.core.Healthy())
@@ -72,19 +73,19 @@
 	}
 }
 
-// numberInput gives a request the number under which its reply will come, and keeps who waits
-// for that.
-func (d *daemon) numberInput(queued queuedInput) step.Input {
+// assignRequestID returns the core's input for a queued input. The input of a request gets a new
+// request ID, under which assignRequestID records the recipient of the reply.
+func (d *daemon) assignRequestID(queued queuedInput) step.Input {
 	if queued.exchange != nil {
 		d.lastRequestID++
 		d.pendingExchanges[d.lastRequestID] = queued.exchange
-		switch v := queued.input.(type) {
+		switch input := queued.input.(type) {
 		case step.UserInput:
-			v.RequestID = d.lastRequestID
-			return v
+			input.RequestID = d.lastRequestID
+			return input
 		case step.HeartbeatInput:
-			v.RequestID = d.lastRequestID
-			return v
+			input.RequestID = d.lastRequestID
+			return input
 		}
 	}
 	if queued.adminRequest != nil {
@@ -95,39 +96,40 @@
 	return queued.input
 }
 
-// executeEffect carries out an effect. One that waits for an answer gets a goroutine, which ends
-// with the call's timeout.
+// executeEffect executes an effect. An effect that waits for a response runs in a goroutine of its
+// own, which ends at the latest with the call's timeout.
 func (d *daemon) executeEffect(ctx context.Context, effect step.Effect) {
-	switch v := effect.(type) {
+	switch effect := effect.(type) {
 	case step.Reply:
-		d.reply(v)
+		d.replyToExchange(effect)
 	case requests.TransferReply:
-		d.replyToAdmin(v.RequestID, v)
+		d.replyToAdmin(effect.RequestID, effect)
 	case requests.DrainReply:
-		d.replyToAdmin(v.RequestID, v)
+		d.replyToAdmin(effect.RequestID, effect)
 	case requests.ShardingStatusReply:
-		d.replyToAdmin(v.RequestID, v)
+		d.replyToAdmin(effect.RequestID, effect)
 	case step.Log:
-		slog.Log(ctx, v.Level, v.Message, v.Args...)
+		slog.Log(ctx, effect.Level, effect.Message, effect.Args...)
 	case step.SendPeerStatus:
-		d.sendPeerStatus(&v.Status)
+		d.sendPeerStatus(&effect.Status)
 	default:
 		go d.executeCall(ctx, effect)
 	}
 }
 
-// reply answers an HTTP request.
-func (d *daemon) reply(reply step.Reply) {
+// replyToExchange sends a reply to the HTTP request that awaits it.
+func (d *daemon) replyToExchange(reply step.Reply) {
 	if exchange := d.pendingExchanges[reply.RequestID]; exchange != nil {
 		delete(d.pendingExchanges, reply.RequestID)
 		d.server.Reply(exchange, reply.Status, reply.RetryAfterSeconds, reply.Body)
 	}
 }
 
-// replyToAdmin sends a reply to the operator's tool that waits for it, which may have gone.
+// replyToAdmin sends a reply to the operator's request that awaits it. The operator's tool may have
+// disconnected already.
 func (d *daemon) replyToAdmin(id step.RequestID, effect step.Effect) {
 	if reply := d.pendingAdminRequests[id]; reply != nil {
 		delete(d.pendingAdminRequests, id)
-		reply <- effect // the channel has room for the one reply
+		reply <- effect // does not block: the channel's buffer holds the only reply
 	}
 }
--- a/cmd/tillerarch/http_requests.go
+++ b/cmd/tillerarch/http_requests.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	// maxStepAge is the age of the last step up to which the process counts as alive.
+	// maxStepAge is the maximum age of the last step while the process counts as healthy.
 	maxStepAge = 2 * time.Second
 
-	// overloadRetryAfterSeconds is when a user may retry a request that the full queue refused.
+	// overloadRetryAfterSeconds is the time after which a user may retry a request that was refused
+	// because the input queue was full.
 	overloadRetryAfterSeconds = 2
 )
 
-// handleRequest routes one HTTP request. It runs in the server's loop and must not block.
+// handleRequest routes an HTTP request. It runs in the server's loop and must not block.
 func (d *daemon) handleRequest(exchange *transport.Exchange) {
 	switch exchange.Request.Path {
 	case protocol.PathHealth:
@@ -29,6 +30,7 @@
 	}
 }
 
+// handleHealth replies to a health check with 200 if the daemon is healthy, and with 503 otherwise.
 func (d *daemon) handleHealth(exchange *transport.Exchange) {
 	switch {
 	case exchange.Request.Method != http.MethodGet:
@@ -40,11 +42,12 @@
 	}
 }
 
-// isHealthy tells whether the core is healthy and the event loop runs.
+// isHealthy reports whether the core is healthy and the event loop is running.
 func (d *daemon) isHealthy() bool {
 	return d.healthy.Load() && time.Now().UnixNano()-d.lastStepNanos.Load() < int64(maxStepAge)
 }
 
+// handleHeartbeat queues an agent's heartbeat for the core, or refuses it if the queue is full.
 func (d *daemon) handleHeartbeat(exchange *transport.Exchange) {
 	if exchange.Request.Method != http.MethodPost {
 		d.replyError(exchange, http.StatusMethodNotAllowed, "method not allowed")
@@ -56,6 +59,8 @@
 	}
 }
 
+// handleJobRequest queues a user's request for the core, or refuses it if the path or the method is
+// invalid or the queue is full.
 func (d *daemon) handleJobRequest(exchange *transport.Exchange) {
 	request := exchange.Request
 	requestType, jobID, pathExists, methodAllowed := protocol.RouteJobRequest(request.Method, request.Path)
@@ -73,11 +78,14 @@
 	}
 }
 
+// replyError replies with an error that carries no retry time. It has the same condition on detail
+// as replyRetryableError.
 func (d *daemon) replyError(exchange *transport.Exchange, status int, detail string) {
 	d.replyRetryableError(exchange, status, 0, detail)
 }
 
-// replyRetryableError replies with an error whose detail needs no escape in JSON.
+// replyRetryableError replies with an error and the time after which the request may be retried.
+// The detail must need no escaping in JSON.
 func (d *daemon) replyRetryableError(exchange *transport.Exchange, status, retryAfterSeconds int, detail string) {
 	d.server.Reply(exchange, status, retryAfterSeconds, []byte(`{"error":"`+detail+`"}`))
 }
--- a/cmd/tillerarch/main.go
+++ b/cmd/tillerarch/main.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// newRootCommand is `tillerarch`: it runs a controller; the operators' commands are its subcommands.
+// newRootCommand returns the command `tillerarch`, which runs a controller. The operators' commands
+// are its subcommands.
 func newRootCommand() *cobra.Command {
 	var configFile, propertiesFile string
 	root := &cobra.Command{
@@ -44,7 +45,7 @@
 	return root
 }
 
-// runController reads the settings and serves.
+// runController sets up logging, loads the settings and runs a controller until it fails.
 func runController(ctx context.Context, configFile, propertiesFile string) error {
 	if configFile == "" {
 		return errors.New("--config: a settings file is needed (see --help)")
@@ -54,16 +55,16 @@
 		return err
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-	s, err := loadSettings(configFile, propertiesFile)
+	settings, err := loadSettings(configFile, propertiesFile)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, s)
+	return serve(ctx, settings)
 }
 
-// parseLogLevel reads the log level of the environment; none is info.
-func parseLogLevel(s string) (slog.Level, error) {
-	switch s {
+// parseLogLevel returns the log level of a name. The empty name means info.
+func parseLogLevel(name string) (slog.Level, error) {
+	switch name {
 	case "", "info":
 		return slog.LevelInfo, nil
 	case "error":
@@ -71,5 +72,5 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", s)
+	return 0, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", name)
 }
--- a/cmd/tillerarch/peers.go
+++ b/cmd/tillerarch/peers.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/transport"
 )
 
-// handlePeerFrame queues the status that another controller has sent; one that finds the queue
-// full is dropped, since the next one follows soon.
+// handlePeerFrame queues a status that another controller sent. A status that arrives while the
+// queue is full is dropped, because the next one follows soon.
 func (d *daemon) handlePeerFrame(frame []byte) {
 	var status step.PeerStatusWire
 	if err := transport.DecodeFrame(frame, &status); err != nil {
@@ -18,7 +18,7 @@
 	d.tryEnqueue(queuedInput{input: step.PeerStatusInput{Status: status.Status()}})
 }
 
-// sendPeerStatus sends this controller's status to all others.
+// sendPeerStatus sends this controller's status to all other controllers.
 func (d *daemon) sendPeerStatus(status *step.PeerStatus) {
 	wire := status.Wire()
 	for _, peer := range d.peers {
--- a/cmd/tillerarch/platform_settings.go
+++ b/cmd/tillerarch/platform_settings.go
@@ -11,36 +11,37 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// bytesPerKB turns the platform's kilobytes into bytes.
+// bytesPerKB is the number of bytes in a kilobyte of the platform's settings.
 const bytesPerKB = 1024
 
-// maxControllerIDLength is in bytes: the name is part of stored keys.
+// maxControllerIDLength is the maximum length of a controller's ID in bytes. It is limited because
+// the ID is part of stored keys.
 const maxControllerIDLength = 100
 
-// platformSettings is the settings file that the platform hands over.
+// platformSettings is the content of the settings file that the platform provides.
 type platformSettings struct {
 	ControllerID string           `toml:"member"`
 	Zone         string           `toml:"area"`
 	Listen       string           `toml:"listen"`
-	PeerListen   string           `toml:"back"`
+	PeerListen   string           `toml:"back"` // address for other controllers
 	Peers        []peerSettings   `toml:"members"`
 	Endpoints    endpointSettings `toml:"outside"`
 	Params       paramSettings    `toml:"params"`
 }
 
-// peerSettings is another controller of the deployment.
+// peerSettings describes another controller of the deployment.
 type peerSettings struct {
 	ControllerID string `toml:"member"`
 	Addr         string `toml:"addr"`
 }
 
-// endpointSettings are the addresses of the services that a controller uses.
+// endpointSettings holds the addresses of the services that a controller uses.
 type endpointSettings struct {
 	Cloud string `toml:"cloud"`
 	Store string `toml:"state"`
 }
 
-// paramSettings are the rules of the deployment.
+// paramSettings holds the limits, times and quotas of the deployment.
 type paramSettings struct {
 	Teams      []teamSettings      `toml:"teams"`
 	Agents     agentSettings       `toml:"workers"`
@@ -50,7 +51,7 @@
 	Resources  resourceSettings    `toml:"resources"`
 }
 
-// teamSettings is the quota of a team.
+// teamSettings holds the quota of a team.
 type teamSettings struct {
 	Name                   string  `toml:"name"`
 	GuaranteedCores        float64 `toml:"cpus"`
@@ -59,7 +60,7 @@
 	MaxAccelerators        float64 `toml:"gpus_max"`
 }
 
-// agentSettings are the times that the machines' agents keep to.
+// agentSettings holds the intervals and timeouts of the machines' agents.
 type agentSettings struct {
 	HeartbeatSeconds float64 `toml:"report_s"`
 	LeaseSeconds     float64 `toml:"lease_s"`
@@ -67,7 +68,7 @@
 	CancelSeconds    float64 `toml:"cancel_s"`
 }
 
-// storeSettings are the limits of the key-value store.
+// storeSettings holds the limits of the key-value store.
 type storeSettings struct {
 	RPS      float64               `toml:"rps"`
 	WriteRPS float64               `toml:"write_rps"`
@@ -76,34 +77,35 @@
 	Next     *announcedStoreLimits `toml:"next"`
 }
 
-// announcedStoreLimits are limits that the store will have; what is left out stays as it is.
+// announcedStoreLimits holds limits that the store will have. The current limit stays in force for
+// a field that is nil.
 type announcedStoreLimits struct {
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// cloudSettings are the limits of the cloud's service.
+// cloudSettings holds the rate limit of the cloud's API and the delay of its list of instances.
 type cloudSettings struct {
 	RPS            float64 `toml:"rps"`
 	ListLagSeconds float64 `toml:"list_lag_s"`
 }
 
-// objectiveSettings is an objective of a class of jobs.
+// objectiveSettings describes an objective of a job class.
 type objectiveSettings struct {
 	Kind          string  `toml:"kind"`
 	Class         string  `toml:"class"`
 	WithinSeconds float64 `toml:"within_s"`
-	Times         float64 `toml:"times"` // of the estimated run time
+	Times         float64 `toml:"times"` // multiple of the job's deadline
 }
 
-// resourceSettings are what this process may take of its machine.
+// resourceSettings holds the limits of the resources that this process may use.
 type resourceSettings struct {
 	MemoryMB   float64 `toml:"memory_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// currentLimits are the store's limits of today.
+// currentLimits returns the limits that the store enforces now.
 func (p *platformSettings) currentLimits() step.WriteLimits {
 	store := p.Params.Store
 	return step.WriteLimits{
@@ -113,8 +115,8 @@
 	}
 }
 
-// announcedLimits are the announced limits of the store; what they leave out stays as it is. nil:
-// none are announced.
+// announcedLimits returns the announced limits of the store, completed with the current limits. It
+// returns nil if no limits are announced.
 func (p *platformSettings) announcedLimits() *step.WriteLimits {
 	next := p.Params.Store.Next
 	if next == nil {
@@ -133,7 +135,8 @@
 	return &limits
 }
 
-// validate gives the first setting that is missing or out of bounds, by its key.
+// validate returns an error that names the key of the first setting that is missing or invalid, or
+// nil if all settings are valid.
 func (p *platformSettings) validate() error {
 	for _, check := range []func() error{
 		p.validateNames,
@@ -148,21 +151,23 @@
 	return nil
 }
 
+// validateNames checks the names of this controller and of the other controllers.
 func (p *platformSettings) validateNames() error {
 	for _, peer := range p.Peers {
 		if peer.ControllerID == "" || peer.ControllerID == p.ControllerID {
-			return fmt.Errorf("members: %q is no other controller's name", peer.ControllerID)
+			return fmt.Errorf("members: %q is empty or the name of this controller", peer.ControllerID)
 		}
 	}
 	if p.ControllerID == "" {
 		return errors.New("member: is missing")
 	}
 	if len(p.ControllerID) > maxControllerIDLength {
-		return errors.New("member: is too long")
+		return fmt.Errorf("member: %q is longer than %d bytes", p.ControllerID, maxControllerIDLength)
 	}
 	return nil
 }
 
+// validateAddresses checks the form of all addresses.
 func (p *platformSettings) validateAddresses() error {
 	addrs := map[string]string{
 		"listen":        p.Listen,
@@ -175,22 +180,24 @@
 	}
 	for _, key := range step.SortedKeys(addrs) {
 		if !isAddress(addrs[key]) {
-			return fmt.Errorf("%s: %q is no address of the form IP:PORT", key, addrs[key])
+			return fmt.Errorf("%s: %q is not an address of the form IP:PORT", key, addrs[key])
 		}
 	}
 	return nil
 }
 
-// isAddress tells whether an address has a port, and an IP address or nothing for its host.
+// isAddress reports whether addr consists of a host, which is an IP address or empty, and a port
+// number.
 func isAddress(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || host != "" && net.ParseIP(host) == nil {
 		return false
 	}
-	n, err := strconv.Atoi(port)
-	return err == nil && n >= 0 && n <= math.MaxUint16
+	portNumber, err := strconv.Atoi(port)
+	return err == nil && portNumber >= 0 && portNumber <= math.MaxUint16
 }
 
+// validateRanges checks that the numbers that the controller depends on are within their bounds.
 func (p *platformSettings) validateRanges() error {
 	agents, store, cloud, resources := p.Params.Agents, p.Params.Store, p.Params.Cloud, p.Params.Resources
 	next := p.currentLimits()
@@ -225,15 +232,16 @@
 	return nil
 }
 
+// validateTeams checks that there are teams and that each has a name and valid amounts.
 func (p *platformSettings) validateTeams() error {
 	if len(p.Params.Teams) == 0 {
 		return errors.New("params.teams: is missing")
 	}
 	for _, team := range p.Params.Teams {
 		amounts := []float64{team.GuaranteedCores, team.MaxCores, team.GuaranteedAccelerators, team.MaxAccelerators}
-		isBad := func(amount float64) bool { return math.IsNaN(amount) || amount < 0 }
-		if team.Name == "" || slices.ContainsFunc(amounts, isBad) {
-			return fmt.Errorf("params.teams: %q has a bad name or amount", team.Name)
+		isInvalid := func(amount float64) bool { return math.IsNaN(amount) || amount < 0 }
+		if team.Name == "" || slices.ContainsFunc(amounts, isInvalid) {
+			return fmt.Errorf("params.teams: team %q has an empty name, or an amount that is negative or not a number", team.Name)
 		}
 	}
 	return nil
--- a/cmd/tillerarch/properties.go
+++ b/cmd/tillerarch/properties.go
@@ -12,19 +12,20 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// maxNumberProperty bounds properties that are plain numbers.
-const maxNumberProperty = 100
+// maxPropertyNumber is the maximum of properties that are numbers without a unit.
+const maxPropertyNumber = 100
 
-// operatorSettings are those that an operator may set in the properties file.
+// operatorSettings holds the settings that an operator may change in the properties file.
 type operatorSettings struct {
 	step.Tuning
-	adminListen string
+	adminListen string // address of the admin service; empty if there is none
 }
 
-// propertySetter reads the value of a property.
+// propertySetter parses the value of a property and stores it in a setting.
 type propertySetter func(value string) error
 
-// loadProperties reads the operators' own settings over the defaults.
+// loadProperties reads a properties file and replaces the settings that it names. An unknown
+// property or an invalid value is an error that names the property.
 func (o *operatorSettings) loadProperties(file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -49,44 +50,44 @@
 	return nil
 }
 
-// propertySetters are the properties by their keys.
+// propertySetters returns the setters of all properties by key.
 func (o *operatorSettings) propertySetters() map[string]propertySetter {
 	return map[string]propertySetter{
-		"admin.listen": loopbackAddress(&o.adminListen),
-
-		"hold.ttl":       positiveDuration(&o.LeaseTTL),
-		"flush.gap":      positiveDuration(&o.MinCommitInterval),
-		"beat.hold":      positiveDuration(&o.MaxResponseDelay),
-		"idle.hold":      positiveDuration(&o.MaxIdleResponseDelay),
-		"user.wait":      positiveDuration(&o.UserRequestTimeout),
-		"paid.minimum":   positiveDuration(&o.MinMachineAge),
-		"boot.extra":     positiveDuration(&o.BootTimeoutMargin),
-		"silent.return":  positiveDuration(&o.SilentScaleInDelay),
-		"spot.window":    positiveDuration(&o.SpotPriceWindow),
-		"spot.period":    positiveDuration(&o.SpotPeriod),
-		"spot.margin":    durationOrZero(&o.SpotPeriodEndMargin),
-		"spot.check":     positiveDuration(&o.PriceCheckInterval),
-		"capacity.pause": positiveDuration(&o.NoCapacityBackoff),
-		"list.every":     positiveDuration(&o.InstanceListInterval),
-		"list.silent":    positiveDuration(&o.SilentInstanceListInterval),
-		"age.after":      positiveDuration(&o.AgingThreshold),
-		"balance.gap":    positiveDuration(&o.MinRebalanceInterval),
-
-		"write.share": positiveNumber(&o.WriteBudgetShare),
-		"boot.factor": positiveNumber(&o.BootTimeoutFactor),
-		"spot.loss":   positiveNumber(&o.SpotPreemptionsPerHour),
-		"idle.factor": positiveNumber(&o.IdleTimeoutFactor),
-
-		"moves.by-demand": fraction(&o.RebalanceDemandWeight),
-		"moves.recorded":  toggle(&o.RecordTransfers),
-
-		"spot.cap": count(&o.MaxSpotMachines),
-		"hire.cap": count(&o.MaxProvisionCount),
+		"admin.listen": loopbackAddressSetter(&o.adminListen),
+
+		"hold.ttl":       positiveDurationSetter(&o.LeaseTTL),
+		"flush.gap":      positiveDurationSetter(&o.MinCommitInterval),
+		"beat.hold":      positiveDurationSetter(&o.MaxResponseDelay),
+		"idle.hold":      positiveDurationSetter(&o.MaxIdleResponseDelay),
+		"user.wait":      positiveDurationSetter(&o.UserRequestTimeout),
+		"paid.minimum":   positiveDurationSetter(&o.MinMachineAge),
+		"boot.extra":     positiveDurationSetter(&o.BootTimeoutMargin),
+		"silent.return":  positiveDurationSetter(&o.SilentScaleInDelay),
+		"spot.window":    positiveDurationSetter(&o.SpotPriceWindow),
+		"spot.period":    positiveDurationSetter(&o.SpotPeriod),
+		"spot.margin":    nonNegativeDurationSetter(&o.SpotPeriodEndMargin),
+		"spot.check":     positiveDurationSetter(&o.PriceCheckInterval),
+		"capacity.pause": positiveDurationSetter(&o.NoCapacityBackoff),
+		"list.every":     positiveDurationSetter(&o.InstanceListInterval),
+		"list.silent":    positiveDurationSetter(&o.SilentInstanceListInterval),
+		"age.after":      positiveDurationSetter(&o.AgingThreshold),
+		"balance.gap":    positiveDurationSetter(&o.MinRebalanceInterval),
+
+		"write.share": positiveNumberSetter(&o.WriteBudgetShare),
+		"boot.factor": positiveNumberSetter(&o.BootTimeoutFactor),
+		"spot.loss":   positiveNumberSetter(&o.SpotPreemptionsPerHour),
+		"idle.factor": positiveNumberSetter(&o.IdleTimeoutFactor),
+
+		"moves.by-demand": fractionSetter(&o.RebalanceDemandWeight),
+		"moves.recorded":  boolSetter(&o.RecordTransfers),
+
+		"spot.cap": countSetter(&o.MaxSpotMachines),
+		"hire.cap": countSetter(&o.MaxProvisionCount),
 	}
 }
 
-// positiveDuration reads a duration above zero.
-func positiveDuration(target *time.Duration) propertySetter {
+// positiveDurationSetter returns a setter that accepts a duration above zero.
+func positiveDurationSetter(target *time.Duration) propertySetter {
 	return func(value string) (err error) {
 		if *target, err = time.ParseDuration(value); err == nil && *target <= 0 {
 			err = fmt.Errorf("%q is not above zero", value)
@@ -95,38 +96,38 @@
 	}
 }
 
-// durationOrZero reads a duration that may be zero.
-func durationOrZero(target *time.Duration) propertySetter {
+// nonNegativeDurationSetter returns a setter that accepts a duration of zero or more.
+func nonNegativeDurationSetter(target *time.Duration) propertySetter {
 	return func(value string) (err error) {
 		if *target, err = time.ParseDuration(value); err == nil && *target < 0 {
-			err = fmt.Errorf("%q is not above zero", value)
+			err = fmt.Errorf("%q is below zero", value)
 		}
 		return err
 	}
 }
 
-// positiveNumber reads a number above zero.
-func positiveNumber(target *float64) propertySetter {
+// positiveNumberSetter returns a setter that accepts a number above zero, up to maxPropertyNumber.
+func positiveNumberSetter(target *float64) propertySetter {
 	return func(value string) (err error) {
-		if *target, err = strconv.ParseFloat(value, 64); err == nil && !(*target > 0 && *target <= maxNumberProperty) {
-			err = fmt.Errorf("%q is not within 0 to %d", value, maxNumberProperty)
+		if *target, err = strconv.ParseFloat(value, 64); err == nil && !(*target > 0 && *target <= maxPropertyNumber) {
+			err = fmt.Errorf("%q is not above 0 and at most %d", value, maxPropertyNumber)
 		}
 		return err
 	}
 }
 
-// fraction reads a number from zero to one.
-func fraction(target *float64) propertySetter {
+// fractionSetter returns a setter that accepts a number from zero to one.
+func fractionSetter(target *float64) propertySetter {
 	return func(value string) (err error) {
 		if *target, err = strconv.ParseFloat(value, 64); err == nil && !(*target >= 0 && *target <= 1) {
-			err = fmt.Errorf("%q is not within 0 to 1", value)
+			err = fmt.Errorf("%q is not between 0 and 1", value)
 		}
 		return err
 	}
 }
 
-// toggle reads true or false.
-func toggle(target *bool) propertySetter {
+// boolSetter returns a setter that accepts the boolean values of strconv.ParseBool.
+func boolSetter(target *bool) propertySetter {
 	return func(value string) (err error) {
 		if *target, err = strconv.ParseBool(value); err != nil {
 			return fmt.Errorf("%q is neither true nor false", value)
@@ -135,8 +136,8 @@
 	}
 }
 
-// count reads a whole number from zero.
-func count(target *int) propertySetter {
+// countSetter returns a setter that accepts an integer of zero or more.
+func countSetter(target *int) propertySetter {
 	return func(value string) (err error) {
 		if *target, err = strconv.Atoi(value); err == nil && *target < 0 {
 			err = fmt.Errorf("%q is below zero", value)
@@ -145,23 +146,23 @@
 	}
 }
 
-// loopbackAddress reads an address that only this machine's users can reach.
-func loopbackAddress(target *string) propertySetter {
+// loopbackAddressSetter returns a setter that accepts an address on the loopback interface.
+func loopbackAddressSetter(target *string) propertySetter {
 	return func(value string) error {
 		*target = value
 		return validateLoopback(value)
 	}
 }
 
-// validateLoopback refuses an address that others than this machine's users could reach: the
+// validateLoopback returns an error if users of other machines could reach an address, because the
 // admin service does not authenticate its users.
 func validateLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("%q is no address of the form IP:PORT", address)
+		return fmt.Errorf("%q is not an address of the form IP:PORT", address)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%q is no loopback address", address)
+		return fmt.Errorf("%q is not a loopback address", address)
 	}
 	return nil
 }
--- a/cmd/tillerarch/settings.go
+++ b/cmd/tillerarch/settings.go
@@ -12,13 +12,16 @@
 )
 
 const (
-	// watchRateFraction is the part of the store's request rate that all controllers' watches take.
+	// watchRateFraction is the fraction of the store's request rate that the watches of all
+	// controllers use together.
 	watchRateFraction = 0.4
 
-	// maxObjectiveSeconds bounds the times of objectives, which may be any number.
+	// maxObjectiveSeconds replaces any longer time of an objective, because the settings file may
+	// contain any number.
 	maxObjectiveSeconds = 1e6
 
-	// maxDeadlineFactor is above any factor of an estimated run time that makes sense.
+	// maxDeadlineFactor is greater than any reasonable multiple of a job's deadline. An objective
+	// with this multiple or a greater one is ignored.
 	maxDeadlineFactor = 1e3
 )
 
@@ -29,19 +32,20 @@
 	objectiveDeadline = "deadline"
 )
 
-// settings are what the daemon runs with.
-type settings struct {
+// daemonSettings holds the settings of the daemon and of its core.
+type daemonSettings struct {
 	listen, peerListen, cloudAddr, storeAddr string
 	peerAddrs                                []string
 	core                                     step.Config
-	storeRPS, cloudRPS                       float64 // requests a second of all controllers together
+	storeRPS, cloudRPS                       float64 // requests per second of all controllers together
 	memoryMB                                 float64
 	maxSockets                               int
-	adminListen                              string // of the admin service; empty: there is none
+	adminListen                              string // address of the admin service; empty if there is none
 }
 
-// loadSettings reads the platform's settings file and, if one is named, the operators' properties.
-func loadSettings(file, propertiesFile string) (*settings, error) {
+// loadSettings reads the platform's settings file and, if propertiesFile is not empty, the
+// operators' properties. Its errors name the file and the key of the invalid setting.
+func loadSettings(file, propertiesFile string) (*daemonSettings, error) {
 	var platform platformSettings
 	if _, err := toml.DecodeFile(file, &platform); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -55,7 +59,7 @@
 			return nil, fmt.Errorf("%s: %w", propertiesFile, err)
 		}
 	}
-	s := &settings{
+	settings := &daemonSettings{
 		listen:      platform.Listen,
 		peerListen:  platform.PeerListen,
 		cloudAddr:   platform.Endpoints.Cloud,
@@ -68,12 +72,12 @@
 		adminListen: operator.adminListen,
 	}
 	for _, peer := range platform.Peers {
-		s.peerAddrs = append(s.peerAddrs, peer.Addr)
+		settings.peerAddrs = append(settings.peerAddrs, peer.Addr)
 	}
-	return s, nil
+	return settings, nil
 }
 
-// coreConfig is the configuration of the core.
+// coreConfig returns the configuration of the core.
 func (p *platformSettings) coreConfig(tuning step.Tuning) step.Config {
 	agents, limits := p.Params.Agents, p.currentLimits()
 	controllers := float64(len(p.Peers) + 1)
@@ -101,14 +105,15 @@
 	return config
 }
 
-// newSeed differs between controllers, and between the incarnations of one.
+// newSeed returns a seed of random decisions. It differs between controllers and between the
+// incarnations of a controller.
 func newSeed(controllerID string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(controllerID))
 	return hash.Sum64() ^ uint64(time.Now().UnixNano())
 }
 
-// quotas are the teams' quotas by the teams' names.
+// quotas returns the quotas of the teams by team name.
 func (p *platformSettings) quotas() map[string]step.Quota {
 	quotas := map[string]step.Quota{}
 	for _, team := range p.Params.Teams {
@@ -122,8 +127,8 @@
 	return quotas
 }
 
-// objectives are the objectives of the classes of jobs. They only put jobs in order: a kind that
-// is not known, or an odd number, is left out.
+// objectives returns the objectives by job class. It omits objectives of an unknown kind or with a
+// number out of range, because objectives only determine the order of jobs.
 func (p *platformSettings) objectives() map[string]step.Objectives {
 	byClass := map[string]step.Objectives{}
 	for _, objective := range p.Params.Objectives {
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -10,7 +10,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-const goodSettings = `
+const validSettings = `
 member = "stall-0"
 area = "a"
 listen = "127.0.0.1:8080"
@@ -46,21 +46,22 @@
 max_sockets = 4000
 `
 
+// writeFile writes a file in a temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
-	f := filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
+	path := filepath.Join(t.TempDir(), name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return path
 }
 
-// A bad setting ends the start with one line that names the key.
+// The error of an invalid setting is one line that names the key.
 func TestSettings(t *testing.T) {
-	for _, c := range []struct{ name, old, new, key string }{
+	for _, test := range []struct{ name, old, new, key string }{
 		{"good", "", "", ""},
 		{"no name", `member = "stall-0"`, ``, "member"},
-		{"two of one name", `"stall-1"`, `"stall-0"`, "members"},
+		{"two controllers with one name", `"stall-1"`, `"stall-0"`, "members"},
 		{"host name", `127.0.0.1:8080`, `localhost:8080`, "listen"},
 		{"no port", `127.0.0.3:2379`, `127.0.0.3`, "outside.state"},
 		{"no lease", `lease_s = 42.0`, ``, "params.workers.lease_s"},
@@ -78,25 +79,26 @@
 		},
 		{"not TOML", `[outside]`, `[outside`, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s, err := loadSettings(writeFile(t, "s.toml", strings.Replace(goodSettings, c.old, c.new, 1)), "")
-			if c.name == "good" {
-				if err != nil || s.core.Quotas["core"].MaxCores != 40 || len(s.peerAddrs) != 1 ||
-					s.core.AgentLeaseTTL != 42*time.Second {
-					t.Errorf("%+v, %v", s, err)
+		t.Run(test.name, func(t *testing.T) {
+			settings, err := loadSettings(writeFile(t, "s.toml", strings.Replace(validSettings, test.old, test.new, 1)), "")
+			if test.name == "good" {
+				if err != nil || settings.core.Quotas["core"].MaxCores != 40 || len(settings.peerAddrs) != 1 ||
+					settings.core.AgentLeaseTTL != 42*time.Second {
+					t.Errorf("settings %+v, error %v, want the values of the file and no error", settings, err)
 				}
 				return
 			}
-			if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line that names %q", err, c.key)
+			if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line that names %q", err, test.key)
 			}
 		})
 	}
 }
 
+// Valid properties replace the defaults, and the error of an invalid property names its key.
 func TestProperties(t *testing.T) {
-	good := writeFile(t, "s.toml", goodSettings)
-	for _, c := range []struct{ name, text, key string }{
+	settingsFile := writeFile(t, "s.toml", validSettings)
+	for _, test := range []struct{ name, text, key string }{
 		{
 			"good",
 			"spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\n" +
@@ -111,47 +113,47 @@
 		{"number that is zero", "write.share = 0", "write.share"},
 		{"number that is too large", "idle.factor = 101", "idle.factor"},
 		{"unknown key", "spot.windw = 90s", "spot.windw"},
-		{"neither true nor false", "moves.recorded = perhaps", "moves.recorded"},
+		{"boolean that is neither true nor false", "moves.recorded = perhaps", "moves.recorded"},
 		{"fraction above one", "moves.by-demand = 1.5", "moves.by-demand"},
 		{"address of all interfaces", "admin.listen = 0.0.0.0:8090", "admin.listen"},
 		{"address without a host", "admin.listen = 8090", "admin.listen"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s, err := loadSettings(good, writeFile(t, "p.properties", c.text))
-			if c.key == "" {
-				if err != nil || s.core.SpotPriceWindow != 90*time.Second ||
-					s.core.MaxSpotMachines != 3 || s.core.WriteBudgetShare != 0.5 ||
-					!s.core.RecordTransfers || s.core.RebalanceDemandWeight != 0.5 || s.adminListen != "127.0.0.1:8090" {
-					t.Errorf("%+v, %v", s, err)
+		t.Run(test.name, func(t *testing.T) {
+			settings, err := loadSettings(settingsFile, writeFile(t, "p.properties", test.text))
+			if test.key == "" {
+				if err != nil || settings.core.SpotPriceWindow != 90*time.Second ||
+					settings.core.MaxSpotMachines != 3 || settings.core.WriteBudgetShare != 0.5 ||
+					!settings.core.RecordTransfers || settings.core.RebalanceDemandWeight != 0.5 || settings.adminListen != "127.0.0.1:8090" {
+					t.Errorf("settings %+v, error %v, want the values of the properties and no error", settings, err)
 				}
-			} else if err == nil || !strings.Contains(err.Error(), c.key) {
-				t.Errorf("%q: error %v, want one that names %q", c.text, err, c.key)
+			} else if err == nil || !strings.Contains(err.Error(), test.key) {
+				t.Errorf("%q: error %v, want one that names %q", test.text, err, test.key)
 			}
 		})
 	}
 }
 
-// What is announced of the store's limits may leave some out, and nothing announced leaves
-// everything as it is.
+// Announced limits of the store are completed with the current limits. Without announced limits,
+// AnnouncedLimits is nil.
 func TestNextLimits(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, text string
 		want       *step.WriteLimits
 	}{
-		{"nothing", "", nil},
+		{"no limits", "", nil},
 		{"all limits and an unknown one", "[params.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\nlater = 1\n",
 			&step.WriteLimits{WritesPerSecond: 28, TransactionOps: 8, ValueBytes: 2048}},
 		{"one limit", "[params.state.next]\nvalue_kb = 2.0\n",
 			&step.WriteLimits{WritesPerSecond: 40, TransactionOps: 24, ValueBytes: 2048}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			text := strings.Replace(goodSettings, "[params.cloud]", c.text+"[params.cloud]", 1)
-			s, err := loadSettings(writeFile(t, "s.toml", text), "")
+		t.Run(test.name, func(t *testing.T) {
+			text := strings.Replace(validSettings, "[params.cloud]", test.text+"[params.cloud]", 1)
+			settings, err := loadSettings(writeFile(t, "s.toml", text), "")
 			if err != nil {
-				t.Fatalf("%q: %v", c.text, err)
+				t.Fatalf("%q: %v", test.text, err)
 			}
-			if got := s.core.AnnouncedLimits; (got == nil) != (c.want == nil) || got != nil && *got != *c.want {
-				t.Errorf("%q: %+v, want %+v", c.text, got, c.want)
+			if got := settings.core.AnnouncedLimits; (got == nil) != (test.want == nil) || got != nil && *got != *test.want {
+				t.Errorf("%q: announced limits %+v, want %+v", test.text, got, test.want)
 			}
 		})
 	}
--- a/cmd/tillerarch/sharding_commands.go
+++ b/cmd/tillerarch/sharding_commands.go
@@ -15,33 +15,34 @@
 	"tillerarch/internal/storage"
 )
 
-// newSharesCommand is `tillerarch shares`: who owns which machines.
+// newSharesCommand returns the command `tillerarch shares`, whose subcommands show and change which
+// controller owns which machines.
 func newSharesCommand() *cobra.Command {
-	t := &adminTool{}
+	tool := &adminTool{}
 	command := &cobra.Command{Use: "shares", Short: "Which controller owns which machines, and their moves"}
 	flags := command.PersistentFlags()
-	flags.StringVar(&t.address, "admin", defaultAdminAddress,
+	flags.StringVar(&tool.address, "admin", defaultAdminAddress,
 		"admin service of a controller (admin.listen in its properties)")
-	flags.BoolVar(&t.asJSON, "json", false, "answer as JSON")
+	flags.BoolVar(&tool.asJSON, "json", false, "answer as JSON")
 	command.AddCommand(
-		t.newListCommand(),
-		t.newPlanCommand(),
-		t.newHistoryCommand(),
-		t.newMoveCommand(),
-		t.newAbortCommand(),
-		t.newDrainCommand("drain", "Give all machines of a controller to the others, and none to it", true),
-		t.newDrainCommand("undrain", "Let a controller take machines again", false),
+		tool.newListCommand(),
+		tool.newPlanCommand(),
+		tool.newHistoryCommand(),
+		tool.newMoveCommand(),
+		tool.newAbortCommand(),
+		tool.newDrainCommand("drain", "Give all machines of a controller to the others, and none to it", true),
+		tool.newDrainCommand("undrain", "Let a controller take machines again", false),
 	)
 	return command
 }
 
-// statusView is a command's part of the sharding status, as JSON and as a table.
+// statusView selects the part of the sharding status that a command prints, as JSON or as a table.
 type statusView struct {
-	json  func(*admin.ShardingStatus) any
-	table func(io.Writer, *admin.ShardingStatus)
+	jsonValue  func(*admin.ShardingStatus) any
+	printTable func(io.Writer, *admin.ShardingStatus)
 }
 
-// newStatusCommand is a command that shows a part of the sharding status.
+// newStatusCommand returns a command that prints a part of the sharding status.
 func (t *adminTool) newStatusCommand(use, short string, view statusView) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
@@ -54,13 +55,13 @@
 					return err
 				}
 				warnIfStale(status)
-				return t.printResult(command.OutOrStdout(), view.json(status), func(w io.Writer) { view.table(w, status) })
+				return t.printResult(command.OutOrStdout(), view.jsonValue(status), func(w io.Writer) { view.printTable(w, status) })
 			})
 		},
 	}
 }
 
-// warnIfStale tells the operator that the status may be out of date.
+// warnIfStale prints a warning to standard error if the status may be out of date.
 func warnIfStale(status *admin.ShardingStatus) {
 	if status.Stale {
 		fmt.Fprintf(os.Stderr,
@@ -68,11 +69,13 @@
 	}
 }
 
+// newListCommand returns the command `list`, which prints the controllers and, on request, the
+// shards.
 func (t *adminTool) newListCommand() *cobra.Command {
 	var showShards bool
 	command := t.newStatusCommand("list", "Controllers and what they own", statusView{
-		json: func(status *admin.ShardingStatus) any { return status },
-		table: func(w io.Writer, status *admin.ShardingStatus) {
+		jsonValue: func(status *admin.ShardingStatus) any { return status },
+		printTable: func(w io.Writer, status *admin.ShardingStatus) {
 			fmt.Fprintf(w, "revision %d\n", status.Revision)
 			printControllers(w, status.Controllers)
 			if showShards {
@@ -84,14 +87,17 @@
 	return command
 }
 
+// printControllers prints controllers as rows of a table.
 func printControllers(w io.Writer, controllers []admin.Controller) {
 	fmt.Fprint(w, "CONTROLLER\tRUN\tPAGES\tMACHINES\tMOVES\tDRAINING\n")
-	for _, c := range controllers {
+	for _, controller := range controllers {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\t%v\n",
-			c.ID, cmp.Or(c.Incarnation, "-"), c.Shards, c.Machines, c.SupportsTransfers, c.Draining)
+			controller.ID, cmp.Or(controller.Incarnation, "-"), controller.Shards, controller.Machines,
+			controller.SupportsTransfers, controller.Draining)
 	}
 }
 
+// printShards prints shards as rows of a table.
 func printShards(w io.Writer, shards []admin.Shard) {
 	fmt.Fprint(w, "PAGE\tOWNER\tEPOCH\tMACHINES\tTASKS\n")
 	for _, shard := range shards {
@@ -99,10 +105,12 @@
 	}
 }
 
+// newPlanCommand returns the command `plan`, which prints the transfers that the controller would
+// start now.
 func (t *adminTool) newPlanCommand() *cobra.Command {
 	return t.newStatusCommand("plan", "Moves that this controller would begin now", statusView{
-		json: func(status *admin.ShardingStatus) any { return status.PlannedTransfers },
-		table: func(w io.Writer, status *admin.ShardingStatus) {
+		jsonValue: func(status *admin.ShardingStatus) any { return status.PlannedTransfers },
+		printTable: func(w io.Writer, status *admin.ShardingStatus) {
 			fmt.Fprint(w, "PAGE\tFROM\tTO\n")
 			for _, planned := range status.PlannedTransfers {
 				fmt.Fprintf(w, "%s\t%s\t%s\n", planned.Shard, planned.Source, planned.Target)
@@ -111,20 +119,23 @@
 	})
 }
 
+// newHistoryCommand returns the command `history`, which prints the recorded transfers.
 func (t *adminTool) newHistoryCommand() *cobra.Command {
 	return t.newStatusCommand("history", "Moves on record, open and ended, newest first", statusView{
-		json: func(status *admin.ShardingStatus) any { return sortNewestFirst(status.Transfers) },
-		table: func(w io.Writer, status *admin.ShardingStatus) {
+		jsonValue: func(status *admin.ShardingStatus) any { return sortNewestFirst(status.Transfers) },
+		printTable: func(w io.Writer, status *admin.ShardingStatus) {
 			printTransfers(w, sortNewestFirst(status.Transfers))
 		},
 	})
 }
 
+// sortNewestFirst sorts transfers in place, the last proposed one first, and returns them.
 func sortNewestFirst(transfers []admin.Transfer) []admin.Transfer {
-	slices.SortStableFunc(transfers, func(a, z admin.Transfer) int { return z.ProposedAt.Compare(a.ProposedAt) })
+	slices.SortStableFunc(transfers, func(a, b admin.Transfer) int { return b.ProposedAt.Compare(a.ProposedAt) })
 	return transfers
 }
 
+// printTransfers prints transfers as rows of a table.
 func printTransfers(w io.Writer, transfers []admin.Transfer) {
 	fmt.Fprint(w, "MOVE\tPAGE\tMACHINES\tFROM\tTO\tPHASE\tBEGUN\tHELD\tTOOK\tWHY\n")
 	for _, transfer := range transfers {
@@ -137,7 +148,7 @@
 	}
 }
 
-// formatElapsed is the time from one moment to another, if there were both.
+// formatElapsed returns the time between two moments, or "-" if one of them is zero.
 func formatElapsed(from, to time.Time) string {
 	if from.IsZero() || to.IsZero() {
 		return "-"
@@ -145,6 +156,7 @@
 	return to.Sub(from).String()
 }
 
+// newMoveCommand returns the command `move`, which starts a transfer.
 func (t *adminTool) newMoveCommand() *cobra.Command {
 	var request admin.TransferRequest
 	var wait time.Duration
@@ -159,7 +171,7 @@
 			if request.Name == "" {
 				request.Name = fmt.Sprintf("operator-%d", time.Now().UnixNano())
 			}
-			return t.move(command, &request, wait)
+			return t.startTransfer(command, &request, wait)
 		},
 	}
 	flags := command.Flags()
@@ -171,12 +183,12 @@
 	return command
 }
 
-// move starts a transfer and, if wait is above zero, waits so long for its end.
-func (t *adminTool) move(command *cobra.Command, request *admin.TransferRequest, wait time.Duration) error {
+// startTransfer starts a transfer and, if wait is above zero, waits up to that time for its end.
+func (t *adminTool) startTransfer(command *cobra.Command, request *admin.TransferRequest, wait time.Duration) error {
 	return t.withClient(command, func(ctx context.Context, client *admin.Client) error {
 		transfer, err := client.StartTransfer(ctx, request)
 		if err == nil && wait > 0 {
-			transfer, err = waitForTransfer(ctx, client, transfer, wait)
+			transfer, err = waitForTransferEnd(ctx, client, transfer, wait)
 		}
 		if err != nil {
 			return err
@@ -185,7 +197,7 @@
 	})
 }
 
-// printTransferOutcome prints a transfer; one that was aborted is an error.
+// printTransferOutcome prints a transfer. It returns an error if the transfer was aborted.
 func (t *adminTool) printTransferOutcome(out io.Writer, transfer *admin.Transfer) error {
 	if err := t.printTransfer(out, transfer); err != nil {
 		return err
@@ -196,12 +208,13 @@
 	return nil
 }
 
+// printTransfer prints a transfer.
 func (t *adminTool) printTransfer(out io.Writer, transfer *admin.Transfer) error {
 	return t.printResult(out, transfer, func(w io.Writer) { printTransfers(w, []admin.Transfer{*transfer}) })
 }
 
-// waitForTransfer waits until a transfer has ended.
-func waitForTransfer(
+// waitForTransferEnd waits until a transfer has ended, and returns its last known state.
+func waitForTransferEnd(
 	ctx context.Context, client *admin.Client, transfer *admin.Transfer, timeout time.Duration,
 ) (*admin.Transfer, error) {
 	hasEnded := func(status *admin.ShardingStatus) (bool, error) {
@@ -211,12 +224,13 @@
 		}
 		return !storage.TransferPhase(transfer.Phase).IsOpen(), nil
 	}
-	err := pollStatus(ctx, client, timeout, hasEnded, func() string {
+	err := pollShardingStatus(ctx, client, timeout, hasEnded, func() string {
 		return fmt.Sprintf("move %s is %s; it goes on, ask `shares history`", transfer.Name, transfer.Phase)
 	})
 	return transfer, err
 }
 
+// newAbortCommand returns the command `abort`, which aborts a transfer.
 func (t *adminTool) newAbortCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "abort MOVE",
@@ -234,7 +248,7 @@
 	}
 }
 
-// newDrainCommand is a command that begins or ends a controller's drain.
+// newDrainCommand returns a command that starts or ends a controller's drain.
 func (t *adminTool) newDrainCommand(name, short string, draining bool) *cobra.Command {
 	var wait time.Duration
 	command := &cobra.Command{
@@ -251,8 +265,8 @@
 	return command
 }
 
-// setDraining begins or ends a drain and, if wait is above zero, waits so long for the machines
-// to be gone.
+// setDraining starts or ends a drain and, if wait is above zero, waits up to that time until the
+// controller owns no machines.
 func (t *adminTool) setDraining(command *cobra.Command, request *admin.SetDrainingRequest, wait time.Duration) error {
 	return t.withClient(command, func(ctx context.Context, client *admin.Client) error {
 		controller, err := client.SetDraining(ctx, request)
@@ -268,7 +282,7 @@
 	})
 }
 
-// waitForDrain waits until a controller owns no machines.
+// waitForDrain waits until a controller owns no machines, and returns its last known status.
 func waitForDrain(
 	ctx context.Context, client *admin.Client, controller *admin.Controller, timeout time.Duration,
 ) (*admin.Controller, error) {
@@ -281,7 +295,7 @@
 		controller = &status.Controllers[i]
 		return controller.Machines == 0, nil
 	}
-	err := pollStatus(ctx, client, timeout, isEmpty, func() string {
+	err := pollShardingStatus(ctx, client, timeout, isEmpty, func() string {
 		return fmt.Sprintf("%s still owns %d machines; it goes on giving them away", controller.ID, controller.Machines)
 	})
 	return controller, err
--- a/cmd/tillerarch/sharding_commands_test.go
+++ b/cmd/tillerarch/sharding_commands_test.go
@@ -12,7 +12,7 @@
 	"tillerarch/internal/admin"
 )
 
-// fakeBackend replies to operators with what a test sets.
+// fakeBackend implements admin.Backend with replies that a test sets.
 type fakeBackend struct {
 	status              admin.ShardingStatus
 	transfer            admin.Transfer
@@ -34,13 +34,13 @@
 }
 
 func (f *fakeBackend) SetDraining(_ context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
-	c := f.status.Controllers[0]
-	c.Draining = r.Draining
-	return &c, f.err
+	controller := f.status.Controllers[0]
+	controller.Draining = r.Draining
+	return &controller, f.err
 }
 
-// runShares runs `tillerarch shares` against a fake controller. It gives what the command prints,
-// and its exit code.
+// runShares runs `tillerarch shares` with a fake controller. It returns the output of the command,
+// or the text of its error, and the exit code.
 func runShares(t *testing.T, f *fakeBackend, args ...string) (out string, code int) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -52,18 +52,19 @@
 	defer server.Stop()
 	command := newSharesCommand()
 	command.SilenceErrors, command.SilenceUsage = true, true
-	var b bytes.Buffer
-	command.SetOut(&b)
+	var output bytes.Buffer
+	command.SetOut(&output)
 	command.SetArgs(append([]string{"--admin", listener.Addr().String()}, args...))
 	if err := command.Execute(); err != nil {
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: more than a line: %v", args, err)
+			t.Errorf("%v: the error has more than one line: %v", args, err)
 		}
 		return err.Error(), exitCode(err)
 	}
-	return b.String(), 0
+	return output.String(), 0
 }
 
+// Each command prints its result, or an error, and ends with the exit code of its outcome.
 func TestSharesCommands(t *testing.T) {
 	startedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
 	transfer := admin.Transfer{
@@ -92,12 +93,12 @@
 			},
 		}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		args []string
 		set  func(*fakeBackend)
 		code int
-		want []string // parts of what is printed
+		want []string // parts of the output or of the error's text
 	}{
 		{"list", []string{"list"}, nil, 0, []string{"revision 412", "stall-0#7", "51"}},
 		{"list of shards", []string{"list", "--pages"}, nil, 0, []string{"stall-0#7-1", "EPOCH"}},
@@ -160,37 +161,37 @@
 			exitUnavailable, []string{"goes on"},
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			backend := newBackend()
-			if c.set != nil {
-				c.set(backend)
+			if test.set != nil {
+				test.set(backend)
 			}
-			out, code := runShares(t, backend, c.args...)
-			if code != c.code {
-				t.Errorf("exit code %d, want %d: %s", code, c.code, out)
+			out, code := runShares(t, backend, test.args...)
+			if code != test.code {
+				t.Errorf("exit code %d, want %d; output %s", code, test.code, out)
 			}
-			for _, part := range c.want {
+			for _, part := range test.want {
 				if !strings.Contains(out, part) {
-					t.Errorf("%q lacks %q", out, part)
+					t.Errorf("output %q, want one that contains %q", out, part)
 				}
 			}
 		})
 	}
 }
 
-// The JSON is complete, and a transfer that is not named gets a name of its own.
+// The JSON output holds the whole status, and a transfer without a given name gets a unique name.
 func TestSharesAsJSON(t *testing.T) {
 	backend := &fakeBackend{status: admin.ShardingStatus{Revision: 9, Controllers: []admin.Controller{{ID: "stall-0"}}}}
 	out, code := runShares(t, backend, "list", "--json")
 	var status admin.ShardingStatus
 	err := json.Unmarshal([]byte(out), &status)
 	if err != nil || code != 0 || status.Revision != 9 || len(status.Controllers) != 1 {
-		t.Errorf("exit code %d, output %q: %v", code, out, err)
+		t.Errorf("exit code %d, output %q, error %v, want the whole status", code, out, err)
 	}
 	runShares(t, backend, "move", "--from", "stall-0", "--to", "stall-1")
 	first := backend.lastTransferRequest.Name
 	runShares(t, backend, "move", "--from", "stall-0", "--to", "stall-1")
 	if first == "" || backend.lastTransferRequest.Name == first {
-		t.Errorf("names %q and %q, want two different ones", first, backend.lastTransferRequest.Name)
+		t.Errorf("transfer names %q and %q, want two different names that are not empty", first, backend.lastTransferRequest.Name)
 	}
 }
