--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -26,6 +26,7 @@
 	OutcomeUnknown
 )
 
+// String returns the name of the outcome in plain words.
 func (o Outcome) String() string {
 	return [...]string{
 		OutcomeApplied:      "applied",
@@ -78,6 +79,7 @@
 	Err    error  // cause, or nil if the status alone explains the failure
 }
 
+// Error returns the method and path of the request, the status and the cause.
 func (e *RequestError) Error() string {
 	text := "store: " + e.Method + " " + e.Path
 	if e.Status != 0 {
--- a/internal/storage/machine_index.go
+++ b/internal/storage/machine_index.go
@@ -18,6 +18,7 @@
 // setIndex maps keys to non-empty sets of values.
 type setIndex[K, V comparable] map[K]map[V]bool
 
+// add adds a value to the set of a key.
 func (x setIndex[K, V]) add(key K, value V) {
 	if x[key] == nil {
 		x[key] = map[V]bool{}
@@ -25,6 +26,7 @@
 	x[key][value] = true
 }
 
+// remove removes a value from the set of a key, and the key with its last value.
 func (x setIndex[K, V]) remove(key K, value V) {
 	if delete(x[key], value); len(x[key]) == 0 {
 		delete(x, key)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -49,7 +49,7 @@
 
 	// ReservedMachines lists the machines on which capacity is reserved for the job, which is
 	// a gang or a service. The owners of the machines preempt tasks of lower priority there.
-	// A service lists a machine once for each of its replicas.
+	// A service lists a machine once for each replica that it reserves there.
 	ReservedMachines []protocol.MachineID `json:"m,omitempty"`
 	SubmittedAt      protocol.Millis      `json:"t,omitempty"`
 
@@ -66,7 +66,8 @@
 	TaskCount       int             `json:"k,omitempty"` // set only for a done job
 }
 
-// IsCancelledOrCancelling tells whether the job is cancelled, or its cancellation requested.
+// IsCancelledOrCancelling reports whether the job is cancelled or its cancellation has been
+// requested.
 func (r *JobRecord) IsCancelledOrCancelling() bool {
 	return r.CancelRequested || r.State == protocol.JobCancelled
 }
--- a/internal/storage/replica.go
+++ b/internal/storage/replica.go
@@ -72,6 +72,7 @@
 	return r.modRevision(parseKey(key))
 }
 
+// modRevision is ModRevision for a parsed key.
 func (r *Replica) modRevision(key recordKey) protocol.ModRevision {
 	switch key.kind {
 	case jobKind:
@@ -96,6 +97,8 @@
 	return 0
 }
 
+// modRevisionOf returns the revision of the last change of a record in a map, or 0 if there is
+// no such record.
 func modRevisionOf[K comparable, T any](records map[K]*Versioned[T], key K) protocol.ModRevision {
 	if entry := records[key]; entry != nil {
 		return entry.ModRevision
@@ -163,6 +166,7 @@
 	return nil
 }
 
+// putFormat applies the record under FormatKey.
 func (r *Replica) putFormat(data json.RawMessage, revision protocol.ModRevision) error {
 	record, err := decodeJSON[FormatRecord](data)
 	if err != nil {
@@ -216,6 +220,7 @@
 	}
 }
 
+// addTombstone remembers the deletion of a shard key.
 func (r *Replica) addTombstone(key string, revision protocol.ModRevision) {
 	if len(r.tombstones) > maxTombstones {
 		r.tombstones = map[string]protocol.ModRevision{}
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -30,8 +30,8 @@
 
 // Contains reports whether index is in the set.
 func (s TaskSet) Contains(index int) bool {
-	i := s.firstIntervalNotBefore(index)
-	return i < len(s.intervals) && s.intervals[i].lo <= index
+	position := s.firstIntervalNotBefore(index)
+	return position < len(s.intervals) && s.intervals[position].lo <= index
 }
 
 // Len returns the number of indexes in the set.
@@ -51,18 +51,18 @@
 	if s.Contains(index) {
 		return s
 	}
-	i := s.firstIntervalNotBefore(index)
+	position := s.firstIntervalNotBefore(index)
 	intervals := make([]interval, 0, len(s.intervals)+1)
-	intervals = append(intervals, s.intervals[:i]...)
+	intervals = append(intervals, s.intervals[:position]...)
 	intervals = append(intervals, interval{index, index})
-	intervals = append(intervals, s.intervals[i:]...)
-	if i+1 < len(intervals) && intervals[i+1].lo == index+1 {
-		intervals[i].hi = intervals[i+1].hi
-		intervals = append(intervals[:i+1], intervals[i+2:]...)
+	intervals = append(intervals, s.intervals[position:]...)
+	if position+1 < len(intervals) && intervals[position+1].lo == index+1 {
+		intervals[position].hi = intervals[position+1].hi
+		intervals = append(intervals[:position+1], intervals[position+2:]...)
 	}
-	if i > 0 && intervals[i-1].hi == index-1 {
-		intervals[i-1].hi = intervals[i].hi
-		intervals = append(intervals[:i], intervals[i+1:]...)
+	if position > 0 && intervals[position-1].hi == index-1 {
+		intervals[position-1].hi = intervals[position].hi
+		intervals = append(intervals[:position], intervals[position+1:]...)
 	}
 	return TaskSet{intervals}
 }
@@ -72,16 +72,16 @@
 	if !s.Contains(index) {
 		return s
 	}
-	i := s.firstIntervalNotBefore(index)
+	position := s.firstIntervalNotBefore(index)
 	intervals := make([]interval, 0, len(s.intervals)+1)
-	intervals = append(intervals, s.intervals[:i]...)
-	if iv := s.intervals[i]; iv.lo < index {
+	intervals = append(intervals, s.intervals[:position]...)
+	if iv := s.intervals[position]; iv.lo < index {
 		intervals = append(intervals, interval{iv.lo, index - 1})
 	}
-	if iv := s.intervals[i]; iv.hi > index {
+	if iv := s.intervals[position]; iv.hi > index {
 		intervals = append(intervals, interval{index + 1, iv.hi})
 	}
-	return TaskSet{append(intervals, s.intervals[i+1:]...)}
+	return TaskSet{append(intervals, s.intervals[position+1:]...)}
 }
 
 // Union returns the set of the indexes that are in s, in other or in both.
--- a/internal/storage/transfers.go
+++ b/internal/storage/transfers.go
@@ -33,7 +33,7 @@
 	TransferPrepared  TransferPhase = "prepared"    // no new task is placed or started on the shard
 	TransferCommitted TransferPhase = "transferred" // the shard has its new owner
 	TransferClosed    TransferPhase = "closed"      // the shard's agents know the new owner
-	TransferAborted   TransferPhase = "aborted"     // the shard kept its owner or got one that is not the target
+	TransferAborted   TransferPhase = "aborted"     // the shard kept its owner or got another one
 )
 
 // IsOpen reports whether a controller still has to act on the transfer.
@@ -70,7 +70,7 @@
 	Target       Incarnation     `json:"t"`
 	Phase        TransferPhase   `json:"p"`
 	Reason       string          `json:"w,omitempty"` // why the transfer was proposed or aborted; shown to operators
-	MachineCount int             `json:"k,omitempty"`
+	MachineCount int             `json:"k,omitempty"` // machines of the shard
 	ProposedAt   protocol.Millis `json:"b"`
 	PreparedAt   protocol.Millis `json:"h,omitempty"`
 	CommittedAt  protocol.Millis `json:"s,omitempty"`
