--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -22,13 +22,13 @@
 
 // Options of a cluster.
 type Options struct {
-	Seed         uint64
-	Controllers  int
-	BinaryPath   string // of the program under test
-	WorkDir      string // for configuration files and logs
-	MachineTypes []protocol.MachineType
-	Teams        map[string]step.Quota
-	Properties   string // of all controllers, besides the admin service's address
+	Seed            uint64
+	ControllerCount int
+	BinaryPath      string // of the program under test
+	WorkDir         string // for configuration files and logs
+	MachineTypes    []protocol.MachineType
+	Teams           map[string]step.Quota
+	Properties      string // of all controllers, besides the admin service's address
 }
 
 // Cluster is a deployment whose controllers are processes.
@@ -67,32 +67,32 @@
 func StartCluster(options Options) (*Cluster, error) {
 	cluster := &Cluster{options: options}
 	var remotes []simulation.RemoteController
-	for i := range options.Controllers {
-		c := &Controller{cluster: cluster, index: i, ID: protocol.ControllerID(fmt.Sprintf("stall-%d", i))}
-		for _, addr := range []*string{&c.listenAddr, &c.peerAddr, &c.AdminAddr} {
+	for i := range options.ControllerCount {
+		controller := &Controller{cluster: cluster, index: i, ID: protocol.ControllerID(fmt.Sprintf("stall-%d", i))}
+		for _, addr := range []*string{&controller.listenAddr, &controller.peerAddr, &controller.AdminAddr} {
 			var err error
 			if *addr, err = freeAddress(); err != nil {
 				return nil, err
 			}
 		}
-		c.httpClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-		cluster.Controllers = append(cluster.Controllers, c)
-		remotes = append(remotes, c)
+		controller.httpClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+		cluster.Controllers = append(cluster.Controllers, controller)
+		remotes = append(remotes, controller)
 	}
-	w := simulation.NewRemoteWorld(options.Seed, remotes, options.MachineTypes, options.Teams)
-	w.HeartbeatInterval = heartbeatInterval
-	w.AgentLeaseTTL = agentLeaseTTL
-	w.GangStartTimeout = gangStartTimeout
-	w.Rules.CancelTimeout = cancelTimeout
-	w.Store.SetMaxEvents(storeMaxEvents)
-	w.Store.MaxValueBytes = maxValueBytes
-	w.Store.MaxTransactionOperations = maxTransactionOps
-	w.Store.WriteRate = writesPerSecond
-	if err := cluster.start(w); err != nil {
+	world := simulation.NewRemoteWorld(options.Seed, remotes, options.MachineTypes, options.Teams)
+	world.HeartbeatInterval = heartbeatInterval
+	world.AgentLeaseTTL = agentLeaseTTL
+	world.GangStartTimeout = gangStartTimeout
+	world.Rules.CancelTimeout = cancelTimeout
+	world.Store.SetMaxEvents(storeMaxEvents)
+	world.Store.MaxValueBytes = maxValueBytes
+	world.Store.MaxTransactionOperations = maxTransactionOps
+	world.Store.WriteRate = writesPerSecond
+	if err := cluster.serveWorld(world); err != nil {
 		return nil, err
 	}
-	for _, c := range cluster.Controllers {
-		if err := c.Start(); err != nil {
+	for _, controller := range cluster.Controllers {
+		if err := controller.Start(); err != nil {
 			return nil, err
 		}
 	}
@@ -101,23 +101,23 @@
 
 // freeAddress finds a loopback port on which nobody listens.
 func freeAddress() (string, error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
 
 // Start writes the controller's configuration and starts its process.
 func (c *Controller) Start() error {
-	config := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".toml")
-	properties := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".properties")
+	settingsPath := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".toml")
+	propertiesPath := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".properties")
 	propertyText := c.cluster.options.Properties + "\nadmin.listen = " + c.AdminAddr + "\n"
-	if err := os.WriteFile(config, []byte(c.configFile()), 0o600); err != nil {
+	if err := os.WriteFile(settingsPath, []byte(c.settingsText()), 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(properties, []byte(propertyText), 0o600); err != nil {
+	if err := os.WriteFile(propertiesPath, []byte(propertyText), 0o600); err != nil {
 		return err
 	}
 	var err error
@@ -126,29 +126,29 @@
 			return err
 		}
 	}
-	c.process = exec.Command(c.cluster.options.BinaryPath, "--properties", properties, "--config", config)
+	c.process = exec.Command(c.cluster.options.BinaryPath, "--properties", propertiesPath, "--config", settingsPath)
 	c.process.Stderr = c.logFile
 	return c.process.Start()
 }
 
-// configFile is the content of the platform's settings file.
-func (c *Controller) configFile() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "member = %q\narea = \"a\"\nlisten = %q\nback = %q\n", c.ID, c.listenAddr, c.peerAddr)
+// settingsText is the content of the platform's settings file.
+func (c *Controller) settingsText() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "member = %q\narea = \"a\"\nlisten = %q\nback = %q\n", c.ID, c.listenAddr, c.peerAddr)
 	for _, other := range c.cluster.Controllers {
 		if other != c {
-			fmt.Fprintf(&b, "[[members]]\nmember = %q\naddr = %q\n", other.ID, other.peerAddr)
+			fmt.Fprintf(&text, "[[members]]\nmember = %q\naddr = %q\n", other.ID, other.peerAddr)
 		}
 	}
-	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.cluster.cloudAddr, c.cluster.storeAddrs[c.index])
+	fmt.Fprintf(&text, "[outside]\ncloud = %q\nstate = %q\n", c.cluster.cloudAddr, c.cluster.storeAddrs[c.index])
 	for name, team := range c.cluster.options.Teams {
-		fmt.Fprintf(&b, "[[params.teams]]\nname = %q\ncpus_max = %f\n", name, team.MaxCores)
+		fmt.Fprintf(&text, "[[params.teams]]\nname = %q\ncpus_max = %f\n", name, team.MaxCores)
 	}
-	fmt.Fprintf(&b, "[params.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = 4.0\ncancel_s = %f\n",
+	fmt.Fprintf(&text, "[params.workers]\nreport_s = %f\nlease_s = %f\ngang_wait_s = %f\ngang_peer_s = 4.0\ncancel_s = %f\n",
 		heartbeatInterval.Seconds(), agentLeaseTTL.Seconds(), gangStartTimeout.Seconds(), cancelTimeout.Seconds())
-	fmt.Fprintf(&b, "[params.state]\nrps = 500.0\nwrite_rps = %d\nvalue_kb = %f\ntxn_ops = %d\n", writesPerSecond, float64(maxValueBytes)/1024, maxTransactionOps)
-	fmt.Fprint(&b, "[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[params.resources]\nmemory_mb = 400.0\nmax_sockets = 2000\n")
-	return b.String()
+	fmt.Fprintf(&text, "[params.state]\nrps = 500.0\nwrite_rps = %d\nvalue_kb = %f\ntxn_ops = %d\n", writesPerSecond, float64(maxValueBytes)/1024, maxTransactionOps)
+	fmt.Fprint(&text, "[params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[params.resources]\nmemory_mb = 400.0\nmax_sockets = 2000\n")
+	return text.String()
 }
 
 // Kill kills the process and waits for its end.
@@ -165,25 +165,25 @@
 }
 
 // Pause stops the process for a while; its clock runs on.
-func (c *Controller) Pause(d time.Duration) error {
+func (c *Controller) Pause(duration time.Duration) error {
 	if err := c.process.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	time.Sleep(d)
+	time.Sleep(duration)
 	return c.process.Process.Signal(syscall.SIGCONT)
 }
 
-// AdminClient connects to the controller's admin service.
-func (c *Controller) AdminClient() (*admin.Client, error) { return admin.Dial(c.AdminAddr) }
+// DialAdmin connects to the controller's admin service.
+func (c *Controller) DialAdmin() (*admin.Client, error) { return admin.Dial(c.AdminAddr) }
 
 // Close kills all controllers, waits for them, and closes the simulated systems.
 func (c *Cluster) Close() {
-	for _, c := range c.Controllers {
-		if c.process != nil {
-			c.Kill()
+	for _, controller := range c.Controllers {
+		if controller.process != nil {
+			controller.Kill()
 		}
-		if c.logFile != nil {
-			c.logFile.Close()
+		if controller.logFile != nil {
+			controller.logFile.Close()
 		}
 	}
 	c.SimulationServer.Close()
@@ -209,13 +209,13 @@
 // sendAsync makes a call and brings the reply into the world; status 0 says that there is none.
 func (c *Controller) sendAsync(method, path string, body []byte, reply func(int, []byte)) {
 	go func() {
-		status, response := c.call(method, path, body)
+		status, response := c.sendRequest(method, path, body)
 		c.cluster.WithWorld(func(*simulation.World) { reply(status, response) })
 	}()
 }
 
-func (c *Controller) call(method, path string, content []byte) (status int, reply []byte) {
-	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.listenAddr+path, bytes.NewReader(content))
+func (c *Controller) sendRequest(method, path string, body []byte) (status int, reply []byte) {
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.listenAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -21,16 +21,16 @@
 func waitForOwnership(t *testing.T, cluster *Cluster, runCLI cliRunner) admin.ShardingStatus {
 	t.Helper()
 	for range 60 {
-		var shares admin.ShardingStatus
-		runCLI(0, &shares, "list")
-		machines := 0
-		for _, c := range shares.Controllers {
-			machines += c.Machines
+		var status admin.ShardingStatus
+		runCLI(0, &status, "list")
+		ownedCount := 0
+		for _, controller := range status.Controllers {
+			ownedCount += controller.Machines
 		}
-		running := 0
-		cluster.WithWorld(func(w *simulation.World) { running = len(w.Instances()) })
-		if machines == running && len(shares.Controllers) == 3 {
-			return shares
+		instanceCount := 0
+		cluster.WithWorld(func(w *simulation.World) { instanceCount = len(w.Instances()) })
+		if ownedCount == instanceCount && len(status.Controllers) == 3 {
+			return status
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -42,26 +42,26 @@
 // restart and let it take part again. What the program prints is compared with what is on record.
 func TestSharesCommand(t *testing.T) {
 	binaryPath := buildProgram(t)
-	cluster := startCluster(t, binaryPath, 8)
+	cluster := startTestCluster(t, binaryPath, 8)
 	jobs := &jobGenerator{}
 	time.Sleep(4 * time.Second)
 	cluster.WithWorld(jobs.submitNext)
 	time.Sleep(3 * time.Second)
-	var runCLI cliRunner = func(code int, answer any, args ...string) {
+	var runCLI cliRunner = func(wantExitCode int, result any, args ...string) {
 		t.Helper()
-		common := []string{"shares", "--json", "--admin", cluster.Controllers[2].AdminAddr}
-		out, err := exec.Command(binaryPath, append(common, args...)...).Output()
+		commonArgs := []string{"shares", "--json", "--admin", cluster.Controllers[2].AdminAddr}
+		out, err := exec.Command(binaryPath, append(commonArgs, args...)...).Output()
 		var exit *exec.ExitError
-		if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != code) || err == nil && code != 0 {
-			t.Fatalf("%v: %v, want exit code %d: %s", args, err, code, out)
+		if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != wantExitCode) || err == nil && wantExitCode != 0 {
+			t.Fatalf("%v: %v, want exit code %d: %s", args, err, wantExitCode, out)
 		}
-		if answer != nil {
-			if err := json.Unmarshal(out, answer); err != nil {
+		if result != nil {
+			if err := json.Unmarshal(out, result); err != nil {
 				t.Fatalf("%v: %s: %v", args, out, err)
 			}
 		}
 	}
-	owned := func(controllerID string) (machines int) {
+	machinesOwnedBy := func(controllerID string) (machines int) {
 		cluster.WithWorld(func(w *simulation.World) {
 			for _, controller := range w.Controllers {
 				if string(controller.ID) == controllerID {
@@ -71,35 +71,35 @@
 		})
 		return machines
 	}
-	shares := waitForOwnership(t, cluster, runCLI)
-	slices.SortFunc(shares.Controllers, func(a, z admin.Controller) int { return cmp.Compare(z.Machines, a.Machines) })
-	source, target := shares.Controllers[0].ID, shares.Controllers[1].ID
-	for _, c := range shares.Controllers {
-		if n := owned(c.ID); n != c.Machines {
-			t.Errorf("%s owns %d machines, the command says %d", c.ID, n, c.Machines)
+	status := waitForOwnership(t, cluster, runCLI)
+	slices.SortFunc(status.Controllers, func(a, z admin.Controller) int { return cmp.Compare(z.Machines, a.Machines) })
+	source, target := status.Controllers[0].ID, status.Controllers[1].ID
+	for _, controller := range status.Controllers {
+		if n := machinesOwnedBy(controller.ID); n != controller.Machines {
+			t.Errorf("%s owns %d machines, the command says %d", controller.ID, n, controller.Machines)
 		}
 	}
 	var transfer admin.Transfer
 	runCLI(0, &transfer, "move", "--name", "drill", "--from", source, "--to", target, "--wait", "30s")
-	if transfer.Phase != string(storage.TransferClosed) || owned(target) < transfer.Machines || transfer.Machines == 0 {
-		t.Errorf("%+v, the target owns %d", transfer, owned(target))
+	if transfer.Phase != string(storage.TransferClosed) || machinesOwnedBy(target) < transfer.Machines || transfer.Machines == 0 {
+		t.Errorf("%+v, the target owns %d", transfer, machinesOwnedBy(target))
 	}
 	runCLI(0, &transfer, "move", "--name", "drill", "--from", source, "--to", target)
 	runCLI(2, nil, "move", "--from", source, "--to", "stall-7")
 	runCLI(2, nil, "abort", "drill")
 	runCLI(0, nil, "drain", source, "--wait", "60s")
-	if n := owned(source); n != 0 {
+	if n := machinesOwnedBy(source); n != 0 {
 		t.Errorf("drained, and owns %d machines", n)
 	}
-	for _, c := range cluster.Controllers {
-		if string(c.ID) == source {
-			if err := c.Restart(time.Second); err != nil {
+	for _, controller := range cluster.Controllers {
+		if string(controller.ID) == source {
+			if err := controller.Restart(time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	time.Sleep(3 * time.Second)
-	if n := owned(source); n != 0 {
+	if n := machinesOwnedBy(source); n != 0 {
 		t.Errorf("its next incarnation was given %d machines", n)
 	}
 	runCLI(0, nil, "undrain", source)
--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -24,7 +24,7 @@
 	world     *simulation.World
 	startedAt time.Time
 	stop      chan struct{}
-	done      sync.WaitGroup
+	loops     sync.WaitGroup
 
 	listeners  []net.Listener
 	storeAddrs []string // of the store, as each controller reaches it
@@ -38,29 +38,29 @@
 	fn(s.world)
 }
 
-// start serves the world and lets its time pass with the clock. Close ends both.
-func (s *SimulationServer) start(w *simulation.World) error {
-	s.world, s.startedAt, s.stop = w, time.Now(), make(chan struct{})
-	for i := range w.Controllers {
-		addr, err := s.serve(s.storeHandler(w.Controllers[i]))
+// serveWorld serves the world and lets its time pass with the clock. Close ends both.
+func (s *SimulationServer) serveWorld(world *simulation.World) error {
+	s.world, s.startedAt, s.stop = world, time.Now(), make(chan struct{})
+	for i := range world.Controllers {
+		addr, err := s.listenAndServe(s.storeHandler(world.Controllers[i]))
 		if err != nil {
 			return err
 		}
 		s.storeAddrs = append(s.storeAddrs, addr)
 	}
 	var err error
-	if s.cloudAddr, err = s.serve(s.cloudHandler()); err != nil {
+	if s.cloudAddr, err = s.listenAndServe(s.cloudHandler()); err != nil {
 		return err
 	}
-	w.OnProvision = s.serveAgent
-	s.done.Add(1)
+	world.OnProvision = s.serveAgent
+	s.loops.Add(1)
 	go s.advanceTime()
 	return nil
 }
 
 // advanceTime lets the world's time pass.
 func (s *SimulationServer) advanceTime() {
-	defer s.done.Done()
+	defer s.loops.Done()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -76,32 +76,32 @@
 // Close stops the world's time and closes all listeners. Requests that are under way fail.
 func (s *SimulationServer) Close() {
 	close(s.stop)
-	s.done.Wait()
+	s.loops.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range s.listeners {
-		l.Close()
+	for _, listener := range s.listeners {
+		listener.Close()
 	}
 }
 
-// serve serves a handler on a loopback port of its own, until Close.
-func (s *SimulationServer) serve(h http.Handler) (addr string, err error) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// listenAndServe serves a handler on a loopback port of its own, until Close.
+func (s *SimulationServer) listenAndServe(handler http.Handler) (addr string, err error) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	s.listeners = append(s.listeners, l)
+	s.listeners = append(s.listeners, listener)
 	go func() {
-		if err := http.Serve(l, h); !errors.Is(err, net.ErrClosed) {
+		if err := http.Serve(listener, handler); !errors.Is(err, net.ErrClosed) {
 			panic(err)
 		}
 	}()
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
-func writeJSON(rw http.ResponseWriter, code int, v any) {
+func writeJSON(rw http.ResponseWriter, status int, v any) {
 	rw.Header().Set("Content-Type", "application/json")
-	rw.WriteHeader(code)
+	rw.WriteHeader(status)
 	rw.Write(protocol.Encode(v))
 }
 
@@ -120,17 +120,19 @@
 // storeHandler is the store as one controller reaches it.
 func (s *SimulationServer) storeHandler(controller *simulation.Controller) http.Handler {
 	mux := http.NewServeMux()
-	handle := func(pattern string, h http.HandlerFunc) {
+	handle := func(pattern string, handler http.HandlerFunc) {
 		mux.HandleFunc(pattern, func(rw http.ResponseWriter, r *http.Request) {
-			var unreachable, down bool
-			s.WithWorld(func(w *simulation.World) { unreachable, down = controller.StoreUnreachable, w.Store.Unavailable })
+			var isUnreachable, isUnavailable bool
+			s.WithWorld(func(w *simulation.World) {
+				isUnreachable, isUnavailable = controller.StoreUnreachable, w.Store.Unavailable
+			})
 			switch {
-			case unreachable:
+			case isUnreachable:
 				hangRequest(r)
-			case down && !strings.HasPrefix(r.URL.Path, protocol.PathWatch):
+			case isUnavailable && !strings.HasPrefix(r.URL.Path, protocol.PathWatch):
 				writeJSON(rw, http.StatusServiceUnavailable, struct{}{})
 			default:
-				h(rw, r)
+				handler(rw, r)
 			}
 		})
 	}
@@ -174,16 +176,16 @@
 		writeJSON(rw, http.StatusBadRequest, protocol.TransactionResult{Error: "malformed"})
 		return
 	}
-	code, result := 0, protocol.TransactionResult{}
-	replyLost := false
+	status, result := 0, protocol.TransactionResult{}
+	isReplyLost := false
 	s.WithWorld(func(w *simulation.World) {
-		code, result = w.Store.Commit(transaction)
-		replyLost = w.LostWriteReplyRate > 0 && w.Rand.Float64() < w.LostWriteReplyRate
+		status, result = w.Store.Commit(transaction)
+		isReplyLost = w.LostWriteReplyRate > 0 && w.Rand.Float64() < w.LostWriteReplyRate
 	})
-	if replyLost {
+	if isReplyLost {
 		panic(http.ErrAbortHandler) // applied, and nobody is told
 	}
-	writeJSON(rw, code, result)
+	writeJSON(rw, status, result)
 }
 
 func (s *SimulationServer) grantLease(rw http.ResponseWriter, r *http.Request) {
@@ -200,9 +202,9 @@
 
 func (s *SimulationServer) renewLease(rw http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
-	alive := false
-	s.WithWorld(func(w *simulation.World) { alive = err == nil && w.Store.RenewLease(w.Now, protocol.LeaseID(id)) })
-	if !alive {
+	isAlive := false
+	s.WithWorld(func(w *simulation.World) { isAlive = err == nil && w.Store.RenewLease(w.Now, protocol.LeaseID(id)) })
+	if !isAlive {
 		writeJSON(rw, http.StatusNotFound, struct{}{})
 		return
 	}
@@ -212,25 +214,25 @@
 // watch waits for events; during an outage it only waits.
 func (s *SimulationServer) watch(rw http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
-	wait, err2 := strconv.Atoi(query.Get("wait_ms"))
-	if err != nil || err2 != nil {
+	fromRevision, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	waitMillis, waitErr := strconv.Atoi(query.Get("wait_ms"))
+	if err != nil || waitErr != nil {
 		writeJSON(rw, http.StatusBadRequest, struct{}{})
 		return
 	}
-	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); r.Context().Err() == nil; time.Sleep(tickInterval) {
+	for deadline := time.Now().Add(time.Duration(waitMillis) * time.Millisecond); r.Context().Err() == nil; time.Sleep(tickInterval) {
 		var response protocol.WatchResponse
-		var compacted, down bool
+		var isCompacted, isUnavailable bool
 		s.WithWorld(func(w *simulation.World) {
-			if down = w.Store.Unavailable; !down {
-				response, compacted = w.Store.Watch(query.Get("starts"), protocol.Revision(from))
+			if isUnavailable = w.Store.Unavailable; !isUnavailable {
+				response, isCompacted = w.Store.Watch(query.Get("starts"), protocol.Revision(fromRevision))
 			}
 		})
 		switch {
-		case compacted:
+		case isCompacted:
 			writeJSON(rw, http.StatusGone, struct{}{})
 			return
-		case !down && (len(response.Events) > 0 || time.Now().After(end)):
+		case !isUnavailable && (len(response.Events) > 0 || time.Now().After(deadline)):
 			writeJSON(rw, http.StatusOK, response)
 			return
 		}
@@ -283,13 +285,13 @@
 }
 
 // serveAgent serves a machine's agent at an address of its own. The world's lock is held.
-func (s *SimulationServer) serveAgent(m *simulation.Machine) {
+func (s *SimulationServer) serveAgent(machine *simulation.Machine) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathAgentStatus, func(rw http.ResponseWriter, r *http.Request) {
 		var heartbeat []byte
 		s.WithWorld(func(*simulation.World) {
-			if !m.Terminated && !m.Partitioned {
-				heartbeat = m.Probe()
+			if !machine.Terminated && !machine.Partitioned {
+				heartbeat = machine.Probe()
 			}
 		})
 		writeAgentReply(rw, r, http.StatusOK, heartbeat)
@@ -300,28 +302,28 @@
 			writeJSON(rw, http.StatusBadRequest, struct{}{})
 			return
 		}
-		code, heartbeat := 0, []byte(nil)
+		status, heartbeat := 0, []byte(nil)
 		s.WithWorld(func(*simulation.World) {
-			if !m.Terminated && !m.Partitioned {
-				code, heartbeat = m.ExecuteCommands(commands)
+			if !machine.Terminated && !machine.Partitioned {
+				status, heartbeat = machine.ExecuteCommands(commands)
 			}
 		})
-		writeAgentReply(rw, r, code, heartbeat)
+		writeAgentReply(rw, r, status, heartbeat)
 	})
-	addr, err := s.serve(mux)
+	addr, err := s.listenAndServe(mux)
 	if err != nil {
 		panic(err)
 	}
-	m.Addr = addr
+	machine.Addr = addr
 }
 
 // writeAgentReply replies for an agent. heartbeat is nil if the machine cannot be reached: then
 // there is no reply.
-func writeAgentReply(rw http.ResponseWriter, r *http.Request, code int, heartbeat []byte) {
+func writeAgentReply(rw http.ResponseWriter, r *http.Request, status int, heartbeat []byte) {
 	if heartbeat == nil {
 		hangRequest(r)
 	}
 	rw.Header().Set("Content-Type", "application/json")
-	rw.WriteHeader(code)
+	rw.WriteHeader(status)
 	rw.Write(heartbeat)
 }
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -31,17 +31,17 @@
 	return binaryPath
 }
 
-// startCluster starts three controllers and some machines; they are gone at the end of the test.
-func startCluster(t *testing.T, binaryPath string, seed uint64) *Cluster {
+// startTestCluster starts three controllers and some machines; they are gone at the end of the test.
+func startTestCluster(t *testing.T, binaryPath string, seed uint64) *Cluster {
 	t.Helper()
 	cluster, err := StartCluster(Options{
-		Seed:         seed,
-		Controllers:  3,
-		BinaryPath:   binaryPath,
-		WorkDir:      t.TempDir(),
-		MachineTypes: simulation.SmallAndLargeTypes,
-		Teams:        map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}},
-		Properties:   "moves.recorded = true\nage.after = 60s\nidle.factor = 100",
+		Seed:            seed,
+		ControllerCount: 3,
+		BinaryPath:      binaryPath,
+		WorkDir:         t.TempDir(),
+		MachineTypes:    simulation.SmallAndLargeTypes,
+		Teams:           map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}},
+		Properties:      "moves.recorded = true\nage.after = 60s\nidle.factor = 100",
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -65,20 +65,20 @@
 
 // jobGenerator submits jobs of every kind until it is stopped.
 type jobGenerator struct {
-	ids      []protocol.JobID
-	services []protocol.JobID
-	stopped  bool
+	jobIDs     []protocol.JobID
+	serviceIDs []protocol.JobID
+	isStopped  bool
 }
 
 // submitNext submits a job and schedules the next. The world's lock is held.
 func (g *jobGenerator) submitNext(w *simulation.World) {
-	if g.stopped {
+	if g.isStopped {
 		return
 	}
-	n := len(g.ids)
-	job := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("j-%06d", n)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
-		TaskCount: 1 + w.Rand.IntN(8), Cores: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", n%3), ImageGB: 1, EstimatedRunSeconds: 5}
-	switch n % 8 {
+	index := len(g.jobIDs)
+	job := &protocol.Job{ID: protocol.JobID(fmt.Sprintf("j-%06d", index)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
+		TaskCount: 1 + w.Rand.IntN(8), Cores: 1, MemoryGB: 1, Image: fmt.Sprintf("img-%d", index%3), ImageGB: 1, EstimatedRunSeconds: 5}
+	switch index % 8 {
 	case 1:
 		job.Kind, job.Priority, job.TaskCount, job.Cores = protocol.KindGang, "high", 2+w.Rand.IntN(3), 3
 	case 3:
@@ -86,32 +86,32 @@
 	case 5:
 		job.Priority, job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = "low", 3, 1
 	case 7:
-		if n%24 == 7 && len(g.services) < 3 {
+		if index%24 == 7 && len(g.serviceIDs) < 3 {
 			job.Kind, job.Priority, job.TaskCount, job.EstimatedRunSeconds, job.Class = protocol.KindService, "high", 2, 0, "d"
-			g.services = append(g.services, job.ID)
+			g.serviceIDs = append(g.serviceIDs, job.ID)
 		}
 	}
-	g.ids = append(g.ids, job.ID)
+	g.jobIDs = append(g.jobIDs, job.ID)
 	w.Submit(job)
-	if n%9 == 4 {
+	if index%9 == 4 {
 		w.After(time.Duration(500+w.Rand.IntN(8000))*time.Millisecond, func() { w.Cancel(job.ID) })
 	}
 	w.After(time.Duration(500+w.Rand.IntN(1000))*time.Millisecond, func() { g.submitNext(w) })
 }
 
 // requestTransfers requests transfers from random controllers, as an operator does.
-func requestTransfers(t *testing.T, cluster *Cluster, index int, stop <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(uint64(index), 3))
-	for n := 0; ; n++ {
+func requestTransfers(t *testing.T, cluster *Cluster, requester int, stop <-chan struct{}) {
+	random := rand.New(rand.NewPCG(uint64(requester), 3))
+	for requestNumber := 0; ; requestNumber++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(100+rng.IntN(500)) * time.Millisecond):
+		case <-time.After(time.Duration(100+random.IntN(500)) * time.Millisecond):
 		}
-		source := rng.IntN(len(cluster.Controllers))
-		target := (source + 1 + rng.IntN(len(cluster.Controllers)-1)) % len(cluster.Controllers)
-		request := &admin.TransferRequest{Name: fmt.Sprintf("drill-%d-%d", index, n), Source: string(cluster.Controllers[source].ID), Target: string(cluster.Controllers[target].ID)}
-		client, err := cluster.Controllers[rng.IntN(len(cluster.Controllers))].AdminClient()
+		source := random.IntN(len(cluster.Controllers))
+		target := (source + 1 + random.IntN(len(cluster.Controllers)-1)) % len(cluster.Controllers)
+		request := &admin.TransferRequest{Name: fmt.Sprintf("drill-%d-%d", requester, requestNumber), Source: string(cluster.Controllers[source].ID), Target: string(cluster.Controllers[target].ID)}
+		client, err := cluster.Controllers[random.IntN(len(cluster.Controllers))].DialAdmin()
 		if err != nil {
 			t.Error(err)
 			return
@@ -127,24 +127,24 @@
 type faultInjector struct {
 	t            *testing.T
 	cluster      *Cluster
-	rng          *rand.Rand
+	random       *rand.Rand
 	killRequests chan protocol.ControllerID // controllers to kill at once
-	counts       map[string]int             // by the kind of fault
+	faultCounts  map[string]int             // by the kind of fault
 }
 
-// killEvery is how many writes of transfers' records there are for each controller that is killed.
-const killEvery = 31
+// transferWritesPerKill is how many writes of transfers' records there are for each controller that is killed.
+const transferWritesPerKill = 31
 
 // killAtPhaseChanges asks for source or target of some of the transfers to be killed just as they
 // come to a phase.
 func (fi *faultInjector) killAtPhaseChanges() {
-	n := 0
+	writeCount := 0
 	fi.cluster.WithWorld(func(w *simulation.World) {
 		w.AddTransferRecordHook(func(record storage.TransferRecord) {
-			if n++; n%killEvery != 0 {
+			if writeCount++; writeCount%transferWritesPerKill != 0 {
 				return
 			}
-			victim := []storage.Incarnation{record.Source, record.Target}[n/killEvery%2]
+			victim := []storage.Incarnation{record.Source, record.Target}[writeCount/transferWritesPerKill%2]
 			select {
 			case fi.killRequests <- victim.Controller():
 			default: // another one is being killed
@@ -153,8 +153,8 @@
 	})
 }
 
-// run injects faults until it is stopped.
-func (fi *faultInjector) run(stop <-chan struct{}) {
+// injectFaults injects faults until it is stopped.
+func (fi *faultInjector) injectFaults(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -162,19 +162,19 @@
 		case controllerID := <-fi.killRequests:
 			for _, controller := range fi.cluster.Controllers {
 				if controller.ID == controllerID {
-					fi.count("killed at a phase")
-					fi.checkError(controller.Restart(time.Duration(150+fi.rng.IntN(2500)) * time.Millisecond))
+					fi.countFault("killed at a phase")
+					fi.reportError(controller.Restart(time.Duration(150+fi.random.IntN(2500)) * time.Millisecond))
 				}
 			}
-		case <-time.After(time.Duration(2500+fi.rng.IntN(3500)) * time.Millisecond):
+		case <-time.After(time.Duration(2500+fi.random.IntN(3500)) * time.Millisecond):
 			fi.injectFault()
 		}
 	}
 }
 
-func (fi *faultInjector) count(what string) { fi.counts[what]++ }
+func (fi *faultInjector) countFault(kind string) { fi.faultCounts[kind]++ }
 
-func (fi *faultInjector) checkError(err error) {
+func (fi *faultInjector) reportError(err error) {
 	if err != nil {
 		fi.t.Error(err)
 	}
@@ -182,42 +182,42 @@
 
 // injectFault injects a random fault for a while.
 func (fi *faultInjector) injectFault() {
-	index := fi.rng.IntN(len(fi.cluster.Controllers))
+	index := fi.random.IntN(len(fi.cluster.Controllers))
 	controller := fi.cluster.Controllers[index]
-	set := func(on bool, apply func(w *simulation.World, on bool)) {
+	setFault := func(on bool, apply func(w *simulation.World, on bool)) {
 		fi.cluster.WithWorld(func(w *simulation.World) { apply(w, on) })
 	}
-	during := func(d time.Duration, apply func(w *simulation.World, on bool)) {
-		set(true, apply)
-		time.Sleep(d)
-		set(false, apply)
+	injectFor := func(duration time.Duration, apply func(w *simulation.World, on bool)) {
+		setFault(true, apply)
+		time.Sleep(duration)
+		setFault(false, apply)
 	}
-	switch fi.rng.IntN(7) {
+	switch fi.random.IntN(7) {
 	case 0:
-		fi.count("killed")
-		fi.checkError(controller.Restart(time.Duration(100+fi.rng.IntN(3000)) * time.Millisecond))
+		fi.countFault("killed")
+		fi.reportError(controller.Restart(time.Duration(100+fi.random.IntN(3000)) * time.Millisecond))
 	case 1:
-		fi.count("paused for a moment")
-		fi.checkError(controller.Pause(time.Second))
+		fi.countFault("paused for a moment")
+		fi.reportError(controller.Pause(time.Second))
 	case 2:
-		fi.count("paused past its lease")
-		fi.checkError(controller.Pause(8 * time.Second))
+		fi.countFault("paused past its lease")
+		fi.reportError(controller.Pause(8 * time.Second))
 	case 3:
-		fi.count("cut off from the store")
-		during(8*time.Second, func(w *simulation.World, on bool) { w.Controllers[index].StoreUnreachable = on })
+		fi.countFault("cut off from the store")
+		injectFor(8*time.Second, func(w *simulation.World, on bool) { w.Controllers[index].StoreUnreachable = on })
 	case 4:
-		fi.count("store outage")
-		during(4*time.Second, func(w *simulation.World, on bool) { w.Store.Unavailable = on })
+		fi.countFault("store outage")
+		injectFor(4*time.Second, func(w *simulation.World, on bool) { w.Store.Unavailable = on })
 	case 5:
-		fi.count("write replies lost")
-		during(4*time.Second, func(w *simulation.World, on bool) {
+		fi.countFault("write replies lost")
+		injectFor(4*time.Second, func(w *simulation.World, on bool) {
 			if w.LostWriteReplyRate = 0; on {
 				w.LostWriteReplyRate = 0.2
 			}
 		})
 	case 6:
-		fi.count("heartbeats lost")
-		during(4*time.Second, func(w *simulation.World, on bool) { w.Controllers[index].AgentsUnreachable = on })
+		fi.countFault("heartbeats lost")
+		injectFor(4*time.Second, func(w *simulation.World, on bool) { w.Controllers[index].AgentsUnreachable = on })
 	}
 }
 
@@ -226,7 +226,7 @@
 // come to a phase. At every revision each machine has one owner; nothing runs twice, no gang runs
 // in part, no job is lost. MOVES=1000 plays the long run.
 func TestTransfersBetweenProcesses(t *testing.T) {
-	cluster := startCluster(t, buildProgram(t), 5)
+	cluster := startTestCluster(t, buildProgram(t), 5)
 	jobs := &jobGenerator{}
 	time.Sleep(4 * time.Second)
 	cluster.WithWorld(jobs.submitNext)
@@ -236,9 +236,9 @@
 	for i := range requesterCount {
 		requesters.Go(func() { requestTransfers(t, cluster, i, stop) })
 	}
-	injector := &faultInjector{t: t, cluster: cluster, rng: rand.New(rand.NewPCG(5, 9)), killRequests: make(chan protocol.ControllerID, 1), counts: map[string]int{}}
+	injector := &faultInjector{t: t, cluster: cluster, random: rand.New(rand.NewPCG(5, 9)), killRequests: make(chan protocol.ControllerID, 1), faultCounts: map[string]int{}}
 	injector.killAtPhaseChanges()
-	faultInjection.Go(func() { injector.run(stop) })
+	faultInjection.Go(func() { injector.injectFaults(stop) })
 	startedAt := time.Now()
 	deadline := startedAt.Add(30*time.Second + time.Duration(transferGoal())*1300*time.Millisecond)
 	for shardsTransferred(cluster) < transferGoal() && time.Now().Before(deadline) {
@@ -249,24 +249,24 @@
 	faultInjection.Wait()
 	duration := time.Since(startedAt)
 	waitForCompletion(cluster, jobs)
-	cluster.WithWorld(func(w *simulation.World) { checkResults(t, w, jobs, transferGoal(), injector.counts, duration) })
+	cluster.WithWorld(func(w *simulation.World) { checkResults(t, w, jobs, transferGoal(), injector.faultCounts, duration) })
 }
 
 // waitForCompletion ends all faults and waits until all jobs and transfers have ended, or for a
 // minute.
 func waitForCompletion(cluster *Cluster, jobs *jobGenerator) {
 	cluster.WithWorld(func(w *simulation.World) {
-		jobs.stopped = true
+		jobs.isStopped = true
 		w.Rules.FaultsEndedAt = w.Now
 		w.Store.OnRevision = w.History.ApplyRevision
-		for _, id := range jobs.services {
+		for _, id := range jobs.serviceIDs {
 			w.Cancel(id)
 		}
 	})
 	for deadline := time.Now().Add(60 * time.Second); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
-		left := 0
-		cluster.WithWorld(func(w *simulation.World) { left = len(unfinishedJobs(w, jobs)) + len(w.History.OpenTransfers()) })
-		if left == 0 {
+		unfinished := 0
+		cluster.WithWorld(func(w *simulation.World) { unfinished = len(unfinishedJobs(w, jobs)) + len(w.History.OpenTransfers()) })
+		if unfinished == 0 {
 			return
 		}
 	}
@@ -278,7 +278,7 @@
 }
 
 func unfinishedJobs(w *simulation.World, jobs *jobGenerator) (ids []protocol.JobID) {
-	for _, id := range jobs.ids {
+	for _, id := range jobs.jobIDs {
 		if !w.FinishedJobs[id] {
 			ids = append(ids, id)
 		}
@@ -289,39 +289,39 @@
 // checkResults checks the whole run and logs what was measured.
 func checkResults(t *testing.T, w *simulation.World, jobs *jobGenerator, goal int, faults map[string]int, duration time.Duration) {
 	w.Rules.CheckFinal(w.Now)
-	h := w.History
+	history := w.History
 	if len(w.Rules.Violations) > 0 {
 		t.Errorf("broken:\n%s", strings.Join(w.Rules.Violations, "\n"))
 	}
-	if left := unfinishedJobs(w, jobs); len(left) > 0 {
-		t.Errorf("jobs that have not ended: %v", left)
+	if unfinished := unfinishedJobs(w, jobs); len(unfinished) > 0 {
+		t.Errorf("jobs that have not ended: %v", unfinished)
 	}
-	if open := h.OpenTransfers(); len(open) > 0 {
-		t.Errorf("transfers that do not end: %v", open)
+	if openTransfers := history.OpenTransfers(); len(openTransfers) > 0 {
+		t.Errorf("transfers that do not end: %v", openTransfers)
 	}
-	if h.ShardsTransferred < goal {
-		t.Errorf("%d shards were transferred in %v, want %d; aborted %v", h.ShardsTransferred, duration, goal, h.AbortedByReason)
+	if history.ShardsTransferred < goal {
+		t.Errorf("%d shards were transferred in %v, want %d; aborted %v", history.ShardsTransferred, duration, goal, history.AbortedByReason)
 	}
-	t.Logf("%d jobs, %d tasks started, %d revisions; %d shards with %d machines transferred in %v, aborted %v", len(jobs.ids), w.Rules.TasksStarted, h.Revisions,
-		h.ShardsTransferred, h.MachinesTransferred, duration.Round(time.Second), h.AbortedByReason)
+	t.Logf("%d jobs, %d tasks started, %d revisions; %d shards with %d machines transferred in %v, aborted %v", len(jobs.jobIDs), w.Rules.TasksStarted, history.Revisions,
+		history.ShardsTransferred, history.MachinesTransferred, duration.Round(time.Second), history.AbortedByReason)
 	t.Logf("faults: %v", faults)
-	if h.MachinesTransferred > 0 {
+	if history.MachinesTransferred > 0 {
 		t.Logf("quiesced: %s; from begin to end: %s; %.1f machine-seconds without new tasks, %.2f for each machine transferred; %.2f writes of transfers for each machine transferred",
-			quantiles(h.QuiesceTimes), quantiles(h.TransferTimes), h.MachineQuiesceTime.Seconds(),
-			h.MachineQuiesceTime.Seconds()/float64(h.MachinesTransferred), float64(h.TransferWrites)/float64(h.MachinesTransferred))
+			formatQuantiles(history.QuiesceTimes), formatQuantiles(history.TransferTimes), history.MachineQuiesceTime.Seconds(),
+			history.MachineQuiesceTime.Seconds()/float64(history.MachinesTransferred), float64(history.TransferWrites)/float64(history.MachinesTransferred))
 	}
-	t.Logf("gangs waited %s; other jobs %s", quantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return j.IsGang() })),
-		quantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return !j.IsGang() })))
+	t.Logf("gangs waited %s; other jobs %s", formatQuantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return j.IsGang() })),
+		formatQuantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return !j.IsGang() })))
 }
 
-// quantiles describes times by their median and 99th percentile.
-func quantiles(durations []time.Duration) string {
+// formatQuantiles describes times by their median and 99th percentile.
+func formatQuantiles(durations []time.Duration) string {
 	if len(durations) == 0 {
 		return "none"
 	}
 	sorted := slices.Sorted(slices.Values(durations))
-	quantile := func(q float64) time.Duration {
-		return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)].Round(time.Millisecond)
+	quantileAt := func(fraction float64) time.Duration {
+		return sorted[min(int(fraction*float64(len(sorted))), len(sorted)-1)].Round(time.Millisecond)
 	}
-	return fmt.Sprintf("median %v, 99th percentile %v of %d", quantile(0.5), quantile(0.99), len(sorted))
+	return fmt.Sprintf("median %v, 99th percentile %v of %d", quantileAt(0.5), quantileAt(0.99), len(sorted))
 }
