--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -32,19 +32,19 @@
 	if !c.replication.IsLoaded() {
 		return
 	}
-	c.dropEnded()
+	c.forgetEndedCancellations()
 	c.updateLocalAcks()
 	for id := range c.Replica.CancellingJobs {
-		if c.shouldFailOverRequest(id) {
+		if c.shouldTakeOverRequest(id) {
 			c.RequestCancellation(id)
 		}
-		c.updateAcknowledged(id)
+		c.updateFullyAcknowledged(id)
 	}
 }
 
-// dropEnded drops intents that the replica has by now, and the acknowledgements of requests that have
+// forgetEndedCancellations drops intents that the replica has by now, and the acknowledgements of requests that have
 // been confirmed or whose job has ended.
-func (c *Canceller) dropEnded() {
+func (c *Canceller) forgetEndedCancellations() {
 	maps.DeleteFunc(c.peerIntents, func(_ protocol.JobID, intent peerIntent) bool {
 		return c.Replica.Revision >= intent.revision
 	})
@@ -77,55 +77,55 @@
 	}
 }
 
-// shouldFailOverRequest tells whether this controller takes over a request that another one began.
-func (c *Canceller) shouldFailOverRequest(id protocol.JobID) bool {
+// shouldTakeOverRequest tells whether this controller takes over a request that another one began.
+func (c *Canceller) shouldTakeOverRequest(id protocol.JobID) bool {
 	return !c.isRequester(id) &&
 		c.timeSinceCancelRequest(id) > requesterFailoverDelay &&
 		c.successorElection.IsSuccessor(storage.JobKey(id))
 }
 
-// updateAcknowledged records whether all controllers concerned know a request by now. If not, the
+// updateFullyAcknowledged records whether all controllers concerned know a request by now. If not, the
 // controller that drives it sends it at once; the others have nothing new to send.
-func (c *Canceller) updateAcknowledged(id protocol.JobID) {
+func (c *Canceller) updateFullyAcknowledged(id protocol.JobID) {
 	if c.fullyAcknowledged[id] {
 		return
 	}
 	c.fullyAcknowledged[id] = c.IsCancelFullyAcknowledged(id)
-	_, isSent := c.intentSentAt[id]
-	if !c.fullyAcknowledged[id] && !isSent && c.isRequester(id) {
+	_, isIntentSent := c.lastSentIntents[id]
+	if !c.fullyAcknowledged[id] && !isIntentSent && c.isRequester(id) {
 		c.peerNotifier.ExpediteStatus()
 	}
 }
 
 // IsCancelFullyAcknowledged tells whether every controller that could start a task of the job, or
 // keep one running, knows that its cancellation has been requested. The request is on record.
-func (c *Canceller) IsCancelFullyAcknowledged(id protocol.JobID) bool {
-	if c.Replica.Revision < protocol.Revision(c.Replica.Jobs[id].ModRevision) {
+func (c *Canceller) IsCancelFullyAcknowledged(jobID protocol.JobID) bool {
+	if c.Replica.Revision < protocol.Revision(c.Replica.Jobs[jobID].ModRevision) {
 		return false // what was assigned before the request may be missing here
 	}
-	for machineID := range c.Replica.MachinesWithJob(id) {
-		if !c.isAcknowledgedFor(machineID, id) {
+	for machineID := range c.Replica.MachinesWithJob(jobID) {
+		if !c.isAcknowledgedForMachine(machineID, jobID) {
 			return false
 		}
 	}
 	return true
 }
 
-// isAcknowledgedFor tells whether the owner of a machine knows that the cancellation of a job has
+// isAcknowledgedForMachine tells whether the owner of a machine knows that the cancellation of a job has
 // been requested, or the machine no longer exists.
-func (c *Canceller) isAcknowledgedFor(machineID protocol.MachineID, id protocol.JobID) bool {
+func (c *Canceller) isAcknowledgedForMachine(machineID protocol.MachineID, jobID protocol.JobID) bool {
 	record := &c.Replica.Machines[machineID].Record
 	if c.lease.OwnsMachine(record) {
-		return c.IsMachineQuiescent(machineID, id)
+		return c.IsMachineQuiescent(machineID, jobID)
 	}
 	if c.forcedTerminator.IsTerminationConfirmed(machineID) {
 		return true
 	}
 	// An acknowledgement covers the machines that its sender knew to own, and ends with the
 	// sender's incarnation.
-	revision, ok := c.peerAcks[id][record.Owner]
+	ackRevision, isAcknowledged := c.peerAcks[jobID][record.Owner]
 	ownedSince := protocol.Revision(c.Replica.Shards[record.Shard].OwnedSince)
-	return ok && c.Replica.IsAlive(record.Owner) && revision >= ownedSince
+	return isAcknowledged && c.Replica.IsAlive(record.Owner) && ackRevision >= ownedSince
 }
 
 // AddCancellationStatus adds to this controller's status the requests that it drives and that are not
@@ -139,9 +139,9 @@
 			unacknowledged = append(unacknowledged, id)
 		}
 	}
-	clear(c.intentSentAt)
+	clear(c.lastSentIntents)
 	for _, id := range c.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
-		c.intentSentAt[id] = c.Now.Monotonic
+		c.lastSentIntents[id] = c.Now.Monotonic
 		status.CancelIntents = append(status.CancelIntents, step.CancelIntent{
 			Job:      id,
 			Revision: protocol.Revision(c.Replica.CancellingJobs[id].ModRevision),
@@ -166,8 +166,8 @@
 // recordPeerIntent keeps a request that the replica lacks; from then on it binds this controller.
 func (c *Canceller) recordPeerIntent(intent step.CancelIntent) {
 	_, isKnown := c.peerIntents[intent.Job]
-	isOnRecord := c.Replica.Revision >= intent.Revision
-	if isKnown || isOnRecord || !intent.Job.IsValid() || len(c.peerIntents) >= maxPeerIntents {
+	isInReplica := c.Replica.Revision >= intent.Revision
+	if isKnown || isInReplica || !intent.Job.IsValid() || len(c.peerIntents) >= maxPeerIntents {
 		return
 	}
 	c.peerIntents[intent.Job] = peerIntent{revision: intent.Revision, receivedAt: c.Now.Monotonic}
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -12,27 +12,27 @@
 // Which acknowledgement counts for another controller's machine: that of its owner's living
 // incarnation, given by a replica that knew of the ownership.
 func TestCancelAcknowledgements(t *testing.T) {
-	acks := func(id protocol.JobID) []protocol.JobID { return []protocol.JobID{id} }
-	for _, c := range []struct {
+	acksOf := func(id protocol.JobID) []protocol.JobID { return []protocol.JobID{id} }
+	for _, test := range []struct {
 		name   string
 		status step.PeerStatus
 		want   bool
 	}{
-		{"owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-1")}, true},
-		{"owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acks("j-2")}, false},
+		{"owner", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acksOf("j-1")}, true},
+		{"owner, for another job", step.PeerStatus{Incarnation: "stall-1#1", Revision: 6, CancelAcks: acksOf("j-2")}, false},
 		{
 			"replica older than the ownership",
-			step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acks("j-1")}, false,
+			step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acksOf("j-1")}, false,
 		},
-		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acks("j-1")}, false},
+		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acksOf("j-1")}, false},
 		{
 			"ended incarnation of the owner",
-			step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acks("j-1")}, false,
+			step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acksOf("j-1")}, false,
 		},
-		{"unknown incarnation", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: acks("j-1")}, false},
-		{"controller that has not registered", step.PeerStatus{Revision: 6, CancelAcks: acks("j-1")}, false},
+		{"unknown incarnation", step.PeerStatus{Incarnation: "stall-7#1", Revision: 6, CancelAcks: acksOf("j-1")}, false},
+		{"controller that has not registered", step.PeerStatus{Revision: 6, CancelAcks: acksOf("j-1")}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 2)
 			f.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
@@ -44,10 +44,10 @@
 			f.Put(t, storage.JobKey("j-1"), []byte(job), 6)
 			f.Replica.Revision = 6
 
-			c.status.ControllerID = c.status.Incarnation.Controller()
-			f.canceller.OnPeerCancellations(&c.status)
-			if got := f.canceller.IsCancelFullyAcknowledged("j-1"); got != c.want {
-				t.Errorf("acknowledged: %v, want %v", got, c.want)
+			test.status.ControllerID = test.status.Incarnation.Controller()
+			f.canceller.OnPeerCancellations(&test.status)
+			if got := f.canceller.IsCancelFullyAcknowledged("j-1"); got != test.want {
+				t.Errorf("acknowledged: %v, want %v", got, test.want)
 			}
 			f.Replica.Delete(storage.ControllerKey("stall-1"), 7)
 			if f.canceller.IsCancelFullyAcknowledged("j-1") {
@@ -63,29 +63,29 @@
 	for i := range ids {
 		ids[i] = protocol.JobID(fmt.Sprintf("j-%04d", i))
 	}
-	for _, c := range []struct {
-		name                  string
-		length, limit, chunks int
+	for _, test := range []struct {
+		name                      string
+		length, limit, chunkCount int
 	}{
 		{"shorter than a chunk", 10, 200, 1},
 		{"exactly one chunk", 200, 200, 1},
 		{"one entry more than a chunk", 201, 200, 2},
 		{"many chunks", 1000, 150, 7},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			var r rotation
-			seen := map[protocol.JobID]bool{}
-			for range c.chunks {
-				chunk := r.nextChunk(ids[:c.length], c.limit)
-				if len(chunk) != min(c.length, c.limit) {
-					t.Errorf("%d entries at once, want %d", len(chunk), min(c.length, c.limit))
+		t.Run(test.name, func(t *testing.T) {
+			var chunkRotation rotation
+			seenIDs := map[protocol.JobID]bool{}
+			for range test.chunkCount {
+				chunk := chunkRotation.nextChunk(ids[:test.length], test.limit)
+				if len(chunk) != min(test.length, test.limit) {
+					t.Errorf("%d entries at once, want %d", len(chunk), min(test.length, test.limit))
 				}
 				for _, id := range chunk {
-					seen[id] = true
+					seenIDs[id] = true
 				}
 			}
-			if len(seen) != c.length {
-				t.Errorf("%d entries seen, want %d", len(seen), c.length)
+			if len(seenIDs) != test.length {
+				t.Errorf("%d entries seen, want %d", len(seenIDs), test.length)
 			}
 		})
 	}
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -58,7 +58,7 @@
 	// Requests that every controller concerned knows.
 	fullyAcknowledged map[protocol.JobID]bool
 	// Requests in the last status that was sent.
-	intentSentAt map[protocol.JobID]protocol.Instant
+	lastSentIntents map[protocol.JobID]protocol.Instant
 
 	intentRotation, ackRotation rotation // where the next status begins
 }
@@ -71,21 +71,21 @@
 		peerIntents:       map[protocol.JobID]peerIntent{},
 		peerAcks:          map[protocol.JobID]map[storage.Incarnation]protocol.Revision{},
 		fullyAcknowledged: map[protocol.JobID]bool{},
-		intentSentAt:      map[protocol.JobID]protocol.Instant{},
+		lastSentIntents:   map[protocol.JobID]protocol.Instant{},
 	}
 }
 
 // CancelRequested tells whether a job is cancelled or its cancellation requested, as far as the
 // replica or another controller says: none of its tasks may start or go on.
 func (c *Canceller) CancelRequested(id protocol.JobID) bool {
-	if c.isCancelOnRecord(id) {
+	if c.isCancelRecorded(id) {
 		return true
 	}
 	_, ok := c.peerIntents[id]
 	return ok
 }
 
-func (c *Canceller) isCancelOnRecord(id protocol.JobID) bool {
+func (c *Canceller) isCancelRecorded(id protocol.JobID) bool {
 	entry := c.Replica.Jobs[id]
 	return entry != nil && entry.Record.IsCancelledOrCancelling()
 }
@@ -94,7 +94,7 @@
 // record it counts from there, as the time limit for stopping the tasks does.
 func (c *Canceller) timeSinceCancelRequest(id protocol.JobID) time.Duration {
 	elapsed := time.Duration(0)
-	if c.isCancelOnRecord(id) {
+	if c.isCancelRecorded(id) {
 		elapsed = step.MillisToDuration(c.Now.Wall - c.Replica.Jobs[id].Record.CancelUpdatedAt)
 	}
 	if intent, ok := c.peerIntents[id]; ok {
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	testJob   protocol.JobID      = "j-1"
-	owner     storage.Incarnation = "stall-0#7" // of the controller under test
-	otherPeer storage.Incarnation = "stall-1#1"
+	testJob          protocol.JobID      = "j-1"
+	testIncarnation  storage.Incarnation = "stall-0#7" // of the controller under test
+	otherIncarnation storage.Incarnation = "stall-1#1"
 )
 
 // fixture is a canceller with the parts that it works on, registered and up to date.
@@ -58,15 +58,15 @@
 func (f *fixture) register(t *testing.T) {
 	t.Helper()
 	committest.Register(t, f.Context, f.commit)
-	if got := f.commit.Lease.Incarnation(); got != owner {
-		t.Fatalf("registered as %q, want %q", got, owner)
+	if got := f.commit.Lease.Incarnation(); got != testIncarnation {
+		t.Fatalf("registered as %q, want %q", got, testIncarnation)
 	}
 }
 
 // putJob puts the test job, of two tasks, on record.
 func (f *fixture) putJob(t *testing.T, change func(*storage.JobRecord)) {
 	t.Helper()
-	record := &storage.JobRecord{Spec: &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}, Owner: owner}
+	record := &storage.JobRecord{Spec: &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}, Owner: testIncarnation}
 	if change != nil {
 		change(record)
 	}
@@ -75,20 +75,20 @@
 
 // putMachine puts a machine with the first task of the test job on record.
 func (f *fixture) putMachine(
-	t *testing.T, of storage.Incarnation, completed map[protocol.JobID]storage.TaskSet,
+	t *testing.T, owner storage.Incarnation, completedTasks map[protocol.JobID]storage.TaskSet,
 ) *storage.Machine {
 	t.Helper()
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	record.Assign(protocol.Task{Job: testJob}, 5)
-	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(of, 3, []string{record.EncodeLine("m-1")}, completed), 2)
+	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, completedTasks), 2)
 	return f.Replica.Machines["m-1"]
 }
 
 // putOwnedMachine puts a machine of the controller on record, whose agent shows the task in a state.
-func (f *fixture) putOwnedMachine(t *testing.T, state protocol.TaskState) (*storage.Machine, *agents.MachineState) {
+func (f *fixture) putOwnedMachine(t *testing.T, taskState protocol.TaskState) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
-	entry := f.putMachine(t, owner, nil)
-	return entry, f.recordHeartbeat(entry, state)
+	entry := f.putMachine(t, testIncarnation, nil)
+	return entry, f.recordHeartbeat(entry, taskState)
 }
 
 // putQuiescentMachines puts machines of the controller on record, each running a task of the job.
@@ -100,21 +100,21 @@
 	for i := range lines {
 		lines[i] = record.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%d", i)))
 	}
-	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, lines, nil), 2)
+	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(testIncarnation, 3, lines, nil), 2)
 	for _, entry := range f.Replica.Machines {
 		f.recordHeartbeat(entry, protocol.TaskRunning)
 	}
 }
 
 // recordHeartbeat takes in a heartbeat that shows the first task of the test job in a state.
-func (f *fixture) recordHeartbeat(entry *storage.Machine, state protocol.TaskState) *agents.MachineState {
-	m := f.agents.Table.TrackOwnedMachine(entry, entry.ID)
-	m.RecordHeartbeat(&protocol.Heartbeat{
+func (f *fixture) recordHeartbeat(entry *storage.Machine, taskState protocol.TaskState) *agents.MachineState {
+	machineState := f.agents.Table.TrackOwnedMachine(entry, entry.ID)
+	machineState.RecordHeartbeat(&protocol.Heartbeat{
 		Machine:      entry.ID,
 		AgentEpoch:   entry.Record.AgentEpoch,
 		Sequence:     1,
 		FencingToken: entry.Record.FencingToken,
-		Tasks:        []protocol.TaskStatus{{Task: protocol.Task{Job: testJob}, Attempt: 5, State: state}},
+		Tasks:        []protocol.TaskStatus{{Task: protocol.Task{Job: testJob}, Attempt: 5, State: taskState}},
 	}, f.Now.Monotonic)
-	return m
+	return machineState
 }
--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -37,11 +37,11 @@
 // job is stuck there, or the machine cannot be reached. Silence proves nothing of the machine if
 // this controller is the one that is isolated.
 func (c *Canceller) MustForceScaleIn(state *agents.MachineState, record *storage.MachineRecord, isIsolated bool) bool {
-	pendingFor, isPending := c.longestPendingCancel(state, record)
-	if !isPending || pendingFor <= c.silentScaleInAge() {
+	pendingAge, isPending := c.longestPendingCancel(state, record)
+	if !isPending || pendingAge <= c.silentScaleInAge() {
 		return false
 	}
-	return pendingFor > c.stuckScaleInAge() || c.agents.IsSilent(state) && !isIsolated
+	return pendingAge > c.stuckScaleInAge() || c.agents.IsSilent(state) && !isIsolated
 }
 
 // ForceScaleIn handles machines whose owner has sent no status lately while the store is unavailable to
@@ -51,19 +51,19 @@
 	if !c.replication.IsLoaded() || !c.replication.StoreUnavailableEverywhere() {
 		return
 	}
-	ids := step.SelectKeys(c.Replica.Machines, func(entry *storage.Machine) bool {
+	unownedIDs := step.SelectKeys(c.Replica.Machines, func(entry *storage.Machine) bool {
 		return !c.lease.OwnsMachine(&entry.Record) && len(entry.Record.Assignments) > 0
 	})
-	for _, id := range ids {
+	for _, id := range unownedIDs {
 		entry := c.Replica.Machines[id]
 		if c.peerNotifier.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
 			continue // its owner is alive and does the same
 		}
 		state := c.agents.MachineState(id)
-		pendingFor, isPending := c.longestPendingCancel(state, &entry.Record)
+		pendingAge, isPending := c.longestPendingCancel(state, &entry.Record)
 		switch {
-		case !isPending || pendingFor < c.silentScaleInAge():
-		case pendingFor > c.stuckScaleInAge():
+		case !isPending || pendingAge < c.silentScaleInAge():
+		case pendingAge > c.stuckScaleInAge():
 			c.forcedTerminator.TerminateUnrecorded(id)
 		default:
 			c.calls.ProbeUnownedAgent(state, entry.Record.Address)
@@ -75,12 +75,12 @@
 // the machine, and the age of the oldest such request.
 func (c *Canceller) longestPendingCancel(
 	state *agents.MachineState, record *storage.MachineRecord,
-) (longest time.Duration, isPending bool) {
+) (longestAge time.Duration, isPending bool) {
 	heartbeat := state.LatestHeartbeat
 	if heartbeat != nil && heartbeat.AgentEpoch > record.AgentEpoch {
 		return 0, false // the agent has killed its tasks
 	}
-	isCurrent := heartbeat != nil &&
+	isHeartbeatCurrent := heartbeat != nil &&
 		heartbeat.AgentEpoch == record.AgentEpoch &&
 		storage.ShardEpochOf(heartbeat.FencingToken) >= record.ShardEpoch
 	for i := range record.Assignments {
@@ -88,12 +88,12 @@
 		if !c.CancelRequested(assignment.Job) {
 			continue
 		}
-		if isCurrent && state.AllTasksSatisfy(assignment, hasExited) {
+		if isHeartbeatCurrent && state.AllTasksSatisfy(assignment, hasExited) {
 			continue
 		}
-		longest, isPending = max(longest, c.timeSinceCancelRequest(assignment.Job)), true
+		longestAge, isPending = max(longestAge, c.timeSinceCancelRequest(assignment.Job)), true
 	}
-	return longest, isPending
+	return longestAge, isPending
 }
 
 // hasExited tells whether a task has exited.
--- a/internal/coordination/cancellation/forced_scale_in_test.go
+++ b/internal/coordination/cancellation/forced_scale_in_test.go
@@ -11,13 +11,13 @@
 // A machine with a task of a cancelled job is terminated after 2/5 of the time limit of 40 s if it
 // is silent, and after 3/5 in any case.
 func TestMustForceScaleIn(t *testing.T) {
-	for _, c := range []struct {
-		name       string
-		age        time.Duration // of the cancellation
-		state      protocol.TaskState
-		isSilent   bool
-		isIsolated bool
-		want       bool
+	for _, test := range []struct {
+		name            string
+		cancellationAge time.Duration // of the cancellation
+		taskState       protocol.TaskState
+		isSilent        bool
+		isIsolated      bool
+		want            bool
 	}{
 		{"silent at 16 s", 16 * time.Second, protocol.TaskRunning, true, false, false},
 		{"silent after 16 s", 16*time.Second + time.Millisecond, protocol.TaskRunning, true, false, true},
@@ -28,18 +28,18 @@
 		{"isolated controller after 24 s", 24*time.Second + time.Millisecond, protocol.TaskRunning, true, true, true},
 		{"task exited", 30 * time.Second, protocol.TaskExited, true, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.putJob(t, func(record *storage.JobRecord) {
 				record.CancelRequested, record.CancelUpdatedAt = true, f.Now.Wall
 			})
-			entry, m := f.putOwnedMachine(t, c.state)
-			f.Advance(c.age)
-			if !c.isSilent {
-				m.LastContactAt = f.Now.Monotonic
+			entry, state := f.putOwnedMachine(t, test.taskState)
+			f.Advance(test.cancellationAge)
+			if !test.isSilent {
+				state.LastContactAt = f.Now.Monotonic
 			}
-			if got := f.canceller.MustForceScaleIn(m, &entry.Record, c.isIsolated); got != c.want {
-				t.Errorf("must be terminated: %v, want %v", got, c.want)
+			if got := f.canceller.MustForceScaleIn(state, &entry.Record, test.isIsolated); got != test.want {
+				t.Errorf("must be terminated: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -30,14 +30,14 @@
 }
 
 // Connect gives the parts what they need of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Canceller.agents = d.Agents
-	p.Canceller.calls = d.Calls
-	p.Canceller.committer = d.Committer
-	p.Canceller.lease = d.Lease
-	p.Canceller.limits = d.Limits
-	p.Canceller.successorElection = d.SuccessorElection
-	p.Canceller.peerNotifier = d.PeerNotifier
-	p.Canceller.replication = d.Replication
-	p.Canceller.forcedTerminator = d.ForcedTerminator
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Canceller.agents = dependencies.Agents
+	p.Canceller.calls = dependencies.Calls
+	p.Canceller.committer = dependencies.Committer
+	p.Canceller.lease = dependencies.Lease
+	p.Canceller.limits = dependencies.Limits
+	p.Canceller.successorElection = dependencies.SuccessorElection
+	p.Canceller.peerNotifier = dependencies.PeerNotifier
+	p.Canceller.replication = dependencies.Replication
+	p.Canceller.forcedTerminator = dependencies.ForcedTerminator
 }
--- a/internal/coordination/cancellation/quiescence.go
+++ b/internal/coordination/cancellation/quiescence.go
@@ -9,11 +9,11 @@
 // cancellation can start any more, and no earlier owner can keep one running: the agent has shown
 // the fencing token of this ownership, and by its newest heartbeat the job's tasks there have
 // started already, or are gone. One that still pulls its image would start after the confirmation.
-func (c *Canceller) IsMachineQuiescent(id protocol.MachineID, job protocol.JobID) bool {
-	if c.forcedTerminator.IsTerminationConfirmed(id) {
+func (c *Canceller) IsMachineQuiescent(machineID protocol.MachineID, jobID protocol.JobID) bool {
+	if c.forcedTerminator.IsTerminationConfirmed(machineID) {
 		return true
 	}
-	record, state := &c.Replica.Machines[id].Record, c.agents.Lookup(id)
+	record, state := &c.Replica.Machines[machineID].Record, c.agents.Lookup(machineID)
 	if state == nil || state.LatestHeartbeat == nil || storage.ShardEpochOf(state.ConfirmedToken) < record.ShardEpoch {
 		return false
 	}
@@ -23,7 +23,7 @@
 	if state.CurrentHeartbeat(record) == nil {
 		return false
 	}
-	for assignment := range record.AssignmentsOf(job) {
+	for assignment := range record.AssignmentsOf(jobID) {
 		if !state.AllTasksSatisfy(assignment, hasPulledImage) {
 			return false
 		}
@@ -37,10 +37,10 @@
 }
 
 // areOwnedMachinesQuiescent tells whether all machines of this controller are quiescent for a job.
-func (c *Canceller) areOwnedMachinesQuiescent(id protocol.JobID) bool {
-	for machineID := range c.Replica.MachinesWithJob(id) {
+func (c *Canceller) areOwnedMachinesQuiescent(jobID protocol.JobID) bool {
+	for machineID := range c.Replica.MachinesWithJob(jobID) {
 		entry := c.Replica.Machines[machineID]
-		if c.lease.OwnsMachine(&entry.Record) && !c.IsMachineQuiescent(machineID, id) {
+		if c.lease.OwnsMachine(&entry.Record) && !c.IsMachineQuiescent(machineID, jobID) {
 			return false
 		}
 	}
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -38,23 +38,23 @@
 }
 
 // WriteCancellations puts the next step of each cancellation into the batch.
-func (c *Canceller) WriteCancellations(b *commit.Batch) {
+func (c *Canceller) WriteCancellations(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
 		switch {
 		case entry == nil || entry.Record.State.IsTerminal():
 			delete(c.requestedAt, id)
-		case !b.HasCapacity(1):
+		case !batch.HasCapacity(1):
 			// It goes into a later batch.
 		case entry.Record.CancelRequested:
 			if c.canConfirm(id, &entry.Record) {
-				c.writeConfirmation(b, id)
+				c.writeConfirmation(batch, id)
 			}
-		case c.canCancelDirectly(b, id):
-			c.dependOnShards(b, id)
-			c.writeConfirmation(b, id)
+		case c.canCancelDirectly(batch, id):
+			c.dependOnShards(batch, id)
+			c.writeConfirmation(batch, id)
 		default:
-			c.writeIntent(b, id)
+			c.writeIntent(batch, id)
 		}
 	}
 }
@@ -69,20 +69,20 @@
 // its tasks are assigned to quiescent machines of this controller only, and no further ones can
 // be, as this controller alone assigns them. The write must depend on the shards of those
 // machines (dependOnShards).
-func (c *Canceller) canCancelDirectly(b *commit.Batch, id protocol.JobID) bool {
-	entry := c.Replica.Jobs[id]
+func (c *Canceller) canCancelDirectly(batch *commit.Batch, jobID protocol.JobID) bool {
+	entry := c.Replica.Jobs[jobID]
 	if entry.Record.Owner != c.lease.Incarnation() ||
 		c.Replica.Revision < protocol.Revision(entry.ModRevision) ||
-		c.committer.HasPendingConditionOn(storage.JobKey(id)) {
+		c.committer.HasPendingConditionOn(storage.JobKey(jobID)) {
 		return false
 	}
 	maxConditions := directCancelConditionsPerOp * c.limits.WriteLimits().TransactionOps
-	if b.ConditionCount()+len(c.Replica.MachinesWithJob(id)) > maxConditions {
+	if batch.ConditionCount()+len(c.Replica.MachinesWithJob(jobID)) > maxConditions {
 		return false
 	}
-	for machineID := range c.Replica.MachinesWithJob(id) {
+	for machineID := range c.Replica.MachinesWithJob(jobID) {
 		record := &c.Replica.Machines[machineID].Record
-		if !c.lease.OwnsMachine(record) || !c.IsMachineQuiescent(machineID, id) {
+		if !c.lease.OwnsMachine(record) || !c.IsMachineQuiescent(machineID, jobID) {
 			return false
 		}
 	}
@@ -91,22 +91,22 @@
 
 // dependOnShards makes a batch depend on the shards of all machines with tasks of a job: if one is
 // transferred meanwhile, the transfer is written before the batch, which then fails, or not at all.
-func (c *Canceller) dependOnShards(b *commit.Batch, id protocol.JobID) {
-	for machineID := range c.Replica.MachinesWithJob(id) {
-		b.DependOn(storage.ShardKey(c.Replica.Machines[machineID].Record.Shard))
+func (c *Canceller) dependOnShards(batch *commit.Batch, jobID protocol.JobID) {
+	for machineID := range c.Replica.MachinesWithJob(jobID) {
+		batch.DependOn(storage.ShardKey(c.Replica.Machines[machineID].Record.Shard))
 	}
 }
 
 // writeIntent puts the first step of a cancellation into the batch.
-func (c *Canceller) writeIntent(b *commit.Batch, id protocol.JobID) {
-	record := b.MutableJob(id)
+func (c *Canceller) writeIntent(batch *commit.Batch, id protocol.JobID) {
+	record := batch.MutableJob(id)
 	record.CancelRequested = true
 	record.CancelUpdatedAt = c.Now.Wall
 }
 
 // writeConfirmation puts the second step of a cancellation into the batch.
-func (c *Canceller) writeConfirmation(b *commit.Batch, id protocol.JobID) {
-	record := b.MutableJob(id)
+func (c *Canceller) writeConfirmation(batch *commit.Batch, id protocol.JobID) {
+	record := batch.MutableJob(id)
 	record.State = protocol.JobCancelled
 	record.CancelRequested = false
 	record.CancelUpdatedAt = c.Now.Wall
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -19,17 +19,17 @@
 	)
 	cancelRequested := func(record *storage.JobRecord) { record.CancelRequested = true }
 	allTasks := map[protocol.JobID]storage.TaskSet{testJob: storage.TaskRange(0, 1)}
-	for _, c := range []struct {
-		name             string
-		setUp            func(t *testing.T, f *fixture)
-		want             write
-		dependsOnShard   bool
-		isRequestDropped bool
+	for _, test := range []struct {
+		name                 string
+		setUp                func(t *testing.T, f *fixture)
+		wantWrite            write
+		wantShardCondition   bool
+		wantRequestForgotten bool
 	}{
 		{
-			name:  "unassigned job of this controller",
-			setUp: func(t *testing.T, f *fixture) { f.putJob(t, nil) },
-			want:  confirmation,
+			name:      "unassigned job of this controller",
+			setUp:     func(t *testing.T, f *fixture) { f.putJob(t, nil) },
+			wantWrite: confirmation,
 		},
 		{
 			name: "running on a quiescent machine of this controller",
@@ -37,8 +37,8 @@
 				f.putJob(t, nil)
 				f.putOwnedMachine(t, protocol.TaskRunning)
 			},
-			want:           confirmation,
-			dependsOnShard: true,
+			wantWrite:          confirmation,
+			wantShardCondition: true,
 		},
 		{
 			name: "image pulled on a machine of this controller",
@@ -46,22 +46,22 @@
 				f.putJob(t, nil)
 				f.putOwnedMachine(t, protocol.TaskPullingImage)
 			},
-			want: intent,
+			wantWrite: intent,
 		},
 		{
 			name: "running on a machine of another controller",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, nil)
-				f.recordHeartbeat(f.putMachine(t, otherPeer, nil), protocol.TaskRunning)
+				f.recordHeartbeat(f.putMachine(t, otherIncarnation, nil), protocol.TaskRunning)
 			},
-			want: intent,
+			wantWrite: intent,
 		},
 		{
 			name: "unassigned job of another controller",
 			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, func(record *storage.JobRecord) { record.Owner = otherPeer })
+				f.putJob(t, func(record *storage.JobRecord) { record.Owner = otherIncarnation })
 			},
-			want: intent,
+			wantWrite: intent,
 		},
 		{
 			name: "replica older than the job's record",
@@ -69,7 +69,7 @@
 				f.putJob(t, nil)
 				f.Replica.Revision = 1
 			},
-			want: intent,
+			wantWrite: intent,
 		},
 		{
 			name: "on more machines than a batch may depend on",
@@ -77,7 +77,7 @@
 				f.putJob(t, nil)
 				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps+1)
 			},
-			want: intent,
+			wantWrite: intent,
 		},
 		{
 			name: "on as many machines as a batch may depend on",
@@ -85,26 +85,26 @@
 				f.putJob(t, nil)
 				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps)
 			},
-			want:           confirmation,
-			dependsOnShard: true,
+			wantWrite:          confirmation,
+			wantShardCondition: true,
 		},
 		{
 			name: "assignment of the job under way",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, nil)
-				b := f.commit.ShardWriter.NewBatch(8)
-				b.MutableJob(testJob)
-				f.commit.Committer.SendBatch(b, 8)
+				batch := f.commit.ShardWriter.NewBatch(8)
+				batch.MutableJob(testJob)
+				f.commit.Committer.SendBatch(batch, 8)
 				if !f.commit.Committer.HasPendingConditionOn(storage.JobKey(testJob)) {
 					t.Fatal("no transaction is under way")
 				}
 			},
-			want: intent,
+			wantWrite: intent,
 		},
 		{
-			name:  "request on record, not acknowledged",
-			setUp: func(t *testing.T, f *fixture) { f.putJob(t, cancelRequested) },
-			want:  nothing,
+			name:      "request on record, not acknowledged",
+			setUp:     func(t *testing.T, f *fixture) { f.putJob(t, cancelRequested) },
+			wantWrite: nothing,
 		},
 		{
 			name: "request on record and acknowledged",
@@ -112,34 +112,34 @@
 				f.putJob(t, cancelRequested)
 				f.canceller.UpdateAcknowledgements()
 			},
-			want: confirmation,
+			wantWrite: confirmation,
 		},
 		{
 			name: "request acknowledged, all tasks completed first",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, cancelRequested)
-				f.putMachine(t, owner, allTasks)
+				f.putMachine(t, testIncarnation, allTasks)
 				f.canceller.fullyAcknowledged[testJob] = true
 			},
-			want: nothing,
+			wantWrite: nothing,
 		},
 		{
 			name: "job done",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, func(record *storage.JobRecord) { record.State = protocol.JobDone })
 			},
-			want:             nothing,
-			isRequestDropped: true,
+			wantWrite:            nothing,
+			wantRequestForgotten: true,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			c.setUp(t, f)
+			test.setUp(t, f)
 			f.canceller.RequestCancellation(testJob)
-			b := f.commit.ShardWriter.NewBatch(8)
-			f.canceller.WriteCancellations(b)
+			batch := f.commit.ShardWriter.NewBatch(8)
+			f.canceller.WriteCancellations(batch)
 
-			transaction := b.Transaction()
+			transaction := batch.Transaction()
 			written := storage.NewReplica()
 			for _, operation := range transaction.Operations {
 				if _, err := written.Put(operation.PutKey, operation.Value, 3); err != nil {
@@ -160,16 +160,16 @@
 					t.Errorf("the record is dated %d, want %d", entry.Record.CancelUpdatedAt, f.Now.Wall)
 				}
 			}
-			if got != c.want {
-				t.Errorf("write %v, want %v", got, c.want)
+			if got != test.wantWrite {
+				t.Errorf("write %v, want %v", got, test.wantWrite)
 			}
 			shardUnchanged := protocol.Condition{Key: storage.ShardKey("p"), ModRevision: 2}
 			dependsOnShard := slices.Contains(transaction.Conditions, shardUnchanged)
-			if dependsOnShard != c.dependsOnShard {
-				t.Errorf("depends on the shard: %v, want %v", dependsOnShard, c.dependsOnShard)
+			if dependsOnShard != test.wantShardCondition {
+				t.Errorf("depends on the shard: %v, want %v", dependsOnShard, test.wantShardCondition)
 			}
-			if f.canceller.HasRequests() == c.isRequestDropped {
-				t.Errorf("request is dropped: %v, want %v", !f.canceller.HasRequests(), c.isRequestDropped)
+			if f.canceller.HasRequests() == test.wantRequestForgotten {
+				t.Errorf("request is dropped: %v, want %v", !f.canceller.HasRequests(), test.wantRequestForgotten)
 			}
 		})
 	}
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -40,18 +40,18 @@
 	replication *commit.Replication
 	terminator  *Terminator
 
-	isListing       bool
-	nextListAt      protocol.Instant
-	lastListAt      protocol.Instant // when the last list was requested
-	silentMachines  int              // owned machines that are silent
-	listedInstances map[protocol.MachineID]*listedInstance
+	isListing          bool
+	nextListAt         protocol.Instant
+	lastListAt         protocol.Instant // when the last list was requested
+	silentMachineCount int              // owned machines that are silent
+	listedInstances    map[protocol.MachineID]*listedInstance
 }
 
 // listedInstance is what the cloud's lists say of a machine.
 type listedInstance struct {
-	instance    protocol.Instance
-	listedAt    protocol.Instant // when the last list that had it was requested
-	missedLists int              // later lists in a row without it
+	instance        protocol.Instance
+	listedAt        protocol.Instant // when the last list that had it was requested
+	missedListCount int              // later lists in a row without it
 }
 
 func newInventory(ctx *step.Context) *Inventory {
@@ -65,7 +65,7 @@
 // machines are silent.
 func (inv *Inventory) PollInstances() {
 	now := inv.Now.Monotonic
-	if inv.silentMachines > 0 {
+	if inv.silentMachineCount > 0 {
 		inv.nextListAt = min(inv.nextListAt, inv.lastListAt.Add(inv.Config.SilentInstanceListInterval))
 	}
 	if !inv.isListing && now >= inv.nextListAt {
@@ -86,46 +86,46 @@
 	if !inv.replication.IsLoaded() {
 		return
 	}
-	listed := inv.recordListed(result)
-	inv.recordMissed(listed, result.RequestedAt)
-	inv.recordNeverListed(listed, result.RequestedAt)
+	listedIDs := inv.recordListedInstances(result)
+	inv.countMissedLists(listedIDs, result.RequestedAt)
+	inv.recordNeverListedMachines(listedIDs, result.RequestedAt)
 }
 
-// recordListed records the instances of a list, and gives the set of their IDs.
-func (inv *Inventory) recordListed(result step.ListInstancesResult) map[protocol.MachineID]bool {
-	listed := map[protocol.MachineID]bool{}
+// recordListedInstances records the instances of a list, and gives the set of their IDs.
+func (inv *Inventory) recordListedInstances(result step.ListInstancesResult) map[protocol.MachineID]bool {
+	listedIDs := map[protocol.MachineID]bool{}
 	for _, instance := range result.Instances {
 		if !instance.ID.IsValid() {
 			continue
 		}
-		listed[instance.ID] = true
+		listedIDs[instance.ID] = true
 		inv.listedInstances[instance.ID] = &listedInstance{instance: instance, listedAt: result.RequestedAt}
 	}
-	return listed
+	return listedIDs
 }
 
-// recordMissed counts the lists that lack machines which earlier ones had. Lists come late and
+// countMissedLists counts the lists that lack machines which earlier ones had. Lists come late and
 // out of order: one counts only if it was requested after the last one that had the machine.
-func (inv *Inventory) recordMissed(listed map[protocol.MachineID]bool, requestedAt protocol.Instant) {
-	for id, known := range inv.listedInstances {
-		if listed[id] || requestedAt <= known.listedAt {
+func (inv *Inventory) countMissedLists(listedIDs map[protocol.MachineID]bool, requestedAt protocol.Instant) {
+	for id, listed := range inv.listedInstances {
+		if listedIDs[id] || requestedAt <= listed.listedAt {
 			continue
 		}
-		if known.missedLists++; known.missedLists >= missedListsUntilForgotten {
+		if listed.missedListCount++; listed.missedListCount >= missedListsUntilForgotten {
 			delete(inv.listedInstances, id)
 		}
 	}
 }
 
-// recordNeverListed adds the machines on record that no list has had although one must have: from then
+// recordNeverListedMachines adds the machines on record that no list has had although one must have: from then
 // on the lists that lack them count.
-func (inv *Inventory) recordNeverListed(listed map[protocol.MachineID]bool, requestedAt protocol.Instant) {
-	listedByAge := unlistedLagFactor*inv.Config.InstanceListLag + unlistedMargin
+func (inv *Inventory) recordNeverListedMachines(listedIDs map[protocol.MachineID]bool, requestedAt protocol.Instant) {
+	maxUnlistedAge := unlistedLagFactor*inv.Config.InstanceListLag + unlistedMargin
 	for id, entry := range inv.Replica.Machines {
-		if listed[id] || inv.listedInstances[id] != nil {
+		if listedIDs[id] || inv.listedInstances[id] != nil {
 			continue
 		}
-		if step.MillisToDuration(inv.Now.Wall-entry.Record.AddedAt) > listedByAge {
+		if step.MillisToDuration(inv.Now.Wall-entry.Record.AddedAt) > maxUnlistedAge {
 			inv.listedInstances[id] = &listedInstance{instance: protocol.Instance{ID: id}, listedAt: requestedAt}
 		}
 	}
@@ -133,27 +133,27 @@
 
 // AdoptOrphanedInstances adopts listed machines that are on no record: those of late grants, or whose
 // controller ended before it recorded them. They are then used or scaled in.
-func (inv *Inventory) AdoptOrphanedInstances(b *commit.Batch) {
-	orphaned := step.SelectKeys(inv.listedInstances, func(known *listedInstance) bool {
-		return inv.Replica.Machines[known.instance.ID] == nil
+func (inv *Inventory) AdoptOrphanedInstances(batch *commit.Batch) {
+	orphanIDs := step.SelectKeys(inv.listedInstances, func(listed *listedInstance) bool {
+		return inv.Replica.Machines[listed.instance.ID] == nil
 	})
-	for _, id := range orphaned {
-		known := inv.listedInstances[id]
-		if !known.isAdoptable() || !b.CanAddMachine() || b.ChangesMachine(id) {
+	for _, id := range orphanIDs {
+		listed := inv.listedInstances[id]
+		if !listed.isAdoptable() || !batch.CanAddMachine() || batch.ChangesMachine(id) {
 			continue
 		}
-		if inv.terminator.wasTerminated(id) || !inv.ownership.IsSuccessor(string(id)) || inv.provisioner.isGranted(id) {
+		if inv.terminator.wasRemovedRecently(id) || !inv.ownership.IsSuccessor(string(id)) || inv.provisioner.isGranted(id) {
 			continue
 		}
-		b.AddMachine(id, inv.newMachineRecord(&known.instance), 0)
-		b.Log(slog.LevelInfo, "orphaned instance adopted", "machine", string(id))
+		batch.AddMachine(id, inv.newMachineRecord(&listed.instance), 0)
+		batch.Log(slog.LevelInfo, "orphaned instance adopted", "machine", string(id))
 	}
 }
 
 // isAdoptable tells whether an unrecorded machine surely exists and no controller is about to record it.
-func (known *listedInstance) isAdoptable() bool {
-	instance := &known.instance
-	return known.missedLists == 0 && instance.AgeSeconds >= minOrphanAgeSeconds && instance.Type != ""
+func (listed *listedInstance) isAdoptable() bool {
+	instance := &listed.instance
+	return listed.missedListCount == 0 && instance.AgeSeconds >= minOrphanAgeSeconds && instance.Type != ""
 }
 
 // newMachineRecord is the record of an adopted instance.
@@ -168,16 +168,16 @@
 }
 
 // recordSilentMachines records how many owned machines are silent.
-func (inv *Inventory) recordSilentMachines(count int) { inv.silentMachines = count }
+func (inv *Inventory) recordSilentMachines(count int) { inv.silentMachineCount = count }
 
-// hasFailed tells whether the cloud lists a machine as failed.
-func (inv *Inventory) hasFailed(id protocol.MachineID) bool {
-	known := inv.listedInstances[id]
-	return known != nil && known.instance.State == protocol.InstanceFailed
+// isListedAsFailed tells whether the cloud lists a machine as failed.
+func (inv *Inventory) isListedAsFailed(id protocol.MachineID) bool {
+	listed := inv.listedInstances[id]
+	return listed != nil && listed.instance.State == protocol.InstanceFailed
 }
 
 // isMissing tells whether the cloud no longer lists a machine.
 func (inv *Inventory) isMissing(id protocol.MachineID) bool {
-	known := inv.listedInstances[id]
-	return known != nil && known.missedLists >= missedListsUntilMissing
+	listed := inv.listedInstances[id]
+	return listed != nil && listed.missedListCount >= missedListsUntilMissing
 }
--- a/internal/coordination/provisioning/instance_inventory_test.go
+++ b/internal/coordination/provisioning/instance_inventory_test.go
@@ -16,11 +16,11 @@
 		requestedAt protocol.Instant
 		hasMachine  bool
 	}
-	for _, c := range []struct {
-		name    string
-		lists   []list
-		missing bool
-		known   bool
+	for _, test := range []struct {
+		name        string
+		lists       []list
+		wantMissing bool
+		wantKnown   bool
 	}{
 		{"listed", []list{{1, true}}, false, true},
 		{"one list lacks it", []list{{1, true}, {2, false}}, false, true},
@@ -31,20 +31,20 @@
 			{1, true}, {2, false}, {3, false}, {4, false}, {5, false}, {6, false}, {7, false},
 		}, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			inventory := newTestParts(t).Inventory
-			for _, l := range c.lists {
-				result := step.ListInstancesResult{RequestedAt: l.requestedAt}
-				if l.hasMachine {
+			for _, list := range test.lists {
+				result := step.ListInstancesResult{RequestedAt: list.requestedAt}
+				if list.hasMachine {
 					result.Instances = []protocol.Instance{{ID: "m-1"}}
 				}
-				inventory.recordMissed(inventory.recordListed(result), l.requestedAt)
+				inventory.countMissedLists(inventory.recordListedInstances(result), list.requestedAt)
 			}
-			if got := inventory.isMissing("m-1"); got != c.missing {
-				t.Errorf("missing: %v, want %v", got, c.missing)
+			if got := inventory.isMissing("m-1"); got != test.wantMissing {
+				t.Errorf("missing: %v, want %v", got, test.wantMissing)
 			}
-			if got := inventory.listedInstances["m-1"] != nil; got != c.known {
-				t.Errorf("known: %v, want %v", got, c.known)
+			if got := inventory.listedInstances["m-1"] != nil; got != test.wantKnown {
+				t.Errorf("known: %v, want %v", got, test.wantKnown)
 			}
 		})
 	}
@@ -53,27 +53,27 @@
 // A machine on record that no list has had counts as missing, too, but only once it must have
 // been listed.
 func TestNeverListedInstances(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		age     time.Duration
-		missing bool
+	for _, test := range []struct {
+		name        string
+		age         time.Duration
+		wantMissing bool
 	}{
 		{"may not be listed yet", 17 * time.Second, false},
 		{"must have been listed", 18 * time.Second, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			parts.Config.InstanceListLag = 4 * time.Second // and the margin: 17 s
 			record := storage.MachineRecord{AddedAt: parts.Now.Wall}
 			parts.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: record}
-			parts.Advance(c.age)
+			parts.Advance(test.age)
 			for requestedAt := protocol.Instant(1); requestedAt <= 3; requestedAt++ {
-				listed := parts.Inventory.recordListed(step.ListInstancesResult{RequestedAt: requestedAt})
-				parts.Inventory.recordMissed(listed, requestedAt)
-				parts.Inventory.recordNeverListed(listed, requestedAt)
+				listedIDs := parts.Inventory.recordListedInstances(step.ListInstancesResult{RequestedAt: requestedAt})
+				parts.Inventory.countMissedLists(listedIDs, requestedAt)
+				parts.Inventory.recordNeverListedMachines(listedIDs, requestedAt)
 			}
-			if got := parts.Inventory.isMissing("m-1"); got != c.missing {
-				t.Errorf("missing: %v, want %v", got, c.missing)
+			if got := parts.Inventory.isMissing("m-1"); got != test.wantMissing {
+				t.Errorf("missing: %v, want %v", got, test.wantMissing)
 			}
 		})
 	}
@@ -82,23 +82,23 @@
 // Only machines that surely exist are adopted, and only when the controller that requested them has had
 // the time to record them.
 func TestAdoptableInstances(t *testing.T) {
-	old := protocol.Instance{ID: "m-1", Type: "small", AgeSeconds: 20}
-	young, nameless := old, old
-	young.AgeSeconds = 19.9
-	nameless.Type = ""
-	for _, c := range []struct {
-		name  string
-		known listedInstance
-		want  bool
+	oldInstance := protocol.Instance{ID: "m-1", Type: "small", AgeSeconds: 20}
+	youngInstance, untypedInstance := oldInstance, oldInstance
+	youngInstance.AgeSeconds = 19.9
+	untypedInstance.Type = ""
+	for _, test := range []struct {
+		name   string
+		listed listedInstance
+		want   bool
 	}{
-		{"old enough", listedInstance{instance: old}, true},
-		{"too young", listedInstance{instance: young}, false},
-		{"not in the last list", listedInstance{instance: old, missedLists: 1}, false},
-		{"of no type", listedInstance{instance: nameless}, false},
+		{"old enough", listedInstance{instance: oldInstance}, true},
+		{"too young", listedInstance{instance: youngInstance}, false},
+		{"not in the last list", listedInstance{instance: oldInstance, missedListCount: 1}, false},
+		{"of no type", listedInstance{instance: untypedInstance}, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := c.known.isAdoptable(); got != c.want {
-				t.Errorf("adoptable: %v, want %v", got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.listed.isAdoptable(); got != test.want {
+				t.Errorf("adoptable: %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/provisioning/parts.go
+++ b/internal/coordination/provisioning/parts.go
@@ -18,16 +18,16 @@
 
 // New makes the parts. They can be used once they are connected with those of other packages.
 func New(ctx *step.Context) *Parts {
-	p := &Parts{
+	parts := &Parts{
 		Inventory:   newInventory(ctx),
 		Provisioner: newProvisioner(ctx),
 		Terminator:  newTerminator(ctx),
 	}
-	p.Inventory.provisioner = p.Provisioner
-	p.Inventory.terminator = p.Terminator
-	p.Provisioner.terminator = p.Terminator
-	p.Terminator.inventory = p.Inventory
-	return p
+	parts.Inventory.provisioner = parts.Provisioner
+	parts.Inventory.terminator = parts.Terminator
+	parts.Provisioner.terminator = parts.Terminator
+	parts.Terminator.inventory = parts.Inventory
+	return parts
 }
 
 // Dependencies are what the parts need of other packages.
@@ -45,19 +45,19 @@
 }
 
 // Connect gives the parts what they need of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Inventory.ownership = d.Ownership
-	p.Inventory.replication = d.Replication
-	p.Provisioner.catalog = d.Catalog
-	p.Provisioner.lease = d.Lease
-	p.Provisioner.demandSource = d.DemandSource
-	p.Provisioner.replication = d.Replication
-	p.Provisioner.spot = d.Spot
-	p.Terminator.agents = d.Agents
-	p.Terminator.cancellations = d.Cancellations
-	p.Terminator.catalog = d.Catalog
-	p.Terminator.lease = d.Lease
-	p.Terminator.planUse = d.PlanUseChecker
-	p.Terminator.replication = d.Replication
-	p.Terminator.idlePolicy = d.IdlePolicy
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Inventory.ownership = dependencies.Ownership
+	p.Inventory.replication = dependencies.Replication
+	p.Provisioner.catalog = dependencies.Catalog
+	p.Provisioner.lease = dependencies.Lease
+	p.Provisioner.demandSource = dependencies.DemandSource
+	p.Provisioner.replication = dependencies.Replication
+	p.Provisioner.spot = dependencies.Spot
+	p.Terminator.agents = dependencies.Agents
+	p.Terminator.cancellations = dependencies.Cancellations
+	p.Terminator.catalog = dependencies.Catalog
+	p.Terminator.lease = dependencies.Lease
+	p.Terminator.planUseChecker = dependencies.PlanUseChecker
+	p.Terminator.replication = dependencies.Replication
+	p.Terminator.idlePolicy = dependencies.IdlePolicy
 }
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -24,15 +24,15 @@
 
 // fakePlan stands for the scheduler's plan and its reserve of idle machines.
 type fakePlan struct {
-	retains     bool
-	retainsIdle bool
+	retainsMachine     bool
+	retainsIdleMachine bool
 }
 
 func (f *fakePlan) Age() time.Duration                            { return 0 }
 func (f *fakePlan) Demands() []UnmetDemand                        { return nil }
 func (f *fakePlan) ClearDemands()                                 {}
-func (f *fakePlan) RetainsMachine(protocol.MachineID) bool        { return f.retains }
-func (f *fakePlan) RetainsIdleMachine(id protocol.MachineID) bool { return f.retainsIdle }
+func (f *fakePlan) RetainsMachine(protocol.MachineID) bool        { return f.retainsMachine }
+func (f *fakePlan) RetainsIdleMachine(id protocol.MachineID) bool { return f.retainsIdleMachine }
 
 // testParts are the parts of provisioning on those of the packages below.
 type testParts struct {
@@ -47,34 +47,34 @@
 // newTestParts makes parts that know the two machine types.
 func newTestParts(t *testing.T) *testParts {
 	t.Helper()
-	base := steptest.NewFixture(steptest.Config())
-	base.Rand = rand.New(rand.NewPCG(1, 1))
-	ctx := base.Context
-	cloud, records, fleet, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
-	cloud.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
+	fixture := steptest.NewFixture(steptest.Config())
+	fixture.Rand = rand.New(rand.NewPCG(1, 1))
+	ctx := fixture.Context
+	catalogParts, commitParts, agentParts, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
+	catalogParts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
 	})
 	cancellations.Connect(cancellation.Dependencies{
-		Agents:      fleet.Table,
-		Lease:       records.Lease,
-		Replication: records.Replication,
+		Agents:      agentParts.Table,
+		Lease:       commitParts.Lease,
+		Replication: commitParts.Replication,
 	})
 	parts := &testParts{
-		Fixture: base,
+		Fixture: fixture,
 		Parts:   New(ctx),
-		agents:  fleet,
+		agents:  agentParts,
 		plan:    &fakePlan{},
 		peers:   &steptest.FakePeers{},
 	}
-	records.Connect(commit.Dependencies{StoreReports: parts.peers})
+	commitParts.Connect(commit.Dependencies{StoreReports: parts.peers})
 	parts.Connect(Dependencies{
 		Ownership:      ownership.New(ctx).Manager,
-		Replication:    records.Replication,
-		Catalog:        cloud.Catalog,
-		Lease:          records.Lease,
+		Replication:    commitParts.Replication,
+		Catalog:        catalogParts.Catalog,
+		Lease:          commitParts.Lease,
 		DemandSource:   parts.plan,
-		Spot:           cloud.Spot,
-		Agents:         fleet.Table,
+		Spot:           catalogParts.Spot,
+		Agents:         agentParts.Table,
 		Cancellations:  cancellations.Canceller,
 		PlanUseChecker: parts.plan,
 		IdlePolicy:     parts.plan,
--- a/internal/coordination/provisioning/pools.go
+++ b/internal/coordination/provisioning/pools.go
@@ -43,7 +43,7 @@
 				tasksPerMachine: tasksPerMachine,
 				costPerTask:     machineType.OnDemandPrice / tasks,
 			})
-			if p.canRunOnSpot(demand.Spec, machineType, zone) {
+			if p.canProvisionSpot(demand.Spec, machineType, zone) {
 				pools = append(pools, pricedPool{
 					key:             PoolKey{MachineType: machineType.Name, Zone: zone, Spot: true},
 					tasksPerMachine: tasksPerMachine,
@@ -66,8 +66,8 @@
 	return d.Spec.AllowsPlacement(machineType.Name, zone) && (d.Zone == "" || zone == d.Zone)
 }
 
-// canRunOnSpot tells whether spot machines of a type and zone may be provisioned for a job now.
-func (p *Provisioner) canRunOnSpot(job *protocol.Job, machineType *protocol.MachineType, zone protocol.Zone) bool {
+// canProvisionSpot tells whether spot machines of a type and zone may be provisioned for a job now.
+func (p *Provisioner) canProvisionSpot(job *protocol.Job, machineType *protocol.MachineType, zone protocol.Zone) bool {
 	if job.IsService() || !p.spot.CanUseSpot(job, machineType) {
 		return false
 	}
@@ -81,8 +81,8 @@
 
 // IsPoolExhausted tells whether the cloud had too few machines of a pool recently.
 func (p *Provisioner) IsPoolExhausted(pool PoolKey) bool {
-	at, known := p.exhaustedAt[pool]
-	return known && p.Since(at) < p.Config.NoCapacityBackoff
+	exhaustedAt, ok := p.exhaustedAt[pool]
+	return ok && p.Since(exhaustedAt) < p.Config.NoCapacityBackoff
 }
 
 // MarkPoolExhausted records that the cloud has too few machines of a pool.
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -25,9 +25,9 @@
 	spot         *catalog.SpotPricing
 	terminator   *Terminator
 
-	requests    map[string]*ProvisionRequest // under way, by their names
-	sequence    int                          // of the last request of this process
-	exhaustedAt map[PoolKey]protocol.Instant // when a pool last had fewer machines than requested
+	requests     map[string]*ProvisionRequest // under way, by their names
+	lastSequence int                          // of the last request of this process
+	exhaustedAt  map[PoolKey]protocol.Instant // when a pool last had fewer machines than requested
 }
 
 func newProvisioner(ctx *step.Context) *Provisioner {
@@ -49,7 +49,7 @@
 	slices.SortStableFunc(demands, func(left, right UnmetDemand) int {
 		return cmp.Compare(left.Precedence, right.Precedence)
 	})
-	pendingPools := p.pendingPools()
+	pendingPools := p.poolsWithRequests()
 	spotCount := p.countSpotMachines()
 	for _, demand := range demands {
 		if p.Now.Wall-demand.SubmittedAt >= minDemandAge {
@@ -71,36 +71,36 @@
 
 // provisionForDemand sends the requests for one job's demand, at most one at a time to a pool.
 func (p *Provisioner) provisionForDemand(demand UnmetDemand, pendingPools map[PoolKey]bool, spotCount int) {
-	remaining := demand.TaskCount
-	cheapest := 0.0
+	remainingTasks := demand.TaskCount
+	cheapestCostPerTask := 0.0
 	for _, pool := range p.poolsByCost(demand) {
 		if p.IsPoolExhausted(pool.key) {
 			continue
 		}
-		if cheapest == 0 {
-			cheapest = pool.costPerTask
+		if cheapestCostPerTask == 0 {
+			cheapestCostPerTask = pool.costPerTask
 		}
-		if remaining <= 0 || !demand.IsUrgent && pool.costPerTask > cheapest*maxPoolCostRatio {
+		if remainingTasks <= 0 || !demand.IsUrgent && pool.costPerTask > cheapestCostPerTask*maxPoolCostRatio {
 			return
 		}
 		if pendingPools[pool.key] {
 			continue
 		}
-		count := p.requestSize(pool, remaining, spotCount)
-		if count <= 0 {
+		machineCount := p.requestSize(pool, remainingTasks, spotCount)
+		if machineCount <= 0 {
 			continue
 		}
 		pendingPools[pool.key] = true
-		p.sendRequest(pool.key, count, demand.Job)
-		remaining -= count * pool.tasksPerMachine
+		p.sendRequest(pool.key, machineCount, demand.Job)
+		remainingTasks -= machineCount * pool.tasksPerMachine
 	}
 }
 
 // requestSize is the number of machines to request from a pool, within the limits of one request and
 // of the spot machines of the fleet.
-func (p *Provisioner) requestSize(pool pricedPool, tasks, spotCount int) int {
-	needed := (tasks + pool.tasksPerMachine - 1) / pool.tasksPerMachine
-	count := min(needed, p.Config.MaxProvisionCount, protocol.MaxProvisionCount)
+func (p *Provisioner) requestSize(pool pricedPool, taskCount, spotCount int) int {
+	neededCount := (taskCount + pool.tasksPerMachine - 1) / pool.tasksPerMachine
+	count := min(neededCount, p.Config.MaxProvisionCount, protocol.MaxProvisionCount)
 	if pool.key.Spot {
 		count = min(count, p.Config.MaxSpotMachines-spotCount)
 	}
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -14,13 +14,13 @@
 // asks all pools at once.
 func TestProvisioningPools(t *testing.T) {
 	smallSpotPool := PoolKey{MachineType: "small", Zone: "a", Spot: true}
-	inOtherZone := func(p PoolKey) PoolKey { p.Zone = "b"; return p }
-	for _, c := range []struct {
-		name      string
-		cores     float64
-		urgent    bool
-		exhausted []PoolKey
-		want      []string // type and kind of the requests
+	inOtherZone := func(pool PoolKey) PoolKey { pool.Zone = "b"; return pool }
+	for _, test := range []struct {
+		name           string
+		cores          float64
+		isUrgent       bool
+		exhaustedPools []PoolKey
+		wantPools      []string // type and kind of the requests
 	}{
 		{"deferrable work takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
 		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{
@@ -33,10 +33,10 @@
 		}},
 		{"large tasks fit one type", 16, false, nil, []string{"large spot", "large spot"}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			parts.Effects = nil
-			for _, pool := range c.exhausted {
+			for _, pool := range test.exhaustedPools {
 				parts.Provisioner.MarkPoolExhausted(pool)
 			}
 			job := &protocol.Job{
@@ -45,18 +45,18 @@
 				Team:                "core",
 				Kind:                protocol.KindArray,
 				TaskCount:           10,
-				Cores:               c.cores,
-				MemoryGB:            c.cores,
+				Cores:               test.cores,
+				MemoryGB:            test.cores,
 				AllowSpot:           true,
 				Image:               "b",
 				EstimatedRunSeconds: 20,
 			}
-			demand := UnmetDemand{Job: "j-1", Spec: job, TaskCount: 5000, IsUrgent: c.urgent}
+			demand := UnmetDemand{Job: "j-1", Spec: job, TaskCount: 5000, IsUrgent: test.isUrgent}
 			parts.Provisioner.provisionForDemand(demand, map[PoolKey]bool{}, 0)
 			got := requestedPools(parts.Effects)
-			slices.Sort(c.want)
-			if !slices.Equal(got, c.want) {
-				t.Errorf("%s: %s; wanted %s", c.name, strings.Join(got, ", "), strings.Join(c.want, ", "))
+			slices.Sort(test.wantPools)
+			if !slices.Equal(got, test.wantPools) {
+				t.Errorf("%s: %s; wanted %s", test.name, strings.Join(got, ", "), strings.Join(test.wantPools, ", "))
 			}
 		})
 	}
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -49,26 +49,26 @@
 // observed.
 type idlePeriod struct {
 	ownership agents.Ownership
-	since     protocol.Instant
+	startedAt protocol.Instant
 }
 
 // BeginScaleInReview starts a new review of the owned machines, of which some are silent.
-func (t *Terminator) BeginScaleInReview(silent int) {
-	t.inventory.recordSilentMachines(silent)
+func (t *Terminator) BeginScaleInReview(silentMachines int) {
+	t.inventory.recordSilentMachines(silentMachines)
 	t.scaleInQueue = t.scaleInQueue[:0]
 }
 
 // EvaluateScaleIn decides whether an owned machine is to be terminated, and queues it if so.
 // A machine that is already marked has its termination begun. isolated tells that nearly all
 // owned machines are silent.
-func (t *Terminator) EvaluateScaleIn(entry *storage.Machine, state *agents.MachineState, isolated bool) {
+func (t *Terminator) EvaluateScaleIn(entry *storage.Machine, state *agents.MachineState, isIsolated bool) {
 	if entry.Record.Terminating {
 		if !t.IsTerminating(state.ID) && t.lease.IsRegistered() {
 			t.terminations[state.ID] = &termination{}
 		}
 		return
 	}
-	reason := t.scaleInReasonOf(entry, state, isolated)
+	reason := t.scaleInReasonFor(entry, state, isIsolated)
 	if reason == scaleInNone {
 		return
 	}
@@ -78,14 +78,14 @@
 	t.scaleInQueue = append(t.scaleInQueue, scaleInDecision{state: state, reason: reason})
 }
 
-// scaleInReasonOf is why a machine is to be terminated. The idle period is kept up to date only
+// scaleInReasonFor is why a machine is to be terminated. The idle period is kept up to date only
 // where there is no other reason.
-func (t *Terminator) scaleInReasonOf(entry *storage.Machine, state *agents.MachineState, isolated bool) scaleInReason {
+func (t *Terminator) scaleInReasonFor(entry *storage.Machine, state *agents.MachineState, isIsolated bool) scaleInReason {
 	record := &entry.Record
 	if record.AgentEpoch == 0 {
-		return t.bootFailure(record, state)
+		return t.bootFailureReason(record, state)
 	}
-	if reason := t.defectOf(record, state, isolated); reason != scaleInNone {
+	if reason := t.failureReason(record, state, isIsolated); reason != scaleInNone {
 		return reason
 	}
 	t.trackIdlePeriod(record, state)
@@ -95,8 +95,8 @@
 	return scaleInNone
 }
 
-// bootFailure is why a machine whose agent has never sent a heartbeat is to be terminated.
-func (t *Terminator) bootFailure(record *storage.MachineRecord, state *agents.MachineState) scaleInReason {
+// bootFailureReason is why a machine whose agent has never sent a heartbeat is to be terminated.
+func (t *Terminator) bootFailureReason(record *storage.MachineRecord, state *agents.MachineState) scaleInReason {
 	machineType := t.catalog.MachineType(record.MachineType)
 	if machineType == nil {
 		return scaleInNone
@@ -108,18 +108,18 @@
 	if t.machineAge(record) > bootTimeout && t.Since(state.LastContactAt) > bootTime {
 		return scaleInNeverBooted
 	}
-	if t.inventory.hasFailed(state.ID) {
+	if t.inventory.isListedAsFailed(state.ID) {
 		return scaleInBootFailed
 	}
 	return scaleInNone
 }
 
-// defectOf is why a machine that has booted is to be terminated although it is not idle.
-func (t *Terminator) defectOf(record *storage.MachineRecord, state *agents.MachineState, isolated bool) scaleInReason {
+// failureReason is why a machine that has booted is to be terminated although it is not idle.
+func (t *Terminator) failureReason(record *storage.MachineRecord, state *agents.MachineState, isIsolated bool) scaleInReason {
 	// The list does not depend on the network to the agents: a machine that it lacks is gone, even
 	// where most machines of this controller are silent.
 	if t.agents.IsSilent(state) {
-		if t.inventory.hasFailed(state.ID) {
+		if t.inventory.isListedAsFailed(state.ID) {
 			return scaleInFailed
 		}
 		if t.inventory.isMissing(state.ID) {
@@ -127,13 +127,13 @@
 		}
 	}
 	switch {
-	case t.isSilentTooLong(state, isolated):
+	case t.isSilentTooLong(state, isIsolated):
 		return scaleInSilent
 	case state.CommandsLost() && t.Since(state.CommandsLostAt) > t.silenceLimit():
 		return scaleInCommandsLost
 	case state.IsFaulty && len(record.Assignments) == 0:
 		return scaleInFaulty
-	case t.cancellations.MustForceScaleIn(state, record, isolated):
+	case t.cancellations.MustForceScaleIn(state, record, isIsolated):
 		return scaleInTaskDoesNotStop
 	}
 	return scaleInNone
@@ -141,12 +141,12 @@
 
 // isSilentTooLong tells whether a machine's agent has sent nothing for so long that the machine has to
 // be replaced.
-func (t *Terminator) isSilentTooLong(state *agents.MachineState, isolated bool) bool {
+func (t *Terminator) isSilentTooLong(state *agents.MachineState, isIsolated bool) bool {
 	if state.DeferredRequest != 0 {
 		return false
 	}
 	limit := t.silenceLimit()
-	if isolated {
+	if isIsolated {
 		limit *= isolatedTimeoutFactor
 	}
 	return t.agents.TimeSinceContact(state) > limit
@@ -165,20 +165,20 @@
 		return
 	}
 	if idle, isIdle := t.idlePeriods[state.ID]; !isIdle || idle.ownership != state.Ownership() {
-		t.idlePeriods[state.ID] = idlePeriod{ownership: state.Ownership(), since: t.Now.Monotonic}
+		t.idlePeriods[state.ID] = idlePeriod{ownership: state.Ownership(), startedAt: t.Now.Monotonic}
 	}
 }
 
 // isInUse tells whether a machine has tasks, or is about to have some.
 func (t *Terminator) isInUse(record *storage.MachineRecord, state *agents.MachineState) bool {
-	return len(record.Assignments) > 0 || t.planUse.RetainsMachine(state.ID) || state.HasLiveTasks()
+	return len(record.Assignments) > 0 || t.planUseChecker.RetainsMachine(state.ID) || state.HasLiveTasks()
 }
 
 // isIdleTooLong tells whether a machine has been idle for longer than idleTimeout.
 func (t *Terminator) isIdleTooLong(record *storage.MachineRecord, state *agents.MachineState) bool {
 	idle, isIdle := t.idlePeriods[state.ID]
 	return isIdle &&
-		t.Since(idle.since) > t.idleTimeout(state, t.catalog.MachineType(record.MachineType)) &&
+		t.Since(idle.startedAt) > t.idleTimeout(state, t.catalog.MachineType(record.MachineType)) &&
 		t.machineAge(record) > t.Config.MinMachineAge
 }
 
@@ -192,11 +192,11 @@
 	if machineType.ImagePullGBPerSecond > 0 {
 		replacementSeconds += state.MeanImageGB() / machineType.ImagePullGBPerSecond
 	}
-	factor := t.Config.IdleTimeoutFactor
+	idleFactor := t.Config.IdleTimeoutFactor
 	if !t.idlePolicy.RetainsIdleMachine(state.ID) {
-		factor *= surplusIdleFactor
+		idleFactor *= surplusIdleFactor
 	}
-	return time.Duration(replacementSeconds * factor * float64(time.Second))
+	return time.Duration(replacementSeconds * idleFactor * float64(time.Second))
 }
 
 // forgetIdlePeriods drops the idle periods of machines that are no longer remembered.
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -22,98 +22,98 @@
 	busy := booted
 	busy.Assign(protocol.Task{Job: "j-1"}, 5)
 	listed := func(state protocol.InstanceState, missedLists int) *listedInstance {
-		return &listedInstance{instance: protocol.Instance{ID: "m-1", State: state}, missedLists: missedLists}
+		return &listedInstance{instance: protocol.Instance{ID: "m-1", State: state}, missedListCount: missedLists}
 	}
-	for _, c := range []struct {
-		name      string
-		record    storage.MachineRecord
-		age       protocol.Millis // none: ten minutes
-		elapsed   time.Duration   // since the ownership began
-		silent    bool            // all the time elapsed
-		isolated  bool
-		listed    *listedInstance
-		cancelled bool // job j-1 is, since the ownership began
-		set       func(*agents.MachineState, *fakePlan)
-		want      scaleInReason
+	for _, test := range []struct {
+		name           string
+		record         storage.MachineRecord
+		age            protocol.Millis // none: ten minutes
+		ownedFor       time.Duration   // since the ownership began
+		isSilent       bool            // all the time elapsed
+		isIsolated     bool
+		listed         *listedInstance
+		isJobCancelled bool // job j-1 is, since the ownership began
+		setUp          func(*agents.MachineState, *fakePlan)
+		want           scaleInReason
 	}{
-		{name: "boots", record: booting, age: 50_000, elapsed: 50 * time.Second, silent: true, want: scaleInNone},
-		{name: "has not booted in time", record: booting, elapsed: 41 * time.Second, silent: true,
+		{name: "boots", record: booting, age: 50_000, ownedFor: 50 * time.Second, isSilent: true, want: scaleInNone},
+		{name: "has not booted in time", record: booting, ownedFor: 41 * time.Second, isSilent: true,
 			want: scaleInNeverBooted},
-		{name: "has not booted in time, and is newly owned", record: booting, elapsed: 30 * time.Second, silent: true,
+		{name: "has not booted in time, and is newly owned", record: booting, ownedFor: 30 * time.Second, isSilent: true,
 			want: scaleInNone},
-		{name: "failed while it booted", record: booting, age: 1000, elapsed: time.Second,
+		{name: "failed while it booted", record: booting, age: 1000, ownedFor: time.Second,
 			listed: listed(protocol.InstanceFailed, 0), want: scaleInBootFailed},
 		{name: "boots, of an unknown type", record: storage.MachineRecord{MachineType: "gone", Zone: "a"},
-			elapsed: time.Hour, silent: true, want: scaleInNone},
-		{name: "is listed as failed but sends heartbeats", record: busy, elapsed: 10 * time.Second,
+			ownedFor: time.Hour, isSilent: true, want: scaleInNone},
+		{name: "is listed as failed but sends heartbeats", record: busy, ownedFor: 10 * time.Second,
 			listed: listed(protocol.InstanceFailed, 0), want: scaleInNone},
-		{name: "is listed as failed and silent", record: busy, elapsed: 10 * time.Second, silent: true,
-			isolated: true, listed: listed(protocol.InstanceFailed, 0), want: scaleInFailed},
-		{name: "is missing from one list", record: busy, elapsed: 10 * time.Second, silent: true,
+		{name: "is listed as failed and silent", record: busy, ownedFor: 10 * time.Second, isSilent: true,
+			isIsolated: true, listed: listed(protocol.InstanceFailed, 0), want: scaleInFailed},
+		{name: "is missing from one list", record: busy, ownedFor: 10 * time.Second, isSilent: true,
 			listed: listed("", 1), want: scaleInNone},
-		{name: "is missing from two lists", record: busy, elapsed: 10 * time.Second, silent: true,
-			isolated: true, listed: listed("", 2), want: scaleInNotListed},
-		{name: "is silent up to the limit", record: busy, elapsed: silenceLimit, silent: true, want: scaleInNone},
-		{name: "is silent beyond the limit", record: busy, elapsed: silenceLimit + 1, silent: true, want: scaleInSilent},
-		{name: "is silent with most others", record: busy, elapsed: 2 * silenceLimit, silent: true,
-			isolated: true, want: scaleInNone},
-		{name: "is silent with most others beyond twice the limit", record: busy, elapsed: 2*silenceLimit + 1, silent: true,
-			isolated: true, want: scaleInSilent},
-		{name: "is silent while a response is deferred", record: busy, elapsed: time.Minute, silent: true,
-			set: func(m *agents.MachineState, _ *fakePlan) { m.DeferredRequest = 3 }, want: scaleInNone},
-		{name: "commands are lost", record: busy, elapsed: time.Minute,
-			set: func(m *agents.MachineState, _ *fakePlan) { m.CommandsLostAt = 1 }, want: scaleInCommandsLost},
-		{name: "commands are lost for a moment", record: busy, elapsed: 10 * time.Second,
-			set: func(m *agents.MachineState, _ *fakePlan) { m.CommandsLostAt = 1 }, want: scaleInNone},
-		{name: "is faulty", record: booted, age: 1000, elapsed: time.Second,
-			set: func(m *agents.MachineState, _ *fakePlan) { m.IsFaulty = true }, want: scaleInFaulty},
-		{name: "is faulty and has tasks", record: busy, elapsed: time.Second,
-			set: func(m *agents.MachineState, _ *fakePlan) { m.IsFaulty = true }, want: scaleInNone},
-		{name: "a cancelled task may still stop", record: busy, elapsed: 24 * time.Second, cancelled: true,
+		{name: "is missing from two lists", record: busy, ownedFor: 10 * time.Second, isSilent: true,
+			isIsolated: true, listed: listed("", 2), want: scaleInNotListed},
+		{name: "is silent up to the limit", record: busy, ownedFor: silenceLimit, isSilent: true, want: scaleInNone},
+		{name: "is silent beyond the limit", record: busy, ownedFor: silenceLimit + 1, isSilent: true, want: scaleInSilent},
+		{name: "is silent with most others", record: busy, ownedFor: 2 * silenceLimit, isSilent: true,
+			isIsolated: true, want: scaleInNone},
+		{name: "is silent with most others beyond twice the limit", record: busy, ownedFor: 2*silenceLimit + 1, isSilent: true,
+			isIsolated: true, want: scaleInSilent},
+		{name: "is silent while a response is deferred", record: busy, ownedFor: time.Minute, isSilent: true,
+			setUp: func(m *agents.MachineState, _ *fakePlan) { m.DeferredRequest = 3 }, want: scaleInNone},
+		{name: "commands are lost", record: busy, ownedFor: time.Minute,
+			setUp: func(m *agents.MachineState, _ *fakePlan) { m.CommandsLostAt = 1 }, want: scaleInCommandsLost},
+		{name: "commands are lost for a moment", record: busy, ownedFor: 10 * time.Second,
+			setUp: func(m *agents.MachineState, _ *fakePlan) { m.CommandsLostAt = 1 }, want: scaleInNone},
+		{name: "is faulty", record: booted, age: 1000, ownedFor: time.Second,
+			setUp: func(m *agents.MachineState, _ *fakePlan) { m.IsFaulty = true }, want: scaleInFaulty},
+		{name: "is faulty and has tasks", record: busy, ownedFor: time.Second,
+			setUp: func(m *agents.MachineState, _ *fakePlan) { m.IsFaulty = true }, want: scaleInNone},
+		{name: "a cancelled task may still stop", record: busy, ownedFor: 24 * time.Second, isJobCancelled: true,
 			want: scaleInNone},
-		{name: "a cancelled task does not stop", record: busy, elapsed: 25 * time.Second, cancelled: true,
+		{name: "a cancelled task does not stop", record: busy, ownedFor: 25 * time.Second, isJobCancelled: true,
 			want: scaleInTaskDoesNotStop},
-		{name: "is idle for a while", record: booted, elapsed: 20 * time.Second, want: scaleInNone},
-		{name: "is idle for longer", record: booted, elapsed: 21 * time.Second, want: scaleInIdle},
-		{name: "is idle and new", record: booted, age: 21_000, elapsed: 21 * time.Second, want: scaleInNone},
-		{name: "is idle and kept in reserve", record: booted, elapsed: 80 * time.Second,
-			set: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdle = true }, want: scaleInNone},
-		{name: "is idle and kept in reserve for too long", record: booted, elapsed: 81 * time.Second,
-			set: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdle = true }, want: scaleInIdle},
-		{name: "is planned for", record: booted, elapsed: time.Hour,
-			set: func(_ *agents.MachineState, plan *fakePlan) { plan.retains = true }, want: scaleInNone},
-		{name: "runs a task that is on no record", record: booted, elapsed: time.Hour,
-			set: func(m *agents.MachineState, _ *fakePlan) {
+		{name: "is idle for a while", record: booted, ownedFor: 20 * time.Second, want: scaleInNone},
+		{name: "is idle for longer", record: booted, ownedFor: 21 * time.Second, want: scaleInIdle},
+		{name: "is idle and new", record: booted, age: 21_000, ownedFor: 21 * time.Second, want: scaleInNone},
+		{name: "is idle and kept in reserve", record: booted, ownedFor: 80 * time.Second,
+			setUp: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdleMachine = true }, want: scaleInNone},
+		{name: "is idle and kept in reserve for too long", record: booted, ownedFor: 81 * time.Second,
+			setUp: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdleMachine = true }, want: scaleInIdle},
+		{name: "is planned for", record: booted, ownedFor: time.Hour,
+			setUp: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsMachine = true }, want: scaleInNone},
+		{name: "runs a task that is on no record", record: booted, ownedFor: time.Hour,
+			setUp: func(m *agents.MachineState, _ *fakePlan) {
 				m.LatestHeartbeat = &protocol.Heartbeat{Tasks: []protocol.TaskStatus{{State: protocol.TaskRunning}}}
 			}, want: scaleInNone},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			record := c.record
-			record.AddedAt = parts.Now.Wall + protocol.Millis(c.elapsed.Milliseconds()) - cmp.Or(c.age, defaultAge)
+			record := test.record
+			record.AddedAt = parts.Now.Wall + protocol.Millis(test.ownedFor.Milliseconds()) - cmp.Or(test.age, defaultAge)
 			entry, state := parts.putMachine(t, 3, record)
-			if c.cancelled {
+			if test.isJobCancelled {
 				parts.putCancelledJob(t)
 			}
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
-			parts.Advance(c.elapsed)
-			if !c.silent {
+			parts.Advance(test.ownedFor)
+			if !test.isSilent {
 				state.LastContactAt = parts.Now.Monotonic
 			}
-			if c.listed != nil {
-				parts.Inventory.listedInstances["m-1"] = c.listed
+			if test.listed != nil {
+				parts.Inventory.listedInstances["m-1"] = test.listed
 			}
-			if c.set != nil {
-				c.set(state, parts.plan)
+			if test.setUp != nil {
+				test.setUp(state, parts.plan)
 			}
 			parts.Terminator.BeginScaleInReview(0)
-			parts.Terminator.EvaluateScaleIn(entry, state, c.isolated)
+			parts.Terminator.EvaluateScaleIn(entry, state, test.isIsolated)
 			got := scaleInNone
 			for _, decision := range parts.Terminator.scaleInQueue {
 				got = decision.reason
 			}
-			if got != c.want {
-				t.Errorf("scale-in reason %q, want %q", got, c.want)
+			if got != test.want {
+				t.Errorf("scale-in reason %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -122,16 +122,16 @@
 // A machine with a cancelled task that does not stop is terminated at once, with no mark on its
 // record, only while no controller can write one.
 func TestUnrecordedTermination(t *testing.T) {
-	for _, c := range []struct {
-		name                  string
-		unavailableEverywhere bool
+	for _, test := range []struct {
+		name                         string
+		isStoreUnavailableEverywhere bool
 	}{
 		{"a record can be written by some controller", false},
 		{"the store is unavailable to all controllers", true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			parts.peers.StoreUnavailable = c.unavailableEverywhere
+			parts.peers.StoreUnavailable = test.isStoreUnavailableEverywhere
 			record := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2}
 			record.Assign(protocol.Task{Job: "j-1"}, 5)
 			entry, state := parts.putMachine(t, 3, record)
@@ -143,8 +143,8 @@
 			parts.Advance(25 * time.Second)
 			state.LastContactAt = parts.Now.Monotonic
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
-			if got := parts.Terminator.IsTerminating("m-1"); got != c.unavailableEverywhere {
-				t.Errorf("terminating: %v, want %v", got, c.unavailableEverywhere)
+			if got := parts.Terminator.IsTerminating("m-1"); got != test.isStoreUnavailableEverywhere {
+				t.Errorf("terminating: %v, want %v", got, test.isStoreUnavailableEverywhere)
 			}
 		})
 	}
@@ -162,16 +162,16 @@
 func TestIdlePeriodEnds(t *testing.T) {
 	const almostIdleTooLong = 19 * time.Second // of 20 s
 	idle := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2, AddedAt: 1}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(*testing.T, *testParts)
 		want   scaleInReason
 	}{
 		{"not by itself", func(*testing.T, *testParts) {}, scaleInIdle},
 		{"with work", func(_ *testing.T, parts *testParts) {
-			parts.plan.retains = true
-			parts.review()
-			parts.plan.retains = false
+			parts.plan.retainsMachine = true
+			parts.reviewMachine()
+			parts.plan.retainsMachine = false
 		}, scaleInNone},
 		{"with a new ownership", func(t *testing.T, parts *testParts) { parts.putMachine(t, 4, idle) }, scaleInNone},
 		{"with a machine that is forgotten", func(_ *testing.T, parts *testParts) {
@@ -182,18 +182,18 @@
 			parts.Replica.Machines["m-1"] = entry
 		}, scaleInNone},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
 			parts.putMachine(t, 3, idle)
-			parts.review()
+			parts.reviewMachine()
 			parts.Advance(almostIdleTooLong)
-			c.change(t, parts)
-			if reason := parts.review(); reason != scaleInNone {
+			test.change(t, parts)
+			if reason := parts.reviewMachine(); reason != scaleInNone {
 				t.Fatalf("scaled in early: %q", reason)
 			}
 			parts.Advance(2 * time.Second)
-			if reason := parts.review(); reason != c.want {
-				t.Errorf("scale-in reason %q, want %q", reason, c.want)
+			if reason := parts.reviewMachine(); reason != test.want {
+				t.Errorf("scale-in reason %q, want %q", reason, test.want)
 			}
 			if want := 1; len(parts.Terminator.idlePeriods) != want {
 				t.Errorf("%d idle periods are kept, want %d", len(parts.Terminator.idlePeriods), want)
@@ -202,8 +202,8 @@
 	}
 }
 
-// review evaluates machine m-1, whose agent has just sent a heartbeat, and gives the reason.
-func (p *testParts) review() scaleInReason {
+// reviewMachine evaluates machine m-1, whose agent has just sent a heartbeat, and gives the reason.
+func (p *testParts) reviewMachine() scaleInReason {
 	entry := p.Replica.Machines["m-1"]
 	state := p.agents.Table.TrackOwnedMachine(entry, "m-1")
 	state.LastContactAt = p.Now.Monotonic
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -13,9 +13,9 @@
 	"tillerarch/internal/storage"
 )
 
-// terminatedRetention is how long a machine that has left the records is remembered: the cloud may
+// removalRetention is how long a machine that has left the records is remembered: the cloud may
 // list it for as long.
-const terminatedRetention = 90 * time.Second
+const removalRetention = 90 * time.Second
 
 // PlanUseChecker checks whether the scheduler's plan uses a machine.
 type PlanUseChecker interface {
@@ -32,34 +32,34 @@
 type Terminator struct {
 	*step.Context
 
-	agents        *agents.Table
-	cancellations *cancellation.Canceller
-	catalog       *catalog.Catalog
-	inventory     *Inventory
-	lease         *commit.Lease
-	planUse       PlanUseChecker
-	replication   *commit.Replication
-	idlePolicy    IdlePolicy
+	agents         *agents.Table
+	cancellations  *cancellation.Canceller
+	catalog        *catalog.Catalog
+	inventory      *Inventory
+	lease          *commit.Lease
+	planUseChecker PlanUseChecker
+	replication    *commit.Replication
+	idlePolicy     IdlePolicy
 
 	scaleInQueue []scaleInDecision // of the last review of the owned machines
 	idlePeriods  map[protocol.MachineID]idlePeriod
 
-	terminations  map[protocol.MachineID]*termination
-	isTerminating bool                                    // a call to the cloud is under way
-	terminatedAt  map[protocol.MachineID]protocol.Instant // when machines left the records
+	terminations   map[protocol.MachineID]*termination
+	isCallInFlight bool                                    // a call to the cloud is under way
+	removedAt      map[protocol.MachineID]protocol.Instant // when machines left the records
 }
 
 // termination is the progress of terminating a machine.
 type termination struct {
-	retryAt    protocol.Instant
-	inFlight   bool
-	confirmed  bool // answered 200: the machine and all on it are gone
-	unrecorded bool // the machine's record does not say so
+	retryAt      protocol.Instant
+	isInFlight   bool
+	isConfirmed  bool // answered 200: the machine and all on it are gone
+	isUnrecorded bool // the machine's record does not say so
 }
 
 // isDue tells whether the termination is to be requested from the cloud now.
 func (t *termination) isDue(now protocol.Instant) bool {
-	return !t.confirmed && !t.inFlight && now >= t.retryAt
+	return !t.isConfirmed && !t.isInFlight && now >= t.retryAt
 }
 
 func newTerminator(ctx *step.Context) *Terminator {
@@ -67,7 +67,7 @@
 		Context:      ctx,
 		idlePeriods:  map[protocol.MachineID]idlePeriod{},
 		terminations: map[protocol.MachineID]*termination{},
-		terminatedAt: map[protocol.MachineID]protocol.Instant{},
+		removedAt:    map[protocol.MachineID]protocol.Instant{},
 	}
 }
 
@@ -77,7 +77,7 @@
 // IsTerminationConfirmed tells whether the cloud has confirmed that the machine is terminated.
 func (t *Terminator) IsTerminationConfirmed(id protocol.MachineID) bool {
 	pending := t.terminations[id]
-	return pending != nil && pending.confirmed
+	return pending != nil && pending.isConfirmed
 }
 
 // TerminateUnrecorded terminates a machine without a mark on its record: while the store is
@@ -88,7 +88,7 @@
 	if t.IsTerminating(id) {
 		return
 	}
-	t.terminations[id] = &termination{unrecorded: true}
+	t.terminations[id] = &termination{isUnrecorded: true}
 	t.Log(slog.LevelWarn, "unrecorded machine termination",
 		"machine", string(id), "reason", string(scaleInTaskDoesNotStop))
 }
@@ -96,21 +96,21 @@
 // RecordRemoval remembers that a machine has left the records, so that it is not adopted again from a
 // stale list of the cloud.
 func (t *Terminator) RecordRemoval(id protocol.MachineID) {
-	t.terminatedAt[id] = t.Now.Monotonic
+	t.removedAt[id] = t.Now.Monotonic
 }
 
-// wasTerminated tells whether a machine has left the records recently.
-func (t *Terminator) wasTerminated(id protocol.MachineID) bool {
-	_, known := t.terminatedAt[id]
-	return known
+// wasRemovedRecently tells whether a machine has left the records recently.
+func (t *Terminator) wasRemovedRecently(id protocol.MachineID) bool {
+	_, ok := t.removedAt[id]
+	return ok
 }
 
 // ForgetRemovedMachines forgets the machines whose records were removed so long ago that the cloud no
 // longer lists them. It also forgets the idle periods of machines that the agent table no longer has.
 func (t *Terminator) ForgetRemovedMachines() {
-	for id, at := range t.terminatedAt {
-		if t.Since(at) > terminatedRetention {
-			delete(t.terminatedAt, id)
+	for id, at := range t.removedAt {
+		if t.Since(at) > removalRetention {
+			delete(t.removedAt, id)
 		}
 	}
 	t.forgetIdlePeriods()
@@ -118,29 +118,29 @@
 
 // SendTerminations sends the terminations that are due, in one call.
 func (t *Terminator) SendTerminations() {
-	t.dropObsoleteTerminations()
-	if t.isTerminating {
+	t.forgetObsoleteTerminations()
+	if t.isCallInFlight {
 		return
 	}
 	now := t.Now.Monotonic
-	due := step.SelectKeys(t.terminations, func(pending *termination) bool { return pending.isDue(now) })
-	if len(due) == 0 {
+	dueIDs := step.SelectKeys(t.terminations, func(pending *termination) bool { return pending.isDue(now) })
+	if len(dueIDs) == 0 {
 		return
 	}
-	due = due[:min(len(due), protocol.MaxTerminateCount)]
-	for _, id := range due {
-		t.terminations[id].inFlight = true
+	dueIDs = dueIDs[:min(len(dueIDs), protocol.MaxTerminateCount)]
+	for _, id := range dueIDs {
+		t.terminations[id].isInFlight = true
 	}
-	t.isTerminating = true
-	t.Emit(step.TerminateMachines{Machines: due})
+	t.isCallInFlight = true
+	t.Emit(step.TerminateMachines{Machines: dueIDs})
 }
 
-// dropObsoleteTerminations drops the terminations of machines that have left the records or are
+// forgetObsoleteTerminations drops the terminations of machines that have left the records or are
 // no longer this controller's to terminate.
-func (t *Terminator) dropObsoleteTerminations() {
+func (t *Terminator) forgetObsoleteTerminations() {
 	for id, pending := range t.terminations {
 		entry := t.Replica.Machines[id]
-		if entry == nil || !pending.unrecorded && !t.isMarkedTerminating(&entry.Record) {
+		if entry == nil || !pending.isUnrecorded && !t.isMarkedTerminating(&entry.Record) {
 			delete(t.terminations, id)
 		}
 	}
@@ -153,18 +153,18 @@
 
 // OnTerminateMachinesResult handles the answer to a termination call.
 func (t *Terminator) OnTerminateMachinesResult(result step.TerminateMachinesResult) {
-	t.isTerminating = false
+	t.isCallInFlight = false
 	for _, id := range result.Machines {
 		pending := t.terminations[id]
 		if pending == nil {
 			continue
 		}
-		pending.inFlight = false
+		pending.isInFlight = false
 		if result.Err != nil {
 			pending.retryAt = t.Now.Monotonic.Add(t.Jitter(retryDelay))
 			continue
 		}
-		pending.confirmed = true
+		pending.isConfirmed = true
 	}
 	if result.Err != nil {
 		t.Log(slog.LevelWarn, "machine termination failed", "count", len(result.Machines), "error", result.Err)
@@ -173,21 +173,21 @@
 
 // WriteTerminations marks the records of the machines that are to be scaled in. The termination
 // is sent once the mark is durable, so that no controller places a task there meanwhile.
-func (t *Terminator) WriteTerminations(b *commit.Batch) {
+func (t *Terminator) WriteTerminations(batch *commit.Batch) {
 	for i := range t.scaleInQueue {
 		decision := &t.scaleInQueue[i]
-		if !t.canMarkTerminating(b, decision) {
+		if !t.canMarkTerminating(batch, decision) {
 			continue
 		}
 		id := decision.state.ID
-		b.MutableMachine(id).Terminating = true
-		b.Log(slog.LevelInfo, "machine scale-in", "machine", string(id), "reason", string(decision.reason))
+		batch.MutableMachine(id).Terminating = true
+		batch.Log(slog.LevelInfo, "machine scale-in", "machine", string(id), "reason", string(decision.reason))
 		decision.reason = scaleInNone
 	}
 }
 
 // canMarkTerminating tells whether a decision still holds and its mark fits into the batch.
-func (t *Terminator) canMarkTerminating(b *commit.Batch, decision *scaleInDecision) bool {
+func (t *Terminator) canMarkTerminating(batch *commit.Batch, decision *scaleInDecision) bool {
 	id := decision.state.ID
 	entry := t.Replica.Machines[id]
 	if decision.reason == scaleInNone || t.agents.Lookup(id) != decision.state || entry == nil {
@@ -196,9 +196,9 @@
 	if !t.lease.OwnsMachine(&entry.Record) || entry.Record.Terminating {
 		return false
 	}
-	if !b.HasCapacity(b.OpsNeeded(id)) || b.RemovesMachine(id) {
+	if !batch.HasCapacity(batch.OpsNeeded(id)) || batch.RemovesMachine(id) {
 		return false
 	}
-	isInUse := b.ChangesMachine(id) || len(entry.Record.Assignments) > 0
+	isInUse := batch.ChangesMachine(id) || len(entry.Record.Assignments) > 0
 	return decision.reason != scaleInIdle || !isInUse
 }
--- a/internal/coordination/provisioning/terminator_test.go
+++ b/internal/coordination/provisioning/terminator_test.go
@@ -12,8 +12,8 @@
 	"tillerarch/internal/storage"
 )
 
-// sentTerminations lets the terminator send what is due, and gives the machines of each call.
-func (p *testParts) sentTerminations() [][]protocol.MachineID {
+// sendDueTerminations lets the terminator send what is due, and gives the machines of each call.
+func (p *testParts) sendDueTerminations() [][]protocol.MachineID {
 	p.Effects = nil
 	p.Terminator.SendTerminations()
 	var calls [][]protocol.MachineID
@@ -25,8 +25,8 @@
 	return calls
 }
 
-// terminate puts machines on record and begins their terminations. It gives their names in order.
-func (p *testParts) terminate(count int) []protocol.MachineID {
+// beginTerminations puts machines on record and begins their terminations. It gives their names in order.
+func (p *testParts) beginTerminations(count int) []protocol.MachineID {
 	var ids []protocol.MachineID
 	for i := range count {
 		id := protocol.MachineID(fmt.Sprintf("m-%03d", i))
@@ -41,16 +41,16 @@
 // the order of their names.
 func TestTerminationCalls(t *testing.T) {
 	parts := newTestParts(t)
-	ids := parts.terminate(protocol.MaxTerminateCount + 2)
+	ids := parts.beginTerminations(protocol.MaxTerminateCount + 2)
 	first, rest := ids[:protocol.MaxTerminateCount], ids[protocol.MaxTerminateCount:]
-	if calls := parts.sentTerminations(); len(calls) != 1 || !slices.Equal(calls[0], first) {
+	if calls := parts.sendDueTerminations(); len(calls) != 1 || !slices.Equal(calls[0], first) {
 		t.Fatalf("calls with %v", calls)
 	}
-	if calls := parts.sentTerminations(); len(calls) != 0 {
+	if calls := parts.sendDueTerminations(); len(calls) != 0 {
 		t.Fatalf("calls with %v beside one that is under way", calls)
 	}
 	parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: first})
-	if calls := parts.sentTerminations(); len(calls) != 1 || !slices.Equal(calls[0], rest) {
+	if calls := parts.sendDueTerminations(); len(calls) != 1 || !slices.Equal(calls[0], rest) {
 		t.Fatalf("calls with %v, want one with %v", calls, rest)
 	}
 }
@@ -58,35 +58,35 @@
 // A termination that failed is repeated after a pause; one that was confirmed is not. A machine
 // that is on no record any more is of no interest.
 func TestTerminationResults(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name          string
-		result        error
-		after         time.Duration
-		removed       bool
+		callError     error
+		elapsed       time.Duration
+		isRemoved     bool
 		wantConfirmed bool
-		wantCalls     int
+		wantCallCount int
 	}{
 		{"confirmed", nil, time.Minute, false, true, 0},
 		{"failed just now", errors.New("busy"), 500 * time.Millisecond, false, false, 0},
 		{"failed some time ago", errors.New("busy"), 2 * time.Second, false, false, 1},
 		{"failed, and the machine has left the records", errors.New("busy"), 2 * time.Second, true, false, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			ids := parts.terminate(1)
-			parts.sentTerminations()
-			parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: ids, Err: c.result})
-			if got := parts.Terminator.IsTerminationConfirmed(ids[0]); got != c.wantConfirmed {
+			ids := parts.beginTerminations(1)
+			parts.sendDueTerminations()
+			parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: ids, Err: test.callError})
+			if got := parts.Terminator.IsTerminationConfirmed(ids[0]); got != test.wantConfirmed {
 				t.Errorf("confirmed: %v", got)
 			}
-			parts.Advance(c.after)
-			if c.removed {
+			parts.Advance(test.elapsed)
+			if test.isRemoved {
 				delete(parts.Replica.Machines, ids[0])
 			}
-			if calls := parts.sentTerminations(); len(calls) != c.wantCalls {
-				t.Errorf("calls with %v, want %d calls", calls, c.wantCalls)
+			if calls := parts.sendDueTerminations(); len(calls) != test.wantCallCount {
+				t.Errorf("calls with %v, want %d calls", calls, test.wantCallCount)
 			}
-			if got := parts.Terminator.IsTerminating(ids[0]); got == c.removed {
+			if got := parts.Terminator.IsTerminating(ids[0]); got == test.isRemoved {
 				t.Errorf("terminating: %v", got)
 			}
 		})
