--- a/cmd/tillerarch/settings.go
+++ b/cmd/tillerarch/settings.go
@@ -44,7 +44,7 @@
 }
 
 // loadSettings reads the platform's settings file and, if propertiesFile is not empty, the
-// operators' properties. Its errors name the file and the key of the invalid setting.
+// operators' properties. Its errors name the file and, for an invalid setting, the key.
 func loadSettings(file, propertiesFile string) (*daemonSettings, error) {
 	var platform platformSettings
 	if _, err := toml.DecodeFile(file, &platform); err != nil {
--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -20,15 +20,15 @@
 	"tillerarch/internal/simulation"
 )
 
-// Options of a cluster.
+// Options holds the options of a cluster.
 type Options struct {
 	Seed            uint64
 	ControllerCount int
 	BinaryPath      string // of the program under test
-	WorkDir         string // for configuration files and logs
+	WorkDir         string // directory of settings files and logs
 	MachineTypes    []protocol.MachineType
 	Teams           map[string]step.Quota
-	Properties      string // of all controllers, besides the admin service's address
+	Properties      string // properties of all controllers, without the admin service's address
 }
 
 // Cluster is a deployment whose controllers are processes.
@@ -38,20 +38,20 @@
 	options     Options
 }
 
-// Controller is a controller process.
+// Controller is a controller that runs as a process of its own.
 type Controller struct {
 	ID         protocol.ControllerID
-	AdminAddr  string // address of its admin service
+	AdminAddr  string // address of the admin service
 	cluster    *Cluster
-	index      int
-	listenAddr string
-	peerAddr   string
+	index      int    // in Cluster.Controllers
+	listenAddr string // address for users and agents
+	peerAddr   string // address for other controllers
 	httpClient *http.Client
-	process    *exec.Cmd
-	logFile    *os.File
+	process    *exec.Cmd // the current process, or the last one
+	logFile    *os.File  // standard error of all the controller's processes
 }
 
-// Limits and times of the deployment, as its controllers are told.
+// Limits and times of the deployment, which the controllers' settings files contain.
 const (
 	heartbeatInterval = time.Second
 	agentLeaseTTL     = 8 * time.Second
@@ -63,7 +63,7 @@
 	storeMaxEvents    = 10_000
 )
 
-// StartCluster starts the simulated systems and the controllers.
+// StartCluster starts the simulated systems and the controllers' processes.
 func StartCluster(options Options) (*Cluster, error) {
 	cluster := &Cluster{options: options}
 	var remotes []simulation.RemoteController
@@ -99,7 +99,7 @@
 	return cluster, nil
 }
 
-// freeAddress finds a loopback port on which nobody listens.
+// freeAddress returns an unused TCP address on the loopback interface.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +109,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Start writes the controller's configuration and starts its process.
+// Start writes the controller's settings and properties files and starts its process.
 func (c *Controller) Start() error {
 	settingsPath := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".toml")
 	propertiesPath := filepath.Join(c.cluster.options.WorkDir, string(c.ID)+".properties")
@@ -131,7 +131,7 @@
 	return c.process.Start()
 }
 
-// settingsText is the content of the platform's settings file.
+// settingsText returns the content of the controller's settings file.
 func (c *Controller) settingsText() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "member = %q\narea = \"a\"\nlisten = %q\nback = %q\n", c.ID, c.listenAddr, c.peerAddr)
@@ -151,20 +151,20 @@
 	return text.String()
 }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process and waits until it has exited.
 func (c *Controller) Kill() {
 	c.process.Process.Kill()
 	c.process.Wait()
 }
 
-// Restart kills the process and starts it again after the downtime.
+// Restart kills the process and starts a new one after the downtime.
 func (c *Controller) Restart(downtime time.Duration) error {
 	c.Kill()
 	time.Sleep(downtime)
 	return c.Start()
 }
 
-// Pause stops the process for a while; its clock runs on.
+// Pause suspends the process for a duration. The clock that the process reads continues.
 func (c *Controller) Pause(duration time.Duration) error {
 	if err := c.process.Process.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -176,7 +176,7 @@
 // DialAdmin connects to the controller's admin service.
 func (c *Controller) DialAdmin() (*admin.Client, error) { return admin.Dial(c.AdminAddr) }
 
-// Close kills all controllers, waits for them, and closes the simulated systems.
+// Close kills all controllers, waits until they have exited, and closes the simulated systems.
 func (c *Cluster) Close() {
 	for _, controller := range c.Controllers {
 		if controller.process != nil {
@@ -189,12 +189,14 @@
 	c.SimulationServer.Close()
 }
 
-// DeliverHeartbeat sends an agent's heartbeat to the controller.
+// DeliverHeartbeat sends an agent's heartbeat to the controller. It calls reply with the status and
+// the body of the response.
 func (c *Controller) DeliverHeartbeat(heartbeat []byte, reply func(int, []byte)) {
 	c.sendAsync("POST", protocol.PathHeartbeat, heartbeat, reply)
 }
 
-// DeliverUserRequest sends a user's request to the controller.
+// DeliverUserRequest sends a user's request to the controller. It calls reply with the status and
+// the body of the response.
 func (c *Controller) DeliverUserRequest(requestType protocol.RequestType, id protocol.JobID, job []byte, reply func(int, []byte)) {
 	switch requestType {
 	case protocol.RequestSubmit:
@@ -206,7 +208,8 @@
 	}
 }
 
-// sendAsync makes a call and brings the reply into the world; status 0 says that there is none.
+// sendAsync sends a request in a goroutine and calls reply with the response within WithWorld. Status
+// 0 means that there is no response.
 func (c *Controller) sendAsync(method, path string, body []byte, reply func(int, []byte)) {
 	go func() {
 		status, response := c.sendRequest(method, path, body)
@@ -214,6 +217,8 @@
 	}()
 }
 
+// sendRequest sends a request to the controller and returns the response. It returns status 0 if
+// there is no response.
 func (c *Controller) sendRequest(method, path string, body []byte) (status int, reply []byte) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.listenAddr+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -14,10 +14,12 @@
 	"tillerarch/internal/storage"
 )
 
-// cliRunner runs `tillerarch shares`, checks its exit code and decodes what it prints.
-type cliRunner func(code int, answer any, args ...string)
+// cliRunner runs `tillerarch shares`, checks its exit code and decodes its output into result, unless
+// result is nil.
+type cliRunner func(wantExitCode int, result any, args ...string)
 
-// waitForOwnership waits until all machines have owners, so that nothing is adopted meanwhile.
+// waitForOwnership waits until all machines have owners, so that no machine is adopted later, and
+// returns the sharding status.
 func waitForOwnership(t *testing.T, cluster *Cluster, runCLI cliRunner) admin.ShardingStatus {
 	t.Helper()
 	for range 60 {
@@ -34,12 +36,12 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	t.Fatal("machines are left without an owner")
+	t.Fatal("some machines still have no owner, want an owner for each of them")
 	return admin.ShardingStatus{}
 }
 
-// An operator's drill with the program itself: list, transfer a shard, drain a controller for its
-// restart and let it take part again. What the program prints is compared with what is on record.
+// The commands of the program list the controllers, transfer a shard, drain a controller for its
+// restart, and end the drain. The output of the program agrees with the records in the store.
 func TestSharesCommand(t *testing.T) {
 	binaryPath := buildProgram(t)
 	cluster := startTestCluster(t, binaryPath, 8)
@@ -53,11 +55,11 @@
 		out, err := exec.Command(binaryPath, append(commonArgs, args...)...).Output()
 		var exit *exec.ExitError
 		if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != wantExitCode) || err == nil && wantExitCode != 0 {
-			t.Fatalf("%v: %v, want exit code %d: %s", args, err, wantExitCode, out)
+			t.Fatalf("%v: error %v, want exit code %d; output %s", args, err, wantExitCode, out)
 		}
 		if result != nil {
 			if err := json.Unmarshal(out, result); err != nil {
-				t.Fatalf("%v: %s: %v", args, out, err)
+				t.Fatalf("%v: output %s, want valid JSON: %v", args, out, err)
 			}
 		}
 	}
@@ -72,24 +74,24 @@
 		return machines
 	}
 	status := waitForOwnership(t, cluster, runCLI)
-	slices.SortFunc(status.Controllers, func(a, z admin.Controller) int { return cmp.Compare(z.Machines, a.Machines) })
+	slices.SortFunc(status.Controllers, func(a, b admin.Controller) int { return cmp.Compare(b.Machines, a.Machines) })
 	source, target := status.Controllers[0].ID, status.Controllers[1].ID
 	for _, controller := range status.Controllers {
 		if n := machinesOwnedBy(controller.ID); n != controller.Machines {
-			t.Errorf("%s owns %d machines, the command says %d", controller.ID, n, controller.Machines)
+			t.Errorf("%s owns %d machines, but the command printed %d, want the same number", controller.ID, n, controller.Machines)
 		}
 	}
 	var transfer admin.Transfer
 	runCLI(0, &transfer, "move", "--name", "drill", "--from", source, "--to", target, "--wait", "30s")
 	if transfer.Phase != string(storage.TransferClosed) || machinesOwnedBy(target) < transfer.Machines || transfer.Machines == 0 {
-		t.Errorf("%+v, the target owns %d", transfer, machinesOwnedBy(target))
+		t.Errorf("transfer %+v, the target owns %d machines; want a closed transfer of machines that the target owns", transfer, machinesOwnedBy(target))
 	}
 	runCLI(0, &transfer, "move", "--name", "drill", "--from", source, "--to", target)
 	runCLI(2, nil, "move", "--from", source, "--to", "stall-7")
 	runCLI(2, nil, "abort", "drill")
 	runCLI(0, nil, "drain", source, "--wait", "60s")
 	if n := machinesOwnedBy(source); n != 0 {
-		t.Errorf("drained, and owns %d machines", n)
+		t.Errorf("the drained controller owns %d machines, want 0", n)
 	}
 	for _, controller := range cluster.Controllers {
 		if string(controller.ID) == source {
@@ -100,7 +102,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	if n := machinesOwnedBy(source); n != 0 {
-		t.Errorf("its next incarnation was given %d machines", n)
+		t.Errorf("the next incarnation of the drained controller owns %d machines, want 0", n)
 	}
 	runCLI(0, nil, "undrain", source)
 	cluster.WithWorld(func(w *simulation.World) { w.Store.Unavailable = true })
--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -15,30 +15,31 @@
 	"tillerarch/internal/simulation"
 )
 
-// tickInterval is how often the world's time is brought up to the clock's.
+// tickInterval is the interval at which the world's time is advanced to the real time.
 const tickInterval = 5 * time.Millisecond
 
 // SimulationServer serves a simulated world over HTTP.
 type SimulationServer struct {
-	mu        sync.Mutex // guards the world
+	mu        sync.Mutex // guards world
 	world     *simulation.World
-	startedAt time.Time
-	stop      chan struct{}
-	loops     sync.WaitGroup
+	startedAt time.Time      // real time at which the world's time is zero
+	stop      chan struct{}  // closed by Close
+	loops     sync.WaitGroup // waits for advanceTime
 
 	listeners  []net.Listener
-	storeAddrs []string // of the store, as each controller reaches it
+	storeAddrs []string // address of the store for each controller, by the controller's index
 	cloudAddr  string
 }
 
-// WithWorld calls a function that has the world to itself.
+// WithWorld calls fn with exclusive access to the world.
 func (s *SimulationServer) WithWorld(fn func(w *simulation.World)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fn(s.world)
 }
 
-// serveWorld serves the world and lets its time pass with the clock. Close ends both.
+// serveWorld serves the store, the cloud and the agents of the world and advances the world's time
+// with the real time, until Close.
 func (s *SimulationServer) serveWorld(world *simulation.World) error {
 	s.world, s.startedAt, s.stop = world, time.Now(), make(chan struct{})
 	for i := range world.Controllers {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// advanceTime lets the world's time pass.
+// advanceTime advances the world's time to the real time at every tick, until Close.
 func (s *SimulationServer) advanceTime() {
 	defer s.loops.Done()
 	ticker := time.NewTicker(tickInterval)
@@ -73,7 +74,7 @@
 	}
 }
 
-// Close stops the world's time and closes all listeners. Requests that are under way fail.
+// Close stops the world's time and closes all listeners. Requests in progress fail.
 func (s *SimulationServer) Close() {
 	close(s.stop)
 	s.loops.Wait()
@@ -84,7 +85,7 @@
 	}
 }
 
-// listenAndServe serves a handler on a loopback port of its own, until Close.
+// listenAndServe serves a handler on a loopback port of its own, until Close. It returns the address.
 func (s *SimulationServer) listenAndServe(handler http.Handler) (addr string, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -99,25 +100,27 @@
 	return listener.Addr().String(), nil
 }
 
+// writeJSON writes a response with the encoding of v as its body.
 func writeJSON(rw http.ResponseWriter, status int, v any) {
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
 	rw.Write(protocol.Encode(v))
 }
 
-// decodeBody reads a request's body into v.
+// decodeBody decodes the JSON body of a request into v and reports whether the body is valid.
 func decodeBody(r *http.Request, v any) bool {
 	data, err := io.ReadAll(io.LimitReader(r.Body, 64<<10))
 	return err == nil && json.Unmarshal(data, v) == nil
 }
 
-// hangRequest holds a request until its sender gives up, and does not reply.
+// hangRequest blocks until the client gives up the request, and then aborts the handler so that no
+// response is sent.
 func hangRequest(r *http.Request) {
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// storeHandler is the store as one controller reaches it.
+// storeHandler returns the handler of the store's API for one controller.
 func (s *SimulationServer) storeHandler(controller *simulation.Controller) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, handler http.HandlerFunc) {
@@ -145,14 +148,15 @@
 	return mux
 }
 
-// readRevision replies to a read of one key. Controllers read only a key that never exists, to
-// learn the revision.
+// readRevision handles a read of one key. Controllers read only a key that never exists, in order to
+// get the revision.
 func (s *SimulationServer) readRevision(rw http.ResponseWriter, _ *http.Request) {
 	var revision protocol.Revision
 	s.WithWorld(func(w *simulation.World) { revision = w.Store.Revision() })
 	writeJSON(rw, http.StatusNotFound, protocol.TransactionResult{Revision: revision})
 }
 
+// listEntries handles a request for one page of the entries whose keys have a prefix.
 func (s *SimulationServer) listEntries(rw http.ResponseWriter, r *http.Request) {
 	page := protocol.EntryPage{Entries: []protocol.Entry{}}
 	from := r.URL.Query().Get("from")
@@ -170,6 +174,8 @@
 	writeJSON(rw, http.StatusOK, page)
 }
 
+// commit handles a transaction. At the rate LostWriteReplyRate, it applies the transaction and sends
+// no response.
 func (s *SimulationServer) commit(rw http.ResponseWriter, r *http.Request) {
 	var transaction protocol.Transaction
 	if !decodeBody(r, &transaction) {
@@ -183,11 +189,12 @@
 		isReplyLost = w.LostWriteReplyRate > 0 && w.Rand.Float64() < w.LostWriteReplyRate
 	})
 	if isReplyLost {
-		panic(http.ErrAbortHandler) // applied, and nobody is told
+		panic(http.ErrAbortHandler) // the transaction is applied, but the client gets no response
 	}
 	writeJSON(rw, status, result)
 }
 
+// grantLease handles a request for a new lease.
 func (s *SimulationServer) grantLease(rw http.ResponseWriter, r *http.Request) {
 	var lease protocol.Lease
 	if !decodeBody(r, &lease) || lease.TTLMillis <= 0 {
@@ -200,6 +207,8 @@
 	writeJSON(rw, http.StatusOK, protocol.Lease{ID: lease.ID})
 }
 
+// renewLease handles a request to renew a lease. It responds with 404 Not Found if the lease does not
+// exist.
 func (s *SimulationServer) renewLease(rw http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	isAlive := false
@@ -211,7 +220,8 @@
 	writeJSON(rw, http.StatusOK, protocol.Lease{ID: protocol.LeaseID(id)})
 }
 
-// watch waits for events; during an outage it only waits.
+// watch handles a watch request. It responds when there are events or when the requested wait has
+// passed, and sends no response while the store is unavailable.
 func (s *SimulationServer) watch(rw http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	fromRevision, err := strconv.ParseUint(query.Get("from"), 10, 64)
@@ -239,7 +249,7 @@
 	}
 }
 
-// cloudHandler is the cloud's API.
+// cloudHandler returns the handler of the cloud's API.
 func (s *SimulationServer) cloudHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathMachineTypes, func(rw http.ResponseWriter, _ *http.Request) {
@@ -284,7 +294,7 @@
 	return mux
 }
 
-// serveAgent serves a machine's agent at an address of its own. The world's lock is held.
+// serveAgent serves a machine's agent at an address of its own. The caller holds the world's lock.
 func (s *SimulationServer) serveAgent(machine *simulation.Machine) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.PathAgentStatus, func(rw http.ResponseWriter, r *http.Request) {
@@ -317,8 +327,8 @@
 	machine.Addr = addr
 }
 
-// writeAgentReply replies for an agent. heartbeat is nil if the machine cannot be reached: then
-// there is no reply.
+// writeAgentReply writes an agent's response. If heartbeat is nil, the machine is unreachable and
+// there is no response.
 func writeAgentReply(rw http.ResponseWriter, r *http.Request, status int, heartbeat []byte) {
 	if heartbeat == nil {
 		hangRequest(r)
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -21,7 +21,7 @@
 	"tillerarch/internal/storage"
 )
 
-// buildProgram builds the program under test.
+// buildProgram builds the program under test and returns the path of the binary.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	binaryPath := filepath.Join(t.TempDir(), "tillerarch")
@@ -31,7 +31,8 @@
 	return binaryPath
 }
 
-// startTestCluster starts three controllers and some machines; they are gone at the end of the test.
+// startTestCluster starts three controllers and 24 machines, and closes the cluster at the end of the
+// test.
 func startTestCluster(t *testing.T, binaryPath string, seed uint64) *Cluster {
 	t.Helper()
 	cluster, err := StartCluster(Options{
@@ -55,7 +56,8 @@
 	return cluster
 }
 
-// transferGoal is how many shards are to be transferred: MOVES, or a scaled-down run for CI.
+// transferGoal returns the number of shards to transfer. It is the value of the environment variable
+// MOVES, or a smaller number for CI.
 func transferGoal() int {
 	if n, err := strconv.Atoi(os.Getenv("MOVES")); err == nil {
 		return n
@@ -70,7 +72,8 @@
 	isStopped  bool
 }
 
-// submitNext submits a job and schedules the next. The world's lock is held.
+// submitNext submits a job and schedules the submission of the next one. The caller holds the world's
+// lock.
 func (g *jobGenerator) submitNext(w *simulation.World) {
 	if g.isStopped {
 		return
@@ -99,7 +102,8 @@
 	w.After(time.Duration(500+w.Rand.IntN(1000))*time.Millisecond, func() { g.submitNext(w) })
 }
 
-// requestTransfers requests transfers from random controllers, as an operator does.
+// requestTransfers requests transfers between random controllers, as an operator does, until stop is
+// closed.
 func requestTransfers(t *testing.T, cluster *Cluster, requester int, stop <-chan struct{}) {
 	random := rand.New(rand.NewPCG(uint64(requester), 3))
 	for requestNumber := 0; ; requestNumber++ {
@@ -117,26 +121,27 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		client.StartTransfer(ctx, request) // it may be refused
+		client.StartTransfer(ctx, request) // the request may be refused
 		cancel()
 		client.Close()
 	}
 }
 
-// faultInjector injects one fault after the other: at random, or as a transfer comes to a phase.
+// faultInjector injects one fault at a time, at random times or when a transfer enters a phase.
 type faultInjector struct {
 	t            *testing.T
 	cluster      *Cluster
 	random       *rand.Rand
 	killRequests chan protocol.ControllerID // controllers to kill at once
-	faultCounts  map[string]int             // by the kind of fault
+	faultCounts  map[string]int             // number of injected faults by kind
 }
 
-// transferWritesPerKill is how many writes of transfers' records there are for each controller that is killed.
+// transferWritesPerKill is the number of writes of transfer records for each controller that
+// killAtPhaseChanges requests to be killed.
 const transferWritesPerKill = 31
 
-// killAtPhaseChanges asks for source or target of some of the transfers to be killed just as they
-// come to a phase.
+// killAtPhaseChanges requests that the source or the target of some transfers is killed when the
+// transfer enters a phase.
 func (fi *faultInjector) killAtPhaseChanges() {
 	writeCount := 0
 	fi.cluster.WithWorld(func(w *simulation.World) {
@@ -147,13 +152,13 @@
 			victim := []storage.Incarnation{record.Source, record.Target}[writeCount/transferWritesPerKill%2]
 			select {
 			case fi.killRequests <- victim.Controller():
-			default: // another one is being killed
+			default: // another kill is pending
 			}
 		})
 	})
 }
 
-// injectFaults injects faults until it is stopped.
+// injectFaults injects faults until stop is closed.
 func (fi *faultInjector) injectFaults(stop <-chan struct{}) {
 	for {
 		select {
@@ -172,15 +177,17 @@
 	}
 }
 
+// countFault counts a fault of a kind.
 func (fi *faultInjector) countFault(kind string) { fi.faultCounts[kind]++ }
 
+// reportError fails the test if err is not nil.
 func (fi *faultInjector) reportError(err error) {
 	if err != nil {
 		fi.t.Error(err)
 	}
 }
 
-// injectFault injects a random fault for a while.
+// injectFault injects a fault of a random kind and waits until the fault is over.
 func (fi *faultInjector) injectFault() {
 	index := fi.random.IntN(len(fi.cluster.Controllers))
 	controller := fi.cluster.Controllers[index]
@@ -221,10 +228,10 @@
 	}
 }
 
-// Shards are transferred between three controller processes all the time, jobs of every kind
-// arrive, and controllers are killed, paused, restarted and cut off at random and as transfers
-// come to a phase. At every revision each machine has one owner; nothing runs twice, no gang runs
-// in part, no job is lost. MOVES=1000 plays the long run.
+// Shards are transferred between three controller processes continually while jobs of every kind
+// arrive. Controllers are killed, paused, restarted and cut off at random, and are killed when a
+// transfer enters a phase. At every revision each machine has one owner. No task runs twice, no gang
+// runs in part, and no job is lost. MOVES=1000 selects the long run.
 func TestTransfersBetweenProcesses(t *testing.T) {
 	cluster := startTestCluster(t, buildProgram(t), 5)
 	jobs := &jobGenerator{}
@@ -252,8 +259,9 @@
 	cluster.WithWorld(func(w *simulation.World) { checkResults(t, w, jobs, transferGoal(), injector.faultCounts, duration) })
 }
 
-// waitForCompletion ends all faults and waits until all jobs and transfers have ended, or for a
-// minute.
+// waitForCompletion stops the submission of jobs and the hook of killAtPhaseChanges, tells the checkers
+// that the faults have ended, cancels the services, and waits until all jobs and transfers have ended,
+// but at most a minute.
 func waitForCompletion(cluster *Cluster, jobs *jobGenerator) {
 	cluster.WithWorld(func(w *simulation.World) {
 		jobs.isStopped = true
@@ -272,11 +280,13 @@
 	}
 }
 
+// shardsTransferred returns the number of shards that were transferred so far.
 func shardsTransferred(cluster *Cluster) (n int) {
 	cluster.WithWorld(func(w *simulation.World) { n = w.History.ShardsTransferred })
 	return n
 }
 
+// unfinishedJobs returns the submitted jobs that have not ended.
 func unfinishedJobs(w *simulation.World, jobs *jobGenerator) (ids []protocol.JobID) {
 	for _, id := range jobs.jobIDs {
 		if !w.FinishedJobs[id] {
@@ -286,21 +296,21 @@
 	return ids
 }
 
-// checkResults checks the whole run and logs what was measured.
+// checkResults checks the results of the whole run and logs its measurements.
 func checkResults(t *testing.T, w *simulation.World, jobs *jobGenerator, goal int, faults map[string]int, duration time.Duration) {
 	w.Rules.CheckFinal(w.Now)
 	history := w.History
 	if len(w.Rules.Violations) > 0 {
-		t.Errorf("broken:\n%s", strings.Join(w.Rules.Violations, "\n"))
+		t.Errorf("rules were violated, want no violations:\n%s", strings.Join(w.Rules.Violations, "\n"))
 	}
 	if unfinished := unfinishedJobs(w, jobs); len(unfinished) > 0 {
-		t.Errorf("jobs that have not ended: %v", unfinished)
+		t.Errorf("jobs %v have not ended, want all jobs to end", unfinished)
 	}
 	if openTransfers := history.OpenTransfers(); len(openTransfers) > 0 {
-		t.Errorf("transfers that do not end: %v", openTransfers)
+		t.Errorf("transfers %v have not ended, want all transfers to end", openTransfers)
 	}
 	if history.ShardsTransferred < goal {
-		t.Errorf("%d shards were transferred in %v, want %d; aborted %v", history.ShardsTransferred, duration, goal, history.AbortedByReason)
+		t.Errorf("%d shards were transferred in %v, want at least %d; aborted %v", history.ShardsTransferred, duration, goal, history.AbortedByReason)
 	}
 	t.Logf("%d jobs, %d tasks started, %d revisions; %d shards with %d machines transferred in %v, aborted %v", len(jobs.jobIDs), w.Rules.TasksStarted, history.Revisions,
 		history.ShardsTransferred, history.MachinesTransferred, duration.Round(time.Second), history.AbortedByReason)
@@ -314,7 +324,7 @@
 		formatQuantiles(w.Rules.WaitTimes(func(j *protocol.Job) bool { return !j.IsGang() })))
 }
 
-// formatQuantiles describes times by their median and 99th percentile.
+// formatQuantiles returns a text with the median and the 99th percentile of durations.
 func formatQuantiles(durations []time.Duration) string {
 	if len(durations) == 0 {
 		return "none"
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The project's whole check: format, vet, linters (the files with the build tag golden too),
-# tests with the race detector, and the build that deploy/service.toml names.
+# Runs all checks of the project: gofmt, go vet and the linters (both without and with the build tag
+# golden), the tests with the race detector, and the build command of deploy/service.toml.
 set -euo pipefail
 cd "$(dirname "$0")"
 unformatted=$(gofmt -l cmd internal)
@@ -11,7 +11,7 @@
 for tags in "" golden; do
   go vet -tags="$tags" ./...
   go tool -modfile=tools/go.mod staticcheck -tags="$tags" ./...
-  GOFLAGS="${GOFLAGS:-} -tags=$tags" go tool -modfile=tools/go.mod go-errorlint ./... # its own -tags does nothing
+  GOFLAGS="${GOFLAGS:-} -tags=$tags" go tool -modfile=tools/go.mod go-errorlint ./... # go-errorlint ignores its own -tags flag
 done
 go test -race -count=1 -timeout 30m ./...
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/service.toml)
