--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// missedListsUntilMissing is the number of lists in a row that lack a machine, all requested
-	// after one that had it, after which the machine counts as gone.
+	// missedListsUntilMissing is the number of consecutive lists without a machine after which the
+	// machine counts as missing. All of them were requested after the last list with the machine.
 	missedListsUntilMissing = 2
 
-	// missedListsUntilForgotten is the number of such lists after which it is forgotten.
+	// missedListsUntilForgotten is the number of such lists after which the machine is forgotten.
 	missedListsUntilForgotten = 6
 
-	// A machine must have been listed by the age of unlistedLagFactor times the list's lag plus
-	// unlistedMargin.
+	// A machine that is older than unlistedLagFactor times the lag of the list plus unlistedMargin must
+	// have been listed.
 	unlistedLagFactor = 3
 	unlistedMargin    = 5 * time.Second
 
-	// minOrphanAgeSeconds is the age by which the controller that requested a listed machine must
-	// have put it on record.
+	// minOrphanAgeSeconds is the age by which the controller that requested a listed machine must have
+	// recorded the machine in the store.
 	minOrphanAgeSeconds = 20
 
 	millisPerSecond = 1000
 )
 
-// Inventory holds the cloud's list of instances and adopts those that are on no record.
+// Inventory holds the cloud's list of instances and adopts instances that have no machine record.
 type Inventory struct {
 	*step.Context
 
@@ -40,20 +40,22 @@
 	replication *commit.Replication
 	terminator  *Terminator
 
-	isListing          bool
+	isListing          bool // a list has been requested and not received
 	nextListAt         protocol.Instant
 	lastListAt         protocol.Instant // when the last list was requested
-	silentMachineCount int              // owned machines that are silent
+	silentMachineCount int              // number of owned machines that are silent
 	listedInstances    map[protocol.MachineID]*listedInstance
 }
 
-// listedInstance is what the cloud's lists say of a machine.
+// listedInstance holds what the cloud's lists contain about a machine. A recorded machine that no list
+// contains, although it must have been listed, has a listedInstance with only the ID.
 type listedInstance struct {
 	instance        protocol.Instance
-	listedAt        protocol.Instant // when the last list that had it was requested
-	missedListCount int              // later lists in a row without it
+	listedAt        protocol.Instant // when the last list with the machine was requested
+	missedListCount int              // number of later lists, in a row, without the machine
 }
 
+// newInventory returns an inventory that has received no list.
 func newInventory(ctx *step.Context) *Inventory {
 	return &Inventory{
 		Context:         ctx,
@@ -61,8 +63,8 @@
 	}
 }
 
-// PollInstances requests the cloud's list of instances when that is due, more often while owned
-// machines are silent.
+// PollInstances requests the cloud's list of instances when the next list is due. Lists are requested
+// more often while owned machines are silent.
 func (inv *Inventory) PollInstances() {
 	now := inv.Now.Monotonic
 	if inv.silentMachineCount > 0 {
@@ -76,7 +78,7 @@
 	}
 }
 
-// OnListInstancesResult handles the cloud's list of instances.
+// OnListInstancesResult handles the result of a request for the cloud's list of instances.
 func (inv *Inventory) OnListInstancesResult(result step.ListInstancesResult) {
 	inv.isListing = false
 	if result.Err != nil {
@@ -91,7 +93,8 @@
 	inv.recordNeverListedMachines(listedIDs, result.RequestedAt)
 }
 
-// recordListedInstances records the instances of a list, and gives the set of their IDs.
+// recordListedInstances records the instances of a list and returns the set of their IDs. It ignores
+// instances with invalid IDs.
 func (inv *Inventory) recordListedInstances(result step.ListInstancesResult) map[protocol.MachineID]bool {
 	listedIDs := map[protocol.MachineID]bool{}
 	for _, instance := range result.Instances {
@@ -104,8 +107,8 @@
 	return listedIDs
 }
 
-// countMissedLists counts the lists that lack machines which earlier ones had. Lists come late and
-// out of order: one counts only if it was requested after the last one that had the machine.
+// countMissedLists counts a list for each known machine that the list lacks. Because lists arrive late
+// and out of order, a list counts only if it was requested after the last list with the machine.
 func (inv *Inventory) countMissedLists(listedIDs map[protocol.MachineID]bool, requestedAt protocol.Instant) {
 	for id, listed := range inv.listedInstances {
 		if listedIDs[id] || requestedAt <= listed.listedAt {
@@ -117,8 +120,8 @@
 	}
 }
 
-// recordNeverListedMachines adds the machines on record that no list has had although one must have: from then
-// on the lists that lack them count.
+// recordNeverListedMachines adds the recorded machines that no list has contained although they must
+// have been listed. From then on, countMissedLists counts the lists without them.
 func (inv *Inventory) recordNeverListedMachines(listedIDs map[protocol.MachineID]bool, requestedAt protocol.Instant) {
 	maxUnlistedAge := unlistedLagFactor*inv.Config.InstanceListLag + unlistedMargin
 	for id, entry := range inv.Replica.Machines {
@@ -131,8 +134,9 @@
 	}
 }
 
-// AdoptOrphanedInstances adopts listed machines that are on no record: those of late grants, or whose
-// controller ended before it recorded them. They are then used or scaled in.
+// AdoptOrphanedInstances adds records to the batch for listed machines that have none. Such machines
+// were granted late, or their controller ended before it recorded them. After the adoption they are
+// used or scaled in.
 func (inv *Inventory) AdoptOrphanedInstances(batch *commit.Batch) {
 	orphanIDs := step.SelectKeys(inv.listedInstances, func(listed *listedInstance) bool {
 		return inv.Replica.Machines[listed.instance.ID] == nil
@@ -150,13 +154,14 @@
 	}
 }
 
-// isAdoptable tells whether an unrecorded machine surely exists and no controller is about to record it.
+// isAdoptable reports whether an unrecorded machine certainly exists and is so old that no controller is
+// about to record it.
 func (listed *listedInstance) isAdoptable() bool {
 	instance := &listed.instance
 	return listed.missedListCount == 0 && instance.AgeSeconds >= minOrphanAgeSeconds && instance.Type != ""
 }
 
-// newMachineRecord is the record of an adopted instance.
+// newMachineRecord returns the machine record of an adopted instance.
 func (inv *Inventory) newMachineRecord(instance *protocol.Instance) *storage.MachineRecord {
 	return &storage.MachineRecord{
 		Address:     instance.Addr,
@@ -167,16 +172,16 @@
 	}
 }
 
-// recordSilentMachines records how many owned machines are silent.
+// recordSilentMachines sets the number of owned machines that are silent.
 func (inv *Inventory) recordSilentMachines(count int) { inv.silentMachineCount = count }
 
-// isListedAsFailed tells whether the cloud lists a machine as failed.
+// isListedAsFailed reports whether the cloud lists a machine as failed.
 func (inv *Inventory) isListedAsFailed(id protocol.MachineID) bool {
 	listed := inv.listedInstances[id]
 	return listed != nil && listed.instance.State == protocol.InstanceFailed
 }
 
-// isMissing tells whether the cloud no longer lists a machine.
+// isMissing reports whether the cloud no longer lists a machine.
 func (inv *Inventory) isMissing(id protocol.MachineID) bool {
 	listed := inv.listedInstances[id]
 	return listed != nil && listed.missedListCount >= missedListsUntilMissing
--- a/internal/coordination/provisioning/instance_inventory_test.go
+++ b/internal/coordination/provisioning/instance_inventory_test.go
@@ -9,8 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// A machine is missing once two lists lack it that were requested after the last one that had it.
-// Lists may come out of order.
+// TestMissingInstances checks that a machine counts as missing once two lists lack it that were requested
+// after the last list with the machine. Lists may arrive out of order.
 func TestMissingInstances(t *testing.T) {
 	type list struct {
 		requestedAt protocol.Instant
@@ -41,17 +41,17 @@
 				inventory.countMissedLists(inventory.recordListedInstances(result), list.requestedAt)
 			}
 			if got := inventory.isMissing("m-1"); got != test.wantMissing {
-				t.Errorf("missing: %v, want %v", got, test.wantMissing)
+				t.Errorf("isMissing(m-1) = %v, want %v", got, test.wantMissing)
 			}
 			if got := inventory.listedInstances["m-1"] != nil; got != test.wantKnown {
-				t.Errorf("known: %v, want %v", got, test.wantKnown)
+				t.Errorf("machine m-1 is remembered: %v, want %v", got, test.wantKnown)
 			}
 		})
 	}
 }
 
-// A machine on record that no list has had counts as missing, too, but only once it must have
-// been listed.
+// TestNeverListedInstances checks that a recorded machine that no list has contained also counts as
+// missing, but only once it must have been listed.
 func TestNeverListedInstances(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -63,7 +63,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			parts.Config.InstanceListLag = 4 * time.Second // and the margin: 17 s
+			parts.Config.InstanceListLag = 4 * time.Second // listed by the age of 17 s: 3 times the lag plus 5 s
 			record := storage.MachineRecord{AddedAt: parts.Now.Wall}
 			parts.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: record}
 			parts.Advance(test.age)
@@ -73,14 +73,14 @@
 				parts.Inventory.recordNeverListedMachines(listedIDs, requestedAt)
 			}
 			if got := parts.Inventory.isMissing("m-1"); got != test.wantMissing {
-				t.Errorf("missing: %v, want %v", got, test.wantMissing)
+				t.Errorf("isMissing(m-1) = %v, want %v", got, test.wantMissing)
 			}
 		})
 	}
 }
 
-// Only machines that surely exist are adopted, and only when the controller that requested them has had
-// the time to record them.
+// TestAdoptableInstances checks that only machines that certainly exist are adopted, and only once the
+// controller that requested them has had the time to record them.
 func TestAdoptableInstances(t *testing.T) {
 	oldInstance := protocol.Instance{ID: "m-1", Type: "small", AgeSeconds: 20}
 	youngInstance, untypedInstance := oldInstance, oldInstance
@@ -98,7 +98,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.listed.isAdoptable(); got != test.want {
-				t.Errorf("adoptable: %v, want %v", got, test.want)
+				t.Errorf("isAdoptable() = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/provisioning/parts.go
+++ b/internal/coordination/provisioning/parts.go
@@ -9,14 +9,15 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of scale-out and scale-in, connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Inventory   *Inventory
 	Provisioner *Provisioner
 	Terminator  *Terminator
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Inventory:   newInventory(ctx),
@@ -30,7 +31,7 @@
 	return parts
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	Ownership      *ownership.Manager
 	Replication    *commit.Replication
@@ -44,7 +45,7 @@
 	IdlePolicy     IdlePolicy
 }
 
-// Connect gives the parts what they need of other packages.
+// Connect connects the parts with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Inventory.ownership = dependencies.Ownership
 	p.Inventory.replication = dependencies.Replication
--- a/internal/coordination/provisioning/parts_test.go
+++ b/internal/coordination/provisioning/parts_test.go
@@ -16,13 +16,13 @@
 	"tillerarch/internal/storage"
 )
 
-// Small machines are cheap by the core and slow to boot, large ones the other way round.
+// Small machines are cheaper per core on spot and slower to boot than large machines.
 var (
 	smallMachineType = steptest.SmallMachineType()
 	largeMachineType = steptest.LargeMachineType()
 )
 
-// fakePlan stands for the scheduler's plan and its reserve of idle machines.
+// fakePlan replaces the scheduler's plan and its reserve of idle machines.
 type fakePlan struct {
 	retainsMachine     bool
 	retainsIdleMachine bool
@@ -34,7 +34,7 @@
 func (f *fakePlan) RetainsMachine(protocol.MachineID) bool        { return f.retainsMachine }
 func (f *fakePlan) RetainsIdleMachine(id protocol.MachineID) bool { return f.retainsIdleMachine }
 
-// testParts are the parts of provisioning on those of the packages below.
+// testParts holds the parts of provisioning, connected with those of the packages on which they depend.
 type testParts struct {
 	steptest.Fixture
 	*Parts
@@ -44,13 +44,14 @@
 	peers  *steptest.FakePeers
 }
 
-// newTestParts makes parts that know the two machine types.
+// newTestParts returns parts whose catalog has the two machine types.
 func newTestParts(t *testing.T) *testParts {
 	t.Helper()
 	fixture := steptest.NewFixture(steptest.Config())
 	fixture.Rand = rand.New(rand.NewPCG(1, 1))
 	ctx := fixture.Context
-	catalogParts, commitParts, agentParts, cancellations := catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
+	catalogParts, commitParts, agentParts, cancellations :=
+		catalog.New(ctx), commit.New(ctx), agents.New(ctx), cancellation.New(ctx)
 	catalogParts.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{
 		MachineTypes: []protocol.MachineType{smallMachineType, largeMachineType},
 	})
@@ -82,7 +83,8 @@
 	return parts
 }
 
-// putMachine puts machine m-1 on record, on a shard of an epoch, and begins its ownership.
+// putMachine puts the record of machine m-1 into a shard with the given epoch, and begins to track the
+// ownership of the machine.
 func (p *testParts) putMachine(
 	t *testing.T, epoch storage.ShardEpoch, record storage.MachineRecord,
 ) (*storage.Machine, *agents.MachineState) {
--- a/internal/coordination/provisioning/pools.go
+++ b/internal/coordination/provisioning/pools.go
@@ -9,22 +9,23 @@
 	"tillerarch/internal/sharding"
 )
 
-// PoolKey names the machines of one type, zone and kind: the cloud runs out of each of these
-// pools independently.
+// PoolKey identifies a pool: the machines of one type in one zone that are either spot or on-demand
+// machines. The cloud runs out of each pool independently.
 type PoolKey struct {
 	MachineType protocol.MachineTypeName
 	Zone        protocol.Zone
 	Spot        bool
 }
 
-// pricedPool is a pool whose machines can run a job, with what a task costs there.
+// pricedPool is a pool whose machines can run a job, with the cost of a task on these machines.
 type pricedPool struct {
 	key             PoolKey
 	tasksPerMachine int
-	costPerTask     float64 // price per hour
+	costPerTask     float64 // price of a task per hour
 }
 
-// poolsByCost lists the pools whose machines can run the demand's tasks, cheapest per task first.
+// poolsByCost returns the pools whose machines can run the demand's tasks, in the order of their cost
+// per task. Pools of equal cost are in the order of this controller's preference for their zones.
 func (p *Provisioner) poolsByCost(demand UnmetDemand) []pricedPool {
 	var pools []pricedPool
 	for i := range p.catalog.MachineTypes() {
@@ -53,7 +54,7 @@
 		}
 	}
 	slices.SortStableFunc(pools, func(left, right pricedPool) int {
-		// Controllers differ in the zone that they try first.
+		// The preferred zone differs between controllers.
 		return cmp.Or(
 			cmp.Compare(left.costPerTask, right.costPerTask),
 			cmp.Compare(p.zonePreference(right), p.zonePreference(left)))
@@ -61,12 +62,12 @@
 	return pools
 }
 
-// allowsPool tells whether the demand's tasks may be placed on machines of a type in a zone.
+// allowsPool reports whether the demand's tasks may be placed on machines of a type in a zone.
 func (d *UnmetDemand) allowsPool(machineType *protocol.MachineType, zone protocol.Zone) bool {
 	return d.Spec.AllowsPlacement(machineType.Name, zone) && (d.Zone == "" || zone == d.Zone)
 }
 
-// canProvisionSpot tells whether spot machines of a type and zone may be provisioned for a job now.
+// canProvisionSpot reports whether spot machines of a type in a zone may be provisioned for a job now.
 func (p *Provisioner) canProvisionSpot(job *protocol.Job, machineType *protocol.MachineType, zone protocol.Zone) bool {
 	if job.IsService() || !p.spot.CanUseSpot(job, machineType) {
 		return false
@@ -75,15 +76,17 @@
 	return threshold != nil && threshold.AllowsSpot()
 }
 
+// zonePreference returns the weight of this controller's preference for the zone of a pool.
 func (p *Provisioner) zonePreference(pool pricedPool) uint64 {
 	return sharding.RendezvousWeight(string(p.Config.ControllerID), string(pool.key.Zone))
 }
 
-// IsPoolExhausted tells whether the cloud had too few machines of a pool recently.
+// IsPoolExhausted reports whether the cloud had too few machines of a pool within the last
+// NoCapacityBackoff.
 func (p *Provisioner) IsPoolExhausted(pool PoolKey) bool {
 	exhaustedAt, ok := p.exhaustedAt[pool]
 	return ok && p.Since(exhaustedAt) < p.Config.NoCapacityBackoff
 }
 
-// MarkPoolExhausted records that the cloud has too few machines of a pool.
+// MarkPoolExhausted records that the cloud has too few machines of a pool now.
 func (p *Provisioner) MarkPoolExhausted(pool PoolKey) { p.exhaustedAt[pool] = p.Now.Monotonic }
--- a/internal/coordination/provisioning/provision_requests.go
+++ b/internal/coordination/provisioning/provision_requests.go
@@ -15,20 +15,20 @@
 // retryDelay is the mean time after which a failed call to the cloud is retried.
 const retryDelay = time.Second
 
-// ProvisionRequest is a request for machines whose outcome is not known yet, or whose machines
-// are not all on record.
+// ProvisionRequest is a request for machines that the cloud has not answered, or whose machines do not
+// all have a record yet.
 type ProvisionRequest struct {
 	spec            protocol.ProvisionRequest
 	requestedAt     protocol.Instant
 	isInFlight      bool
 	retryAt         protocol.Instant
-	grantedMachines []protocol.MachineID // as answered; nil: there is no answer yet
+	grantedMachines []protocol.MachineID // nil until the cloud has answered
 }
 
-// Name identifies the request: the cloud carries out requests of one name only once.
+// Name returns the name of the request. The cloud carries out requests with the same name only once.
 func (r *ProvisionRequest) Name() string { return r.spec.RequestID }
 
-// Pool is the pool that the machines are requested from.
+// Pool returns the pool from which the machines are requested.
 func (r *ProvisionRequest) Pool() PoolKey {
 	return PoolKey{MachineType: r.spec.Type, Zone: r.spec.Zone, Spot: r.spec.Spot}
 }
@@ -48,7 +48,7 @@
 	return count
 }
 
-// PendingRequests lists the requests under way, ordered by name.
+// PendingRequests returns the provision requests in progress, ordered by name.
 func (p *Provisioner) PendingRequests() []*ProvisionRequest {
 	var requests []*ProvisionRequest
 	for _, name := range step.SortedKeys(p.requests) {
@@ -57,7 +57,7 @@
 	return requests
 }
 
-// OnProvisionMachinesResult handles the answer to a provision request.
+// OnProvisionMachinesResult handles the cloud's answer to a provision request.
 func (p *Provisioner) OnProvisionMachinesResult(result step.ProvisionMachinesResult) {
 	request := p.requests[result.Request.RequestID]
 	if request == nil {
@@ -76,7 +76,7 @@
 		delete(p.requests, request.Name())
 		p.Log(slog.LevelError, "provision request rejected as invalid", "request", request.Name())
 	case result.Err != nil:
-		// The cloud may have carried it out: it is repeated under the same name.
+		// The cloud may have carried out the request, so it is retried with the same name.
 		request.retryAt = p.Now.Monotonic.Add(p.Jitter(retryDelay))
 		p.Log(slog.LevelWarn, "provision request failed, will retry", "request", request.Name(), "error", result.Err)
 	default:
@@ -84,7 +84,8 @@
 	}
 }
 
-// recordGrant remembers the granted machines of a request until they are on record.
+// recordGrant stores the granted machines of a request until they have records. The pool counts as
+// exhausted if the cloud granted fewer machines than requested.
 func (p *Provisioner) recordGrant(request *ProvisionRequest, machines []protocol.MachineID) {
 	if len(machines) < request.spec.Count {
 		p.MarkPoolExhausted(request.Pool())
@@ -97,7 +98,8 @@
 		"request", request.Name(), "count", len(machines), "requested", request.spec.Count)
 }
 
-// RecordGrantedMachines writes records for granted machines into the batch.
+// RecordGrantedMachines adds records for granted machines to the batch. It forgets the requests whose
+// machines all have records or were removed recently.
 func (p *Provisioner) RecordGrantedMachines(batch *commit.Batch) {
 	for _, request := range p.PendingRequests() {
 		if request.grantedMachines == nil {
@@ -119,8 +121,8 @@
 	}
 }
 
-// newMachineRecord is the record of a machine of a request: it counts as added when it was
-// requested.
+// newMachineRecord returns the record of a machine that was granted for a request. Its time of addition
+// is the time of the request.
 func (p *Provisioner) newMachineRecord(request *ProvisionRequest) *storage.MachineRecord {
 	return &storage.MachineRecord{
 		MachineType: request.spec.Type,
@@ -130,7 +132,7 @@
 	}
 }
 
-// sendRequest requests machines of a pool from the cloud, under a new name.
+// sendRequest sends the cloud a provision request for machines of a pool, with a new name.
 func (p *Provisioner) sendRequest(pool PoolKey, count int, job protocol.JobID) {
 	p.lastSequence++
 	spec := protocol.ProvisionRequest{
@@ -147,7 +149,7 @@
 	p.Emit(step.ProvisionMachines{Request: spec})
 }
 
-// retryRequests repeats the requests that failed.
+// retryRequests sends the failed requests again that are due.
 func (p *Provisioner) retryRequests() {
 	for _, request := range p.PendingRequests() {
 		if request.grantedMachines == nil && !request.isInFlight && p.Now.Monotonic >= request.retryAt {
@@ -157,7 +159,7 @@
 	}
 }
 
-// isGranted tells whether a machine is one of those that a pending request was answered with.
+// isGranted reports whether the cloud has granted a machine for a pending request.
 func (p *Provisioner) isGranted(id protocol.MachineID) bool {
 	for _, request := range p.requests {
 		if slices.Contains(request.grantedMachines, id) {
@@ -167,7 +169,7 @@
 	return false
 }
 
-// poolsWithRequests is the set of pools that a request is under way for.
+// poolsWithRequests returns the set of pools that have a request in progress.
 func (p *Provisioner) poolsWithRequests() map[PoolKey]bool {
 	pools := map[PoolKey]bool{}
 	for _, request := range p.requests {
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -10,11 +10,11 @@
 	"tillerarch/internal/protocol"
 )
 
-// maxPoolCostRatio bounds the cost per task, relative to the cheapest pool, of the further pools
-// that machines are requested from at the same time for work that is not urgent.
+// maxPoolCostRatio is the maximum cost per task of a pool from which machines are requested for demand
+// that is not urgent, as a multiple of the cost in the cheapest pool that is not exhausted.
 const maxPoolCostRatio = 1.05
 
-// Provisioner scales out: it requests machines for demand that no machine can take.
+// Provisioner scales the fleet out. It requests machines for demand that no existing machine can take.
 type Provisioner struct {
 	*step.Context
 
@@ -25,11 +25,12 @@
 	spot         *catalog.SpotPricing
 	terminator   *Terminator
 
-	requests     map[string]*ProvisionRequest // under way, by their names
-	lastSequence int                          // of the last request of this process
-	exhaustedAt  map[PoolKey]protocol.Instant // when a pool last had fewer machines than requested
+	requests     map[string]*ProvisionRequest // requests in progress, by name
+	lastSequence int                          // sequence number of this process's last request
+	exhaustedAt  map[PoolKey]protocol.Instant // when the cloud last had too few machines in a pool
 }
 
+// newProvisioner returns a provisioner without requests.
 func newProvisioner(ctx *step.Context) *Provisioner {
 	return &Provisioner{
 		Context:     ctx,
@@ -38,8 +39,8 @@
 	}
 }
 
-// ScaleOut requests machines from the cloud for what the owned jobs need and no machine, up or
-// being provisioned, can take.
+// ScaleOut retries failed provision requests, and requests machines for the plan's unmet demand. It
+// sends no new request while the store is unavailable or the plan is older than maxPlanAge.
 func (p *Provisioner) ScaleOut() {
 	p.retryRequests()
 	if p.replication.StoreUnavailable() || p.demandSource.Age() > maxPlanAge {
@@ -59,6 +60,7 @@
 	p.demandSource.ClearDemands()
 }
 
+// countSpotMachines returns the number of spot machines that have a record.
 func (p *Provisioner) countSpotMachines() int {
 	count := 0
 	for _, entry := range p.Replica.Machines {
@@ -69,7 +71,9 @@
 	return count
 }
 
-// provisionForDemand sends the requests for one job's demand, at most one at a time to a pool.
+// provisionForDemand sends the requests for one job's demand. A pool has at most one request in progress
+// at a time. pendingPools holds the pools with a request, and provisionForDemand adds those to which it
+// sends one.
 func (p *Provisioner) provisionForDemand(demand UnmetDemand, pendingPools map[PoolKey]bool, spotCount int) {
 	remainingTasks := demand.TaskCount
 	cheapestCostPerTask := 0.0
@@ -96,8 +100,9 @@
 	}
 }
 
-// requestSize is the number of machines to request from a pool, within the limits of one request and
-// of the spot machines of the fleet.
+// requestSize returns the number of machines to request from a pool for a number of tasks. It limits the
+// number to the maximum of one request and, for a spot pool, to the number of spot machines that the
+// fleet may still add.
 func (p *Provisioner) requestSize(pool pricedPool, taskCount, spotCount int) int {
 	neededCount := (taskCount + pool.tasksPerMachine - 1) / pool.tasksPerMachine
 	count := min(neededCount, p.Config.MaxProvisionCount, protocol.MaxProvisionCount)
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -9,9 +9,9 @@
 	"tillerarch/internal/protocol"
 )
 
-// For work that can wait the cheapest machines only are requested: else on-demand machines at
-// several times the price would be asked for while spot ones are being provisioned. Urgent work
-// asks all pools at once.
+// TestProvisioningPools checks that only the cheapest machines are requested for work that can wait.
+// Otherwise on-demand machines at several times the price would be requested while spot machines are being
+// provisioned. For urgent work, machines are requested from all pools at once.
 func TestProvisioningPools(t *testing.T) {
 	smallSpotPool := PoolKey{MachineType: "small", Zone: "a", Spot: true}
 	inOtherZone := func(pool PoolKey) PoolKey { pool.Zone = "b"; return pool }
@@ -20,7 +20,7 @@
 		cores          float64
 		isUrgent       bool
 		exhaustedPools []PoolKey
-		wantPools      []string // type and kind of the requests
+		wantPools      []string // machine type, and spot or on-demand, of each request
 	}{
 		{"deferrable work takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
 		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{
@@ -56,13 +56,14 @@
 			got := requestedPools(parts.Effects)
 			slices.Sort(test.wantPools)
 			if !slices.Equal(got, test.wantPools) {
-				t.Errorf("%s: %s; wanted %s", test.name, strings.Join(got, ", "), strings.Join(test.wantPools, ", "))
+				t.Errorf("%s: requested pools %s, want %s", test.name, strings.Join(got, ", "), strings.Join(test.wantPools, ", "))
 			}
 		})
 	}
 }
 
-// requestedPools lists the type and kind of each provision request, in order.
+// requestedPools returns the machine type of each provision request and whether it is for spot or
+// on-demand machines, in sorted order.
 func requestedPools(effects []step.Effect) []string {
 	var pools []string
 	for _, effect := range effects {
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// surplusIdleFactor is the part of IdleTimeoutFactor for which an idle machine is kept that
-	// urgent work does not need.
+	// surplusIdleFactor is the fraction of IdleTimeoutFactor that applies to an idle machine that urgent
+	// work does not need.
 	surplusIdleFactor = 0.25
 
-	// isolatedTimeoutFactor is how many times as long silent machines are waited for where nearly
-	// all are silent, so that it may be this controller that is partitioned. If their agents reached
-	// another controller, they would have been handed off to it by then: so no controller reaches them.
+	// isolatedTimeoutFactor multiplies the silence limit while nearly all owned machines are silent,
+	// because this controller itself may be partitioned. If the agents reached another controller, their
+	// machines would have been handed off to that controller by then, so no controller reaches them.
 	isolatedTimeoutFactor = 2
 
-	// unknownTypeIdleTimeout is how long an idle machine is kept whose type the cloud no longer lists.
+	// unknownTypeIdleTimeout is the idle timeout of a machine whose type the cloud no longer lists.
 	unknownTypeIdleTimeout = time.Minute
 )
 
-// scaleInReason is why a machine is terminated. Operators see the texts in the log.
+// scaleInReason is the reason for the termination of a machine. The log contains it.
 type scaleInReason string
 
 const (
-	scaleInNone            scaleInReason = "" // the machine stays
+	scaleInNone            scaleInReason = "" // the machine is kept
 	scaleInNeverBooted     scaleInReason = "never came up"
 	scaleInBootFailed      scaleInReason = "failed while it booted"
 	scaleInFailed          scaleInReason = "failed"
@@ -39,28 +39,29 @@
 	scaleInIdle            scaleInReason = "idle"
 )
 
-// scaleInDecision is a machine that is to be terminated, and why.
+// scaleInDecision holds a machine that is to be terminated, and the reason.
 type scaleInDecision struct {
-	state  *agents.MachineState // a machine that was forgotten since has another one
-	reason scaleInReason        // scaleInNone once it has been acted on
+	state  *agents.MachineState // differs from the agent table's state if the machine was forgotten since
+	reason scaleInReason        // scaleInNone once a batch has the mark
 }
 
-// idlePeriod is since when a machine has been idle. It ends with the ownership under which it was
+// idlePeriod is the time for which a machine has been idle. It ends with the ownership in which it was
 // observed.
 type idlePeriod struct {
 	ownership agents.Ownership
 	startedAt protocol.Instant
 }
 
-// BeginScaleInReview starts a new review of the owned machines, of which some are silent.
+// BeginScaleInReview starts a review of all owned machines and discards the decisions of the previous
+// review. silentMachines is the number of owned machines that are silent.
 func (t *Terminator) BeginScaleInReview(silentMachines int) {
 	t.inventory.recordSilentMachines(silentMachines)
 	t.scaleInQueue = t.scaleInQueue[:0]
 }
 
-// EvaluateScaleIn decides whether an owned machine is to be terminated, and queues it if so.
-// A machine that is already marked has its termination begun. isolated tells that nearly all
-// owned machines are silent.
+// EvaluateScaleIn decides whether an owned machine is to be terminated, and queues the machine if so.
+// It begins the termination of a machine that is already recorded as terminating. isIsolated means
+// that nearly all owned machines are silent.
 func (t *Terminator) EvaluateScaleIn(entry *storage.Machine, state *agents.MachineState, isIsolated bool) {
 	if entry.Record.Terminating {
 		if !t.IsTerminating(state.ID) && t.lease.IsRegistered() {
@@ -78,9 +79,11 @@
 	t.scaleInQueue = append(t.scaleInQueue, scaleInDecision{state: state, reason: reason})
 }
 
-// scaleInReasonFor is why a machine is to be terminated. The idle period is kept up to date only
-// where there is no other reason.
-func (t *Terminator) scaleInReasonFor(entry *storage.Machine, state *agents.MachineState, isIsolated bool) scaleInReason {
+// scaleInReasonFor returns the reason to terminate a machine, or scaleInNone. It updates the machine's
+// idle period only if there is no other reason.
+func (t *Terminator) scaleInReasonFor(
+	entry *storage.Machine, state *agents.MachineState, isIsolated bool,
+) scaleInReason {
 	record := &entry.Record
 	if record.AgentEpoch == 0 {
 		return t.bootFailureReason(record, state)
@@ -95,7 +98,8 @@
 	return scaleInNone
 }
 
-// bootFailureReason is why a machine whose agent has never sent a heartbeat is to be terminated.
+// bootFailureReason returns the reason to terminate a machine whose agent has never sent a heartbeat, or
+// scaleInNone.
 func (t *Terminator) bootFailureReason(record *storage.MachineRecord, state *agents.MachineState) scaleInReason {
 	machineType := t.catalog.MachineType(record.MachineType)
 	if machineType == nil {
@@ -103,8 +107,8 @@
 	}
 	bootTime := protocol.Seconds(machineType.BootSeconds)
 	bootTimeout := time.Duration(float64(bootTime)*t.Config.BootTimeoutFactor) + t.Config.BootTimeoutMargin
-	// Age alone is no proof: the agent of a machine that this controller has just adopted or become
-	// the owner of gets the time to send a heartbeat.
+	// The age alone is no evidence of a failure: if this controller has just adopted the machine or become
+	// its owner, the agent gets time to send a heartbeat.
 	if t.machineAge(record) > bootTimeout && t.Since(state.LastContactAt) > bootTime {
 		return scaleInNeverBooted
 	}
@@ -114,10 +118,13 @@
 	return scaleInNone
 }
 
-// failureReason is why a machine that has booted is to be terminated although it is not idle.
-func (t *Terminator) failureReason(record *storage.MachineRecord, state *agents.MachineState, isIsolated bool) scaleInReason {
-	// The list does not depend on the network to the agents: a machine that it lacks is gone, even
-	// where most machines of this controller are silent.
+// failureReason returns the reason to terminate a machine that has booted, whether or not it is idle, or
+// scaleInNone.
+func (t *Terminator) failureReason(
+	record *storage.MachineRecord, state *agents.MachineState, isIsolated bool,
+) scaleInReason {
+	// The cloud's list does not depend on the network to the agents. A machine that is missing from the
+	// list is therefore gone, even if most machines of this controller are silent.
 	if t.agents.IsSilent(state) {
 		if t.inventory.isListedAsFailed(state.ID) {
 			return scaleInFailed
@@ -139,8 +146,8 @@
 	return scaleInNone
 }
 
-// isSilentTooLong tells whether a machine's agent has sent nothing for so long that the machine has to
-// be replaced.
+// isSilentTooLong reports whether a machine's agent has been silent for longer than the silence limit, so
+// that the machine must be replaced.
 func (t *Terminator) isSilentTooLong(state *agents.MachineState, isIsolated bool) bool {
 	if state.DeferredRequest != 0 {
 		return false
@@ -152,13 +159,14 @@
 	return t.agents.TimeSinceContact(state) > limit
 }
 
-// silenceLimit is the time without contact after which a machine is terminated: its agent's lease
-// has expired by then, so that it has stopped its tasks.
+// silenceLimit returns the time without contact after which a machine is terminated. By then the lease
+// of the agent has expired, so that the agent has stopped its tasks.
 func (t *Terminator) silenceLimit() time.Duration {
 	return t.Config.AgentLeaseTTL + t.Config.SilentScaleInDelay
 }
 
-// trackIdlePeriod begins a machine's idle period when it is not in use, and ends it when it is.
+// trackIdlePeriod starts the idle period of a machine that is not in use, and ends the idle period of a
+// machine that is in use.
 func (t *Terminator) trackIdlePeriod(record *storage.MachineRecord, state *agents.MachineState) {
 	if t.isInUse(record, state) {
 		delete(t.idlePeriods, state.ID)
@@ -169,12 +177,13 @@
 	}
 }
 
-// isInUse tells whether a machine has tasks, or is about to have some.
+// isInUse reports whether a machine has tasks, or the scheduler's plan uses the machine.
 func (t *Terminator) isInUse(record *storage.MachineRecord, state *agents.MachineState) bool {
 	return len(record.Assignments) > 0 || t.planUseChecker.RetainsMachine(state.ID) || state.HasLiveTasks()
 }
 
-// isIdleTooLong tells whether a machine has been idle for longer than idleTimeout.
+// isIdleTooLong reports whether a machine has been idle for longer than idleTimeout and is older than
+// MinMachineAge.
 func (t *Terminator) isIdleTooLong(record *storage.MachineRecord, state *agents.MachineState) bool {
 	idle, isIdle := t.idlePeriods[state.ID]
 	return isIdle &&
@@ -182,8 +191,8 @@
 		t.machineAge(record) > t.Config.MinMachineAge
 }
 
-// idleTimeout is how long an idle machine is kept, in proportion to the time that it takes to provision
-// one of its type and fetch its images.
+// idleTimeout returns the time for which an idle machine is kept. The time is proportional to the time
+// that it takes to provision a machine of the same type and to pull an image of mean size.
 func (t *Terminator) idleTimeout(state *agents.MachineState, machineType *protocol.MachineType) time.Duration {
 	if machineType == nil {
 		return unknownTypeIdleTimeout
@@ -199,7 +208,7 @@
 	return time.Duration(replacementSeconds * idleFactor * float64(time.Second))
 }
 
-// forgetIdlePeriods drops the idle periods of machines that are no longer remembered.
+// forgetIdlePeriods forgets the idle periods of machines that the agent table no longer has.
 func (t *Terminator) forgetIdlePeriods() {
 	for id := range t.idlePeriods {
 		if t.agents.Lookup(id) == nil {
@@ -208,7 +217,7 @@
 	}
 }
 
-// machineAge is the time since a machine was requested.
+// machineAge returns the time since a machine was requested.
 func (t *Terminator) machineAge(record *storage.MachineRecord) time.Duration {
 	return step.MillisToDuration(t.Now.Wall - record.AddedAt)
 }
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -10,29 +10,29 @@
 	"tillerarch/internal/storage"
 )
 
-// Each reason for scale-in, and what keeps a machine that looks much the same. A machine that is
-// isolated with most others is given twice the time.
+// TestScaleInReasons checks each reason for scale-in, and the conditions under which a machine in a
+// similar state is kept. A silent machine is kept twice as long if most other machines are silent too.
 func TestScaleInReasons(t *testing.T) {
 	const (
-		silenceLimit = 29 * time.Second // AgentLeaseTTL and SilentScaleInDelay
+		silenceLimit = 29 * time.Second // AgentLeaseTTL plus SilentScaleInDelay
 		defaultAge   = protocol.Millis(600_000)
 	)
 	booted := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2}
 	booting := storage.MachineRecord{MachineType: "small", Zone: "a"}
 	busy := booted
 	busy.Assign(protocol.Task{Job: "j-1"}, 5)
-	listed := func(state protocol.InstanceState, missedLists int) *listedInstance {
-		return &listedInstance{instance: protocol.Instance{ID: "m-1", State: state}, missedListCount: missedLists}
+	listed := func(state protocol.InstanceState, missedListCount int) *listedInstance {
+		return &listedInstance{instance: protocol.Instance{ID: "m-1", State: state}, missedListCount: missedListCount}
 	}
 	for _, test := range []struct {
 		name           string
 		record         storage.MachineRecord
-		age            protocol.Millis // none: ten minutes
-		ownedFor       time.Duration   // since the ownership began
-		isSilent       bool            // all the time elapsed
+		age            protocol.Millis // zero means defaultAge, which is ten minutes
+		ownedFor       time.Duration   // time since the ownership began
+		isSilent       bool            // during all of ownedFor
 		isIsolated     bool
 		listed         *listedInstance
-		isJobCancelled bool // job j-1 is, since the ownership began
+		isJobCancelled bool // the cancellation of job j-1 was requested when the ownership began
 		setUp          func(*agents.MachineState, *fakePlan)
 		want           scaleInReason
 	}{
@@ -119,8 +119,8 @@
 	}
 }
 
-// A machine with a cancelled task that does not stop is terminated at once, with no mark on its
-// record, only while no controller can write one.
+// TestUnrecordedTermination checks that a machine with a cancelled task that does not stop is terminated
+// immediately, without being recorded as terminating, only while no controller can write records.
 func TestUnrecordedTermination(t *testing.T) {
 	for _, test := range []struct {
 		name                         string
@@ -138,29 +138,30 @@
 			parts.putCancelledJob(t)
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
 			if parts.Terminator.IsTerminating("m-1") {
-				t.Fatal("terminated before the cancellation's time is over")
+				t.Fatal("machine is terminated while the cancelled task may still stop")
 			}
 			parts.Advance(25 * time.Second)
 			state.LastContactAt = parts.Now.Monotonic
 			parts.Terminator.EvaluateScaleIn(entry, state, false)
 			if got := parts.Terminator.IsTerminating("m-1"); got != test.isStoreUnavailableEverywhere {
-				t.Errorf("terminating: %v, want %v", got, test.isStoreUnavailableEverywhere)
+				t.Errorf("IsTerminating(m-1) = %v, want %v", got, test.isStoreUnavailableEverywhere)
 			}
 		})
 	}
 }
 
-// putCancelledJob puts job j-1 on record, whose cancellation was requested just now.
+// putCancelledJob puts the record of job j-1, whose cancellation was requested at the current time.
 func (p *testParts) putCancelledJob(t *testing.T) {
 	t.Helper()
 	job := []byte(`{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1},"w":true,"o":1000000000000}`)
 	p.Put(t, storage.JobKey("j-1"), job, 2)
 }
 
-// An idle period ends with work, with the ownership that it was seen under, and when the machine
-// is forgotten: a machine is never scaled in for idleness that this owner has not seen.
+// TestIdlePeriodEnds checks that an idle period ends when the machine gets work, when the ownership ends in
+// which the period was observed, and when the machine is forgotten. A machine is never scaled in for an
+// idle period that this owner has not observed.
 func TestIdlePeriodEnds(t *testing.T) {
-	const almostIdleTooLong = 19 * time.Second // of 20 s
+	const almostIdleTooLong = 19 * time.Second // the idle timeout is 20 s
 	idle := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2, AddedAt: 1}
 	for _, test := range []struct {
 		name   string
@@ -189,20 +190,21 @@
 			parts.Advance(almostIdleTooLong)
 			test.change(t, parts)
 			if reason := parts.reviewMachine(); reason != scaleInNone {
-				t.Fatalf("scaled in early: %q", reason)
+				t.Fatalf("machine is scaled in before the idle timeout, reason %q", reason)
 			}
 			parts.Advance(2 * time.Second)
 			if reason := parts.reviewMachine(); reason != test.want {
 				t.Errorf("scale-in reason %q, want %q", reason, test.want)
 			}
 			if want := 1; len(parts.Terminator.idlePeriods) != want {
-				t.Errorf("%d idle periods are kept, want %d", len(parts.Terminator.idlePeriods), want)
+				t.Errorf("terminator holds %d idle periods, want %d", len(parts.Terminator.idlePeriods), want)
 			}
 		})
 	}
 }
 
-// reviewMachine evaluates machine m-1, whose agent has just sent a heartbeat, and gives the reason.
+// reviewMachine evaluates machine m-1, whose agent has just sent a heartbeat, and returns the reason to
+// terminate the machine or scaleInNone.
 func (p *testParts) reviewMachine() scaleInReason {
 	entry := p.Replica.Machines["m-1"]
 	state := p.agents.Table.TrackOwnedMachine(entry, "m-1")
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -13,8 +13,8 @@
 	"tillerarch/internal/storage"
 )
 
-// removalRetention is how long a machine that has left the records is remembered: the cloud may
-// list it for as long.
+// removalRetention is the time for which a removed machine is remembered. The cloud may list the machine
+// for as long.
 const removalRetention = 90 * time.Second
 
 // PlanUseChecker checks whether the scheduler's plan uses a machine.
@@ -22,13 +22,13 @@
 	RetainsMachine(id protocol.MachineID) bool
 }
 
-// IdlePolicy tells which idle machines are kept in reserve.
+// IdlePolicy decides which idle machines are kept in reserve.
 type IdlePolicy interface {
 	RetainsIdleMachine(id protocol.MachineID) bool
 }
 
-// Terminator scales in: it decides which owned machines are to be terminated (scale_in.go), and has
-// the cloud terminate them.
+// Terminator scales the fleet in. It decides which owned machines are to be terminated (scale_in.go), and
+// requests their termination from the cloud.
 type Terminator struct {
 	*step.Context
 
@@ -41,27 +41,28 @@
 	replication    *commit.Replication
 	idlePolicy     IdlePolicy
 
-	scaleInQueue []scaleInDecision // of the last review of the owned machines
+	scaleInQueue []scaleInDecision // decisions of the last review of the owned machines
 	idlePeriods  map[protocol.MachineID]idlePeriod
 
 	terminations   map[protocol.MachineID]*termination
-	isCallInFlight bool                                    // a call to the cloud is under way
-	removedAt      map[protocol.MachineID]protocol.Instant // when machines left the records
+	isCallInFlight bool                                    // a termination call to the cloud is in progress
+	removedAt      map[protocol.MachineID]protocol.Instant // when the records of machines were removed
 }
 
-// termination is the progress of terminating a machine.
+// termination holds the progress of the termination of a machine.
 type termination struct {
 	retryAt      protocol.Instant
 	isInFlight   bool
-	isConfirmed  bool // answered 200: the machine and all on it are gone
-	isUnrecorded bool // the machine's record does not say so
+	isConfirmed  bool // the cloud answered 200, so the machine and its tasks are gone
+	isUnrecorded bool // the machine is not recorded as terminating
 }
 
-// isDue tells whether the termination is to be requested from the cloud now.
+// isDue reports whether the termination is to be requested from the cloud now.
 func (t *termination) isDue(now protocol.Instant) bool {
 	return !t.isConfirmed && !t.isInFlight && now >= t.retryAt
 }
 
+// newTerminator returns a terminator without terminations.
 func newTerminator(ctx *step.Context) *Terminator {
 	return &Terminator{
 		Context:      ctx,
@@ -71,19 +72,20 @@
 	}
 }
 
-// IsTerminating tells whether a machine is being terminated.
+// IsTerminating reports whether the termination of a machine has begun.
 func (t *Terminator) IsTerminating(id protocol.MachineID) bool { return t.terminations[id] != nil }
 
-// IsTerminationConfirmed tells whether the cloud has confirmed that the machine is terminated.
+// IsTerminationConfirmed reports whether the cloud has confirmed that a machine is terminated.
 func (t *Terminator) IsTerminationConfirmed(id protocol.MachineID) bool {
 	pending := t.terminations[id]
 	return pending != nil && pending.isConfirmed
 }
 
-// TerminateUnrecorded terminates a machine without a mark on its record: while the store is
-// unavailable to all controllers none can be written, and the task that still runs there would
-// outlive the time limit of its cancellation meanwhile. To other controllers the machine has failed,
-// which they handle anyway; the mark only keeps them from placing tasks there, so its lack costs time.
+// TerminateUnrecorded begins the termination of a machine without recording the machine as terminating.
+// While the store is unavailable to all controllers, no record can be written, and a task that still
+// runs on the machine would otherwise run beyond the time limit of its cancellation. To other
+// controllers the machine appears to have failed, which they handle like any failure. The record only
+// keeps other controllers from placing tasks on the machine, so its absence costs time.
 func (t *Terminator) TerminateUnrecorded(id protocol.MachineID) {
 	if t.IsTerminating(id) {
 		return
@@ -93,13 +95,13 @@
 		"machine", string(id), "reason", string(scaleInTaskDoesNotStop))
 }
 
-// RecordRemoval remembers that a machine has left the records, so that it is not adopted again from a
-// stale list of the cloud.
+// RecordRemoval notes that the record of a machine was removed, so that the machine is not adopted again
+// from a stale list of the cloud.
 func (t *Terminator) RecordRemoval(id protocol.MachineID) {
 	t.removedAt[id] = t.Now.Monotonic
 }
 
-// wasRemovedRecently tells whether a machine has left the records recently.
+// wasRemovedRecently reports whether the record of a machine was removed recently.
 func (t *Terminator) wasRemovedRecently(id protocol.MachineID) bool {
 	_, ok := t.removedAt[id]
 	return ok
@@ -116,7 +118,7 @@
 	t.forgetIdlePeriods()
 }
 
-// SendTerminations sends the terminations that are due, in one call.
+// SendTerminations sends the due terminations to the cloud in one call, unless a call is in progress.
 func (t *Terminator) SendTerminations() {
 	t.forgetObsoleteTerminations()
 	if t.isCallInFlight {
@@ -135,8 +137,8 @@
 	t.Emit(step.TerminateMachines{Machines: dueIDs})
 }
 
-// forgetObsoleteTerminations drops the terminations of machines that have left the records or are
-// no longer this controller's to terminate.
+// forgetObsoleteTerminations forgets the terminations of machines that have no record. It also forgets
+// recorded terminations of machines that this controller no longer owns.
 func (t *Terminator) forgetObsoleteTerminations() {
 	for id, pending := range t.terminations {
 		entry := t.Replica.Machines[id]
@@ -146,12 +148,13 @@
 	}
 }
 
-// isMarkedTerminating tells whether an owned machine's record says that it is being terminated.
+// isMarkedTerminating reports whether this controller owns a machine and the machine is recorded as
+// terminating.
 func (t *Terminator) isMarkedTerminating(record *storage.MachineRecord) bool {
 	return t.lease.OwnsMachine(record) && record.Terminating
 }
 
-// OnTerminateMachinesResult handles the answer to a termination call.
+// OnTerminateMachinesResult handles the cloud's answer to a termination call.
 func (t *Terminator) OnTerminateMachinesResult(result step.TerminateMachinesResult) {
 	t.isCallInFlight = false
 	for _, id := range result.Machines {
@@ -171,8 +174,9 @@
 	}
 }
 
-// WriteTerminations marks the records of the machines that are to be scaled in. The termination
-// is sent once the mark is durable, so that no controller places a task there meanwhile.
+// WriteTerminations marks the machines that are to be scaled in as terminating in the batch. The
+// termination is sent once the mark is durable, so that no controller places a task on the machine in
+// the meantime.
 func (t *Terminator) WriteTerminations(batch *commit.Batch) {
 	for i := range t.scaleInQueue {
 		decision := &t.scaleInQueue[i]
@@ -186,7 +190,7 @@
 	}
 }
 
-// canMarkTerminating tells whether a decision still holds and its mark fits into the batch.
+// canMarkTerminating reports whether a decision is still valid and the batch has capacity for the mark.
 func (t *Terminator) canMarkTerminating(batch *commit.Batch, decision *scaleInDecision) bool {
 	id := decision.state.ID
 	entry := t.Replica.Machines[id]
--- a/internal/coordination/provisioning/terminator_test.go
+++ b/internal/coordination/provisioning/terminator_test.go
@@ -12,7 +12,7 @@
 	"tillerarch/internal/storage"
 )
 
-// sendDueTerminations lets the terminator send what is due, and gives the machines of each call.
+// sendDueTerminations calls SendTerminations and returns the machines of each call to the cloud.
 func (p *testParts) sendDueTerminations() [][]protocol.MachineID {
 	p.Effects = nil
 	p.Terminator.SendTerminations()
@@ -25,7 +25,8 @@
 	return calls
 }
 
-// beginTerminations puts machines on record and begins their terminations. It gives their names in order.
+// beginTerminations adds machines to the replica and begins their terminations. It returns their IDs in
+// order.
 func (p *testParts) beginTerminations(count int) []protocol.MachineID {
 	var ids []protocol.MachineID
 	for i := range count {
@@ -37,26 +38,26 @@
 	return ids
 }
 
-// One call to the cloud is under way at a time, with no more machines than it may have, chosen in
-// the order of their names.
+// TestTerminationCalls checks that only one call to the cloud is in progress at a time, that it contains no
+// more machines than allowed, and that the machines are taken in the order of their IDs.
 func TestTerminationCalls(t *testing.T) {
 	parts := newTestParts(t)
 	ids := parts.beginTerminations(protocol.MaxTerminateCount + 2)
 	first, rest := ids[:protocol.MaxTerminateCount], ids[protocol.MaxTerminateCount:]
 	if calls := parts.sendDueTerminations(); len(calls) != 1 || !slices.Equal(calls[0], first) {
-		t.Fatalf("calls with %v", calls)
+		t.Fatalf("termination calls for machines %v, want one call for the first MaxTerminateCount machines", calls)
 	}
 	if calls := parts.sendDueTerminations(); len(calls) != 0 {
-		t.Fatalf("calls with %v beside one that is under way", calls)
+		t.Fatalf("termination calls for machines %v while a call is in progress, want none", calls)
 	}
 	parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: first})
 	if calls := parts.sendDueTerminations(); len(calls) != 1 || !slices.Equal(calls[0], rest) {
-		t.Fatalf("calls with %v, want one with %v", calls, rest)
+		t.Fatalf("termination calls for machines %v, want one call for %v", calls, rest)
 	}
 }
 
-// A termination that failed is repeated after a pause; one that was confirmed is not. A machine
-// that is on no record any more is of no interest.
+// TestTerminationResults checks that a failed termination is retried after a delay, and a confirmed
+// termination is not. The termination of a machine whose record was removed is forgotten.
 func TestTerminationResults(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -77,17 +78,17 @@
 			parts.sendDueTerminations()
 			parts.Terminator.OnTerminateMachinesResult(step.TerminateMachinesResult{Machines: ids, Err: test.callError})
 			if got := parts.Terminator.IsTerminationConfirmed(ids[0]); got != test.wantConfirmed {
-				t.Errorf("confirmed: %v", got)
+				t.Errorf("IsTerminationConfirmed = %v, want the opposite", got)
 			}
 			parts.Advance(test.elapsed)
 			if test.isRemoved {
 				delete(parts.Replica.Machines, ids[0])
 			}
 			if calls := parts.sendDueTerminations(); len(calls) != test.wantCallCount {
-				t.Errorf("calls with %v, want %d calls", calls, test.wantCallCount)
+				t.Errorf("termination calls for machines %v, want %d calls", calls, test.wantCallCount)
 			}
 			if got := parts.Terminator.IsTerminating(ids[0]); got == test.isRemoved {
-				t.Errorf("terminating: %v", got)
+				t.Errorf("IsTerminating = %v, want the opposite", got)
 			}
 		})
 	}
