--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -9,20 +9,20 @@
 	"tillerarch/internal/storage"
 )
 
-// Bounds of the cancellation data in one peer status, and of what is kept of it.
+// Limits of the cancellation data in one peer status, and of the requests kept from peer statuses.
 const (
 	maxIntentsPerMessage = 150
 	maxAcksPerMessage    = 200
 	maxPeerIntents       = 2000
 )
 
-// requesterFailoverDelay is the age at which the successor of the job's key drives a request, too: the
-// controller that began it may have ended.
+// requesterFailoverDelay is the age from which the successor of the job's key also drives a request,
+// because the controller that began the request may have ended.
 const requesterFailoverDelay = 4 * time.Second
 
-// peerIntent is a cancellation request known from another controller's status only.
+// peerIntent is a cancellation request that is known only from the status of another controller.
 type peerIntent struct {
-	revision   protocol.Revision // at which it is on record
+	revision   protocol.Revision // at which the request was recorded
 	receivedAt protocol.Instant
 }
 
@@ -42,8 +42,8 @@
 	}
 }
 
-// forgetEndedCancellations drops intents that the replica has by now, and the acknowledgements of requests that have
-// been confirmed or whose job has ended.
+// forgetEndedCancellations forgets the intents that the replica contains by now. It also forgets the
+// acknowledgements of requests that are confirmed or whose job has ended.
 func (c *Canceller) forgetEndedCancellations() {
 	maps.DeleteFunc(c.peerIntents, func(_ protocol.JobID, intent peerIntent) bool {
 		return c.Replica.Revision >= intent.revision
@@ -56,7 +56,8 @@
 	})
 }
 
-// updateLocalAcks finds the requests that this controller acknowledges. A new one is sent at once.
+// updateLocalAcks determines the requests that this controller acknowledges. If there is a new one, the
+// next status is sent without delay.
 func (c *Canceller) updateLocalAcks() {
 	previousAcks := c.localAcks
 	c.localAcks = map[protocol.JobID]bool{}
@@ -77,15 +78,17 @@
 	}
 }
 
-// shouldTakeOverRequest tells whether this controller takes over a request that another one began.
+// shouldTakeOverRequest reports whether this controller takes over a request that another controller
+// began.
 func (c *Canceller) shouldTakeOverRequest(id protocol.JobID) bool {
 	return !c.isRequester(id) &&
 		c.timeSinceCancelRequest(id) > requesterFailoverDelay &&
 		c.successorElection.IsSuccessor(storage.JobKey(id))
 }
 
-// updateFullyAcknowledged records whether all controllers concerned know a request by now. If not, the
-// controller that drives it sends it at once; the others have nothing new to send.
+// updateFullyAcknowledged records whether all controllers concerned know a request by now. If not, and
+// this controller drives the request and has not sent it yet, the next status is sent without delay.
+// Controllers that do not drive the request have nothing new to send.
 func (c *Canceller) updateFullyAcknowledged(id protocol.JobID) {
 	if c.fullyAcknowledged[id] {
 		return
@@ -97,11 +100,12 @@
 	}
 }
 
-// IsCancelFullyAcknowledged tells whether every controller that could start a task of the job, or
-// keep one running, knows that its cancellation has been requested. The request is on record.
+// IsCancelFullyAcknowledged reports whether every controller that could start a task of a job, or keep
+// one running, knows that the cancellation of the job has been requested. The request must be recorded
+// in the store.
 func (c *Canceller) IsCancelFullyAcknowledged(jobID protocol.JobID) bool {
 	if c.Replica.Revision < protocol.Revision(c.Replica.Jobs[jobID].ModRevision) {
-		return false // what was assigned before the request may be missing here
+		return false // the replica may lack assignments that were written before the request
 	}
 	for machineID := range c.Replica.MachinesWithJob(jobID) {
 		if !c.isAcknowledgedForMachine(machineID, jobID) {
@@ -111,8 +115,9 @@
 	return true
 }
 
-// isAcknowledgedForMachine tells whether the owner of a machine knows that the cancellation of a job has
-// been requested, or the machine no longer exists.
+// isAcknowledgedForMachine reports whether the owner of a machine knows that the cancellation of a job
+// has been requested, or the machine no longer exists. For a machine of this controller, it reports
+// whether the machine is quiescent for the job.
 func (c *Canceller) isAcknowledgedForMachine(machineID protocol.MachineID, jobID protocol.JobID) bool {
 	record := &c.Replica.Machines[machineID].Record
 	if c.lease.OwnsMachine(record) {
@@ -121,16 +126,16 @@
 	if c.forcedTerminator.IsTerminationConfirmed(machineID) {
 		return true
 	}
-	// An acknowledgement covers the machines that its sender knew to own, and ends with the
-	// sender's incarnation.
+	// An acknowledgement covers the machines that the sender knew that it owned, and is valid as long as
+	// the sender's incarnation is alive.
 	ackRevision, isAcknowledged := c.peerAcks[jobID][record.Owner]
 	ownedSince := protocol.Revision(c.Replica.Shards[record.Shard].OwnedSince)
 	return isAcknowledged && c.Replica.IsAlive(record.Owner) && ackRevision >= ownedSince
 }
 
-// AddCancellationStatus adds to this controller's status the requests that it drives and that are not
-// acknowledged by all, and those that it acknowledges itself. Both are repeated until the request is
-// confirmed; those that do not fit one status are sent in rotation.
+// AddCancellationStatus adds to this controller's status the requests that this controller drives and
+// that are not fully acknowledged, and the acknowledgements of this controller. Both are repeated until
+// the request is confirmed. Those that do not fit into one status are sent in rotation.
 func (c *Canceller) AddCancellationStatus(status *step.PeerStatus) {
 	status.Revision = c.Replica.Revision
 	var unacknowledged []protocol.JobID
@@ -150,7 +155,8 @@
 	status.CancelAcks = c.ackRotation.nextChunk(step.SortedKeys(c.localAcks), maxAcksPerMessage)
 }
 
-// OnPeerCancellations records the intents and acknowledgements in another controller's status.
+// OnPeerCancellations records the intents and acknowledgements in another controller's status. It
+// ignores acknowledgements of incarnations that have ended.
 func (c *Canceller) OnPeerCancellations(status *step.PeerStatus) {
 	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
 		c.recordPeerIntent(intent)
@@ -163,7 +169,8 @@
 	}
 }
 
-// recordPeerIntent keeps a request that the replica lacks; from then on it binds this controller.
+// recordPeerIntent stores a request that the replica lacks. From then on the request binds this
+// controller.
 func (c *Canceller) recordPeerIntent(intent step.CancelIntent) {
 	_, isKnown := c.peerIntents[intent.Job]
 	isInReplica := c.Replica.Revision >= intent.Revision
@@ -174,8 +181,8 @@
 	c.ShouldRecheckDeferredHeartbeats = true
 }
 
-// recordPeerAck keeps the acknowledgement of the request to cancel a job, with the newest revision
-// at which its sender has given it.
+// recordPeerAck stores the acknowledgement of a request to cancel a job, with the newest revision at
+// which the sender has acknowledged the request.
 func (c *Canceller) recordPeerAck(id protocol.JobID, status *step.PeerStatus) {
 	if c.Replica.CancellingJobs[id] == nil {
 		return
@@ -188,11 +195,11 @@
 	acks[status.Incarnation] = max(acks[status.Incarnation], status.Revision)
 }
 
-// rotation cuts a list into chunks in turn, so that each entry is in one of as many consecutive chunks
-// as the list has.
+// rotation selects consecutive chunks of a list in turn, so that a list of n chunks is covered by n
+// consecutive calls of nextChunk.
 type rotation struct{ offset int }
 
-// nextChunk gives the next entries; the following call continues after them.
+// nextChunk returns up to limit entries of ids. The next call continues after them.
 func (r *rotation) nextChunk(ids []protocol.JobID, limit int) []protocol.JobID {
 	if len(ids) <= limit {
 		return ids
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -9,8 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// Which acknowledgement counts for another controller's machine: that of its owner's living
-// incarnation, given by a replica that knew of the ownership.
+// TestCancelAcknowledgements checks which acknowledgement counts for another controller's machine. It must
+// come from the live incarnation that owns the machine, whose replica must not be older than the ownership.
 func TestCancelAcknowledgements(t *testing.T) {
 	acksOf := func(id protocol.JobID) []protocol.JobID { return []protocol.JobID{id} }
 	for _, test := range []struct {
@@ -47,17 +47,17 @@
 			test.status.ControllerID = test.status.Incarnation.Controller()
 			f.canceller.OnPeerCancellations(&test.status)
 			if got := f.canceller.IsCancelFullyAcknowledged("j-1"); got != test.want {
-				t.Errorf("acknowledged: %v, want %v", got, test.want)
+				t.Errorf("IsCancelFullyAcknowledged(j-1) = %v, want %v", got, test.want)
 			}
 			f.Replica.Delete(storage.ControllerKey("stall-1"), 7)
 			if f.canceller.IsCancelFullyAcknowledged("j-1") {
-				t.Error("the acknowledgement of an ended incarnation counts")
+				t.Error("the acknowledgement of an ended incarnation counts, want it ignored")
 			}
 		})
 	}
 }
 
-// Whatever the length of the list, each entry is in one of its chunks.
+// TestRotationCoversAll checks that each entry of a list is in one of the chunks of the list.
 func TestRotationCoversAll(t *testing.T) {
 	ids := make([]protocol.JobID, 1000)
 	for i := range ids {
@@ -78,14 +78,14 @@
 			for range test.chunkCount {
 				chunk := chunkRotation.nextChunk(ids[:test.length], test.limit)
 				if len(chunk) != min(test.length, test.limit) {
-					t.Errorf("%d entries at once, want %d", len(chunk), min(test.length, test.limit))
+					t.Errorf("chunk has %d entries, want %d", len(chunk), min(test.length, test.limit))
 				}
 				for _, id := range chunk {
 					seenIDs[id] = true
 				}
 			}
 			if len(seenIDs) != test.length {
-				t.Errorf("%d entries seen, want %d", len(seenIDs), test.length)
+				t.Errorf("the chunks contain %d different entries, want %d", len(seenIDs), test.length)
 			}
 		})
 	}
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -10,13 +10,14 @@
 	"tillerarch/internal/storage"
 )
 
-// SuccessorElection tells whether this controller is the successor for a key: exactly one controller is.
+// SuccessorElection elects one controller as the successor for a key. IsSuccessor reports whether this
+// controller is elected.
 type SuccessorElection interface {
 	IsSuccessor(key string) bool
 }
 
-// PeerNotifier sends the next status to the other controllers ahead of time, and knows which of them
-// have sent theirs lately.
+// PeerNotifier exchanges statuses with the other controllers. ExpediteStatus makes it send the next
+// status early, and HasHeardFrom reports whether an incarnation has sent a status within the given time.
 type PeerNotifier interface {
 	ExpediteStatus()
 	HasHeardFrom(incarnation storage.Incarnation, within time.Duration) bool
@@ -28,9 +29,9 @@
 	TerminateUnrecorded(id protocol.MachineID)
 }
 
-// Canceller drives the two steps of a cancellation, the request and its confirmation; the package
-// comment says why there are two. Several controllers may drive the cancellation of
-// one job at the same time: the writes depend on the revision of the job's record.
+// Canceller drives the two steps of a cancellation, the request and its confirmation. The package
+// comment explains why there are two steps. Several controllers may drive the cancellation of one job at
+// the same time, because the writes are conditional on the revision of the job's record.
 type Canceller struct {
 	*step.Context
 
@@ -44,26 +45,27 @@
 	replication       *commit.Replication
 	forcedTerminator  ForcedTerminator
 
-	// Since when this controller drives the cancellation of a job.
+	// When this controller began to drive the cancellation of a job.
 	requestedAt map[protocol.JobID]protocol.Instant
 
 	// The fields below are exchanged with the other controllers until a cancellation is confirmed.
 
-	// Requests that the replica lacks so far.
+	// Requests that the replica does not contain yet.
 	peerIntents map[protocol.JobID]peerIntent
-	// By sender, the newest revision of its replica at which it acknowledged the request.
+	// By job and sender, the newest revision of the sender's replica at which the sender acknowledged the
+	// request.
 	peerAcks map[protocol.JobID]map[storage.Incarnation]protocol.Revision
 	// Requests that this incarnation acknowledges.
 	localAcks map[protocol.JobID]bool
-	// Requests that every controller concerned knows.
+	// Whether every controller concerned knows the request.
 	fullyAcknowledged map[protocol.JobID]bool
-	// Requests in the last status that was sent.
+	// Requests in the last status of this controller, with the time of that status.
 	lastSentIntents map[protocol.JobID]protocol.Instant
 
-	intentRotation, ackRotation rotation // where the next status begins
+	intentRotation, ackRotation rotation // positions at which the next status continues
 }
 
-// newCanceller makes a canceller that knows of no cancellation.
+// newCanceller returns a canceller without cancellations.
 func newCanceller(ctx *step.Context) *Canceller {
 	return &Canceller{
 		Context:           ctx,
@@ -75,8 +77,8 @@
 	}
 }
 
-// CancelRequested tells whether a job is cancelled or its cancellation requested, as far as the
-// replica or another controller says: none of its tasks may start or go on.
+// CancelRequested reports whether a job is cancelled or its cancellation has been requested, according to
+// the replica or to another controller. If so, no task of the job may start or continue to run.
 func (c *Canceller) CancelRequested(id protocol.JobID) bool {
 	if c.isCancelRecorded(id) {
 		return true
@@ -85,13 +87,15 @@
 	return ok
 }
 
+// isCancelRecorded reports whether the replica records a job as cancelled or its cancellation as
+// requested.
 func (c *Canceller) isCancelRecorded(id protocol.JobID) bool {
 	entry := c.Replica.Jobs[id]
 	return entry != nil && entry.Record.IsCancelledOrCancelling()
 }
 
-// timeSinceCancelRequest is for how long CancelRequested has been true. Once the confirmation is on
-// record it counts from there, as the time limit for stopping the tasks does.
+// timeSinceCancelRequest returns the time for which CancelRequested has been true. Once the confirmation
+// is recorded, the time starts at the confirmation, like the time limit for stopping the tasks.
 func (c *Canceller) timeSinceCancelRequest(id protocol.JobID) time.Duration {
 	elapsed := time.Duration(0)
 	if c.isCancelRecorded(id) {
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -18,7 +18,8 @@
 	otherIncarnation storage.Incarnation = "stall-1#1"
 )
 
-// fixture is a canceller with the parts that it works on, registered and up to date.
+// fixture holds a canceller and the parts on which it depends. The incarnation is registered, and the
+// replica is up to date.
 type fixture struct {
 	steptest.Fixture
 
@@ -27,6 +28,7 @@
 	canceller *Canceller
 }
 
+// newFixture returns a fixture without jobs and machines.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	base := steptest.NewFixture(steptest.Config())
@@ -54,7 +56,7 @@
 	return f
 }
 
-// register brings the incarnation on record, at revision 2.
+// register registers the incarnation, at revision 2.
 func (f *fixture) register(t *testing.T) {
 	t.Helper()
 	committest.Register(t, f.Context, f.commit)
@@ -63,7 +65,7 @@
 	}
 }
 
-// putJob puts the test job, of two tasks, on record.
+// putJob puts the record of the test job, which has two tasks, after change has modified it.
 func (f *fixture) putJob(t *testing.T, change func(*storage.JobRecord)) {
 	t.Helper()
 	record := &storage.JobRecord{Spec: &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}, Owner: testIncarnation}
@@ -73,25 +75,29 @@
 	f.Put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, record), 2)
 }
 
-// putMachine puts a machine with the first task of the test job on record.
+// putMachine puts the record of a machine to which the first task of the test job is assigned, in a shard
+// with the given owner and completed tasks.
 func (f *fixture) putMachine(
 	t *testing.T, owner storage.Incarnation, completedTasks map[protocol.JobID]storage.TaskSet,
 ) *storage.Machine {
 	t.Helper()
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	record.Assign(protocol.Task{Job: testJob}, 5)
-	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, completedTasks), 2)
+	f.Put(t, storage.ShardKey("p"),
+		storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, completedTasks), 2)
 	return f.Replica.Machines["m-1"]
 }
 
-// putOwnedMachine puts a machine of the controller on record, whose agent shows the task in a state.
+// putOwnedMachine puts the record of a machine of this controller, whose agent reports the task in the given
+// state.
 func (f *fixture) putOwnedMachine(t *testing.T, taskState protocol.TaskState) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	entry := f.putMachine(t, testIncarnation, nil)
 	return entry, f.recordHeartbeat(entry, taskState)
 }
 
-// putQuiescentMachines puts machines of the controller on record, each running a task of the job.
+// putQuiescentMachines puts the records of machines of this controller, each of which runs a task of the
+// test job.
 func (f *fixture) putQuiescentMachines(t *testing.T, count int) {
 	t.Helper()
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
@@ -106,7 +112,7 @@
 	}
 }
 
-// recordHeartbeat takes in a heartbeat that shows the first task of the test job in a state.
+// recordHeartbeat records a heartbeat that shows the first task of the test job in the given state.
 func (f *fixture) recordHeartbeat(entry *storage.Machine, taskState protocol.TaskState) *agents.MachineState {
 	machineState := f.agents.Table.TrackOwnedMachine(entry, entry.ID)
 	machineState.RecordHeartbeat(&protocol.Heartbeat{
--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -9,33 +9,35 @@
 	"tillerarch/internal/storage"
 )
 
-// ownerContactTimeout is how long an owner counts as alive after its last status while the store is
-// unavailable to all controllers.
+// ownerContactTimeout is the time for which an owner counts as alive after its last status while the
+// store is unavailable to all controllers.
 const ownerContactTimeout = 5 * time.Second
 
-// The ages of a cancellation from which machines are terminated for it, as fractions of CancelTimeout
-// (numerator and denominator, so that the products are exact).
+// The ages of a cancellation from which machines are terminated because of it, as fractions of
+// CancelTimeout. Numerators and denominator are separate so that the products are exact.
 const (
 	silentScaleInFifths = 2
 	stuckScaleInFifths  = 3
 	fifths              = 5
 )
 
-// silentScaleInAge is the age of a cancellation at which a machine is terminated that may still run
-// a task of the job and is silent. It leaves a slow cloud enough time to terminate the machine before CancelTimeout.
+// silentScaleInAge returns the age of a cancellation from which a silent machine is terminated if it may
+// still run a task of the job. It leaves a slow cloud enough time to terminate the machine before
+// CancelTimeout.
 func (c *Canceller) silentScaleInAge() time.Duration {
 	return c.Config.CancelTimeout * silentScaleInFifths / fifths
 }
 
-// stuckScaleInAge is the age of a cancellation at which a machine is terminated that may still run
-// a task of the job, whether it is silent or not. It leaves the agent time to stop a task that is merely slow.
+// stuckScaleInAge returns the age of a cancellation from which a machine is terminated if it may still
+// run a task of the job, whether or not the machine is silent. It leaves the agent time to stop a task
+// that is only slow to exit.
 func (c *Canceller) stuckScaleInAge() time.Duration {
 	return c.Config.CancelTimeout * stuckScaleInFifths / fifths
 }
 
-// MustForceScaleIn tells whether an owned machine must be terminated because a task of a cancelled
-// job is stuck there, or the machine cannot be reached. Silence proves nothing of the machine if
-// this controller is the one that is isolated.
+// MustForceScaleIn reports whether an owned machine must be terminated because a task of a cancelled job
+// may be stuck on the machine or the machine cannot be reached. The silence of a machine is no evidence of
+// its failure if this controller itself is isolated.
 func (c *Canceller) MustForceScaleIn(state *agents.MachineState, record *storage.MachineRecord, isIsolated bool) bool {
 	pendingAge, isPending := c.longestPendingCancel(state, record)
 	if !isPending || pendingAge <= c.silentScaleInAge() {
@@ -44,9 +46,10 @@
 	return pendingAge > c.stuckScaleInAge() || c.agents.IsSilent(state) && !isIsolated
 }
 
-// ForceScaleIn handles machines whose owner has sent no status lately while the store is unavailable to
-// all controllers, so that no other one can take them over. If a task of a cancelled job may run there, the
-// agent is probed; if that does not help in time, the machine is terminated.
+// ForceScaleIn handles machines whose owner has sent no status recently while the store is unavailable to
+// all controllers, so that no other controller can take the machines over. If a task of a cancelled job
+// may run on such a machine, the agent is probed. If the task may still run at stuckScaleInAge, the
+// machine is terminated.
 func (c *Canceller) ForceScaleIn() {
 	if !c.replication.IsLoaded() || !c.replication.StoreUnavailableEverywhere() {
 		return
@@ -57,7 +60,7 @@
 	for _, id := range unownedIDs {
 		entry := c.Replica.Machines[id]
 		if c.peerNotifier.HasHeardFrom(entry.Record.Owner, ownerContactTimeout) {
-			continue // its owner is alive and does the same
+			continue // the owner is alive and terminates the machine itself if necessary
 		}
 		state := c.agents.MachineState(id)
 		pendingAge, isPending := c.longestPendingCancel(state, &entry.Record)
@@ -71,8 +74,8 @@
 	}
 }
 
-// longestPendingCancel tells whether a task of a job with a requested cancellation may still be on
-// the machine, and the age of the oldest such request.
+// longestPendingCancel reports whether a task of a job with a requested cancellation may still be on the
+// machine. It also returns the age of the oldest such request.
 func (c *Canceller) longestPendingCancel(
 	state *agents.MachineState, record *storage.MachineRecord,
 ) (longestAge time.Duration, isPending bool) {
@@ -96,5 +99,5 @@
 	return longestAge, isPending
 }
 
-// hasExited tells whether a task has exited.
+// hasExited reports whether a task has exited.
 func hasExited(status *protocol.TaskStatus) bool { return status.State == protocol.TaskExited }
--- a/internal/coordination/cancellation/forced_scale_in_test.go
+++ b/internal/coordination/cancellation/forced_scale_in_test.go
@@ -8,12 +8,12 @@
 	"tillerarch/internal/storage"
 )
 
-// A machine with a task of a cancelled job is terminated after 2/5 of the time limit of 40 s if it
-// is silent, and after 3/5 in any case.
+// TestMustForceScaleIn checks that a machine with a task of a cancelled job is terminated after 2/5 of the
+// time limit of 40 s if the machine is silent, and after 3/5 in any case.
 func TestMustForceScaleIn(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		cancellationAge time.Duration // of the cancellation
+		cancellationAge time.Duration
 		taskState       protocol.TaskState
 		isSilent        bool
 		isIsolated      bool
@@ -39,7 +39,7 @@
 				state.LastContactAt = f.Now.Monotonic
 			}
 			if got := f.canceller.MustForceScaleIn(state, &entry.Record, test.isIsolated); got != test.want {
-				t.Errorf("must be terminated: %v, want %v", got, test.want)
+				t.Errorf("MustForceScaleIn = %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/cancellation/parts.go
+++ b/internal/coordination/cancellation/parts.go
@@ -6,17 +6,18 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts are the parts of cancellations, connected with each other.
+// Parts holds the parts of this package.
 type Parts struct {
 	Canceller *Canceller
 }
 
-// New makes the parts. They can be used once they are connected with those of other packages.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	return &Parts{Canceller: newCanceller(ctx)}
 }
 
-// Dependencies are what the parts need of other packages.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	Agents            *agents.Table
 	Calls             *agents.Caller
@@ -29,7 +30,7 @@
 	ForcedTerminator  ForcedTerminator
 }
 
-// Connect gives the parts what they need of other packages.
+// Connect connects the parts with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Canceller.agents = dependencies.Agents
 	p.Canceller.calls = dependencies.Calls
--- a/internal/coordination/cancellation/quiescence.go
+++ b/internal/coordination/cancellation/quiescence.go
@@ -5,10 +5,11 @@
 	"tillerarch/internal/storage"
 )
 
-// IsMachineQuiescent tells whether on an owned machine no task of a job with a requested
-// cancellation can start any more, and no earlier owner can keep one running: the agent has shown
-// the fencing token of this ownership, and by its newest heartbeat the job's tasks there have
-// started already, or are gone. One that still pulls its image would start after the confirmation.
+// IsMachineQuiescent reports whether on an owned machine no task of a job with a requested cancellation
+// can still start, and no earlier owner can keep one running. To this end, the agent must have shown the
+// fencing token of this ownership, and according to its newest heartbeat the job's tasks must have
+// started or be gone. A task that is still pulling its image would start after the confirmation.
+// A machine whose agent has killed its tasks, or whose termination is confirmed, is quiescent too.
 func (c *Canceller) IsMachineQuiescent(machineID protocol.MachineID, jobID protocol.JobID) bool {
 	if c.forcedTerminator.IsTerminationConfirmed(machineID) {
 		return true
@@ -31,12 +32,12 @@
 	return true
 }
 
-// hasPulledImage tells whether a task is past pulling its image: it has started, or has ended.
+// hasPulledImage reports whether a task is no longer pulling its image, because it has started or ended.
 func hasPulledImage(status *protocol.TaskStatus) bool {
 	return status.State != protocol.TaskPullingImage
 }
 
-// areOwnedMachinesQuiescent tells whether all machines of this controller are quiescent for a job.
+// areOwnedMachinesQuiescent reports whether all machines of this controller are quiescent for a job.
 func (c *Canceller) areOwnedMachinesQuiescent(jobID protocol.JobID) bool {
 	for machineID := range c.Replica.MachinesWithJob(jobID) {
 		entry := c.Replica.Machines[machineID]
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// unwrittenRequestTimeout is how long a request is kept that could not be put on record. The
-	// user's call has been rejected long before, but the cancellation was asked for.
+	// unwrittenRequestTimeout is the time for which a request is kept that could not be recorded in the
+	// store. The user's call was rejected long before, but the user did request the cancellation.
 	unwrittenRequestTimeout = 30 * time.Second
 
-	// directCancelConditionsPerOp bounds the conditions of a batch with a direct cancellation, as
-	// a multiple of the operations that a transaction may hold. The store takes four for each;
-	// the rest is left to the other changes in the batch.
+	// directCancelConditionsPerOp is the maximum number of conditions in a batch with a direct
+	// cancellation for each operation that a transaction may contain. The store accepts four conditions
+	// for each operation. The rest is left to the other changes in the batch.
 	directCancelConditionsPerOp = 3
 )
 
-// RequestCancellation begins the cancellation of a job, or takes over one that another controller
-// has begun.
+// RequestCancellation begins the cancellation of a job, or takes over a cancellation that another
+// controller has begun.
 func (c *Canceller) RequestCancellation(id protocol.JobID) {
 	if !c.isRequester(id) {
 		c.requestedAt[id] = c.Now.Monotonic
 	}
 }
 
-// HasRequests tells whether this controller drives any cancellation.
+// HasRequests reports whether this controller drives any cancellation.
 func (c *Canceller) HasRequests() bool { return len(c.requestedAt) > 0 }
 
-// isRequester tells whether this controller drives the cancellation of a job.
+// isRequester reports whether this controller drives the cancellation of a job.
 func (c *Canceller) isRequester(id protocol.JobID) bool {
 	_, ok := c.requestedAt[id]
 	return ok
 }
 
-// WriteCancellations puts the next step of each cancellation into the batch.
+// WriteCancellations writes the next step of each cancellation that this controller drives to the batch,
+// as far as the batch has capacity. It forgets the cancellations of jobs that have ended.
 func (c *Canceller) WriteCancellations(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
@@ -45,7 +46,7 @@
 		case entry == nil || entry.Record.State.IsTerminal():
 			delete(c.requestedAt, id)
 		case !batch.HasCapacity(1):
-			// It goes into a later batch.
+			// The cancellation is written with a later batch.
 		case entry.Record.CancelRequested:
 			if c.canConfirm(id, &entry.Record) {
 				c.writeConfirmation(batch, id)
@@ -59,15 +60,15 @@
 	}
 }
 
-// canConfirm tells whether the second step of a cancellation may be written. A job whose tasks
-// have all completed first is done, not cancelled; its owner records that.
+// canConfirm reports whether the second step of a cancellation may be written. If all tasks of a job
+// complete before that, the job is done and not cancelled. The owner of the job records that.
 func (c *Canceller) canConfirm(id protocol.JobID, record *storage.JobRecord) bool {
 	return c.fullyAcknowledged[id] && c.Replica.CompletedTasks(id).Len() < record.Spec.TaskCount
 }
 
-// canCancelDirectly tells whether a job can be cancelled in one write, without a request before:
-// its tasks are assigned to quiescent machines of this controller only, and no further ones can
-// be, as this controller alone assigns them. The write must depend on the shards of those
+// canCancelDirectly reports whether a job can be cancelled in one write, without a preceding request. This
+// requires that all assigned tasks of the job are on quiescent machines of this controller, and that only
+// this controller can assign further tasks of the job. The write must depend on the shards of those
 // machines (dependOnShards).
 func (c *Canceller) canCancelDirectly(batch *commit.Batch, jobID protocol.JobID) bool {
 	entry := c.Replica.Jobs[jobID]
@@ -89,22 +90,23 @@
 	return true
 }
 
-// dependOnShards makes a batch depend on the shards of all machines with tasks of a job: if one is
-// transferred meanwhile, the transfer is written before the batch, which then fails, or not at all.
+// dependOnShards makes a batch conditional on the revisions of the shards of all machines with tasks of a
+// job. If one of the shards is being transferred, then either the transfer is written first and the batch
+// fails, or the transfer is not written.
 func (c *Canceller) dependOnShards(batch *commit.Batch, jobID protocol.JobID) {
 	for machineID := range c.Replica.MachinesWithJob(jobID) {
 		batch.DependOn(storage.ShardKey(c.Replica.Machines[machineID].Record.Shard))
 	}
 }
 
-// writeIntent puts the first step of a cancellation into the batch.
+// writeIntent writes the first step of a cancellation, the request, to the batch.
 func (c *Canceller) writeIntent(batch *commit.Batch, id protocol.JobID) {
 	record := batch.MutableJob(id)
 	record.CancelRequested = true
 	record.CancelUpdatedAt = c.Now.Wall
 }
 
-// writeConfirmation puts the second step of a cancellation into the batch.
+// writeConfirmation writes the second step of a cancellation, the confirmation, to the batch.
 func (c *Canceller) writeConfirmation(batch *commit.Batch, id protocol.JobID) {
 	record := batch.MutableJob(id)
 	record.State = protocol.JobCancelled
@@ -112,7 +114,7 @@
 	record.CancelUpdatedAt = c.Now.Wall
 }
 
-// ExpireUnwrittenRequests drops requests that could not be written to the store within
+// ExpireUnwrittenRequests forgets requests that could not be recorded in the store within
 // unwrittenRequestTimeout.
 func (c *Canceller) ExpireUnwrittenRequests() {
 	for id, requestedAt := range c.requestedAt {
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -8,8 +8,9 @@
 	"tillerarch/internal/storage"
 )
 
-// A cancellation is confirmed in one write only if no other controller can have a task of the job,
-// and that write depends on the shards of the machines on which its tasks are.
+// TestWriteCancellations checks that a cancellation is confirmed in one write only if no other controller
+// can have a task of the job, and that this write depends on the shards of the machines with tasks of the
+// job.
 func TestWriteCancellations(t *testing.T) {
 	type write int
 	const (
@@ -41,7 +42,7 @@
 			wantShardCondition: true,
 		},
 		{
-			name: "image pulled on a machine of this controller",
+			name: "pulling its image on a machine of this controller",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, nil)
 				f.putOwnedMachine(t, protocol.TaskPullingImage)
@@ -89,25 +90,25 @@
 			wantShardCondition: true,
 		},
 		{
-			name: "assignment of the job under way",
+			name: "transaction that depends on the job in flight",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, nil)
 				batch := f.commit.ShardWriter.NewBatch(8)
 				batch.MutableJob(testJob)
 				f.commit.Committer.SendBatch(batch, 8)
 				if !f.commit.Committer.HasPendingConditionOn(storage.JobKey(testJob)) {
-					t.Fatal("no transaction is under way")
+					t.Fatal("no transaction that depends on the job is in flight, want one")
 				}
 			},
 			wantWrite: intent,
 		},
 		{
-			name:      "request on record, not acknowledged",
+			name:      "request recorded, not acknowledged",
 			setUp:     func(t *testing.T, f *fixture) { f.putJob(t, cancelRequested) },
 			wantWrite: nothing,
 		},
 		{
-			name: "request on record and acknowledged",
+			name: "request recorded and acknowledged",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, cancelRequested)
 				f.canceller.UpdateAcknowledgements()
@@ -154,22 +155,22 @@
 				case entry.Record.State == "" && entry.Record.CancelRequested:
 					got = intent
 				default:
-					t.Fatalf("the record is neither a request nor a confirmation: %+v", entry.Record)
+					t.Fatalf("the written record %+v is neither a request nor a confirmation", entry.Record)
 				}
 				if entry.Record.CancelUpdatedAt != f.Now.Wall {
-					t.Errorf("the record is dated %d, want %d", entry.Record.CancelUpdatedAt, f.Now.Wall)
+					t.Errorf("CancelUpdatedAt = %d, want %d", entry.Record.CancelUpdatedAt, f.Now.Wall)
 				}
 			}
 			if got != test.wantWrite {
-				t.Errorf("write %v, want %v", got, test.wantWrite)
+				t.Errorf("WriteCancellations wrote %v, want %v (0 nothing, 1 request, 2 confirmation)", got, test.wantWrite)
 			}
 			shardUnchanged := protocol.Condition{Key: storage.ShardKey("p"), ModRevision: 2}
 			dependsOnShard := slices.Contains(transaction.Conditions, shardUnchanged)
 			if dependsOnShard != test.wantShardCondition {
-				t.Errorf("depends on the shard: %v, want %v", dependsOnShard, test.wantShardCondition)
+				t.Errorf("transaction depends on the shard: %v, want %v", dependsOnShard, test.wantShardCondition)
 			}
 			if f.canceller.HasRequests() == test.wantRequestForgotten {
-				t.Errorf("request is dropped: %v, want %v", !f.canceller.HasRequests(), test.wantRequestForgotten)
+				t.Errorf("request is forgotten: %v, want %v", !f.canceller.HasRequests(), test.wantRequestForgotten)
 			}
 		})
 	}
--- a/internal/coordination/provisioning/instance_inventory_test.go
+++ b/internal/coordination/provisioning/instance_inventory_test.go
@@ -94,7 +94,7 @@
 		{"old enough", listedInstance{instance: oldInstance}, true},
 		{"too young", listedInstance{instance: youngInstance}, false},
 		{"not in the last list", listedInstance{instance: oldInstance, missedListCount: 1}, false},
-		{"of no type", listedInstance{instance: untypedInstance}, false},
+		{"without a machine type", listedInstance{instance: untypedInstance}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.listed.isAdoptable(); got != test.want {
--- a/internal/coordination/provisioning/provisioner_test.go
+++ b/internal/coordination/provisioning/provisioner_test.go
@@ -22,16 +22,16 @@
 		exhaustedPools []PoolKey
 		wantPools      []string // machine type, and spot or on-demand, of each request
 	}{
-		{"deferrable work takes the cheapest", 4, false, nil, []string{"small spot", "small spot"}},
-		{"and the next only once the cheapest is exhausted", 4, false, []PoolKey{
+		{"deferrable work: only the cheapest pools", 4, false, nil, []string{"small spot", "small spot"}},
+		{"deferrable work: the next pools once the cheapest are exhausted", 4, false, []PoolKey{
 			smallSpotPool, inOtherZone(smallSpotPool),
 		}, []string{"large spot", "large spot"}},
-		{"one zone is left", 4, false, []PoolKey{smallSpotPool}, []string{"small spot"}},
-		{"urgent work takes all", 4, true, nil, []string{
+		{"deferrable work: one zone of the cheapest pools is left", 4, false, []PoolKey{smallSpotPool}, []string{"small spot"}},
+		{"urgent work: all pools", 4, true, nil, []string{
 			"small spot", "small spot", "large spot", "large spot",
 			"small on-demand", "small on-demand", "large on-demand", "large on-demand",
 		}},
-		{"large tasks fit one type", 16, false, nil, []string{"large spot", "large spot"}},
+		{"large tasks fit only one machine type", 16, false, nil, []string{"large spot", "large spot"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -36,14 +36,14 @@
 		setUp          func(*agents.MachineState, *fakePlan)
 		want           scaleInReason
 	}{
-		{name: "boots", record: booting, age: 50_000, ownedFor: 50 * time.Second, isSilent: true, want: scaleInNone},
+		{name: "is booting", record: booting, age: 50_000, ownedFor: 50 * time.Second, isSilent: true, want: scaleInNone},
 		{name: "has not booted in time", record: booting, ownedFor: 41 * time.Second, isSilent: true,
 			want: scaleInNeverBooted},
 		{name: "has not booted in time, and is newly owned", record: booting, ownedFor: 30 * time.Second, isSilent: true,
 			want: scaleInNone},
 		{name: "failed while it booted", record: booting, age: 1000, ownedFor: time.Second,
 			listed: listed(protocol.InstanceFailed, 0), want: scaleInBootFailed},
-		{name: "boots, of an unknown type", record: storage.MachineRecord{MachineType: "gone", Zone: "a"},
+		{name: "is booting, with an unknown machine type", record: storage.MachineRecord{MachineType: "gone", Zone: "a"},
 			ownedFor: time.Hour, isSilent: true, want: scaleInNone},
 		{name: "is listed as failed but sends heartbeats", record: busy, ownedFor: 10 * time.Second,
 			listed: listed(protocol.InstanceFailed, 0), want: scaleInNone},
@@ -73,16 +73,16 @@
 			want: scaleInNone},
 		{name: "a cancelled task does not stop", record: busy, ownedFor: 25 * time.Second, isJobCancelled: true,
 			want: scaleInTaskDoesNotStop},
-		{name: "is idle for a while", record: booted, ownedFor: 20 * time.Second, want: scaleInNone},
-		{name: "is idle for longer", record: booted, ownedFor: 21 * time.Second, want: scaleInIdle},
+		{name: "is idle up to the idle timeout", record: booted, ownedFor: 20 * time.Second, want: scaleInNone},
+		{name: "is idle beyond the idle timeout", record: booted, ownedFor: 21 * time.Second, want: scaleInIdle},
 		{name: "is idle and new", record: booted, age: 21_000, ownedFor: 21 * time.Second, want: scaleInNone},
 		{name: "is idle and kept in reserve", record: booted, ownedFor: 80 * time.Second,
 			setUp: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdleMachine = true }, want: scaleInNone},
 		{name: "is idle and kept in reserve for too long", record: booted, ownedFor: 81 * time.Second,
 			setUp: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsIdleMachine = true }, want: scaleInIdle},
-		{name: "is planned for", record: booted, ownedFor: time.Hour,
+		{name: "is used by the plan", record: booted, ownedFor: time.Hour,
 			setUp: func(_ *agents.MachineState, plan *fakePlan) { plan.retainsMachine = true }, want: scaleInNone},
-		{name: "runs a task that is on no record", record: booted, ownedFor: time.Hour,
+		{name: "runs a task that is not recorded", record: booted, ownedFor: time.Hour,
 			setUp: func(m *agents.MachineState, _ *fakePlan) {
 				m.LatestHeartbeat = &protocol.Heartbeat{Tasks: []protocol.TaskStatus{{State: protocol.TaskRunning}}}
 			}, want: scaleInNone},
