--- a/cmd/tillerarch/agent_calls.go
+++ b/cmd/tillerarch/agent_calls.go
@@ -26,9 +26,9 @@
 	return &agentClients{clients: map[string]*transport.Client{}}
 }
 
-// call sends a request to the agent at addr and returns the heartbeat in the response. An agent
-// that refuses the commands responds with 409 Conflict and also sends its heartbeat.
-func (a *agentClients) call(method, addr, path string, body []byte) (*protocol.Heartbeat, error) {
+// sendRequest sends a request to the agent at addr and returns the heartbeat in the response. An
+// agent that refuses the commands responds with 409 Conflict and also sends its heartbeat.
+func (a *agentClients) sendRequest(method, addr, path string, body []byte) (*protocol.Heartbeat, error) {
 	response, err := a.clientFor(addr).Call(method, path, body, agentTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s at agent %s: %w", method, path, addr, err)
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -72,18 +72,18 @@
 	pendingAdminRequests map[step.RequestID]chan<- step.Effect  // operators' requests that await replies
 	lastRequestID        step.RequestID
 
-	healthy       atomic.Bool
+	isCoreHealthy atomic.Bool
 	lastStepNanos atomic.Int64 // time of the last step, Unix nanoseconds
 }
 
-// serve runs a controller until its server fails, and returns the failure.
-func serve(ctx context.Context, settings *daemonSettings) error {
-	limitProcess(settings.memoryMB)
+// runDaemon runs a controller until its server fails, and returns the failure.
+func runDaemon(ctx context.Context, settings *daemonSettings) error {
+	limitProcessResources(settings.memoryMB)
 	return newDaemon(settings).run(ctx)
 }
 
-// limitProcess limits the processors and the memory that the process uses.
-func limitProcess(memoryMB float64) {
+// limitProcessResources limits the processors and the memory that the process uses.
+func limitProcessResources(memoryMB float64) {
 	runtime.GOMAXPROCS(maxProcs)
 	debug.SetMemoryLimit(int64(memoryMB * memoryLimitFraction * bytesPerMB))
 	debug.SetGCPercent(gcPercent)
@@ -91,8 +91,8 @@
 
 // newDaemon returns a daemon that is not yet running.
 func newDaemon(settings *daemonSettings) *daemon {
-	controllers := float64(len(settings.peerAddrs) + 1)
-	storeLimiter := newRateLimiter(settings.storeRPS/controllers, settings.storeRPS/controllers)
+	controllerCount := float64(len(settings.peerAddrs) + 1)
+	storeLimiter := newRateLimiter(settings.storeRPS/controllerCount, settings.storeRPS/controllerCount)
 	cloudLimiter := newRateLimiter(settings.cloudRPS*cloudRateFraction, settings.cloudRPS)
 	d := &daemon{
 		settings:  settings,
--- a/cmd/tillerarch/daemon_test.go
+++ b/cmd/tillerarch/daemon_test.go
@@ -32,32 +32,32 @@
 // request, or may have carried it out. Only a request that may have been carried out is repeated.
 func TestProvisionMachines(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		status     int
-		body       string
-		machines   []protocol.MachineID
-		noCapacity bool
-		invalid    bool
-		err        string // part of the error's text; empty if no error is expected
+		name           string
+		status         int
+		body           string
+		wantMachines   []protocol.MachineID
+		wantNoCapacity bool
+		wantInvalid    bool
+		wantErr        string // part of the error's text; empty if no error is expected
 	}{
 		{
-			name:     "granted",
-			status:   http.StatusOK,
-			body:     `{"stalls":["m-1","m-2"]}`,
-			machines: []protocol.MachineID{"m-1", "m-2"},
+			name:         "granted",
+			status:       http.StatusOK,
+			body:         `{"stalls":["m-1","m-2"]}`,
+			wantMachines: []protocol.MachineID{"m-1", "m-2"},
 		},
 		{name: "granted none", status: http.StatusOK, body: `{"stalls":[]}`},
-		{name: "invalid name of a machine", status: http.StatusOK, body: `{"stalls":["m-1",""]}`, err: "invalid name"},
-		{name: "malformed grant", status: http.StatusOK, body: `{`, err: "parse granted machines"},
-		{name: "no capacity", status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`, noCapacity: true},
+		{name: "invalid name of a machine", status: http.StatusOK, body: `{"stalls":["m-1",""]}`, wantErr: "invalid name"},
+		{name: "malformed grant", status: http.StatusOK, body: `{`, wantErr: "parse granted machines"},
+		{name: "no capacity", status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`, wantNoCapacity: true},
 		{
-			name:   "unavailable",
-			status: http.StatusServiceUnavailable,
-			body:   `{"error":"busy"}`,
-			err:    "cloud answered 503 busy",
+			name:    "unavailable",
+			status:  http.StatusServiceUnavailable,
+			body:    `{"error":"busy"}`,
+			wantErr: "cloud answered 503 busy",
 		},
-		{name: "invalid request", status: http.StatusBadRequest, body: `{}`, invalid: true},
-		{name: "too many requests", status: http.StatusTooManyRequests, body: `{}`, err: "cloud answered 429"},
+		{name: "invalid request", status: http.StatusBadRequest, body: `{}`, wantInvalid: true},
+		{name: "too many requests", status: http.StatusTooManyRequests, body: `{}`, wantErr: "cloud answered 429"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cloud := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -73,12 +73,12 @@
 			if result.Request.RequestID != "r-1" {
 				t.Errorf(`result has request ID %q, want "r-1"`, result.Request.RequestID)
 			}
-			if !slices.Equal(result.Machines, test.machines) || result.NoCapacity != test.noCapacity || result.Invalid != test.invalid {
+			if !slices.Equal(result.Machines, test.wantMachines) || result.NoCapacity != test.wantNoCapacity || result.Invalid != test.wantInvalid {
 				t.Errorf("machines %v, no capacity %v, invalid %v, want the values of the test case",
 					result.Machines, result.NoCapacity, result.Invalid)
 			}
-			if (result.Err != nil) != (test.err != "") || test.err != "" && !strings.Contains(result.Err.Error(), test.err) {
-				t.Errorf("error %v, want one that contains %q (empty means none)", result.Err, test.err)
+			if (result.Err != nil) != (test.wantErr != "") || test.wantErr != "" && !strings.Contains(result.Err.Error(), test.wantErr) {
+				t.Errorf("error %v, want one that contains %q (empty means none)", result.Err, test.wantErr)
 			}
 		})
 	}
--- a/cmd/tillerarch/effect_calls.go
+++ b/cmd/tillerarch/effect_calls.go
@@ -76,10 +76,10 @@
 		instances, err := d.listInstances()
 		return step.ListInstancesResult{RequestedAt: requestedAt, Instances: instances, Err: err}
 	case step.ProbeAgent:
-		heartbeat, err := d.agents.call(http.MethodGet, effect.Addr, protocol.PathAgentStatus, nil)
+		heartbeat, err := d.agents.sendRequest(http.MethodGet, effect.Addr, protocol.PathAgentStatus, nil)
 		return step.AgentResult{Machine: effect.Machine, Heartbeat: heartbeat, Err: err}
 	case step.SendCommands:
-		heartbeat, err := d.agents.call(http.MethodPost, effect.Addr, protocol.PathAgentCommands, effect.Commands.Encode())
+		heartbeat, err := d.agents.sendRequest(http.MethodPost, effect.Addr, protocol.PathAgentCommands, effect.Commands.Encode())
 		return step.AgentResult{Machine: effect.Machine, Heartbeat: heartbeat, Err: err}
 	}
 	return nil
--- a/cmd/tillerarch/event_loop.go
+++ b/cmd/tillerarch/event_loop.go
@@ -68,7 +68,7 @@
 		for _, effect := range d.core.Step(d.now(), d.assignRequestID(queued)) {
 			d.executeEffect(ctx, effect)
 		}
-		d.healthy.Store(d.core.Healthy())
+		d.isCoreHealthy.Store(d.core.Healthy())
 		d.lastStepNanos.Store(time.Now().UnixNano())
 	}
 }
--- a/cmd/tillerarch/http_requests.go
+++ b/cmd/tillerarch/http_requests.go
@@ -44,7 +44,7 @@
 
 // isHealthy reports whether the core is healthy and the event loop is running.
 func (d *daemon) isHealthy() bool {
-	return d.healthy.Load() && time.Now().UnixNano()-d.lastStepNanos.Load() < int64(maxStepAge)
+	return d.isCoreHealthy.Load() && time.Now().UnixNano()-d.lastStepNanos.Load() < int64(maxStepAge)
 }
 
 // handleHeartbeat queues an agent's heartbeat for the core, or refuses it if the queue is full.
--- a/cmd/tillerarch/main.go
+++ b/cmd/tillerarch/main.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	return serve(ctx, settings)
+	return runDaemon(ctx, settings)
 }
 
 // parseLogLevel returns the log level of a name. The empty name means info.
--- a/cmd/tillerarch/settings.go
+++ b/cmd/tillerarch/settings.go
@@ -80,7 +80,7 @@
 // coreConfig returns the configuration of the core.
 func (p *platformSettings) coreConfig(tuning step.Tuning) step.Config {
 	agents, limits := p.Params.Agents, p.currentLimits()
-	controllers := float64(len(p.Peers) + 1)
+	controllerCount := float64(len(p.Peers) + 1)
 	config := step.Config{
 		ControllerID:      protocol.ControllerID(p.ControllerID),
 		PeerCount:         len(p.Peers),
@@ -95,7 +95,7 @@
 		ValueBytes:        limits.ValueBytes,
 		AnnouncedLimits:   p.announcedLimits(),
 		InstanceListLag:   protocol.Seconds(p.Params.Cloud.ListLagSeconds),
-		MinWatchInterval:  time.Duration(controllers / (watchRateFraction * p.Params.Store.RPS) * float64(time.Second)),
+		MinWatchInterval:  time.Duration(controllerCount / (watchRateFraction * p.Params.Store.RPS) * float64(time.Second)),
 		Seed:              newSeed(p.ControllerID),
 		Tuning:            tuning,
 	}
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -58,7 +58,7 @@
 
 // The error of an invalid setting is one line that names the key.
 func TestSettings(t *testing.T) {
-	for _, test := range []struct{ name, old, new, key string }{
+	for _, test := range []struct{ name, old, new, wantKey string }{
 		{"good", "", "", ""},
 		{"no name", `member = "stall-0"`, ``, "member"},
 		{"two controllers with one name", `"stall-1"`, `"stall-0"`, "members"},
@@ -88,8 +88,8 @@
 				}
 				return
 			}
-			if err == nil || !strings.Contains(err.Error(), test.key) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("error %v, want one line that names %q", err, test.key)
+			if err == nil || !strings.Contains(err.Error(), test.wantKey) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("error %v, want one line that names %q", err, test.wantKey)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 // Valid properties replace the defaults, and the error of an invalid property names its key.
 func TestProperties(t *testing.T) {
 	settingsFile := writeFile(t, "s.toml", validSettings)
-	for _, test := range []struct{ name, text, key string }{
+	for _, test := range []struct{ name, text, wantKey string }{
 		{
 			"good",
 			"spot.window = 90s\nspot.cap=3\nwrite.share: 0.5\n# a comment\n" +
@@ -120,14 +120,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			settings, err := loadSettings(settingsFile, writeFile(t, "p.properties", test.text))
-			if test.key == "" {
+			if test.wantKey == "" {
 				if err != nil || settings.core.SpotPriceWindow != 90*time.Second ||
 					settings.core.MaxSpotMachines != 3 || settings.core.WriteBudgetShare != 0.5 ||
 					!settings.core.RecordTransfers || settings.core.RebalanceDemandWeight != 0.5 || settings.adminListen != "127.0.0.1:8090" {
 					t.Errorf("settings %+v, error %v, want the values of the properties and no error", settings, err)
 				}
-			} else if err == nil || !strings.Contains(err.Error(), test.key) {
-				t.Errorf("%q: error %v, want one that names %q", test.text, err, test.key)
+			} else if err == nil || !strings.Contains(err.Error(), test.wantKey) {
+				t.Errorf("%q: error %v, want one that names %q", test.text, err, test.wantKey)
 			}
 		})
 	}
--- a/cmd/tillerarch/sharding_commands_test.go
+++ b/cmd/tillerarch/sharding_commands_test.go
@@ -94,11 +94,11 @@
 		}
 	}
 	for _, test := range []struct {
-		name string
-		args []string
-		set  func(*fakeBackend)
-		code int
-		want []string // parts of the output or of the error's text
+		name         string
+		args         []string
+		configure    func(*fakeBackend)
+		wantExitCode int
+		wantParts    []string // parts of the output or of the error's text
 	}{
 		{"list", []string{"list"}, nil, 0, []string{"revision 412", "stall-0#7", "51"}},
 		{"list of shards", []string{"list", "--pages"}, nil, 0, []string{"stall-0#7-1", "EPOCH"}},
@@ -163,14 +163,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			backend := newBackend()
-			if test.set != nil {
-				test.set(backend)
+			if test.configure != nil {
+				test.configure(backend)
 			}
 			out, code := runShares(t, backend, test.args...)
-			if code != test.code {
-				t.Errorf("exit code %d, want %d; output %s", code, test.code, out)
+			if code != test.wantExitCode {
+				t.Errorf("exit code %d, want %d; output %s", code, test.wantExitCode, out)
 			}
-			for _, part := range test.want {
+			for _, part := range test.wantParts {
 				if !strings.Contains(out, part) {
 					t.Errorf("output %q, want one that contains %q", out, part)
 				}
--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -53,8 +53,8 @@
 		t.Helper()
 		commonArgs := []string{"shares", "--json", "--admin", cluster.Controllers[2].AdminAddr}
 		out, err := exec.Command(binaryPath, append(commonArgs, args...)...).Output()
-		var exit *exec.ExitError
-		if err != nil && (!errors.As(err, &exit) || exit.ExitCode() != wantExitCode) || err == nil && wantExitCode != 0 {
+		var exitErr *exec.ExitError
+		if err != nil && (!errors.As(err, &exitErr) || exitErr.ExitCode() != wantExitCode) || err == nil && wantExitCode != 0 {
 			t.Fatalf("%v: error %v, want exit code %d; output %s", args, err, wantExitCode, out)
 		}
 		if result != nil {
--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -211,9 +211,9 @@
 // exist.
 func (s *SimulationServer) renewLease(rw http.ResponseWriter, r *http.Request) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
-	isAlive := false
-	s.WithWorld(func(w *simulation.World) { isAlive = err == nil && w.Store.RenewLease(w.Now, protocol.LeaseID(id)) })
-	if !isAlive {
+	isRenewed := false
+	s.WithWorld(func(w *simulation.World) { isRenewed = err == nil && w.Store.RenewLease(w.Now, protocol.LeaseID(id)) })
+	if !isRenewed {
 		writeJSON(rw, http.StatusNotFound, struct{}{})
 		return
 	}
