--- a/internal/coordination/cancellation/forced_scale_in.go
+++ b/internal/coordination/cancellation/forced_scale_in.go
@@ -14,25 +14,26 @@
 const ownerContactTimeout = 5 * time.Second
 
 // The ages of a cancellation from which machines are terminated because of it, as fractions of
-// CancelTimeout. Numerators and denominator are separate so that the products are exact.
+// CancelTimeout. The numerators and the denominator are separate constants so that the products are
+// exact.
 const (
-	silentScaleInFifths = 2
-	stuckScaleInFifths  = 3
-	fifths              = 5
+	silentScaleInNumerator = 2
+	stuckScaleInNumerator  = 3
+	scaleInDenominator     = 5
 )
 
 // silentScaleInAge returns the age of a cancellation from which a silent machine is terminated if it may
 // still run a task of the job. It leaves a slow cloud enough time to terminate the machine before
 // CancelTimeout.
 func (c *Canceller) silentScaleInAge() time.Duration {
-	return c.Config.CancelTimeout * silentScaleInFifths / fifths
+	return c.Config.CancelTimeout * silentScaleInNumerator / scaleInDenominator
 }
 
 // stuckScaleInAge returns the age of a cancellation from which a machine is terminated if it may still
 // run a task of the job, whether or not the machine is silent. It leaves the agent time to stop a task
 // that is only slow to exit.
 func (c *Canceller) stuckScaleInAge() time.Duration {
-	return c.Config.CancelTimeout * stuckScaleInFifths / fifths
+	return c.Config.CancelTimeout * stuckScaleInNumerator / scaleInDenominator
 }
 
 // MustForceScaleIn reports whether an owned machine must be terminated because a task of a cancelled job
--- a/internal/coordination/cancellation/quiescence.go
+++ b/internal/coordination/cancellation/quiescence.go
@@ -6,10 +6,10 @@
 )
 
 // IsMachineQuiescent reports whether on an owned machine no task of a job with a requested cancellation
-// can still start, and no earlier owner can keep one running. To this end, the agent must have shown the
-// fencing token of this ownership, and according to its newest heartbeat the job's tasks must have
-// started or be gone. A task that is still pulling its image would start after the confirmation.
-// A machine whose agent has killed its tasks, or whose termination is confirmed, is quiescent too.
+// can still start, and no earlier owner can keep one running. The agent must have shown the fencing token
+// of this ownership. In addition, either the agent must have killed its tasks, or the job's tasks must
+// have started or be gone according to the agent's newest heartbeat. A task that is still pulling its
+// image would start after the confirmation. A machine whose termination is confirmed is quiescent too.
 func (c *Canceller) IsMachineQuiescent(machineID protocol.MachineID, jobID protocol.JobID) bool {
 	if c.forcedTerminator.IsTerminationConfirmed(machineID) {
 		return true
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -38,7 +38,8 @@
 }
 
 // WriteCancellations writes the next step of each cancellation that this controller drives to the batch,
-// as far as the batch has capacity. It forgets the cancellations of jobs that have ended.
+// as far as the batch has capacity. It forgets the cancellations of jobs that have ended or have no
+// record.
 func (c *Canceller) WriteCancellations(batch *commit.Batch) {
 	for _, id := range step.SortedKeys(c.requestedAt) {
 		entry := c.Replica.Jobs[id]
@@ -91,8 +92,8 @@
 }
 
 // dependOnShards makes a batch conditional on the revisions of the shards of all machines with tasks of a
-// job. If one of the shards is being transferred, then either the transfer is written first and the batch
-// fails, or the transfer is not written.
+// job. If one of the shards is transferred in the meantime, either the transfer is written before the
+// batch, which then fails, or the transfer is not written at all.
 func (c *Canceller) dependOnShards(batch *commit.Batch, jobID protocol.JobID) {
 	for machineID := range c.Replica.MachinesWithJob(jobID) {
 		batch.DependOn(storage.ShardKey(c.Replica.Machines[machineID].Record.Shard))
--- a/internal/coordination/provisioning/instance_inventory.go
+++ b/internal/coordination/provisioning/instance_inventory.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// recordSilentMachines sets the number of owned machines that are silent.
-func (inv *Inventory) recordSilentMachines(count int) { inv.silentMachineCount = count }
+// setSilentMachineCount sets the number of owned machines that are silent.
+func (inv *Inventory) setSilentMachineCount(count int) { inv.silentMachineCount = count }
 
 // isListedAsFailed reports whether the cloud lists a machine as failed.
 func (inv *Inventory) isListedAsFailed(id protocol.MachineID) bool {
--- a/internal/coordination/provisioning/provision_requests.go
+++ b/internal/coordination/provisioning/provision_requests.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// recordGrant stores the granted machines of a request until they have records. The pool counts as
-// exhausted if the cloud granted fewer machines than requested.
+// recordGrant stores the granted machines in a request, which is kept until all of them have records. If
+// the cloud granted fewer machines than requested, the pool counts as exhausted.
 func (p *Provisioner) recordGrant(request *ProvisionRequest, machines []protocol.MachineID) {
 	if len(machines) < request.spec.Count {
 		p.MarkPoolExhausted(request.Pool())
@@ -149,7 +149,7 @@
 	p.Emit(step.ProvisionMachines{Request: spec})
 }
 
-// retryRequests sends the failed requests again that are due.
+// retryRequests sends failed requests again once their retry is due.
 func (p *Provisioner) retryRequests() {
 	for _, request := range p.PendingRequests() {
 		if request.grantedMachines == nil && !request.isInFlight && p.Now.Monotonic >= request.retryAt {
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -23,7 +23,8 @@
 	unknownTypeIdleTimeout = time.Minute
 )
 
-// scaleInReason is the reason for the termination of a machine. The log contains it.
+// scaleInReason is the reason for the termination of a machine. It appears in the log, where operators
+// read it.
 type scaleInReason string
 
 const (
@@ -55,7 +56,7 @@
 // BeginScaleInReview starts a review of all owned machines and discards the decisions of the previous
 // review. silentMachines is the number of owned machines that are silent.
 func (t *Terminator) BeginScaleInReview(silentMachines int) {
-	t.inventory.recordSilentMachines(silentMachines)
+	t.inventory.setSilentMachineCount(silentMachines)
 	t.scaleInQueue = t.scaleInQueue[:0]
 }
 
@@ -118,8 +119,8 @@
 	return scaleInNone
 }
 
-// failureReason returns the reason to terminate a machine that has booted, whether or not it is idle, or
-// scaleInNone.
+// failureReason returns the reason, other than being idle, to terminate a machine that has booted. It
+// returns scaleInNone if there is no such reason.
 func (t *Terminator) failureReason(
 	record *storage.MachineRecord, state *agents.MachineState, isIsolated bool,
 ) scaleInReason {
