--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -301,7 +301,7 @@
 		var heartbeat []byte
 		s.WithWorld(func(*simulation.World) {
 			if !machine.Terminated && !machine.Partitioned {
-				heartbeat = machine.Probe()
+				heartbeat = machine.ReplyToProbe()
 			}
 		})
 		writeAgentReply(rw, r, http.StatusOK, heartbeat)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -13,15 +13,15 @@
 
 // ProvisionMachines executes a provisioning request. A repeated one gets the machines of the first.
 func (w *World) ProvisionMachines(request protocol.ProvisionRequest) []protocol.MachineID {
-	if _, known := w.provisioned[request.RequestID]; !known {
-		w.provisioned[request.RequestID] = nil
+	if _, isRepeated := w.machinesByRequest[request.RequestID]; !isRepeated {
+		w.machinesByRequest[request.RequestID] = nil
 		for i := 0; i < request.Count && len(w.Machines) < maxProvisioned; i++ {
-			boot := time.Duration(500+w.Rand.IntN(4000)) * time.Millisecond
-			id := w.AddMachine(request.Type, request.Zone, request.Spot, boot)
-			w.provisioned[request.RequestID] = append(w.provisioned[request.RequestID], id)
+			bootTime := time.Duration(500+w.Rand.IntN(4000)) * time.Millisecond
+			id := w.AddMachine(request.Type, request.Zone, request.Spot, bootTime)
+			w.machinesByRequest[request.RequestID] = append(w.machinesByRequest[request.RequestID], id)
 		}
 	}
-	return w.provisioned[request.RequestID]
+	return w.machinesByRequest[request.RequestID]
 }
 
 // Instances is the cloud's list, ordered by id.
@@ -38,7 +38,7 @@
 }
 
 // AddMachine adds a machine whose agent begins after the boot time.
-func (w *World) AddMachine(machineType protocol.MachineTypeName, zone protocol.Zone, spot bool, boot time.Duration) protocol.MachineID {
+func (w *World) AddMachine(machineType protocol.MachineTypeName, zone protocol.Zone, spot bool, bootTime time.Duration) protocol.MachineID {
 	w.nextMachineID++
 	id := protocol.MachineID(fmt.Sprintf("m-%06d", w.nextMachineID))
 	m := &Machine{
@@ -52,13 +52,13 @@
 		tasks:           map[protocol.Task]*taskExecution{},
 		cachedImages:    map[string]bool{},
 		controllerIndex: w.Rand.IntN(len(w.Controllers)),
-		leaseRenewedAt:  w.Now + boot,
+		leaseRenewedAt:  w.Now + bootTime,
 	}
 	w.Machines[id] = m
 	if w.OnProvision != nil {
 		w.OnProvision(m)
 	}
-	w.After(boot, func() {
+	w.After(bootTime, func() {
 		m.nextHeartbeatAt = w.Now
 		m.stepUntilTerminated()
 	})
--- a/internal/simulation/compatibility.go
+++ b/internal/simulation/compatibility.go
@@ -44,7 +44,7 @@
 // checkProductionFormat reads a record as the version in production does, but strictly: a
 // field that it does not know would be lost when it writes the record again.
 func checkProductionFormat(key string, data json.RawMessage) error {
-	strict := func(v any) error {
+	decodeStrictly := func(v any) error {
 		d := json.NewDecoder(bytes.NewReader(data))
 		d.DisallowUnknownFields()
 		return d.Decode(v)
@@ -52,13 +52,13 @@
 	switch {
 	case strings.HasPrefix(key, storage.ShardKey("")):
 		var shard productionShard
-		if err := strict(&shard); err != nil {
+		if err := decodeStrictly(&shard); err != nil {
 			return err
 		}
-		return shard.check()
+		return shard.validate()
 	case strings.HasPrefix(key, storage.JobKey("")):
 		var job productionJob
-		if err := strict(&job); err != nil {
+		if err := decodeStrictly(&job); err != nil {
 			return err
 		}
 		if !isIntervalList(job.CompletedTasks) || job.State == "" && len(job.Spec) == 0 {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// check looks at the fields that the version in production reads as text.
-func (s *productionShard) check() error {
+// validate looks at the fields that the version in production reads as text.
+func (s *productionShard) validate() error {
 	const machineFields = 7
 	for _, line := range s.Machines {
 		if len(strings.Split(line, " ")) < machineFields {
@@ -97,11 +97,11 @@
 		if !strings.HasPrefix(operations[i].PutKey, storage.ControllerKey("")) {
 			continue
 		}
-		var old productionController
-		if err := json.Unmarshal(operations[i].Value, &old); err != nil {
+		var productionRecord productionController
+		if err := json.Unmarshal(operations[i].Value, &productionRecord); err != nil {
 			panic(err)
 		}
-		operations[i].Value = protocol.Encode(old)
+		operations[i].Value = protocol.Encode(productionRecord)
 	}
 	transaction.Operations = operations
 	return transaction
@@ -117,15 +117,15 @@
 		c.world.Rules.recordViolation("unreadable", "%s for %s running the production version: %v", key, c.ID, err)
 		return false
 	}
-	isNew := key == storage.FormatKey || strings.HasPrefix(key, storage.TransferKey("")) || strings.HasPrefix(key, storage.DrainKey(""))
-	return !isNew
+	isUnknownInProduction := key == storage.FormatKey || strings.HasPrefix(key, storage.TransferKey("")) || strings.HasPrefix(key, storage.DrainKey(""))
+	return !isUnknownInProduction
 }
 
 // readableEntries are the entries that the controller's version reads.
-func (c *Controller) readableEntries(items []protocol.Entry) (out []protocol.Entry) {
-	for _, i := range items {
-		if c.acceptsRecord(i.Key, i.Value) {
-			out = append(out, i)
+func (c *Controller) readableEntries(entries []protocol.Entry) (out []protocol.Entry) {
+	for _, entry := range entries {
+		if c.acceptsRecord(entry.Key, entry.Value) {
+			out = append(out, entry)
 		}
 	}
 	return out
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -116,7 +116,7 @@
 // keeps all other inputs.
 func (c *Controller) step(input step.Input) {
 	if c.paused {
-		if _, tick := input.(step.Tick); !tick {
+		if _, isTick := input.(step.Tick); !isTick {
 			c.pendingInputs = append(c.pendingInputs, input)
 		}
 		return
@@ -126,8 +126,8 @@
 	if c.world.StepCosts != nil {
 		c.world.StepCosts.add(input, time.Since(startedAt))
 	}
-	for _, e := range effects {
-		c.performEffect(e)
+	for _, effect := range effects {
+		c.performEffect(effect)
 	}
 }
 
@@ -155,8 +155,8 @@
 		c.Remote.DeliverUserRequest(requestType, id, body, reply)
 		return
 	}
-	c.deliverRequest(reply, func(r step.RequestID) step.Input {
-		return step.UserInput{RequestID: r, Type: requestType, Job: id, Body: body}
+	c.deliverRequest(reply, func(requestID step.RequestID) step.Input {
+		return step.UserInput{RequestID: requestID, Type: requestType, Job: id, Body: body}
 	})
 }
 
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -20,12 +20,12 @@
 )
 
 // performEffect carries one effect of the core out.
-func (c *Controller) performEffect(e step.Effect) {
+func (c *Controller) performEffect(effect step.Effect) {
 	w := c.world
 	if w.OnEffect != nil {
-		w.OnEffect(w.Now, c.ID, e)
+		w.OnEffect(w.Now, c.ID, effect)
 	}
-	switch v := e.(type) {
+	switch v := effect.(type) {
 	case step.Reply:
 		c.replyToRequest(v)
 	case requests.TransferReply:
@@ -63,50 +63,50 @@
 	case step.ListInstances:
 		c.listInstances()
 	default:
-		panic(fmt.Sprintf("simulation: unhandled effect %T", e))
+		panic(fmt.Sprintf("simulation: unhandled effect %T", effect))
 	}
 }
 
-func (c *Controller) replyToRequest(v step.Reply) {
-	reply := c.pendingReplies[v.RequestID]
-	delete(c.pendingReplies, v.RequestID)
+func (c *Controller) replyToRequest(effect step.Reply) {
+	reply := c.pendingReplies[effect.RequestID]
+	delete(c.pendingReplies, effect.RequestID)
 	if reply != nil {
-		reply(v.Status, v.Body)
+		reply(effect.Status, effect.Body)
 	}
 }
 
 // replyToOperator hands a reply to the operator who waits for it.
-func (c *Controller) replyToOperator(id step.RequestID, e step.Effect) {
+func (c *Controller) replyToOperator(id step.RequestID, effect step.Effect) {
 	if reply := c.pendingOperatorReplies[id]; reply != nil {
 		delete(c.pendingOperatorReplies, id)
-		reply(e)
+		reply(effect)
 	}
 }
 
-func (c *Controller) traceLog(v step.Log) {
+func (c *Controller) traceLog(effect step.Log) {
 	if c.world.Trace != nil {
-		c.world.Trace(fmt.Sprintf("%8.3f %s %s %v", c.world.Now.Seconds(), c.ID, v.Message, v.Args))
+		c.world.Trace(fmt.Sprintf("%8.3f %s %s %v", c.world.Now.Seconds(), c.ID, effect.Message, effect.Args))
 	}
 }
 
-func (c *Controller) sendPeerStatus(v step.SendPeerStatus) {
+func (c *Controller) sendPeerStatus(effect step.SendPeerStatus) {
 	for _, peer := range c.world.Controllers {
 		if peer == c || c.PeersUnreachable || peer.PeersUnreachable {
 			continue
 		}
 		generation := peer.generation
-		c.world.After(c.world.messageDelay(), func() { peer.stepIfAlive(generation, step.PeerStatusInput(v)) })
+		c.world.After(c.world.messageDelay(), func() { peer.stepIfAlive(generation, step.PeerStatusInput(effect)) })
 	}
 }
 
-func (c *Controller) commit(v step.Commit) {
+func (c *Controller) commit(effect step.Commit) {
 	execute := func() step.Input {
-		status, result := c.world.Store.Commit(c.transactionForVersion(v.Transaction))
-		return step.CommitResult{ID: v.ID, Outcome: commitOutcome(status, result), Result: result}
+		status, result := c.world.Store.Commit(c.transactionForVersion(effect.Transaction))
+		return step.CommitResult{ID: effect.ID, Outcome: commitOutcome(status, result), Result: result}
 	}
 	c.callStore(execute,
-		step.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnknown, Err: errNoReply},
-		step.CommitResult{ID: v.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
+		step.CommitResult{ID: effect.ID, Outcome: storage.OutcomeUnknown, Err: errNoReply},
+		step.CommitResult{ID: effect.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
 }
 
 // commitOutcome is how a controller's store client reads a reply to a transaction.
@@ -128,9 +128,9 @@
 	panic(fmt.Sprintf("simulation: the store replies %d", status))
 }
 
-// readStore calls the store for something that changes nothing but leases. Whatever goes
+// callStoreWithoutCommit calls the store for something that changes nothing but leases. Whatever goes
 // wrong, the controller learns only that there was no reply.
-func (c *Controller) readStore(execute func() step.Input, failed step.Input) {
+func (c *Controller) callStoreWithoutCommit(execute func() step.Input, failed step.Input) {
 	c.callStore(func() step.Input {
 		if c.world.Store.Unavailable {
 			return failed
@@ -141,26 +141,26 @@
 
 func (c *Controller) loadRecords() {
 	store := c.world.Store
-	c.readStore(func() step.Input {
+	c.callStoreWithoutCommit(func() step.Input {
 		entries := c.readableEntries(store.List(storage.KeyPrefix))
 		return step.LoadRecordsResult{Entries: entries, StartRevision: store.revision, EndRevision: store.revision}
 	}, step.LoadRecordsResult{Err: errNoReply})
 }
 
 func (c *Controller) readRevision() {
-	c.readStore(func() step.Input {
+	c.callStoreWithoutCommit(func() step.Input {
 		return step.ReadRevisionResult{Revision: c.world.Store.revision}
 	}, step.ReadRevisionResult{Err: errNoReply})
 }
 
 func (c *Controller) grantLease(ttl time.Duration) {
-	c.readStore(func() step.Input {
+	c.callStoreWithoutCommit(func() step.Input {
 		return step.GrantLeaseResult{LeaseID: c.world.Store.GrantLease(c.world.Now, ttl)}
 	}, step.GrantLeaseResult{Err: errNoReply})
 }
 
 func (c *Controller) renewLease(id protocol.LeaseID) {
-	c.readStore(func() step.Input {
+	c.callStoreWithoutCommit(func() step.Input {
 		if !c.world.Store.RenewLease(c.world.Now, id) {
 			return step.RenewLeaseResult{LeaseID: id, Err: storage.ErrLeaseExpired}
 		}
@@ -171,7 +171,7 @@
 // watchStore asks the store for changes every few milliseconds until there are some or the
 // request's time is up. While the store cannot be reached an open request hangs for a while
 // longer.
-func (c *Controller) watchStore(generation int, from protocol.Revision, until time.Duration) {
+func (c *Controller) watchStore(generation int, afterRevision protocol.Revision, deadline time.Duration) {
 	const unreachableGrace = 2 * time.Second
 	w := c.world
 	w.After(time.Duration(2+w.Rand.IntN(20))*time.Millisecond, func() {
@@ -179,72 +179,72 @@
 			return
 		}
 		if c.StoreUnreachable || c.RefusedByStore || w.Store.Unavailable {
-			if w.Now > until+unreachableGrace {
-				c.step(step.WatchResult{AfterRevision: from, Err: errNoReply})
+			if w.Now > deadline+unreachableGrace {
+				c.step(step.WatchResult{AfterRevision: afterRevision, Err: errNoReply})
 				return
 			}
-			c.watchStore(generation, from, until)
+			c.watchStore(generation, afterRevision, deadline)
 			return
 		}
-		response, compacted := w.Store.Watch(storage.KeyPrefix, from)
+		response, compacted := w.Store.Watch(storage.KeyPrefix, afterRevision)
 		switch {
 		case compacted:
-			c.step(step.WatchResult{AfterRevision: from, Err: storage.ErrRevisionTooOld})
-		case len(response.Events) > 0 || w.Now > until:
+			c.step(step.WatchResult{AfterRevision: afterRevision, Err: storage.ErrRevisionTooOld})
+		case len(response.Events) > 0 || w.Now > deadline:
 			response.Events = c.readableEvents(response.Events)
-			c.step(step.WatchResult{AfterRevision: from, Response: &response})
+			c.step(step.WatchResult{AfterRevision: afterRevision, Response: &response})
 		default:
-			c.watchStore(generation, from, until)
+			c.watchStore(generation, afterRevision, deadline)
 		}
 	})
 }
 
-func (c *Controller) probeAgent(v step.ProbeAgent) {
+func (c *Controller) probeAgent(effect step.ProbeAgent) {
 	c.callService(c.AgentsUnreachable, agentTimeout, func() step.Input {
-		m := c.reachableMachine(v.Machine)
+		m := c.reachableMachine(effect.Machine)
 		if m == nil || m.Partitioned || m.hung {
 			return nil
 		}
 		heartbeat, err := protocol.ParseHeartbeat(m.nextHeartbeat())
-		return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
-	}, step.AgentResult{Machine: v.Machine, Err: errNoReply})
+		return step.AgentResult{Machine: effect.Machine, Heartbeat: heartbeat, Err: err}
+	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
 // sendCommands sends direct commands to an agent. One on a hung machine executes them when the
 // machine resumes, if token and agent epoch still match; of a machine that loses the network
 // only the reply is lost.
-func (c *Controller) sendCommands(v step.SendCommands) {
+func (c *Controller) sendCommands(effect step.SendCommands) {
 	if rate := c.world.DelayedCommandRate; rate > 0 && c.world.Rand.Float64() < rate {
-		c.delayCommands(v)
+		c.delayCommands(effect)
 		return
 	}
 	c.callService(c.AgentsUnreachable, agentTimeout, func() step.Input {
-		m := c.reachableMachine(v.Machine)
+		m := c.reachableMachine(effect.Machine)
 		if m == nil {
 			return nil
 		}
 		if m.hung {
-			m.deferredCommands = append(m.deferredCommands, func() { m.ExecuteCommands(v.Commands) })
+			m.deferredCommands = append(m.deferredCommands, func() { m.ExecuteCommands(effect.Commands) })
 			return nil
 		}
-		_, body := m.ExecuteCommands(v.Commands)
+		_, body := m.ExecuteCommands(effect.Commands)
 		if m.Partitioned {
 			return nil
 		}
 		heartbeat, err := protocol.ParseHeartbeat(body)
-		return step.AgentResult{Machine: v.Machine, Heartbeat: heartbeat, Err: err}
-	}, step.AgentResult{Machine: v.Machine, Err: errNoReply})
+		return step.AgentResult{Machine: effect.Machine, Heartbeat: heartbeat, Err: err}
+	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
 // delayCommands executes direct commands seconds late, whatever their sender has become
 // meanwhile. Nobody replies.
-func (c *Controller) delayCommands(command step.SendCommands) {
+func (c *Controller) delayCommands(effect step.SendCommands) {
 	w := c.world
 	c.executeWithoutReply(time.Duration(2000+w.Rand.IntN(14000))*time.Millisecond, agentTimeout, func() {
-		if m := w.Machines[command.Machine]; m != nil && !m.Terminated {
-			m.ExecuteCommands(command.Commands)
+		if m := w.Machines[effect.Machine]; m != nil && !m.Terminated {
+			m.ExecuteCommands(effect.Commands)
 		}
-	}, step.AgentResult{Machine: command.Machine, Err: errNoReply})
+	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
 // reachableMachine is a machine that the controller's calls reach; nil if they do not.
--- a/internal/simulation/free_capacity.go
+++ b/internal/simulation/free_capacity.go
@@ -46,15 +46,15 @@
 				free.cores, free.memoryGB = w.MachineTypes[i].Cores, w.MachineTypes[i].MemoryGB
 			}
 		}
-		for t, execution := range m.tasks {
+		for task, execution := range m.tasks {
 			if execution.state == protocol.TaskExited {
 				continue
 			}
-			job := w.Jobs[t.Job]
+			job := w.Jobs[task.Job]
 			free.cores -= job.Cores
 			free.memoryGB -= job.MemoryGB
 			usage.coresByTeam[job.Team] += job.Cores
-			usage.placedTasks[t] = true
+			usage.placedTasks[task] = true
 		}
 		if m.preemptAt == 0 && !m.Faulty {
 			usage.freeCapacities = append(usage.freeCapacities, free)
@@ -83,16 +83,16 @@
 			pending++
 		}
 	}
-	need := 1
+	tasksNeeded := 1
 	if job.IsGang() {
-		need = pending
+		tasksNeeded = pending
 	}
-	limit := w.Rules.QuotaLimits[job.Team]
-	withinQuota := limit == 0 || usage.coresByTeam[job.Team]+float64(need)*job.Cores <= limit+capacityTolerance
-	capacity := 0
+	maxCores := w.Rules.QuotaLimits[job.Team]
+	withinQuota := maxCores == 0 || usage.coresByTeam[job.Team]+float64(tasksNeeded)*job.Cores <= maxCores+capacityTolerance
+	tasksThatFit := 0
 	for _, free := range usage.freeCapacities {
-		capacity += free.tasksThatFit(job)
+		tasksThatFit += free.tasksThatFit(job)
 	}
-	zonesAreSimple := (need == 1 || !job.SingleZone && !job.SpreadZones) && (!job.SpreadZones || job.TaskCount == 1)
-	return pending > 0 && withinQuota && capacity >= need && zonesAreSimple
+	zonesAreSimple := (tasksNeeded == 1 || !job.SingleZone && !job.SpreadZones) && (!job.SpreadZones || job.TaskCount == 1)
+	return pending > 0 && withinQuota && tasksThatFit >= tasksNeeded && zonesAreSimple
 }
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -17,20 +17,20 @@
 // updateGangs starts gangs all of whose tasks are ready, and ends tasks whose gang has lost
 // one.
 func (m *Machine) updateGangs() {
-	for _, t := range m.sortedTasks() {
-		execution, job := m.tasks[t], m.world.Jobs[t.Job]
+	for _, task := range m.sortedTasks() {
+		execution, job := m.tasks[task], m.world.Jobs[task.Job]
 		if job == nil || !job.IsGang() {
 			continue
 		}
 		switch execution.state {
 		case protocol.TaskAwaitingGang:
-			members := m.world.gangMembers(t.Job, execution.attempt)
+			members := m.world.gangMembers(task.Job, execution.attempt)
 			if len(members) == job.TaskCount && allAwaitGang(members) {
 				m.world.startGang(job, members)
 			}
 		case protocol.TaskRunning:
-			if len(m.world.gangMembers(t.Job, execution.attempt)) < job.TaskCount {
-				m.endTask(t, execution, "mates_gone")
+			if len(m.world.gangMembers(task.Job, execution.attempt)) < job.TaskCount {
+				m.endTask(task, execution, "mates_gone")
 			}
 		}
 	}
@@ -43,9 +43,9 @@
 }
 
 func (w *World) startGang(job *protocol.Job, members []gangMember) {
-	end := w.Now + protocol.Seconds(job.EstimatedRunSeconds)
+	endsAt := w.Now + protocol.Seconds(job.EstimatedRunSeconds)
 	for _, member := range members {
-		member.execution.stateEndsAt = end
+		member.execution.stateEndsAt = endsAt
 		member.machine.setState(member.task, member.execution, protocol.TaskRunning)
 	}
 }
@@ -53,16 +53,16 @@
 // gangMembers lists the tasks of an attempt that are on machines, or done there, in the order
 // of their machines.
 func (w *World) gangMembers(id protocol.JobID, attempt protocol.Attempt) (members []gangMember) {
-	for _, machine := range slices.Sorted(maps.Keys(w.Machines)) {
-		m := w.Machines[machine]
+	for _, machineID := range slices.Sorted(maps.Keys(w.Machines)) {
+		m := w.Machines[machineID]
 		if m.Terminated {
 			continue
 		}
-		for _, t := range m.sortedTasks() {
-			execution := m.tasks[t]
-			gone := execution.state == protocol.TaskExited && execution.reason != protocol.ReasonDone
-			if t.Job == id && execution.attempt == attempt && !gone {
-				members = append(members, gangMember{machine: m, task: t, execution: execution})
+		for _, task := range m.sortedTasks() {
+			execution := m.tasks[task]
+			exitedUndone := execution.state == protocol.TaskExited && execution.reason != protocol.ReasonDone
+			if task.Job == id && execution.attempt == attempt && !exitedUndone {
+				members = append(members, gangMember{machine: m, task: task, execution: execution})
 			}
 		}
 	}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -54,11 +54,11 @@
 
 // newFixedWorld is a deployment with the given number of small machines in zone a; the cloud
 // has no more, and none is scaled in for being idle.
-func newFixedWorld(seed uint64, controllers, machines int) *World {
+func newFixedWorld(seed uint64, controllers, machineCount int) *World {
 	w := NewWorld(seed, controllers, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
 	w.restartWithConfig(func(config *step.Config) { config.IdleTimeoutFactor = 100 })
-	w.addSmallMachines(machines, "a")
+	w.addSmallMachines(machineCount, "a")
 	return w
 }
 
@@ -125,13 +125,13 @@
 	return ids
 }
 
-func newMixedJob(w *World, i int) *protocol.Job {
+func newMixedJob(w *World, index int) *protocol.Job {
 	job := &protocol.Job{
-		ID: protocol.JobID(fmt.Sprintf("j-%06d", i)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
+		ID: protocol.JobID(fmt.Sprintf("j-%06d", index)), Class: "l", Team: "core", Kind: protocol.KindArray, Priority: "standard",
 		TaskCount: 1 + w.Rand.IntN(12), Cores: 2, MemoryGB: 1,
-		Image: fmt.Sprintf("img-%d", i%3), ImageGB: 1, AllowSpot: i%2 == 0, EstimatedRunSeconds: 6,
+		Image: fmt.Sprintf("img-%d", index%3), ImageGB: 1, AllowSpot: index%2 == 0, EstimatedRunSeconds: 6,
 	}
-	switch i % 6 {
+	switch index % 6 {
 	case 1: // a gang of one task that needs a whole large machine
 		job.Kind, job.Priority, job.TaskCount, job.Cores = protocol.KindGang, "high", 1, 30
 	case 2: // a gang in one zone, with checkpoints
@@ -158,22 +158,22 @@
 
 // runningJobs lists the jobs of which a task is on a machine, in order.
 func (w *World) runningJobs() []protocol.JobID {
-	placed := map[protocol.JobID]bool{}
+	isPlaced := map[protocol.JobID]bool{}
 	for _, m := range w.Machines {
-		for t, execution := range m.tasks {
+		for task, execution := range m.tasks {
 			if !m.Terminated && execution.state != protocol.TaskExited {
-				placed[t.Job] = true
+				isPlaced[task.Job] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(placed))
+	return slices.Sorted(maps.Keys(isPlaced))
 }
 
 // cancelRunningJobs lets users cancel up to n jobs that run.
-func (w *World) cancelRunningJobs(n int) {
+func (w *World) cancelRunningJobs(limit int) {
 	for _, id := range w.runningJobs() {
-		if observed := w.Rules.job(id); n > 0 && observed.accepted && !observed.cancelRequested {
-			n--
+		if observed := w.Rules.job(id); limit > 0 && observed.accepted && !observed.cancelRequested {
+			limit--
 			w.After(time.Duration(w.Rand.IntN(200))*time.Millisecond, func() { w.Cancel(id) })
 		}
 	}
@@ -184,8 +184,8 @@
 func (w *World) queryRepeatedly(id protocol.JobID) {
 	body := protocol.Encode(w.Jobs[id])
 	for _, controller := range w.Controllers {
-		for _, after := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 8 * time.Millisecond, 30 * time.Millisecond} {
-			w.After(after, func() {
+		for _, delay := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, 8 * time.Millisecond, 30 * time.Millisecond} {
+			w.After(delay, func() {
 				w.SendUserRequestTo(controller, protocol.RequestQuery, id, nil, func(int, protocol.JobState) {})
 				w.SendUserRequestTo(controller, protocol.RequestSubmit, id, body, func(int, protocol.JobState) {})
 			})
@@ -308,15 +308,15 @@
 
 // partitionMachineBetween partitions a machine, if there is one of that id by then.
 func (w *World) partitionMachineBetween(from, to time.Duration, id protocol.MachineID) {
-	set := func(partitioned bool) func() {
+	setPartitioned := func(partitioned bool) func() {
 		return func() {
 			if m := w.Machines[id]; m != nil {
 				m.Partitioned = partitioned
 			}
 		}
 	}
-	w.After(from, set(true))
-	w.After(to, set(false))
+	w.After(from, setPartitioned(true))
+	w.After(to, setPartitioned(false))
 }
 
 // partitionZone cuts a zone off, with a controller in it, from the store, the other controllers
@@ -389,9 +389,9 @@
 // checkRules checks that no rule is broken; it shows the first violations.
 func checkRules(t *testing.T, w *World, seed uint64) {
 	t.Helper()
-	const shown = 5
-	if n := len(w.Rules.Violations); n > 0 {
-		t.Errorf("seed %d: %d rules broken:\n%s", seed, n, strings.Join(w.Rules.Violations[:min(shown, n)], "\n"))
+	const maxShown = 5
+	if count := len(w.Rules.Violations); count > 0 {
+		t.Errorf("seed %d: %d rules broken:\n%s", seed, count, strings.Join(w.Rules.Violations[:min(maxShown, count)], "\n"))
 	}
 }
 
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -57,7 +57,7 @@
 // ApplyRevision applies all changes of one revision and checks what they lead to.
 func (h *HistoryChecker) ApplyRevision(revision protocol.Revision, changes []protocol.Event) {
 	h.Revisions++
-	before := map[storage.ShardID]storage.ShardSummary{}
+	shardsBefore := map[storage.ShardID]storage.ShardSummary{}
 	changedMachines := map[protocol.MachineID]bool{}
 	var transfers []storage.TransferRecord
 	for _, change := range changes {
@@ -65,7 +65,7 @@
 		if strings.HasPrefix(key, storage.ControllerKey("")) {
 			h.applyController(revision, key, change.Value)
 		} else if id, ok := strings.CutPrefix(key, storage.ShardKey("")); ok {
-			before[storage.ShardID(id)] = h.shards[storage.ShardID(id)]
+			shardsBefore[storage.ShardID(id)] = h.shards[storage.ShardID(id)]
 			h.applyShard(revision, storage.ShardID(id), change.Value, changedMachines)
 		} else if strings.HasPrefix(change.PutKey, storage.TransferKey("")) {
 			if record, ok := h.applyTransfer(revision, change.PutKey, change.Value); ok {
@@ -77,7 +77,7 @@
 		h.checkMachineOwner(revision, id)
 	}
 	for _, record := range transfers {
-		h.checkOwnershipChange(revision, record, before)
+		h.checkOwnershipChange(revision, record, shardsBefore)
 	}
 }
 
@@ -98,9 +98,9 @@
 
 // applyShard replaces what a shard lists; data is empty if it is deleted.
 func (h *HistoryChecker) applyShard(revision protocol.Revision, id storage.ShardID, data json.RawMessage, changedMachines map[protocol.MachineID]bool) {
-	for _, m := range h.shards[id].Machines {
-		changedMachines[m] = true
-		delete(h.shardsByMachine[m], id)
+	for _, machine := range h.shards[id].Machines {
+		changedMachines[machine] = true
+		delete(h.shardsByMachine[machine], id)
 	}
 	delete(h.shards, id)
 	if len(data) == 0 {
@@ -112,12 +112,12 @@
 		return
 	}
 	h.shards[id] = shard
-	for _, m := range shard.Machines {
-		changedMachines[m] = true
-		if h.shardsByMachine[m] == nil {
-			h.shardsByMachine[m] = map[storage.ShardID]bool{}
+	for _, machine := range shard.Machines {
+		changedMachines[machine] = true
+		if h.shardsByMachine[machine] == nil {
+			h.shardsByMachine[machine] = map[storage.ShardID]bool{}
 		}
-		h.shardsByMachine[m][id] = true
+		h.shardsByMachine[machine][id] = true
 	}
 }
 
@@ -141,7 +141,7 @@
 		}
 		h.lastOwners[id] = storage.ShardSummary{Owner: current.Owner, Epoch: current.Epoch}
 		epoch := machineEpoch{machine: id, epoch: current.Epoch}
-		if other, known := h.ownersByEpoch[epoch]; known && other != current.Owner {
+		if other, hasOwner := h.ownersByEpoch[epoch]; hasOwner && other != current.Owner {
 			h.recordViolation(revision, "machine %s has two owners in epoch %d: %s, %s", id, current.Epoch, other, current.Owner)
 		}
 		h.ownersByEpoch[epoch] = current.Owner
@@ -195,19 +195,19 @@
 }
 
 // checkOwnershipChange checks that a transfer is committed together with its shard's new owner.
-func (h *HistoryChecker) checkOwnershipChange(revision protocol.Revision, record storage.TransferRecord, before map[storage.ShardID]storage.ShardSummary) {
+func (h *HistoryChecker) checkOwnershipChange(revision protocol.Revision, record storage.TransferRecord, shardsBefore map[storage.ShardID]storage.ShardSummary) {
 	if record.Phase != storage.TransferCommitted {
 		return
 	}
-	old, changed := before[record.Shard]
-	if !changed || old.Owner != record.Source || h.shards[record.Shard].Owner != record.Target {
+	shardBefore, hasChanged := shardsBefore[record.Shard]
+	if !hasChanged || shardBefore.Owner != record.Source || h.shards[record.Shard].Owner != record.Target {
 		h.recordViolation(revision, "transfer %q is committed, its shard went from %q to %q",
-			record.Name, old.Owner, h.shards[record.Shard].Owner)
+			record.Name, shardBefore.Owner, h.shards[record.Shard].Owner)
 		return
 	}
-	for _, m := range old.Machines {
-		if len(h.shardsByMachine[m]) == 0 {
-			h.recordViolation(revision, "machine %s left the records with transfer %q", m, record.Name)
+	for _, machine := range shardBefore.Machines {
+		if len(h.shardsByMachine[machine]) == 0 {
+			h.recordViolation(revision, "machine %s left the records with transfer %q", machine, record.Name)
 		}
 	}
 	h.ShardsTransferred++
@@ -237,9 +237,9 @@
 // AddTransferRecordHook calls a callback for each record of a transfer that is written, within the
 // write and after the checker. Setting Store.OnRevision to the checker alone ends that.
 func (w *World) AddTransferRecordHook(callback func(storage.TransferRecord)) {
-	before := w.Store.OnRevision
+	previousHook := w.Store.OnRevision
 	w.Store.OnRevision = func(revision protocol.Revision, events []protocol.Event) {
-		before(revision, events)
+		previousHook(revision, events)
 		for _, event := range events {
 			var record storage.TransferRecord
 			if strings.HasPrefix(event.PutKey, storage.TransferKey("")) && json.Unmarshal(event.Value, &record) == nil {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -99,13 +99,13 @@
 		Tasks:        []protocol.TaskStatus{},
 	}
 	if m.preemptAt > 0 {
-		left := (m.preemptAt - m.world.Now).Seconds()
-		heartbeat.PreemptionNoticeSeconds = &left
+		secondsLeft := (m.preemptAt - m.world.Now).Seconds()
+		heartbeat.PreemptionNoticeSeconds = &secondsLeft
 	}
-	for _, t := range m.sortedTasks() {
-		execution := m.tasks[t]
+	for _, task := range m.sortedTasks() {
+		execution := m.tasks[task]
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
-			Task:          t,
+			Task:          task,
 			Attempt:       execution.attempt,
 			State:         execution.state,
 			Reason:        execution.reason,
@@ -116,51 +116,51 @@
 }
 
 func (m *Machine) sortedTasks() []protocol.Task {
-	out := make([]protocol.Task, 0, len(m.tasks))
-	for t := range m.tasks {
-		out = append(out, t)
+	tasks := make([]protocol.Task, 0, len(m.tasks))
+	for task := range m.tasks {
+		tasks = append(tasks, task)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].String() < out[k].String() })
-	return out
+	sort.Slice(tasks, func(i, k int) bool { return tasks[i].String() < tasks[k].String() })
+	return tasks
 }
 
 // setState changes a task's state and tells the rules when it begins or ends to run.
-func (m *Machine) setState(t protocol.Task, execution *taskExecution, state protocol.TaskState) {
+func (m *Machine) setState(task protocol.Task, execution *taskExecution, state protocol.TaskState) {
 	wasRunning, isRunning := countsAsRunning(execution.state), countsAsRunning(state)
 	execution.state = state
 	m.hasUnreportedChange = true
 	switch {
 	case isRunning && !wasRunning:
-		m.world.Rules.RecordTaskStart(m.world.Now, t, m.ID, m.Type, m.Zone, m.Spot)
+		m.world.Rules.RecordTaskStart(m.world.Now, task, m.ID, m.Type, m.Zone, m.Spot)
 	case wasRunning && !isRunning:
-		m.recordTaskEnd(t, execution.reason == protocol.ReasonDone)
+		m.recordTaskEnd(task, execution.reason == protocol.ReasonDone)
 	}
 }
 
-func (m *Machine) recordTaskEnd(t protocol.Task, done bool) {
-	m.world.Rules.RecordTaskEnd(t, done)
+func (m *Machine) recordTaskEnd(task protocol.Task, done bool) {
+	m.world.Rules.RecordTaskEnd(task, done)
 	if !done {
 		return
 	}
-	m.world.handleTaskDone(t.Job)
-	if job := m.world.Jobs[t.Job]; job.IsGang() { // if one task of a gang is done, all are
+	m.world.handleTaskDone(task.Job)
+	if job := m.world.Jobs[task.Job]; job.IsGang() { // if one task of a gang is done, all are
 		for index := range job.TaskCount {
-			m.world.Rules.job(t.Job).completedTasks[index] = true
+			m.world.Rules.job(task.Job).completedTasks[index] = true
 		}
 	}
 }
 
-func (m *Machine) endTask(t protocol.Task, execution *taskExecution, reason protocol.Reason) {
+func (m *Machine) endTask(task protocol.Task, execution *taskExecution, reason protocol.Reason) {
 	execution.reason = reason
-	m.setState(t, execution, protocol.TaskExited)
+	m.setState(task, execution, protocol.TaskExited)
 }
 
 // killTasks ends and forgets all tasks.
 func (m *Machine) killTasks() {
-	for _, t := range m.sortedTasks() {
-		execution := m.tasks[t]
+	for _, task := range m.sortedTasks() {
+		execution := m.tasks[task]
 		if execution.state != protocol.TaskExited {
-			m.endTask(t, execution, "killed")
+			m.endTask(task, execution, "killed")
 		}
 	}
 	m.tasks = map[protocol.Task]*taskExecution{}
@@ -178,27 +178,27 @@
 // nobody has seen them end: for placing them elsewhere they have ended, since they cannot go
 // on; for a confirmed cancellation they have not.
 func (m *Machine) recordLingeringTasks() {
-	for t, execution := range m.tasks {
+	for task, execution := range m.tasks {
 		if countsAsRunning(execution.state) {
-			m.world.Rules.lingeringTasks[t] = location{machine: m.ID, zone: m.Zone}
+			m.world.Rules.lingeringTasks[task] = location{machine: m.ID, zone: m.Zone}
 		}
 	}
 }
 
 // clearLingeringTasks ends what recordLingeringTasks noted: the machine resumes or is gone.
 func (m *Machine) clearLingeringTasks() {
-	for t, place := range m.world.Rules.lingeringTasks {
+	for task, place := range m.world.Rules.lingeringTasks {
 		if place.machine == m.ID {
-			delete(m.world.Rules.lingeringTasks, t)
+			delete(m.world.Rules.lingeringTasks, task)
 		}
 	}
 }
 
 // Hang lets the machine stand still for a while: its tasks and its agent do nothing, commands
 // to it wait. Its lease expires all the same.
-func (m *Machine) Hang(d time.Duration) {
+func (m *Machine) Hang(duration time.Duration) {
 	m.hung = true
-	m.world.After(d, func() {
+	m.world.After(duration, func() {
 		m.hung = false
 		m.clearLingeringTasks()
 		deferred := m.deferredCommands
@@ -221,10 +221,10 @@
 	if m.hung {
 		return
 	}
-	for _, t := range m.sortedTasks() {
-		execution := m.tasks[t]
+	for _, task := range m.sortedTasks() {
+		execution := m.tasks[task]
 		if execution.state != protocol.TaskExited && now >= execution.stateEndsAt {
-			m.enterNextState(t, execution)
+			m.enterNextState(task, execution)
 		}
 	}
 	if m.awaitingReply && now-m.heartbeatSentAt > replyTimeout {
@@ -250,44 +250,44 @@
 }
 
 // enterNextState takes a task whose state has lasted its time to the next one.
-func (m *Machine) enterNextState(t protocol.Task, execution *taskExecution) {
-	job := m.world.Jobs[t.Job]
+func (m *Machine) enterNextState(task protocol.Task, execution *taskExecution) {
+	job := m.world.Jobs[task.Job]
 	switch execution.state {
 	case protocol.TaskPullingImage:
 		m.cachedImages[job.Image] = true
 		switch {
-		case m.world.Rules.job(t.Job).completedTasks[t.Index]: // its result is there from an earlier attempt
-			m.endTask(t, execution, protocol.ReasonDone)
+		case m.world.Rules.job(task.Job).completedTasks[task.Index]: // its result is there from an earlier attempt
+			m.endTask(task, execution, protocol.ReasonDone)
 		case job.IsGang():
 			execution.stateEndsAt = m.world.Now + m.world.GangStartTimeout
-			m.setState(t, execution, protocol.TaskAwaitingGang)
+			m.setState(task, execution, protocol.TaskAwaitingGang)
 		default:
-			m.startTask(t, execution, job)
+			m.startTask(task, execution, job)
 		}
 	case protocol.TaskAwaitingGang:
-		m.endTask(t, execution, "alone")
+		m.endTask(task, execution, "alone")
 	case protocol.TaskRunning:
 		if m.Faulty || job.Class == failingClass {
-			m.endTask(t, execution, protocol.ReasonError)
+			m.endTask(task, execution, protocol.ReasonError)
 		} else {
-			m.endTask(t, execution, protocol.ReasonDone)
+			m.endTask(task, execution, protocol.ReasonDone)
 		}
 	case protocol.TaskSaving:
 		execution.progressSaved = true
 		m.world.SavedTaskCounts[job.ID]++
-		m.endTask(t, execution, "stopped")
+		m.endTask(task, execution, "stopped")
 	}
 }
 
 // startTask lets a task run for half to one and a half times its estimate; a replica that
 // does not fail runs until it is stopped.
-func (m *Machine) startTask(t protocol.Task, execution *taskExecution, job *protocol.Job) {
+func (m *Machine) startTask(task protocol.Task, execution *taskExecution, job *protocol.Job) {
 	runTime := job.EstimatedRunSeconds * (0.5 + m.world.Rand.Float64())
 	execution.stateEndsAt = m.world.Now + time.Duration(runTime*float64(time.Second))
 	if job.IsService() && job.Class != failingClass && job.Class != exitingClass && !m.Faulty {
 		execution.stateEndsAt = stateNeverEnds
 	}
-	m.setState(t, execution, protocol.TaskRunning)
+	m.setState(task, execution, protocol.TaskRunning)
 }
 
 func (m *Machine) sendHeartbeat() {
@@ -365,8 +365,8 @@
 	}
 }
 
-// Probe is the agent's reply to a probe: its heartbeat.
-func (m *Machine) Probe() []byte { return m.nextHeartbeat() }
+// ReplyToProbe is the agent's reply to a probe: its heartbeat.
+func (m *Machine) ReplyToProbe() []byte { return m.nextHeartbeat() }
 
 // ExecuteCommands executes direct commands, unless they are of an earlier owner or for an
 // earlier epoch of the agent. It returns the status and the agent's heartbeat.
@@ -446,11 +446,11 @@
 }
 
 func (m *Machine) coresInUse(except protocol.Task) float64 {
-	sum := 0.0
-	for t, execution := range m.tasks {
-		if t != except && execution.state != protocol.TaskExited {
-			sum += m.world.Jobs[t.Job].Cores
+	cores := 0.0
+	for task, execution := range m.tasks {
+		if task != except && execution.state != protocol.TaskExited {
+			cores += m.world.Jobs[task.Job].Cores
 		}
 	}
-	return sum
+	return cores
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -8,14 +8,14 @@
 
 // messageDelay is what a message takes. One in fifty takes up to 0.3 s longer.
 func (w *World) messageDelay() time.Duration {
-	d := time.Duration(1+w.Rand.IntN(8)) * time.Millisecond
+	delay := time.Duration(1+w.Rand.IntN(8)) * time.Millisecond
 	if w.MaxNetworkDelay > 0 {
-		d += time.Duration(w.Rand.Int64N(int64(w.MaxNetworkDelay)))
+		delay += time.Duration(w.Rand.Int64N(int64(w.MaxNetworkDelay)))
 	}
 	if w.Rand.Float64() < 0.02 {
-		d += time.Duration(w.Rand.IntN(300)) * time.Millisecond
+		delay += time.Duration(w.Rand.IntN(300)) * time.Millisecond
 	}
-	return d
+	return delay
 }
 
 // isPartitioned reports whether the border of a cut-off zone lies between a controller and a
@@ -34,22 +34,22 @@
 // gets one input in all, unless its process has ended. execute returns nil for no reply.
 func (c *Controller) callService(unreachable bool, timeout time.Duration, execute func() step.Input, timeoutInput step.Input) {
 	w, generation := c.world, c.generation
-	answered := false
+	isDelivered := false
 	deliver := func(input step.Input) {
-		if !answered && c.Alive && c.generation == generation {
-			answered = true
+		if !isDelivered && c.Alive && c.generation == generation {
+			isDelivered = true
 			c.step(input)
 		}
 	}
 	w.After(timeout, func() { deliver(timeoutInput) })
-	d := w.messageDelay()
+	delay := w.messageDelay()
 	if unreachable || w.Rand.Float64() < w.MessageLossRate {
 		if w.Rand.IntN(2) == 0 {
 			return // never arrives
 		}
-		d = timeout + time.Duration(w.Rand.IntN(8000))*time.Millisecond // arrives when nobody waits any more
+		delay = timeout + time.Duration(w.Rand.IntN(8000))*time.Millisecond // arrives when nobody waits any more
 	}
-	w.After(d, func() {
+	w.After(delay, func() {
 		input := execute()
 		if input != nil && !unreachable && w.Rand.Float64() >= w.MessageLossRate {
 			w.After(w.messageDelay(), func() { deliver(input) })
@@ -83,10 +83,10 @@
 		return
 	}
 	if w.MaxStoreDelay > 0 {
-		generation, d := c.generation, time.Duration(w.Rand.Int64N(int64(w.MaxStoreDelay)))
-		w.After(d, func() {
+		generation, storeDelay := c.generation, time.Duration(w.Rand.Int64N(int64(w.MaxStoreDelay)))
+		w.After(storeDelay, func() {
 			if c.Alive && c.generation == generation {
-				c.callService(c.StoreUnreachable, storeTimeout-d, execute, timeoutInput)
+				c.callService(c.StoreUnreachable, storeTimeout-storeDelay, execute, timeoutInput)
 			}
 		})
 		return
@@ -109,7 +109,7 @@
 // at all is the agent's to notice; status 0 says that the connection was refused.
 func (w *World) transmitHeartbeat(controller *Controller, m *Machine, body []byte, reply func(heartbeatReply)) {
 	w.duplicateHeartbeat(body)
-	d := w.messageDelay()
+	delay := w.messageDelay()
 	if m.HeartbeatsLost {
 		return // it cannot even connect
 	}
@@ -120,18 +120,18 @@
 		if w.Rand.IntN(2) == 0 {
 			return
 		}
-		d = 5*time.Second + time.Duration(w.Rand.IntN(20000))*time.Millisecond // arrives when the agent has gone on
+		delay = 5*time.Second + time.Duration(w.Rand.IntN(20000))*time.Millisecond // arrives when the agent has gone on
 	}
-	w.After(d, func() {
+	w.After(delay, func() {
 		if !controller.Alive {
 			w.After(w.messageDelay(), func() { reply(heartbeatReply{}) })
 			return
 		}
-		controller.DeliverHeartbeat(body, func(status int, b []byte) {
+		controller.DeliverHeartbeat(body, func(status int, replyBody []byte) {
 			if m.HeartbeatsLost || m.CommandsLost || unreachable() || w.Rand.Float64() < w.MessageLossRate {
 				return
 			}
-			response := heartbeatReply{status: status, body: b, sender: controller.processName()}
+			response := heartbeatReply{status: status, body: replyBody, sender: controller.processName()}
 			w.After(w.messageDelay(), func() { reply(response) })
 		})
 	})
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -83,10 +83,10 @@
 
 // RecordCommand notes from which process an agent has accepted commands under a token: in one
 // epoch there may be only one.
-func (r *RuleChecker) RecordCommand(m protocol.MachineID, token protocol.FencingToken, controller string) {
-	epoch := machineEpoch{machine: m, epoch: storage.ShardEpochOf(token)}
+func (r *RuleChecker) RecordCommand(machine protocol.MachineID, token protocol.FencingToken, controller string) {
+	epoch := machineEpoch{machine: machine, epoch: storage.ShardEpochOf(token)}
 	if other, ok := r.commandSenders[epoch]; ok && other != controller {
-		r.recordViolation("two_commanders", "%s accepts commands from %s and from %s in epoch %d", m, other, controller, epoch.epoch)
+		r.recordViolation("two_commanders", "%s accepts commands from %s and from %s in epoch %d", machine, other, controller, epoch.epoch)
 	}
 	r.commandSenders[epoch] = controller
 }
@@ -146,53 +146,53 @@
 }
 
 // RecordTaskStart notes that a task runs on a machine from now on.
-func (r *RuleChecker) RecordTaskStart(now time.Duration, t protocol.Task, m protocol.MachineID, machineType protocol.MachineTypeName, z protocol.Zone, spot bool) {
+func (r *RuleChecker) RecordTaskStart(now time.Duration, task protocol.Task, machine protocol.MachineID, machineType protocol.MachineTypeName, zone protocol.Zone, spot bool) {
 	r.TasksStarted++
-	observed := r.job(t.Job)
+	observed := r.job(task.Job)
 	if observed.firstTaskAt == 0 {
 		observed.firstTaskAt = max(now, 1)
 	}
-	if r.runCounts[t] > 0 {
-		r.recordViolation("ran_twice", "%s on %s while on %s", t, m, r.locations[t].machine)
+	if r.runCounts[task] > 0 {
+		r.recordViolation("ran_twice", "%s on %s while on %s", task, machine, r.locations[task].machine)
 	}
-	r.runCounts[t]++
-	r.locations[t] = location{machine: m, zone: z}
+	r.runCounts[task]++
+	r.locations[task] = location{machine: machine, zone: zone}
 	if observed.spec == nil {
-		r.recordViolation("wrong_place", "%s was never submitted", t)
+		r.recordViolation("wrong_place", "%s was never submitted", task)
 		return
 	}
-	if !observed.spec.AllowsPlacement(machineType, z) || spot && !observed.spec.AllowSpot {
-		r.recordViolation("wrong_place", "%s on %s in %s, spot %v", t, machineType, z, spot)
+	if !observed.spec.AllowsPlacement(machineType, zone) || spot && !observed.spec.AllowSpot {
+		r.recordViolation("wrong_place", "%s on %s in %s, spot %v", task, machineType, zone, spot)
 	}
-	r.checkZonesAndQuota(t, observed.spec, z)
+	r.checkZonesAndQuota(task, observed.spec, zone)
 	if observed.reportedState == protocol.JobCancelled {
-		r.recordViolation("ran_cancelled", "%s starts on %s %v after its job was reported cancelled", t, m, now-observed.reportedAt)
+		r.recordViolation("ran_cancelled", "%s starts on %s %v after its job was reported cancelled", task, machine, now-observed.reportedAt)
 	}
 }
 
 // checkZonesAndQuota checks a task that has just started together with all others that run.
-func (r *RuleChecker) checkZonesAndQuota(t protocol.Task, spec *protocol.Job, z protocol.Zone) {
+func (r *RuleChecker) checkZonesAndQuota(task protocol.Task, spec *protocol.Job, zone protocol.Zone) {
 	sameZone, otherZones, cores := 0, 0, 0.0
-	for o, p := range r.locations {
-		if r.runCounts[o] == 0 {
+	for other, place := range r.locations {
+		if r.runCounts[other] == 0 {
 			continue
 		}
-		if o.Job == t.Job {
-			if p.zone == z {
+		if other.Job == task.Job {
+			if place.zone == zone {
 				sameZone++
 			} else {
 				otherZones++
 			}
 		}
-		if job := r.job(o.Job).spec; job != nil && job.Team == spec.Team {
+		if job := r.job(other.Job).spec; job != nil && job.Team == spec.Team {
 			cores += job.Cores
 		}
 	}
 	if spec.SingleZone && otherZones > 0 {
-		r.recordViolation("wrong_place", "%s in %s, others are elsewhere", t, z)
+		r.recordViolation("wrong_place", "%s in %s, others are elsewhere", task, zone)
 	}
 	if spec.SpreadZones && sameZone > (spec.TaskCount+1)/2 {
-		r.recordViolation("wrong_place", "%d tasks of %s in %s", sameZone, t.Job, z)
+		r.recordViolation("wrong_place", "%d tasks of %s in %s", sameZone, task.Job, zone)
 	}
 	if limit := r.QuotaLimits[spec.Team]; limit > 0 && cores > limit+1e-6 {
 		r.recordViolation("quota", "%s uses %v of %v cores", spec.Team, cores, limit)
@@ -200,26 +200,26 @@
 }
 
 // RecordTaskEnd notes that a task no longer runs on a machine.
-func (r *RuleChecker) RecordTaskEnd(t protocol.Task, done bool) {
-	r.runCounts[t]--
+func (r *RuleChecker) RecordTaskEnd(task protocol.Task, done bool) {
+	r.runCounts[task]--
 	if done {
-		r.job(t.Job).completedTasks[t.Index] = true
+		r.job(task.Job).completedTasks[task.Index] = true
 	}
 }
 
 // CheckTimeouts checks the rules that are broken by nothing happening.
 func (r *RuleChecker) CheckTimeouts(now time.Duration) {
-	for t, n := range r.runCounts {
-		observed := r.job(t.Job)
-		if n > 0 && observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
-			r.recordViolation("ran_cancelled", "%s is still on %s", t, r.locations[t].machine)
+	for task, runCount := range r.runCounts {
+		observed := r.job(task.Job)
+		if runCount > 0 && observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
+			r.recordViolation("ran_cancelled", "%s is still on %s", task, r.locations[task].machine)
 			observed.reportedAt = now // counts once for each timeout
 		}
 	}
-	for t, p := range r.lingeringTasks {
-		if observed := r.job(t.Job); observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
-			r.recordViolation("ran_cancelled", "%s hangs on %s", t, p.machine)
-			delete(r.lingeringTasks, t)
+	for task, place := range r.lingeringTasks {
+		if observed := r.job(task.Job); observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
+			r.recordViolation("ran_cancelled", "%s hangs on %s", task, place.machine)
+			delete(r.lingeringTasks, task)
 		}
 	}
 	for id, observed := range r.jobs {
@@ -232,13 +232,13 @@
 }
 
 // runningReplicas counts the replicas of a service that run.
-func (r *RuleChecker) runningReplicas(id protocol.JobID, job *protocol.Job) (n int) {
+func (r *RuleChecker) runningReplicas(id protocol.JobID, job *protocol.Job) (count int) {
 	for index := range job.TaskCount {
 		if r.runCounts[protocol.Task{Job: id, Index: index}] > 0 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // WaitTimes lists how long jobs waited for their first task, of those that have started and
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -72,8 +72,8 @@
 	s.writeBudget = min(s.writeBudget+s.WriteRate*(now-s.writeBudgetAt).Seconds(), s.WriteRate)
 	s.writeBudgetAt = now
 	for _, id := range slices.Sorted(maps.Keys(s.leaseExpiry)) {
-		end := s.leaseExpiry[id]
-		if now <= end {
+		expiry := s.leaseExpiry[id]
+		if now <= expiry {
 			continue
 		}
 		if s.Unavailable {
@@ -81,11 +81,11 @@
 			continue
 		}
 		delete(s.leaseExpiry, id)
-		for _, k := range slices.Sorted(maps.Keys(s.entries)) {
-			if s.entries[k].lease == id {
+		for _, key := range slices.Sorted(maps.Keys(s.entries)) {
+			if s.entries[key].lease == id {
 				s.revision++
-				delete(s.entries, k)
-				deletion := protocol.Event{DeleteKey: k, ModRevision: protocol.ModRevision(s.revision)}
+				delete(s.entries, key)
+				deletion := protocol.Event{DeleteKey: key, ModRevision: protocol.ModRevision(s.revision)}
 				s.appendEvent(deletion)
 				s.notifyOnRevision([]protocol.Event{deletion})
 			}
@@ -191,24 +191,24 @@
 
 // List lists all entries with a prefix, ordered by key.
 func (s *Store) List(prefix string) []protocol.Entry {
-	var out []protocol.Entry
-	for k, i := range s.entries {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, protocol.Entry{Key: k, Value: i.data, ModRevision: i.modRevision})
+	var entries []protocol.Entry
+	for key, stored := range s.entries {
+		if strings.HasPrefix(key, prefix) {
+			entries = append(entries, protocol.Entry{Key: key, Value: stored.data, ModRevision: stored.modRevision})
 		}
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Key < out[k].Key })
-	return out
+	sort.Slice(entries, func(i, k int) bool { return entries[i].Key < entries[k].Key })
+	return entries
 }
 
 // Watch lists the events after a revision; compacted says that some of them are gone.
-func (s *Store) Watch(prefix string, from protocol.Revision) (response protocol.WatchResponse, compacted bool) {
-	if len(s.events) == s.maxEvents && protocol.Revision(s.events[0].ModRevision) > from+1 {
+func (s *Store) Watch(prefix string, afterRevision protocol.Revision) (response protocol.WatchResponse, compacted bool) {
+	if len(s.events) == s.maxEvents && protocol.Revision(s.events[0].ModRevision) > afterRevision+1 {
 		return response, true
 	}
 	response.Revision = s.revision
 	for _, event := range s.events {
-		if protocol.Revision(event.ModRevision) > from && (strings.HasPrefix(event.PutKey, prefix) || strings.HasPrefix(event.DeleteKey, prefix)) {
+		if protocol.Revision(event.ModRevision) > afterRevision && (strings.HasPrefix(event.PutKey, prefix) || strings.HasPrefix(event.DeleteKey, prefix)) {
 			response.Events = append(response.Events, event)
 		}
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -55,10 +55,10 @@
 	Trace       func(string)         // is told of each log line of a controller
 	OnEffect    func(at time.Duration, member protocol.ControllerID, e step.Effect)
 
-	queue         eventQueue
-	seq           int
-	provisioned   map[string][]protocol.MachineID // by the id of the request
-	nextMachineID int
+	queue             eventQueue
+	seq               int
+	machinesByRequest map[string][]protocol.MachineID // by the id of the request
+	nextMachineID     int
 }
 
 var errNoReply = errors.New("no answer")
@@ -99,7 +99,7 @@
 		PartitionedZones:  map[protocol.Zone]*Controller{},
 		FinishedJobs:      map[protocol.JobID]bool{},
 		SavedTaskCounts:   map[protocol.JobID]int{},
-		provisioned:       map[string][]protocol.MachineID{},
+		machinesByRequest: map[string][]protocol.MachineID{},
 	}
 	w.History = NewHistoryChecker(func(violation string) { w.Rules.recordViolation("ownership", "%s", violation) })
 	w.Store.OnRevision = w.History.ApplyRevision
