--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -14,23 +14,23 @@
 	TaskPullingImage TaskState = "fetching"
 	TaskAwaitingGang TaskState = "gathering" // waits for the other tasks of its attempt
 	TaskRunning      TaskState = "running"
-	TaskSaving       TaskState = "flushing" // was told to stop and writes a checkpoint
-	TaskExited       TaskState = "ended"    // listed until it is forgotten by command
+	TaskSaving       TaskState = "flushing" // received a stop command and writes a checkpoint
+	TaskExited       TaskState = "ended"    // stays in the heartbeats until CommandForget
 )
 
-// Reason says why a task has ended.
+// Reason is the reason why a task ended.
 type Reason string
 
-// Reasons that controllers act on; agents send others as well.
+// Reasons that controllers act on. Agents send other reasons, too.
 const (
 	ReasonDone                  Reason = "done"
 	ReasonError                 Reason = "error"
-	ReasonInsufficientResources Reason = "no_room" // start refused
-	ReasonAttemptConflict       Reason = "busy"    // start refused: the machine has another attempt of the task
-	ReasonNotFound              Reason = "no_such" // start refused: the agent cannot find the job
+	ReasonInsufficientResources Reason = "no_room" // the agent refused the start
+	ReasonAttemptConflict       Reason = "busy"    // refused, as the machine has another attempt of the task
+	ReasonNotFound              Reason = "no_such" // refused, as the agent cannot find the job
 )
 
-// TaskStatus is one task of a heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
 	Task          Task      `json:"piece"`
 	Attempt       Attempt   `json:"try"`
@@ -49,62 +49,63 @@
 	AgentEpoch   AgentEpoch      `json:"shift"`
 	Sequence     Sequence        `json:"tally"`
 	FencingToken FencingToken    `json:"baton"` // the highest that the agent has seen
-	// PreemptionNoticeSeconds is the time until the cloud takes the machine away; nil
-	// without a notice.
+	// PreemptionNoticeSeconds is the time until the cloud takes the machine away. Nil
+	// means that there is no notice.
 	PreemptionNoticeSeconds *float64 `json:"recall_s"`
-	// Tasks are all tasks on the machine, exited ones until they are forgotten.
+	// Tasks holds all tasks on the machine, including exited ones until CommandForget.
 	Tasks []TaskStatus `json:"pieces"`
 }
 
-// maxPreemptionNoticeSeconds bounds a notice, so that it fits a time.Duration.
+// maxPreemptionNoticeSeconds limits a notice, so that it fits into a time.Duration.
 const maxPreemptionNoticeSeconds = 1e6
 
-// ParseHeartbeat reads and checks a heartbeat.
+// ParseHeartbeat parses and validates a heartbeat. Its errors wrap ErrMalformed.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := decodeObject(body, &heartbeat); err != nil {
 		return nil, err
 	}
 	if !heartbeat.Machine.IsValid() || heartbeat.AgentEpoch == 0 || heartbeat.Type == "" || heartbeat.Zone == "" {
-		return nil, malformed("report") // the agent is sent this text
+		return nil, malformedError("report") // the text is sent to the agent
 	}
 	notice := heartbeat.PreemptionNoticeSeconds
 	if notice != nil && (*notice < 0 || *notice > maxPreemptionNoticeSeconds) {
-		return nil, malformed("recall_s")
+		return nil, malformedError("recall_s")
 	}
 	return &heartbeat, nil
 }
 
-// CommandType is what an agent is told to do with a task.
+// CommandType is the type of a command to an agent.
 type CommandType string
 
-// Commands to agents. All may be repeated, with one exception: a start that is repeated
-// after CommandForget starts the attempt again.
+// Types of commands. A command may be repeated, with one exception: a CommandStart that is
+// repeated after CommandForget starts the attempt again.
 const (
 	CommandStart  CommandType = "start"
 	CommandStop   CommandType = "stop"
-	CommandForget CommandType = "reap" // drops an exited task from the heartbeats
+	CommandForget CommandType = "reap" // removes an exited task from the heartbeats
 )
 
-// Command is one command to an agent.
+// Command is a command to an agent. It concerns one attempt of a task.
 type Command struct {
 	Type    CommandType `json:"verb"`
 	Task    Task        `json:"piece"`
 	Attempt Attempt     `json:"try"`
-	// GracePeriodSeconds is, for CommandStop, the time in which the task may save.
+	// GracePeriodSeconds is the time that CommandStop gives the task for saving.
 	GracePeriodSeconds *float64 `json:"wind_down_s,omitempty"`
 }
 
-// Commands is the response to a heartbeat and, with AgentEpoch, a message to the agent's
-// own address. An agent executes the commands in order, or none of them if the fencing
-// token is lower than the highest that it has seen.
+// Commands is the response to a heartbeat or, with an AgentEpoch, a message to the agent's
+// own address. The agent executes the commands in order, or none of them if the fencing
+// token is lower than the highest that the agent has seen.
 type Commands struct {
 	FencingToken FencingToken `json:"baton"`
 	AgentEpoch   AgentEpoch   `json:"shift,omitempty"`
 	Commands     []Command    `json:"orders"`
 }
 
-// Encode returns the wire form, in which a missing list of commands is an empty one.
+// Encode returns the wire form of the message. It encodes a nil list of commands as an
+// empty list.
 func (c *Commands) Encode() []byte {
 	message := *c
 	if message.Commands == nil {
@@ -113,7 +114,8 @@
 	return Encode(&message)
 }
 
-// Redirect sends an agent to another controller; without a name it tries the next one.
+// Redirect directs an agent to another controller. Without a name, the agent tries the
+// next controller.
 type Redirect struct {
 	Controller ControllerID `json:"foreman,omitempty"`
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -7,19 +7,20 @@
 	"fmt"
 )
 
-// ErrMalformed is wrapped by the errors of messages that are not as the protocol
-// demands. To a user it is status 400.
+// ErrMalformed is wrapped by the errors for messages that violate the protocol. Users
+// receive it as status 400.
 var ErrMalformed = errors.New("malformed")
 
-// malformed names the field, in the words of the wire, or the message that is at fault.
-func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
+// malformedError returns an error that names the invalid message, or the invalid field by
+// its wire name.
+func malformedError(subject string) error { return fmt.Errorf("%w: %s", ErrMalformed, subject) }
 
-// decodeObject reads one JSON object with nothing after it. Unknown fields are ignored,
-// as the protocol demands.
+// decodeObject decodes a body that consists of exactly one JSON object. It ignores unknown
+// fields, as the protocol requires.
 func decodeObject(body []byte, v any) error {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
-		return malformed("not a JSON object")
+		return malformedError("not a JSON object")
 	}
 	if err := json.Unmarshal(trimmed, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -27,12 +28,12 @@
 	return nil
 }
 
-// Encode returns a message's wire form. It panics on a value that JSON cannot express,
-// which no message of this package is.
+// Encode returns the wire form of a message. It panics if JSON cannot represent the value,
+// which is the case for no message of this package.
 func Encode(v any) []byte {
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("protocol: encode %T: %v", v, err))
 	}
-	return b
+	return encoded
 }
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// MaxTasks is the most tasks that the users' interface allows a job.
+// MaxTasks is the maximum number of tasks of a job in the users' interface.
 const MaxTasks = 100_000
 
-// Paths that controllers serve to users, to the load balancer and to agents.
+// Paths that controllers serve to users, the load balancer and agents.
 const (
 	PathJobs      = "/work"
 	PathHealth    = "/healthz"
@@ -18,24 +18,24 @@
 	cancelSuffix  = "/abort"
 )
 
-// Kind says how the tasks of a job belong together.
+// Kind is the kind of a job. It determines which tasks of the job run together.
 type Kind string
 
 // Kinds of jobs.
 const (
-	KindArray   Kind = "batch"  // independent tasks, each runs to completion
-	KindGang    Kind = "group"  // all tasks run at the same time or none does
-	KindService Kind = "daemon" // independent replicas that run until the user cancels the job
+	KindArray   Kind = "batch"  // independent tasks, each of which runs to completion
+	KindGang    Kind = "group"  // all tasks run at the same time, or none does
+	KindService Kind = "daemon" // independent service replicas that run until the user cancels the job
 )
 
-// Priority is a job's priority, by the name that users give it.
+// Priority is the name of a job's priority in the users' interface.
 type Priority string
 
-// precedences are all priorities; 0 is the highest.
-var precedences = map[Priority]int{"critical": 0, "high": 1, "standard": 2, "low": 3}
+// precedenceByPriority holds the precedence of each priority. Zero is the highest.
+var precedenceByPriority = map[Priority]int{"critical": 0, "high": 1, "standard": 2, "low": 3}
 
-// Precedence returns 0 for the highest priority and more for each lower one.
-func (p Priority) Precedence() int { return precedences[p] }
+// Precedence returns 0 for the highest priority and a larger number for each lower one.
+func (p Priority) Precedence() int { return precedenceByPriority[p] }
 
 // JobState is the state of a job as users see it.
 type JobState string
@@ -48,14 +48,14 @@
 	JobCancelled JobState = "withdrawn"
 )
 
-// IsTerminal tells whether the state may never change again.
+// IsTerminal reports whether the state is final: it may never change again.
 func (s JobState) IsTerminal() bool { return s == JobDone || s == JobCancelled }
 
-// Job is an accepted description of a job. Amounts are per task.
+// Job is the accepted description of a job. Amounts are per task.
 type Job struct {
 	ID           JobID             `json:"uid"`
-	Class        string            `json:"lane"` // the service-level objectives that apply
-	Team         string            `json:"desk"` // the quota that applies
+	Class        string            `json:"lane"` // determines the service-level objectives
+	Team         string            `json:"desk"` // determines the quota
 	Kind         Kind              `json:"shape"`
 	Priority     Priority          `json:"rank"`
 	TaskCount    int               `json:"pieces"` // 1 to MaxTasks
@@ -64,32 +64,38 @@
 	MemoryGB     float64           `json:"mem_gb"`
 	Image        string            `json:"bundle"`
 	ImageGB      float64           `json:"pull_gb"`
-	MachineTypes []MachineTypeName `json:"builds,omitempty"` // the allowed ones; empty: any
-	Zone         Zone              `json:"yard,omitempty"`   // the allowed one; empty: any
-	SingleZone   bool              `json:"together"`         // all tasks in the same zone
-	SpreadZones  bool              `json:"scatter"`          // at most half of the tasks, rounded up, in a zone
+	MachineTypes []MachineTypeName `json:"builds,omitempty"` // allowed machine types; empty allows every type
+	Zone         Zone              `json:"yard,omitempty"`   // allowed zone; empty allows every zone
+	SingleZone   bool              `json:"together"`         // all tasks run in the same zone
+	SpreadZones  bool              `json:"scatter"`          // at most half of the tasks, rounded up, run in one zone
 	AllowSpot    bool              `json:"loaners"`
-	// EstimatedRunSeconds is the user's estimate for a task, without the image pull.
+	// EstimatedRunSeconds is the user's estimate of a task's run time, without the image
+	// pull.
 	EstimatedRunSeconds float64 `json:"reckon_s"`
-	// CheckpointIntervalSeconds is the progress between checkpoints; 0: the job has none.
+	// CheckpointIntervalSeconds is the progress between two checkpoints. Zero means that
+	// the job has no checkpoints.
 	CheckpointIntervalSeconds float64 `json:"bookmark_s"`
-	// CheckpointSaveSeconds is the time that a task needs to save when it is stopped.
+	// CheckpointSaveSeconds is the time that a task needs to save a checkpoint when it is
+	// stopped.
 	CheckpointSaveSeconds float64 `json:"stow_s"`
-	// DeadlineSeconds counts from the submission; nil: no deadline.
+	// DeadlineSeconds is the deadline, counted from the submission. Nil means that the
+	// job has no deadline.
 	DeadlineSeconds *float64 `json:"due_s,omitempty"`
 }
 
-// IsGang tells whether all tasks run at the same time or none does.
+// IsGang reports whether the job is a gang: all its tasks run at the same time, or none
+// does.
 func (j *Job) IsGang() bool { return j.Kind == KindGang }
 
-// IsService tells whether the tasks are replicas that run until the job is cancelled.
+// IsService reports whether the tasks are service replicas, which run until the job is
+// cancelled.
 func (j *Job) IsService() bool { return j.Kind == KindService }
 
-// CanCheckpoint tells whether tasks save checkpoints. Without them a stopped task loses
-// its work.
+// CanCheckpoint reports whether the tasks save checkpoints. Without checkpoints, a stopped
+// task loses its work.
 func (j *Job) CanCheckpoint() bool { return j.CheckpointIntervalSeconds > 0 }
 
-// AllowsPlacement tells whether the job may use the machine type in the zone.
+// AllowsPlacement reports whether the job may use machines of the type in the zone.
 func (j *Job) AllowsPlacement(machineType MachineTypeName, zone Zone) bool {
 	if j.Zone != "" && j.Zone != zone {
 		return false
@@ -97,17 +103,18 @@
 	return len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, machineType)
 }
 
-// Bounds of a submission, of which the protocol names none. They bound the parts of a
-// job; whether the whole fits a record of the store is for the caller to check.
+// Limits of the fields of a submission. The protocol defines none. The caller has to check
+// whether the job as a whole fits into a record of the store.
 const (
-	maxAmount            = 1e9 // resources, and durations in seconds
-	maxNameLength        = 200 // bytes
-	maxMachineTypes      = 50
-	maxMachineTypeLength = 100 // bytes
+	maxAmount               = 1e9 // resources, and durations in seconds
+	maxNameBytes            = 200
+	maxMachineTypes         = 50
+	maxMachineTypeNameBytes = 100
 )
 
-// submission is a job as it comes over the wire, before its checks. Every field is a
-// pointer: a missing field or a null differs from a zero and is mostly an error.
+// submission is the description of a job as received, before validation. Every field is a
+// pointer, because a missing field or a null differs from a zero value. For most fields,
+// both are errors.
 type submission struct {
 	ID                        *JobID             `json:"uid"`
 	Class                     *string            `json:"lane"`
@@ -131,7 +138,7 @@
 	DeadlineSeconds           *float64           `json:"due_s"`
 }
 
-// ParseJob reads and checks a submission.
+// ParseJob parses and validates a submission. Its errors wrap ErrMalformed.
 func ParseJob(body []byte) (*Job, error) {
 	var parsed submission
 	if err := decodeObject(body, &parsed); err != nil {
@@ -150,43 +157,49 @@
 	return parsed.toJob(), nil
 }
 
+// isValidName reports whether a required name is present, not empty and at most
+// maxNameBytes long.
 func isValidName(name *string) bool {
-	return name != nil && *name != "" && len(*name) <= maxNameLength
+	return name != nil && *name != "" && len(*name) <= maxNameBytes
 }
 
+// checkNames validates the job's id, class, team and image.
 func (s *submission) checkNames() error {
 	switch {
 	case s.ID == nil || !s.ID.IsValid():
-		return malformed("uid")
+		return malformedError("uid")
 	case !isValidName(s.Class):
-		return malformed("lane")
+		return malformedError("lane")
 	case !isValidName(s.Team):
-		return malformed("desk")
+		return malformedError("desk")
 	case !isValidName(s.Image):
-		return malformed("bundle")
+		return malformedError("bundle")
 	}
 	return nil
 }
 
+// checkKind validates the kind, priority and number of tasks, and requires the boolean
+// fields.
 func (s *submission) checkKind() error {
 	if s.Kind == nil || *s.Kind != KindArray && *s.Kind != KindGang && *s.Kind != KindService {
-		return malformed("shape")
+		return malformedError("shape")
 	}
 	if s.Priority == nil {
-		return malformed("rank")
+		return malformedError("rank")
 	}
-	if _, ok := precedences[*s.Priority]; !ok {
-		return malformed("rank")
+	if _, isKnown := precedenceByPriority[*s.Priority]; !isKnown {
+		return malformedError("rank")
 	}
 	if s.TaskCount == nil || !isValidTaskCount(*s.TaskCount) {
-		return malformed("pieces")
+		return malformedError("pieces")
 	}
 	if s.SingleZone == nil || s.SpreadZones == nil || s.AllowSpot == nil {
-		return malformed("together, scatter or loaners")
+		return malformedError("together, scatter or loaners")
 	}
 	return nil
 }
 
+// checkAmounts validates the resources and durations.
 func (s *submission) checkAmounts() error {
 	for _, field := range []struct {
 		name  string
@@ -201,41 +214,45 @@
 		{"stow_s", s.CheckpointSaveSeconds},
 	} {
 		if field.value == nil || !isValidAmount(*field.value) {
-			return malformed(field.name)
+			return malformedError(field.name)
 		}
 	}
 	if s.DeadlineSeconds != nil && !isValidAmount(*s.DeadlineSeconds) {
-		return malformed("due_s")
+		return malformedError("due_s")
 	}
 	return nil
 }
 
+// isValidAmount reports whether amount is between 0 and maxAmount.
 func isValidAmount(amount float64) bool { return amount >= 0 && amount <= maxAmount }
 
-// isValidTaskCount takes a decimal number such as 16.0, but no fraction.
+// isValidTaskCount reports whether count is a whole number from 1 to MaxTasks. Its wire
+// form may have a decimal point, such as 16.0.
 func isValidTaskCount(count float64) bool {
 	return count == math.Trunc(count) && count >= 1 && count <= MaxTasks
 }
 
+// checkPlacement validates the zone and the machine types, both of which may be missing.
 func (s *submission) checkPlacement() error {
-	if s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxNameLength) {
-		return malformed("yard")
+	if s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxNameBytes) {
+		return malformedError("yard")
 	}
 	if s.MachineTypes == nil {
 		return nil
 	}
 	if len(*s.MachineTypes) == 0 || len(*s.MachineTypes) > maxMachineTypes {
-		return malformed("builds")
+		return malformedError("builds")
 	}
 	for _, machineType := range *s.MachineTypes {
-		if machineType == "" || len(machineType) > maxMachineTypeLength {
-			return malformed("builds")
+		if machineType == "" || len(machineType) > maxMachineTypeNameBytes {
+			return malformedError("builds")
 		}
 	}
 	return nil
 }
 
-// toJob converts a submission that has passed all checks.
+// toJob returns the job that the submission describes. The submission must have passed all
+// checks.
 func (s *submission) toJob() *Job {
 	job := &Job{
 		ID:                        *s.ID,
@@ -266,8 +283,8 @@
 	return job
 }
 
-// JobStatus is what users are told of a job. The counts are for display; the response to
-// a submission has none.
+// JobStatus is the status of a job as users see it. The numbers of tasks are for display
+// only; the response to a submission has none.
 type JobStatus struct {
 	ID           JobID    `json:"uid"`
 	State        JobState `json:"stage"`
@@ -275,10 +292,10 @@
 	RunningTasks *int     `json:"running,omitempty"`
 }
 
-// RequestType is what a user asks for on PathJobs.
+// RequestType is the type of a user's request on PathJobs.
 type RequestType int
 
-// The requests that users send.
+// Types of users' requests.
 const (
 	RequestUnknown RequestType = iota
 	RequestSubmit
@@ -286,19 +303,19 @@
 	RequestCancel
 )
 
-// RouteJobRequest tells what a request on PathJobs asks for and of which job. The id is
-// not checked. pathExists is false where the interface has no such path, methodAllowed
-// where the path takes another method.
+// RouteJobRequest returns the type of a request on PathJobs and the id of its job, which
+// it does not validate. pathExists reports whether the interface has the path, and
+// methodAllowed whether the path accepts the method.
 func RouteJobRequest(method, path string) (requestType RequestType, id JobID, pathExists, methodAllowed bool) {
 	if path == PathJobs {
 		return RequestSubmit, "", true, method == http.MethodPost
 	}
-	rest, found := strings.CutPrefix(path, PathJobs+"/")
+	subpath, found := strings.CutPrefix(path, PathJobs+"/")
 	if !found {
 		return RequestUnknown, "", false, false
 	}
-	if cancelID, found := strings.CutSuffix(rest, cancelSuffix); found {
-		return RequestCancel, JobID(cancelID), !strings.Contains(cancelID, "/"), method == http.MethodPost
+	if jobID, found := strings.CutSuffix(subpath, cancelSuffix); found {
+		return RequestCancel, JobID(jobID), !strings.Contains(jobID, "/"), method == http.MethodPost
 	}
-	return RequestQuery, JobID(rest), !strings.Contains(rest, "/"), method == http.MethodGet
+	return RequestQuery, JobID(subpath), !strings.Contains(subpath, "/"), method == http.MethodGet
 }
--- a/internal/protocol/keyvalue.go
+++ b/internal/protocol/keyvalue.go
@@ -17,37 +17,38 @@
 
 // Limits of the store.
 const (
-	// KeyPageSize is the number of keys of one page of a listing.
+	// KeyPageSize is the number of keys on one page of a listing.
 	KeyPageSize = 1000
-	// MaxTransactionBytes bounds what callers put into a transaction. The store takes
-	// 64 KiB; the rest is left for the JSON around keys and values.
+	// MaxTransactionBytes limits the keys and values of a transaction. The store accepts
+	// 64 KiB; the rest is reserved for the JSON around keys and values.
 	MaxTransactionBytes = 60 << 10
 )
 
-// Condition is a comparison of a transaction: the key must have this ModRevision, 0 for
-// a key that must not exist.
+// Condition is a condition of a transaction. It holds if the key has this ModRevision. Zero
+// means that the key must not exist.
 type Condition struct {
 	Key         string      `json:"key"`
 	ModRevision ModRevision `json:"stamp"`
 }
 
-// Operation is a put or a delete of a transaction.
+// Operation is a put or a delete in a transaction.
 type Operation struct {
 	PutKey string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
-	// Lease is the lease that the key of a put hangs on; 0 detaches it from any.
+	// Lease is the lease to which a put attaches its key. Zero detaches the key from any
+	// lease.
 	Lease     LeaseID `json:"tenancy,omitempty"`
 	DeleteKey string  `json:"delete,omitempty"`
 }
 
 // Transaction is applied as a whole if all its conditions hold, and not at all otherwise.
-// Without operations it only compares.
+// Without operations, it only checks the conditions.
 type Transaction struct {
 	Conditions []Condition `json:"when"`
 	Operations []Operation `json:"then,omitempty"`
 }
 
-// TransactionResult is the response to a transaction and to the read of a missing key.
+// TransactionResult is the response to a transaction and to a read of a missing key.
 type TransactionResult struct {
 	Revision   Revision `json:"ledger_rev"`
 	FailedKeys []string `json:"failed"` // keys whose conditions do not hold
@@ -61,14 +62,14 @@
 	ModRevision ModRevision     `json:"stamp"`
 }
 
-// EntryPage is one page of a listing, in the order of the keys.
+// EntryPage is one page of a listing, sorted by key.
 type EntryPage struct {
 	Entries  []Entry  `json:"items"`
 	HasMore  bool     `json:"more"`
 	Revision Revision `json:"ledger_rev"`
 }
 
-// Event is one change that a watch saw: a put or a delete.
+// Event is one change that a watch reports, a put or a delete.
 type Event struct {
 	PutKey      string          `json:"put"`
 	DeleteKey   string          `json:"delete"`
@@ -82,14 +83,14 @@
 	Events   []Event  `json:"news"`
 }
 
-// Lease is the request for a lease, with TTLMillis, and the response to it, with ID.
+// Lease is both the request for a lease, with TTLMillis, and the response to it, with ID.
 type Lease struct {
 	TTLMillis int64   `json:"ttl_ms,omitempty"`
 	ID        LeaseID `json:"tenancy,omitempty"`
 }
 
-// ListKeysPath returns the target of the page that begins after a key; empty: the first
-// page.
+// ListKeysPath returns the request target of the page of keys that begins after a key.
+// With an empty key, it returns the target of the first page.
 func ListKeysPath(prefix, after string) string {
 	path := fmt.Sprintf("%s?starts=%s&page=%d", PathKeys, url.QueryEscape(prefix), KeyPageSize)
 	if after != "" {
@@ -98,16 +99,17 @@
 	return path
 }
 
-// GetKeyPath returns the target of one key. The store wants slashes in it as they are.
+// GetKeyPath returns the request target of one key. The store requires that slashes in the
+// key are not escaped.
 func GetKeyPath(key string) string { return PathKeys + "/" + key }
 
-// WatchKeysPath returns the target of a watch for changes after a revision. The store
-// answers at the first change, or after waitMillis without one.
+// WatchKeysPath returns the request target of a watch for changes after a revision. The
+// store answers at the first change, or after waitMillis without a change.
 func WatchKeysPath(prefix string, after Revision, waitMillis int) string {
 	return fmt.Sprintf("%s?starts=%s&from=%d&wait_ms=%d", PathWatch, url.QueryEscape(prefix), after, waitMillis)
 }
 
-// RenewLeasePath returns the target that renews a lease.
+// RenewLeasePath returns the request target that renews a lease.
 func RenewLeasePath(id LeaseID) string {
 	return fmt.Sprintf("%s/%d%s", PathLeases, id, renewSuffix)
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -7,44 +7,46 @@
 	"testing"
 )
 
-// goodJob and goodHeartbeat are the examples of PROTOCOL.
-const goodJob = `{"uid":"j-000412","lane":"train","desk":"vision","shape":"group","rank":"high","pieces":16,
+// validJob and validHeartbeat are the examples in docs/PROTOCOL.
+const validJob = `{"uid":"j-000412","lane":"train","desk":"vision","shape":"group","rank":"high","pieces":16,
 "cores":8.0,"accelerators":1.0,"mem_gb":64.0,"bundle":"img-07","pull_gb":6.2,"builds":["g8"],"yard":null,
 "together":true,"scatter":false,"loaners":true,"reckon_s":240.0,"bookmark_s":30.0,"stow_s":4.0,"due_s":900.0}`
 
-const goodHeartbeat = `{"stall":"m-000231","addr":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,
+const validHeartbeat = `{"stall":"m-000231","addr":"10.1.0.232:9000","build":"g8","yard":"a","loaners":true,
 "shift":1,"tally":88,"baton":41,"recall_s":null,"pieces":[{"piece":"j-000412/3","try":2,"stage":"running"}]}`
 
-// replaced returns text with one part of it replaced; an empty old part changes nothing.
-func replaced(t *testing.T, text, old, new string) string {
+// replaceOnce returns text with the first occurrence of old replaced by new. It returns text
+// unchanged if old is empty, and fails the test if the replacement changes nothing.
+func replaceOnce(t *testing.T, text, old, new string) string {
 	t.Helper()
 	if old == "" {
 		return text
 	}
 	changed := strings.Replace(text, old, new, 1)
 	if changed == text {
-		t.Fatalf("replacing %q changes nothing", old)
+		t.Fatalf("replacing %q changes nothing, want a change", old)
 	}
 	return changed
 }
 
-// checkAccepted compares a parser's error with what is wanted of it.
-func checkAccepted(t *testing.T, err error, accepted bool) {
+// checkParseError checks that err is nil if the input is wanted to be accepted, and wraps
+// ErrMalformed otherwise.
+func checkParseError(t *testing.T, err error, wantAccepted bool) {
 	t.Helper()
-	if (err == nil) != accepted {
-		t.Errorf("error %v, want accepted: %v", err, accepted)
+	if (err == nil) != wantAccepted {
+		t.Errorf("got error %v, want the input to be accepted: %v", err, wantAccepted)
 	}
 	if err != nil && !errors.Is(err, ErrMalformed) {
-		t.Errorf("error %v does not wrap ErrMalformed", err)
+		t.Errorf("got error %v, want one that wraps ErrMalformed", err)
 	}
 }
 
 func TestParseJob(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, old, new string
 		accepted       bool
 	}{
-		{"as in PROTOCOL", "", "", true},
+		{"valid", "", "", true},
 		{"unknown field", `"rank"`, `"new":[1],"rank"`, true},
 		{"no machine types", `"builds":["g8"],`, "", true},
 		{"no deadline", `,"due_s":900.0`, "", true},
@@ -64,8 +66,8 @@
 		{"unknown kind", `"group"`, `"ring"`, false},
 		{"unknown priority", `"high"`, `"top"`, false},
 		{"negative cores", `"cores":8.0`, `"cores":-8`, false},
-		{"NaN", `"cores":8.0`, `"cores":NaN`, false},
-		{"infinite", `"mem_gb":64.0`, `"mem_gb":1e999`, false},
+		{"cores NaN", `"cores":8.0`, `"cores":NaN`, false},
+		{"infinite memory", `"mem_gb":64.0`, `"mem_gb":1e999`, false},
 		{"no cores", `"cores":8.0,`, "", false},
 		{"null cores", `"cores":8.0`, `"cores":null`, false},
 		{"no zone spreading", `"scatter":false,`, "", false},
@@ -75,29 +77,29 @@
 		{"machine types as text", `["g8"]`, `"g8"`, false},
 		{"boolean as number", `"together":true`, `"together":1`, false},
 		{"negative deadline", `900.0`, `-1`, false},
-		{"an array", goodJob, `[]`, false},
-		{"nothing", goodJob, ``, false},
-		{"null", goodJob, `null`, false},
-		{"two objects", goodJob, `{}{}`, false},
-		{"cut off", goodJob, goodJob[:100], false},
+		{"array in place of the object", validJob, `[]`, false},
+		{"empty body", validJob, ``, false},
+		{"null in place of the object", validJob, `null`, false},
+		{"two objects", validJob, `{}{}`, false},
+		{"truncated object", validJob, validJob[:100], false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			job, err := ParseJob([]byte(replaced(t, goodJob, c.old, c.new)))
-			checkAccepted(t, err, c.accepted)
+		t.Run(test.name, func(t *testing.T) {
+			job, err := ParseJob([]byte(replaceOnce(t, validJob, test.old, test.new)))
+			checkParseError(t, err, test.accepted)
 			if err != nil {
 				return
 			}
-			// Records hold jobs in the form of the wire.
-			again, err := ParseJob(Encode(job))
-			if err != nil || string(Encode(again)) != string(Encode(job)) {
-				t.Errorf("error %v or a difference after a round trip", err)
+			// Records contain jobs in their wire form.
+			reparsed, err := ParseJob(Encode(job))
+			if err != nil || string(Encode(reparsed)) != string(Encode(job)) {
+				t.Errorf("got error %v or a different job after a round trip, want the same job", err)
 			}
 		})
 	}
 }
 
 func TestRouteJobRequest(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		method, path  string
 		requestType   RequestType
 		id            JobID
@@ -114,21 +116,22 @@
 		{"GET", "/workers", RequestUnknown, "", false, false},
 		{"GET", "/", RequestUnknown, "", false, false},
 	} {
-		t.Run(c.method+" "+c.path, func(t *testing.T) {
-			requestType, id, pathExists, methodAllowed := RouteJobRequest(c.method, c.path)
-			if requestType != c.requestType || id != c.id || pathExists != c.pathExists || methodAllowed != c.methodAllowed {
-				t.Errorf("got %v %q %v %v, want %+v", requestType, id, pathExists, methodAllowed, c)
+		t.Run(test.method+" "+test.path, func(t *testing.T) {
+			requestType, id, pathExists, methodAllowed := RouteJobRequest(test.method, test.path)
+			if requestType != test.requestType || id != test.id ||
+				pathExists != test.pathExists || methodAllowed != test.methodAllowed {
+				t.Errorf("got %v %q %v %v, want %+v", requestType, id, pathExists, methodAllowed, test)
 			}
 		})
 	}
 }
 
 func TestParseHeartbeat(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, old, new string
 		accepted       bool
 	}{
-		{"as in PROTOCOL", "", "", true},
+		{"valid", "", "", true},
 		{"no tasks", `[{"piece":"j-000412/3","try":2,"stage":"running"}]`, `null`, true},
 		{"preemption notice", `"recall_s":null`, `"recall_s":12.5`, true},
 		{"negative preemption notice", `"recall_s":null`, `"recall_s":-1`, false},
@@ -139,18 +142,18 @@
 		{"task index too large", `j-000412/3`, `j-000412/100000`, false},
 		{"no machine type", `"build":"g8",`, ``, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := ParseHeartbeat([]byte(replaced(t, goodHeartbeat, c.old, c.new)))
-			checkAccepted(t, err, c.accepted)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := ParseHeartbeat([]byte(replaceOnce(t, validHeartbeat, test.old, test.new)))
+			checkParseError(t, err, test.accepted)
 		})
 	}
 }
 
-// Messages must look as PROTOCOL writes them.
+// Messages must have the wire form that docs/PROTOCOL shows.
 func TestWireForms(t *testing.T) {
 	gracePeriodSeconds := 10.0
 	taskCount := 3
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		message any
 		want    string
@@ -199,43 +202,44 @@
 			`{"when":[{"key":"a/b","stamp":0}],"then":[{"put":"a/b","data":{},"tenancy":7},{"delete":"c/d"}]}`,
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := string(Encode(c.message)); got != c.want {
-				t.Errorf("got %s\nwant %s", got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if got := string(Encode(test.message)); got != test.want {
+				t.Errorf("got %s\nwant %s", got, test.want)
 			}
 		})
 	}
 }
 
-// Commands without any must be an empty list, and encoding leaves the message as it is.
+// A nil list of commands must be encoded as an empty list, and encoding must not change the
+// message.
 func TestEncodeNoCommands(t *testing.T) {
 	commands := &Commands{FencingToken: 41}
 	const want = `{"baton":41,"orders":[]}`
 	if got := string(commands.Encode()); got != want || commands.Commands != nil {
-		t.Errorf("got %s, want %s; the message became %+v", got, want, commands)
+		t.Errorf("got %s, want %s; message after encoding: %+v, want nil Commands", got, want, commands)
 	}
 }
 
-// What the cloud cannot mean is refused.
+// A list with an impossible machine type must be rejected.
 func TestParseMachineTypes(t *testing.T) {
-	const good = `{"builds":[{"sku":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,"fetch_gb_per_s":1.0,
+	const validList = `{"builds":[{"sku":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,"fetch_gb_per_s":1.0,
 "rate":12.0,"low_price":4.5,"ready_s":45,"yards":["a","b"]}]}`
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, old, new string
 		accepted       bool
 	}{
-		{"as in PROTOCOL", "", "", true},
+		{"valid", "", "", true},
 		{"unknown field", `"sku"`, `"new":1,"sku"`, true},
-		{"none", good, `{"builds":[]}`, false},
+		{"no machine types", validList, `{"builds":[]}`, false},
 		{"no name", `"g8"`, `""`, false},
 		{"no zones", `["a","b"]`, `[]`, false},
 		{"negative price", `"rate":12.0`, `"rate":-1`, false},
 		{"boot time too large", `"ready_s":45`, `"ready_s":1e10`, false},
-		{"not an object", good, `[]`, false},
+		{"not an object", validList, `[]`, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := ParseMachineTypes([]byte(replaced(t, good, c.old, c.new)))
-			checkAccepted(t, err, c.accepted)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := ParseMachineTypes([]byte(replaceOnce(t, validList, test.old, test.new)))
+			checkParseError(t, err, test.accepted)
 		})
 	}
 }
