--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,55 +12,57 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrNotSent is wrapped by the errors of calls of which no byte has left this process.
+// ErrNotSent is wrapped by the errors of calls of which this process has sent no byte.
 var ErrNotSent = errors.New("not sent")
 
 const (
-	// idleConnTimeout is the age from which a call opens a new connection rather than
-	// risk one that the other side has given up.
+	// idleConnTimeout is the time since the last use after which a call does not use a
+	// connection again, because the other side may have closed the connection.
 	idleConnTimeout = 20 * time.Second
-	// readBufferBytes is also the longest header line of a response.
+	// readBufferBytes is the size of a connection's read buffer. It is also the maximum
+	// length of a header line in a response.
 	readBufferBytes = 8 << 10
-	// requestHeadBytes is room for a request's head; a longer one costs a second
-	// allocation.
+	// requestHeadBytes is the capacity reserved for the head of a request. A longer head
+	// costs a second allocation.
 	requestHeadBytes = 256
 )
 
 // Client sends HTTP requests to one address over connections that it keeps open.
 type Client struct {
 	addr        string
-	rateLimiter *rate.Limiter // nil: no limit
-	slots       chan struct{} // one element for each call under way
+	rateLimiter *rate.Limiter // nil means no limit
+	slots       chan struct{} // holds one element for each call in progress
 	mu          sync.Mutex
-	idleConns   []*pooledConn // the last one used at the end
+	idleConns   []*pooledConn // the most recently used connection is the last
 }
 
+// pooledConn is a connection of a Client, with its read buffer.
 type pooledConn struct {
 	conn     net.Conn
 	reader   *bufio.Reader
 	lastUsed time.Time
 }
 
-// NewClient makes a client with at most maxConcurrent calls at once. rateLimiter bounds
-// the rate of its calls; it may be shared, and nil.
+// NewClient returns a client that makes at most maxConcurrent calls at once. rateLimiter
+// limits the rate of the calls. It may be shared with other clients; nil means no limit.
 func NewClient(addr string, maxConcurrent int, rateLimiter *rate.Limiter) *Client {
 	return &Client{addr: addr, rateLimiter: rateLimiter, slots: make(chan struct{}, maxConcurrent)}
 }
 
-// Call sends one request and waits for its response, both within timeout, which includes
-// the wait for a slot and for the rate limiter. After an error that does not wrap
-// ErrNotSent the other side may have carried the request out, or may still do so.
+// Call sends one request and returns its response. The timeout covers the whole call,
+// including the wait for a slot and for the rate limiter. After an error that does not wrap
+// ErrNotSent, the other side may have carried out the request, or may still do so.
 func (c *Client) Call(method, target string, body []byte, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	if err := c.admit(ctx); err != nil {
-		return nil, c.notSent(method, target, err)
+	if err := c.acquireSlot(ctx); err != nil {
+		return nil, c.notSentError(method, target, err)
 	}
 	defer c.releaseSlot()
 	pooled, err := c.connect(ctx)
 	if err != nil {
-		return nil, c.notSent(method, target, err)
+		return nil, c.notSentError(method, target, err)
 	}
 	head := make([]byte, 0, requestHeadBytes+len(body))
 	response, err := pooled.roundTrip(appendRequest(head, method, c.addr, target, body), deadline)
@@ -76,12 +78,14 @@
 	return response, nil
 }
 
-func (c *Client) notSent(method, target string, cause error) error {
+// notSentError returns an error that wraps ErrNotSent and the cause.
+func (c *Client) notSentError(method, target string, cause error) error {
 	return fmt.Errorf("%w: %s %s%s: %w", ErrNotSent, method, c.addr, target, cause)
 }
 
-// admit waits for a slot, which the caller then holds, and for the rate limiter.
-func (c *Client) admit(ctx context.Context) error {
+// acquireSlot waits for a slot and for the rate limiter. Unless it returns an error, the
+// caller has to release the slot.
+func (c *Client) acquireSlot(ctx context.Context) error {
 	select {
 	case c.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -97,9 +101,10 @@
 	return nil
 }
 
+// releaseSlot makes a slot available to another call.
 func (c *Client) releaseSlot() { <-c.slots }
 
-// connect returns an idle connection or opens one.
+// connect returns an idle connection, or opens a new one.
 func (c *Client) connect(ctx context.Context) (*pooledConn, error) {
 	if pooled := c.popIdleConn(); pooled != nil {
 		return pooled, nil
@@ -111,6 +116,7 @@
 	return &pooledConn{conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
 }
 
+// roundTrip sends a request and reads its response, both before the deadline.
 func (p *pooledConn) roundTrip(request []byte, deadline time.Time) (*Response, error) {
 	if err := p.conn.SetDeadline(deadline); err != nil {
 		return nil, err
@@ -121,7 +127,8 @@
 	return readResponse(p.reader)
 }
 
-// popIdleConn takes the connection that was used last; nil if none is usable.
+// popIdleConn removes and returns the most recently used idle connection. It closes the
+// unusable ones that it finds, and returns nil if none is usable.
 func (c *Client) popIdleConn() *pooledConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +136,7 @@
 		last := len(c.idleConns) - 1
 		pooled := c.idleConns[last]
 		c.idleConns = c.idleConns[:last]
-		// Bytes that nobody asked for would be taken for the next response.
+		// Unsolicited bytes in the buffer would be taken for the next response.
 		if time.Since(pooled.lastUsed) < idleConnTimeout && pooled.reader.Buffered() == 0 {
 			return pooled
 		}
@@ -138,6 +145,7 @@
 	return nil
 }
 
+// pushIdleConn keeps an open connection for later calls.
 func (c *Client) pushIdleConn(pooled *pooledConn) {
 	pooled.lastUsed = time.Now()
 	c.mu.Lock()
@@ -145,7 +153,7 @@
 	c.idleConns = append(c.idleConns, pooled)
 }
 
-// CloseIdleConns closes the connections that no call uses; the next call opens a new one.
+// CloseIdleConns closes the connections that no call uses. The next call opens a new one.
 func (c *Client) CloseIdleConns() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -17,7 +17,7 @@
 	for _, target := range []string{"/a", "/b"} {
 		response, err := client.Call("GET", target, nil, 5*time.Second)
 		if err != nil || response.Status != 200 || string(response.Body) != target {
-			t.Fatalf("%s: got %+v, %v", target, response, err)
+			t.Fatalf("%s: got response %+v, error %v, want status 200 and the target as body", target, response, err)
 		}
 		if len(client.idleConns) != 1 {
 			t.Errorf("%s: %d idle connections, want 1", target, len(client.idleConns))
@@ -25,42 +25,42 @@
 	}
 	client.CloseIdleConns()
 	if response, err := client.Call("GET", "/c", nil, 5*time.Second); err != nil || string(response.Body) != "/c" {
-		t.Errorf("after CloseIdleConns: got %+v, %v", response, err)
+		t.Errorf("after CloseIdleConns: got response %+v, error %v, want the target as body", response, err)
 	}
 }
 
-// The caller must know whether a request may have been carried out.
+// Errors must report whether the other side may have carried out the request.
 func TestClientErrors(t *testing.T) {
 	const timeout = 200 * time.Millisecond
-	silent, err := net.Listen("tcp4", "127.0.0.1:0") // takes connections and says nothing
+	silentListener, err := net.Listen("tcp4", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	silentAddr := silent.Addr().String()
-	busy := NewClient(silentAddr, 1, nil)
-	busy.slots <- struct{}{}
-	for _, c := range []struct {
-		name    string
-		client  *Client
-		notSent bool
-		cause   error // nil: any
+	defer silentListener.Close()
+	silentAddr := silentListener.Addr().String()
+	busyClient := NewClient(silentAddr, 1, nil)
+	busyClient.slots <- struct{}{}
+	for _, test := range []struct {
+		name        string
+		client      *Client
+		wantNotSent bool
+		wantCause   error // nil allows any cause
 	}{
 		{"nobody listens", NewClient(freeAddr(t), 1, nil), true, nil},
-		{"no slot is free", busy, true, context.DeadlineExceeded},
+		{"no slot is free", busyClient, true, context.DeadlineExceeded},
 		{"rate limiter refuses", NewClient(silentAddr, 1, rate.NewLimiter(0, 0)), true, nil},
 		{"no response", NewClient(silentAddr, 1, nil), false, nil},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := c.client.Call("GET", "/a", nil, timeout)
-			if err == nil || errors.Is(err, ErrNotSent) != c.notSent {
-				t.Errorf("error %v, want not sent: %v", err, c.notSent)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := test.client.Call("GET", "/a", nil, timeout)
+			if err == nil || errors.Is(err, ErrNotSent) != test.wantNotSent {
+				t.Errorf("got error %v, want one that wraps ErrNotSent: %v", err, test.wantNotSent)
 			}
-			if c.cause != nil && !errors.Is(err, c.cause) {
-				t.Errorf("error %v does not wrap %v", err, c.cause)
+			if test.wantCause != nil && !errors.Is(err, test.wantCause) {
+				t.Errorf("got error %v, want one that wraps %v", err, test.wantCause)
 			}
-			if held := len(c.client.slots); held != 0 && c.client != busy {
-				t.Errorf("%d slots are still held", held)
+			if slotsInUse := len(test.client.slots); slotsInUse != 0 && test.client != busyClient {
+				t.Errorf("%d slots are in use after the call, want 0", slotsInUse)
 			}
 		})
 	}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -9,48 +9,50 @@
 )
 
 const (
-	frameLengthBytes = 4        // big endian, in front of the value
-	maxFrameBytes    = 16 << 10 // of the value
+	frameLengthBytes = 4        // size of the big-endian length before the value
+	maxFrameBytes    = 16 << 10 // without the length
 )
 
 // Errors of frames.
 var (
-	ErrFrameTooLong   = errors.New("frame too long")
+	// ErrFrameTooLong is wrapped by the error for a value that does not fit into a frame.
+	ErrFrameTooLong = errors.New("frame too long")
+	// ErrMalformedFrame is wrapped by the error for a frame with an invalid length.
 	ErrMalformedFrame = errors.New("malformed frame")
 )
 
-// AppendFrame appends a value as one frame. Each frame is a gob stream of its own, so
-// that a lost one harms no other.
-func AppendFrame(b []byte, v any) ([]byte, error) {
+// AppendFrame appends a value to dst as one frame. Each frame is a separate gob stream, so
+// that the loss of a frame does not affect other frames.
+func AppendFrame(dst []byte, v any) ([]byte, error) {
 	var value bytes.Buffer
 	if err := gob.NewEncoder(&value).Encode(v); err != nil {
-		return b, fmt.Errorf("encode frame of %T: %w", v, err)
+		return dst, fmt.Errorf("encode frame of %T: %w", v, err)
 	}
 	if value.Len() > maxFrameBytes {
-		return b, fmt.Errorf("%w: %d bytes of %T, limit %d", ErrFrameTooLong, value.Len(), v, maxFrameBytes)
+		return dst, fmt.Errorf("%w: %d bytes of %T, limit %d", ErrFrameTooLong, value.Len(), v, maxFrameBytes)
 	}
-	b = binary.BigEndian.AppendUint32(b, uint32(value.Len()))
-	return append(b, value.Bytes()...), nil
+	dst = binary.BigEndian.AppendUint32(dst, uint32(value.Len()))
+	return append(dst, value.Bytes()...), nil
 }
 
-// SplitFrame takes one frame from the front of a stream. It returns a nil frame while
-// the frame is not whole. frame and rest share the memory of b.
-func SplitFrame(b []byte) (frame, rest []byte, err error) {
-	if len(b) < frameLengthBytes {
-		return nil, b, nil
+// SplitFrame returns the first frame of a stream and the rest of the stream. The frame is
+// nil while it is incomplete. frame and rest share the memory of stream.
+func SplitFrame(stream []byte) (frame, rest []byte, err error) {
+	if len(stream) < frameLengthBytes {
+		return nil, stream, nil
 	}
-	length := binary.BigEndian.Uint32(b)
+	length := binary.BigEndian.Uint32(stream)
 	if length == 0 || length > maxFrameBytes {
-		return nil, nil, fmt.Errorf("%w: length %d", ErrMalformedFrame, length)
+		return nil, nil, fmt.Errorf("%w: length %d, want 1 to %d", ErrMalformedFrame, length, maxFrameBytes)
 	}
 	end := frameLengthBytes + int(length)
-	if len(b) < end {
-		return nil, b, nil
+	if len(stream) < end {
+		return nil, stream, nil
 	}
-	return b[frameLengthBytes:end], b[end:], nil
+	return stream[frameLengthBytes:end], stream[end:], nil
 }
 
-// DecodeFrame reads the value of a frame into v.
+// DecodeFrame decodes the value of a frame into v.
 func DecodeFrame(frame []byte, v any) error {
 	if err := gob.NewDecoder(bytes.NewReader(frame)).Decode(v); err != nil {
 		return fmt.Errorf("decode frame as %T: %w", v, err)
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// frameValue is a value such as controllers send each other.
+// frameValue represents the values that controllers send to each other.
 type frameValue struct{ Text string }
 
+// appendFrame calls AppendFrame and fails the test on an error.
 func appendFrame(t *testing.T, b []byte, v any) []byte {
 	t.Helper()
 	b, err := AppendFrame(b, v)
@@ -25,7 +26,7 @@
 	t.Run("partial", func(t *testing.T) {
 		for cut := range frame {
 			if got, _, err := SplitFrame(stream[:cut]); got != nil || err != nil {
-				t.Fatalf("cut at %d: %v %v", cut, got, err)
+				t.Fatalf("stream of %d bytes: got frame %v, error %v, want neither", cut, got, err)
 			}
 		}
 	})
@@ -33,31 +34,31 @@
 		first, rest, err := SplitFrame(stream)
 		var got frameValue
 		if err != nil || DecodeFrame(first, &got) != nil || got.Text != "x" || len(rest) != len(frame) {
-			t.Fatalf("%v %v %v", got, rest, err)
+			t.Fatalf("got value %v, rest %v, error %v, want value x and one more frame", got, rest, err)
 		}
 	})
 	t.Run("value too long", func(t *testing.T) {
-		long := frameValue{strings.Repeat("x", maxFrameBytes)}
-		if _, err := AppendFrame(nil, long); !errors.Is(err, ErrFrameTooLong) {
-			t.Errorf("error %v, want ErrFrameTooLong", err)
+		longValue := frameValue{strings.Repeat("x", maxFrameBytes)}
+		if _, err := AppendFrame(nil, longValue); !errors.Is(err, ErrFrameTooLong) {
+			t.Errorf("got error %v, want ErrFrameTooLong", err)
 		}
 	})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		input []byte
 	}{
 		{"length 0", []byte{0, 0, 0, 0}},
 		{"length over the limit", []byte{255, 255, 255, 255}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if _, _, err := SplitFrame(c.input); !errors.Is(err, ErrMalformedFrame) {
-				t.Errorf("error %v, want ErrMalformedFrame", err)
+		t.Run(test.name, func(t *testing.T) {
+			if _, _, err := SplitFrame(test.input); !errors.Is(err, ErrMalformedFrame) {
+				t.Errorf("got error %v, want ErrMalformedFrame", err)
 			}
 		})
 	}
 }
 
-// A frame that a PeerClient sends reaches the PeerHandler of the other server.
+// A frame that a PeerClient sends must reach the PeerHandler of the other server.
 func TestPeerLink(t *testing.T) {
 	cfg := testConfig(t, 4)
 	cfg.PeerAddr = freeAddr(t)
@@ -74,7 +75,7 @@
 	if err := NewPeerClient(cfg.PeerAddr).Send(frameValue{"x"}); err != nil {
 		t.Fatal(err)
 	}
-	if got := receive(t, received); got != "x" {
+	if got := receiveWithTimeout(t, received); got != "x" {
 		t.Errorf("received %q, want %q", got, "x")
 	}
 }
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// Limits of what is taken from the other side.
+// Limits of received messages.
 const (
-	maxHeaderBytes  = 8 << 10  // start line and header lines together
-	maxHeaderCount  = 64       // header lines
-	maxRequestBody  = 64 << 10 // bytes; the protocol allows no more
-	maxResponseBody = 32 << 20 // bytes; a watch of the store has no limit of its own
+	maxHeaderBytes       = 8 << 10  // start line and header lines together
+	maxHeaderCount       = 64       // header lines
+	maxRequestBodyBytes  = 64 << 10 // the protocol allows no more
+	maxResponseBodyBytes = 32 << 20 // a watch of the store has no limit of its own
 )
 
 const (
-	crlf     = "\r\n"
-	headEnd  = crlf + crlf
-	version1 = "HTTP/1.1"
-	version0 = "HTTP/1.0"
+	crlf          = "\r\n"
+	headEnd       = crlf + crlf
+	versionHTTP11 = "HTTP/1.1"
+	versionHTTP10 = "HTTP/1.0"
 )
 
-// httpError refuses a request. The server sends Status and Message and closes the
-// connection, as what follows on it cannot be told apart.
+// httpError is the reason for which a request is refused. The server sends Status and
+// Message and closes the connection, because it cannot tell where the next request begins.
 type httpError struct {
 	Status  int
 	Message string
@@ -31,27 +31,30 @@
 
 func (e *httpError) Error() string { return fmt.Sprintf("%d %s", e.Status, e.Message) }
 
+// newHTTPError returns an httpError with the status and message.
 func newHTTPError(status int, message string) *httpError {
 	return &httpError{Status: status, Message: message}
 }
 
+// badRequest returns an httpError with status 400.
 func badRequest(message string) *httpError { return newHTTPError(http.StatusBadRequest, message) }
 
-// isToken tells whether s is a token of RFC 9110, as methods and header names are.
+// isToken reports whether s is a token as defined in RFC 9110, the form of methods and
+// header names.
 func isToken(s string) bool {
 	if s == "" {
 		return false
 	}
 	for i := 0; i < len(s); i++ {
-		c := s[i]
-		if c <= ' ' || c >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", c) >= 0 {
+		char := s[i]
+		if char <= ' ' || char >= 0x7f || strings.IndexByte("()<>@,;:\\\"/[]?={}", char) >= 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// isHeaderValue tells whether s holds no control character but the tab.
+// isHeaderValue reports whether s contains no control character other than the tab.
 func isHeaderValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
@@ -61,14 +64,15 @@
 	return true
 }
 
-// noContentLength is the content length of a message that gives none.
+// noContentLength represents a missing content length.
 const noContentLength = -1
 
-// maxContentLengthDigits bounds a content length, leading zeros included.
+// maxContentLengthDigits is the maximum number of digits of a content length, including
+// leading zeros.
 const maxContentLengthDigits = 18
 
-// header is what matters of a message's header lines.
-type header struct {
+// messageHeader holds the values of the header fields that the package uses.
+type messageHeader struct {
 	contentLength     int64 // or noContentLength
 	chunked           bool
 	closeConn         bool
@@ -76,50 +80,54 @@
 	retryAfterSeconds int
 }
 
-func parseHeader(lines []string) (header, *httpError) {
-	h := header{contentLength: noContentLength}
+// parseHeader parses the header lines of a message.
+func parseHeader(lines []string) (messageHeader, *httpError) {
+	header := messageHeader{contentLength: noContentLength}
 	if len(lines) > maxHeaderCount {
-		return h, newHTTPError(http.StatusRequestHeaderFieldsTooLarge, "too many headers")
+		return header, newHTTPError(http.StatusRequestHeaderFieldsTooLarge, "too many headers")
 	}
 	for _, line := range lines {
 		name, value, found := strings.Cut(line, ":")
 		if !found || !isToken(name) {
-			return h, badRequest("malformed header")
+			return header, badRequest("malformed header")
 		}
 		value = strings.Trim(value, " \t")
 		if !isHeaderValue(value) {
-			return h, badRequest("malformed header value")
+			return header, badRequest("malformed header value")
 		}
-		if err := h.set(strings.ToLower(name), value); err != nil {
-			return h, err
+		if err := header.parseField(strings.ToLower(name), value); err != nil {
+			return header, err
 		}
 	}
-	// Both together is how requests are smuggled past a proxy (RFC 9112, 6.1).
-	if h.chunked && h.contentLength != noContentLength {
-		return h, badRequest("content-length with transfer-encoding")
+	// Both fields together can smuggle a request past a proxy (RFC 9112, section 6.1).
+	if header.chunked && header.contentLength != noContentLength {
+		return header, badRequest("content-length with transfer-encoding")
 	}
-	return h, nil
+	return header, nil
 }
 
-// set records one header line; lines that do not matter are skipped.
-func (h *header) set(lowerName, value string) *httpError {
+// parseField stores the value of one header field. It ignores fields that the package does
+// not use.
+func (h *messageHeader) parseField(lowerName, value string) *httpError {
 	switch lowerName {
 	case "content-length":
-		return h.setContentLength(value)
+		return h.parseContentLength(value)
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") || h.chunked {
 			return badRequest("unknown transfer-encoding")
 		}
 		h.chunked = true
 	case "connection":
-		h.setConnection(value)
+		h.parseConnection(value)
 	case "retry-after":
-		h.retryAfterSeconds, _ = strconv.Atoi(value) // a date counts as none
+		h.retryAfterSeconds, _ = strconv.Atoi(value) // a date is treated as a missing value
 	}
 	return nil
 }
 
-func (h *header) setContentLength(value string) *httpError {
+// parseContentLength stores the value of a Content-Length field. It may occur more than
+// once, with the same value.
+func (h *messageHeader) parseContentLength(value string) *httpError {
 	digits, err := strconv.ParseUint(value, 10, 63)
 	if err != nil || len(value) > maxContentLengthDigits {
 		return badRequest("malformed content-length")
@@ -132,7 +140,8 @@
 	return nil
 }
 
-func (h *header) setConnection(value string) {
+// parseConnection stores the options of a Connection field.
+func (h *messageHeader) parseConnection(value string) {
 	for option := range strings.SplitSeq(value, ",") {
 		switch strings.ToLower(strings.TrimSpace(option)) {
 		case "close":
@@ -143,8 +152,8 @@
 	}
 }
 
-// endsConn tells whether the connection ends with the message. HTTP/1.0 keeps it open
-// only on demand.
-func (h *header) endsConn(isVersion0 bool) bool {
-	return h.closeConn || isVersion0 && !h.keepAlive
+// closesConn reports whether the connection is closed after the message. HTTP/1.0 keeps the
+// connection open only on request.
+func (h *messageHeader) closesConn(isHTTP10 bool) bool {
+	return h.closeConn || isHTTP10 && !h.keepAlive
 }
--- a/internal/transport/http_request.go
+++ b/internal/transport/http_request.go
@@ -7,15 +7,16 @@
 	"strings"
 )
 
-// Request is one whole HTTP request.
+// Request is a complete HTTP request.
 type Request struct {
 	Method, Path, Query string
 	Body                []byte
-	Close               bool // the connection ends with the response
+	Close               bool // the connection is closed after the response
 }
 
-// parseRequest takes one request from the front of buf and returns how many bytes it
-// took. While the request is not yet whole it returns nil without an error.
+// parseRequest parses the request at the start of buf and returns the number of bytes that
+// the request occupies. While the request is incomplete, it returns a nil request and no
+// error.
 func parseRequest(buf []byte) (*Request, int, *httpError) {
 	headLength := bytes.Index(buf, []byte(headEnd))
 	if headLength < 0 {
@@ -25,45 +26,47 @@
 		return nil, 0, errHeadTooLong()
 	}
 	lines := strings.Split(string(buf[:headLength]), crlf)
-	request, isVersion0, err := parseRequestLine(lines[0])
+	request, isHTTP10, err := parseRequestLine(lines[0])
 	if err != nil {
 		return nil, 0, err
 	}
-	h, err := parseHeader(lines[1:])
+	header, err := parseHeader(lines[1:])
 	if err != nil {
 		return nil, 0, err
 	}
-	if err := checkRequestBody(request.Method, &h); err != nil {
+	if err := checkRequestBody(request.Method, &header); err != nil {
 		return nil, 0, err
 	}
-	request.Close = h.endsConn(isVersion0)
+	request.Close = header.closesConn(isHTTP10)
 	bodyStart := headLength + len(headEnd)
-	bodyEnd := bodyStart + max(int(h.contentLength), 0)
+	bodyEnd := bodyStart + max(int(header.contentLength), 0)
 	if len(buf) < bodyEnd {
 		return nil, 0, nil
 	}
 	if bodyEnd > bodyStart {
-		request.Body = bytes.Clone(buf[bodyStart:bodyEnd]) // buf is used again
+		request.Body = bytes.Clone(buf[bodyStart:bodyEnd]) // buf is reused
 	}
 	return request, bodyEnd, nil
 }
 
+// errHeadTooLong returns the error for a head over maxHeaderBytes.
 func errHeadTooLong() *httpError {
 	return newHTTPError(http.StatusRequestHeaderFieldsTooLarge, "head too long")
 }
 
-// checkPartialHead refuses a head whose end would not make it a request.
+// checkPartialHead returns an error if no further input can make an incomplete head valid.
 func checkPartialHead(buf []byte) *httpError {
 	if len(buf) > maxHeaderBytes {
 		return errHeadTooLong()
 	}
-	if i := bytes.IndexByte(buf, '\n'); i == 0 || i > 0 && buf[i-1] != '\r' {
+	if lineFeed := bytes.IndexByte(buf, '\n'); lineFeed == 0 || lineFeed > 0 && buf[lineFeed-1] != '\r' {
 		return badRequest("bare line feed")
 	}
 	return nil
 }
 
-func parseRequestLine(line string) (request *Request, isVersion0 bool, err *httpError) {
+// parseRequestLine parses a line such as "GET /healthz HTTP/1.1".
+func parseRequestLine(line string) (request *Request, isHTTP10 bool, err *httpError) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
 		return nil, false, badRequest("malformed request line")
@@ -77,43 +80,44 @@
 			return nil, false, badRequest("malformed target")
 		}
 	}
-	if version != version1 && version != version0 {
+	if version != versionHTTP11 && version != versionHTTP10 {
 		return nil, false, badRequest("not HTTP/1.1")
 	}
 	request = &Request{Method: method}
 	request.Path, request.Query, _ = strings.Cut(target, "?")
-	return request, version == version0, nil
+	return request, version == versionHTTP10, nil
 }
 
-// checkRequestBody takes only bodies whose length is known in advance and within bounds.
-func checkRequestBody(method string, h *header) *httpError {
+// checkRequestBody returns an error unless the length of the body is known in advance and
+// is within the limit.
+func checkRequestBody(method string, header *messageHeader) *httpError {
 	needsBody := method == http.MethodPost || method == http.MethodPut
 	switch {
-	case h.chunked, h.contentLength == noContentLength && needsBody:
+	case header.chunked, header.contentLength == noContentLength && needsBody:
 		return newHTTPError(http.StatusLengthRequired, "length required")
-	case h.contentLength > maxRequestBody:
+	case header.contentLength > maxRequestBodyBytes:
 		return newHTTPError(http.StatusRequestEntityTooLarge, "body too large")
 	}
 	return nil
 }
 
-// appendRequest appends an HTTP request to b. A nil body is sent without a length.
-func appendRequest(b []byte, method, host, target string, body []byte) []byte {
-	b = append(b, method...)
-	b = append(b, ' ')
-	b = append(b, target...)
-	b = append(b, " "+version1+crlf+"Host: "...)
-	b = append(b, host...)
+// appendRequest appends an HTTP request to dst. A nil body is sent without a length.
+func appendRequest(dst []byte, method, host, target string, body []byte) []byte {
+	dst = append(dst, method...)
+	dst = append(dst, ' ')
+	dst = append(dst, target...)
+	dst = append(dst, " "+versionHTTP11+crlf+"Host: "...)
+	dst = append(dst, host...)
 	if body != nil {
-		b = appendContentHeaders(b, len(body))
+		dst = appendContentHeaders(dst, len(body))
 	}
-	b = append(b, headEnd...)
-	return append(b, body...)
+	dst = append(dst, headEnd...)
+	return append(dst, body...)
 }
 
-// appendContentHeaders appends the header lines of a body, each with the line end in
-// front.
-func appendContentHeaders(b []byte, length int) []byte {
-	b = append(b, crlf+"Content-Type: application/json"+crlf+"Content-Length: "...)
-	return strconv.AppendInt(b, int64(length), 10)
+// appendContentHeaders appends the header lines that describe a body to dst. Each line
+// begins with the line break that ends the previous line.
+func appendContentHeaders(dst []byte, length int) []byte {
+	dst = append(dst, crlf+"Content-Type: application/json"+crlf+"Content-Length: "...)
+	return strconv.AppendInt(dst, int64(length), 10)
 }
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -9,19 +9,19 @@
 
 func TestParseRequest(t *testing.T) {
 	const (
-		whole   = 0
-		partial = -1
+		completeRequest   = 0
+		incompleteRequest = -1
 	)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, input string
-		want        int // the status of an error, whole or partial
+		wantOutcome int // status of an error, completeRequest or incompleteRequest
 	}{
-		{"get", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", whole},
-		{"post", "POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", whole},
-		{"lower case header", "POST /work HTTP/1.1\r\ncontent-length: 2\r\n\r\n{}", whole},
-		{"split head", "GET /healthz HTTP/1.1\r\nHost", partial},
-		{"split body", "POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}", partial},
-		{"same length twice", "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{}", whole},
+		{"get", "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", completeRequest},
+		{"post", "POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", completeRequest},
+		{"lower case header", "POST /work HTTP/1.1\r\ncontent-length: 2\r\n\r\n{}", completeRequest},
+		{"incomplete head", "GET /healthz HTTP/1.1\r\nHost", incompleteRequest},
+		{"incomplete body", "POST /work HTTP/1.1\r\nContent-Length: 5\r\n\r\n{}", incompleteRequest},
+		{"same length twice", "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{}", completeRequest},
 		{"conflicting lengths", "POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}", 400},
 		{"length and chunked", "POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", 400},
 		{"chunked", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411},
@@ -39,98 +39,99 @@
 		{"folded header", "GET / HTTP/1.1\r\nA: x\r\n y\r\n\r\n", 400},
 		{"bare line feed", "GET / HTTP/1.1\nHost: x\n\n", 400},
 		{"long head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes) + "\r\n\r\n", 431},
-		{"long head, no end", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes), 431},
+		{"long incomplete head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes), 431},
 		{"many headers", "GET / HTTP/1.1\r\n" + strings.Repeat("A: x\r\n", maxHeaderCount+1) + "\r\n", 431},
-		{"no bytes", "", partial},
+		{"empty input", "", incompleteRequest},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			request, consumed, err := parseRequest([]byte(c.input))
-			got := whole
+		t.Run(test.name, func(t *testing.T) {
+			request, consumed, err := parseRequest([]byte(test.input))
+			outcome := completeRequest
 			switch {
 			case err != nil:
-				got = err.Status
+				outcome = err.Status
 			case request == nil:
-				got = partial
-			case consumed != len(c.input):
-				t.Errorf("took %d of %d bytes", consumed, len(c.input))
+				outcome = incompleteRequest
+			case consumed != len(test.input):
+				t.Errorf("consumed %d of %d bytes, want all", consumed, len(test.input))
 			}
-			if got != c.want {
-				t.Errorf("got %d, want %d", got, c.want)
+			if outcome != test.wantOutcome {
+				t.Errorf("got outcome %d, want %d", outcome, test.wantOutcome)
 			}
 		})
 	}
 }
 
 func TestReadResponse(t *testing.T) {
-	for _, c := range []struct {
-		name, input, body string
-		status            int // 0: refused
+	for _, test := range []struct {
+		name, input, wantBody string
+		wantStatus            int // 0 means that the response is refused
 	}{
-		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "{}", 200},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1;x=y\r\n}\r\n0\r\n\r\n", "{}", 200},
+		{"content length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", "{}", 200},
+		{"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1;x=y\r\n}\r\n0\r\n\r\n", "{}", 200},
 		{"trailers", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\nA: b\r\n\r\n", "{}", 200},
-		{"until close", "HTTP/1.1 409 Conflict\r\n\r\n{}", "{}", 409},
-		{"cut off", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", "", 0},
-		{"cut off chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{}", "", 0},
-		{"chunk without end", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{}\r\n0\r\n\r\n", "", 0},
+		{"body until the connection closes", "HTTP/1.1 409 Conflict\r\n\r\n{}", "{}", 409},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", "", 0},
+		{"truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n{}", "", 0},
+		{"chunk longer than its size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{}\r\n0\r\n\r\n", "", 0},
 		{"no status", "HTTP/1.1 OK\r\n\r\n", "", 0},
 		{"not HTTP", "SSH-2.0-x\r\n\r\n", "", 0},
-		{"huge", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "", 0},
-		{"both", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", "", 0},
+		{"huge length", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "", 0},
+		{"length and chunked", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{}", "", 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			response, err := readResponse(bufio.NewReader(strings.NewReader(c.input)))
-			if c.status == 0 {
+		t.Run(test.name, func(t *testing.T) {
+			response, err := readResponse(bufio.NewReader(strings.NewReader(test.input)))
+			if test.wantStatus == 0 {
 				if err == nil {
-					t.Errorf("taken as %d %q", response.Status, response.Body)
+					t.Errorf("got status %d, body %q, want an error", response.Status, response.Body)
 				}
 				return
 			}
-			if err != nil || response.Status != c.status || string(response.Body) != c.body {
-				t.Errorf("got %+v, %v, want %d %q", response, err, c.status, c.body)
+			if err != nil || response.Status != test.wantStatus || string(response.Body) != test.wantBody {
+				t.Errorf("got response %+v, error %v, want status %d, body %q", response, err, test.wantStatus, test.wantBody)
 			}
 		})
 	}
 }
 
-// What appendRequest writes, parseRequest must read back, however it is cut; and no input
-// may crash it or be taken for more bytes than it has.
+// parseRequest must parse what appendRequest writes, and must treat every shorter part of a
+// request as incomplete. No input may make it panic or consume more bytes than the input
+// has.
 func FuzzParseRequest(f *testing.F) {
 	f.Add(appendRequest(nil, "POST", "h", "/work", []byte("{}")))
 	f.Add([]byte("GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\nGET"))
 	f.Add([]byte("GET / HTTP/1.1\n\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		request, consumed, err := parseRequest(input)
-		isOddError := err != nil && (err.Status < 400 || err.Status > 431)
-		if isOddError || consumed > len(input) || request != nil && consumed == 0 {
-			t.Fatalf("%v, %d of %d bytes, %v", request, consumed, len(input), err)
+		hasUnexpectedStatus := err != nil && (err.Status < 400 || err.Status > 431)
+		if hasUnexpectedStatus || consumed > len(input) || request != nil && consumed == 0 {
+			t.Fatalf("got request %v, consumed %d of %d bytes, error %v", request, consumed, len(input), err)
 		}
 		if request == nil {
 			return
 		}
 		for cut := 0; cut < consumed; cut += 1 + consumed/8 {
-			if part, _, err := parseRequest(input[:cut]); part != nil && err == nil {
-				t.Fatalf("whole with %d of %d bytes", cut, consumed)
+			if partialRequest, _, err := parseRequest(input[:cut]); partialRequest != nil && err == nil {
+				t.Fatalf("got a complete request from %d of its %d bytes, want an incomplete one", cut, consumed)
 			}
 		}
-		again, _, err := parseRequest(appendRequest(nil, request.Method, "h", request.Path, request.Body))
+		reparsed, _, err := parseRequest(appendRequest(nil, request.Method, "h", request.Path, request.Body))
 		if err != nil && err.Status != 411 { // a POST with an empty body is written without a length
 			t.Fatal(err)
 		}
-		if again != nil && !bytes.Equal(again.Body, request.Body) {
-			t.Fatalf("%q became %q", request.Body, again.Body)
+		if reparsed != nil && !bytes.Equal(reparsed.Body, request.Body) {
+			t.Fatalf("body %q became %q after a round trip, want the same body", request.Body, reparsed.Body)
 		}
 	})
 }
 
-// No input may crash readResponse or become a body longer than it.
+// No input may make readResponse panic or return a body longer than the input.
 func FuzzReadResponse(f *testing.F) {
 	f.Add(appendResponse(nil, 200, 3, []byte("{}"), true))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		response, err := readResponse(bufio.NewReader(bytes.NewReader(input)))
 		if err == nil && (response.Status < 200 || len(response.Body) > len(input)) {
-			t.Fatalf("%+v", response)
+			t.Fatalf("got response %+v, want status 200 or more and a body no longer than the input", response)
 		}
 	})
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,97 +9,98 @@
 	"github.com/tidwall/evio"
 )
 
-// ServerConfig is where a server listens and how much it takes on.
+// ServerConfig holds the addresses and the limits of a server.
 type ServerConfig struct {
-	Addr        string        // of the HTTP interface
-	PeerAddr    string        // of the link between controllers; empty: none
+	Addr        string        // address of the HTTP interface
+	PeerAddr    string        // address of the link between controllers; empty means no link
 	MaxConns    int           // open connections on both addresses; further ones are closed at once
-	IdleTimeout time.Duration // a connection without a request is closed after this
-	ReadTimeout time.Duration // a request must be whole this long after its first byte
+	IdleTimeout time.Duration // time after which a connection without a request is closed
+	ReadTimeout time.Duration // time from the first byte of a request within which it must be complete
 }
 
 const (
-	// tcpKeepAlive is the interval of probes on connections with nothing to carry.
+	// tcpKeepAlive is the interval of keep-alive probes on idle connections.
 	tcpKeepAlive = 30 * time.Second
-	// sweepInterval is the time between two searches for connections that outstay
-	// their time-out; it is also the longest that Stop takes to be seen.
+	// sweepInterval is the time between two searches for connections whose time-out has
+	// expired. It is also the longest time until the loop notices a Stop.
 	sweepInterval = time.Second
-	// restartPause keeps a listener that fails at once from using up a processor.
+	// restartPause keeps a listener that fails immediately from occupying a processor.
 	restartPause = 50 * time.Millisecond
-	// The listener is restarted once the connections that resist being closed are
-	// more than toleratedStalledConns and more than MaxConns/stalledConnsDivisor.
+	// The listener is restarted when the connections that could not be closed are more
+	// than toleratedStalledConns and more than MaxConns/stalledConnsDivisor.
 	toleratedStalledConns = 8
 	stalledConnsDivisor   = 4
-	// maxKeptInput is the input buffer that a connection keeps between requests, in
-	// bytes.
-	maxKeptInput = 8 << 10
-	// responseHeadBytes is room for a response's head; a longer one costs a second
-	// allocation.
+	// maxRetainedInputBytes is the maximum capacity of the input buffer that a connection
+	// keeps between requests.
+	maxRetainedInputBytes = 8 << 10
+	// responseHeadBytes is the capacity reserved for the head of a response. A longer
+	// head costs a second allocation.
 	responseHeadBytes = 160
 )
 
-// Positions of the listeners' addresses as evio counts them.
+// Indexes of the listeners' addresses, as evio numbers them.
 const (
 	httpAddrIndex = iota
 	peerAddrIndex
 )
 
-// Exchange is one request that waits for its response.
+// Exchange is a request that waits for its response.
 type Exchange struct {
 	Request *Request
-	conn    *conn
+	conn    *serverConn
 }
 
-// Handler takes a request. It is called in the server's loop and must not block; it or
-// any other goroutine answers by Server.Reply.
+// Handler handles a request. The server's loop calls it, so it must not block. The handler
+// or any other goroutine responds with Server.Reply.
 type Handler func(*Exchange)
 
-// conn is the state of a connection, guarded by Server.mu.
-type conn struct {
-	evioConn         evio.Conn
-	input            []byte    // of a request, or a frame, that is not whole
-	awaitingResponse bool      // a request waits for its response
-	pendingResponse  []byte    // a response that waits for the loop
-	closing          bool      // is closed after the response that is due
-	lastActivity     time.Time // of the first byte of a request, or of the last response
-	closed           bool      // evio has closed the connection or is about to
-	closeRequested   bool      // the sweep has asked for closing
-	inHandler        bool      // the loop collects the response when the handler returns
+// serverConn is the state of a connection. Server.mu guards it.
+type serverConn struct {
+	evioConn           evio.Conn
+	input              []byte    // bytes of an incomplete request or frame
+	awaitingResponse   bool      // a request waits for its response
+	pendingResponse    []byte    // a response that the loop has not taken
+	closeAfterResponse bool      // the connection is closed once no response is due
+	lastActivity       time.Time // time of the first byte of a request, or of the last response
+	isClosed           bool      // evio has closed the connection or is about to
+	closeRequested     bool      // the sweep has requested that the connection is closed
+	inHandler          bool      // the handler runs; the loop takes the response when it returns
 }
 
 // Server serves HTTP, and the link between controllers, on evio.
 //
-// What evio 1.0.8 leaves to its user, and how it is met here:
+// Server works around these limitations of evio 1.0.8:
 //   - Any accept error (no descriptors left, an aborted connection) ends evio's loop
-//     and with it Serve: Run starts it anew, so the process goes on.
+//     and with it Serve. Run calls Serve again, so that the process continues to serve.
 //   - Wake writes to a descriptor that is closed once Serve has ended, and that may
-//     belong to another connection by then: a connection is marked as closed, under
-//     the lock that Wake is called with, before evio closes anything.
-//   - Wake replaces output that a slow reader has not taken yet: there is one response
-//     to one request at a time, and the next request is not read before evio has
-//     written the last response. Bytes behind a request end the connection.
-//   - evio has no time-outs and cannot close a connection with output left: a sweep
-//     closes idle ones, and if slow readers hold too many, the loop is started anew.
+//     belong to another connection by then. A connection is therefore marked as closed
+//     before evio closes anything, under the lock that is held when Wake is called.
+//   - Wake replaces output that a slow reader has not read yet. There is therefore one
+//     response to one request at a time, and the next request is not read before evio
+//     has written the last response. Bytes after a request end the connection.
+//   - evio has no time-outs and cannot close a connection with output left. A sweep
+//     closes idle connections, and if slow readers occupy too many connections, the loop
+//     is restarted.
 type Server struct {
-	// PeerHandler takes the frames that other controllers send. It is set before Run
-	// or never, must not block, call Reply or keep the frame: it is called in the
-	// loop, under the server's lock, and the frame's memory is used again.
+	// PeerHandler handles the frames that other controllers send. It is set before Run or
+	// never. It must not block or call Reply, because the loop calls it under the server's
+	// lock, and must not keep the frame, because the frame's memory is reused.
 	PeerHandler func(frame []byte)
 
-	config   ServerConfig
-	handler  Handler
-	stopping atomic.Bool
-	mu       sync.Mutex
-	conns    map[*conn]bool // the open ones
+	config    ServerConfig
+	handler   Handler
+	stopping  atomic.Bool
+	mu        sync.Mutex
+	openConns map[*serverConn]bool
 }
 
-// NewServer makes a server; Run starts it.
+// NewServer returns a server. Run starts it.
 func NewServer(cfg ServerConfig, handler Handler) *Server {
-	return &Server{config: cfg, handler: handler, conns: map[*conn]bool{}}
+	return &Server{config: cfg, handler: handler, openConns: map[*serverConn]bool{}}
 }
 
-// Run serves until Stop and then returns nil. It returns an error only if it could not
-// listen at all; a listener that fails later is restarted.
+// Run serves until Stop is called and then returns nil. It returns an error only if it could
+// not listen at all. A listener that fails later is restarted.
 func (s *Server) Run() error {
 	addrs := []string{httpAddrIndex: "tcp://" + s.config.Addr}
 	if s.config.PeerAddr != "" {
@@ -126,141 +127,149 @@
 	return nil
 }
 
-// Stop makes Run return within about a second. It does not wait for it.
+// Stop makes Run return within about a second. It does not wait for Run to return.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
+// onOpened registers a new connection, or closes it if MaxConns connections are open.
 func (s *Server) onOpened(evioConn evio.Conn) ([]byte, evio.Options, evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	opts := evio.Options{TCPKeepAlive: tcpKeepAlive, ReuseInputBuffer: true}
-	if len(s.conns) >= s.config.MaxConns {
+	if len(s.openConns) >= s.config.MaxConns {
 		return nil, opts, evio.Close
 	}
-	c := &conn{evioConn: evioConn, lastActivity: time.Now()}
-	evioConn.SetContext(c)
-	s.conns[c] = true
+	conn := &serverConn{evioConn: evioConn, lastActivity: time.Now()}
+	evioConn.SetContext(conn)
+	s.openConns[conn] = true
 	return nil, opts, evio.None
 }
 
+// onClosed marks a connection as closed and removes it from the open ones.
 func (s *Server) onClosed(evioConn evio.Conn, _ error) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c, ok := evioConn.Context().(*conn); ok {
-		c.closed = true
-		c.input, c.pendingResponse = nil, nil
-		delete(s.conns, c)
+	if conn, ok := evioConn.Context().(*serverConn); ok {
+		conn.isClosed = true
+		conn.input, conn.pendingResponse = nil, nil
+		delete(s.openConns, conn)
 	}
 	return evio.None
 }
 
-// onData takes input, or nothing after a Wake.
+// onData handles the input of a connection. After a Wake, the input is empty.
 func (s *Server) onData(evioConn evio.Conn, input []byte) ([]byte, evio.Action) {
-	c, ok := evioConn.Context().(*conn)
+	conn, ok := evioConn.Context().(*serverConn)
 	switch {
-	case !ok: // over MaxConns
+	case !ok: // beyond MaxConns, so that onOpened did not register it
 		return nil, evio.Close
 	case evioConn.AddrIndex() == peerAddrIndex:
-		return nil, s.onPeerData(c, input)
+		return nil, s.onPeerData(conn, input)
 	case len(input) == 0:
-		return s.onWake(c)
+		return s.onWake(conn)
 	}
-	request, output, action := s.receive(c, input)
+	request, output, action := s.receiveInput(conn, input)
 	if request == nil {
 		return output, action
 	}
-	s.handler(&Exchange{Request: request, conn: c}) // without the lock, which Reply takes
-	return s.onHandlerReturned(c)
+	s.handler(&Exchange{Request: request, conn: conn}) // without the lock, which Reply acquires
+	return s.onHandlerReturned(conn)
 }
 
-// receive adds input to a connection. It returns a request once that is whole, and
-// otherwise what evio is to do.
-func (s *Server) receive(c *conn, input []byte) (request *Request, output []byte, action evio.Action) {
+// receiveInput adds input to the buffer of a connection. It returns a request once the
+// request is complete, and otherwise the output and the action for evio.
+func (s *Server) receiveInput(conn *serverConn, input []byte) (request *Request, output []byte, action evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.closing {
+	if conn.closeAfterResponse {
 		return nil, nil, evio.Close
 	}
-	if c.awaitingResponse {
-		return nil, nil, c.keepEarlyInput(input)
+	if conn.awaitingResponse {
+		return nil, nil, conn.bufferEarlyInput(input)
 	}
-	if len(c.input) == 0 {
-		c.lastActivity = time.Now()
+	if len(conn.input) == 0 {
+		conn.lastActivity = time.Now()
 	}
-	c.input = append(c.input, input...)
-	request, consumed, err := parseRequest(c.input)
+	conn.input = append(conn.input, input...)
+	request, consumed, err := parseRequest(conn.input)
 	if err != nil {
-		c.closing = true
+		conn.closeAfterResponse = true
 		body := []byte(`{"error":"` + err.Message + `"}`)
 		return nil, appendResponse(nil, err.Status, 0, body, true), evio.Close
 	}
 	if request == nil {
 		return nil, nil, evio.None
 	}
-	if consumed < len(c.input) {
+	if consumed < len(conn.input) {
 		request.Close = true
 	}
-	c.input = c.input[:0]
-	if cap(c.input) > maxKeptInput {
-		c.input = nil
+	conn.input = conn.input[:0]
+	if cap(conn.input) > maxRetainedInputBytes {
+		conn.input = nil
 	}
-	c.awaitingResponse, c.inHandler = true, true
+	conn.awaitingResponse, conn.inHandler = true, true
 	return request, nil, evio.None
 }
 
-// keepEarlyInput takes what a peer sends before it has its response. Pipelining does not
-// occur, so the input is never served: it ends the connection after the response.
-func (c *conn) keepEarlyInput(input []byte) evio.Action {
-	if len(c.input)+len(input) > maxRequestBody {
+// bufferEarlyInput stores input that arrives before the response to the last request is
+// sent. Pipelining does not occur, so the input is never served: the connection is closed
+// after the response.
+func (c *serverConn) bufferEarlyInput(input []byte) evio.Action {
+	if len(c.input)+len(input) > maxRequestBodyBytes {
 		return evio.Close
 	}
 	c.input = append(c.input, input...)
 	return evio.None
 }
 
-func (s *Server) onWake(c *conn) ([]byte, evio.Action) {
+// onWake returns the pending response and the action for evio after a Wake.
+func (s *Server) onWake(conn *serverConn) ([]byte, evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return c.takeOutput()
+	return conn.takePendingResponse()
 }
 
-func (s *Server) onHandlerReturned(c *conn) ([]byte, evio.Action) {
+// onHandlerReturned returns the response and the action for evio after a handler returned.
+// There is no response yet if another goroutine is to respond.
+func (s *Server) onHandlerReturned(conn *serverConn) ([]byte, evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.inHandler = false
-	return c.takeOutput()
+	conn.inHandler = false
+	return conn.takePendingResponse()
 }
 
-// takeOutput hands the loop a response that is ready.
-func (c *conn) takeOutput() ([]byte, evio.Action) {
+// takePendingResponse removes and returns the pending response, if there is one, and returns
+// the action for evio.
+func (c *serverConn) takePendingResponse() ([]byte, evio.Action) {
 	output := c.pendingResponse
 	c.pendingResponse = nil
 	if output != nil {
 		c.awaitingResponse = false
 		c.lastActivity = time.Now()
 		if len(c.input) > 0 {
-			c.closing = true
+			c.closeAfterResponse = true
 		}
 	}
-	if c.closing && !c.awaitingResponse {
+	if c.closeAfterResponse && !c.awaitingResponse {
 		return output, evio.Close
 	}
 	return output, evio.None
 }
 
-// onPeerData cuts the stream of another controller into frames.
-func (s *Server) onPeerData(c *conn, input []byte) evio.Action {
+// onPeerData splits the stream of another controller into frames and passes each frame to
+// PeerHandler.
+func (s *Server) onPeerData(conn *serverConn, input []byte) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(input) == 0 { // Wake
-		if c.closing {
+		if conn.closeAfterResponse {
 			return evio.Close
 		}
 		return evio.None
 	}
-	c.lastActivity = time.Now()
-	c.input = append(c.input, input...)
+	conn.lastActivity = time.Now()
+	conn.input = append(conn.input, input...)
 	for {
-		frame, rest, err := SplitFrame(c.input)
+		frame, rest, err := SplitFrame(conn.input)
 		if err != nil {
 			return evio.Close
 		}
@@ -270,28 +279,28 @@
 		if s.PeerHandler != nil {
 			s.PeerHandler(frame)
 		}
-		c.input = append(c.input[:0], rest...)
+		conn.input = append(conn.input[:0], rest...)
 	}
 }
 
-// Reply responds to the exchange; only the first response counts, and none if the
-// connection is closed. It may be called from any goroutine.
-func (s *Server) Reply(x *Exchange, status, retryAfterSeconds int, body []byte) {
+// Reply sends the response to an exchange. It does nothing if the exchange already has a
+// response or the connection is closed. It may be called from any goroutine.
+func (s *Server) Reply(exchange *Exchange, status, retryAfterSeconds int, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := x.conn
-	if c.closed || !c.awaitingResponse || c.pendingResponse != nil {
+	conn := exchange.conn
+	if conn.isClosed || !conn.awaitingResponse || conn.pendingResponse != nil {
 		return
 	}
 	buf := make([]byte, 0, responseHeadBytes+len(body))
-	c.pendingResponse = appendResponse(buf, status, retryAfterSeconds, body, x.Request.Close)
-	c.closing = c.closing || x.Request.Close
-	if !c.inHandler {
-		c.evioConn.Wake()
+	conn.pendingResponse = appendResponse(buf, status, retryAfterSeconds, body, exchange.Request.Close)
+	conn.closeAfterResponse = conn.closeAfterResponse || exchange.Request.Close
+	if !conn.inHandler {
+		conn.evioConn.Wake()
 	}
 }
 
-// onTick shuts the loop down if the server stops or too many connections resist being
+// onTick shuts the loop down if the server stops or if too many connections could not be
 // closed.
 func (s *Server) onTick() (time.Duration, evio.Action) {
 	if s.stopping.Load() {
@@ -305,25 +314,26 @@
 	return sweepInterval, evio.None
 }
 
-// closeExpiredConns asks for the closing of connections that outstay their time-out. It
-// returns how many have been asked before and are still open.
+// closeExpiredConns requests that connections are closed whose time-out has expired. It
+// returns the number of connections for which an earlier sweep requested it and that are
+// still open.
 func (s *Server) closeExpiredConns(now time.Time) (stalled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
+	for conn := range s.openConns {
 		timeout := s.config.IdleTimeout
-		if len(c.input) > 0 {
+		if len(conn.input) > 0 {
 			timeout = s.config.ReadTimeout
 		}
-		if c.awaitingResponse || now.Sub(c.lastActivity) < timeout {
+		if conn.awaitingResponse || now.Sub(conn.lastActivity) < timeout {
 			continue
 		}
-		if c.closeRequested {
+		if conn.closeRequested {
 			stalled++
 			continue
 		}
-		c.closeRequested, c.closing = true, true
-		c.evioConn.Wake()
+		conn.closeRequested, conn.closeAfterResponse = true, true
+		conn.evioConn.Wake()
 	}
 	return stalled
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -20,7 +20,8 @@
 	return listener.Addr().String()
 }
 
-// testConfig listens on loopback, with time-outs that no test reaches.
+// testConfig returns a configuration with a loopback address and with time-outs that no
+// test reaches.
 func testConfig(t *testing.T, maxConns int) ServerConfig {
 	t.Helper()
 	return ServerConfig{
@@ -31,8 +32,9 @@
 	}
 }
 
-// receive waits for a value that must come soon.
-func receive[T any](t *testing.T, values <-chan T) (value T) {
+// receiveWithTimeout returns the next value of a channel. It reports a failure of the test
+// if there is none within 5 s.
+func receiveWithTimeout[T any](t *testing.T, values <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-values:
@@ -42,13 +44,13 @@
 	return value
 }
 
-// startServer serves until the test ends. Another goroutine than the server's loop
-// answers each request with its path.
+// startServer starts a server that runs until the test ends. A goroutine other than the
+// server's loop responds to each request with the request's path.
 func startServer(t *testing.T, cfg ServerConfig) *Server {
 	t.Helper()
 	var server *Server
-	server = NewServer(cfg, func(x *Exchange) {
-		go server.Reply(x, 200, 0, []byte(x.Request.Path))
+	server = NewServer(cfg, func(exchange *Exchange) {
+		go server.Reply(exchange, 200, 0, []byte(exchange.Request.Path))
 	})
 	runServer(t, server)
 	return server
@@ -64,25 +66,26 @@
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
-			t.Error("server does not stop")
+			t.Error("server did not stop within 5 s")
 		}
 	})
-	for i := 0; ; i++ {
+	for attempt := 0; ; attempt++ {
 		conn, err := net.Dial("tcp4", server.config.Addr)
 		if err == nil {
 			conn.Close()
 			return
 		}
-		if i > 100 {
+		if attempt > 100 {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// exchange sends bytes on a connection of their own. It returns the body of the response
-// and whether the connection ends with it; an empty body if there is no response.
-func exchange(t *testing.T, addr, request string) (body string, closes bool) {
+// sendRequest sends bytes on a new connection. It returns the body of the response and
+// whether the connection is closed after the response. The body is empty if there is no
+// response.
+func sendRequest(t *testing.T, addr, request string) (body string, closesConn bool) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", addr)
 	if err != nil {
@@ -102,32 +105,32 @@
 	cfg := testConfig(t, 20)
 	cfg.ReadTimeout = time.Second
 	startServer(t, cfg)
-	for _, c := range []struct {
-		name, request, body string
-		closes              bool
+	for _, test := range []struct {
+		name, request, wantBody string
+		wantClosesConn          bool
 	}{
 		{"connection is kept", "GET /a HTTP/1.1\r\n\r\n", "/a", false},
-		{"connection is closed on demand", "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "/a", true},
+		{"connection is closed on request", "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "/a", true},
 		{"pipelined requests get one response", "GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n", "/a", true},
 		{"malformed request", "BAD\r\n\r\n", `{"error":"malformed request line"}`, true},
 		{"partial request times out", "GET /a HTTP", "", false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			body, closes := exchange(t, cfg.Addr, c.request)
-			if body != c.body || closes != c.closes {
-				t.Errorf("got %q, closes %v, want %q, closes %v", body, closes, c.body, c.closes)
+		t.Run(test.name, func(t *testing.T) {
+			body, closesConn := sendRequest(t, cfg.Addr, test.request)
+			if body != test.wantBody || closesConn != test.wantClosesConn {
+				t.Errorf("got %q, closes %v, want %q, closes %v", body, closesConn, test.wantBody, test.wantClosesConn)
 			}
 		})
 	}
 }
 
-// A client that closes its half after the request, or in the middle of one, loses its own
-// connection and takes up none of MaxConns.
+// A client that closes its half of the connection after a request, or in the middle of a
+// request, must lose its connection and must not occupy one of MaxConns permanently.
 func TestServerHalfClosed(t *testing.T) {
 	cfg := testConfig(t, 4)
 	startServer(t, cfg)
 	requests := []string{"GET /a HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Le"}
-	for i := range 3 * cfg.MaxConns { // one that is not given up takes a place for good
+	for i := range 3 * cfg.MaxConns { // a connection that stays open occupies one of MaxConns
 		conn, err := net.Dial("tcp4", cfg.Addr)
 		if err != nil {
 			t.Fatal(err)
@@ -136,16 +139,16 @@
 		conn.(*net.TCPConn).CloseWrite()
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		if _, err := io.ReadAll(conn); err != nil {
-			t.Fatalf("not closed: %v", err)
+			t.Fatalf("server did not close the connection: %v", err)
 		}
 		conn.Close()
 	}
-	if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "/a" {
-		t.Fatalf("not served any more: %q", body)
+	if body, _ := sendRequest(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "/a" {
+		t.Fatalf("after half-closed connections: got body %q, want /a", body)
 	}
 }
 
-// Beyond MaxConns the server closes new connections and goes on.
+// Beyond MaxConns, the server must close new connections and continue to serve.
 func TestServerBoundsConnections(t *testing.T) {
 	cfg := testConfig(t, 3)
 	startServer(t, cfg)
@@ -163,27 +166,27 @@
 			t.Fatal(err)
 		}
 	}
-	if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "" {
-		t.Fatalf("a connection beyond the limit was served %q", body)
+	if body, _ := sendRequest(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "" {
+		t.Fatalf("connection beyond the limit: got body %q, want no response", body)
 	}
 	conns[0].Close()
 	time.Sleep(300 * time.Millisecond)
-	if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "/a" {
-		t.Fatalf("not served after another connection was closed: %q", body)
+	if body, _ := sendRequest(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body != "/a" {
+		t.Fatalf("after another connection was closed: got body %q, want /a", body)
 	}
 }
 
-// evio ends its loop on any accept error. A process that has no descriptors left must go
-// on serving once it has some again. The test leaves itself exactly one descriptor, takes
-// it for the client's socket, and has that socket connect.
+// evio ends its loop on any accept error. A process that has no descriptors left must serve
+// again once it has some. The test leaves exactly one descriptor to the process, uses it for
+// the client's socket, and connects that socket.
 func TestServerSurvivesFailedAccept(t *testing.T) {
 	cfg := testConfig(t, 1000)
 	startServer(t, cfg)
-	open, err := net.Dial("tcp4", cfg.Addr) // a connection that the restart breaks
+	openConn, err := net.Dial("tcp4", cfg.Addr) // a connection that the restart breaks
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
+	defer openConn.Close()
 	tcpAddr, err := net.ResolveTCPAddr("tcp4", cfg.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -196,9 +199,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	lowered := limit
-	lowered.Cur = uint64(fd + 1) // no descriptor is left for accept
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &lowered); err != nil {
+	loweredLimit := limit
+	loweredLimit.Cur = uint64(fd + 1) // no descriptor is left for accept
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &loweredLimit); err != nil {
 		t.Fatal(err)
 	}
 	connectErr := syscall.Connect(fd, &syscall.SockaddrInet4{Port: tcpAddr.Port, Addr: [4]byte{127, 0, 0, 1}})
@@ -214,12 +217,12 @@
 		conn, err := net.Dial("tcp4", cfg.Addr)
 		if err == nil {
 			conn.Close()
-			if body, _ := exchange(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body == "/a" {
+			if body, _ := sendRequest(t, cfg.Addr, "GET /a HTTP/1.1\r\n\r\n"); body == "/a" {
 				return
 			}
 		}
 		if i > 50 {
-			t.Fatal("not served any more")
+			t.Fatal("server did not serve a request after the failed accept")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
