--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// fakeBackend responds as its fields say.
+// fakeBackend is a Backend that responds with the values of its fields.
 type fakeBackend struct {
 	status              ShardingStatus
 	err                 error
-	blocks              bool // StartTransfer waits for the end of its context
+	blocksTransfers     bool // StartTransfer blocks until its context ends
 	lastTransferRequest *TransferRequest
 }
 
@@ -24,7 +24,7 @@
 
 func (b *fakeBackend) StartTransfer(ctx context.Context, r *TransferRequest) (*Transfer, error) {
 	b.lastTransferRequest = r
-	if b.blocks {
+	if b.blocksTransfers {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -39,14 +39,15 @@
 	return &Controller{ID: r.Controller, Draining: r.Draining}, b.err
 }
 
-// startTestServer serves a backend on loopback until the test ends and makes a client.
-func startTestServer(t *testing.T, b Backend) *Client {
+// startTestServer serves a backend on a loopback address until the test ends and returns a
+// client of the server.
+func startTestServer(t *testing.T, backend Backend) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(b)
+	server := NewServer(backend)
 	go server.Serve(LimitConnections(listener))
 	t.Cleanup(server.Stop)
 	client, err := Dial(listener.Addr().String())
@@ -58,7 +59,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	startedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
+	proposedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
 	backend := &fakeBackend{status: ShardingStatus{
 		Revision: 412,
 		Stale:    true,
@@ -73,8 +74,8 @@
 		Transfers: []Transfer{{
 			Name:       "m",
 			Phase:      "closed",
-			ProposedAt: startedAt,
-			EndedAt:    startedAt.Add(time.Second),
+			ProposedAt: proposedAt,
+			EndedAt:    proposedAt.Add(time.Second),
 		}},
 		PlannedTransfers: []PlannedTransfer{{Shard: "p", Source: "a", Target: "b"}},
 	}}
@@ -87,13 +88,14 @@
 			t.Fatal(err)
 		}
 		if got.Revision != want.Revision || got.Stale != want.Stale {
-			t.Errorf("got revision %d, stale %v", got.Revision, got.Stale)
+			t.Errorf("got revision %d, stale %v, want those of the backend", got.Revision, got.Stale)
 		}
 		if !slices.Equal(got.Controllers, want.Controllers) || !slices.Equal(got.Shards, want.Shards) ||
 			!slices.Equal(got.PlannedTransfers, want.PlannedTransfers) {
-			t.Errorf("got %+v, want %+v", got, want)
+			t.Errorf("got status %+v, want %+v", got, want)
 		}
-		if len(got.Transfers) != 1 || !got.Transfers[0].ProposedAt.Equal(startedAt) || !got.Transfers[0].PreparedAt.IsZero() {
+		if len(got.Transfers) != 1 || !got.Transfers[0].ProposedAt.Equal(proposedAt) ||
+			!got.Transfers[0].PreparedAt.IsZero() {
 			t.Errorf("got transfers %+v, want %+v", got.Transfers, want.Transfers)
 		}
 	})
@@ -101,42 +103,44 @@
 		request := TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"}
 		transfer, err := client.StartTransfer(ctx, &request)
 		if err != nil || transfer.Phase != "proposed" || *backend.lastTransferRequest != request {
-			t.Errorf("got %+v, %v, the backend %+v", transfer, err, backend.lastTransferRequest)
+			t.Errorf("got transfer %+v, error %v, want phase proposed; backend got %+v, want the request of the client",
+				transfer, err, backend.lastTransferRequest)
 		}
 	})
 	t.Run("SetDraining", func(t *testing.T) {
 		controller, err := client.SetDraining(ctx, &SetDrainingRequest{Controller: "stall-1", Draining: true})
 		if err != nil || controller.ID != "stall-1" || !controller.Draining {
-			t.Errorf("got %+v, %v", controller, err)
+			t.Errorf("got controller %+v, error %v, want stall-1 draining", controller, err)
 		}
 	})
 	t.Run("AbortTransfer", func(t *testing.T) {
 		transfer, err := client.AbortTransfer(ctx, &AbortTransferRequest{Name: "m"})
 		if err != nil || transfer.Phase != "aborted" || transfer.Name != "m" {
-			t.Errorf("got %+v, %v", transfer, err)
+			t.Errorf("got transfer %+v, error %v, want transfer m in phase aborted", transfer, err)
 		}
 	})
 }
 
-// A tool must tell a request that is refused for good from one that may be repeated.
+// A tool must be able to distinguish a request that is refused permanently from one that may
+// be repeated.
 func TestRequestErrors(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		err       error
-		reason    string
-		retryable bool
+	for _, test := range []struct {
+		name          string
+		err           error
+		wantReason    string
+		wantRetryable bool
 	}{
 		{"permanent", &RequestError{Reason: "no such shard"}, "no such shard", false},
 		{"transient", &RequestError{Reason: "store unavailable", Retryable: true}, "store unavailable", true},
 		{"timed out", context.DeadlineExceeded, "did not answer in time", true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			client := startTestServer(t, &fakeBackend{err: c.err})
+		t.Run(test.name, func(t *testing.T) {
+			client := startTestServer(t, &fakeBackend{err: test.err})
 			_, err := client.StartTransfer(context.Background(), &TransferRequest{Name: "m"})
 			var requestErr *RequestError
-			if !errors.As(err, &requestErr) || !strings.Contains(requestErr.Reason, c.reason) ||
-				requestErr.Retryable != c.retryable {
-				t.Errorf("error %v, want %q, retryable %v", err, c.reason, c.retryable)
+			if !errors.As(err, &requestErr) || !strings.Contains(requestErr.Reason, test.wantReason) ||
+				requestErr.Retryable != test.wantRetryable {
+				t.Errorf("got error %v, want a RequestError with %q, retryable %v", err, test.wantReason, test.wantRetryable)
 			}
 		})
 	}
@@ -145,7 +149,7 @@
 		_, err := client.GetShardingStatus(context.Background())
 		var requestErr *RequestError
 		if err == nil || errors.As(err, &requestErr) || !strings.Contains(err.Error(), "broken") {
-			t.Errorf("error %v, want one that is no RequestError", err)
+			t.Errorf("got error %v, want one that names the fault and is no RequestError", err)
 		}
 	})
 }
@@ -155,7 +159,7 @@
 		t.Helper()
 		var requestErr *RequestError
 		if !errors.As(err, &requestErr) || !requestErr.Retryable {
-			t.Errorf("error %v, want a retryable RequestError", err)
+			t.Errorf("got error %v, want a retryable RequestError", err)
 		}
 	}
 	t.Run("nobody listens", func(t *testing.T) {
@@ -168,7 +172,7 @@
 		checkRetryable(t, err)
 	})
 	t.Run("no response in time", func(t *testing.T) {
-		client := startTestServer(t, &fakeBackend{blocks: true})
+		client := startTestServer(t, &fakeBackend{blocksTransfers: true})
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		_, err := client.StartTransfer(ctx, &TransferRequest{Name: "m"})
@@ -180,7 +184,7 @@
 		request := &TransferRequest{Name: strings.Repeat("x", maxRequestBytes)}
 		_, err := client.StartTransfer(context.Background(), request)
 		if err == nil || backend.lastTransferRequest != nil {
-			t.Errorf("a request of over %d bytes: %v", maxRequestBytes, err)
+			t.Errorf("request of over %d bytes: got error %v, want an error before the backend is called", maxRequestBytes, err)
 		}
 	})
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -10,13 +10,13 @@
 	"google.golang.org/grpc/status"
 )
 
-// Client calls the admin service of one controller. Each call ends with its context, and
-// within callTimeout. An error that is a *RequestError says whether the call may be
-// repeated.
+// Client calls the admin service of one controller. Each call ends when its context ends,
+// and after callTimeout at the latest. If the error of a call is a *RequestError, it reports
+// whether the call may be repeated.
 type Client struct{ connection *grpc.ClientConn }
 
-// Dial makes a client of the service at an address. The first call connects. The caller
-// closes the client.
+// Dial returns a client of the service at an address. The first call connects. The caller
+// has to close the client.
 func Dial(address string) (*Client, error) {
 	registerCodec()
 	connection, err := grpc.NewClient("passthrough:///"+address,
@@ -27,36 +27,37 @@
 		),
 	)
 	if err != nil {
-		return nil, err // it names the address, and is shown to the operator
+		return nil, err // the error names the address and is shown to the operator
 	}
 	return &Client{connection}, nil
 }
 
-// Close closes the connection; calls under way fail.
+// Close closes the connection. Calls in progress fail.
 func (c *Client) Close() error { return c.connection.Close() }
 
-// GetShardingStatus asks who owns which machines.
+// GetShardingStatus returns the status of sharding, the ownership of all machines.
 func (c *Client) GetShardingStatus(ctx context.Context) (*ShardingStatus, error) {
 	return invoke[ShardingStatus](ctx, c, methodShardingStatus, &ShardingStatusRequest{})
 }
 
-// StartTransfer asks for the transfer of a shard.
+// StartTransfer requests the transfer of a shard and returns the recorded transfer.
 func (c *Client) StartTransfer(ctx context.Context, request *TransferRequest) (*Transfer, error) {
 	return invoke[Transfer](ctx, c, methodStartTransfer, request)
 }
 
-// AbortTransfer asks for a transfer to be aborted.
+// AbortTransfer requests that a transfer is aborted and returns the transfer.
 func (c *Client) AbortTransfer(ctx context.Context, request *AbortTransferRequest) (*Transfer, error) {
 	return invoke[Transfer](ctx, c, methodAbortTransfer, request)
 }
 
-// SetDraining asks for a controller to be drained, or to take part again.
+// SetDraining requests that a controller is drained, or that it takes part again, and returns
+// the controller's status.
 func (c *Client) SetDraining(ctx context.Context, request *SetDrainingRequest) (*Controller, error) {
 	return invoke[Controller](ctx, c, methodSetDraining, request)
 }
 
-// invoke makes one call within callTimeout and converts its status: the inverse of
-// statusFromError, with what gRPC itself may answer.
+// invoke makes one call within callTimeout and converts the status of the call to an error.
+// The conversion is the inverse of statusFromError, and also covers statuses of gRPC itself.
 func invoke[Response any](ctx context.Context, c *Client, method string, request any) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// ShardingStatusRequest asks who owns which machines.
+// ShardingStatusRequest requests the ShardingStatus.
 type ShardingStatusRequest struct{}
 
-// ShardingStatus is who owns which machines, as of one revision of the records.
+// ShardingStatus is the ownership of all machines as of one revision of the records.
 type ShardingStatus struct {
 	Revision uint64 `json:"revision"`
-	// Stale says that the answering controller does not reach the store and may lack its
-	// latest changes.
+	// Stale means that the responding controller does not reach the store and may lack
+	// the store's latest changes.
 	Stale            bool              `json:"stale"`
 	Controllers      []Controller      `json:"controllers"`
 	Shards           []Shard           `json:"pages"`
@@ -17,18 +17,19 @@
 	PlannedTransfers []PlannedTransfer `json:"plan"`
 }
 
-// Controller is a controller with what it owns. Shards and Machines are counts.
+// Controller is the status of a controller. Shards and Machines are the numbers of shards
+// and machines that it owns.
 type Controller struct {
 	ID                string `json:"member"`
 	Incarnation       string `json:"run"`
 	Shards            int    `json:"pages"`
 	Machines          int    `json:"machines"`
-	SupportsTransfers bool   `json:"moves"` // it takes part in recorded transfers
+	SupportsTransfers bool   `json:"moves"` // the controller takes part in recorded transfers
 	Draining          bool   `json:"draining"`
 }
 
-// Shard is a shard of the fleet with its owner, an incarnation of a controller. Machines
-// and Tasks are counts.
+// Shard is the status of a shard. Owner is an incarnation of a controller. Machines and Tasks
+// are the numbers of machines and tasks of the shard.
 type Shard struct {
 	ID       string `json:"page"`
 	Owner    string `json:"owner"`
@@ -37,8 +38,8 @@
 	Tasks    int    `json:"tasks"`
 }
 
-// Transfer is a transfer of a shard as it is recorded. A phase that was not reached has
-// no time.
+// Transfer is the recorded transfer of a shard. The time of a phase that was not reached is
+// zero.
 type Transfer struct {
 	Name        string    `json:"name"`
 	Shard       string    `json:"page"`
@@ -53,31 +54,31 @@
 	EndedAt     time.Time `json:"ended,omitzero"`
 }
 
-// PlannedTransfer is a transfer that the controller would propose now.
+// PlannedTransfer is a transfer that the responding controller would propose now.
 type PlannedTransfer struct {
 	Shard  string `json:"page"`
 	Source string `json:"from"`
 	Target string `json:"to"`
 }
 
-// TransferRequest asks for the transfer of a shard. It is accepted once the transfer is
-// recorded. Name makes it idempotent: asked again, it does nothing more.
+// TransferRequest requests the transfer of a shard. The request is accepted once the transfer
+// is recorded. Name makes the request idempotent: a repeated request has no further effect.
 type TransferRequest struct {
 	Name   string `json:"name"`
-	Shard  string `json:"page,omitempty"` // which shard, or
-	Source string `json:"from,omitempty"` // any shard of this controller
+	Shard  string `json:"page,omitempty"` // the shard to transfer; empty means any shard of Source
+	Source string `json:"from,omitempty"` // the controller that transfers a shard away, if Shard is empty
 	Target string `json:"to"`
 }
 
-// SetDrainingRequest asks for a controller to give its machines away and be given none, or
-// to take part again. It is accepted once it is recorded, and holds for later incarnations
-// of the controller, too.
+// SetDrainingRequest requests that a controller transfers its machines away and receives none,
+// or that it takes part again. The request is accepted once it is recorded, and also
+// applies to later incarnations of the controller.
 type SetDrainingRequest struct {
 	Controller string `json:"member"`
 	Draining   bool   `json:"drain"`
 }
 
-// AbortTransferRequest asks for a transfer to be aborted.
+// AbortTransferRequest requests that a transfer is aborted.
 type AbortTransferRequest struct {
 	Name string `json:"name"`
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,15 +13,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// Limits of the service: a tool makes a few small calls.
+// Limits of the service, for tools that make a few small calls.
 const (
-	maxConnections   = 16
-	maxStreams       = 8               // calls under way on one connection
-	maxRequestBytes  = 64 << 10        // of one message
-	maxResponseBytes = 16 << 20        // of one message; a status lists all shards of the fleet
-	callTimeout      = 8 * time.Second // of one call, at the client and at the server
-	connectTimeout   = 3 * time.Second // until a new connection is set up
-	idleTimeout      = time.Minute     // a connection without a call is closed after this
+	maxConnections          = 16
+	maxStreamsPerConnection = 8               // calls in progress on one connection
+	maxRequestBytes         = 64 << 10        // size of one message
+	maxResponseBytes        = 16 << 20        // size of one message; a status lists all shards of the fleet
+	callTimeout             = 8 * time.Second // time-out of one call, at the client and at the server
+	connectTimeout          = 3 * time.Second // time-out until a new connection is set up
+	idleTimeout             = time.Minute     // time after which a connection without a call is closed
 )
 
 // Names of the service and its methods on the wire.
@@ -33,9 +33,9 @@
 	methodSetDraining    = "Drain"
 )
 
-// Backend carries the service's requests out. Each call ends with its context. A request
-// that cannot be carried out is answered with a *RequestError; any other error counts as
-// a fault of the controller.
+// Backend carries out the requests of the service. Each call ends when its context ends. The
+// error for a request that cannot be carried out is a *RequestError; any other error counts
+// as a fault of the controller.
 type Backend interface {
 	GetShardingStatus(context.Context, *ShardingStatusRequest) (*ShardingStatus, error)
 	StartTransfer(context.Context, *TransferRequest) (*Transfer, error)
@@ -50,9 +50,10 @@
 	Retryable bool // the same request may succeed later
 }
 
+// Error returns the reason.
 func (e *RequestError) Error() string { return e.Reason }
 
-// serviceDesc describes the service to gRPC, in place of generated code.
+// serviceDesc describes the service to gRPC. It replaces generated code.
 var serviceDesc = grpc.ServiceDesc{
 	ServiceName: serviceName,
 	HandlerType: (*Backend)(nil),
@@ -64,7 +65,8 @@
 	},
 }
 
-// newMethodDesc describes one method, given as a method expression of Backend.
+// newMethodDesc returns the description of one method of the service. call is a method
+// expression of Backend.
 func newMethodDesc[Request, Response any](
 	name string,
 	call func(Backend, context.Context, *Request) (*Response, error),
@@ -90,8 +92,8 @@
 	return grpc.MethodDesc{MethodName: name, Handler: handler}
 }
 
-// statusFromError returns the status by which a tool tells a request that is refused for
-// good from one that may be repeated.
+// statusFromError converts an error of the backend to a gRPC status. The status code
+// distinguishes a request that is refused permanently from one that may be repeated.
 func statusFromError(err error) error {
 	var requestErr *RequestError
 	switch {
@@ -105,14 +107,14 @@
 	return status.Error(codes.Internal, err.Error())
 }
 
-// NewServer makes the service. The caller gives its Serve a listener that
-// LimitConnections returned, and stops it.
+// NewServer returns a gRPC server of the service. The caller passes a listener from
+// LimitConnections to its Serve method, and has to stop the server.
 func NewServer(backend Backend) *grpc.Server {
 	registerCodec()
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxRequestBytes),
 		grpc.MaxSendMsgSize(maxResponseBytes),
-		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxConcurrentStreams(maxStreamsPerConnection),
 		grpc.ConnectionTimeout(connectTimeout),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
 	)
@@ -120,8 +122,8 @@
 	return server
 }
 
-// LimitConnections bounds the connections that a listener has at once; further ones wait
-// to be accepted.
+// LimitConnections returns a listener that accepts connections from the given one, at most
+// maxConnections at once. Further connections wait to be accepted.
 func LimitConnections(listener net.Listener) net.Listener {
 	return netutil.LimitListener(listener, maxConnections)
 }
