--- a/internal/admin/messages.go
+++ b/internal/admin/messages.go
@@ -70,8 +70,8 @@
 	Target string `json:"to"`
 }
 
-// SetDrainingRequest requests that a controller transfers its machines away and receives none,
-// or that it takes part again. The request is accepted once it is recorded, and also
+// SetDrainingRequest requests that a controller transfers its machines away and receives
+// none, or that it takes part again. The request is accepted once it is recorded, and also
 // applies to later incarnations of the controller.
 type SetDrainingRequest struct {
 	Controller string `json:"member"`
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -19,8 +19,8 @@
 	maxStreamsPerConnection = 8               // calls in progress on one connection
 	maxRequestBytes         = 64 << 10        // size of one message
 	maxResponseBytes        = 16 << 20        // size of one message; a status lists all shards of the fleet
-	callTimeout             = 8 * time.Second // time-out of one call, at the client and at the server
-	connectTimeout          = 3 * time.Second // time-out until a new connection is set up
+	callTimeout             = 8 * time.Second // timeout of one call, at the client and at the server
+	connectTimeout          = 3 * time.Second // timeout until a new connection is set up
 	idleTimeout             = time.Minute     // time after which a connection without a call is closed
 )
 
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -12,6 +12,7 @@
 // Wire names and their Go names:
 //
 //	wire                            Go                        meaning
+//	work (a path)                   PathJobs                  users' requests on jobs
 //	uid (of a job)                  Job.ID, JobID             id of a job
 //	lane, desk                      Class, Team               objective class, team with a quota
 //	shape: batch, group, daemon     Kind: KindArray,          kind of a job
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -48,7 +48,7 @@
 	JobCancelled JobState = "withdrawn"
 )
 
-// IsTerminal reports whether the state is final: it may never change again.
+// IsTerminal reports whether the state may never change again.
 func (s JobState) IsTerminal() bool { return s == JobDone || s == JobCancelled }
 
 // Job is the accepted description of a job. Amounts are per task.
@@ -83,8 +83,7 @@
 	DeadlineSeconds *float64 `json:"due_s,omitempty"`
 }
 
-// IsGang reports whether the job is a gang: all its tasks run at the same time, or none
-// does.
+// IsGang reports whether all tasks of the job run at the same time, or none does.
 func (j *Job) IsGang() bool { return j.Kind == KindGang }
 
 // IsService reports whether the tasks are service replicas, which run until the job is
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -30,7 +30,7 @@
 			}
 		}
 	})
-	t.Run("whole", func(t *testing.T) {
+	t.Run("complete", func(t *testing.T) {
 		first, rest, err := SplitFrame(stream)
 		var got frameValue
 		if err != nil || DecodeFrame(first, &got) != nil || got.Text != "x" || len(rest) != len(frame) {
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Time-outs of the link to another controller. The values on the link are soon outdated, so
+// Timeouts of the link to another controller. The values on the link are soon outdated, so
 // waiting longer is useless.
 const (
 	peerDialTimeout  = time.Second
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -21,7 +21,7 @@
 const (
 	// tcpKeepAlive is the interval of keep-alive probes on idle connections.
 	tcpKeepAlive = 30 * time.Second
-	// sweepInterval is the time between two searches for connections whose time-out has
+	// sweepInterval is the time between two searches for connections whose timeout has
 	// expired. It is also the longest time until the loop notices a Stop.
 	sweepInterval = time.Second
 	// restartPause keeps a listener that fails immediately from occupying a processor.
@@ -78,7 +78,7 @@
 //   - Wake replaces output that a slow reader has not read yet. There is therefore one
 //     response to one request at a time, and the next request is not read before evio
 //     has written the last response. Bytes after a request end the connection.
-//   - evio has no time-outs and cannot close a connection with output left. A sweep
+//   - evio has no timeouts and cannot close a connection with output left. A sweep
 //     closes idle connections, and if slow readers occupy too many connections, the loop
 //     is restarted.
 type Server struct {
@@ -160,7 +160,7 @@
 func (s *Server) onData(evioConn evio.Conn, input []byte) ([]byte, evio.Action) {
 	conn, ok := evioConn.Context().(*serverConn)
 	switch {
-	case !ok: // beyond MaxConns, so that onOpened did not register it
+	case !ok: // beyond MaxConns; onOpened did not register the connection
 		return nil, evio.Close
 	case evioConn.AddrIndex() == peerAddrIndex:
 		return nil, s.onPeerData(conn, input)
@@ -314,7 +314,7 @@
 	return sweepInterval, evio.None
 }
 
-// closeExpiredConns requests that connections are closed whose time-out has expired. It
+// closeExpiredConns requests that connections are closed whose timeout has expired. It
 // returns the number of connections for which an earlier sweep requested it and that are
 // still open.
 func (s *Server) closeExpiredConns(now time.Time) (stalled int) {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -20,7 +20,7 @@
 	return listener.Addr().String()
 }
 
-// testConfig returns a configuration with a loopback address and with time-outs that no
+// testConfig returns a configuration with a loopback address and with timeouts that no
 // test reaches.
 func testConfig(t *testing.T, maxConns int) ServerConfig {
 	t.Helper()
@@ -118,7 +118,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			body, closesConn := sendRequest(t, cfg.Addr, test.request)
 			if body != test.wantBody || closesConn != test.wantClosesConn {
-				t.Errorf("got %q, closes %v, want %q, closes %v", body, closesConn, test.wantBody, test.wantClosesConn)
+				t.Errorf("got body %q, closes connection %v, want body %q, closes connection %v",
+					body, closesConn, test.wantBody, test.wantClosesConn)
 			}
 		})
 	}
