--- a/internal/simulation/machine_loss_test.go
+++ b/internal/simulation/machine_loss_test.go
@@ -7,17 +7,18 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Nearly all machines of a controller are gone at once, or hang for good: it must not take itself
-// for partitioned for ever and keep their tasks from all others.
+// A controller loses nearly all its machines at once, or nearly all of them hang for an hour. The
+// controller must not conclude permanently that its own network is partitioned, because it would
+// then keep the tasks of the lost machines from all other machines.
 func TestMostMachinesAreLost(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		lose func(w *World, m *Machine)
-		also func(w *World)
+	for _, test := range []struct {
+		name             string
+		loseMachine      func(w *World, m *Machine)
+		injectOtherFault func(w *World)
 	}{
 		{"gone from the cloud's list", terminateMachine, noFault},
-		{"gone from the cloud's list, with a controller", terminateMachine, killFirstController},
-		{"they hang, with a controller", hangForLong, killFirstController},
+		{"gone from the cloud's list, and a controller fails", terminateMachine, killFirstController},
+		{"machines hang, and a controller fails", hangForOneHour, killFirstController},
 	} {
 		w := NewWorld(31, 3, testMachineTypes[:1], testTeams())
 		w.CloudOutOfCapacity = true
@@ -27,22 +28,23 @@
 		w.After(10*time.Second, func() { w.Submit(job) })
 		w.Advance(25 * time.Second)
 		for _, instance := range w.Instances()[:18] {
-			c.lose(w, w.Machines[instance.ID])
+			test.loseMachine(w, w.Machines[instance.ID])
 		}
-		c.also(w)
+		test.injectOtherFault(w)
 		w.Advance(220 * time.Second)
-		owned := 0
+		ownedMachines := 0
 		for _, controller := range w.Controllers {
-			owned += w.OwnedMachineCount(controller)
+			ownedMachines += w.OwnedMachineCount(controller)
 		}
-		if !w.FinishedJobs[job.ID] || owned != 3 || len(w.Rules.Violations) > 0 {
-			t.Errorf("%s: done %v, %d machines on record of 3 that are left, broken %v", c.name, w.FinishedJobs[job.ID], owned, w.Rules.Violations)
+		if !w.FinishedJobs[job.ID] || ownedMachines != 3 || len(w.Rules.Violations) > 0 {
+			t.Errorf("%s: job finished %v, want true; %d machines are recorded in the store, want the 3 that are left; rule violations %v",
+				test.name, w.FinishedJobs[job.ID], ownedMachines, w.Rules.Violations)
 		}
 	}
 }
 
 func terminateMachine(w *World, m *Machine) { w.TerminateMachine(m.ID) }
 
-func hangForLong(_ *World, m *Machine) { m.Hang(time.Hour) }
+func hangForOneHour(_ *World, m *Machine) { m.Hang(time.Hour) }
 
 func killFirstController(w *World) { w.Controllers[0].Kill() }
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// A gang on a machine with a preemption notice stops in order: all its tasks are told in time and
-// save, and it continues elsewhere as a whole.
+// A gang with a task on a machine that gets a preemption notice stops gracefully. All its tasks are
+// told to stop in time and save their progress, and the whole gang continues on other machines.
 func TestGangSavesOnPreemptionNotice(t *testing.T) {
 	w := NewWorld(5, 3, testMachineTypes, testTeams())
 	w.addSmallMachines(12, "a")
@@ -28,30 +28,30 @@
 		}
 	}
 	if machine == "" {
-		t.Fatal("the gang does not run")
+		t.Fatal("no task of the gang runs after 20 s")
 	}
 	w.PreemptMachine(machine, 14*time.Second)
 	w.Advance(14 * time.Second)
 	if w.SavedTaskCounts["j-1"] != 5 {
-		t.Errorf("%d of 5 tasks have saved", w.SavedTaskCounts["j-1"])
+		t.Errorf("%d of 5 tasks have saved their progress, want all", w.SavedTaskCounts["j-1"])
 	}
 	w.Advance(100 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	if !w.FinishedJobs["j-1"] || len(w.Rules.Violations) > 0 {
-		t.Errorf("done %v, broken %v", w.FinishedJobs["j-1"], w.Rules.Violations)
+		t.Errorf("gang finished %v, want true; rule violations %v", w.FinishedJobs["j-1"], w.Rules.Violations)
 	}
 }
 
-// Above the price threshold no spot machine is provisioned and no task is placed on one, until
-// the threshold is recomputed.
+// While the spot prices are above the threshold, no spot machine is provisioned and no task is placed
+// on one. This lasts until the threshold is computed again.
 func TestSpotSuspension(t *testing.T) {
 	w := NewWorld(8, 3, append([]protocol.MachineType(nil), testMachineTypes...), testTeams())
-	job := func(id protocol.JobID) *protocol.Job {
+	newSpotJob := func(id protocol.JobID) *protocol.Job {
 		job := newArray(id, "l", "standard", 8, 4, 10)
 		job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds, job.AllowSpot = 5, 1, true
 		return job
 	}
-	spotMachines := func() (n int) {
+	spotMachineCount := func() (n int) {
 		for _, m := range w.Machines {
 			if m.Spot {
 				n++
@@ -59,17 +59,17 @@
 		}
 		return n
 	}
-	w.After(2*time.Second, func() { w.Submit(job("j-1")) })
+	w.After(2*time.Second, func() { w.Submit(newSpotJob("j-1")) })
 	w.Advance(30 * time.Second)
-	before := spotMachines()
-	if !w.FinishedJobs["j-1"] || before == 0 {
-		t.Fatalf("done %v with %d spot machines", w.FinishedJobs["j-1"], before)
+	spotMachinesBefore := spotMachineCount()
+	if !w.FinishedJobs["j-1"] || spotMachinesBefore == 0 {
+		t.Fatalf("job finished %v, want true; %d spot machines, want some", w.FinishedJobs["j-1"], spotMachinesBefore)
 	}
 	for i := range w.MachineTypes {
 		w.MachineTypes[i].SpotPrice = 0.9 * w.MachineTypes[i].OnDemandPrice
 	}
-	w.Advance(13 * time.Second) // the next check sees it
-	tasksOnSpot := func() (n int) {
+	w.Advance(13 * time.Second) // until the next check of the prices
+	spotTaskCount := func() (n int) {
 		for _, m := range w.Machines {
 			if m.Spot && !m.Terminated {
 				n += len(m.tasks)
@@ -77,87 +77,88 @@
 		}
 		return n
 	}
-	w.Submit(job("j-2"))
+	w.Submit(newSpotJob("j-2"))
 	w.Advance(5 * time.Second)
-	if tasksOnSpot() != 0 || spotMachines() != before {
-		t.Errorf("%d tasks on spot machines, %d machines after %d", tasksOnSpot(), spotMachines(), before)
+	if spotTaskCount() != 0 || spotMachineCount() != spotMachinesBefore {
+		t.Errorf("%d tasks on spot machines, want 0; %d spot machines, want still %d", spotTaskCount(), spotMachineCount(), spotMachinesBefore)
 	}
 	w.Advance(40 * time.Second)
 	if !w.FinishedJobs["j-2"] {
-		t.Error("on-demand machines were not used instead")
+		t.Error("the job has not finished on on-demand machines")
 	}
 }
 
-// A machine on which the tasks of two jobs fail is scaled in; a job that fails everywhere takes no
-// machines with it and is tried ever less often.
+// A machine on which the tasks of two jobs fail is scaled in. A job whose tasks fail on every machine
+// causes no scale-in, and its tasks are tried at growing intervals.
 func TestFaultyMachinesAndJobs(t *testing.T) {
-	const maxStarts = 60
-	for _, c := range []struct {
-		name     string
-		faulty   bool
-		classes  []string // of jobs that come one after the other
-		scaledIn int      // machines, as faulty
+	const maxTaskStarts = 60
+	for _, test := range []struct {
+		name             string
+		hasFaultyMachine bool     // tasks of all jobs fail on one of the machines
+		classes          []string // of jobs that are submitted one after the other
+		wantScaleIns     int      // machines that are scaled in as faulty
 	}{
 		{"faulty machine", true, []string{"l", "l", "l", "l"}, 1},
-		{"job that fails everywhere", false, []string{"l", failingClass}, 0},
+		{"job that fails on every machine", false, []string{"l", failingClass}, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			w := newFixedWorld(9, 1, 3)
-			w.Machines[machineID(1)].Faulty = c.faulty
-			scaledIn := 0
+			w.Machines[machineID(1)].Faulty = test.hasFaultyMachine
+			scaleIns := 0
 			w.Trace = func(line string) {
 				if scaleInMessages.areIn(line) && strings.Contains(line, "faulty") {
-					scaledIn++
+					scaleIns++
 				}
 			}
-			for i, class := range c.classes {
+			for i, class := range test.classes {
 				w.After(seconds(3+25*i), func() { w.Submit(newArray(jobNumber(i), class, "standard", 4, 2, 2)) })
 			}
 			w.Advance(seconds(145))
-			if slices.Contains(c.classes, failingClass) {
-				w.Cancel("j-1") // its user sees that it makes no progress
+			if slices.Contains(test.classes, failingClass) {
+				w.Cancel("j-1") // because its user sees that it makes no progress
 			}
 			w.Advance(seconds(5))
 			w.Rules.CheckFinal(w.Now)
-			if scaledIn != c.scaledIn || w.Rules.TasksStarted > maxStarts || len(w.Rules.Violations) > 0 {
-				t.Errorf("%d scaled in, want %d; %d starts, broken %v", scaledIn, c.scaledIn, w.Rules.TasksStarted, w.Rules.Violations)
+			if scaleIns != test.wantScaleIns || w.Rules.TasksStarted > maxTaskStarts || len(w.Rules.Violations) > 0 {
+				t.Errorf("%d machines scaled in as faulty, want %d; %d task starts; rule violations %v", scaleIns, test.wantScaleIns, w.Rules.TasksStarted, w.Rules.Violations)
 			}
-			for i, class := range c.classes {
+			for i, class := range test.classes {
 				if class != failingClass && !w.FinishedJobs[jobNumber(i)] {
-					t.Errorf("%s is not done", jobNumber(i))
+					t.Errorf("%s has not finished", jobNumber(i))
 				}
 			}
 		})
 	}
 }
 
-// The records of the largest array there may be stay within the store's limits, also when its
-// tasks end in any order, and a team with a guarantee gets its capacity from one that borrows it.
+// The records of an array of the largest allowed size stay within the store's limits, also when the
+// array's tasks end in any order. A team with guaranteed capacity gets this capacity back from a team
+// that borrows it.
 func TestLargeArrayAndGuarantee(t *testing.T) {
 	teams := map[string]step.Quota{"big": {}, "sure": {GuaranteedCores: 8}}
 	w := NewWorld(12, 1, testMachineTypes[1:], teams)
 	w.CloudOutOfCapacity = true
 	w.AddMachine("large", "a", false, 0)
 	w.AddMachine("large", "b", false, 0)
-	job := newArray("j-1", "l", "high", protocol.MaxTasks, 0.1, 3)
-	job.Team, job.MemoryGB = "big", 0.1
-	guaranteed := newGang("j-2", "l", "low", 1, 8, 3)
-	guaranteed.Team = "sure"
-	w.After(2*time.Second, func() { w.Submit(job) })
+	largeArray := newArray("j-1", "l", "high", protocol.MaxTasks, 0.1, 3)
+	largeArray.Team, largeArray.MemoryGB = "big", 0.1
+	guaranteedGang := newGang("j-2", "l", "low", 1, 8, 3)
+	guaranteedGang.Team = "sure"
+	w.After(2*time.Second, func() { w.Submit(largeArray) })
 	w.Advance(40 * time.Second)
-	w.Submit(guaranteed)
+	w.Submit(guaranteedGang)
 	w.Advance(25 * time.Second)
 	if w.Store.TooLargeTransactions > 0 || w.Store.LargestValueBytes > maxValueBytes || w.Rules.TasksStarted < 1000 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d transactions too large, largest value %d, %d starts, broken %v",
+		t.Errorf("%d transactions were too large, want 0; the largest value has %d bytes; %d tasks started, want at least 1000; rule violations %v",
 			w.Store.TooLargeTransactions, w.Store.LargestValueBytes, w.Rules.TasksStarted, w.Rules.Violations)
 	}
 	if !w.FinishedJobs["j-2"] {
-		t.Error("the team did not get its guarantee")
+		t.Error("the gang of the team with guaranteed cores has not finished")
 	}
 }
 
-// Tasks that need accelerators are placed where there are some, and no more at once than there
-// are.
+// Tasks that need accelerators are placed only on machines with accelerators, and no more of them run
+// at once than there are accelerators.
 func TestAccelerators(t *testing.T) {
 	machineTypes := append([]protocol.MachineType(nil), testMachineTypes[0], testMachineTypes[0])
 	machineTypes[1].Name, machineTypes[1].Accelerators = "gpu", 2
@@ -167,51 +168,51 @@
 	gpuMachine := w.AddMachine("gpu", "a", false, 0)
 	job := newArray("j-1", "l", "high", 6, 0.5, 4)
 	job.Accelerators = 1
-	most := 0
+	maxLiveTasks := 0
 	w.Every(100*time.Millisecond, func() {
-		live := 0
+		liveTasks := 0
 		for id, m := range w.Machines {
 			for _, execution := range m.tasks {
 				if execution.state != protocol.TaskExited {
-					live++
+					liveTasks++
 					if id != gpuMachine {
-						t.Errorf("a task is on %s, which has no accelerators", id)
+						t.Errorf("a task is on machine %s, which has no accelerators", id)
 					}
 				}
 			}
 		}
-		most = max(most, live)
+		maxLiveTasks = max(maxLiveTasks, liveTasks)
 	})
 	w.After(2*time.Second, func() { w.Submit(job) })
 	w.Advance(40 * time.Second)
-	if most != 2 || !w.FinishedJobs["j-1"] {
-		t.Errorf("%d at once on 2 accelerators, done %v", most, w.FinishedJobs["j-1"])
+	if maxLiveTasks != 2 || !w.FinishedJobs["j-1"] {
+		t.Errorf("at most %d tasks at once on 2 accelerators, want 2; job finished %v, want true", maxLiveTasks, w.FinishedJobs["j-1"])
 	}
 }
 
-// A job of higher priority preempts lower ones, one of the same priority does not.
+// A job preempts jobs of lower priority, but none of the same priority.
 func TestPreemption(t *testing.T) {
 	w := NewWorld(6, 1, testMachineTypes[1:], testTeams())
 	w.CloudOutOfCapacity = true
 	w.traceLogsTo(t)
 	w.AddMachine("large", "a", false, 0)
-	low := newArray("j-1", "l", "low", 16, 2, 60)
-	high := newGang("j-2", "l", "high", 1, 30, 5)
-	same := newGang("j-3", "l", "low", 1, 30, 5)
-	w.After(2*time.Second, func() { w.Submit(low) })
-	w.After(8*time.Second, func() { w.Submit(same) })
+	lowArray := newArray("j-1", "l", "low", 16, 2, 60)
+	highGang := newGang("j-2", "l", "high", 1, 30, 5)
+	lowGang := newGang("j-3", "l", "low", 1, 30, 5)
+	w.After(2*time.Second, func() { w.Submit(lowArray) })
+	w.After(8*time.Second, func() { w.Submit(lowGang) })
 	w.Advance(18 * time.Second)
 	if w.FinishedJobs["j-3"] || w.Rules.TasksStarted != 16 {
-		t.Fatalf("a job of the same priority preempted others: %d started", w.Rules.TasksStarted)
+		t.Fatalf("the job of the same priority finished or caused more starts: %d tasks started, want 16", w.Rules.TasksStarted)
 	}
-	w.Submit(high)
+	w.Submit(highGang)
 	w.Advance(15 * time.Second)
 	if !w.FinishedJobs["j-2"] {
-		t.Error("the job of higher priority did not preempt")
+		t.Error("the job of higher priority has not finished by preemption")
 	}
 	w.Advance(300 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	if !w.FinishedJobs["j-1"] || !w.FinishedJobs["j-3"] || len(w.Rules.Violations) > 0 {
-		t.Errorf("done %v, broken %v", w.FinishedJobs, w.Rules.Violations)
+		t.Errorf("finished jobs %v, want j-1 and j-3 among them; rule violations %v", w.FinishedJobs, w.Rules.Violations)
 	}
 }
