--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -8,10 +8,11 @@
 	"tillerarch/internal/protocol"
 )
 
-// maxProvisioned is how many machines the cloud provisions in all.
+// maxProvisioned is the number of machines in the world beyond which the cloud provisions none.
 const maxProvisioned = 400
 
-// ProvisionMachines executes a provisioning request. A repeated one gets the machines of the first.
+// ProvisionMachines executes a provision request and returns its machines. A repeated request
+// returns the machines of the first one.
 func (w *World) ProvisionMachines(request protocol.ProvisionRequest) []protocol.MachineID {
 	if _, isRepeated := w.machinesByRequest[request.RequestID]; !isRepeated {
 		w.machinesByRequest[request.RequestID] = nil
@@ -24,7 +25,7 @@
 	return w.machinesByRequest[request.RequestID]
 }
 
-// Instances is the cloud's list, ordered by id.
+// Instances returns the cloud's list of instances, ordered by id.
 func (w *World) Instances() (instances []protocol.Instance) {
 	for id, m := range w.Machines {
 		if !m.Terminated {
@@ -37,7 +38,7 @@
 	return instances
 }
 
-// AddMachine adds a machine whose agent begins after the boot time.
+// AddMachine adds a machine whose agent starts after the boot time, and returns its id.
 func (w *World) AddMachine(machineType protocol.MachineTypeName, zone protocol.Zone, spot bool, bootTime time.Duration) protocol.MachineID {
 	w.nextMachineID++
 	id := protocol.MachineID(fmt.Sprintf("m-%06d", w.nextMachineID))
@@ -65,7 +66,7 @@
 	return id
 }
 
-// TerminateMachine removes a machine with all that is on it.
+// TerminateMachine kills all tasks of a machine and terminates it.
 func (w *World) TerminateMachine(id protocol.MachineID) {
 	if m := w.Machines[id]; m != nil && !m.Terminated {
 		m.killTasks()
@@ -74,7 +75,8 @@
 	}
 }
 
-// PreemptMachine removes a machine after a notice, which its heartbeats pass on.
+// PreemptMachine terminates a machine after a notice period. The machine's heartbeats report
+// the notice.
 func (w *World) PreemptMachine(id protocol.MachineID, notice time.Duration) {
 	if m := w.Machines[id]; m != nil && !m.Terminated {
 		m.preemptAt = w.Now + notice
--- a/internal/simulation/compatibility.go
+++ b/internal/simulation/compatibility.go
@@ -10,11 +10,12 @@
 	"tillerarch/internal/storage"
 )
 
-// Controllers of the version in production are played by cores of this one that are told
-// nothing of new limits and whose records are stripped of what that version does not write.
-// What they are given to read is checked against the formats of that version.
+// A controller of the version in production is simulated by a core of this version that gets no
+// announced limits, records no transfers, and whose written records lose the fields that the
+// production version does not write. The records that it reads are checked against the formats
+// of the production version.
 
-// The records as the version in production reads them.
+// Records as the version in production reads them.
 type (
 	productionShard struct {
 		Owner          string            `json:"o"`
@@ -41,8 +42,9 @@
 	}
 )
 
-// checkProductionFormat reads a record as the version in production does, but strictly: a
-// field that it does not know would be lost when it writes the record again.
+// checkProductionFormat decodes a record as the version in production does and returns an error
+// if that fails. Unlike that version it does not accept unknown fields, because the production
+// version would lose them when it writes the record again.
 func checkProductionFormat(key string, data json.RawMessage) error {
 	decodeStrictly := func(v any) error {
 		d := json.NewDecoder(bytes.NewReader(data))
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// validate looks at the fields that the version in production reads as text.
+// validate checks the fields that the version in production parses from text.
 func (s *productionShard) validate() error {
 	const machineFields = 7
 	for _, line := range s.Machines {
@@ -84,10 +86,10 @@
 	return nil
 }
 
-// isIntervalList reports whether a text has only what lists of task intervals are made of.
+// isIntervalList reports whether a text contains only the characters of lists of task intervals.
 func isIntervalList(text string) bool { return strings.Trim(text, "0123456789,-") == "" }
 
-// transactionForVersion is the transaction as the controller's version writes it.
+// transactionForVersion returns the transaction as the controller's version writes it.
 func (c *Controller) transactionForVersion(transaction protocol.Transaction) protocol.Transaction {
 	if !c.RunsProductionVersion {
 		return transaction
@@ -107,8 +109,8 @@
 	return transaction
 }
 
-// acceptsRecord checks a record that a controller of the version in production is given. It
-// reports whether that version reads it.
+// acceptsRecord reports whether the controller's version reads a record. For the version in
+// production it also checks the record's format and records a violation if that is unreadable.
 func (c *Controller) acceptsRecord(key string, data json.RawMessage) bool {
 	if !c.RunsProductionVersion {
 		return true
@@ -121,7 +123,7 @@
 	return !isUnknownInProduction
 }
 
-// readableEntries are the entries that the controller's version reads.
+// readableEntries returns the entries that the controller's version reads.
 func (c *Controller) readableEntries(entries []protocol.Entry) (out []protocol.Entry) {
 	for _, entry := range entries {
 		if c.acceptsRecord(entry.Key, entry.Value) {
@@ -131,7 +133,7 @@
 	return out
 }
 
-// readableEvents are the events that the controller's version reads.
+// readableEvents returns the events that the controller's version reads.
 func (c *Controller) readableEvents(events []protocol.Event) (out []protocol.Event) {
 	for _, event := range events {
 		if event.PutKey == "" || c.acceptsRecord(event.PutKey, event.Value) {
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -9,26 +9,25 @@
 	"tillerarch/internal/protocol"
 )
 
-// Controller is one controller: a core with its place in the network, or a process that plays
-// it.
+// Controller is one controller of the deployment: a core, or a separate process.
 type Controller struct {
 	ID                    protocol.ControllerID
 	Core                  *coordination.Core
-	Remote                RemoteController // a process that plays the controller; nil: Core does
+	Remote                RemoteController // process that is used instead of Core, or nil
 	Alive                 bool
-	StoreUnreachable      bool // from this controller alone
-	RefusedByStore        bool // the store refuses this controller alone
-	AgentsUnreachable     bool // from this controller alone
-	PeersUnreachable      bool // it exchanges nothing with the other controllers
-	UsersUnreachable      bool // users do not reach it
-	RunsProductionVersion bool // it behaves like the version in production before the upgrade
+	StoreUnreachable      bool // the store is unreachable from this controller only
+	RefusedByStore        bool // the store refuses the requests of this controller only
+	AgentsUnreachable     bool // the agents are unreachable from this controller only
+	PeersUnreachable      bool // no messages pass between this controller and the others
+	UsersUnreachable      bool // users do not reach this controller
+	RunsProductionVersion bool // the controller behaves like the version in production before the upgrade
 
 	world                  *World
-	paused                 bool // the process stands still while its clocks run on
+	paused                 bool // the process is stopped while its clocks run
 	pendingInputs          []step.Input
-	generation             int // of its process; callbacks of an earlier one are dropped
+	generation             int // number of the current process; callbacks of earlier processes are dropped
 	startedAt              time.Duration
-	clockDrift             float64 // seconds of its clock for each second of the world
+	clockDrift             float64 // seconds of the controller's clock for each second of the world
 	nextRequestID          step.RequestID
 	pendingReplies         map[step.RequestID]func(int, []byte)
 	pendingOperatorReplies map[step.RequestID]func(step.Effect)
@@ -36,10 +35,10 @@
 
 const (
 	tickInterval    = 50 * time.Millisecond
-	epochWallMillis = 1e12 // wall clock at the beginning of the world
+	epochWallMillis = 1e12 // wall clock at the start of the world
 )
 
-// Start starts a new process of the controller. One that is alive is replaced.
+// Start starts a new process of the controller and replaces a running one.
 func (c *Controller) Start() {
 	c.Alive, c.paused, c.pendingInputs = true, false, nil
 	c.generation++
@@ -71,24 +70,24 @@
 	})
 }
 
-// Kill ends the controller with all it holds in memory.
+// Kill ends the controller's process. Everything in its memory is lost.
 func (c *Controller) Kill() { c.Alive = false }
 
-// ScheduleRestart kills the controller at a time from now and starts it again after the
-// downtime, whatever has become of it meanwhile.
+// ScheduleRestart kills the controller after the given time and starts it after the downtime,
+// also if it has been restarted or killed meanwhile.
 func (c *Controller) ScheduleRestart(at, downtime time.Duration) {
 	c.world.After(at, c.Kill)
 	c.world.After(at+downtime, c.Start)
 }
 
-// Upgrade restarts the controller as ScheduleRestart does, with the new version.
+// Upgrade restarts the controller with the new version, at the times of ScheduleRestart.
 func (c *Controller) Upgrade(at, downtime time.Duration) {
 	c.ScheduleRestart(at, downtime)
 	c.world.After(at, func() { c.RunsProductionVersion = false })
 }
 
-// Pause stops the process for a while, as a long garbage collection or a virtual machine's
-// migration does: inputs are kept and handled in one go when it resumes.
+// Pause stops the process for a duration, as a long garbage collection or the migration of a
+// virtual machine does. Inputs are queued, and handled all at once when the process resumes.
 func (c *Controller) Pause(duration time.Duration) {
 	c.paused = true
 	generation := c.generation
@@ -112,8 +111,8 @@
 	}
 }
 
-// step gives the core an input and performs its effects. A paused process skips its ticks and
-// keeps all other inputs.
+// step passes an input to the core and performs the core's effects. A paused process drops
+// ticks and queues all other inputs.
 func (c *Controller) step(input step.Input) {
 	if c.paused {
 		if _, isTick := input.(step.Tick); !isTick {
@@ -131,14 +130,15 @@
 	}
 }
 
-// stepIfAlive gives the core an input that is meant for one process of the controller.
+// stepIfAlive passes an input to the core if the process that the input is for is still alive.
 func (c *Controller) stepIfAlive(generation int, input step.Input) {
 	if c.Alive && c.generation == generation {
 		c.step(input)
 	}
 }
 
-// DeliverHeartbeat gives the controller a heartbeat.
+// DeliverHeartbeat delivers a heartbeat to the controller. reply is called with the status and
+// the body of the controller's reply.
 func (c *Controller) DeliverHeartbeat(body []byte, reply func(int, []byte)) {
 	if c.Remote != nil {
 		c.Remote.DeliverHeartbeat(body, reply)
@@ -149,7 +149,7 @@
 	})
 }
 
-// deliverUserRequest gives the controller a user's request.
+// deliverUserRequest delivers a user's request to the controller.
 func (c *Controller) deliverUserRequest(requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(int, []byte)) {
 	if c.Remote != nil {
 		c.Remote.DeliverUserRequest(requestType, id, body, reply)
@@ -166,8 +166,8 @@
 	c.step(input(c.nextRequestID))
 }
 
-// DeliverOperatorRequest gives the controller a request of the operator's tool. A controller
-// that is down never replies.
+// DeliverOperatorRequest delivers a request of the operator's tool to the controller. A
+// controller that is down never replies.
 func (c *Controller) DeliverOperatorRequest(request func(step.RequestID) step.Input, reply func(step.Effect)) {
 	if !c.Alive {
 		return
@@ -177,14 +177,15 @@
 	c.step(request(c.nextRequestID))
 }
 
-// isHealthy reports whether the load balancer sends users to the controller. A process is
-// taken for healthy: whether it is, only its own load balancer could ask.
+// isHealthy reports whether the load balancer may send users to the controller. A remote
+// controller counts as healthy, because only its own load balancer could ask for its health.
 func (c *Controller) isHealthy() bool { return c.Remote != nil || c.Core.Healthy() }
 
-// processName names the process that replies. Of a remote one only the controller is known.
+// processName returns a name for the current process of the controller. For a remote controller
+// it is the controller's id, because its processes are not known.
 func (c *Controller) processName() string {
 	if c.Remote != nil {
 		return string(c.ID)
 	}
-	return fmt.Sprintf("%s, life %d", c.ID, c.generation)
+	return fmt.Sprintf("%s, process %d", c.ID, c.generation)
 }
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,13 +1,14 @@
-// Package simulation plays the outside systems of a deployment in simulated time: the
+// Package simulation simulates the systems around the controllers of a deployment: the
 // key-value store, the cloud, the agents on the machines, the load balancer, the users, and
-// the network between them and the controllers, with its faults. The controllers are real
-// cores of package coordination; RemoteController replaces them by processes of their own.
+// the network between them and the controllers with its faults. Time is simulated. The
+// controllers are cores of package coordination, or separate processes (RemoteController).
 //
-// The package owns the world (World), its event queue and its random source. It follows
-// docs/PROTOCOL only: what leaves a core goes through Controller.performEffect and nothing reaches
-// into a core's memory. Its checkers (RuleChecker, HistoryChecker) judge from outside, by what
-// users are told, what is on the machines and what the store holds.
+// World holds the deployment, the event queue and the random source. The package depends on
+// docs/PROTOCOL only: every effect of a core passes through Controller.performEffect, and no
+// simulated system reads a core's memory. The checkers (RuleChecker, HistoryChecker) use only
+// the replies to users, the tasks on the machines and the records in the store.
 //
-// One goroutine plays a world. All randomness comes from World.Rand and all iteration that
-// draws from it or plans events is in a sorted order, so a seed gives the same day every time.
+// One goroutine runs a world. All randomness comes from World.Rand, and every iteration that
+// draws from it or schedules events is in a sorted order, so that a seed always produces the
+// same sequence of events.
 package simulation
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -11,15 +11,15 @@
 	"tillerarch/internal/storage"
 )
 
-// How long a controller waits for each outside system before it gives a call up.
+// Timeouts of a controller's calls to each outside system.
 const (
 	storeTimeout = 1500 * time.Millisecond
 	agentTimeout = 2 * time.Second
 	cloudTimeout = 10 * time.Second
-	watchTimeout = 3 * time.Second // of one request of a watch, which is repeated
+	watchTimeout = 3 * time.Second // timeout of a single watch request; watches are repeated
 )
 
-// performEffect carries one effect of the core out.
+// performEffect performs an effect of the core.
 func (c *Controller) performEffect(effect step.Effect) {
 	w := c.world
 	if w.OnEffect != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// replyToOperator hands a reply to the operator who waits for it.
+// replyToOperator passes a reply to the operator's request with the given id.
 func (c *Controller) replyToOperator(id step.RequestID, effect step.Effect) {
 	if reply := c.pendingOperatorReplies[id]; reply != nil {
 		delete(c.pendingOperatorReplies, id)
@@ -109,7 +109,8 @@
 		step.CommitResult{ID: effect.ID, Outcome: storage.OutcomeUnavailable, Err: errNoReply})
 }
 
-// commitOutcome is how a controller's store client reads a reply to a transaction.
+// commitOutcome returns the outcome that a controller's store client derives from the reply to
+// a transaction.
 func commitOutcome(status int, result protocol.TransactionResult) storage.Outcome {
 	switch {
 	case result.Error == errorTooLarge:
@@ -128,8 +129,9 @@
 	panic(fmt.Sprintf("simulation: the store replies %d", status))
 }
 
-// callStoreWithoutCommit calls the store for something that changes nothing but leases. Whatever goes
-// wrong, the controller learns only that there was no reply.
+// callStoreWithoutCommit sends a request to the store that commits no transaction: a read, or
+// the grant or renewal of a lease. On any failure the controller gets the input failed, which
+// tells it only that there was no reply.
 func (c *Controller) callStoreWithoutCommit(execute func() step.Input, failed step.Input) {
 	c.callStore(func() step.Input {
 		if c.world.Store.Unavailable {
@@ -168,9 +170,9 @@
 	}, step.RenewLeaseResult{LeaseID: id, Err: errNoReply})
 }
 
-// watchStore asks the store for changes every few milliseconds until there are some or the
-// request's time is up. While the store cannot be reached an open request hangs for a while
-// longer.
+// watchStore polls the store for events every few milliseconds until there are some or the
+// request's deadline has passed. While the store is unreachable, an open request hangs until 2 s
+// after its deadline.
 func (c *Controller) watchStore(generation int, afterRevision protocol.Revision, deadline time.Duration) {
 	const unreachableGrace = 2 * time.Second
 	w := c.world
@@ -210,9 +212,9 @@
 	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
-// sendCommands sends direct commands to an agent. One on a hung machine executes them when the
-// machine resumes, if token and agent epoch still match; of a machine that loses the network
-// only the reply is lost.
+// sendCommands sends direct commands to an agent. The agent of a hung machine executes them when
+// the machine resumes, if the fencing token and the agent epoch still match. If the machine is
+// partitioned, only the reply is lost.
 func (c *Controller) sendCommands(effect step.SendCommands) {
 	if rate := c.world.DelayedCommandRate; rate > 0 && c.world.Rand.Float64() < rate {
 		c.delayCommands(effect)
@@ -236,8 +238,8 @@
 	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
-// delayCommands executes direct commands seconds late, whatever their sender has become
-// meanwhile. Nobody replies.
+// delayCommands executes direct commands seconds late, also if their sender has ended meanwhile.
+// There is no reply.
 func (c *Controller) delayCommands(effect step.SendCommands) {
 	w := c.world
 	c.executeWithoutReply(time.Duration(2000+w.Rand.IntN(14000))*time.Millisecond, agentTimeout, func() {
@@ -247,7 +249,7 @@
 	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
-// reachableMachine is a machine that the controller's calls reach; nil if they do not.
+// reachableMachine returns a machine, or nil if the controller's calls do not reach it.
 func (c *Controller) reachableMachine(id protocol.MachineID) *Machine {
 	m := c.world.Machines[id]
 	if m == nil || c.world.isPartitioned(c, m) || m.Terminated || m.CommandsLost {
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// scheduledEvent is something that happens at a time. Events of the same instant happen in
-// the order in which they were scheduled.
+// scheduledEvent is an action at a point in time. Events of the same time run in the order in
+// which they were scheduled.
 type scheduledEvent struct {
 	at     time.Duration
 	seq    int
 	action func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events with the earliest event first. It implements heap.Interface.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -29,13 +29,13 @@
 	return event
 }
 
-// After schedules an action.
+// After schedules an action to run once after a delay.
 func (w *World) After(delay time.Duration, action func()) {
 	w.seq++
 	heap.Push(&w.queue, scheduledEvent{at: w.Now + delay, seq: w.seq, action: action})
 }
 
-// Every repeats an action, the first time after one interval.
+// Every schedules an action to run at every interval. The first run is after one interval.
 func (w *World) Every(interval time.Duration, action func()) {
 	w.After(interval, func() {
 		action()
@@ -43,7 +43,7 @@
 	})
 }
 
-// Advance lets time pass, and with it all that is scheduled.
+// Advance advances the world's time by a duration and runs all events that are due by then.
 func (w *World) Advance(d time.Duration) {
 	end := w.Now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
--- a/internal/simulation/free_capacity.go
+++ b/internal/simulation/free_capacity.go
@@ -7,17 +7,17 @@
 	"tillerarch/internal/protocol"
 )
 
-// capacityTolerance is the slack of comparisons of cores and GB, which are sums of fractions.
+// capacityTolerance is the tolerance of comparisons of cores and GB, which are sums of fractions.
 const capacityTolerance = 1e-9
 
-// freeCapacity is what is free on a machine.
+// freeCapacity holds the free cores and memory of a machine.
 type freeCapacity struct {
 	machine         *Machine
 	cores, memoryGB float64
 }
 
-// tasksThatFit counts the tasks of a job that a machine has room for. Spot machines do not
-// count: whether they may be used depends on their price too.
+// tasksThatFit returns the number of tasks of a job that fit on the machine. It returns 0 for
+// spot machines, because whether they may be used depends on their price too.
 func (f freeCapacity) tasksThatFit(job *protocol.Job) int {
 	cores, memoryGB := f.cores+capacityTolerance, f.memoryGB+capacityTolerance
 	if f.machine.Spot || !job.AllowsPlacement(f.machine.Type, f.machine.Zone) || cores < job.Cores || memoryGB < job.MemoryGB {
@@ -26,7 +26,7 @@
 	return int(min(cores/job.Cores, memoryGB/job.MemoryGB))
 }
 
-// clusterUsage is what the tasks on all machines use, and what is free for more.
+// clusterUsage holds the resources that the tasks on all machines use, and the free resources.
 type clusterUsage struct {
 	freeCapacities []freeCapacity
 	coresByTeam    map[string]float64
@@ -63,7 +63,8 @@
 	return usage
 }
 
-// checkPlaceableJobs tells the rules which jobs are pending although machines have room.
+// checkPlaceableJobs records with the rule checker which jobs have pending tasks that fit on
+// machines.
 func (w *World) checkPlaceableJobs() {
 	usage := w.currentUsage()
 	for _, id := range slices.Sorted(maps.Keys(w.Jobs)) {
@@ -71,9 +72,9 @@
 	}
 }
 
-// isPlaceable reports whether some of a job's pending tasks, or all of a gang's, could be
-// placed now. Constraints that several tasks together put on zones are not solved here: such
-// jobs count as not placeable.
+// isPlaceable reports whether at least one of a job's pending tasks, or all of a gang's, can be
+// placed now. It does not solve zone constraints that concern several tasks together. Jobs with
+// such constraints count as not placeable.
 func (w *World) isPlaceable(job *protocol.Job, usage clusterUsage) bool {
 	const maxCountedTasks = 500
 	completed := w.Rules.job(job.ID).completedTasks
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -7,15 +7,15 @@
 	"tillerarch/internal/protocol"
 )
 
-// gangMember is a task of a gang on its machine.
+// gangMember holds a task of a gang, its machine and its execution there.
 type gangMember struct {
 	machine   *Machine
 	task      protocol.Task
 	execution *taskExecution
 }
 
-// updateGangs starts gangs all of whose tasks are ready, and ends tasks whose gang has lost
-// one.
+// updateGangs starts the gangs of the machine's tasks of which all tasks are ready. It ends the
+// machine's tasks whose gang has lost a member.
 func (m *Machine) updateGangs() {
 	for _, task := range m.sortedTasks() {
 		execution, job := m.tasks[task], m.world.Jobs[task.Job]
@@ -50,8 +50,8 @@
 	}
 }
 
-// gangMembers lists the tasks of an attempt that are on machines, or done there, in the order
-// of their machines.
+// gangMembers returns the tasks of an attempt that are on machines and have not exited, or are
+// done, in the order of their machines.
 func (w *World) gangMembers(id protocol.JobID, attempt protocol.Attempt) (members []gangMember) {
 	for _, machineID := range slices.Sorted(maps.Keys(w.Machines)) {
 		m := w.Machines[machineID]
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -24,7 +24,8 @@
 	return map[string]step.Quota{"core": {}, "tight": {MaxCores: 10}}
 }
 
-// seedCount is how many days of each kind are played; SEEDS asks for more.
+// seedCount returns the number of seeds with which each scenario runs. The environment variable
+// SEEDS sets another number than 3.
 func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 16); err == nil {
 		return n
@@ -36,15 +37,15 @@
 	return time.Duration(float64(n) * float64(time.Second))
 }
 
-// machineID is the id of the n-th machine that was added to a world, from 1.
+// machineID returns the id of the n-th machine that was added to a world, counted from 1.
 func machineID(n int) protocol.MachineID {
 	return protocol.MachineID(fmt.Sprintf("m-%06d", n))
 }
 
 // Deployments.
 
-// newMixedWorld is a deployment with eight small machines in two zones and a team that has a
-// quota.
+// newMixedWorld returns a deployment with three controllers, eight small machines in two zones,
+// and a team that has a quota.
 func newMixedWorld(t *testing.T, seed uint64) *World {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
 	w.traceLogsTo(t)
@@ -52,8 +53,8 @@
 	return w
 }
 
-// newFixedWorld is a deployment with the given number of small machines in zone a; the cloud
-// has no more, and none is scaled in for being idle.
+// newFixedWorld returns a deployment with the given number of small machines in zone a. The cloud
+// has no more machines, and the idle timeout is so long that none is scaled in.
 func newFixedWorld(seed uint64, controllers, machineCount int) *World {
 	w := NewWorld(seed, controllers, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
@@ -62,14 +63,15 @@
 	return w
 }
 
-// traceLogsTo logs what controllers log, if TRACE is set.
+// traceLogsTo writes the log lines of the controllers to the test's log if TRACE is set.
 func (w *World) traceLogsTo(t *testing.T) {
 	if os.Getenv("TRACE") != "" {
 		w.Trace = func(line string) { t.Log(line) }
 	}
 }
 
-// addSmallMachines adds machines that are up at once, to one zone after the other.
+// addSmallMachines adds n small machines without boot time, in the given zones in turn, and
+// returns their ids.
 func (w *World) addSmallMachines(n int, zones ...protocol.Zone) (ids []protocol.MachineID) {
 	for i := range n {
 		ids = append(ids, w.AddMachine("small", zones[i%len(zones)], false, 0))
@@ -77,7 +79,7 @@
 	return ids
 }
 
-// restartWithConfig changes the configuration of all controllers and restarts them with it.
+// restartWithConfig changes the configuration of the controllers and restarts all of them.
 func (w *World) restartWithConfig(change func(*step.Config)) {
 	change(&w.Config)
 	for _, controller := range w.Controllers {
@@ -107,7 +109,8 @@
 	}
 }
 
-// submitMixedJobs submits jobs of every kind over the first minute; some are cancelled.
+// submitMixedJobs submits n array and gang jobs of different shapes within one minute, cancels
+// some of them later, and returns the ids of all.
 func submitMixedJobs(w *World, n int) []protocol.JobID {
 	var ids []protocol.JobID
 	for i := range n {
@@ -147,7 +150,8 @@
 	return job
 }
 
-// submitLongJobs submits jobs of few tasks that end far apart.
+// submitLongJobs submits n jobs of two or three tasks, one job every 0.5 s from 3 s on. The jobs
+// end far apart.
 func (w *World) submitLongJobs(n int, team string, runSeconds float64) {
 	for i := range n {
 		job := newArray(protocol.JobID(fmt.Sprintf("j-8%03d", i)), "long", "standard", 2+i%2, 2, runSeconds)
@@ -156,7 +160,7 @@
 	}
 }
 
-// runningJobs lists the jobs of which a task is on a machine, in order.
+// runningJobs returns the sorted ids of the jobs that have a task on a machine.
 func (w *World) runningJobs() []protocol.JobID {
 	isPlaced := map[protocol.JobID]bool{}
 	for _, m := range w.Machines {
@@ -169,7 +173,7 @@
 	return slices.Sorted(maps.Keys(isPlaced))
 }
 
-// cancelRunningJobs lets users cancel up to n jobs that run.
+// cancelRunningJobs cancels up to limit running jobs whose users have not requested that yet.
 func (w *World) cancelRunningJobs(limit int) {
 	for _, id := range w.runningJobs() {
 		if observed := w.Rules.job(id); limit > 0 && observed.accepted && !observed.cancelRequested {
@@ -179,8 +183,8 @@
 	}
 }
 
-// queryRepeatedly queries a job at all controllers and repeats its submission, again and again
-// within milliseconds.
+// queryRepeatedly queries a job and repeats its submission at all controllers, five times within
+// 30 ms.
 func (w *World) queryRepeatedly(id protocol.JobID) {
 	body := protocol.Encode(w.Jobs[id])
 	for _, controller := range w.Controllers {
@@ -193,9 +197,9 @@
 	}
 }
 
-// submitAndQueryRepeatedly submits a job and queries it as soon as it is accepted. If it is to
-// be cancelled, that is requested at once too, and the job is queried again as soon as the
-// cancellation is confirmed.
+// submitAndQueryRepeatedly submits a job and calls queryRepeatedly as soon as the job is
+// accepted. If cancel is set, it also cancels the job then, and calls queryRepeatedly again as
+// soon as the job is reported as ended.
 func (w *World) submitAndQueryRepeatedly(job *protocol.Job, cancel bool) {
 	w.Submit(job)
 	accepted := false
@@ -212,7 +216,7 @@
 			w.queryRepeatedly(job.ID)
 			return
 		case accepted && !cancel:
-			return // OnJobEnd queries it at its end
+			return // OnJobEnd queries the job when it ends
 		}
 		w.After(time.Millisecond, poll)
 	}
@@ -221,7 +225,7 @@
 
 // Machines.
 
-// sortedMachines lists all machines ordered by id, also those that are terminated.
+// sortedMachines returns all machines ordered by id, including the terminated ones.
 func (w *World) sortedMachines() (machines []*Machine) {
 	for _, id := range slices.Sorted(maps.Keys(w.Machines)) {
 		machines = append(machines, w.Machines[id])
@@ -229,7 +233,8 @@
 	return machines
 }
 
-// randomMachines selects about the given part of the machines, in order.
+// randomMachines returns a random selection of about the given fraction of the machines that are
+// not terminated, ordered by id.
 func (w *World) randomMachines(fraction float64) (selected []*Machine) {
 	for _, m := range w.sortedMachines() {
 		if !m.Terminated && w.Rand.Float64() < fraction {
@@ -241,8 +246,8 @@
 
 // Controllers.
 
-// busiestController is the controller that gets the heartbeats of most machines with tasks; of
-// equal ones it is the first.
+// busiestController returns the controller that gets the heartbeats of the most machines with
+// tasks. Among equals it returns the first.
 func (w *World) busiestController() *Controller {
 	machineCounts := make([]int, len(w.Controllers))
 	for _, m := range w.Machines {
@@ -253,7 +258,7 @@
 	return w.Controllers[slices.Index(machineCounts, slices.Max(machineCounts))]
 }
 
-// otherControllers are all controllers but one.
+// otherControllers returns all controllers except the given one.
 func (w *World) otherControllers(controller *Controller) (others []*Controller) {
 	for _, other := range w.Controllers {
 		if other != controller {
@@ -263,7 +268,7 @@
 	return others
 }
 
-// shardsOf lists the shards of a controller that have machines, in order.
+// shardsOf returns the sorted ids of a controller's shards that have machines.
 func (w *World) shardsOf(controller *Controller) (ids []storage.ShardID) {
 	for id, shard := range w.History.shards {
 		if shard.Owner.Controller() == controller.ID && len(shard.Machines) > 0 {
@@ -276,13 +281,13 @@
 
 // Faults.
 
-// setFlagsBetween sets flags from one time to another, both from now.
+// setFlagsBetween sets flags after the time from and resets them after the time to.
 func (w *World) setFlagsBetween(from, to time.Duration, flags ...*bool) {
 	w.After(from, func() { setFlags(flags, true) })
 	w.After(to, func() { setFlags(flags, false) })
 }
 
-// setFlagsFor sets flags now, for a while.
+// setFlagsFor sets flags now and resets them after a duration.
 func (w *World) setFlagsFor(duration time.Duration, flags ...*bool) {
 	setFlags(flags, true)
 	w.After(duration, func() { setFlags(flags, false) })
@@ -294,19 +299,21 @@
 	}
 }
 
-// scheduleStoreOutage makes the store unavailable from a time on, for a while; both in seconds.
+// scheduleStoreOutage schedules an outage of the store. It starts in from seconds and lasts for
+// duration seconds.
 func (w *World) scheduleStoreOutage(from, duration float64) {
 	w.setFlagsBetween(seconds(from), seconds(from+duration), &w.Store.Unavailable)
 }
 
-// partitionMachines partitions about the given part of the machines now, for a while.
+// partitionMachines partitions about the given fraction of the machines now, for a duration.
 func (w *World) partitionMachines(fraction float64, duration time.Duration) {
 	for _, m := range w.randomMachines(fraction) {
 		w.setFlagsFor(duration, &m.Partitioned)
 	}
 }
 
-// partitionMachineBetween partitions a machine, if there is one of that id by then.
+// partitionMachineBetween partitions a machine after the time from and ends the partition after
+// the time to. It does nothing at a time at which there is no machine with that id.
 func (w *World) partitionMachineBetween(from, to time.Duration, id protocol.MachineID) {
 	setPartitioned := func(partitioned bool) func() {
 		return func() {
@@ -319,32 +326,34 @@
 	w.After(to, setPartitioned(false))
 }
 
-// partitionZone cuts a zone off, with a controller in it, from the store, the other controllers
-// and the users.
+// partitionZone partitions a zone with one controller inside. The controller does not reach the
+// store, the other controllers, the users and the machines of other zones. The machines of the
+// zone reach no other controller.
 func (w *World) partitionZone(zone protocol.Zone, inside *Controller) {
 	setFlags(inside.nonAgentLinkFaults(), true)
 	w.PartitionedZones[zone] = inside
 }
 
-// endZonePartition ends what partitionZone began.
+// endZonePartition ends the partition of a zone that partitionZone began.
 func (w *World) endZonePartition(zone protocol.Zone) {
 	setFlags(w.PartitionedZones[zone].nonAgentLinkFaults(), false)
 	delete(w.PartitionedZones, zone)
 }
 
-// nonAgentLinkFaults are the faults of all links of a controller but those to agents.
+// nonAgentLinkFaults returns the fault flags of all links of a controller except those to agents.
 func (c *Controller) nonAgentLinkFaults() []*bool {
 	return []*bool{&c.StoreUnreachable, &c.PeersUnreachable, &c.UsersUnreachable}
 }
 
-// scheduleRefusalOfBusiestController lets the store refuse the controller that is the busiest at that
-// time, for a while; both in seconds.
+// scheduleRefusalOfBusiestController schedules that the store refuses the requests of the
+// controller that is then the busiest. The refusal starts in from seconds and lasts for duration
+// seconds.
 func (w *World) scheduleRefusalOfBusiestController(from, duration float64) {
 	w.After(seconds(from), func() { w.setFlagsFor(seconds(duration), &w.busiestController().RefusedByStore) })
 }
 
-// restartIfAlive kills the controller and starts it again after the downtime, unless it is
-// down already.
+// restartIfAlive kills the controller and starts it after the downtime. It does nothing if the
+// controller is down.
 func (c *Controller) restartIfAlive(downtime time.Duration) {
 	if c.Alive {
 		c.Kill()
@@ -352,26 +361,28 @@
 	}
 }
 
-// restartBusiestController is restartIfAlive of the busiest controller.
+// restartBusiestController kills the busiest controller and starts it after the downtime. It does
+// nothing if that controller is down.
 func (w *World) restartBusiestController(downtime time.Duration) {
 	w.busiestController().restartIfAlive(downtime)
 }
 
-// replaceVersion replaces the controller's process by one of another version at once.
+// replaceVersion immediately replaces the controller's process with one of the production version
+// or of the new version.
 func (c *Controller) replaceVersion(production bool) {
 	c.Kill()
 	c.RunsProductionVersion = production
 	c.Start()
 }
 
-// deliverHeartbeatCopy gives the controller a copy of a heartbeat, if it is alive.
+// deliverHeartbeatCopy delivers a copy of a heartbeat to the controller if the controller is alive.
 func (c *Controller) deliverHeartbeatCopy(heartbeat []byte) {
 	if c.Alive {
 		c.DeliverHeartbeat(heartbeat, func(int, []byte) {})
 	}
 }
 
-// setMissingQuotas gives every team without a quota one.
+// setMissingQuotas sets the quota of every team that has none, and restarts the controllers.
 func (w *World) setMissingQuotas(cores float64) {
 	teams := map[string]step.Quota{}
 	for name, team := range w.Config.Quotas {
@@ -386,19 +397,19 @@
 
 // Checks.
 
-// checkRules checks that no rule is broken; it shows the first violations.
+// checkRules fails the test if a rule is violated. It prints the first violations.
 func checkRules(t *testing.T, w *World, seed uint64) {
 	t.Helper()
 	const maxShown = 5
 	if count := len(w.Rules.Violations); count > 0 {
-		t.Errorf("seed %d: %d rules broken:\n%s", seed, count, strings.Join(w.Rules.Violations[:min(maxShown, count)], "\n"))
+		t.Errorf("seed %d: %d violations of the rules, want none:\n%s", seed, count, strings.Join(w.Rules.Violations[:min(maxShown, count)], "\n"))
 	}
 }
 
-// checkNoTransactionTooLarge checks that the store has refused no transaction for its size.
+// checkNoTransactionTooLarge fails the test if the store has refused a transaction for its size.
 func checkNoTransactionTooLarge(t *testing.T, w *World, seed uint64) {
 	t.Helper()
 	if w.Store.TooLargeTransactions > 0 {
-		t.Errorf("seed %d: %d transactions too large", seed, w.Store.TooLargeTransactions)
+		t.Errorf("seed %d: the store refused %d transactions as too large, want none", seed, w.Store.TooLargeTransactions)
 	}
 }
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -12,31 +12,32 @@
 	"tillerarch/internal/storage"
 )
 
-// HistoryChecker checks, at every revision of the store, that each machine on record is in one
-// shard with one owner, that a new owner is alive and has a token above all before it, and that
-// transfers take their phases in order. It reads the records themselves, not by way of a
-// controller's replica.
+// HistoryChecker checks at every revision of the store that each recorded machine is in one
+// shard with one owner, that a new owner is alive and has a higher token than all earlier ones,
+// and that the phases of transfers follow in order. It reads the records from the store's events
+// and not from a controller's replica.
 type HistoryChecker struct {
 	OnViolation         func(string)
-	Revisions           int
-	ShardsTransferred   int // from one living owner to another, by a transfer on record
+	Revisions           int // number of revisions applied
+	ShardsTransferred   int // number of shards that recorded transfers moved from one live owner to another
 	TransfersClosed     int
 	AbortedByReason     map[string]int
-	QuiesceTimes        []time.Duration // how long shards took no new task, by transfer
-	TransferTimes       []time.Duration // from the proposal to the end
-	TransferWrites      int             // of transfers' records
-	MachinesTransferred int             // each transfer of a machine counts
-	MachineQuiesceTime  time.Duration   // sum over machines of the time in which they took no new task
+	QuiesceTimes        []time.Duration // time for which the shard of each closed transfer started no task
+	TransferTimes       []time.Duration // time from the proposal to the end of each closed transfer
+	TransferWrites      int             // number of writes of transfer records
+	MachinesTransferred int             // number of machines in closed transfers, counted once for each transfer
+	MachineQuiesceTime  time.Duration   // sum over transferred machines of the time for which they started no task
 
 	shards           map[storage.ShardID]storage.ShardSummary
 	shardsByMachine  map[protocol.MachineID]map[storage.ShardID]bool
-	lastOwners       map[protocol.MachineID]storage.ShardSummary // newest owner and epoch
+	lastOwners       map[protocol.MachineID]storage.ShardSummary // last owner and epoch
 	transfers        map[string]storage.TransferRecord
-	liveIncarnations map[string]storage.Incarnation // by the controller's key
+	liveIncarnations map[string]storage.Incarnation // by the controller's key in the store
 	ownersByEpoch    map[machineEpoch]storage.Incarnation
 }
 
-// NewHistoryChecker makes a checker of a store that is empty.
+// NewHistoryChecker returns a checker for an empty store. It calls onViolation with the text of
+// each violation.
 func NewHistoryChecker(onViolation func(string)) *HistoryChecker {
 	return &HistoryChecker{
 		OnViolation:      onViolation,
@@ -54,7 +55,7 @@
 	h.OnViolation(fmt.Sprintf("revision %d: ", revision) + fmt.Sprintf(format, args...))
 }
 
-// ApplyRevision applies all changes of one revision and checks what they lead to.
+// ApplyRevision applies all changes of one revision and checks the resulting state.
 func (h *HistoryChecker) ApplyRevision(revision protocol.Revision, changes []protocol.Event) {
 	h.Revisions++
 	shardsBefore := map[storage.ShardID]storage.ShardSummary{}
@@ -81,8 +82,8 @@
 	}
 }
 
-// applyController notes which incarnation of a controller is alive; data is empty if its lease
-// has expired.
+// applyController records which incarnation of a controller is alive. data is empty if the
+// controller's lease has expired.
 func (h *HistoryChecker) applyController(revision protocol.Revision, key string, data json.RawMessage) {
 	delete(h.liveIncarnations, key)
 	if len(data) == 0 {
@@ -96,7 +97,7 @@
 	h.liveIncarnations[key] = record.Incarnation
 }
 
-// applyShard replaces what a shard lists; data is empty if it is deleted.
+// applyShard replaces a shard and its machines. data is empty if the shard is deleted.
 func (h *HistoryChecker) applyShard(revision protocol.Revision, id storage.ShardID, data json.RawMessage, changedMachines map[protocol.MachineID]bool) {
 	for _, machine := range h.shards[id].Machines {
 		changedMachines[machine] = true
@@ -121,7 +122,8 @@
 	}
 }
 
-// checkMachineOwner checks who owns a machine as of a revision.
+// checkMachineOwner checks that a machine is in at most one shard, and that its owner and epoch
+// follow the previous ones.
 func (h *HistoryChecker) checkMachineOwner(revision protocol.Revision, id protocol.MachineID) {
 	if len(h.shardsByMachine[id]) > 1 {
 		h.recordViolation(revision, "machine %s is on %d shards", id, len(h.shardsByMachine[id]))
@@ -148,13 +150,13 @@
 	}
 }
 
-// isAlive reports whether an incarnation holds its controller's key.
+// isAlive reports whether an incarnation is the one in its controller's record.
 func (h *HistoryChecker) isAlive(incarnation storage.Incarnation) bool {
 	return h.liveIncarnations[storage.ControllerKey(incarnation.Controller())] == incarnation
 }
 
-// CheckCommand checks that the controller whose commands a machine accepts under a token has
-// owned it in that epoch.
+// CheckCommand checks that the controller whose commands a machine accepts with a fencing token
+// owned the machine in the token's epoch.
 func (h *HistoryChecker) CheckCommand(id protocol.MachineID, token protocol.FencingToken, controller protocol.ControllerID) {
 	epoch := storage.ShardEpochOf(token)
 	if owner := h.ownersByEpoch[machineEpoch{machine: id, epoch: epoch}]; owner.Controller() != controller {
@@ -162,7 +164,8 @@
 	}
 }
 
-// applyTransfer applies a transfer's record and checks the order of its phases.
+// applyTransfer applies a transfer's record and checks that its phase may follow the previous
+// one. It returns false if the record can't be read.
 func (h *HistoryChecker) applyTransfer(revision protocol.Revision, key string, data json.RawMessage) (record storage.TransferRecord, ok bool) {
 	h.TransferWrites++
 	if err := json.Unmarshal(data, &record); err != nil {
@@ -181,7 +184,7 @@
 	case storage.TransferClosed:
 		h.TransfersClosed++
 		h.TransferTimes = append(h.TransferTimes, time.Duration(record.EndedAt-record.ProposedAt)*time.Millisecond)
-		quiesced := time.Duration(0) // of one whose source failed before the preparation
+		quiesced := time.Duration(0) // stays 0 if the source failed before the preparation
 		if record.PreparedAt > 0 {
 			quiesced = time.Duration(record.CommittedAt-record.PreparedAt) * time.Millisecond
 		}
@@ -194,7 +197,8 @@
 	return record, true
 }
 
-// checkOwnershipChange checks that a transfer is committed together with its shard's new owner.
+// checkOwnershipChange checks that the revision that commits a transfer also writes the shard's
+// new owner, and that no machine of the shard leaves the records.
 func (h *HistoryChecker) checkOwnershipChange(revision protocol.Revision, record storage.TransferRecord, shardsBefore map[storage.ShardID]storage.ShardSummary) {
 	if record.Phase != storage.TransferCommitted {
 		return
@@ -213,7 +217,7 @@
 	h.ShardsTransferred++
 }
 
-// OwnedMachineCount counts the machines of a controller.
+// OwnedMachineCount returns the number of machines in the shards of a controller.
 func (w *World) OwnedMachineCount(controller *Controller) (machines int) {
 	for _, shard := range w.History.shards {
 		if shard.Owner.Controller() == controller.ID {
@@ -223,7 +227,7 @@
 	return machines
 }
 
-// OpenTransfers lists the transfers that have not ended, in order.
+// OpenTransfers returns the name, shard and phase of each transfer that has not ended, sorted.
 func (h *HistoryChecker) OpenTransfers() (names []string) {
 	for _, record := range h.transfers {
 		if record.Phase.IsOpen() {
@@ -234,8 +238,9 @@
 	return names
 }
 
-// AddTransferRecordHook calls a callback for each record of a transfer that is written, within the
-// write and after the checker. Setting Store.OnRevision to the checker alone ends that.
+// AddTransferRecordHook adds a callback for each write of a transfer's record. The callback runs
+// within the write and after the previous Store.OnRevision, such as the checker. Setting
+// Store.OnRevision to the checker again removes the callback.
 func (w *World) AddTransferRecordHook(callback func(storage.TransferRecord)) {
 	previousHook := w.Store.OnRevision
 	w.Store.OnRevision = func(revision protocol.Revision, events []protocol.Event) {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -9,7 +9,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// Classes whose tasks fail on every machine, and whose replicas exit by themselves at once.
+// Classes of jobs whose tasks fail on every machine, and of services whose replicas exit by
+// themselves.
 const (
 	failingClass = "bad"
 	exitingClass = "ends"
@@ -17,18 +18,18 @@
 
 // Timers of an agent.
 const (
-	machineStepInterval  = 100 * time.Millisecond // how often a machine looks at its tasks and timers
-	replyTimeout         = 4 * time.Second        // after which an agent drops a reply
-	minHeartbeatGap      = 500 * time.Millisecond // between heartbeats that report a change
-	nextControllerDelay  = time.Second            // before the next controller is tried
-	maxRedirectDelay     = 500 * time.Millisecond // before the controller named by a redirect is tried
-	droppedReplyInterval = time.Second            // before the next heartbeat after a dropped reply
+	machineStepInterval  = 100 * time.Millisecond // time between two checks of a machine's tasks and timers
+	replyTimeout         = 4 * time.Second        // time after which an agent drops a reply
+	minHeartbeatGap      = 500 * time.Millisecond // minimum time before a heartbeat that reports a change
+	nextControllerDelay  = time.Second            // time before an agent tries the next controller
+	maxRedirectDelay     = 500 * time.Millisecond // maximum time before an agent tries the controller of a redirect
+	droppedReplyInterval = time.Second            // time before the next heartbeat after a dropped reply
 )
 
-// stateNeverEnds is when a state ends that has no end of its own.
+// stateNeverEnds is the stateEndsAt of an execution whose state ends only by a command.
 const stateNeverEnds = time.Duration(1<<63 - 1)
 
-// taskExecution is an attempt of a task on a machine.
+// taskExecution holds the state of a task's attempt on a machine.
 type taskExecution struct {
 	attempt       protocol.Attempt
 	state         protocol.TaskState
@@ -37,13 +38,13 @@
 	stateEndsAt   time.Duration
 }
 
-// countsAsRunning reports whether a state counts as running for the rules: the task's program has
-// been started and has not ended.
+// countsAsRunning reports whether a task in the given state counts as running for the rules: its
+// program has been started and has not ended.
 func countsAsRunning(state protocol.TaskState) bool {
 	return state != protocol.TaskPullingImage && state != protocol.TaskExited
 }
 
-// Machine is a machine with its agent.
+// Machine is a simulated machine and its agent.
 type Machine struct {
 	ID             protocol.MachineID
 	Addr           string
@@ -51,31 +52,32 @@
 	Zone           protocol.Zone
 	Spot           bool
 	Terminated     bool
-	Faulty         bool // every task fails here
-	Partitioned    bool // nothing passes between it and the controllers but what is on its way
-	HeartbeatsLost bool // it reaches no controller, while direct commands reach it
-	CommandsLost   bool // its heartbeats arrive, while replies and commands do not reach it
+	Faulty         bool // every task fails on this machine
+	Partitioned    bool // no messages pass between the machine and the controllers, except those already sent
+	HeartbeatsLost bool // heartbeats reach no controller, but direct commands reach the machine
+	CommandsLost   bool // heartbeats reach the controllers, but replies and commands do not reach the machine
 
 	world               *World
-	hung                bool // it stands still and may resume
+	hung                bool // tasks and agent are stopped and may resume
 	deferredCommands    []func()
 	epoch               protocol.AgentEpoch
 	sequence            protocol.Sequence
 	fencingToken        protocol.FencingToken
 	tasks               map[protocol.Task]*taskExecution
 	cachedImages        map[string]bool
-	lastStartAt         time.Duration // when it last accepted a start command
+	lastStartAt         time.Duration // when the agent last accepted a start command
 	leaseRenewedAt      time.Duration // when the last heartbeat with a reply was sent
-	controllerIndex     int           // of the controller that its heartbeats go to
-	heartbeatID         int           // of the heartbeat that awaits its reply
+	controllerIndex     int           // index of the controller that heartbeats are sent to
+	heartbeatID         int           // number of the last heartbeat sent
 	awaitingReply       bool
 	heartbeatSentAt     time.Duration
 	nextHeartbeatAt     time.Duration
-	hasUnreportedChange bool          // something is to be reported soon
-	preemptAt           time.Duration // when the cloud takes it; 0: not announced
+	hasUnreportedChange bool          // the next heartbeat is sent early to report a change
+	preemptAt           time.Duration // when the cloud preempts the machine; 0 if not announced
 }
 
-// stepUntilTerminated plays the machine until it is terminated.
+// stepUntilTerminated processes the machine's timers and gangs at every machineStepInterval until
+// the machine is terminated.
 func (m *Machine) stepUntilTerminated() {
 	if m.Terminated {
 		return
@@ -124,7 +126,8 @@
 	return tasks
 }
 
-// setState changes a task's state and tells the rules when it begins or ends to run.
+// setState changes a task's state. It records with the rule checker when the task starts or ends
+// running.
 func (m *Machine) setState(task protocol.Task, execution *taskExecution, state protocol.TaskState) {
 	wasRunning, isRunning := countsAsRunning(execution.state), countsAsRunning(state)
 	execution.state = state
@@ -143,7 +146,7 @@
 		return
 	}
 	m.world.handleTaskDone(task.Job)
-	if job := m.world.Jobs[task.Job]; job.IsGang() { // if one task of a gang is done, all are
+	if job := m.world.Jobs[task.Job]; job.IsGang() { // if one task of a gang is done, all tasks are
 		for index := range job.TaskCount {
 			m.world.Rules.job(task.Job).completedTasks[index] = true
 		}
@@ -155,7 +158,7 @@
 	m.setState(task, execution, protocol.TaskExited)
 }
 
-// killTasks ends and forgets all tasks.
+// killTasks ends all tasks and removes them from the agent's state.
 func (m *Machine) killTasks() {
 	for _, task := range m.sortedTasks() {
 		execution := m.tasks[task]
@@ -166,7 +169,7 @@
 	m.tasks = map[protocol.Task]*taskExecution{}
 }
 
-// Reboot kills all tasks and restarts the agent at once, with a new epoch.
+// Reboot kills all tasks and restarts the agent immediately with a new epoch.
 func (m *Machine) Reboot() {
 	m.killTasks()
 	m.epoch++
@@ -174,9 +177,10 @@
 	m.awaitingReply, m.hasUnreportedChange = false, true
 }
 
-// recordLingeringTasks notes which tasks are killed while the machine hangs. Until it resumes
-// nobody has seen them end: for placing them elsewhere they have ended, since they cannot go
-// on; for a confirmed cancellation they have not.
+// recordLingeringTasks records the running tasks of a hung machine that are about to be killed.
+// For placement on another machine these tasks have ended, because they cannot continue. For a
+// confirmed cancellation they have not ended until the machine resumes, because nobody has
+// observed their end.
 func (m *Machine) recordLingeringTasks() {
 	for task, execution := range m.tasks {
 		if countsAsRunning(execution.state) {
@@ -185,7 +189,8 @@
 	}
 }
 
-// clearLingeringTasks ends what recordLingeringTasks noted: the machine resumes or is gone.
+// clearLingeringTasks removes the records of recordLingeringTasks when the machine resumes or is
+// terminated.
 func (m *Machine) clearLingeringTasks() {
 	for task, place := range m.world.Rules.lingeringTasks {
 		if place.machine == m.ID {
@@ -194,8 +199,8 @@
 	}
 }
 
-// Hang lets the machine stand still for a while: its tasks and its agent do nothing, commands
-// to it wait. Its lease expires all the same.
+// Hang stops the machine for a duration. Its tasks and its agent do nothing, and commands to it
+// are executed when it resumes. The agent's lease still expires unless it is renewed.
 func (m *Machine) Hang(duration time.Duration) {
 	m.hung = true
 	m.world.After(duration, func() {
@@ -209,7 +214,8 @@
 	})
 }
 
-// processTimers lets the machine's time pass.
+// processTimers expires the agent's lease, advances tasks whose state has ended, and sends the
+// heartbeats that are due. A hung machine only expires the lease.
 func (m *Machine) processTimers() {
 	now := m.world.Now
 	if m.Terminated {
@@ -237,7 +243,8 @@
 	}
 }
 
-// expireLease kills all tasks: another owner may place them elsewhere from now on.
+// expireLease kills all tasks and starts a new agent epoch, because another owner may place the
+// tasks on other machines from now on.
 func (m *Machine) expireLease() {
 	if m.hung {
 		m.recordLingeringTasks()
@@ -249,14 +256,14 @@
 	m.hasUnreportedChange = true
 }
 
-// enterNextState takes a task whose state has lasted its time to the next one.
+// enterNextState moves a task whose state has ended to its next state.
 func (m *Machine) enterNextState(task protocol.Task, execution *taskExecution) {
 	job := m.world.Jobs[task.Job]
 	switch execution.state {
 	case protocol.TaskPullingImage:
 		m.cachedImages[job.Image] = true
 		switch {
-		case m.world.Rules.job(task.Job).completedTasks[task.Index]: // its result is there from an earlier attempt
+		case m.world.Rules.job(task.Job).completedTasks[task.Index]: // an earlier attempt has completed the task
 			m.endTask(task, execution, protocol.ReasonDone)
 		case job.IsGang():
 			execution.stateEndsAt = m.world.Now + m.world.GangStartTimeout
@@ -279,8 +286,8 @@
 	}
 }
 
-// startTask lets a task run for half to one and a half times its estimate; a replica that
-// does not fail runs until it is stopped.
+// startTask starts a task, which runs for 0.5 to 1.5 times its estimated run time. A replica that
+// neither fails nor exits by itself runs until it is stopped.
 func (m *Machine) startTask(task protocol.Task, execution *taskExecution, job *protocol.Job) {
 	runTime := job.EstimatedRunSeconds * (0.5 + m.world.Rand.Float64())
 	execution.stateEndsAt = m.world.Now + time.Duration(runTime*float64(time.Second))
@@ -300,7 +307,7 @@
 	controller := w.Controllers[m.controllerIndex%len(w.Controllers)]
 	body := m.nextHeartbeat()
 	w.transmitHeartbeat(controller, m, body, func(reply heartbeatReply) {
-		if m.hung && w.Now-sentAt < replyTimeout { // read when it resumes, and dropped as too late
+		if m.hung && w.Now-sentAt < replyTimeout { // the agent reads the reply when the machine resumes, and drops it as too late
 			m.nextHeartbeatAt = w.Now + droppedReplyInterval
 		}
 		if m.Terminated || m.hung || !m.awaitingReply || m.heartbeatID != heartbeatID || m.epoch != epoch {
@@ -326,7 +333,8 @@
 	}
 }
 
-// handleCommands executes what a controller replies, unless it is of an earlier owner.
+// handleCommands executes the commands of a controller's reply and renews the lease, unless the
+// commands are from an earlier owner.
 func (m *Machine) handleCommands(controller *Controller, sentAt time.Duration, reply heartbeatReply) {
 	var commands protocol.Commands
 	if json.Unmarshal(reply.body, &commands) != nil || commands.FencingToken == 0 || commands.FencingToken < m.fencingToken {
@@ -339,8 +347,8 @@
 	m.applyCommands(commands.Commands)
 }
 
-// followRedirect sends the next heartbeats to the controller that another one names, if it
-// knows that and it is not the same.
+// followRedirect directs the next heartbeats to the controller named by a redirect. It reports
+// false if that controller is unknown or is the one that sent the redirect.
 func (m *Machine) followRedirect(from *Controller, to protocol.ControllerID) bool {
 	w := m.world
 	for i, controller := range w.Controllers {
@@ -365,11 +373,11 @@
 	}
 }
 
-// ReplyToProbe is the agent's reply to a probe: its heartbeat.
+// ReplyToProbe returns the agent's reply to a probe, which is a heartbeat.
 func (m *Machine) ReplyToProbe() []byte { return m.nextHeartbeat() }
 
-// ExecuteCommands executes direct commands, unless they are of an earlier owner or for an
-// earlier epoch of the agent. It returns the status and the agent's heartbeat.
+// ExecuteCommands executes direct commands, unless they are from an earlier owner or for another
+// epoch of the agent. It returns the status and the agent's heartbeat.
 func (m *Machine) ExecuteCommands(commands protocol.Commands) (int, []byte) {
 	if commands.FencingToken < m.fencingToken || commands.AgentEpoch != m.epoch {
 		return http.StatusConflict, m.nextHeartbeat()
@@ -392,7 +400,8 @@
 	}
 }
 
-// applyStart begins an attempt, unless it is known or the task's last one has not exited.
+// applyStart starts an attempt, unless the agent knows the attempt already or the task's last
+// attempt has not exited.
 func (m *Machine) applyStart(command protocol.Command) {
 	w := m.world
 	old := m.tasks[command.Task]
@@ -418,8 +427,8 @@
 	}
 }
 
-// applyStop stops an attempt: one that can save its progress within the grace period does so
-// first, and a stop without a grace period ends that too.
+// applyStop stops an attempt. An attempt that can save its progress within the grace period does
+// so first. A grace period of 0 also ends an attempt that is saving its progress.
 func (m *Machine) applyStop(command protocol.Command) {
 	execution := m.tasks[command.Task]
 	if execution == nil || execution.attempt != command.Attempt || execution.state == protocol.TaskExited {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -6,7 +6,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// messageDelay is what a message takes. One in fifty takes up to 0.3 s longer.
+// messageDelay returns the delay of a message. One message in fifty takes up to 0.3 s longer.
 func (w *World) messageDelay() time.Duration {
 	delay := time.Duration(1+w.Rand.IntN(8)) * time.Millisecond
 	if w.MaxNetworkDelay > 0 {
@@ -18,8 +18,7 @@
 	return delay
 }
 
-// isPartitioned reports whether the border of a cut-off zone lies between a controller and a
-// machine.
+// isPartitioned reports whether the partition of a zone separates a controller from a machine.
 func (w *World) isPartitioned(controller *Controller, m *Machine) bool {
 	for zone, inside := range w.PartitionedZones {
 		if (m.Zone == zone) != (controller == inside) {
@@ -29,9 +28,10 @@
 	return false
 }
 
-// callService sends a request to an outside system and brings the reply back. Either way may
-// be lost, or the request may be executed late; the controller then gets timeoutInput. It
-// gets one input in all, unless its process has ended. execute returns nil for no reply.
+// callService sends a request to an outside system and delivers the reply to the controller.
+// The request or the reply may be lost, or the request may be executed late. The controller
+// then gets timeoutInput instead. It gets exactly one of the two inputs, or none if its process
+// has ended. execute returns nil for no reply.
 func (c *Controller) callService(unreachable bool, timeout time.Duration, execute func() step.Input, timeoutInput step.Input) {
 	w, generation := c.world, c.generation
 	isDelivered := false
@@ -45,9 +45,9 @@
 	delay := w.messageDelay()
 	if unreachable || w.Rand.Float64() < w.MessageLossRate {
 		if w.Rand.IntN(2) == 0 {
-			return // never arrives
+			return // the request never arrives
 		}
-		delay = timeout + time.Duration(w.Rand.IntN(8000))*time.Millisecond // arrives when nobody waits any more
+		delay = timeout + time.Duration(w.Rand.IntN(8000))*time.Millisecond // arrives after the caller's timeout
 	}
 	w.After(delay, func() {
 		input := execute()
@@ -57,15 +57,17 @@
 	})
 }
 
-// executeWithoutReply executes a request after a while; its controller gets timeoutInput.
+// executeWithoutReply executes a request after a delay. The controller gets timeoutInput instead
+// of a reply.
 func (c *Controller) executeWithoutReply(delay, timeout time.Duration, execute func(), timeoutInput step.Input) {
 	generation := c.generation
 	c.world.After(delay, execute)
 	c.world.After(timeout, func() { c.stepIfAlive(generation, timeoutInput) })
 }
 
-// callStore sends a request to the store, which may be unreachable, refuse this controller
-// alone (refusedInput), be slow, or apply a transaction late or without a reply.
+// callStore sends a request to the store. The store may be unreachable, refuse the requests of
+// this controller only (which then gets refusedInput), reply slowly, or apply a transaction late
+// or without a reply.
 func (c *Controller) callStore(execute func() step.Input, timeoutInput, refusedInput step.Input) {
 	w := c.world
 	if c.RefusedByStore {
@@ -98,20 +100,21 @@
 	c.callService(c.world.CloudUnreachable, cloudTimeout, execute, timeoutInput)
 }
 
-// heartbeatReply is a controller's reply to a heartbeat.
+// heartbeatReply is a controller's reply to a heartbeat. A status of 0 means that the connection
+// was refused.
 type heartbeatReply struct {
 	status int
 	body   []byte
-	sender string // the process that replied
+	sender string // name of the process that replied
 }
 
-// transmitHeartbeat brings an agent's heartbeat to a controller and the reply back. No reply
-// at all is the agent's to notice; status 0 says that the connection was refused.
+// transmitHeartbeat delivers an agent's heartbeat to a controller and the reply to the agent. If
+// a message is lost, reply is not called and the agent has to detect the timeout itself.
 func (w *World) transmitHeartbeat(controller *Controller, m *Machine, body []byte, reply func(heartbeatReply)) {
 	w.duplicateHeartbeat(body)
 	delay := w.messageDelay()
 	if m.HeartbeatsLost {
-		return // it cannot even connect
+		return // the agent cannot connect
 	}
 	unreachable := func() bool {
 		return m.Partitioned || controller.AgentsUnreachable || w.isPartitioned(controller, m)
@@ -120,7 +123,7 @@
 		if w.Rand.IntN(2) == 0 {
 			return
 		}
-		delay = 5*time.Second + time.Duration(w.Rand.IntN(20000))*time.Millisecond // arrives when the agent has gone on
+		delay = 5*time.Second + time.Duration(w.Rand.IntN(20000))*time.Millisecond // arrives after the agent's timeout
 	}
 	w.After(delay, func() {
 		if !controller.Alive {
@@ -137,8 +140,8 @@
 	})
 }
 
-// duplicateHeartbeat lets a copy of a heartbeat arrive at any controller now and then, from
-// half a second to well over an agent's lease later.
+// duplicateHeartbeat delivers a copy of some heartbeats to any controller, from 0.5 s to well
+// over the time of an agent's lease later.
 func (w *World) duplicateHeartbeat(body []byte) {
 	if w.DuplicateHeartbeatRate == 0 || w.Rand.Float64() >= w.DuplicateHeartbeatRate {
 		return
--- a/internal/simulation/remote_controller.go
+++ b/internal/simulation/remote_controller.go
@@ -5,14 +5,14 @@
 	"tillerarch/internal/protocol"
 )
 
-// RemoteController is a controller that is a process of its own. It calls back with the
-// world's lock held, or never.
+// RemoteController is a controller that runs as a separate process. Its methods call reply at
+// most once, with the world's lock held.
 type RemoteController interface {
-	DeliverHeartbeat(body []byte, back func(status int, body []byte))
-	DeliverUserRequest(verb protocol.RequestType, id protocol.JobID, body []byte, back func(status int, body []byte))
+	DeliverHeartbeat(body []byte, reply func(status int, body []byte))
+	DeliverUserRequest(requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(status int, body []byte))
 }
 
-// NewRemoteWorld makes a deployment whose controllers are processes of their own.
+// NewRemoteWorld returns a deployment whose controllers run as separate processes.
 func NewRemoteWorld(seed uint64, remotes []RemoteController, machineTypes []protocol.MachineType, teams map[string]step.Quota) *World {
 	w := NewWorld(seed, 0, machineTypes, teams)
 	for i, remote := range remotes {
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -11,51 +11,52 @@
 	"tillerarch/internal/storage"
 )
 
-// RuleChecker checks the Rules of PROTOCOL, and some of its own, by what users are told and
-// what is on the machines. It knows nothing of how controllers work.
+// RuleChecker checks the Rules of PROTOCOL and some additional rules. It uses only the replies
+// to users and the tasks on the machines, and does not depend on how controllers work.
 type RuleChecker struct {
-	CancelTimeout time.Duration      // within it tasks of a cancelled job must be gone
-	QuotaLimits   map[string]float64 // cores a team may use; 0: no limit
-	FaultsEndedAt time.Duration      // 0: faults go on, and rules of calm times do not apply
+	CancelTimeout time.Duration      // time within which the tasks of a cancelled job must end
+	QuotaLimits   map[string]float64 // cores that each team may use; 0 means no limit
+	FaultsEndedAt time.Duration      // 0 while there are faults; rules for times without faults do not apply then
 	Violations    []string
 	TasksStarted  int
 
 	jobs           map[protocol.JobID]*observedJob
-	locations      map[protocol.Task]location // where a task was started last
-	runCounts      map[protocol.Task]int      // on how many machines it runs
-	commandSenders map[machineEpoch]string    // process whose commands a machine has accepted
-	lingeringTasks map[protocol.Task]location // see Machine.recordLingeringTasks
+	locations      map[protocol.Task]location // where each task was last started
+	runCounts      map[protocol.Task]int      // number of machines on which each task runs
+	commandSenders map[machineEpoch]string    // process whose commands a machine has accepted in an epoch
+	lingeringTasks map[protocol.Task]location // tasks recorded by Machine.recordLingeringTasks
 }
 
-// machineEpoch is a machine under one epoch of its shard.
+// machineEpoch identifies a machine in one epoch of its shard.
 type machineEpoch struct {
 	machine protocol.MachineID
 	epoch   storage.ShardEpoch
 }
 
-// location is where a task runs.
+// location is the machine and the zone in which a task runs.
 type location struct {
 	machine protocol.MachineID
 	zone    protocol.Zone
 }
 
-// observedJob is what users and machines have seen of a job. Times of 0 mean never, or not now.
+// observedJob holds what users and machines have observed of a job. A time of 0 means that the
+// event has not happened or the condition does not hold.
 type observedJob struct {
-	spec            *protocol.Job // nil if it was submitted as invalid only
+	spec            *protocol.Job // nil if the job was only submitted as an invalid one
 	submitted       bool
 	submittedAt     time.Duration
-	isInvalid       bool // it can never run or lacks a field
+	isInvalid       bool // the job can never run or lacks a field
 	accepted        bool
-	cancelRequested bool // by its user
+	cancelRequested bool // its user has requested the cancellation
 	reportedState   protocol.JobState
 	reportedAt      time.Duration
 	completedTasks  map[int]bool
-	firstTaskAt     time.Duration // when its first task ran
-	placeableSince  time.Duration // since when there has been capacity for pending tasks
-	unansweredSince time.Duration // of the first request since the last reply
+	firstTaskAt     time.Duration // when the job's first task started
+	placeableSince  time.Duration // when capacity for the pending tasks became free
+	unansweredSince time.Duration // when the first request after the last reply was sent
 }
 
-// NewRuleChecker makes a checker of an empty deployment.
+// NewRuleChecker returns a checker for an empty deployment.
 func NewRuleChecker(cancelTimeout time.Duration) *RuleChecker {
 	return &RuleChecker{
 		CancelTimeout:  cancelTimeout,
@@ -81,8 +82,8 @@
 	return observed
 }
 
-// RecordCommand notes from which process an agent has accepted commands under a token: in one
-// epoch there may be only one.
+// RecordCommand records that an agent has accepted commands with a fencing token from a process.
+// It checks that all commands of one epoch come from the same process.
 func (r *RuleChecker) RecordCommand(machine protocol.MachineID, token protocol.FencingToken, controller string) {
 	epoch := machineEpoch{machine: machine, epoch: storage.ShardEpochOf(token)}
 	if other, ok := r.commandSenders[epoch]; ok && other != controller {
@@ -91,36 +92,37 @@
 	r.commandSenders[epoch] = controller
 }
 
-// RecordSubmission notes that a user submits a job.
+// RecordSubmission records that a user submits a job.
 func (r *RuleChecker) RecordSubmission(now time.Duration, job *protocol.Job) {
 	observed := r.job(job.ID)
 	observed.spec, observed.submitted, observed.submittedAt = job, true, now
 }
 
-// RecordRequest notes that a user sends a request about a job.
+// RecordRequest records that a user sends a request about a job.
 func (r *RuleChecker) RecordRequest(now time.Duration, id protocol.JobID) {
 	if observed := r.job(id); observed.unansweredSince == 0 {
 		observed.unansweredSince = max(now, 1)
 	}
 }
 
-// RecordCancelRequest notes that a user asks to cancel a job.
+// RecordCancelRequest records that a user requests the cancellation of a job.
 func (r *RuleChecker) RecordCancelRequest(id protocol.JobID) { r.job(id).cancelRequested = true }
 
-// RecordReply notes a reply to a user, and when its request was sent: a request that was in
-// flight when another got its reply may get the older state.
+// RecordReply records a reply to a user and checks it against the earlier replies. sentAt is when
+// the request was sent: a request that was in flight when another one got its reply may return
+// the older state.
 func (r *RuleChecker) RecordReply(now, sentAt time.Duration, requestType protocol.RequestType, id protocol.JobID, status int, state protocol.JobState) {
 	observed := r.job(id)
 	switch {
 	case observed.accepted && (status == http.StatusNotFound || requestType == protocol.RequestSubmit && isRejection(status)):
-		r.recordViolation("forgotten", "%s is answered %d", id, status)
+		r.recordViolation("forgotten", "accepted job %s is answered with status %d", id, status)
 	case status != http.StatusOK && status != http.StatusCreated:
 		return
 	case !observed.submitted:
-		r.recordViolation("invented", "%s", id)
+		r.recordViolation("invented", "job %s is reported, but was never submitted", id)
 	}
 	if observed.isInvalid {
-		r.recordViolation("accepted", "%s, which is invalid or can never run", id)
+		r.recordViolation("accepted", "job %s, which is invalid or can never run, is accepted", id)
 	}
 	observed.accepted = true
 	observed.unansweredSince = 0
@@ -130,22 +132,23 @@
 	}
 }
 
-// checkReportedState checks a state that a user is told against the states told before.
+// checkReportedState checks a job's state in a reply against the tasks done, the requests of the
+// user and the states of earlier replies.
 func (r *RuleChecker) checkReportedState(id protocol.JobID, observed *observedJob, sentAt time.Duration, state protocol.JobState) {
 	canBeDone := observed.spec != nil && !observed.spec.IsService() && len(observed.completedTasks) >= observed.spec.TaskCount
 	if state == protocol.JobDone && !canBeDone {
-		r.recordViolation("not_done", "%s with %d tasks done", id, len(observed.completedTasks))
+		r.recordViolation("not_done", "job %s is reported done with %d tasks done", id, len(observed.completedTasks))
 	}
 	wasInFlight := sentAt < observed.reportedAt
 	if observed.reportedState.IsTerminal() && state != observed.reportedState && (!wasInFlight || state.IsTerminal()) {
-		r.recordViolation("went_back", "%s was reported %s, now %s", id, observed.reportedState, state)
+		r.recordViolation("went_back", "job %s was reported %s and is now reported %s", id, observed.reportedState, state)
 	}
 	if state == protocol.JobCancelled && !observed.cancelRequested {
-		r.recordViolation("went_back", "%s is reported cancelled, which nobody requested", id)
+		r.recordViolation("went_back", "job %s is reported cancelled, but its user requested no cancellation", id)
 	}
 }
 
-// RecordTaskStart notes that a task runs on a machine from now on.
+// RecordTaskStart records that a task has started on a machine and checks that it may run there.
 func (r *RuleChecker) RecordTaskStart(now time.Duration, task protocol.Task, machine protocol.MachineID, machineType protocol.MachineTypeName, zone protocol.Zone, spot bool) {
 	r.TasksStarted++
 	observed := r.job(task.Job)
@@ -153,24 +156,25 @@
 		observed.firstTaskAt = max(now, 1)
 	}
 	if r.runCounts[task] > 0 {
-		r.recordViolation("ran_twice", "%s on %s while on %s", task, machine, r.locations[task].machine)
+		r.recordViolation("ran_twice", "task %s starts on %s while it runs on %s", task, machine, r.locations[task].machine)
 	}
 	r.runCounts[task]++
 	r.locations[task] = location{machine: machine, zone: zone}
 	if observed.spec == nil {
-		r.recordViolation("wrong_place", "%s was never submitted", task)
+		r.recordViolation("wrong_place", "the job of task %s was never submitted", task)
 		return
 	}
 	if !observed.spec.AllowsPlacement(machineType, zone) || spot && !observed.spec.AllowSpot {
-		r.recordViolation("wrong_place", "%s on %s in %s, spot %v", task, machineType, zone, spot)
+		r.recordViolation("wrong_place", "task %s starts on machine type %s in zone %s with spot %v, which its job does not allow", task, machineType, zone, spot)
 	}
 	r.checkZonesAndQuota(task, observed.spec, zone)
 	if observed.reportedState == protocol.JobCancelled {
-		r.recordViolation("ran_cancelled", "%s starts on %s %v after its job was reported cancelled", task, machine, now-observed.reportedAt)
+		r.recordViolation("ran_cancelled", "task %s starts on %s %v after its job was reported cancelled", task, machine, now-observed.reportedAt)
 	}
 }
 
-// checkZonesAndQuota checks a task that has just started together with all others that run.
+// checkZonesAndQuota checks the zone constraints of a started task's job and the quota of its
+// team, together with all other running tasks.
 func (r *RuleChecker) checkZonesAndQuota(task protocol.Task, spec *protocol.Job, zone protocol.Zone) {
 	sameZone, otherZones, cores := 0, 0, 0.0
 	for other, place := range r.locations {
@@ -189,17 +193,17 @@
 		}
 	}
 	if spec.SingleZone && otherZones > 0 {
-		r.recordViolation("wrong_place", "%s in %s, others are elsewhere", task, zone)
+		r.recordViolation("wrong_place", "task %s of a single-zone job starts in zone %s while other tasks run in other zones", task, zone)
 	}
 	if spec.SpreadZones && sameZone > (spec.TaskCount+1)/2 {
-		r.recordViolation("wrong_place", "%d tasks of %s in %s", sameZone, task.Job, zone)
+		r.recordViolation("wrong_place", "%d tasks of job %s, which spreads over zones, run in zone %s", sameZone, task.Job, zone)
 	}
 	if limit := r.QuotaLimits[spec.Team]; limit > 0 && cores > limit+1e-6 {
-		r.recordViolation("quota", "%s uses %v of %v cores", spec.Team, cores, limit)
+		r.recordViolation("quota", "team %s uses %v cores, more than its quota of %v", spec.Team, cores, limit)
 	}
 }
 
-// RecordTaskEnd notes that a task no longer runs on a machine.
+// RecordTaskEnd records that a task no longer runs on a machine, and whether it is done.
 func (r *RuleChecker) RecordTaskEnd(task protocol.Task, done bool) {
 	r.runCounts[task]--
 	if done {
@@ -207,31 +211,31 @@
 	}
 }
 
-// CheckTimeouts checks the rules that are broken by nothing happening.
+// CheckTimeouts checks the rules that are violated when something does not happen in time.
 func (r *RuleChecker) CheckTimeouts(now time.Duration) {
 	for task, runCount := range r.runCounts {
 		observed := r.job(task.Job)
 		if runCount > 0 && observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
-			r.recordViolation("ran_cancelled", "%s is still on %s", task, r.locations[task].machine)
-			observed.reportedAt = now // counts once for each timeout
+			r.recordViolation("ran_cancelled", "task %s still runs on %s after its job was reported cancelled", task, r.locations[task].machine)
+			observed.reportedAt = now // so that one violation is recorded for each timeout
 		}
 	}
 	for task, place := range r.lingeringTasks {
 		if observed := r.job(task.Job); observed.reportedState == protocol.JobCancelled && now > observed.reportedAt+r.CancelTimeout {
-			r.recordViolation("ran_cancelled", "%s hangs on %s", task, place.machine)
+			r.recordViolation("ran_cancelled", "task %s is still on the hung machine %s after its job was reported cancelled", task, place.machine)
 			delete(r.lingeringTasks, task)
 		}
 	}
 	for id, observed := range r.jobs {
 		mustBeAnswered := r.FaultsEndedAt > 0 && observed.accepted && !observed.cancelRequested && observed.unansweredSince > 0
 		if mustBeAnswered && now-max(observed.unansweredSince, r.FaultsEndedAt) > maxUnansweredTime {
-			r.recordViolation("forgotten", "no request about %s was answered for %v", id, maxUnansweredTime)
+			r.recordViolation("forgotten", "no request about job %s was answered for %v", id, maxUnansweredTime)
 			observed.unansweredSince = now
 		}
 	}
 }
 
-// runningReplicas counts the replicas of a service that run.
+// runningReplicas returns the number of running replicas of a service.
 func (r *RuleChecker) runningReplicas(id protocol.JobID, job *protocol.Job) (count int) {
 	for index := range job.TaskCount {
 		if r.runCounts[protocol.Task{Job: id, Index: index}] > 0 {
@@ -241,8 +245,8 @@
 	return count
 }
 
-// WaitTimes lists how long jobs waited for their first task, of those that have started and
-// that include selects. It is sorted.
+// WaitTimes returns the times, in ascending order, that jobs waited from their submission to the
+// start of their first task. It covers the started jobs for which include returns true.
 func (r *RuleChecker) WaitTimes(include func(*protocol.Job) bool) (waits []time.Duration) {
 	for _, observed := range r.jobs {
 		if observed.spec != nil && observed.firstTaskAt > 0 && include(observed.spec) {
@@ -253,7 +257,8 @@
 	return waits
 }
 
-// RecordPlaceable notes whether there is capacity, now, for some of a job's pending tasks.
+// RecordPlaceable records whether there is capacity for some of a job's pending tasks at the
+// given time, and checks how long such tasks have been pending.
 func (r *RuleChecker) RecordPlaceable(now time.Duration, id protocol.JobID, placeable bool) {
 	observed := r.job(id)
 	switch {
@@ -262,32 +267,33 @@
 	case observed.placeableSince == 0:
 		observed.placeableSince = now
 	case r.FaultsEndedAt > 0 && now-max(observed.placeableSince, r.FaultsEndedAt) > maxPlaceableWait:
-		r.recordViolation("left_waiting", "%s has been pending %v though capacity is free", id, now-observed.placeableSince)
+		r.recordViolation("left_waiting", "job %s has been pending %v though capacity is free", id, now-observed.placeableSince)
 		observed.placeableSince = now
 	}
 }
 
-// Bounds of the rules that PROTOCOL does not have.
+// Time limits of the rules that PROTOCOL does not have.
 const (
-	maxPlaceableWait  = 90 * time.Second // for a job to be pending in calm times though capacity is free
-	maxUnansweredTime = 75 * time.Second // for all requests about a job to get no reply in calm times
-	maxStartDelay     = 4 * time.Minute  // for the largest jobs of a class to start
+	maxPlaceableWait  = 90 * time.Second // time without faults that a job may be pending though capacity is free
+	maxUnansweredTime = 75 * time.Second // time without faults for which all requests about a job may get no reply
+	maxStartDelay     = 4 * time.Minute  // time within which the largest jobs of a class must start
 )
 
-// jobGroupCounts is how many jobs of a group there are, and how many were served.
+// jobGroupCounts holds the number of jobs in a group, and how many of them were served.
 type jobGroupCounts struct{ total, served int }
 
-// totalRequestedCores is what a job asks for in all. It is never 0.
+// totalRequestedCores returns the number of cores that all tasks of a job request together. It is
+// greater than 0 also for a job that requests no cores.
 func totalRequestedCores(job *protocol.Job) float64 {
 	return float64(job.TaskCount) * max(job.Cores, 1e-9)
 }
 
-// mustBeServed reports whether a job counts for the rules on starvation.
+// mustBeServed reports whether the rules on starvation apply to a job.
 func (j *observedJob) mustBeServed() bool {
 	return j.accepted && j.spec != nil && !j.cancelRequested
 }
 
-// isServed reports whether all of a job's tasks are done, or all replicas run.
+// isServed reports whether all tasks of a job are done, or all replicas of a service run.
 func (r *RuleChecker) isServed(id protocol.JobID, observed *observedJob) bool {
 	if len(observed.completedTasks) >= observed.spec.TaskCount {
 		return true
@@ -295,9 +301,9 @@
 	return observed.spec.IsService() && r.runningReplicas(id, observed.spec) == observed.spec.TaskCount
 }
 
-// CheckFinal checks what can be said at the end only: that anything ran at all, that the
-// largest jobs of each class started in time, and that at least half of the jobs of each
-// class, of each team and of the largest of each class were served.
+// CheckFinal checks the rules that can only be checked at the end: that at least one task was
+// started, that the largest jobs of each class started in time, and that at least half of the
+// jobs of each class, of each team and of the largest jobs of each class were served.
 func (r *RuleChecker) CheckFinal(now time.Duration) {
 	if r.TasksStarted == 0 {
 		r.recordViolation("nothing_ran", "no task was started")
@@ -333,7 +339,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
 		if group := groups[name]; 2*group.served < group.total {
-			r.recordViolation("unserved", "%s: %d of %d jobs", name, group.served, group.total)
+			r.recordViolation("unserved", "%s: %d of %d jobs were served, want at least half", name, group.served, group.total)
 		}
 	}
 }
@@ -341,6 +347,6 @@
 func (r *RuleChecker) checkStartDelay(now time.Duration, id protocol.JobID, observed *observedJob) {
 	startedInTime := observed.firstTaskAt != 0 && observed.firstTaskAt-observed.submittedAt <= maxStartDelay
 	if !startedInTime && now-observed.submittedAt > maxStartDelay {
-		r.recordViolation("unserved", "%s is among the largest of its class and had not started after %v", id, maxStartDelay)
+		r.recordViolation("unserved", "job %s is among the largest of its class and had not started after %v", id, maxStartDelay)
 	}
 }
--- a/internal/simulation/step_costs.go
+++ b/internal/simulation/step_costs.go
@@ -8,13 +8,13 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// StepCost is what the steps of one kind of input took.
+// StepCost holds the number of steps with inputs of one type, and the time that they took.
 type StepCost struct {
 	Count int
 	Time  time.Duration
 }
 
-// StepCosts are kept by the kind of input.
+// StepCosts holds the costs of steps by the name of the input's type.
 type StepCosts map[string]*StepCost
 
 func (c StepCosts) add(input step.Input, d time.Duration) {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -12,27 +12,27 @@
 	"tillerarch/internal/protocol"
 )
 
-// errorTooLarge is the store's error for a transaction beyond its limits.
+// errorTooLarge is the store's error for a transaction that exceeds its size limits.
 const errorTooLarge = "too large"
 
-// storedEntry is the value of a key.
+// storedEntry holds the value of a key, its revision and its lease.
 type storedEntry struct {
 	data        json.RawMessage
 	modRevision protocol.ModRevision
 	lease       protocol.LeaseID
 }
 
-// Store is the key-value store.
+// Store is the simulated key-value store.
 type Store struct {
-	Unavailable              bool // outage: every request gets 503
-	TooLargeTransactions     int  // transactions
+	Unavailable              bool // every request gets status 503
+	TooLargeTransactions     int  // number of transactions refused for their size
 	MaxValueBytes            int
-	MaxTransactionOperations int // of a transaction; it may have four conditions for each
-	LargestValueBytes        int // that a transaction had, in bytes
+	MaxTransactionOperations int // a transaction may have four conditions for each of these operations
+	LargestValueBytes        int // size of the largest value of a transaction so far
 
-	WriteRate             float64 // operations a second, in bursts of a second's worth; 0: no limit
-	ThrottledTransactions int     // transactions
-	writeBudget           float64 // operations that are accepted at once
+	WriteRate             float64 // operations per second, in bursts of up to one second's operations; 0 means no limit
+	ThrottledTransactions int     // number of transactions refused for the write rate
+	writeBudget           float64 // number of operations that are accepted now
 	writeBudgetAt         time.Duration
 
 	revision    protocol.Revision
@@ -41,12 +41,12 @@
 	leaseTTL    map[protocol.LeaseID]time.Duration
 	nextLeaseID protocol.LeaseID
 	events      []protocol.Event
-	maxEvents   int // that a watch can still ask for
+	maxEvents   int // number of events that are kept for watches
 
-	OnRevision func(protocol.Revision, []protocol.Event) // is told of each revision; may be nil
+	OnRevision func(protocol.Revision, []protocol.Event) // called with each revision and its events; may be nil
 }
 
-// NewStore makes an empty store that keeps the given number of events.
+// NewStore returns an empty store that keeps the given number of events.
 func NewStore(maxEvents int) *Store {
 	return &Store{
 		MaxValueBytes:            maxValueBytes,
@@ -58,16 +58,16 @@
 	}
 }
 
-// SetMaxEvents sets how many events are kept for watches.
+// SetMaxEvents sets the number of events that are kept for watches.
 func (s *Store) SetMaxEvents(limit int) { s.maxEvents = limit }
 
-// Revision is the store's revision.
+// Revision returns the store's current revision.
 func (s *Store) Revision() protocol.Revision { return s.revision }
 
 func (s *Store) modRevision(key string) protocol.ModRevision { return s.entries[key].modRevision }
 
-// ExpireLeases deletes the keys of leases that have expired. Leases that expire in an outage
-// get their full time again, and the write budget is refilled.
+// ExpireLeases deletes the keys of expired leases and refills the write budget. Leases that
+// expire in an outage are extended by their full TTL.
 func (s *Store) ExpireLeases(now time.Duration) {
 	s.writeBudget = min(s.writeBudget+s.WriteRate*(now-s.writeBudgetAt).Seconds(), s.WriteRate)
 	s.writeBudgetAt = now
@@ -106,7 +106,7 @@
 	}
 }
 
-// Commit applies a transaction: all of it or nothing. It returns the HTTP status and the body.
+// Commit applies a transaction atomically. It returns the HTTP status and the body of the reply.
 func (s *Store) Commit(transaction protocol.Transaction) (int, protocol.TransactionResult) {
 	if s.Unavailable {
 		return http.StatusServiceUnavailable, protocol.TransactionResult{}
@@ -140,7 +140,7 @@
 	return http.StatusOK, protocol.TransactionResult{Revision: s.revision}
 }
 
-// isTooLarge reports whether a transaction is beyond the store's limits.
+// isTooLarge reports whether a transaction exceeds the store's size limits.
 func (s *Store) isTooLarge(transaction protocol.Transaction) bool {
 	const maxTransactionBytes, conditionsPerOperation = 64 << 10, 4
 	size, valueTooLarge := 0, false
@@ -153,7 +153,7 @@
 		len(transaction.Operations) > s.MaxTransactionOperations || len(transaction.Conditions) > conditionsPerOperation*s.MaxTransactionOperations
 }
 
-// failedConditionKeys lists the keys of conditions that do not hold; nil if all hold.
+// failedConditionKeys returns the keys of the conditions that do not hold, or nil if all hold.
 func (s *Store) failedConditionKeys(transaction protocol.Transaction) (failed []string) {
 	for _, condition := range transaction.Conditions {
 		if s.modRevision(condition.Key) != condition.ModRevision {
@@ -173,7 +173,7 @@
 	return protocol.Event{PutKey: operation.PutKey, DeleteKey: operation.DeleteKey, Value: operation.Value, ModRevision: modRevision}
 }
 
-// GrantLease makes a lease.
+// GrantLease creates a lease with a TTL and returns its id.
 func (s *Store) GrantLease(now, ttl time.Duration) protocol.LeaseID {
 	s.nextLeaseID++
 	s.leaseExpiry[s.nextLeaseID], s.leaseTTL[s.nextLeaseID] = now+ttl, ttl
@@ -189,7 +189,7 @@
 	return true
 }
 
-// List lists all entries with a prefix, ordered by key.
+// List returns all entries whose keys have the prefix, ordered by key.
 func (s *Store) List(prefix string) []protocol.Entry {
 	var entries []protocol.Entry
 	for key, stored := range s.entries {
@@ -201,7 +201,8 @@
 	return entries
 }
 
-// Watch lists the events after a revision; compacted says that some of them are gone.
+// Watch returns the kept events after a revision whose keys have the prefix. It returns
+// compacted if the store no longer keeps all events after that revision.
 func (s *Store) Watch(prefix string, afterRevision protocol.Revision) (response protocol.WatchResponse, compacted bool) {
 	if len(s.events) == s.maxEvents && protocol.Revision(s.events[0].ModRevision) > afterRevision+1 {
 		return response, true
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,14 +11,15 @@
 	"tillerarch/internal/protocol"
 )
 
-// What users do between requests.
+// Times of a user's requests.
 const (
 	userTimeout  = 5 * time.Second
-	retryDelay   = time.Second     // before a request that failed is repeated
-	pollInterval = 3 * time.Second // between two queries about a job
+	retryDelay   = time.Second     // time before a failed request is repeated
+	pollInterval = 3 * time.Second // time between two queries about a job
 )
 
-// pickController picks a controller as the load balancer does: a healthy one if there is one.
+// pickController returns a random controller as the load balancer does: a healthy one, or any
+// if none is healthy.
 func (w *World) pickController() *Controller {
 	var healthy []*Controller
 	for _, controller := range w.Controllers {
@@ -32,13 +33,14 @@
 	return healthy[w.Rand.IntN(len(healthy))]
 }
 
-// SendUserRequest sends a user's request through the load balancer; see SendUserRequestTo.
+// SendUserRequest sends a user's request through the load balancer. It calls reply as
+// SendUserRequestTo does.
 func (w *World) SendUserRequest(requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(int, protocol.JobState)) {
 	w.SendUserRequestTo(w.pickController(), requestType, id, body, reply)
 }
 
-// SendUserRequestTo sends a user's request to one controller. reply is called once: with the
-// status and the job's state, or with status 0 if there is no reply.
+// SendUserRequestTo sends a user's request to a controller. It calls reply once, with the
+// status and the job's state, or with status 0 if the user gets no reply.
 func (w *World) SendUserRequestTo(controller *Controller, requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(int, protocol.JobState)) {
 	w.Rules.RecordRequest(w.Now, id)
 	sentAt := w.Now
@@ -66,12 +68,13 @@
 	})
 }
 
-// isRejection reports whether a reply says that a job can never run.
+// isRejection reports whether a status means that a submitted job is invalid or can never run.
 func isRejection(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 }
 
-// Submit submits a job until it is accepted or rejected, then polls it until it has ended.
+// Submit repeats the submission of a job until it is accepted or rejected. It then polls an
+// accepted job until the job has ended.
 func (w *World) Submit(job *protocol.Job) {
 	w.Jobs[job.ID] = job
 	w.Rules.RecordSubmission(w.Now, job)
@@ -98,7 +101,8 @@
 	submit()
 }
 
-// SubmitInvalid submits a job that is invalid or can never run, until it is rejected.
+// SubmitInvalid repeats the submission of a job that is invalid or can never run, until the job
+// is rejected.
 func (w *World) SubmitInvalid(id protocol.JobID, body []byte) {
 	w.Rules.job(id).isInvalid = true
 	w.SendUserRequest(protocol.RequestSubmit, id, body, func(status int, _ protocol.JobState) {
@@ -108,7 +112,7 @@
 	})
 }
 
-// Cancel asks to cancel a job until that is answered.
+// Cancel repeats the request to cancel a job until it succeeds.
 func (w *World) Cancel(id protocol.JobID) {
 	w.Rules.RecordCancelRequest(id)
 	w.SendUserRequest(protocol.RequestCancel, id, nil, func(status int, _ protocol.JobState) {
@@ -118,7 +122,8 @@
 	})
 }
 
-// handleTaskDone cancels a job at the moment at which its last task ends, now and then.
+// handleTaskDone calls OnJobEnd if a job's last task is done, and cancels a random part of such
+// jobs at that moment.
 func (w *World) handleTaskDone(id protocol.JobID) {
 	observed := w.Rules.job(id)
 	if observed.spec == nil || len(observed.completedTasks) < observed.spec.TaskCount {
@@ -132,8 +137,9 @@
 	}
 }
 
-// sendUnusualRequests lets users submit jobs that are invalid or can never run, query unknown
-// jobs, repeat submissions, and cancel jobs that are done.
+// sendUnusualRequests makes users submit jobs that are invalid or can never run, query unknown
+// jobs, repeat submissions, and cancel jobs that are done. It does so between two times of the
+// world.
 func (w *World) sendUnusualRequests(from, to time.Duration) {
 	count := 0
 	w.Every(700*time.Millisecond, func() {
@@ -163,7 +169,7 @@
 	})
 }
 
-// repeatSubmission submits a random known job again, and cancels it if it is done.
+// repeatSubmission submits a random accepted job again, and cancels the job if it has ended.
 func (w *World) repeatSubmission(controller *Controller) {
 	ids := slices.Sorted(maps.Keys(w.Jobs))
 	if len(ids) == 0 {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// World is a whole deployment in simulated time. Its fields are set between events: rates and
-// switches of faults take effect with the next message.
+// World is a deployment in simulated time. Its fields may be set between events. Fault rates
+// and fault switches take effect with the next message.
 type World struct {
 	Now          time.Duration
 	Rand         *rand.Rand
@@ -22,48 +22,48 @@
 	Machines     map[protocol.MachineID]*Machine
 	Jobs         map[protocol.JobID]*protocol.Job
 	MachineTypes []protocol.MachineType
-	Config       step.Config // of controllers that start from now on
+	Config       step.Config // configuration of controllers that start from now on
 
 	HeartbeatInterval time.Duration
 	AgentLeaseTTL     time.Duration
 	GangStartTimeout  time.Duration
 	ImagePullTime     time.Duration
 
-	// Faults of the network and the outside systems. A rate is the part of the messages it
-	// concerns, from 0 to 1.
-	DuplicateHeartbeatRate float64                       // a copy arrives late, at any controller
-	PartitionedZones       map[protocol.Zone]*Controller // zones that are cut off, with the controller in them
-	MessageLossRate        float64                       // lost, or delayed past the sender's timeout
+	// Faults of the network and the outside systems. A rate is the fraction of the messages
+	// that have the fault, from 0 to 1.
+	DuplicateHeartbeatRate float64                       // heartbeats of which a copy arrives late, at any controller
+	PartitionedZones       map[protocol.Zone]*Controller // partitioned zones, each with the controller inside
+	MessageLossRate        float64                       // messages that are lost or delayed past the sender's timeout
 	DelayedWriteRate       float64                       // transactions that get no reply and are applied 2 to 12 s later
 	LostWriteReplyRate     float64                       // transactions that are applied at once and whose replies are lost
 	DelayedCommandRate     float64                       // direct commands that get no reply and are executed once, 2 to 16 s late
-	MaxStoreDelay          time.Duration                 // upper bound of what the store's replies take longer
-	MaxNetworkDelay        time.Duration                 // upper bound of what messages take longer
+	MaxStoreDelay          time.Duration                 // upper bound of the additional delay of requests to the store
+	MaxNetworkDelay        time.Duration                 // upper bound of the additional delay of messages
 	CloudUnreachable       bool
 	CloudOutOfCapacity     bool
-	CancelAtEndRate        float64 // part of the jobs that are cancelled at the moment of their end
+	CancelAtEndRate        float64 // fraction of the jobs that are cancelled at the moment of their end
 
 	// Observations.
-	StartCommandCount int // start commands that agents have accepted
+	StartCommandCount int // number of start commands that agents have accepted
 	FinishedJobs      map[protocol.JobID]bool
-	SavedTaskCounts   map[protocol.JobID]int // tasks that saved their progress when they were stopped
-	StepCosts         StepCosts              // the cost of the cores' steps; nil: not measured
+	SavedTaskCounts   map[protocol.JobID]int // number of tasks that saved their progress when they were stopped
+	StepCosts         StepCosts              // cost of the cores' steps, which is not measured if nil
 
-	// Hooks; each may be nil.
-	OnJobEnd    func(protocol.JobID) // is told of each job's end
-	OnProvision func(*Machine)       // is told of each machine before it boots
-	Trace       func(string)         // is told of each log line of a controller
+	// Hooks. Each may be nil.
+	OnJobEnd    func(protocol.JobID) // called when a job ends
+	OnProvision func(*Machine)       // called for each new machine before it boots
+	Trace       func(string)         // called with each log line of a controller
 	OnEffect    func(at time.Duration, member protocol.ControllerID, e step.Effect)
 
 	queue             eventQueue
 	seq               int
-	machinesByRequest map[string][]protocol.MachineID // by the id of the request
+	machinesByRequest map[string][]protocol.MachineID // machines of each provision request, by its id
 	nextMachineID     int
 }
 
 var errNoReply = errors.New("no answer")
 
-// SmallAndLargeTypes are two machine types in two zones.
+// SmallAndLargeTypes holds two machine types that are available in two zones.
 var SmallAndLargeTypes = []protocol.MachineType{
 	{
 		Name: "small", Cores: 4, MemoryGB: 16, LocalDiskGB: 20, ImagePullGBPerSecond: 1,
@@ -75,15 +75,15 @@
 	},
 }
 
-// Limits of the simulated deployment, of its store and its times.
+// Limits of the simulated deployment and its store.
 const (
 	cancelTimeout     = 30 * time.Second
-	storeMaxEvents    = 500 // revisions that a watch can still ask for
+	storeMaxEvents    = 500 // events that the store keeps for watches
 	maxValueBytes     = 8192
 	maxTransactionOps = 8
 )
 
-// NewWorld makes a deployment with running controllers.
+// NewWorld returns a deployment with the given number of running controllers and no machines.
 func NewWorld(seed uint64, controllers int, machineTypes []protocol.MachineType, teams map[string]step.Quota) *World {
 	w := &World{
 		Rand:              rand.New(rand.NewPCG(seed, 11)),
@@ -138,7 +138,7 @@
 	return protocol.ControllerID(fmt.Sprintf("stall-%d", index))
 }
 
-// CoresOfType a machine type; 0 if there is no such type.
+// CoresOfType returns the number of cores of a machine type, or 0 if the type does not exist.
 func (w *World) CoresOfType(name protocol.MachineTypeName) float64 {
 	for _, machineType := range w.MachineTypes {
 		if machineType.Name == name {
