--- a/internal/simulation/repeatability_test.go
+++ b/internal/simulation/repeatability_test.go
@@ -9,10 +9,11 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// A day is the same every time it is played: scenarios whose faults depend on who is the busiest
-// controller, which shards a controller has or which machines hang, are played twice each.
-func TestDaysAreRepeatable(t *testing.T) {
-	combination := func(inject func(w *World)) func(t *testing.T) *World {
+// A scenario has the same effects in each run of the same seed. The test runs each scenario twice. The
+// faults of these scenarios depend on which controller is the busiest, which shards a controller owns
+// or which machines hang.
+func TestScenariosAreRepeatable(t *testing.T) {
+	newCombinationWorld := func(inject func(w *World)) func(t *testing.T) *World {
 		return func(t *testing.T) *World {
 			w := newMixedWorld(t, 1)
 			submitMixedJobs(w, 24)
@@ -20,23 +21,23 @@
 			return w
 		}
 	}
-	cancellation := func(inject func(w *World)) func(t *testing.T) *World {
+	newHangingCancellationWorld := func(inject func(w *World)) func(t *testing.T) *World {
 		return func(t *testing.T) *World {
-			w, ids := newCancellationWorld(t, 1)
+			w, jobIDs := newCancellationWorld(t, 1)
 			inject(w)
-			w.requestEverywhere(ids)
+			w.requestEverywhere(jobIDs)
 			return w
 		}
 	}
-	for _, c := range []struct {
-		name string
-		plan func(t *testing.T) *World
+	for _, test := range []struct {
+		name     string
+		newWorld func(t *testing.T) *World
 	}{
-		{"the busiest controller restarts", combination(leaderChangesInOutage)},
-		{"the busiest controller fails, machines hang and are partitioned", combination(quotaFullMachinesLostLeaderChanges)},
-		{"machines hang in an outage", cancellation(machinesHangInOutage)},
-		{"machines hang, and the busiest controller fails", cancellation(machinesHangAndCommanderFails)},
-		{"machines hang while they pull the image", cancellation(machinesHangPullingImage)},
+		{"the busiest controller restarts", newCombinationWorld(leaderChangesInOutage)},
+		{"the busiest controller fails, machines hang and are partitioned", newCombinationWorld(quotaFullMachinesLostLeaderChanges)},
+		{"machines hang in an outage", newHangingCancellationWorld(machinesHangInOutage)},
+		{"machines hang, and the busiest controller fails", newHangingCancellationWorld(machinesHangAndCommanderFails)},
+		{"machines hang while they pull the image", newHangingCancellationWorld(machinesHangPullingImage)},
 		{"all shards of controllers are transferred", func(t *testing.T) *World {
 			w := newTransferWorld(t, 4)
 			submitMixedJobs(w, 20)
@@ -53,21 +54,21 @@
 			return w
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			play := func() (digest string, violations []string) {
-				w := c.plan(t)
+			runScenario := func() (digest string, violations []string) {
+				w := test.newWorld(t)
 				effects := w.digestEffects(t)
 				w.Advance(seconds(100))
 				return fmt.Sprintf("%x of %d effects", effects.sum.Sum(nil), effects.effects), w.Rules.Violations
 			}
-			first, firstViolations := play()
-			second, secondViolations := play()
-			if first != second {
-				t.Errorf("two days of one seed differ: %s, %s", first, second)
+			firstDigest, firstViolations := runScenario()
+			secondDigest, secondViolations := runScenario()
+			if firstDigest != secondDigest {
+				t.Errorf("two runs of one seed have different effects, want the same: %s and %s", firstDigest, secondDigest)
 			}
 			if !slices.Equal(firstViolations, secondViolations) {
-				t.Errorf("two days of one seed break different rules: %v, %v", firstViolations, secondViolations)
+				t.Errorf("two runs of one seed have different rule violations, want the same: %v and %v", firstViolations, secondViolations)
 			}
 		})
 	}
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -8,12 +8,12 @@
 	"tillerarch/internal/protocol"
 )
 
-// runningReplicas counts the replicas of a service that run on machines that work and can be
-// reached.
-func (w *World) runningReplicas(id protocol.JobID) (n int) {
+// runningReplicaCount returns the number of replicas of a service that run on machines that neither
+// hang nor are terminated or partitioned.
+func (w *World) runningReplicaCount(id protocol.JobID) (n int) {
 	for _, m := range w.Machines {
-		for t, execution := range m.tasks {
-			if t.Job == id && execution.state == protocol.TaskRunning && !m.Terminated && !m.Partitioned && !m.hung {
+		for task, execution := range m.tasks {
+			if task.Job == id && execution.state == protocol.TaskRunning && !m.Terminated && !m.Partitioned && !m.hung {
 				n++
 			}
 		}
@@ -21,11 +21,12 @@
 	return n
 }
 
-// placedTasks counts the tasks of a job that are on machines, whether they run yet or not.
-func (w *World) placedTasks(id protocol.JobID) (n int) {
+// placedTaskCount returns the number of tasks of a job that are on machines and have not exited. They
+// need not run yet.
+func (w *World) placedTaskCount(id protocol.JobID) (n int) {
 	for _, m := range w.Machines {
-		for t, execution := range m.tasks {
-			if t.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
+		for task, execution := range m.tasks {
+			if task.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
 				n++
 			}
 		}
@@ -33,32 +34,32 @@
 	return n
 }
 
-// machinesOfJob lists the machines on which a job has tasks, in order.
-func (w *World) machinesOfJob(id protocol.JobID) (out []*Machine) {
+// machinesOfJob returns the machines on which a job has tasks, ordered by id.
+func (w *World) machinesOfJob(id protocol.JobID) (machines []*Machine) {
 	for _, m := range w.sortedMachines() {
-		for t, execution := range m.tasks {
-			if t.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
-				out = append(out, m)
+		for task, execution := range m.tasks {
+			if task.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
+				machines = append(machines, m)
 				break
 			}
 		}
 	}
-	return out
+	return machines
 }
 
-// A service's replicas come back whatever becomes of their machines and of the controllers, and
-// only a cancellation ends them.
+// The replicas of a service run again after any failure of their machines and of the controllers. Only
+// a cancellation ends them.
 func TestServices(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		replicas int
-		change   func(job *protocol.Job) // may be nil
-		inject   func(w *World)
-		recovery float64 // seconds until all replicas run again
+	for _, test := range []struct {
+		name            string
+		replicas        int
+		changeJob       func(job *protocol.Job) // may be nil
+		inject          func(w *World)
+		recoverySeconds float64 // until all replicas run again
 	}{
-		{"quiet", 4, nil, noFault, 0},
-		{"its machine dies", 3, nil, terminateServiceMachine, 30},
-		{"its machine loses the network for good", 3, nil, func(w *World) { w.machinesOfJob("j-1")[0].Partitioned = true }, 60},
+		{"no fault", 4, nil, noFault, 0},
+		{"its machine is terminated", 3, nil, terminateServiceMachine, 30},
+		{"its machine loses the network permanently", 3, nil, func(w *World) { w.machinesOfJob("j-1")[0].Partitioned = true }, 60},
 		{"its agent begins a new epoch", 3, nil, func(w *World) { w.machinesOfJob("j-1")[0].Reboot() }, 8},
 		{"its agents begin new epochs again and again", 1, nil, func(w *World) {
 			for range 8 {
@@ -72,11 +73,11 @@
 				controller.ScheduleRestart(0, 3*time.Second)
 			}
 		}, 50},
-		{"the store is down as its machine dies", 4, nil, func(w *World) {
+		{"the store is unavailable when its machine is terminated", 4, nil, func(w *World) {
 			w.setFlagsFor(seconds(10), &w.Store.Unavailable)
 			terminateServiceMachine(w)
 		}, 50},
-		{"a leader is refused", 4, nil, func(w *World) {
+		{"the store refuses the busiest controller", 4, nil, func(w *World) {
 			w.setFlagsFor(seconds(20), &w.busiestController().RefusedByStore)
 			terminateServiceMachine(w)
 		}, 50},
@@ -87,23 +88,23 @@
 			}
 		}, 16},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seedCount(); seed++ {
 				w := newMixedWorld(t, seed)
-				job := newService("j-1", c.replicas)
-				if c.change != nil {
-					c.change(job)
+				job := newService("j-1", test.replicas)
+				if test.changeJob != nil {
+					test.changeJob(job)
 				}
 				w.After(seconds(4), func() { w.Submit(job) })
 				w.Advance(seconds(20))
-				if w.runningReplicas("j-1") != c.replicas {
-					t.Fatalf("seed %d: %d of %d replicas run", seed, w.runningReplicas("j-1"), c.replicas)
+				if w.runningReplicaCount("j-1") != test.replicas {
+					t.Fatalf("seed %d: %d of %d replicas run before the fault, want all", seed, w.runningReplicaCount("j-1"), test.replicas)
 				}
-				c.inject(w)
-				w.Advance(seconds(c.recovery + 0.1))
-				if w.runningReplicas("j-1") != c.replicas {
-					t.Errorf("seed %d: %d of %d replicas run again", seed, w.runningReplicas("j-1"), c.replicas)
+				test.inject(w)
+				w.Advance(seconds(test.recoverySeconds + 0.1))
+				if w.runningReplicaCount("j-1") != test.replicas {
+					t.Errorf("seed %d: %d of %d replicas run again after the fault, want all", seed, w.runningReplicaCount("j-1"), test.replicas)
 				}
 				for _, m := range w.Machines {
 					m.Partitioned = false
@@ -111,16 +112,16 @@
 				w.Advance(seconds(30))
 				w.Rules.CheckFinal(w.Now)
 				if w.FinishedJobs["j-1"] || len(w.Rules.Violations) > 0 {
-					t.Errorf("seed %d: ended %v, broken %v", seed, w.FinishedJobs["j-1"], w.Rules.Violations)
+					t.Errorf("seed %d: service ended %v, want false; rule violations %v", seed, w.FinishedJobs["j-1"], w.Rules.Violations)
 				}
 				w.Cancel("j-1")
 				w.Advance(seconds(8))
-				if w.runningReplicas("j-1") != 0 || w.Rules.job("j-1").reportedState != protocol.JobCancelled {
-					t.Errorf("seed %d: %d replicas run after the cancellation, it is reported %q", seed, w.runningReplicas("j-1"), w.Rules.job("j-1").reportedState)
+				if w.runningReplicaCount("j-1") != 0 || w.Rules.job("j-1").reportedState != protocol.JobCancelled {
+					t.Errorf("seed %d: %d replicas run after the cancellation, want 0; the service is reported %q, want it cancelled", seed, w.runningReplicaCount("j-1"), w.Rules.job("j-1").reportedState)
 				}
 				w.Advance(seconds(40))
-				if w.runningReplicas("j-1") != 0 || len(w.Rules.Violations) > 0 {
-					t.Errorf("seed %d: %d replicas run, broken %v", seed, w.runningReplicas("j-1"), w.Rules.Violations)
+				if w.runningReplicaCount("j-1") != 0 || len(w.Rules.Violations) > 0 {
+					t.Errorf("seed %d: %d replicas run at the end, want 0; rule violations %v", seed, w.runningReplicaCount("j-1"), w.Rules.Violations)
 				}
 			}
 		})
@@ -129,88 +130,88 @@
 
 func terminateServiceMachine(w *World) { w.TerminateMachine(w.machinesOfJob("j-1")[0].ID) }
 
-// Replicas of high priority preempt tasks of lower priority on full machines, and no more of them
-// than they need; replicas of low priority preempt none.
+// Replicas of high priority preempt tasks of lower priority on full machines, and no more tasks than
+// the replicas need. Replicas of low priority preempt no tasks.
 func TestReplicasPreempt(t *testing.T) {
-	for _, c := range []struct {
-		priority protocol.Priority
-		running  int
+	for _, test := range []struct {
+		priority        protocol.Priority
+		runningReplicas int
 	}{{"critical", 3}, {"low", 0}} {
 		w := newMixedWorld(t, 4)
 		w.CloudOutOfCapacity = true
 		w.After(seconds(3), func() { w.Submit(newArray("j-2", "l", "standard", 32, 1, 600)) })
 		w.Advance(seconds(15))
-		before, starts := w.placedTasks("j-2"), w.StartCommandCount
+		tasksBefore, startsBefore := w.placedTaskCount("j-2"), w.StartCommandCount
 		job := newService("j-1", 3)
-		job.Priority = c.priority
+		job.Priority = test.priority
 		w.Submit(job)
 		w.Advance(seconds(10))
-		after := w.placedTasks("j-2")
-		// One that is stopped without need would be placed again, and start anew.
-		if before != 32 || w.runningReplicas("j-1") != c.running || before-after != c.running || w.StartCommandCount-starts != c.running || len(w.Rules.Violations) > 0 {
-			t.Errorf("%s: %d replicas run, %d of %d other tasks left, %d starts, broken %v",
-				c.priority, w.runningReplicas("j-1"), after, before, w.StartCommandCount-starts, w.Rules.Violations)
+		tasksAfter := w.placedTaskCount("j-2")
+		// A task that is preempted without need would be placed and started again.
+		if tasksBefore != 32 || w.runningReplicaCount("j-1") != test.runningReplicas || tasksBefore-tasksAfter != test.runningReplicas || w.StartCommandCount-startsBefore != test.runningReplicas || len(w.Rules.Violations) > 0 {
+			t.Errorf("priority %s: %d replicas run, %d of %d other tasks are left, %d starts; want one task fewer and one start for each replica that is to run; rule violations %v",
+				test.priority, w.runningReplicaCount("j-1"), tasksAfter, tasksBefore, w.StartCommandCount-startsBefore, w.Rules.Violations)
 		}
 	}
 }
 
-// Replicas share a machine if there is no other; if there are others, at most half of them are
-// on one.
+// Replicas of a service share a machine if there is only one. If there are several machines, at most
+// half of the replicas are on one of them, so that the service uses at least two.
 func TestReplicasShareOnlyMachine(t *testing.T) {
-	for _, machines := range []int{1, 4} {
+	for _, machineCount := range []int{1, 4} {
 		w := NewWorld(3, 3, testMachineTypes, testTeams())
 		w.CloudOutOfCapacity = true
-		w.addSmallMachines(machines, "a")
+		w.addSmallMachines(machineCount, "a")
 		w.After(seconds(4), func() { w.Submit(newService("j-1", 4)) })
 		w.Advance(seconds(15))
-		if hosts := len(w.machinesOfJob("j-1")); w.runningReplicas("j-1") != 4 || hosts < min(machines, 2) {
-			t.Errorf("%d machines: %d replicas run on %d", machines, w.runningReplicas("j-1"), hosts)
+		if usedMachines := len(w.machinesOfJob("j-1")); w.runningReplicaCount("j-1") != 4 || usedMachines < min(machineCount, 2) {
+			t.Errorf("%d machines: %d replicas run on %d machines, want 4 replicas on at least 2 machines if there are so many", machineCount, w.runningReplicaCount("j-1"), usedMachines)
 		}
 		w.Rules.FaultsEndedAt = w.Now
 		w.Advance(seconds(100))
 		if len(w.Rules.Violations) > 0 {
-			t.Errorf("%d machines: %v", machines, w.Rules.Violations)
+			t.Errorf("%d machines: rule violations %v", machineCount, w.Rules.Violations)
 		}
 	}
 }
 
-// A replica that exits as soon as it starts is tried ever less often, and keeps nothing else from
-// running.
+// A replica that exits as soon as it starts is tried at growing intervals and does not keep any other
+// job from running.
 func TestReplicaExitsImmediately(t *testing.T) {
 	for _, class := range []string{exitingClass, failingClass} {
 		w := newMixedWorld(t, 6)
-		job := newService("j-1", 2)
-		job.Class = class
-		w.After(seconds(3), func() { w.Submit(job) })
-		good := newService("j-2", 4)
-		w.After(seconds(30), func() { w.Submit(good) })
+		exitingService := newService("j-1", 2)
+		exitingService.Class = class
+		w.After(seconds(3), func() { w.Submit(exitingService) })
+		healthyService := newService("j-2", 4)
+		w.After(seconds(30), func() { w.Submit(healthyService) })
 		w.Advance(seconds(40))
-		early := w.StartCommandCount
+		earlyStarts := w.StartCommandCount
 		w.Advance(seconds(120))
-		if late := w.StartCommandCount - early; w.runningReplicas("j-2") != 4 || late < 4 || late > 2*120/20 || w.FinishedJobs["j-1"] {
-			t.Errorf("%s: %d starts in two minutes, %d good replicas run, done %v", class, late, w.runningReplicas("j-2"), w.FinishedJobs["j-1"])
+		if lateStarts := w.StartCommandCount - earlyStarts; w.runningReplicaCount("j-2") != 4 || lateStarts < 4 || lateStarts > 2*120/20 || w.FinishedJobs["j-1"] {
+			t.Errorf("%s: %d starts in two minutes, want 4 to 12; %d replicas of the healthy service run, want 4; exiting service finished %v, want false", class, lateStarts, w.runningReplicaCount("j-2"), w.FinishedJobs["j-1"])
 		}
 		if len(w.Rules.Violations) > 0 {
-			t.Errorf("%s: %v", class, w.Rules.Violations)
+			t.Errorf("%s: rule violations %v", class, w.Rules.Violations)
 		}
 	}
 }
 
-// A service whose replicas together need more than its team's quota is rejected; one that fits
-// keeps within the quota together with others of its team.
+// A service whose replicas together need more cores than its team's quota is rejected. Services that
+// fit each by itself stay within the quota together.
 func TestServicesWithinQuota(t *testing.T) {
 	w := newMixedWorld(t, 2)
 	w.Config.Quotas = map[string]step.Quota{"tight": {MaxCores: 10}}
-	big := newService("j-1", 11)
-	big.Team = "tight"
-	w.After(seconds(3), func() { w.SubmitInvalid(big.ID, protocol.Encode(big)) })
+	tooLargeService := newService("j-1", 11)
+	tooLargeService.Team = "tight"
+	w.After(seconds(3), func() { w.SubmitInvalid(tooLargeService.ID, protocol.Encode(tooLargeService)) })
 	for i, id := range []protocol.JobID{"j-2", "j-3"} {
 		job := newService(id, 6)
 		job.Team = "tight"
 		w.After(seconds(4+float64(i)), func() { w.Submit(job) })
 	}
 	w.Advance(seconds(30))
-	if n := w.runningReplicas("j-2") + w.runningReplicas("j-3"); n != 10 || len(w.Rules.Violations) > 0 || w.Rules.job("j-1").accepted {
-		t.Errorf("%d replicas run on a quota of 10 cores, broken %v", n, w.Rules.Violations)
+	if replicas := w.runningReplicaCount("j-2") + w.runningReplicaCount("j-3"); replicas != 10 || len(w.Rules.Violations) > 0 || w.Rules.job("j-1").accepted {
+		t.Errorf("%d replicas run with a quota of 10 cores, want 10 and the larger service rejected; rule violations %v", replicas, w.Rules.Violations)
 	}
 }
