--- a/internal/simulation/transfer_scenarios_test.go
+++ b/internal/simulation/transfer_scenarios_test.go
@@ -5,73 +5,74 @@
 	"tillerarch/internal/storage"
 )
 
-// The scenarios of TestTransfersUnderFaults.
+// This file holds the scenarios of TestTransfersUnderFaults. Each function injects the faults of one
+// scenario into a world.
 
-func sourceFailsAsProposed(w *World) {
-	w.onEveryTransfer(storage.TransferProposed, 4, func(r storage.TransferRecord) {
-		w.controllerOf(r.Source).restartIfAlive(seconds(3))
+func sourceFailsAfterProposal(w *World) {
+	w.onEveryNthTransfer(storage.TransferProposed, 4, func(record storage.TransferRecord) {
+		w.controllerOf(record.Source).restartIfAlive(seconds(3))
 	})
 }
 
-func sourceFailsAsPrepared(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 4, func(r storage.TransferRecord) {
-		w.controllerOf(r.Source).restartIfAlive(seconds(0.2))
+func sourceFailsAfterPreparation(w *World) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 4, func(record storage.TransferRecord) {
+		w.controllerOf(record.Source).restartIfAlive(seconds(0.2))
 	})
 }
 
-func sourceStaysAwayAsPrepared(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 5, func(r storage.TransferRecord) {
-		w.controllerOf(r.Source).restartIfAlive(seconds(20))
+func sourceStaysDownAfterPreparation(w *World) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 5, func(record storage.TransferRecord) {
+		w.controllerOf(record.Source).restartIfAlive(seconds(20))
 	})
 }
 
-func targetFailsAsPrepared(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 4, func(r storage.TransferRecord) {
-		w.controllerOf(r.Target).restartIfAlive(seconds(4))
+func targetFailsAfterPreparation(w *World) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 4, func(record storage.TransferRecord) {
+		w.controllerOf(record.Target).restartIfAlive(seconds(4))
 	})
 }
 
-func targetFailsAsCommitted(w *World) {
-	w.onEveryTransfer(storage.TransferCommitted, 4, func(r storage.TransferRecord) {
-		w.controllerOf(r.Target).restartIfAlive(seconds(12))
+func targetFailsAfterCommit(w *World) {
+	w.onEveryNthTransfer(storage.TransferCommitted, 4, func(record storage.TransferRecord) {
+		w.controllerOf(record.Target).restartIfAlive(seconds(12))
 	})
 }
 
-func bothFailAsPrepared(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 6, func(r storage.TransferRecord) {
-		w.controllerOf(r.Source).restartIfAlive(seconds(15))
-		w.controllerOf(r.Target).restartIfAlive(seconds(18))
+func bothFailAfterPreparation(w *World) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 6, func(record storage.TransferRecord) {
+		w.controllerOf(record.Source).restartIfAlive(seconds(15))
+		w.controllerOf(record.Target).restartIfAlive(seconds(18))
 	})
 }
 
-func bothFailAsCommitted(w *World) {
-	w.onEveryTransfer(storage.TransferCommitted, 6, func(r storage.TransferRecord) {
-		w.controllerOf(r.Source).restartIfAlive(seconds(15))
-		w.controllerOf(r.Target).restartIfAlive(seconds(18))
+func bothFailAfterCommit(w *World) {
+	w.onEveryNthTransfer(storage.TransferCommitted, 6, func(record storage.TransferRecord) {
+		w.controllerOf(record.Source).restartIfAlive(seconds(15))
+		w.controllerOf(record.Target).restartIfAlive(seconds(18))
 	})
 }
 
 func sourcePausesPastLease(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 5, func(r storage.TransferRecord) {
-		w.controllerOf(r.Source).Pause(seconds(12))
+	w.onEveryNthTransfer(storage.TransferPrepared, 5, func(record storage.TransferRecord) {
+		w.controllerOf(record.Source).Pause(seconds(12))
 	})
 }
 
 func targetPausesPastLease(w *World) {
-	w.onEveryTransfer(storage.TransferCommitted, 5, func(r storage.TransferRecord) {
-		w.controllerOf(r.Target).Pause(seconds(12))
+	w.onEveryNthTransfer(storage.TransferCommitted, 5, func(record storage.TransferRecord) {
+		w.controllerOf(record.Target).Pause(seconds(12))
 	})
 }
 
 func storeOutageBetweenPhases(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 6, func(storage.TransferRecord) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 6, func(storage.TransferRecord) {
 		w.setFlagsFor(seconds(9), &w.Store.Unavailable)
 	})
 }
 
 func sourceLosesStore(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 6, func(r storage.TransferRecord) {
-		w.setFlagsFor(seconds(15), &w.controllerOf(r.Source).StoreUnreachable)
+	w.onEveryNthTransfer(storage.TransferPrepared, 6, func(record storage.TransferRecord) {
+		w.setFlagsFor(seconds(15), &w.controllerOf(record.Source).StoreUnreachable)
 	})
 }
 
@@ -87,47 +88,47 @@
 	w.MessageLossRate, w.DuplicateHeartbeatRate = 0.03, 0.2
 }
 
-func peersUnreachableAll(w *World) {
+func allPeersUnreachable(w *World) {
 	for _, controller := range w.Controllers {
 		controller.PeersUnreachable = true
 	}
 }
 
-func shardMachinesPreempted(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 3, func(r storage.TransferRecord) {
-		for i, m := range w.shardMachines(r.Shard) {
+func shardMachinesPreemptedOrTerminated(w *World) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 3, func(record storage.TransferRecord) {
+		for i, id := range w.shardMachines(record.Shard) {
 			switch i % 3 {
 			case 0:
-				w.PreemptMachine(m, seconds(5))
+				w.PreemptMachine(id, seconds(5))
 			case 1:
-				w.TerminateMachine(m)
+				w.TerminateMachine(id)
 			}
 		}
 	})
 }
 
 func shardMachinesPartitioned(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 3, func(r storage.TransferRecord) {
-		for _, id := range w.shardMachines(r.Shard) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 3, func(record storage.TransferRecord) {
+		for _, id := range w.shardMachines(record.Shard) {
 			w.setFlagsFor(seconds(20), &w.Machines[id].Partitioned)
 		}
 	})
 }
 
 func sourceLosesAgents(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 8, func(r storage.TransferRecord) {
-		w.setFlagsFor(seconds(20), &w.controllerOf(r.Source).AgentsUnreachable)
+	w.onEveryNthTransfer(storage.TransferPrepared, 8, func(record storage.TransferRecord) {
+		w.setFlagsFor(seconds(20), &w.controllerOf(record.Source).AgentsUnreachable)
 	})
 }
 
-func jobsCancelledAsPrepared(w *World) {
-	w.onEveryTransfer(storage.TransferPrepared, 5, func(storage.TransferRecord) {
+func jobsCancelledAfterPreparation(w *World) {
+	w.onEveryNthTransfer(storage.TransferPrepared, 5, func(storage.TransferRecord) {
 		w.cancelRunningJobs(3)
 	})
 }
 
-func jobsCancelledAsCommitted(w *World) {
-	w.onEveryTransfer(storage.TransferCommitted, 5, func(storage.TransferRecord) {
+func jobsCancelledAfterCommit(w *World) {
+	w.onEveryNthTransfer(storage.TransferCommitted, 5, func(storage.TransferRecord) {
 		w.cancelRunningJobs(3)
 	})
 }
--- a/internal/simulation/transfers_random_test.go
+++ b/internal/simulation/transfers_random_test.go
@@ -12,13 +12,14 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// TestMain lets the property tests of this package draw the same cases on every run, so that CI
-// has one verdict; -rapid.seed and -rapid.checks ask for others and for more.
+// TestMain sets a fixed seed and number of checks for the property tests of this package. These tests
+// then draw the same cases on every run, and CI gets the same result for the same code. The flags
+// -rapid.seed and -rapid.checks select other cases and more of them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "16"} {
-		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
-			if err := f.Value.Set(value); err != nil {
+		if rapidFlag := flag.Lookup(name); rapidFlag.Value.String() == rapidFlag.DefValue {
+			if err := rapidFlag.Value.Set(value); err != nil {
 				panic(err)
 			}
 		}
@@ -26,12 +27,12 @@
 	os.Exit(m.Run())
 }
 
-// faultKind is what fails. Its value is a label in rapid's output.
+// faultKind is the kind of a fault. Its value is a label in the output of rapid.
 type faultKind string
 
 const (
-	crash             faultKind = "crash"
-	pause             faultKind = "pause"
+	controllerCrash   faultKind = "crash"
+	controllerPause   faultKind = "pause"
 	storeUnreachable  faultKind = "store unreachable"
 	agentsUnreachable faultKind = "agents unreachable"
 	peersUnreachable  faultKind = "peers unreachable"
@@ -41,44 +42,47 @@
 )
 
 var faultKinds = []faultKind{
-	crash, pause, storeUnreachable, agentsUnreachable, peersUnreachable, storeOutage, lostWriteReplies, delayedWrites,
+	controllerCrash, controllerPause, storeUnreachable, agentsUnreachable,
+	peersUnreachable, storeOutage, lostWriteReplies, delayedWrites,
 }
 
-// fault is something that fails for a while, at one controller if its kind concerns one.
+// fault describes one temporary fault. controllerIndex is the index of the affected controller if the
+// kind concerns a single controller.
 type fault struct {
-	kind         faultKind
-	controller   int
-	at, duration time.Duration
+	kind              faultKind
+	controllerIndex   int
+	startAt, duration time.Duration
 }
 
-// faultDuration is how long shards are transferred and faults happen; then all faults end.
-const faultDuration = 45 * time.Second
+// randomFaultPeriod is the time during which shards are transferred and faults happen. All faults end
+// after it.
+const randomFaultPeriod = 45 * time.Second
 
-// schedule plans the fault.
+// schedule schedules the beginning and the end of the fault.
 func (f fault) schedule(w *World) {
-	controller := w.Controllers[f.controller]
-	setDuring := func(flag *bool) { w.setFlagsBetween(f.at, f.at+f.duration, flag) }
+	controller := w.Controllers[f.controllerIndex]
+	setFlagDuring := func(flag *bool) { w.setFlagsBetween(f.startAt, f.startAt+f.duration, flag) }
 	setRateDuring := func(rate *float64, value float64) {
-		w.After(f.at, func() { *rate = value })
-		w.After(f.at+f.duration, func() { *rate = 0 })
+		w.After(f.startAt, func() { *rate = value })
+		w.After(f.startAt+f.duration, func() { *rate = 0 })
 	}
 	switch f.kind {
-	case crash:
-		w.After(f.at, func() { controller.restartIfAlive(f.duration) })
-	case pause:
-		w.After(f.at, func() {
+	case controllerCrash:
+		w.After(f.startAt, func() { controller.restartIfAlive(f.duration) })
+	case controllerPause:
+		w.After(f.startAt, func() {
 			if controller.Alive && !controller.paused {
 				controller.Pause(f.duration)
 			}
 		})
 	case storeUnreachable:
-		setDuring(&controller.StoreUnreachable)
+		setFlagDuring(&controller.StoreUnreachable)
 	case agentsUnreachable:
-		setDuring(&controller.AgentsUnreachable)
+		setFlagDuring(&controller.AgentsUnreachable)
 	case peersUnreachable:
-		setDuring(&controller.PeersUnreachable)
+		setFlagDuring(&controller.PeersUnreachable)
 	case storeOutage:
-		setDuring(&w.Store.Unavailable)
+		setFlagDuring(&w.Store.Unavailable)
 	case lostWriteReplies:
 		setRateDuring(&w.LostWriteReplyRate, 0.3)
 	case delayedWrites:
@@ -86,8 +90,9 @@
 	}
 }
 
-// runFaults transfers shards while faults happen, and lists what is wrong in the end.
-func runFaults(seed uint64, faults []fault) (problems []string) {
+// runTransfersUnderFaults runs a deployment in which shards are transferred while faults happen. It
+// returns the rule violations and the jobs and transfers that have not ended some time after the faults.
+func runTransfersUnderFaults(seed uint64, faults []fault) (problems []string) {
 	w := NewWorld(seed, 3, testMachineTypes, testTeams())
 	w.restartWithConfig(func(config *step.Config) {
 		config.RecordTransfers = true
@@ -95,20 +100,20 @@
 		config.MinRebalanceInterval = time.Second
 	})
 	w.addSmallMachines(12, "a")
-	ids := submitMixedJobs(w, 10)
-	w.requestRandomTransfers(900*time.Millisecond, faultDuration)
+	jobIDs := submitMixedJobs(w, 10)
+	w.requestRandomTransfers(900*time.Millisecond, randomFaultPeriod)
 	for _, f := range faults {
 		f.schedule(w)
 	}
-	w.Advance(faultDuration)
+	w.Advance(randomFaultPeriod)
 	w.endFaults()
 	w.Advance(150 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	problems = append(problems, w.Rules.Violations...)
 	for _, name := range w.History.OpenTransfers() {
-		problems = append(problems, "transfer does not end: "+name)
+		problems = append(problems, "transfer has not ended: "+name)
 	}
-	for _, id := range ids {
+	for _, id := range jobIDs {
 		if w.Jobs[id] != nil && !w.FinishedJobs[id] {
 			problems = append(problems, string(id)+" has not ended")
 		}
@@ -116,8 +121,8 @@
 	return problems
 }
 
-// Anything fails at any time, in any order, while shards are transferred: what rapid finds is
-// shrunk to the fewest faults that break a rule.
+// Faults of all kinds happen at random times and in any order while shards are transferred. Rapid
+// shrinks a failing case to the fewest faults that violate a rule.
 func TestTransfersUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -125,32 +130,32 @@
 		var faults []fault
 		for range rapid.IntRange(0, 8).Draw(t, "faults") {
 			faults = append(faults, fault{
-				kind:       rapid.SampledFrom(faultKinds).Draw(t, "kind"),
-				controller: rapid.IntRange(0, 2).Draw(t, "controller"),
-				at:         time.Duration(rapid.IntRange(3000, int(faultDuration.Milliseconds())-1000).Draw(t, "at")) * time.Millisecond,
-				duration:   time.Duration(rapid.SampledFrom([]int{150, 2500, 9000, 16000}).Draw(t, "duration")) * time.Millisecond,
+				kind:            rapid.SampledFrom(faultKinds).Draw(t, "kind"),
+				controllerIndex: rapid.IntRange(0, 2).Draw(t, "controller"),
+				startAt:         time.Duration(rapid.IntRange(3000, int(randomFaultPeriod.Milliseconds())-1000).Draw(t, "at")) * time.Millisecond,
+				duration:        time.Duration(rapid.SampledFrom([]int{150, 2500, 9000, 16000}).Draw(t, "duration")) * time.Millisecond,
 			})
 		}
-		if problems := runFaults(seed, faults); len(problems) > 0 {
+		if problems := runTransfersUnderFaults(seed, faults); len(problems) > 0 {
 			t.Errorf("%s", strings.Join(problems, "\n"))
 		}
 	})
 }
 
-// What rapid has found, shrunk.
+// The cases are failures that rapid found in TestTransfersUnderRandomFaults, shrunk to the fewest faults.
 func TestTransferRegressions(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		seed   uint64
 		faults []fault
 	}{
-		{"a shard without machines is transferred, and deleted in the same write", 0x219, []fault{
-			{kind: agentsUnreachable, controller: 0, at: 35280 * time.Millisecond, duration: 9 * time.Second},
-			{kind: delayedWrites, controller: 1, at: 14736 * time.Millisecond, duration: 150 * time.Millisecond},
+		{"a shard without machines is transferred and deleted in the same write", 0x219, []fault{
+			{kind: agentsUnreachable, controllerIndex: 0, startAt: 35280 * time.Millisecond, duration: 9 * time.Second},
+			{kind: delayedWrites, controllerIndex: 1, startAt: 14736 * time.Millisecond, duration: 150 * time.Millisecond},
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if problems := runFaults(c.seed, c.faults); len(problems) > 0 {
+		t.Run(test.name, func(t *testing.T) {
+			if problems := runTransfersUnderFaults(test.seed, test.faults); len(problems) > 0 {
 				t.Errorf("%s", strings.Join(problems, "\n"))
 			}
 		})
