--- a/internal/simulation/golden_write_test.go
+++ b/internal/simulation/golden_write_test.go
@@ -16,9 +16,9 @@
 	"tillerarch/internal/transport"
 )
 
-// TestWriteGolden writes the records of a busy day, and a frame between controllers, as the
-// version that it is built with writes them. testdata/production was made by running it at the
-// commit that deploy/service.toml names as production:
+// TestWriteGolden writes the records of a busy deployment, and a frame between controllers, in the
+// formats of the version that it is built from. The files in testdata/production were written by
+// running it at the commit that deploy/service.toml names as production:
 //
 //	GOLDEN=DIR go test -tags golden -run TestWriteGolden ./internal/simulation
 func TestWriteGolden(t *testing.T) {
