--- a/internal/simulation/cluster_faults_test.go
+++ b/internal/simulation/cluster_faults_test.go
@@ -10,40 +10,40 @@
 	"tillerarch/internal/protocol"
 )
 
-// Days with faults, each with several seeds: no rule is broken, and once the faults are over
-// every controller answers for every job and every job ends.
+// TestClusterUnderFaults runs each scenario with several seeds. No rule may be broken, and once the
+// faults are over every controller must answer queries about every job, and every job must end.
 func TestClusterUnderFaults(t *testing.T) {
-	for _, c := range []struct {
+	for _, scenario := range []struct {
 		name     string
 		lossRate float64
 		inject   func(w *World)
 	}{
-		{"quiet", 0, noFault},
+		{"no fault", 0, noFault},
 		{"lossy network", 0.04, noFault},
 		{"a controller crashes and is back at once", 0, controllersCrashAndReturnAtOnce},
 		{"all controllers crash", 0, allControllersCrash},
 		{"controllers restart in turn in a lossy network", 0.03, controllersRestartInTurn},
-		{"a controller alone loses the store", 0, oneControllerWithoutStore},
-		{"a controller alone loses its agents", 0, oneControllerWithoutAgents},
+		{"one controller alone does not reach the store", 0, oneControllerWithoutStore},
+		{"one controller alone does not reach its agents", 0, oneControllerWithoutAgents},
 		{"the store is down while a controller crashes", 0.01, storeDownAsControllerCrashes},
 		{"machines die, others are partitioned", 0.01, machinesDieAndArePartitioned},
 		{"a wave of preemptions, some without notice", 0.01, waveOfPreemptions},
-		{"duplicate heartbeats come late, while machines go and controllers restart", 0.01, lateHeartbeatsAsMachinesGo},
+		{"duplicate heartbeats arrive late while machines are terminated and controllers restart", 0.01, lateHeartbeatsAsMachinesTerminate},
 		{"commands do not reach machines whose heartbeats arrive", 0.01, commandsDoNotReachMachines},
-		{"controllers are alone with their agents, in turn", 0, controllersAloneWithAgents},
-		{"controllers are back within a fraction of a second, also while others take over", 0.02, restartsWithinFractionsOfASecond},
+		{"controllers reach neither the store nor each other, in turn", 0, controllersAloneWithAgents},
+		{"controllers are back within a fraction of a second, also while others take over their shards", 0.02, restartsWithinFractionsOfASecond},
 		{"controllers pause in turn, within their lease and past it", 0.01, controllersPauseInTurn},
 		{"machines hang, and resume within their lease or after it", 0.01, machinesHangAndResume},
-		{"a zone is partitioned with the controller in it, and goes on inside", 0, zonePartitionedWithController},
-		{"everything at once", 0.03, everythingAtOnce},
+		{"a zone is partitioned with the controller in it, and work goes on inside", 0, zonePartitionedWithController},
+		{"machines, controllers, the store and the cloud fail at the same time", 0.03, manyFaultsAtOnce},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seedCount(); seed++ {
 				w := newMixedWorld(t, seed)
-				w.MessageLossRate = c.lossRate
+				w.MessageLossRate = scenario.lossRate
 				ids := submitMixedJobs(w, 30)
-				c.inject(w)
+				scenario.inject(w)
 				w.Advance(seconds(110))
 				w.MessageLossRate, w.DuplicateHeartbeatRate = 0, 0
 				w.Rules.FaultsEndedAt = w.Now
@@ -58,39 +58,40 @@
 	}
 }
 
-// checkAllControllersAnswer checks that every controller knows every job.
+// checkAllControllersAnswer checks that every controller answers a query about every job with 200.
 func checkAllControllersAnswer(t *testing.T, w *World, seed uint64, ids []protocol.JobID) {
 	t.Helper()
-	known := 0
+	answeredCount := 0
 	for _, id := range ids {
 		for _, controller := range w.Controllers {
 			w.SendUserRequestTo(controller, protocol.RequestQuery, id, nil, func(status int, _ protocol.JobState) {
 				if status == http.StatusOK {
-					known++
+					answeredCount++
 				}
 			})
 		}
 	}
 	w.Advance(seconds(5))
-	if known != len(w.Controllers)*len(ids) {
-		t.Errorf("seed %d: %d of %d queries are answered", seed, known, len(w.Controllers)*len(ids))
+	if answeredCount != len(w.Controllers)*len(ids) {
+		t.Errorf("seed %d: %d queries are answered with 200, want %d", seed, answeredCount, len(w.Controllers)*len(ids))
 	}
 }
 
-// checkJobsEnded checks that all jobs have ended; it names the first three that have not.
+// checkJobsEnded checks that all jobs have ended. It reports the first three that have not.
 func checkJobsEnded(t *testing.T, w *World, seed uint64, ids []protocol.JobID) {
 	t.Helper()
-	unfinished := 0
+	unfinishedCount := 0
 	for _, id := range ids {
 		if w.FinishedJobs[id] {
 			continue
 		}
-		if unfinished++; unfinished <= 3 {
-			t.Errorf("seed %d: %s has not ended", seed, id)
+		if unfinishedCount++; unfinishedCount <= 3 {
+			t.Errorf("seed %d: job %s has not ended", seed, id)
 		}
 	}
 }
 
+// noFault injects no fault.
 func noFault(*World) {}
 
 func controllersCrashAndReturnAtOnce(w *World) {
@@ -143,7 +144,7 @@
 	})
 }
 
-func lateHeartbeatsAsMachinesGo(w *World) {
+func lateHeartbeatsAsMachinesTerminate(w *World) {
 	w.DuplicateHeartbeatRate = 0.3
 	for i := range 8 {
 		w.After(seconds(20+7*i), func() { w.TerminateMachine(machineID(1 + i)) })
@@ -170,7 +171,7 @@
 
 func restartsWithinFractionsOfASecond(w *World) {
 	w.DuplicateHeartbeatRate = 0.1
-	w.Controllers[0].ScheduleRestart(seconds(18), seconds(7)) // the others are taking over as they crash
+	w.Controllers[0].ScheduleRestart(seconds(18), seconds(7)) // the other controllers crash while they take over its shards
 	for i := range 12 {
 		controller := w.Controllers[(i*2+1)%3]
 		at := seconds(20) + time.Duration(i)*5300*time.Millisecond
@@ -210,7 +211,7 @@
 	w.After(seconds(65), func() { w.endZonePartition("b") })
 }
 
-func everythingAtOnce(w *World) {
+func manyFaultsAtOnce(w *World) {
 	for i := range 5 {
 		w.Controllers[i%3].ScheduleRestart(seconds(15+13*i), time.Duration(w.Rand.IntN(6000))*time.Millisecond)
 		w.setFlagsBetween(seconds(20+11*i), seconds(30+11*i), &w.Controllers[(i+1)%3].StoreUnreachable)
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -10,8 +10,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// The scenarios of TestFaultCombinations and TestMoreFaultCombinations, in the order of their
-// numbers.
+// The functions of this file schedule the faults of TestFaultCombinations and
+// TestMoreFaultCombinations, in the order of the combinations' numbers.
 
 func cancelAsStoreRefuses(w *World) {
 	w.submitLongJobs(8, "core", 60)
@@ -55,22 +55,22 @@
 	}
 }
 
-func takeOverAndBack(w *World) {
+func allFailOneReturnsFirst(w *World) {
 	w.submitLongJobs(6, "core", 40)
-	for i, gap := range []float64{0.3, 0.9, 6} {
+	for i, downtime := range []float64{0.3, 0.9, 6} {
 		for k, controller := range w.Controllers {
 			w.After(seconds(20+30*i), controller.Kill)
-			back := gap
+			restartDelay := downtime
 			if k != i {
-				back = gap + 12
+				restartDelay = downtime + 12
 			}
-			w.After(seconds(20+30*float64(i)+back), controller.Start)
+			w.After(seconds(20+30*float64(i)+restartDelay), controller.Start)
 		}
-		w.After(seconds(20+30*float64(i)+gap+2), func() { w.cancelRunningJobs(2) })
+		w.After(seconds(20+30*float64(i)+downtime+2), func() { w.cancelRunningJobs(2) })
 	}
 }
 
-func quotaFullMachinesLostLeaderChanges(w *World) {
+func quotaFullMachinesLostControllersRestart(w *World) {
 	w.setMissingQuotas(30)
 	w.submitLongJobs(10, "core", 30)
 	for i := range 10 {
@@ -80,9 +80,9 @@
 	}
 	for i := range 5 {
 		w.After(seconds(16+17*i), func() {
-			for k, m := range w.randomMachines(0.6) {
+			for k, machine := range w.randomMachines(0.6) {
 				if k%2 == 0 {
-					m.Hang(seconds(3 + 4*float64(i)))
+					machine.Hang(seconds(3 + 4*float64(i)))
 				}
 			}
 			w.partitionMachines(0.3, seconds(3+4*i))
@@ -99,7 +99,7 @@
 		if len(ids) == 0 || w.Now > faultsEnd {
 			return
 		}
-		// A query that is in flight as its job is accepted may be answered 404.
+		// A query that is in flight while its job is accepted may be answered with 404.
 		if id := ids[w.Rand.IntN(len(ids))]; w.Rules.job(id).accepted {
 			w.queryRepeatedly(id)
 		}
@@ -112,7 +112,7 @@
 func writesAppliedLate(w *World) {
 	w.DelayedWriteRate = 0.35
 	w.restartWithConfig(func(config *step.Config) {
-		config.ValueBytes = 1700 // few machines in a shard: what is planned anew changes other records
+		config.ValueBytes = 1700 // few machines in a shard, so that a transaction that is planned again changes other records
 	})
 	w.After(seconds(105), func() { w.DelayedWriteRate = 0 })
 	for i := range 5 {
@@ -121,26 +121,26 @@
 	}
 }
 
-func oldHeartbeatAtNewLeader(w *World) {
+func oldHeartbeatsDuringFailover(w *World) {
 	w.submitLongJobs(8, "core", 50)
 	for i := range 6 {
-		end := 18 + 14*float64(i)
-		w.After(seconds(end-float64(1+2*i)), func() {
-			for _, m := range w.randomMachines(1) {
-				body := m.nextHeartbeat()
-				w.After(seconds(1+2*i), func() { // as the leader fails, and as others take over
+		failureAt := 18 + 14*float64(i)
+		w.After(seconds(failureAt-float64(1+2*i)), func() {
+			for _, machine := range w.randomMachines(1) {
+				heartbeat := machine.nextHeartbeat()
+				w.After(seconds(1+2*i), func() { // as the busiest controller fails, and as others take over
 					for _, after := range []float64{0.35, 1.2, 1.8, 2.6, 4.2} {
 						w.After(seconds(after), func() {
 							for _, controller := range w.Controllers {
-								controller.deliverHeartbeatCopy(body)
+								controller.deliverHeartbeatCopy(heartbeat)
 							}
 						})
 					}
 				})
 			}
 		})
-		w.After(seconds(end), func() { w.restartBusiestController(seconds([]float64{0.3, 5}[i%2])) })
-		w.After(seconds(end-0.5), func() { w.cancelRunningJobs(1) })
+		w.After(seconds(failureAt), func() { w.restartBusiestController(seconds([]float64{0.3, 5}[i%2])) })
+		w.After(seconds(failureAt-0.5), func() { w.cancelRunningJobs(1) })
 	}
 }
 
@@ -158,11 +158,11 @@
 	}
 	for i := range 14 {
 		w.After(seconds(15+5*i), func() {
-			for _, m := range w.randomMachines(0.1) {
+			for _, machine := range w.randomMachines(0.1) {
 				if i%3 == 0 {
-					w.setFlagsFor(seconds(20), &m.Partitioned)
+					w.setFlagsFor(seconds(20), &machine.Partitioned)
 				} else {
-					w.TerminateMachine(m.ID)
+					w.TerminateMachine(machine.ID)
 				}
 			}
 		})
@@ -197,7 +197,7 @@
 	}
 }
 
-func leaderChangesInOutage(w *World) {
+func repeatedRestartsAndOutage(w *World) {
 	w.submitLongJobs(6, "core", 40)
 	for i := range 10 {
 		w.After(seconds(14+9*i), func() { w.restartBusiestController(seconds([]float64{0.2, 4}[i%2])) })
@@ -206,7 +206,7 @@
 	w.After(seconds(45), func() { w.cancelRunningJobs(3) })
 }
 
-func smallJobsEndAcrossLeaderChange(w *World) {
+func smallJobsEndAcrossFailover(w *World) {
 	w.submitLongJobs(16, "core", 30)
 	for i := range 9 {
 		w.After(seconds(12+10*i), func() { w.restartBusiestController(seconds([]float64{0.3, 8}[i%2])) })
@@ -239,8 +239,8 @@
 	w.DuplicateHeartbeatRate = 0.6
 	for i := range 12 {
 		w.After(seconds(16+6*i), func() {
-			for _, m := range w.randomMachines(0.15) {
-				m.Reboot()
+			for _, machine := range w.randomMachines(0.15) {
+				machine.Reboot()
 			}
 		})
 	}
@@ -258,7 +258,7 @@
 	w.scheduleStoreOutage(48, 45)
 }
 
-func commandsOfDeposedLeader(w *World) {
+func commandsOfFormerOwner(w *World) {
 	w.DelayedCommandRate = 0.7
 	w.submitLongJobs(10, "core", 50)
 	for i := range 6 {
@@ -274,7 +274,7 @@
 	}
 }
 
-func leaderWithoutStoreAndPeers(w *World) {
+func busiestControllerWithoutStoreAndPeers(w *World) {
 	w.submitLongJobs(10, "core", 60)
 	for i := range 2 {
 		w.After(seconds(20+45*i), func() {
@@ -320,8 +320,8 @@
 	w.submitLongJobs(6, "core", 40)
 	for i := range 16 {
 		w.After(seconds(14+5*i), func() {
-			for _, m := range w.randomMachines(0.2) {
-				m.Hang(seconds(1 + float64(w.Rand.IntN(13))))
+			for _, machine := range w.randomMachines(0.2) {
+				machine.Hang(seconds(1 + float64(w.Rand.IntN(13))))
 			}
 			w.cancelRunningJobs(1)
 		})
@@ -329,15 +329,15 @@
 	w.Controllers[2].ScheduleRestart(seconds(60), seconds(1))
 }
 
-func leaderFailsLongTasksUnreachable(w *World) {
+func ownerFailsLongTasksUnreachable(w *World) {
 	w.submitLongJobs(10, "core", 60)
 	for i := range 5 {
 		w.After(seconds(16+17*i), func() {
-			for k, m := range w.randomMachines(0.6) {
+			for k, machine := range w.randomMachines(0.6) {
 				if k%2 == 0 {
-					w.setFlagsFor(seconds(3+4*i), &m.Partitioned)
+					w.setFlagsFor(seconds(3+4*i), &machine.Partitioned)
 				} else {
-					w.setFlagsFor(seconds(3+4*i), &m.CommandsLost)
+					w.setFlagsFor(seconds(3+4*i), &machine.CommandsLost)
 				}
 			}
 			controller := w.busiestController()
@@ -348,15 +348,15 @@
 	}
 }
 
-func heartbeatsHeldUntilNewLeaderActed(w *World) {
+func heartbeatsHeldPastFailover(w *World) {
 	w.submitLongJobs(6, "core", 50)
 	for i := range 6 {
 		w.After(seconds(18+14*i), func() {
 			controller := w.busiestController()
-			for _, m := range w.randomMachines(1) {
-				body := m.nextHeartbeat()
+			for _, machine := range w.randomMachines(1) {
+				heartbeat := machine.nextHeartbeat()
 				for _, other := range w.otherControllers(controller) {
-					w.After(seconds(2+float64(w.Rand.IntN(12))), func() { other.deliverHeartbeatCopy(body) })
+					w.After(seconds(2+float64(w.Rand.IntN(12))), func() { other.deliverHeartbeatCopy(heartbeat) })
 				}
 			}
 			controller.Kill()
--- a/internal/simulation/log_messages_test.go
+++ b/internal/simulation/log_messages_test.go
@@ -12,17 +12,19 @@
 	"testing"
 )
 
-// logMessage is a message that controllers log. Tests count lines with such messages, also
-// where they want none: TestLogMessagesAreCurrent checks that the messages exist.
+// logMessage is a message that controllers log. Tests count lines with such messages, and some
+// tests want no such line, so TestLogMessagesAreCurrent checks that the messages exist.
 type logMessage string
 
+// isIn reports whether a log line has the message.
 func (m logMessage) isIn(line string) bool { return strings.Contains(line, string(m)) }
 
-// logMessages are messages of which one is looked for.
+// logMessages is a set of messages of which a test looks for any.
 type logMessages []logMessage
 
-func (all logMessages) areIn(line string) bool {
-	return slices.ContainsFunc(all, func(m logMessage) bool { return m.isIn(line) })
+// isAnyIn reports whether a log line has one of the messages.
+func (messages logMessages) isAnyIn(line string) bool {
+	return slices.ContainsFunc(messages, func(m logMessage) bool { return m.isIn(line) })
 }
 
 const (
@@ -31,11 +33,12 @@
 	logTransactionConflict logMessage = "transaction conflict"
 )
 
-// scaleInMessages say that a machine is returned to the cloud, on record or not.
+// scaleInMessages are logged when a machine is returned to the cloud, whether or not the machine is
+// recorded in the store.
 var scaleInMessages = logMessages{"machine scale-in", "unrecorded machine termination"}
 
-// ownershipMessages say that a machine or a shard gets another owner, or that a task has ended
-// or is placed anew.
+// ownershipMessages are logged when a machine or a shard gets another owner, or when tasks end
+// incomplete or are placed again.
 var ownershipMessages = logMessages{
 	"machine adopted",
 	"orphaned instance adopted",
@@ -46,11 +49,12 @@
 	"task ended incomplete",
 }
 
-// ownershipKeywords are parts of messages that ownershipMessages must have all of.
+// ownershipKeywords are parts of messages. ownershipMessages must have every logged message that
+// contains one of them.
 var ownershipKeywords = []string{"adopted", "handed off", "ownership transferred", "shard failover", "requeued", "task ended"}
 
-// loggedMessages are the messages of all log calls of the controllers' core, read from its
-// sources: literals that are the second argument of a method Log.
+// loggedMessages returns the messages of all log calls of the controllers' core. It reads them from
+// the core's sources, as literals that are the second argument of a method Log.
 func loggedMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	messages := map[string]bool{}
@@ -62,8 +66,8 @@
 		if err != nil {
 			return err
 		}
-		ast.Inspect(file, func(n ast.Node) bool {
-			if message, ok := messageOfLogCall(n); ok {
+		ast.Inspect(file, func(node ast.Node) bool {
+			if message, ok := messageOfLogCall(node); ok {
 				messages[message] = true
 			}
 			return true
@@ -76,8 +80,10 @@
 	return messages
 }
 
-func messageOfLogCall(n ast.Node) (string, bool) {
-	call, ok := n.(*ast.CallExpr)
+// messageOfLogCall returns the message of a node that is a call of a method Log with a literal
+// message. It reports false for other nodes.
+func messageOfLogCall(node ast.Node) (string, bool) {
+	call, ok := node.(*ast.CallExpr)
 	if !ok || len(call.Args) < 2 {
 		return "", false
 	}
@@ -93,19 +99,20 @@
 	return message, err == nil
 }
 
-// The messages that tests look for are logged by the core, and none that belongs to a set is
-// missing from it: a test that wants no line with a message would pass unseen after a rename.
+// TestLogMessagesAreCurrent checks that the core logs the messages that tests look for, and that
+// ownershipMessages is complete. Otherwise a test that wants no line with a message would pass
+// unnoticed after the message was renamed.
 func TestLogMessagesAreCurrent(t *testing.T) {
 	logged := loggedMessages(t)
 	for _, message := range slices.Concat(scaleInMessages, ownershipMessages, logMessages{logDrainChanged, logTasksPlaced, logTransactionConflict}) {
 		if !logged[string(message)] {
-			t.Errorf("no log call has the message %q", message)
+			t.Errorf("no log call has the message %q, which tests look for", message)
 		}
 	}
 	for message := range logged {
 		for _, keyword := range ownershipKeywords {
 			if strings.Contains(message, keyword) && !slices.Contains(ownershipMessages, logMessage(message)) {
-				t.Errorf("the message %q is not among those of changes of ownership", message)
+				t.Errorf("the message %q is missing from ownershipMessages", message)
 			}
 		}
 	}
--- a/internal/simulation/machine_faults_test.go
+++ b/internal/simulation/machine_faults_test.go
@@ -12,155 +12,159 @@
 	"tillerarch/internal/storage"
 )
 
-// A machine whose heartbeats arrive while replies and commands do not reach it gets no more
-// tasks, its own are placed elsewhere once they are proven gone, and it is scaled in if that
-// lasts. One that commands reach again is used again.
+// TestMachineCommandsLost checks a machine whose heartbeats arrive while replies and commands do not
+// reach it. The machine gets no more tasks, its own tasks are placed on other machines once they are
+// proven gone, and the machine is scaled in if the fault lasts. If commands reach the machine again,
+// it is used again.
 func TestMachineCommandsLost(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		heals bool
+	for _, scenario := range []struct {
+		name           string
+		commandsResume bool
 	}{{"commands stay lost", false}, {"commands arrive again", true}} {
-		t.Run(c.name, func(t *testing.T) { playCommandsLost(t, c.heals) })
+		t.Run(scenario.name, func(t *testing.T) { testMachineCommandsLost(t, scenario.commandsResume) })
 	}
 }
 
-func playCommandsLost(t *testing.T, heals bool) {
+// testMachineCommandsLost loses the commands to one machine, permanently or for 12 seconds.
+func testMachineCommandsLost(t *testing.T, commandsResume bool) {
 	t.Helper()
-	const jobs = 60 // small ones all the time: every machine with free capacity gets some
+	const jobCount = 60 // small jobs, one each second, so that every machine with free capacity gets tasks
 	w := newFixedWorld(21, 3, 3)
-	m := w.Machines[machineID(1)]
-	for i := range jobs {
-		w.After(seconds(3+i), func() { w.Submit(newArray(jobNumber(i), "l", "standard", 2, 2, 3)) })
+	machine := w.Machines[machineID(1)]
+	for i := range jobCount {
+		w.After(seconds(3+i), func() { w.Submit(newArray(jobID(i), "l", "standard", 2, 2, 3)) })
 	}
-	drains, scaleIns, placedAfterDrain := 0, 0, 0
+	drainCount, scaleInCount, placementsAfterDrain := 0, 0, 0
 	w.Trace = func(line string) {
-		if logDrainChanged.isIn(line) && strings.Contains(line, string(m.ID)+" enabled true") {
-			drains++
+		if logDrainChanged.isIn(line) && strings.Contains(line, string(machine.ID)+" enabled true") {
+			drainCount++
 		}
-		if scaleInMessages.areIn(line) && strings.Contains(line, string(m.ID)) {
-			scaleIns++
+		if scaleInMessages.isAnyIn(line) && strings.Contains(line, string(machine.ID)) {
+			scaleInCount++
 		}
-		if logTasksPlaced.isIn(line) && strings.Contains(line, string(m.ID)) && m.CommandsLost && drains > 0 {
-			placedAfterDrain++
+		if logTasksPlaced.isIn(line) && strings.Contains(line, string(machine.ID)) && machine.CommandsLost && drainCount > 0 {
+			placementsAfterDrain++
 		}
 	}
 	w.Advance(seconds(15))
-	m.CommandsLost = true
+	machine.CommandsLost = true
 	w.Advance(seconds(12))
-	if drains != 1 || placedAfterDrain > 0 {
-		t.Errorf("drained %d times within 12 s, %d placements after that", drains, placedAfterDrain)
+	if drainCount != 1 || placementsAfterDrain > 0 {
+		t.Errorf("drained %d times within 12 s, want 1; %d placements after that, want none", drainCount, placementsAfterDrain)
 	}
-	if heals {
-		m.CommandsLost = false
+	if commandsResume {
+		machine.CommandsLost = false
 		w.Advance(seconds(13))
-		if len(m.tasks) == 0 {
-			t.Error("the machine is not used again")
+		if len(machine.tasks) == 0 {
+			t.Error("the machine is not used again although commands reach it")
 		}
 	}
 	w.Advance(seconds(100))
 	w.Rules.CheckFinal(w.Now)
-	if (scaleIns == 1) != !heals || len(w.Rules.Violations) > 0 || len(w.FinishedJobs) != jobs {
-		t.Errorf("scaled in %d times, %d of %d jobs done, broken %v", scaleIns, len(w.FinishedJobs), jobs, w.Rules.Violations)
+	if (scaleInCount == 1) != !commandsResume || len(w.Rules.Violations) > 0 || len(w.FinishedJobs) != jobCount {
+		t.Errorf("scaled in %d times, want once only if commands stay lost; %d of %d jobs done, want all; violations %v, want none", scaleInCount, len(w.FinishedJobs), jobCount, w.Rules.Violations)
 	}
 }
 
-// An agent that reaches no controller, while direct commands reach it, gets no tasks, also right
-// after a command that it has replied to: starts are sent in replies to heartbeats only.
+// TestMachineHeartbeatsLost checks that an agent that reaches no controller, while direct commands
+// reach it, gets no tasks, not even right after a command that it has replied to. Starts are sent
+// in replies to heartbeats only.
 func TestMachineHeartbeatsLost(t *testing.T) {
 	w := newFixedWorld(23, 3, 4)
 	for i := range 4 {
 		w.After(5*time.Second, func() { w.Submit(newArray(protocol.JobID(fmt.Sprintf("j-9%d", i)), "l", "low", 4, 1, 300)) })
 	}
 	w.Advance(15 * time.Second)
-	var m *Machine
-	for _, full := range w.sortedMachines() {
-		if len(full.tasks) == 4 {
-			m = full
+	var machine *Machine
+	for _, candidate := range w.sortedMachines() {
+		if len(candidate.tasks) == 4 {
+			machine = candidate
 		}
 	}
-	m.HeartbeatsLost = true
+	machine.HeartbeatsLost = true
 	w.Advance(7 * time.Second)
-	placed := 0
+	placementCount := 0
 	w.Trace = func(line string) {
-		if logTasksPlaced.isIn(line) && strings.Contains(line, string(m.ID)) && m.HeartbeatsLost {
-			placed++
+		if logTasksPlaced.isIn(line) && strings.Contains(line, string(machine.ID)) && machine.HeartbeatsLost {
+			placementCount++
 		}
 	}
-	for i := 0; i < 4; i++ { // its stops reach it
+	for i := 0; i < 4; i++ { // the direct commands that stop its tasks reach the machine
 		w.Cancel(protocol.JobID(fmt.Sprintf("j-9%d", i)))
 	}
 	for i := 0; i < 30; i++ {
 		w.After(time.Duration(i)*2*time.Second, func() { w.Submit(newArray(protocol.JobID(fmt.Sprintf("j-%d", i)), "l", "standard", 10, 2, 3)) })
 	}
 	w.Advance(7 * time.Second)
-	if placed > 0 {
-		t.Errorf("%d placements on a machine whose heartbeats are lost", placed)
+	if placementCount > 0 {
+		t.Errorf("%d placements on a machine whose heartbeats are lost, want none", placementCount)
 	}
-	m.HeartbeatsLost = false
+	machine.HeartbeatsLost = false
 	w.Rules.FaultsEndedAt = w.Now
 	w.Advance(10 * time.Second)
-	running := 0
-	for _, execution := range m.tasks {
+	runningCount := 0
+	for _, execution := range machine.tasks {
 		if execution.state == protocol.TaskRunning {
-			running++
+			runningCount++
 		}
 	}
-	if running == 0 {
-		t.Error("the machine is not used again")
+	if runningCount == 0 {
+		t.Error("the machine is not used again although its heartbeats arrive")
 	}
 	w.Advance(140 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	if len(w.Rules.Violations) > 0 || len(w.FinishedJobs) != 34 {
-		t.Errorf("%d of 34 done, broken %v", len(w.FinishedJobs), w.Rules.Violations)
+		t.Errorf("%d of 34 jobs done, want all; violations %v, want none", len(w.FinishedJobs), w.Rules.Violations)
 	}
 }
 
-// A heartbeat that outlived its machine, or that reaches a controller which does not own it,
-// brings no machine back and makes no new owner.
+// TestLateDuplicateHeartbeats checks that a heartbeat that arrives after its machine is gone, or at a
+// controller that does not own the machine, neither brings the machine back nor changes its owner.
 func TestLateDuplicateHeartbeats(t *testing.T) {
 	w := NewWorld(22, 3, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
 	w.addSmallMachines(6, "a")
 	w.After(3*time.Second, func() { w.Submit(newArray("j-1", "l", "standard", 12, 2, 60)) })
 	w.Advance(15 * time.Second)
-	m := w.sortedMachines()[0]
-	heartbeat, lateHeartbeat := m.nextHeartbeat(), m.nextHeartbeat() // one more than any controller has seen
-	m.sequence--
-	started := w.Rules.TasksStarted
-	changes := 0
+	machine := w.sortedMachines()[0]
+	heartbeat, lateHeartbeat := machine.nextHeartbeat(), machine.nextHeartbeat() // the second is newer than any heartbeat that a controller has seen
+	machine.sequence--
+	startsBefore := w.Rules.TasksStarted
+	changeCount := 0
 	w.Trace = func(line string) {
-		if ownershipMessages.areIn(line) {
-			changes++
+		if ownershipMessages.isAnyIn(line) {
+			changeCount++
 		}
 	}
-	// To all controllers while the machine lives: its tasks stay where they are.
+	// The duplicate reaches all controllers while the machine is up: its tasks stay where they are.
 	for i := 0; i < 40; i++ {
 		w.After(time.Duration(i)*300*time.Millisecond, func() { w.Controllers[i%3].DeliverHeartbeat(heartbeat, func(int, []byte) {}) })
 	}
 	w.Advance(14 * time.Second)
-	if changes != 0 || w.Rules.TasksStarted != started {
-		t.Errorf("%d changes by duplicate heartbeats, %d starts after %d", changes, w.Rules.TasksStarted, started)
+	if changeCount != 0 || w.Rules.TasksStarted != startsBefore {
+		t.Errorf("%d changes by duplicate heartbeats, want none; %d tasks started in all, want %d", changeCount, w.Rules.TasksStarted, startsBefore)
 	}
-	// And once it is gone and off the records.
-	w.TerminateMachine(m.ID)
+	// The other one reaches all controllers once the machine is terminated and no longer recorded.
+	w.TerminateMachine(machine.ID)
 	w.Advance(40 * time.Second)
-	changes = 0
+	changeCount = 0
 	for i := 0; i < 20; i++ {
 		w.After(time.Duration(i)*time.Second, func() { w.Controllers[i%3].DeliverHeartbeat(lateHeartbeat, func(int, []byte) {}) })
 	}
 	w.Advance(25 * time.Second)
-	if changes != 0 {
-		t.Errorf("%d changes by duplicate heartbeats of a machine that is gone", changes)
+	if changeCount != 0 {
+		t.Errorf("%d changes by duplicate heartbeats of a terminated machine, want none", changeCount)
 	}
 	w.Advance(150 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	if !w.FinishedJobs["j-1"] || len(w.Rules.Violations) > 0 {
-		t.Errorf("done %v, broken %v", w.FinishedJobs["j-1"], w.Rules.Violations)
+		t.Errorf("job done: %v, want true; violations %v, want none", w.FinishedJobs["j-1"], w.Rules.Violations)
 	}
 }
 
-// A controller that reaches neither the store nor other controllers goes on replying to its
-// agents until its successors have them: no task is lost. Users get 503 from it at once.
+// TestControllerIsolatedWithAgents checks that a controller that reaches neither the store nor other
+// controllers replies to its agents until other controllers own their machines, so that no task is
+// lost. Users get 503 from the isolated controller at once.
 func TestControllerIsolatedWithAgents(t *testing.T) {
 	for seed := uint64(31); seed < 34; seed++ {
 		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
@@ -169,74 +173,75 @@
 		w.After(3*time.Second, func() { w.Submit(newArray("j-1", "l", "standard", 18, 2, 60)) })
 		w.After(6*time.Second, func() { w.Submit(newArray("j-2", "l", "standard", 4, 2, 10)) })
 		w.Advance(14 * time.Second)
-		controller := w.Controllers[0]
-		controller.StoreUnreachable, controller.PeersUnreachable = true, true
+		isolated := w.Controllers[0]
+		isolated.StoreUnreachable, isolated.PeersUnreachable = true, true
 		w.Advance(9 * time.Second)
-		if controller.Core.Healthy() {
-			t.Errorf("seed %d: it reports that it is healthy", seed)
+		if isolated.Core.Healthy() {
+			t.Errorf("seed %d: the isolated controller reports that it is healthy", seed)
 		}
 		askedAt := w.Now
-		status, after := 0, time.Duration(0)
-		w.SendUserRequestTo(controller, protocol.RequestQuery, "j-1", nil, func(s int, _ protocol.JobState) { status, after = s, w.Now-askedAt })
+		replyStatus, replyDelay := 0, time.Duration(0)
+		w.SendUserRequestTo(isolated, protocol.RequestQuery, "j-1", nil, func(status int, _ protocol.JobState) { replyStatus, replyDelay = status, w.Now-askedAt })
 		w.Advance(3 * time.Second)
-		if status != 503 || after > 200*time.Millisecond {
-			t.Errorf("seed %d: answered %d after %v", seed, status, after)
+		if replyStatus != 503 || replyDelay > 200*time.Millisecond {
+			t.Errorf("seed %d: answered with %d after %v, want 503 within 200 ms", seed, replyStatus, replyDelay)
 		}
-		// What is submitted now is served without it, by all machines.
+		// The other controllers serve a job that is submitted now, with all machines.
 		w.Submit(newArray("j-3", "l", "high", 4, 2, 5))
 		w.Advance(60 * time.Second)
-		for id, m := range w.Machines {
-			if !m.Terminated && m.controllerIndex%3 == 0 {
-				t.Errorf("seed %d: %s still sends its heartbeats to it", seed, id)
+		for id, machine := range w.Machines {
+			if !machine.Terminated && machine.controllerIndex%3 == 0 {
+				t.Errorf("seed %d: %s still sends its heartbeats to the isolated controller", seed, id)
 			}
 		}
-		controller.StoreUnreachable, controller.PeersUnreachable = false, false
+		isolated.StoreUnreachable, isolated.PeersUnreachable = false, false
 		w.Rules.FaultsEndedAt = w.Now
 		w.Advance(120 * time.Second)
 		w.Rules.CheckFinal(w.Now)
 		if w.Rules.TasksStarted != 26 || len(w.FinishedJobs) != 3 || len(w.Rules.Violations) > 0 {
-			t.Errorf("seed %d: %d starts for 26 tasks, done %v, broken %v", seed, w.Rules.TasksStarted, w.FinishedJobs, w.Rules.Violations)
+			t.Errorf("seed %d: %d starts for 26 tasks, want 26; jobs done: %v, want 3; violations %v, want none", seed, w.Rules.TasksStarted, w.FinishedJobs, w.Rules.Violations)
 		}
 	}
 }
 
-// An owner that its agents no longer reach hands their machines off to the controller that gets
-// their heartbeats, before their leases expire: the tasks go on.
+// TestHandOff checks that an owner that its agents no longer reach hands their machines off to the
+// controller that gets their heartbeats. That happens before the agents' leases expire, so that
+// the tasks go on.
 func TestHandOff(t *testing.T) {
 	w := NewWorld(7, 3, testMachineTypes, testTeams())
 	w.addSmallMachines(6, "a")
 	job := newArray("j-1", "l", "standard", 12, 2, 90)
 	w.After(3*time.Second, func() { w.Submit(job) })
 	w.Advance(12 * time.Second)
-	owners := map[int]int{}
-	for _, m := range w.Machines {
-		owners[m.controllerIndex%3]++
+	machineCounts := map[int]int{}
+	for _, machine := range w.Machines {
+		machineCounts[machine.controllerIndex%3]++
 	}
-	if w.Rules.TasksStarted != 12 || owners[0] == 0 {
-		t.Fatalf("%d started, owners %v", w.Rules.TasksStarted, owners)
+	if w.Rules.TasksStarted != 12 || machineCounts[0] == 0 {
+		t.Fatalf("%d tasks started, want 12; machines by controller: %v, want some of controller 0", w.Rules.TasksStarted, machineCounts)
 	}
 	w.Controllers[0].AgentsUnreachable = true
 	w.Advance(200 * time.Second)
 	w.Rules.CheckFinal(w.Now)
 	if w.Rules.TasksStarted != 12 || !w.FinishedJobs["j-1"] || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d starts for 12 tasks, done %v, broken %v", w.Rules.TasksStarted, w.FinishedJobs["j-1"], w.Rules.Violations)
+		t.Errorf("%d starts for 12 tasks, want 12; job done: %v, want true; violations %v, want none", w.Rules.TasksStarted, w.FinishedJobs["j-1"], w.Rules.Violations)
 	}
 }
 
-// Nothing starves: the largest jobs of a class start within four minutes, and half of each class
-// is served, whatever stream of jobs they compete with. Without aging each of these days breaks
-// that rule, which shows that aging is the guard.
+// TestNoStarvation checks that no job starves: the largest jobs of a class start within four minutes,
+// and half of the jobs of each class are served, whatever stream of jobs they compete with. Without
+// aging each of these scenarios breaks that rule, which shows that aging prevents starvation.
 func TestNoStarvation(t *testing.T) {
-	withDeadline := func(job *protocol.Job, s float64) *protocol.Job {
-		job.DeadlineSeconds = &s
+	withDeadline := func(job *protocol.Job, deadlineSeconds float64) *protocol.Job {
+		job.DeadlineSeconds = &deadlineSeconds
 		return job
 	}
-	for _, c := range []struct {
-		name  string
-		first *protocol.Job
-		// The stream that it competes with.
-		interval time.Duration
-		next     func(id protocol.JobID) *protocol.Job
+	for _, scenario := range []struct {
+		name       string
+		watchedJob *protocol.Job
+		// The stream of jobs that watchedJob competes with.
+		competitorInterval time.Duration
+		newCompetitor      func(id protocol.JobID) *protocol.Job
 	}{
 		{"a large array without a deadline among small ones", newArray("j-1", "l", "standard", 300, 2, 4), 780 * time.Millisecond,
 			func(id protocol.JobID) *protocol.Job {
@@ -250,33 +255,33 @@
 			func(id protocol.JobID) *protocol.Job { return newArray(id, "l", "standard", 8, 2, 6) }},
 	} {
 		for _, variant := range []struct {
-			aging       bool
-			controllers int // several divide the capacity between their jobs
+			agingEnabled    bool
+			controllerCount int // several controllers divide the capacity between their jobs
 		}{{true, 3}, {true, 1}, {false, 1}} {
-			t.Run(fmt.Sprintf("%s, aging %v, %d controllers", c.name, variant.aging, variant.controllers), func(t *testing.T) {
-				w := newStarvationWorld(variant.controllers, variant.aging)
-				count := 0
-				w.Every(c.interval, func() {
-					if count++; w.Now < seconds(390) {
-						w.Submit(c.next(jobNumber(100 + count)))
+			t.Run(fmt.Sprintf("%s, aging %v, %d controllers", scenario.name, variant.agingEnabled, variant.controllerCount), func(t *testing.T) {
+				w := newStarvationWorld(variant.controllerCount, variant.agingEnabled)
+				competitorCount := 0
+				w.Every(scenario.competitorInterval, func() {
+					if competitorCount++; w.Now < seconds(390) {
+						w.Submit(scenario.newCompetitor(jobID(100 + competitorCount)))
 					}
 				})
-				w.After(seconds(20), func() { w.Submit(c.first) })
+				w.After(seconds(20), func() { w.Submit(scenario.watchedJob) })
 				w.Advance(seconds(400))
 				w.Rules.CheckFinal(w.Now)
-				checkStarvation(t, w, !variant.aging)
+				checkStarvation(t, w, !variant.agingEnabled)
 			})
 		}
 	}
 }
 
-// newStarvationWorld is a deployment of four large machines.
-func newStarvationWorld(controllers int, aging bool) *World {
-	w := NewWorld(41, controllers, testMachineTypes[1:], testTeams())
+// newStarvationWorld returns a deployment of four large machines. The cloud has no more.
+func newStarvationWorld(controllerCount int, agingEnabled bool) *World {
+	w := NewWorld(41, controllerCount, testMachineTypes[1:], testTeams())
 	w.CloudOutOfCapacity = true
 	w.restartWithConfig(func(config *step.Config) {
 		config.IdleTimeoutFactor = 100
-		if !aging {
+		if !agingEnabled {
 			config.AgingThreshold = time.Hour
 		}
 	})
@@ -286,45 +291,45 @@
 	return w
 }
 
-// checkStarvation checks whether the first job or its class starved, and that nothing else was
-// wrong.
+// checkStarvation checks that the watched job or its class starved if that is wanted, and did not
+// starve otherwise. It also checks that no rule but those on starvation was broken.
 func checkStarvation(t *testing.T, w *World, wantStarved bool) {
 	t.Helper()
-	starved := 0
+	starvationCount := 0
 	for _, violation := range w.Rules.Violations {
 		isStarvation := strings.HasPrefix(violation, "unserved")
-		concernsFirst := strings.Contains(violation, "j-1 ") || strings.Contains(violation, "largest") || strings.Contains(violation, "night")
+		concernsWatchedJob := strings.Contains(violation, "j-1 ") || strings.Contains(violation, "largest") || strings.Contains(violation, "night")
 		switch {
-		case isStarvation && concernsFirst:
-			starved++
+		case isStarvation && concernsWatchedJob:
+			starvationCount++
 		case !isStarvation:
 			t.Error(violation)
 		}
 	}
-	if (starved > 0) != wantStarved {
-		t.Errorf("starved %v, want %v; started at %v, broken %v", starved > 0, wantStarved, w.Rules.job("j-1").firstTaskAt, w.Rules.Violations)
+	if (starvationCount > 0) != wantStarved {
+		t.Errorf("starved: %v, want %v; the watched job started at %v, violations %v", starvationCount > 0, wantStarved, w.Rules.job("j-1").firstTaskAt, w.Rules.Violations)
 	}
 }
 
-// A machine whose heartbeats reach several controllers at the same moment, each of which may
-// adopt it, is in one shard only.
-func TestMachineOnOneShard(t *testing.T) {
+// TestMachineInOneShard checks that a machine is in one shard only, although its heartbeats reach
+// several controllers at the same moment, each of which may adopt the machine.
+func TestMachineInOneShard(t *testing.T) {
 	for seed := uint64(51); seed < 56; seed++ {
 		w := NewWorld(seed, 3, testMachineTypes[:1], testTeams())
 		w.CloudOutOfCapacity = true
 		w.Advance(2 * time.Second)
 		for i := range 8 {
-			m := w.Machines[w.AddMachine("small", "a", false, time.Hour)] // sends no heartbeat by itself
+			machine := w.Machines[w.AddMachine("small", "a", false, time.Hour)] // up in an hour, so that it sends no heartbeat by itself
 			w.After(time.Duration(i)*400*time.Millisecond, func() {
 				for _, controller := range w.Controllers {
-					controller.DeliverHeartbeat(m.nextHeartbeat(), func(int, []byte) {})
+					controller.DeliverHeartbeat(machine.nextHeartbeat(), func(int, []byte) {})
 				}
 			})
 		}
-		conflicts := 0
+		conflictCount := 0
 		w.Trace = func(line string) {
 			if logTransactionConflict.isIn(line) {
-				conflicts++
+				conflictCount++
 			}
 		}
 		w.Advance(6 * time.Second)
@@ -341,24 +346,25 @@
 				shardCounts[id]++
 			}
 		}
-		for id, n := range shardCounts {
-			if n != 1 {
-				t.Errorf("seed %d: %s is in %d shards", seed, id, n)
+		for id, count := range shardCounts {
+			if count != 1 {
+				t.Errorf("seed %d: machine %s is in %d shards, want 1", seed, id, count)
 			}
 		}
-		if len(shardCounts) != 8 || conflicts == 0 {
-			t.Errorf("seed %d: %d of 8 machines on record, %d transaction conflicts", seed, len(shardCounts), conflicts)
+		if len(shardCounts) != 8 || conflictCount == 0 {
+			t.Errorf("seed %d: %d of 8 machines recorded, want all; %d transaction conflicts, want some", seed, len(shardCounts), conflictCount)
 		}
 	}
 }
 
-// When all controllers come back at once, the shards of their earlier incarnations are spread
-// over them; one that comes back later and has far fewer is given some.
+// TestShardsAreSpread checks that the shards of earlier incarnations are spread over the controllers
+// when all controllers come back at once. A controller that comes back later and has far fewer
+// shards than the others gets some of theirs.
 func TestShardsAreSpread(t *testing.T) {
-	for _, c := range []struct {
-		name        string
-		minInterval time.Duration // between transfers for balance
-		restart     func(w *World)
+	for _, scenario := range []struct {
+		name                 string
+		minRebalanceInterval time.Duration // between transfers for balance
+		restart              func(w *World)
 	}{
 		{"all crash and are back one after the other", time.Hour, func(w *World) {
 			for i, controller := range w.Controllers {
@@ -373,17 +379,17 @@
 			w.Advance(seconds(60))
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(scenario.name, func(t *testing.T) {
 			w := NewWorld(61, 3, testMachineTypes[:1], testTeams())
 			w.CloudOutOfCapacity = true
 			w.restartWithConfig(func(config *step.Config) {
 				config.IdleTimeoutFactor = 1000
-				config.ValueBytes = 1024 // few machines in a shard
-				config.MinRebalanceInterval = c.minInterval
+				config.ValueBytes = 1024 // few machines in a shard, so that there are many shards
+				config.MinRebalanceInterval = scenario.minRebalanceInterval
 			})
 			w.addSmallMachines(60, "a")
 			w.Advance(seconds(20))
-			c.restart(w)
+			scenario.restart(w)
 			shardCounts := map[string]int{}
 			for _, entry := range w.Store.List(storage.ShardKey("")) {
 				var shard struct {
@@ -395,19 +401,20 @@
 				owner, _, _ := strings.Cut(shard.Owner, "#")
 				shardCounts[owner]++
 			}
-			least, most := 1000, 0
+			fewest, most := 1000, 0
 			for _, controller := range w.Controllers {
-				least = min(least, shardCounts[string(controller.ID)])
+				fewest = min(fewest, shardCounts[string(controller.ID)])
 				most = max(most, shardCounts[string(controller.ID)])
 			}
-			if most < 4 || 3*least < most || len(w.Rules.Violations) > 0 {
-				t.Errorf("%v, broken %v", shardCounts, w.Rules.Violations)
+			if most < 4 || 3*fewest < most || len(w.Rules.Violations) > 0 {
+				t.Errorf("shards by controller: %v, want at least 4 at the controller with the most, and at least a third of that at each; violations %v, want none", shardCounts, w.Rules.Violations)
 			}
 		})
 	}
 }
 
-// A gang on more machines than a value can list neither blocks other writes nor is forgotten.
+// TestGangTooLargeForRecord checks that a gang on more machines than a value in the store can list
+// neither blocks other writes nor is forgotten.
 func TestGangTooLargeForRecord(t *testing.T) {
 	w := NewWorld(71, 1, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
@@ -423,6 +430,6 @@
 	w.Advance(seconds(150))
 	w.Rules.CheckFinal(w.Now)
 	if w.Store.TooLargeTransactions > 0 || len(w.FinishedJobs) != 3 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d transactions too large, done %v, broken %v", w.Store.TooLargeTransactions, w.FinishedJobs, w.Rules.Violations)
+		t.Errorf("%d transactions too large, want none; jobs done: %v, want 3; violations %v, want none", w.Store.TooLargeTransactions, w.FinishedJobs, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -106,12 +106,12 @@
 			w.Machines[machineID(1)].Faulty = test.hasFaultyMachine
 			scaleIns := 0
 			w.Trace = func(line string) {
-				if scaleInMessages.areIn(line) && strings.Contains(line, "faulty") {
+				if scaleInMessages.isAnyIn(line) && strings.Contains(line, "faulty") {
 					scaleIns++
 				}
 			}
 			for i, class := range test.classes {
-				w.After(seconds(3+25*i), func() { w.Submit(newArray(jobNumber(i), class, "standard", 4, 2, 2)) })
+				w.After(seconds(3+25*i), func() { w.Submit(newArray(jobID(i), class, "standard", 4, 2, 2)) })
 			}
 			w.Advance(seconds(145))
 			if slices.Contains(test.classes, failingClass) {
@@ -123,8 +123,8 @@
 				t.Errorf("%d machines scaled in as faulty, want %d; %d task starts; rule violations %v", scaleIns, test.wantScaleIns, w.Rules.TasksStarted, w.Rules.Violations)
 			}
 			for i, class := range test.classes {
-				if class != failingClass && !w.FinishedJobs[jobNumber(i)] {
-					t.Errorf("%s has not finished", jobNumber(i))
+				if class != failingClass && !w.FinishedJobs[jobID(i)] {
+					t.Errorf("%s has not finished", jobID(i))
 				}
 			}
 		})
--- a/internal/simulation/repeatability_test.go
+++ b/internal/simulation/repeatability_test.go
@@ -25,7 +25,7 @@
 		return func(t *testing.T) *World {
 			w, jobIDs := newCancellationWorld(t, 1)
 			inject(w)
-			w.requestEverywhere(jobIDs)
+			w.requestAtAllControllers(jobIDs)
 			return w
 		}
 	}
@@ -33,10 +33,10 @@
 		name     string
 		newWorld func(t *testing.T) *World
 	}{
-		{"the busiest controller restarts", newCombinationWorld(leaderChangesInOutage)},
-		{"the busiest controller fails, machines hang and are partitioned", newCombinationWorld(quotaFullMachinesLostLeaderChanges)},
+		{"the busiest controller restarts", newCombinationWorld(repeatedRestartsAndOutage)},
+		{"the busiest controller fails, machines hang and are partitioned", newCombinationWorld(quotaFullMachinesLostControllersRestart)},
 		{"machines hang in an outage", newHangingCancellationWorld(machinesHangInOutage)},
-		{"machines hang, and the busiest controller fails", newHangingCancellationWorld(machinesHangAndCommanderFails)},
+		{"machines hang, and the busiest controller fails", newHangingCancellationWorld(machinesHangAndOwnerFails)},
 		{"machines hang while they pull the image", newHangingCancellationWorld(machinesHangPullingImage)},
 		{"all shards of controllers are transferred", func(t *testing.T) *World {
 			w := newTransferWorld(t, 4)
@@ -60,7 +60,7 @@
 				w := test.newWorld(t)
 				effects := w.digestEffects(t)
 				w.Advance(seconds(100))
-				return fmt.Sprintf("%x of %d effects", effects.sum.Sum(nil), effects.effects), w.Rules.Violations
+				return fmt.Sprintf("%x of %d effects", effects.hash.Sum(nil), effects.effectCount), w.Rules.Violations
 			}
 			firstDigest, firstViolations := runScenario()
 			secondDigest, secondViolations := runScenario()
