--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -13,21 +13,22 @@
 	"tillerarch/internal/storage"
 )
 
-// sendOperatorRequest sends an operator's request and waits for the reply.
+// sendOperatorRequest sends an operator's request to a controller and returns the reply. The test fails
+// if there is no reply within eight seconds.
 func sendOperatorRequest(t *testing.T, w *World, controller *Controller, request func(step.RequestID) step.Input) step.Effect {
 	t.Helper()
 	var reply step.Effect
-	controller.DeliverOperatorRequest(request, func(e step.Effect) { reply = e })
-	for end := w.Now + 8*time.Second; reply == nil && w.Now < end; {
+	controller.DeliverOperatorRequest(request, func(effect step.Effect) { reply = effect })
+	for deadline := w.Now + 8*time.Second; reply == nil && w.Now < deadline; {
 		w.Advance(50 * time.Millisecond)
 	}
 	if reply == nil {
-		t.Fatal("no reply to an operator's request")
+		t.Fatal("an operator's request got no reply within 8 s")
 	}
 	return reply
 }
 
-// requestTransfer requests a transfer as an operator and returns the reply.
+// requestTransfer sends an operator's transfer request to a controller and returns the reply.
 func (w *World) requestTransfer(t *testing.T, controller *Controller, request requests.TransferRequest) requests.TransferReply {
 	t.Helper()
 	return sendOperatorRequest(t, w, controller, func(id step.RequestID) step.Input {
@@ -36,53 +37,55 @@
 	}).(requests.TransferReply)
 }
 
-// transferRequestWorld is a deployment with two controllers that take part in transfers.
+// transferRequestWorld is a deployment with a source and a target for requested transfers.
 type transferRequestWorld struct {
 	*World
 	source, target *Controller
-	shard          storage.ShardID // one of source's
+	shard          storage.ShardID // owned by source
 }
 
+// newTransferRequestWorld returns a deployment whose controllers rebalance shards at most once an hour.
+// The source is the first controller that owns a shard with machines, and the target is another controller.
 func newTransferRequestWorld(t *testing.T) transferRequestWorld {
 	t.Helper()
 	w := newTransferWorld(t, 3)
 	w.restartWithConfig(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
 	w.Advance(12 * time.Second)
-	cluster := transferRequestWorld{World: w}
+	requestWorld := transferRequestWorld{World: w}
 	for _, controller := range w.Controllers {
-		if shards := w.shardsOf(controller); len(shards) > 0 && cluster.source == nil {
-			cluster.source, cluster.shard = controller, shards[0]
-		} else if cluster.target == nil {
-			cluster.target = controller
+		if shards := w.shardsOf(controller); len(shards) > 0 && requestWorld.source == nil {
+			requestWorld.source, requestWorld.shard = controller, shards[0]
+		} else if requestWorld.target == nil {
+			requestWorld.target = controller
 		}
 	}
-	return cluster
+	return requestWorld
 }
 
-// byName requests a transfer of the shard to the target.
-func (w transferRequestWorld) byName(name string) requests.TransferRequest {
+// newShardTransferRequest returns a request to transfer the shard to the target.
+func (w transferRequestWorld) newShardTransferRequest(name string) requests.TransferRequest {
 	return requests.TransferRequest{Name: name, Shard: w.shard, Target: w.target.ID}
 }
 
-// A transfer is accepted once its proposal is on record, and only once for each name; what
-// cannot be done is refused with the reason.
+// A transfer request is accepted once the transfer's proposal is recorded in the store, and only one
+// transfer begins for each name. A request that cannot be carried out is refused with a reason.
 func TestTransferRequests(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		prepare   func(w transferRequestWorld) // may be nil
-		request   func(w transferRequestWorld) requests.TransferRequest
-		refused   string // part of the reason; empty: accepted
-		transient bool
-		phase     storage.TransferPhase // in the reply, if it is accepted
+	for _, test := range []struct {
+		name          string
+		prepare       func(w transferRequestWorld) // may be nil
+		newRequest    func(w transferRequestWorld) requests.TransferRequest
+		refusalReason string                // part of the expected reason; empty if the request is accepted
+		isTransient   bool                  // the refusal says that a later request may succeed
+		wantPhase     storage.TransferPhase // of the transfer in the reply to an accepted request
 	}{
-		{"a shard by name", nil, func(w transferRequestWorld) requests.TransferRequest {
-			return w.byName("m")
+		{"a given shard", nil, func(w transferRequestWorld) requests.TransferRequest {
+			return w.newShardTransferRequest("m")
 		}, "", false, storage.TransferProposed},
 		{"any shard of a controller", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Source: w.source.ID, Target: w.target.ID}
 		}, "", false, storage.TransferProposed},
 		{"no name", nil, func(w transferRequestWorld) requests.TransferRequest {
-			return w.byName("")
+			return w.newShardTransferRequest("")
 		}, "needs a name", false, ""},
 		{"neither shard nor controller", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Target: w.target.ID}
@@ -96,16 +99,16 @@
 		{"an unknown source", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Source: "stall-9", Target: w.target.ID}
 		}, `no controller "stall-9"`, false, ""},
-		{"to its owner", nil, func(w transferRequestWorld) requests.TransferRequest {
+		{"to the owner of the shard", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Shard: w.shard, Target: w.source.ID}
 		}, "already", false, ""},
 		{"from a controller to itself", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Source: w.source.ID, Target: w.source.ID}
 		}, "the same", false, ""},
-		{"a shard in transfer", func(w transferRequestWorld) {
-			w.requestTransfer(t, w.target, w.byName("first"))
+		{"a shard that is in transfer", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.newShardTransferRequest("first"))
 		}, func(w transferRequestWorld) requests.TransferRequest {
-			return w.byName("m")
+			return w.newShardTransferRequest("m")
 		}, `move "first"`, true, ""},
 		{"to a controller of the version in production", func(w transferRequestWorld) {
 			w.target.replaceVersion(true)
@@ -113,186 +116,188 @@
 		}, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Source: w.source.ID, Target: w.target.ID}
 		}, "take no part", false, ""},
-		{"the store is away", func(w transferRequestWorld) {
+		{"the store is unavailable", func(w transferRequestWorld) {
 			w.Store.Unavailable = true
 			w.Advance(10 * time.Second)
 		}, func(w transferRequestWorld) requests.TransferRequest {
-			return w.byName("m")
+			return w.newShardTransferRequest("m")
 		}, "state service", true, ""},
-		{"the store fails as the request arrives", func(w transferRequestWorld) {
+		{"the store becomes unavailable when the request arrives", func(w transferRequestWorld) {
 			w.Store.Unavailable = true
 		}, func(w transferRequestWorld) requests.TransferRequest {
-			return w.byName("m")
+			return w.newShardTransferRequest("m")
 		}, "again under the same name", true, ""},
-		{"the same name again", func(w transferRequestWorld) {
-			w.requestTransfer(t, w.target, w.byName("m"))
+		{"a repeated request of the same name", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.newShardTransferRequest("m"))
 			w.Advance(20 * time.Second)
 		}, func(w transferRequestWorld) requests.TransferRequest {
-			return w.byName("m")
+			return w.newShardTransferRequest("m")
 		}, "", false, storage.TransferClosed},
 		{"abort of an unknown transfer", nil, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Abort: true}
 		}, `no move "m"`, false, ""},
-		{"abort in time", func(w transferRequestWorld) {
-			w.requestTransfer(t, w.target, w.byName("m"))
+		{"abort of a pending transfer", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.newShardTransferRequest("m"))
 		}, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Abort: true}
 		}, "", false, storage.TransferAborted},
-		{"abort too late", func(w transferRequestWorld) {
-			w.requestTransfer(t, w.target, w.byName("m"))
+		{"abort of a closed transfer", func(w transferRequestWorld) {
+			w.requestTransfer(t, w.target, w.newShardTransferRequest("m"))
 			w.Advance(20 * time.Second)
 		}, func(w transferRequestWorld) requests.TransferRequest {
 			return requests.TransferRequest{Name: "m", Abort: true}
 		}, "closed already", false, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			w := newTransferRequestWorld(t)
-			if c.prepare != nil {
-				c.prepare(w)
+			if test.prepare != nil {
+				test.prepare(w)
 			}
 			receiver := w.target
 			if receiver.RunsProductionVersion {
 				receiver = w.source
 			}
-			writes := w.History.TransferWrites
-			reply := w.requestTransfer(t, receiver, c.request(w))
-			var refused *requests.RequestError
+			writesBefore := w.History.TransferWrites
+			reply := w.requestTransfer(t, receiver, test.newRequest(w))
+			var refusal *requests.RequestError
 			switch {
-			case c.refused == "" && (reply.Err != nil || reply.Transfer.Phase != c.phase && !reply.Transfer.Phase.CanFollow(c.phase)):
-				t.Errorf("%v, %+v", reply.Err, reply.Transfer)
-			case c.refused != "" && (!errors.As(reply.Err, &refused) || !strings.Contains(refused.Reason, c.refused) || refused.Transient != c.transient):
-				t.Errorf("%v, want %q, transient %v", reply.Err, c.refused, c.transient)
-			case c.refused != "" && !c.transient && w.History.TransferWrites != writes:
-				t.Errorf("refused, and something is on record")
+			case test.refusalReason == "" && (reply.Err != nil || reply.Transfer.Phase != test.wantPhase && !reply.Transfer.Phase.CanFollow(test.wantPhase)):
+				t.Errorf("reply with error %v and transfer %+v, want no error and the expected phase or the next one", reply.Err, reply.Transfer)
+			case test.refusalReason != "" && (!errors.As(reply.Err, &refusal) || !strings.Contains(refusal.Reason, test.refusalReason) || refusal.Transient != test.isTransient):
+				t.Errorf("reply with error %v, want a refusal with reason %q and transient %v", reply.Err, test.refusalReason, test.isTransient)
+			case test.refusalReason != "" && !test.isTransient && w.History.TransferWrites != writesBefore:
+				t.Errorf("a transfer record was written for a refused request")
 			}
 			w.Store.Unavailable = false
 			w.Advance(40 * time.Second)
 			if open := w.History.OpenTransfers(); len(open) > 0 || len(w.Rules.Violations) > 0 {
-				t.Errorf("open %v, broken %v", open, w.Rules.Violations)
+				t.Errorf("open transfers %v and rule violations %v at the end, want none", open, w.Rules.Violations)
 			}
 		})
 	}
 }
 
-// A drained controller hands off all its shards while jobs run and gets none, also in its next
-// incarnation; then it takes part again. The last one cannot be drained.
+// A drained controller transfers all its shards to other controllers while jobs run and gets none, also
+// in its next incarnation. It gets shards again after the end of the drain. The last controller that is
+// not drained cannot be drained.
 func TestDrainController(t *testing.T) {
 	w := newTransferWorld(t, 12)
-	ids := submitMixedJobs(w, 20)
-	drain := func(at, target *Controller, on bool) requests.DrainReply {
-		return sendOperatorRequest(t, w, at, func(id step.RequestID) step.Input {
-			return requests.DrainRequest{RequestID: id, Controller: target.ID, Drain: on}
+	jobIDs := submitMixedJobs(w, 20)
+	requestDrain := func(receiver, target *Controller, isDraining bool) requests.DrainReply {
+		return sendOperatorRequest(t, w, receiver, func(id step.RequestID) step.Input {
+			return requests.DrainRequest{RequestID: id, Controller: target.ID, Drain: isDraining}
 		}).(requests.DrainReply)
 	}
 	w.Advance(12 * time.Second)
-	a, b, c := w.Controllers[0], w.Controllers[1], w.Controllers[2]
-	for range 2 { // a repeated request does nothing more
-		if r := drain(b, a, true); r.Err != nil || !r.Status.Draining {
-			t.Fatalf("%+v", r)
+	first, second, third := w.Controllers[0], w.Controllers[1], w.Controllers[2]
+	for range 2 { // the repeated request has no further effect
+		if reply := requestDrain(second, first, true); reply.Err != nil || !reply.Status.Draining {
+			t.Fatalf("drain of the first controller: reply %+v, want it draining and no error", reply)
 		}
 	}
 	w.Advance(30 * time.Second)
-	if left := w.OwnedMachineCount(a); left > 0 {
-		t.Errorf("%d machines are left", left)
+	if left := w.OwnedMachineCount(first); left > 0 {
+		t.Errorf("the drained controller owns %d machines, want 0", left)
 	}
-	a.restartIfAlive(time.Second)
+	first.restartIfAlive(time.Second)
 	w.Advance(30 * time.Second)
-	if left := w.OwnedMachineCount(a); left > 0 {
-		t.Errorf("%d machines were given to the next incarnation", left)
+	if left := w.OwnedMachineCount(first); left > 0 {
+		t.Errorf("the next incarnation of the drained controller owns %d machines, want 0", left)
 	}
-	if r := drain(b, b, true); r.Err != nil {
-		t.Errorf("%+v", r)
+	if reply := requestDrain(second, second, true); reply.Err != nil {
+		t.Errorf("drain of the second controller: reply %+v, want no error", reply)
 	}
-	if r := drain(b, c, true); r.Err == nil || !strings.Contains(r.Err.Error(), "no other controller") {
-		t.Errorf("drain of the last controller: %+v", r)
+	if reply := requestDrain(second, third, true); reply.Err == nil || !strings.Contains(reply.Err.Error(), "no other controller") {
+		t.Errorf("drain of the last controller: reply %+v, want a refusal because there is no other controller", reply)
 	}
-	if r := drain(b, &Controller{ID: "stall-9"}, true); r.Err == nil || !strings.Contains(r.Err.Error(), "stall-9") {
-		t.Errorf("drain of an unknown controller: %+v", r)
+	if reply := requestDrain(second, &Controller{ID: "stall-9"}, true); reply.Err == nil || !strings.Contains(reply.Err.Error(), "stall-9") {
+		t.Errorf("drain of an unknown controller: reply %+v, want a refusal that names the controller", reply)
 	}
 	w.Advance(20 * time.Second)
-	if w.OwnedMachineCount(a)+w.OwnedMachineCount(b) > 0 || w.OwnedMachineCount(c) == 0 {
-		t.Errorf("the controllers own %d, %d and %d machines", w.OwnedMachineCount(a), w.OwnedMachineCount(b), w.OwnedMachineCount(c))
+	if w.OwnedMachineCount(first)+w.OwnedMachineCount(second) > 0 || w.OwnedMachineCount(third) == 0 {
+		t.Errorf("the controllers own %d, %d and %d machines, want all machines owned by the third", w.OwnedMachineCount(first), w.OwnedMachineCount(second), w.OwnedMachineCount(third))
 	}
-	for _, controller := range []*Controller{a, b} {
-		if r := drain(c, controller, false); r.Err != nil || r.Status.Draining {
-			t.Errorf("%+v", r)
+	for _, controller := range []*Controller{first, second} {
+		if reply := requestDrain(third, controller, false); reply.Err != nil || reply.Status.Draining {
+			t.Errorf("end of a drain: reply %+v, want the controller not draining and no error", reply)
 		}
 	}
 	w.Advance(100 * time.Second)
 	w.Rules.CheckFinal(w.Now)
-	if len(w.shardsOf(a))+len(w.shardsOf(b)) == 0 {
-		t.Errorf("no shard has come back")
+	if len(w.shardsOf(first))+len(w.shardsOf(second)) == 0 {
+		t.Errorf("the first and the second controller own no shard after their drains have ended")
 	}
-	checkTransfers(t, w, 12, ids, 3)
+	checkTransfers(t, w, 12, jobIDs, 3)
 }
 
-// A controller that comes back late gets shards by transfers on record, without a request, until
-// all own about as many; then nothing is transferred any more.
+// A controller that starts later than the others gets shards by recorded transfers, without a request,
+// until all controllers own about the same number. No shard is transferred after that.
 func TestRebalancingConverges(t *testing.T) {
 	w := newTransferWorld(t, 9)
-	w.restartWithConfig(func(config *step.Config) { config.ValueBytes = 1024 }) // few machines in a shard
+	w.restartWithConfig(func(config *step.Config) { config.ValueBytes = 1024 }) // so that few machines fit into a shard
 	w.Controllers[0].Kill()
 	w.Advance(20 * time.Second)
 	w.Controllers[0].Start()
 	w.Advance(60 * time.Second)
-	transferred := w.History.ShardsTransferred
-	least, most := 1000, 0
+	transferredShards := w.History.ShardsTransferred
+	minOwned, maxOwned := 1000, 0
 	for _, controller := range w.Controllers {
-		least, most = min(least, len(w.shardsOf(controller))), max(most, len(w.shardsOf(controller)))
+		minOwned, maxOwned = min(minOwned, len(w.shardsOf(controller))), max(maxOwned, len(w.shardsOf(controller)))
 	}
-	if transferred == 0 || most-least > 2 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d shards transferred, controllers own %d to %d, broken %v", transferred, least, most, w.Rules.Violations)
+	if transferredShards == 0 || maxOwned-minOwned > 2 || len(w.Rules.Violations) > 0 {
+		t.Errorf("%d shards were transferred, want some; controllers own %d to %d shards, want at most 2 apart; rule violations %v", transferredShards, minOwned, maxOwned, w.Rules.Violations)
 	}
 	w.Advance(60 * time.Second)
-	if w.History.ShardsTransferred != transferred {
-		t.Errorf("%d shards transferred after that", w.History.ShardsTransferred-transferred)
+	if w.History.ShardsTransferred != transferredShards {
+		t.Errorf("%d shards were transferred after the shards were balanced, want 0", w.History.ShardsTransferred-transferredShards)
 	}
 }
 
-// Between the preparation and the commit of a transfer no start is sent to the shard's machines,
-// and each agent has sent a heartbeat after the last one: the target finds none in flight.
+// Between the preparation and the commit of a transfer, no start command is sent to the shard's
+// machines. Each agent has sent a heartbeat since it accepted its last start command, so that no start
+// command is in flight when the target becomes the owner.
 func TestNoStartsInFlightAtTransfer(t *testing.T) {
-	const inFlightAllowance = 500 * time.Millisecond // for starts that were sent before the write was known
+	const inFlightAllowance = 500 * time.Millisecond // for starts that were sent before the source knew of the write
 	w := newTransferWorld(t, 6)
-	n := 0
+	submittedJobs := 0
 	w.Every(300*time.Millisecond, func() {
-		n++
-		w.Submit(newArray(protocol.JobID(fmt.Sprintf("j-%06d", n)), "l", "standard", 8, 1, 2))
+		submittedJobs++
+		w.Submit(newArray(protocol.JobID(fmt.Sprintf("j-%06d", submittedJobs)), "l", "standard", 8, 1, 2))
 	})
 	w.requestRandomTransfers(700*time.Millisecond, 60*time.Second)
-	prepared := map[string]time.Duration{}
-	w.onTransferPhase(storage.TransferPrepared, func(r storage.TransferRecord) { prepared[r.Name] = w.Now })
-	checked := 0
-	w.onTransferPhase(storage.TransferCommitted, func(r storage.TransferRecord) {
-		for _, id := range w.shardMachines(r.Shard) {
-			m := w.Machines[id]
-			if m == nil || m.Terminated || m.lastStartAt == 0 {
+	preparedAt := map[string]time.Duration{}
+	w.onTransferPhase(storage.TransferPrepared, func(record storage.TransferRecord) { preparedAt[record.Name] = w.Now })
+	checkedMachines := 0
+	w.onTransferPhase(storage.TransferCommitted, func(record storage.TransferRecord) {
+		for _, id := range w.shardMachines(record.Shard) {
+			machine := w.Machines[id]
+			if machine == nil || machine.Terminated || machine.lastStartAt == 0 {
 				continue
 			}
-			checked++
-			if m.lastStartAt > prepared[r.Name]+inFlightAllowance {
-				t.Errorf("%s: %s accepted a start %v after the preparation", r.Name, id, m.lastStartAt-prepared[r.Name])
+			checkedMachines++
+			if machine.lastStartAt > preparedAt[record.Name]+inFlightAllowance {
+				t.Errorf("transfer %s: machine %s accepted a start command %v after the preparation, want none by then", record.Name, id, machine.lastStartAt-preparedAt[record.Name])
 			}
-			if m.heartbeatSentAt < m.lastStartAt {
-				t.Errorf("%s: %s has sent no heartbeat since it accepted a start at %v, now %v", r.Name, id, m.lastStartAt, w.Now)
+			if machine.heartbeatSentAt < machine.lastStartAt {
+				t.Errorf("transfer %s: machine %s has sent no heartbeat since it accepted a start command at %v, want one by now, %v", record.Name, id, machine.lastStartAt, w.Now)
 			}
 		}
 	})
 	w.Advance(70 * time.Second)
-	if checked < 100 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d machines checked, broken %v", checked, w.Rules.Violations)
+	if checkedMachines < 100 || len(w.Rules.Violations) > 0 {
+		t.Errorf("%d machines were checked, want at least 100; rule violations %v", checkedMachines, w.Rules.Violations)
 	}
 }
 
-// While a shard is quiesced it gets no task and running ones go on under their attempts; it gets
+// A quiesced shard gets no new task, and its running tasks continue under their attempts. The shard gets
 // tasks again after the transfer.
 func TestShardQuiesces(t *testing.T) {
 	w := newTransferWorld(t, 4)
 	w.restartWithConfig(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
-	long := newArray("j-900001", "l", "standard", 20, 2, 60)
-	w.After(8*time.Second, func() { w.Submit(long) })
+	longJob := newArray("j-900001", "l", "standard", 20, 2, 60)
+	w.After(8*time.Second, func() { w.Submit(longJob) })
 	w.Advance(20 * time.Second)
-	started := w.StartCommandCount
+	startsBefore := w.StartCommandCount
 	var preparedAt, committedAt time.Duration
 	w.onTransferPhase(storage.TransferPrepared, func(storage.TransferRecord) { preparedAt = w.Now })
 	w.onTransferPhase(storage.TransferCommitted, func(storage.TransferRecord) { committedAt = w.Now })
@@ -303,14 +308,14 @@
 	}
 	w.Advance(20 * time.Second)
 	if preparedAt == 0 || committedAt <= preparedAt || committedAt-preparedAt > 6*time.Second {
-		t.Errorf("prepared at %v, committed at %v", preparedAt, committedAt)
+		t.Errorf("last transfer prepared at %v and committed at %v, want a commit at most 6 s after the preparation", preparedAt, committedAt)
 	}
-	if w.StartCommandCount != started || w.Rules.TasksStarted != 20 {
-		t.Errorf("%d starts, %d before the transfers; %d of 20 tasks started", w.StartCommandCount, started, w.Rules.TasksStarted)
+	if w.StartCommandCount != startsBefore || w.Rules.TasksStarted != 20 {
+		t.Errorf("%d start commands, want the same as the %d before the transfers; %d of 20 tasks started, want all", w.StartCommandCount, startsBefore, w.Rules.TasksStarted)
 	}
 	w.Advance(120 * time.Second)
 	w.Rules.CheckFinal(w.Now)
-	if !w.FinishedJobs[long.ID] || w.StartCommandCount != started || len(w.Rules.Violations) > 0 {
-		t.Errorf("done %v, %d starts for %d, broken %v", w.FinishedJobs[long.ID], w.StartCommandCount, started, w.Rules.Violations)
+	if !w.FinishedJobs[longJob.ID] || w.StartCommandCount != startsBefore || len(w.Rules.Violations) > 0 {
+		t.Errorf("job finished %v, want true; %d start commands, want %d; rule violations %v", w.FinishedJobs[longJob.ID], w.StartCommandCount, startsBefore, w.Rules.Violations)
 	}
 }
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -12,11 +12,12 @@
 	"tillerarch/internal/storage"
 )
 
-// tightenedLimits are the limits that the store has from some moment after the upgrade.
+// tightenedLimits holds the limits that the store announces before the upgrade. The store enforces them
+// from some moment after the upgrade.
 var tightenedLimits = step.WriteLimits{WritesPerSecond: 18, TransactionOps: 4, ValueBytes: 2048}
 
-// newUpgradeWorld is a deployment in which the version in production runs, with records
-// larger than the announced limits allow.
+// newUpgradeWorld returns a deployment whose controllers run the version in production and whose
+// records are larger than the announced limits allow.
 func newUpgradeWorld(t *testing.T, seed uint64) *World {
 	w := newMixedWorld(t, seed)
 	w.addSmallMachines(100, testZones...)
@@ -29,48 +30,48 @@
 	return w
 }
 
-// tightenLimits makes the announced limits those of the store.
+// tightenLimits lets the store enforce the announced limits.
 func (w *World) tightenLimits() {
 	w.Store.MaxValueBytes = tightenedLimits.ValueBytes
 	w.Store.MaxTransactionOperations = tightenedLimits.TransactionOps
 	w.Store.WriteRate = tightenedLimits.WritesPerSecond
 }
 
-// largestRecord is the size of the largest value in the store.
-func (w *World) largestRecord() (size int) {
+// largestRecordBytes returns the size of the largest value in the store, in bytes.
+func (w *World) largestRecordBytes() (size int) {
 	for _, entry := range w.Store.List(storage.KeyPrefix) {
 		size = max(size, len(entry.Value))
 	}
 	return size
 }
 
-// The version in production is replaced while it serves, and the store lowers its limits at
-// some moment after that. No rule is broken, a controller of the old version can read all that
-// it is given, and nothing that is too large is written for long.
+// The version in production is replaced while it serves, and the store lowers its limits at some moment
+// after that. No rule is violated, a controller of the old version can read all records that it gets,
+// and soon after the change no transaction is too large for the new limits.
 func TestUpgradesUnderFaults(t *testing.T) {
-	for _, c := range []struct {
-		name      string
-		tightenAt float64 // seconds
-		lossRate  float64
-		inject    func(w *World)
+	for _, test := range []struct {
+		name            string
+		tightenAt       float64 // in seconds
+		messageLossRate float64
+		inject          func(w *World)
 	}{
-		{"one after the other", 60, 0, upgradeInTurn},
-		{"all at once, and the limits hold as soon as they are back", 24, 0, upgradeAllAtOnce},
+		{"controllers are upgraded one after the other", 60, 0, upgradeInTurn},
+		{"controllers are upgraded all at once, and the limits tighten as soon as they are back", 24, 0, upgradeAllAtOnce},
 		{"a lossy network", 60, 0.03, upgradeInTurn},
-		{"one crashes before its turn and comes back old", 60, 0, upgradeWithCrashBefore},
+		{"a controller crashes before its upgrade and restarts with the old version", 60, 0, upgradeAfterCrash},
 		{"the upgrade stops half-way for a minute", 110, 0, upgradeStopsHalfWay},
-		{"all fail as the limits tighten", 52, 0, upgradeAndAllFail},
-		{"an outage during the upgrade, and the limits tighten in the next", 64, 0.01, upgradeWithOutages},
-		{"a leader is refused, and jobs are cancelled meanwhile", 60, 0, upgradeWithRefusedLeaders},
-		{"machines die and hang, preemptions, everything at once", 55, 0.02, upgradeWithEverything},
+		{"all controllers fail when the limits tighten", 52, 0, upgradeAndAllControllersFail},
+		{"a store outage during the upgrade, and the limits tighten during the next outage", 64, 0.01, upgradeWithOutages},
+		{"the store refuses one controller after another, and jobs are cancelled meanwhile", 60, 0, upgradeWithRefusedControllers},
+		{"machines are terminated or hang, heartbeats are duplicated, a store outage and a restart", 55, 0.02, upgradeWithManyFaults},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seedCount(); seed++ {
 				w := newUpgradeWorld(t, seed)
-				w.MessageLossRate = c.lossRate
-				c.inject(w)
-				runUpgrade(t, w, seed, c.tightenAt)
+				w.MessageLossRate = test.messageLossRate
+				test.inject(w)
+				runUpgrade(t, w, seed, test.tightenAt)
 			}
 		})
 	}
@@ -88,7 +89,7 @@
 	}
 }
 
-func upgradeWithCrashBefore(w *World) {
+func upgradeAfterCrash(w *World) {
 	w.Controllers[2].ScheduleRestart(seconds(24), seconds(2))
 	upgradeInTurn(w)
 }
@@ -100,7 +101,7 @@
 	w.Controllers[2].Upgrade(seconds(85), seconds(3))
 }
 
-func upgradeAndAllFail(w *World) {
+func upgradeAndAllControllersFail(w *World) {
 	upgradeInTurn(w)
 	for i, controller := range w.Controllers {
 		controller.ScheduleRestart(seconds(51.5+0.3*float64(i)), seconds(1+i))
@@ -113,7 +114,7 @@
 	w.scheduleStoreOutage(60, 9)
 }
 
-func upgradeWithRefusedLeaders(w *World) {
+func upgradeWithRefusedControllers(w *World) {
 	upgradeInTurn(w)
 	w.setFlagsBetween(seconds(26), seconds(46), &w.Controllers[0].RefusedByStore)
 	w.setFlagsBetween(seconds(70), seconds(90), &w.Controllers[1].RefusedByStore)
@@ -122,7 +123,7 @@
 	}
 }
 
-func upgradeWithEverything(w *World) {
+func upgradeWithManyFaults(w *World) {
 	upgradeInTurn(w)
 	w.DuplicateHeartbeatRate = 0.1
 	for i := range 10 {
@@ -134,72 +135,73 @@
 	w.Controllers[0].ScheduleRestart(seconds(66), seconds(0.3))
 }
 
-// runUpgrade plays the day of an upgrade: jobs of all kinds before the limits tighten and
-// while they do, services after that.
+// runUpgrade runs a world during and after an upgrade and checks the result. Jobs of all kinds are
+// submitted before and while the limits tighten, and services after that.
 func runUpgrade(t *testing.T, w *World, seed uint64, tightenAt float64) {
 	t.Helper()
-	ids := submitMixedJobs(w, 30)
-	big := newArray("j-700000", "l", "standard", 900, 1, 5)
-	w.After(seconds(2), func() { w.Submit(big) })
-	ids = append(ids, big.ID)
+	jobIDs := submitMixedJobs(w, 30)
+	largeArray := newArray("j-700000", "l", "standard", 900, 1, 5)
+	w.After(seconds(2), func() { w.Submit(largeArray) })
+	jobIDs = append(jobIDs, largeArray.ID)
 	w.After(seconds(tightenAt), w.tightenLimits)
-	var services []protocol.JobID
+	var serviceIDs []protocol.JobID
 	for i := range 6 {
 		job := newService(protocol.JobID(fmt.Sprintf("j-8%05d", i)), 2+i%4)
 		job.SpreadZones = i%2 == 0
 		w.After(seconds(tightenAt+2+2*float64(i)), func() { w.Submit(job) })
-		services = append(services, job.ID)
+		serviceIDs = append(serviceIDs, job.ID)
 	}
 	w.Advance(seconds(130))
 	w.MessageLossRate, w.DuplicateHeartbeatRate = 0, 0
 	w.Rules.FaultsEndedAt = w.Now
-	rejected := w.Store.TooLargeTransactions
+	tooLargeBefore := w.Store.TooLargeTransactions
 	w.Advance(seconds(140))
 	w.Rules.CheckFinal(w.Now)
-	checkUpgrade(t, w, seed, rejected)
-	for _, id := range ids {
+	checkUpgrade(t, w, seed, tooLargeBefore)
+	for _, id := range jobIDs {
 		if !w.FinishedJobs[id] {
-			t.Errorf("seed %d: %s has not ended", seed, id)
+			t.Errorf("seed %d: job %s has not ended", seed, id)
 		}
 	}
-	for _, id := range services {
+	for _, id := range serviceIDs {
 		if job := w.Jobs[id]; !w.Rules.job(id).cancelRequested && w.Rules.runningReplicas(id, job) != job.TaskCount {
-			t.Errorf("seed %d: %d of %d replicas of %s are up", seed, w.Rules.runningReplicas(id, job), job.TaskCount, id)
+			t.Errorf("seed %d: %d of %d replicas of service %s run, want all", seed, w.Rules.runningReplicas(id, job), job.TaskCount, id)
 		}
 	}
 }
 
-// checkUpgrade checks what must hold at the end of each upgrade.
-func checkUpgrade(t *testing.T, w *World, seed uint64, rejected int) {
+// checkUpgrade checks the conditions that hold at the end of each upgrade. tooLargeBefore is the number
+// of transactions that the store refused as too large before the faults ended.
+func checkUpgrade(t *testing.T, w *World, seed uint64, tooLargeBefore int) {
 	t.Helper()
-	const maxRejected = 12 // as the limits tighten
+	const maxTooLarge = 12 // while the limits tighten
 	checkRules(t, w, seed)
-	if w.Store.TooLargeTransactions > rejected {
-		t.Errorf("seed %d: %d transactions too large in calm times", seed, w.Store.TooLargeTransactions-rejected)
+	if w.Store.TooLargeTransactions > tooLargeBefore {
+		t.Errorf("seed %d: %d transactions were too large after the faults had ended, want 0", seed, w.Store.TooLargeTransactions-tooLargeBefore)
 	}
-	if rejected > maxRejected {
-		t.Errorf("seed %d: %d transactions too large", seed, rejected)
+	if tooLargeBefore > maxTooLarge {
+		t.Errorf("seed %d: %d transactions were too large while the limits tightened, want at most 12", seed, tooLargeBefore)
 	}
-	if size := w.largestRecord(); size > tightenedLimits.ValueBytes {
-		t.Errorf("seed %d: a record of %d bytes is left", seed, size)
+	if size := w.largestRecordBytes(); size > tightenedLimits.ValueBytes {
+		t.Errorf("seed %d: a record of %d bytes is left, want all records within the tightened limit", seed, size)
 	}
-	if _, raised := w.Store.entries[storage.FormatKey]; !raised {
-		t.Errorf("seed %d: the format was not raised", seed)
+	if _, isRaised := w.Store.entries[storage.FormatKey]; !isRaised {
+		t.Errorf("seed %d: the store has no format record, want the format raised", seed)
 	}
 }
 
-// While one controller of the version in production may come back, nothing is written
-// that it could not read, however long that lasts.
+// No record that the version in production could not read is written while a controller of that version
+// may come back, however long this lasts. The test keeps such a controller down for a minute.
 func TestFormatUpgradeWaitsForAllControllers(t *testing.T) {
 	w := newUpgradeWorld(t, 3)
 	submitMixedJobs(w, 30)
 	w.Controllers[0].Upgrade(seconds(20), seconds(2))
 	w.Controllers[1].Upgrade(seconds(26), seconds(2))
-	w.After(seconds(40), w.Controllers[2].Kill) // before its turn, and for as long as it likes
+	w.After(seconds(40), w.Controllers[2].Kill) // before its upgrade, without a scheduled restart
 	w.Advance(seconds(100))
 	for _, entry := range w.Store.List(storage.KeyPrefix) {
 		if err := checkProductionFormat(entry.Key, entry.Value); err != nil || entry.Key == storage.FormatKey {
-			t.Errorf("%s is written while a controller may come back old: %v", entry.Key, err)
+			t.Errorf("record %s, which the version in production cannot read, is written while a controller of that version may come back: %v", entry.Key, err)
 		}
 	}
 	w.Controllers[2].Start()
@@ -207,19 +209,19 @@
 	w.Controllers[2].Upgrade(seconds(1), seconds(1))
 	w.After(seconds(8), func() { w.Submit(newArray("j-700001", "l", "standard", 200, 1, 5)) })
 	w.Advance(seconds(20))
-	packed := 0
+	packedShards := 0
 	for _, key := range slices.Sorted(maps.Keys(w.Store.entries)) {
 		if strings.HasPrefix(key, storage.ShardKey("")) && checkProductionFormat(key, w.Store.entries[key].data) != nil {
-			packed++
+			packedShards++
 		}
 	}
-	if w.Store.entries[storage.FormatKey].data == nil || packed == 0 || len(w.Rules.Violations) > 0 {
-		t.Errorf("%d shards are packed, broken: %v", packed, w.Rules.Violations)
+	if w.Store.entries[storage.FormatKey].data == nil || packedShards == 0 || len(w.Rules.Violations) > 0 {
+		t.Errorf("%d shards are packed, want some and a raised format; rule violations %v", packedShards, w.Rules.Violations)
 	}
 }
 
-// Records that nothing asks to change are re-encoded too: a shard that is too large for the new
-// limits could not be taken over in one transaction later.
+// Records that no other change causes to be written are re-encoded too, because a shard that is too
+// large for the new limits could not be taken over in one transaction later.
 func TestIdleRecordsAreReencoded(t *testing.T) {
 	w := newUpgradeWorld(t, 5)
 	w.Config.IdleTimeoutFactor = 1000
@@ -229,9 +231,9 @@
 		controller.Upgrade(seconds(30+6*float64(i)), seconds(2))
 	}
 	w.Advance(seconds(28))
-	before := w.largestRecord()
+	bytesBefore := w.largestRecordBytes()
 	w.Advance(seconds(32))
-	if after := w.largestRecord(); before <= tightenedLimits.ValueBytes || after > tightenedLimits.ValueBytes || len(w.Rules.Violations) > 0 {
-		t.Errorf("the largest record takes %d bytes, %d before; broken %v", after, before, w.Rules.Violations)
+	if bytesAfter := w.largestRecordBytes(); bytesBefore <= tightenedLimits.ValueBytes || bytesAfter > tightenedLimits.ValueBytes || len(w.Rules.Violations) > 0 {
+		t.Errorf("the largest record has %d bytes, want it within the tightened limit; it had %d bytes before, want more than the limit; rule violations %v", bytesAfter, bytesBefore, w.Rules.Violations)
 	}
 }
