--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -27,10 +27,10 @@
 
 // Instances returns the cloud's list of instances, ordered by id.
 func (w *World) Instances() (instances []protocol.Instance) {
-	for id, m := range w.Machines {
-		if !m.Terminated {
+	for id, machine := range w.Machines {
+		if !machine.Terminated {
 			instances = append(instances, protocol.Instance{
-				ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: "running", AgeSeconds: 60,
+				ID: id, Addr: machine.Addr, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, State: "running", AgeSeconds: 60,
 			})
 		}
 	}
@@ -42,7 +42,7 @@
 func (w *World) AddMachine(machineType protocol.MachineTypeName, zone protocol.Zone, spot bool, bootTime time.Duration) protocol.MachineID {
 	w.nextMachineID++
 	id := protocol.MachineID(fmt.Sprintf("m-%06d", w.nextMachineID))
-	m := &Machine{
+	machine := &Machine{
 		world:           w,
 		ID:              id,
 		Addr:            "10.1.0.1:1",
@@ -55,13 +55,13 @@
 		controllerIndex: w.Rand.IntN(len(w.Controllers)),
 		leaseRenewedAt:  w.Now + bootTime,
 	}
-	w.Machines[id] = m
+	w.Machines[id] = machine
 	if w.OnProvision != nil {
-		w.OnProvision(m)
+		w.OnProvision(machine)
 	}
 	w.After(bootTime, func() {
-		m.nextHeartbeatAt = w.Now
-		m.stepUntilTerminated()
+		machine.nextHeartbeatAt = w.Now
+		machine.stepUntilTerminated()
 	})
 	return id
 }
--- a/internal/simulation/compatibility.go
+++ b/internal/simulation/compatibility.go
@@ -64,7 +64,7 @@
 			return err
 		}
 		if !isIntervalList(job.CompletedTasks) || job.State == "" && len(job.Spec) == 0 {
-			return fmt.Errorf("job %s", data)
+			return fmt.Errorf("no valid task intervals, or neither a state nor a description, in job %s", data)
 		}
 	}
 	return nil
@@ -75,12 +75,12 @@
 	const machineFields = 7
 	for _, line := range s.Machines {
 		if len(strings.Split(line, " ")) < machineFields {
-			return fmt.Errorf("machine %q", line)
+			return fmt.Errorf("too few fields in machine %q", line)
 		}
 	}
 	for _, intervals := range s.CompletedTasks {
 		if !isIntervalList(intervals) {
-			return fmt.Errorf("completed tasks %q", intervals)
+			return fmt.Errorf("no valid intervals in completed tasks %q", intervals)
 		}
 	}
 	return nil
@@ -116,7 +116,7 @@
 		return true
 	}
 	if err := checkProductionFormat(key, data); err != nil {
-		c.world.Rules.recordViolation("unreadable", "%s for %s running the production version: %v", key, c.ID, err)
+		c.world.Rules.recordViolation("unreadable", "record %s is unreadable for %s, which runs the production version: %v", key, c.ID, err)
 		return false
 	}
 	isUnknownInProduction := key == storage.FormatKey || strings.HasPrefix(key, storage.TransferKey("")) || strings.HasPrefix(key, storage.DrainKey(""))
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -39,7 +39,7 @@
 	case step.SendPeerStatus:
 		c.sendPeerStatus(v)
 	case step.Commit:
-		c.commit(v)
+		c.commitTransaction(v)
 	case step.LoadRecords:
 		c.loadRecords()
 	case step.Watch:
@@ -99,7 +99,7 @@
 	}
 }
 
-func (c *Controller) commit(effect step.Commit) {
+func (c *Controller) commitTransaction(effect step.Commit) {
 	execute := func() step.Input {
 		status, result := c.world.Store.Commit(c.transactionForVersion(effect.Transaction))
 		return step.CommitResult{ID: effect.ID, Outcome: commitOutcome(status, result), Result: result}
@@ -126,7 +126,7 @@
 	case status == http.StatusBadRequest:
 		return storage.OutcomeLeaseExpired
 	}
-	panic(fmt.Sprintf("simulation: the store replies %d", status))
+	panic(fmt.Sprintf("simulation: unexpected status %d from the store", status))
 }
 
 // callStoreWithoutCommit sends a request to the store that commits no transaction: a read, or
@@ -203,11 +203,11 @@
 
 func (c *Controller) probeAgent(effect step.ProbeAgent) {
 	c.callService(c.AgentsUnreachable, agentTimeout, func() step.Input {
-		m := c.reachableMachine(effect.Machine)
-		if m == nil || m.Partitioned || m.hung {
+		machine := c.reachableMachine(effect.Machine)
+		if machine == nil || machine.Partitioned || machine.hung {
 			return nil
 		}
-		heartbeat, err := protocol.ParseHeartbeat(m.nextHeartbeat())
+		heartbeat, err := protocol.ParseHeartbeat(machine.nextHeartbeat())
 		return step.AgentResult{Machine: effect.Machine, Heartbeat: heartbeat, Err: err}
 	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
@@ -221,16 +221,16 @@
 		return
 	}
 	c.callService(c.AgentsUnreachable, agentTimeout, func() step.Input {
-		m := c.reachableMachine(effect.Machine)
-		if m == nil {
+		machine := c.reachableMachine(effect.Machine)
+		if machine == nil {
 			return nil
 		}
-		if m.hung {
-			m.deferredCommands = append(m.deferredCommands, func() { m.ExecuteCommands(effect.Commands) })
+		if machine.hung {
+			machine.deferredCommands = append(machine.deferredCommands, func() { machine.ExecuteCommands(effect.Commands) })
 			return nil
 		}
-		_, body := m.ExecuteCommands(effect.Commands)
-		if m.Partitioned {
+		_, body := machine.ExecuteCommands(effect.Commands)
+		if machine.Partitioned {
 			return nil
 		}
 		heartbeat, err := protocol.ParseHeartbeat(body)
@@ -243,19 +243,19 @@
 func (c *Controller) delayCommands(effect step.SendCommands) {
 	w := c.world
 	c.executeWithoutReply(time.Duration(2000+w.Rand.IntN(14000))*time.Millisecond, agentTimeout, func() {
-		if m := w.Machines[effect.Machine]; m != nil && !m.Terminated {
-			m.ExecuteCommands(effect.Commands)
+		if machine := w.Machines[effect.Machine]; machine != nil && !machine.Terminated {
+			machine.ExecuteCommands(effect.Commands)
 		}
 	}, step.AgentResult{Machine: effect.Machine, Err: errNoReply})
 }
 
 // reachableMachine returns a machine, or nil if the controller's calls do not reach it.
 func (c *Controller) reachableMachine(id protocol.MachineID) *Machine {
-	m := c.world.Machines[id]
-	if m == nil || c.world.isPartitioned(c, m) || m.Terminated || m.CommandsLost {
+	machine := c.world.Machines[id]
+	if machine == nil || c.world.isPartitioned(c, machine) || machine.Terminated || machine.CommandsLost {
 		return nil
 	}
-	return m
+	return machine
 }
 
 func (c *Controller) listMachineTypes() {
--- a/internal/simulation/event_queue.go
+++ b/internal/simulation/event_queue.go
@@ -9,7 +9,7 @@
 // which they were scheduled.
 type scheduledEvent struct {
 	at     time.Duration
-	seq    int
+	seq    int // number of the event in the order of scheduling
 	action func()
 }
 
@@ -31,8 +31,8 @@
 
 // After schedules an action to run once after a delay.
 func (w *World) After(delay time.Duration, action func()) {
-	w.seq++
-	heap.Push(&w.queue, scheduledEvent{at: w.Now + delay, seq: w.seq, action: action})
+	w.scheduledCount++
+	heap.Push(&w.queue, scheduledEvent{at: w.Now + delay, seq: w.scheduledCount, action: action})
 }
 
 // Every schedules an action to run at every interval. The first run is after one interval.
--- a/internal/simulation/free_capacity.go
+++ b/internal/simulation/free_capacity.go
@@ -36,17 +36,17 @@
 func (w *World) currentUsage() clusterUsage {
 	usage := clusterUsage{coresByTeam: map[string]float64{}, placedTasks: map[protocol.Task]bool{}}
 	for _, id := range slices.Sorted(maps.Keys(w.Machines)) {
-		m := w.Machines[id]
-		if m.Terminated || m.sequence == 0 {
+		machine := w.Machines[id]
+		if machine.Terminated || machine.sequence == 0 {
 			continue
 		}
-		free := freeCapacity{machine: m}
+		free := freeCapacity{machine: machine}
 		for i := range w.MachineTypes {
-			if w.MachineTypes[i].Name == m.Type {
+			if w.MachineTypes[i].Name == machine.Type {
 				free.cores, free.memoryGB = w.MachineTypes[i].Cores, w.MachineTypes[i].MemoryGB
 			}
 		}
-		for task, execution := range m.tasks {
+		for task, execution := range machine.tasks {
 			if execution.state == protocol.TaskExited {
 				continue
 			}
@@ -56,7 +56,7 @@
 			usage.coresByTeam[job.Team] += job.Cores
 			usage.placedTasks[task] = true
 		}
-		if m.preemptAt == 0 && !m.Faulty {
+		if machine.preemptAt == 0 && !machine.Faulty {
 			usage.freeCapacities = append(usage.freeCapacities, free)
 		}
 	}
@@ -78,22 +78,22 @@
 func (w *World) isPlaceable(job *protocol.Job, usage clusterUsage) bool {
 	const maxCountedTasks = 500
 	completed := w.Rules.job(job.ID).completedTasks
-	pending := 0
+	pendingCount := 0
 	for index := range min(job.TaskCount, maxCountedTasks) {
 		if !completed[index] && !usage.placedTasks[protocol.Task{Job: job.ID, Index: index}] {
-			pending++
+			pendingCount++
 		}
 	}
 	tasksNeeded := 1
 	if job.IsGang() {
-		tasksNeeded = pending
+		tasksNeeded = pendingCount
 	}
 	maxCores := w.Rules.QuotaLimits[job.Team]
-	withinQuota := maxCores == 0 || usage.coresByTeam[job.Team]+float64(tasksNeeded)*job.Cores <= maxCores+capacityTolerance
+	isWithinQuota := maxCores == 0 || usage.coresByTeam[job.Team]+float64(tasksNeeded)*job.Cores <= maxCores+capacityTolerance
 	tasksThatFit := 0
 	for _, free := range usage.freeCapacities {
 		tasksThatFit += free.tasksThatFit(job)
 	}
-	zonesAreSimple := (tasksNeeded == 1 || !job.SingleZone && !job.SpreadZones) && (!job.SpreadZones || job.TaskCount == 1)
-	return pending > 0 && withinQuota && tasksThatFit >= tasksNeeded && zonesAreSimple
+	hasNoJointZoneConstraint := (tasksNeeded == 1 || !job.SingleZone && !job.SpreadZones) && (!job.SpreadZones || job.TaskCount == 1)
+	return pendingCount > 0 && isWithinQuota && tasksThatFit >= tasksNeeded && hasNoJointZoneConstraint
 }
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -54,15 +54,15 @@
 // done, in the order of their machines.
 func (w *World) gangMembers(id protocol.JobID, attempt protocol.Attempt) (members []gangMember) {
 	for _, machineID := range slices.Sorted(maps.Keys(w.Machines)) {
-		m := w.Machines[machineID]
-		if m.Terminated {
+		machine := w.Machines[machineID]
+		if machine.Terminated {
 			continue
 		}
-		for _, task := range m.sortedTasks() {
-			execution := m.tasks[task]
+		for _, task := range machine.sortedTasks() {
+			execution := machine.tasks[task]
 			exitedUndone := execution.state == protocol.TaskExited && execution.reason != protocol.ReasonDone
 			if task.Job == id && execution.attempt == attempt && !exitedUndone {
-				members = append(members, gangMember{machine: m, task: task, execution: execution})
+				members = append(members, gangMember{machine: machine, task: task, execution: execution})
 			}
 		}
 	}
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -55,8 +55,8 @@
 
 // newFixedWorld returns a deployment with the given number of small machines in zone a. The cloud
 // has no more machines, and the idle timeout is so long that none is scaled in.
-func newFixedWorld(seed uint64, controllers, machineCount int) *World {
-	w := NewWorld(seed, controllers, testMachineTypes[:1], testTeams())
+func newFixedWorld(seed uint64, controllerCount, machineCount int) *World {
+	w := NewWorld(seed, controllerCount, testMachineTypes[:1], testTeams())
 	w.CloudOutOfCapacity = true
 	w.restartWithConfig(func(config *step.Config) { config.IdleTimeoutFactor = 100 })
 	w.addSmallMachines(machineCount, "a")
@@ -89,15 +89,15 @@
 
 // Jobs.
 
-func newArray(id protocol.JobID, class string, priority protocol.Priority, tasks int, cores, runSeconds float64) *protocol.Job {
+func newArray(id protocol.JobID, class string, priority protocol.Priority, taskCount int, cores, runSeconds float64) *protocol.Job {
 	return &protocol.Job{
 		ID: id, Class: class, Team: "core", Kind: protocol.KindArray, Priority: priority,
-		TaskCount: tasks, Cores: cores, MemoryGB: 1, Image: "b", EstimatedRunSeconds: runSeconds,
+		TaskCount: taskCount, Cores: cores, MemoryGB: 1, Image: "b", EstimatedRunSeconds: runSeconds,
 	}
 }
 
-func newGang(id protocol.JobID, class string, priority protocol.Priority, tasks int, cores, runSeconds float64) *protocol.Job {
-	job := newArray(id, class, priority, tasks, cores, runSeconds)
+func newGang(id protocol.JobID, class string, priority protocol.Priority, taskCount int, cores, runSeconds float64) *protocol.Job {
+	job := newArray(id, class, priority, taskCount, cores, runSeconds)
 	job.Kind = protocol.KindGang
 	return job
 }
@@ -163,9 +163,9 @@
 // runningJobs returns the sorted ids of the jobs that have a task on a machine.
 func (w *World) runningJobs() []protocol.JobID {
 	isPlaced := map[protocol.JobID]bool{}
-	for _, m := range w.Machines {
-		for task, execution := range m.tasks {
-			if !m.Terminated && execution.state != protocol.TaskExited {
+	for _, machine := range w.Machines {
+		for task, execution := range machine.tasks {
+			if !machine.Terminated && execution.state != protocol.TaskExited {
 				isPlaced[task.Job] = true
 			}
 		}
@@ -200,22 +200,22 @@
 // submitAndQueryRepeatedly submits a job and calls queryRepeatedly as soon as the job is
 // accepted. If cancel is set, it also cancels the job then, and calls queryRepeatedly again as
 // soon as the job is reported as ended.
-func (w *World) submitAndQueryRepeatedly(job *protocol.Job, cancel bool) {
+func (w *World) submitAndQueryRepeatedly(job *protocol.Job, cancelOnceAccepted bool) {
 	w.Submit(job)
-	accepted := false
+	isAccepted := false
 	var poll func()
 	poll = func() {
 		switch observed := w.Rules.job(job.ID); {
-		case !accepted && observed.accepted:
-			accepted = true
+		case !isAccepted && observed.accepted:
+			isAccepted = true
 			w.queryRepeatedly(job.ID)
-			if cancel {
+			if cancelOnceAccepted {
 				w.Cancel(job.ID)
 			}
-		case accepted && cancel && observed.reportedState.IsTerminal():
+		case isAccepted && cancelOnceAccepted && observed.reportedState.IsTerminal():
 			w.queryRepeatedly(job.ID)
 			return
-		case accepted && !cancel:
+		case isAccepted && !cancelOnceAccepted:
 			return // OnJobEnd queries the job when it ends
 		}
 		w.After(time.Millisecond, poll)
@@ -250,9 +250,9 @@
 // tasks. Among equals it returns the first.
 func (w *World) busiestController() *Controller {
 	machineCounts := make([]int, len(w.Controllers))
-	for _, m := range w.Machines {
-		if !m.Terminated && len(m.tasks) > 0 {
-			machineCounts[m.controllerIndex%len(w.Controllers)]++
+	for _, machine := range w.Machines {
+		if !machine.Terminated && len(machine.tasks) > 0 {
+			machineCounts[machine.controllerIndex%len(w.Controllers)]++
 		}
 	}
 	return w.Controllers[slices.Index(machineCounts, slices.Max(machineCounts))]
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -21,7 +21,7 @@
 	Revisions           int // number of revisions applied
 	ShardsTransferred   int // number of shards that recorded transfers moved from one live owner to another
 	TransfersClosed     int
-	AbortedByReason     map[string]int
+	AbortedByReason     map[string]int  // number of aborted transfers by the reason of the abort
 	QuiesceTimes        []time.Duration // time for which the shard of each closed transfer started no task
 	TransferTimes       []time.Duration // time from the proposal to the end of each closed transfer
 	TransferWrites      int             // number of writes of transfer records
@@ -172,8 +172,8 @@
 		h.recordViolation(revision, "transfer %s can't be read: %v", key, err)
 		return record, false
 	}
-	last, known := h.transfers[key]
-	if !known {
+	last, isKnown := h.transfers[key]
+	if !isKnown {
 		last.Phase = storage.TransferClosed
 	}
 	h.transfers[key] = record
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -87,6 +87,7 @@
 	m.world.After(machineStepInterval, m.stepUntilTerminated)
 }
 
+// nextHeartbeat increments the agent's sequence number and returns the encoded heartbeat.
 func (m *Machine) nextHeartbeat() []byte {
 	m.sequence++
 	heartbeat := protocol.Heartbeat{
@@ -140,6 +141,7 @@
 	}
 }
 
+// recordTaskEnd records with the rule checker that a task no longer runs and whether it is done.
 func (m *Machine) recordTaskEnd(task protocol.Task, done bool) {
 	m.world.Rules.RecordTaskEnd(task, done)
 	if !done {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -19,9 +19,9 @@
 }
 
 // isPartitioned reports whether the partition of a zone separates a controller from a machine.
-func (w *World) isPartitioned(controller *Controller, m *Machine) bool {
+func (w *World) isPartitioned(controller *Controller, machine *Machine) bool {
 	for zone, inside := range w.PartitionedZones {
-		if (m.Zone == zone) != (controller == inside) {
+		if (machine.Zone == zone) != (controller == inside) {
 			return true
 		}
 	}
@@ -110,14 +110,14 @@
 
 // transmitHeartbeat delivers an agent's heartbeat to a controller and the reply to the agent. If
 // a message is lost, reply is not called and the agent has to detect the timeout itself.
-func (w *World) transmitHeartbeat(controller *Controller, m *Machine, body []byte, reply func(heartbeatReply)) {
+func (w *World) transmitHeartbeat(controller *Controller, machine *Machine, body []byte, reply func(heartbeatReply)) {
 	w.duplicateHeartbeat(body)
 	delay := w.messageDelay()
-	if m.HeartbeatsLost {
+	if machine.HeartbeatsLost {
 		return // the agent cannot connect
 	}
 	unreachable := func() bool {
-		return m.Partitioned || controller.AgentsUnreachable || w.isPartitioned(controller, m)
+		return machine.Partitioned || controller.AgentsUnreachable || w.isPartitioned(controller, machine)
 	}
 	if unreachable() || w.Rand.Float64() < w.MessageLossRate {
 		if w.Rand.IntN(2) == 0 {
@@ -131,7 +131,7 @@
 			return
 		}
 		controller.DeliverHeartbeat(body, func(status int, replyBody []byte) {
-			if m.HeartbeatsLost || m.CommandsLost || unreachable() || w.Rand.Float64() < w.MessageLossRate {
+			if machine.HeartbeatsLost || machine.CommandsLost || unreachable() || w.Rand.Float64() < w.MessageLossRate {
 				return
 			}
 			response := heartbeatReply{status: status, body: replyBody, sender: controller.processName()}
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -84,12 +84,12 @@
 
 // RecordCommand records that an agent has accepted commands with a fencing token from a process.
 // It checks that all commands of one epoch come from the same process.
-func (r *RuleChecker) RecordCommand(machine protocol.MachineID, token protocol.FencingToken, controller string) {
+func (r *RuleChecker) RecordCommand(machine protocol.MachineID, token protocol.FencingToken, process string) {
 	epoch := machineEpoch{machine: machine, epoch: storage.ShardEpochOf(token)}
-	if other, ok := r.commandSenders[epoch]; ok && other != controller {
-		r.recordViolation("two_commanders", "%s accepts commands from %s and from %s in epoch %d", machine, other, controller, epoch.epoch)
+	if other, ok := r.commandSenders[epoch]; ok && other != process {
+		r.recordViolation("two_commanders", "%s accepts commands from %s and from %s in epoch %d", machine, other, process, epoch.epoch)
 	}
-	r.commandSenders[epoch] = controller
+	r.commandSenders[epoch] = process
 }
 
 // RecordSubmission records that a user submits a job.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -13,14 +13,14 @@
 // World is a deployment in simulated time. Its fields may be set between events. Fault rates
 // and fault switches take effect with the next message.
 type World struct {
-	Now          time.Duration
+	Now          time.Duration // time since the start of the world
 	Rand         *rand.Rand
 	Store        *Store
 	History      *HistoryChecker
 	Rules        *RuleChecker
 	Controllers  []*Controller
 	Machines     map[protocol.MachineID]*Machine
-	Jobs         map[protocol.JobID]*protocol.Job
+	Jobs         map[protocol.JobID]*protocol.Job // jobs that users have submitted
 	MachineTypes []protocol.MachineType
 	Config       step.Config // configuration of controllers that start from now on
 
@@ -44,24 +44,24 @@
 	CancelAtEndRate        float64 // fraction of the jobs that are cancelled at the moment of their end
 
 	// Observations.
-	StartCommandCount int // number of start commands that agents have accepted
-	FinishedJobs      map[protocol.JobID]bool
-	SavedTaskCounts   map[protocol.JobID]int // number of tasks that saved their progress when they were stopped
-	StepCosts         StepCosts              // cost of the cores' steps, which is not measured if nil
+	StartCommandCount int                     // number of start commands that agents have accepted
+	FinishedJobs      map[protocol.JobID]bool // jobs whose users know that they have ended
+	SavedTaskCounts   map[protocol.JobID]int  // number of tasks that saved their progress when they were stopped
+	StepCosts         StepCosts               // cost of the cores' steps, which is not measured if nil
 
 	// Hooks. Each may be nil.
-	OnJobEnd    func(protocol.JobID) // called when a job ends
-	OnProvision func(*Machine)       // called for each new machine before it boots
-	Trace       func(string)         // called with each log line of a controller
-	OnEffect    func(at time.Duration, member protocol.ControllerID, e step.Effect)
+	OnJobEnd    func(protocol.JobID)                                                 // called when a job ends
+	OnProvision func(*Machine)                                                       // called for each new machine before it boots
+	Trace       func(string)                                                         // called with each log line of a controller
+	OnEffect    func(at time.Duration, id protocol.ControllerID, effect step.Effect) // called with each effect of a core
 
 	queue             eventQueue
-	seq               int
+	scheduledCount    int                             // number of events scheduled so far
 	machinesByRequest map[string][]protocol.MachineID // machines of each provision request, by its id
 	nextMachineID     int
 }
 
-var errNoReply = errors.New("no answer")
+var errNoReply = errors.New("no reply")
 
 // SmallAndLargeTypes holds two machine types that are available in two zones.
 var SmallAndLargeTypes = []protocol.MachineType{
@@ -84,7 +84,7 @@
 )
 
 // NewWorld returns a deployment with the given number of running controllers and no machines.
-func NewWorld(seed uint64, controllers int, machineTypes []protocol.MachineType, teams map[string]step.Quota) *World {
+func NewWorld(seed uint64, controllerCount int, machineTypes []protocol.MachineType, teams map[string]step.Quota) *World {
 	w := &World{
 		Rand:              rand.New(rand.NewPCG(seed, 11)),
 		Store:             NewStore(storeMaxEvents),
@@ -103,8 +103,8 @@
 	}
 	w.History = NewHistoryChecker(func(violation string) { w.Rules.recordViolation("ownership", "%s", violation) })
 	w.Store.OnRevision = w.History.ApplyRevision
-	for name, t := range teams {
-		w.Rules.QuotaLimits[name] = t.MaxCores
+	for name, quota := range teams {
+		w.Rules.QuotaLimits[name] = quota.MaxCores
 	}
 	w.Config = step.Config{
 		Quotas:            teams,
@@ -112,7 +112,7 @@
 		AgentLeaseTTL:     w.AgentLeaseTTL,
 		GangPeerTimeout:   4 * time.Second,
 		CancelTimeout:     w.Rules.CancelTimeout,
-		PeerCount:         controllers - 1,
+		PeerCount:         controllerCount - 1,
 		WritesPerSecond:   60,
 		TransactionOps:    maxTransactionOps,
 		ValueBytes:        maxValueBytes,
@@ -120,7 +120,7 @@
 		MinWatchInterval:  40 * time.Millisecond,
 		Tuning:            step.DefaultTuning(),
 	}
-	for i := range controllers {
+	for i := range controllerCount {
 		w.Controllers = append(w.Controllers, &Controller{world: w, ID: controllerID(i), clockDrift: 1 + float64(i)*0.0002})
 	}
 	for _, controller := range w.Controllers {
