--- a/internal/coordination/agents/agent_calls.go
+++ b/internal/coordination/agents/agent_calls.go
@@ -136,8 +136,9 @@
 }
 
 // sendCommands calls the agent of an owned machine unless a call to it is in flight or began less than
-// minInterval ago. A call without commands only shows the fencing token and requests the status; it
-// is not sent while the limit of calls in flight is reached.
+// minInterval ago, or the agent's address or epoch is unknown. A call without commands only shows the
+// fencing token and requests the status. Such a call is not sent while the limit of calls in flight is
+// reached.
 func (ac *Caller) sendCommands(
 	entry *storage.Machine, state *MachineState, commands []protocol.Command, minInterval time.Duration,
 ) {
--- a/internal/coordination/agents/delivery.go
+++ b/internal/coordination/agents/delivery.go
@@ -22,7 +22,7 @@
 	// commandsLostFailures is the number of consecutive direct calls that must fail, while messages
 	// from the agent arrive, before the commands to the agent count as lost.
 	commandsLostFailures = 2
-	// suspectTimeout is how long an agent may be suspect before its machine is drained.
+	// suspectTimeout is how long an agent may be suspect before its machine is cordoned.
 	suspectTimeout = 3 * time.Second
 )
 
--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -21,7 +21,7 @@
 	testShardEpoch = storage.ShardEpoch(3)
 )
 
-// fixture holds the components of this package on a registered controller whose replica is up to date.
+// fixture holds the parts of this package on a registered controller whose replica is up to date.
 // Fakes replace the packages that depend on this one.
 type fixture struct {
 	steptest.Fixture
--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -109,7 +109,7 @@
 }
 
 // isGangFullyAssigned reports whether every task of the gang is done, or assigned with the attempt to a
-// machine that is not terminating. No task of a gang may start before.
+// machine that is not terminating. No task of the gang may start before this is the case.
 func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
 	coveredTasks := jt.Replica.CompletedTasks(id)
 	for machineID := range jt.Replica.MachinesWithJob(id) {
@@ -132,5 +132,6 @@
 	return jt.JobState(id).isIncompleteTooLong(attempt, jt.Now.Monotonic)
 }
 
-// spansSeveralTasks reports whether a job is a gang of more than one task.
+// spansSeveralTasks reports whether a job is a gang of more than one task, whose tasks depend on each
+// other.
 func spansSeveralTasks(spec *protocol.Job) bool { return spec.IsGang() && spec.TaskCount > 1 }
--- a/internal/coordination/agents/misdirected.go
+++ b/internal/coordination/agents/misdirected.go
@@ -11,11 +11,11 @@
 // misdirectedHeartbeat is a heartbeat that this controller received although it does not own the
 // machine.
 type misdirectedHeartbeat struct {
-	receivedAt        protocol.Instant
-	agentEpoch        protocol.AgentEpoch
-	sequence          protocol.Sequence
-	hasAgentResponded bool // whether the agent has since answered a probe of this controller
-	isAnnounced       bool // whether a peer status of this round has the heartbeat
+	receivedAt       protocol.Instant
+	agentEpoch       protocol.AgentEpoch
+	sequence         protocol.Sequence
+	hasAnsweredProbe bool // whether the agent has since answered a probe of this controller
+	isAnnounced      bool // whether a peer status of this round has the heartbeat
 }
 
 // MisdirectedHeartbeats records heartbeats of machines that another controller owns. If the agent answers
@@ -40,10 +40,10 @@
 // heartbeats to this controller. If they do not all fit, it reports true, and the next status continues
 // with the rest.
 func (mh *MisdirectedHeartbeats) AddMisdirectedHeartbeats(status *step.PeerStatus) (hasMore bool) {
-	respondedMachines := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
-		return heartbeat.hasAgentResponded && !heartbeat.isAnnounced
+	machinesToAnnounce := step.SelectKeys(mh.byMachine, func(heartbeat misdirectedHeartbeat) bool {
+		return heartbeat.hasAnsweredProbe && !heartbeat.isAnnounced
 	})
-	for _, id := range respondedMachines[:min(len(respondedMachines), step.MaxMisdirectedPerStatus)] {
+	for _, id := range machinesToAnnounce[:min(len(machinesToAnnounce), step.MaxMisdirectedPerStatus)] {
 		heartbeat := mh.byMachine[id]
 		status.MisdirectedHeartbeats = append(status.MisdirectedHeartbeats, step.MisdirectedHeartbeat{
 			Machine:    id,
@@ -53,7 +53,7 @@
 		heartbeat.isAnnounced = true
 		mh.byMachine[id] = heartbeat
 	}
-	if len(respondedMachines) > step.MaxMisdirectedPerStatus {
+	if len(machinesToAnnounce) > step.MaxMisdirectedPerStatus {
 		return true
 	}
 	for id, heartbeat := range mh.byMachine {
@@ -76,7 +76,7 @@
 // recordProbeAnswer records that the agent of a machine has answered a probe of this controller.
 func (mh *MisdirectedHeartbeats) recordProbeAnswer(id protocol.MachineID) {
 	if heartbeat, ok := mh.byMachine[id]; ok {
-		heartbeat.hasAgentResponded = true
+		heartbeat.hasAnsweredProbe = true
 		mh.byMachine[id] = heartbeat
 	}
 }
--- a/internal/coordination/agents/parts.go
+++ b/internal/coordination/agents/parts.go
@@ -6,7 +6,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts holds the components of this package, connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Table       *Table
 	Misdirected *MisdirectedHeartbeats
@@ -18,8 +18,8 @@
 	Jobs        *JobTable
 }
 
-// New returns the components of this package. They can be used after Connect has connected them with
-// the components of other packages.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Table:       newTable(ctx),
@@ -50,7 +50,7 @@
 	return parts
 }
 
-// Dependencies holds the components of other packages that this package depends on.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	Catalog             *catalog.Catalog
 	RemovalRecorder     RemovalRecorder
@@ -65,7 +65,7 @@
 	ScaleInEvaluator    ScaleInEvaluator
 }
 
-// Connect connects the components with those of other packages.
+// Connect connects the parts with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Table.catalog = dependencies.Catalog
 	p.Table.removals = dependencies.RemovalRecorder
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -33,12 +33,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			entry, state := f.addOwnedMachine(t, storage.MachineRecord{
-				MachineType:  "s",
-				Zone:         "a",
-				AgentEpoch:   1,
-				TokenCounter: 2,
-			})
+			entry, state := f.addOwnedMachine(t,
+				storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
 			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.FencingToken = test.confirmed
 			f.receive(heartbeat)
@@ -74,12 +70,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			entry, state := f.addOwnedMachine(t, storage.MachineRecord{
-				Address:     "a",
-				MachineType: "s",
-				Zone:        "a",
-				AgentEpoch:  1,
-			})
+			entry, state := f.addOwnedMachine(t,
+				storage.MachineRecord{Address: "a", MachineType: "s", Zone: "a", AgentEpoch: 1})
 			sequence := protocol.Sequence(1)
 			f.receive(steptest.NewHeartbeat(entry, sequence))
 			for _, err := range test.calls {
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -36,7 +36,7 @@
 	shards        *commit.ShardWriter
 	terminations  TerminationChecker
 
-	nextShardIndex int // index of the owned shard at which the next transaction begins
+	nextShardIndex int // index of the owned shard at which the next batch begins
 }
 
 // WriteMachines adds to a batch the changes of the owned machines' records, shard by shard. If the
@@ -81,7 +81,7 @@
 	if state.CurrentHeartbeat(record) != nil {
 		r.reconcileTasks(batch, state, record)
 	}
-	r.updateDrain(batch, state, record)
+	r.updateCordon(batch, state, record)
 }
 
 // removeTerminated deletes a machine's record once the cloud has confirmed the termination. Before
@@ -166,8 +166,8 @@
 	}
 }
 
-// reconcileTask compares one assigned task with the current heartbeat. It returns false
-// once the transaction is full.
+// reconcileTask compares one assigned task with the current heartbeat. It returns false if the batch has
+// no capacity for a change that is needed.
 func (r *Reconciler) reconcileTask(
 	batch *commit.Batch, state *MachineState, record *storage.MachineRecord, task protocol.Task, attempt protocol.Attempt,
 ) bool {
@@ -274,20 +274,20 @@
 		(r.Replica.Jobs[id] == nil || r.Replica.CompletedTasks(id).IsZero())
 }
 
-// updateDrain records whether the machine accepts new tasks.
-func (r *Reconciler) updateDrain(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
-	mustDrain := r.shouldDrain(state, record)
-	if mustDrain == batch.MachineRecord(state.ID).Cordoned || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
+// updateCordon records whether the machine accepts new tasks.
+func (r *Reconciler) updateCordon(batch *commit.Batch, state *MachineState, record *storage.MachineRecord) {
+	mustCordon := r.shouldCordon(state, record)
+	if mustCordon == batch.MachineRecord(state.ID).Cordoned || !batch.HasCapacity(batch.OpsNeeded(state.ID)) {
 		return
 	}
-	batch.MutableMachine(state.ID).Cordoned = mustDrain
-	batch.Log(slog.LevelInfo, "machine drain changed", "machine", string(state.ID), "enabled", mustDrain,
+	batch.MutableMachine(state.ID).Cordoned = mustCordon
+	batch.Log(slog.LevelInfo, "machine drain changed", "machine", string(state.ID), "enabled", mustCordon,
 		"preempted", state.isPreempted(), "seconds_since_contact", r.Since(state.LastContactAt).Seconds())
 }
 
-// shouldDrain reports whether a machine should get no new tasks because it will be preempted, is
+// shouldCordon reports whether a machine should get no new tasks because it will be preempted, is
 // faulty or quarantined, or its agent may not receive start commands.
-func (r *Reconciler) shouldDrain(state *MachineState, record *storage.MachineRecord) bool {
+func (r *Reconciler) shouldCordon(state *MachineState, record *storage.MachineRecord) bool {
 	if state.isPreempted() || state.IsFaulty || r.Now.Monotonic < state.quarantinedUntil {
 		return true
 	}
--- a/internal/coordination/agents/response_delay.go
+++ b/internal/coordination/agents/response_delay.go
@@ -110,7 +110,8 @@
 // shouldDeferIdleResponse reports whether the response to a machine with free capacity should wait for a
 // start. A start that is written during the wait is sent at once instead of with the next heartbeat.
 // The agent's own timeout for a response is longer than the wait. While tasks run on the machine, the
-// response waits only if the heartbeat interval is at least twice the maximum wait.
+// response waits only if the heartbeat interval is at least twice the maximum wait, because with shorter
+// intervals the wait gains too little.
 func (h *HeartbeatHandler) shouldDeferIdleResponse(entry *storage.Machine, state *MachineState) bool {
 	heartbeat, record := state.LatestHeartbeat, &entry.Record
 	if h.Since(state.deferredAt) >= h.Config.MaxIdleResponseDelay || !h.replication.IsUpToDate() ||
--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -19,8 +19,8 @@
 	spot *SpotPricing
 
 	machineTypes []protocol.MachineType
-	isListing    bool // a request for the list is under way
-	nextListAt   protocol.Instant
+	isListing    bool             // a request for the list is under way
+	nextListAt   protocol.Instant // earliest time of the next request
 }
 
 // PollMachineTypes requests the machine types and their prices if a request is due.
--- a/internal/coordination/catalog/parts.go
+++ b/internal/coordination/catalog/parts.go
@@ -4,13 +4,13 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts holds the components of this package, connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Catalog *Catalog
 	Spot    *SpotPricing
 }
 
-// New returns the components of this package. They depend on no other component.
+// New returns the parts of this package. They use no part of another package.
 func New(ctx *step.Context) *Parts {
 	spot := newSpotPricing(ctx)
 	return &Parts{
--- a/internal/coordination/commit/batch_machines.go
+++ b/internal/coordination/commit/batch_machines.go
@@ -108,7 +108,7 @@
 
 // BumpFencingToken raises the low part of a machine's fencing token, which is the machine's own. The
 // machine's owner then sends the token to the agent, and the agent sends a heartbeat at once
-// instead of some seconds later.
+// instead of some seconds later. A token whose low part is at its maximum stays as it is.
 func (b *Batch) BumpFencingToken(id protocol.MachineID) {
 	record := b.MutableMachine(id)
 	if record.TokenCounter >= storage.MaxTokenCounter {
--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/done_tasks.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// completeJobIfResponsible records a job as done once all its tasks are, if this incarnation owns the job or its
-// owner has not done so within ownerCompletionTimeout.
+// completeJobIfResponsible records a job as done once all its tasks are done, if this incarnation owns
+// the job or if the owner has not recorded it within ownerCompletionTimeout.
 func (w *ShardWriter) completeJobIfResponsible(batch *Batch, id protocol.JobID, record *storage.JobRecord) {
 	isOwner := record.Owner == w.lease.incarnation
 	completeSince, hasCompleteSince := w.completeSince[id]
@@ -70,7 +70,7 @@
 	if w.limits.StorageFormat() < storage.FormatPacked {
 		return shard.EncodedSize >= maxPlainSizeWithDoneTasks(limits)
 	}
-	const jobSize, intervalSize = 8, 2 // bytes, packed
+	const jobSize, intervalSize = 8, 2 // estimated bytes in the packed format
 	size := 0
 	for _, done := range shard.CompletedTasks {
 		size += jobSize + intervalSize*done.IntervalCount()
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -5,7 +5,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts holds the components of this package, connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Store       *StoreHealth
 	Lease       *Lease
@@ -16,7 +16,8 @@
 	ShardWriter *ShardWriter
 }
 
-// New returns the components of this package. Connect must be called before they are used.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Store:       &StoreHealth{Context: ctx},
@@ -46,7 +47,7 @@
 	return parts
 }
 
-// Dependencies holds the components of other packages that this package uses.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	MachineTracker    MachineTracker
 	StoreReports      StoreReports
@@ -55,7 +56,7 @@
 	TransferTracker   TransferTracker
 }
 
-// Connect sets the components of other packages that the parts use.
+// Connect connects the parts with those of other packages.
 func (p *Parts) Connect(d Dependencies) {
 	p.Replication.agents = d.MachineTracker
 	p.Replication.peers = d.StoreReports
--- a/internal/coordination/commit/replication.go
+++ b/internal/coordination/commit/replication.go
@@ -39,7 +39,8 @@
 // StoreReports provides what the other controllers report about the store.
 type StoreReports interface {
 	// PeersReportStoreUnavailable reports whether at least one other controller has sent a status
-	// within the given time, and none of those that have can reach the store.
+	// within the given time, and none of those that have can reach the store. It returns true if
+	// there are no other controllers.
 	PeersReportStoreUnavailable(within time.Duration) bool
 }
 
@@ -55,7 +56,7 @@
 	store  *StoreHealth
 
 	minRevision      protocol.Revision // revision that the replica must reach before the next transaction
-	minRevisionSince protocol.Instant
+	minRevisionSince protocol.Instant  // when requireRevision was last called
 	isLoaded         bool              // the replica holds all records
 	completeRevision protocol.Revision // revision from which the replica holds all records
 	hasSnapshot      bool              // a load has succeeded, so the watch can start; an empty store has revision 0
@@ -91,8 +92,9 @@
 		sinceResponse > r.Config.LeaseTTL
 }
 
-// StoreUnavailableEverywhere reports whether the store is unavailable for this controller and for
-// all other controllers that have sent a status within peerReportWindow.
+// StoreUnavailableEverywhere reports whether the store is unavailable for this controller and, as far
+// as the other controllers report, for all of them. It returns false if there are other controllers
+// and none has sent a status within peerReportWindow.
 func (r *Replication) StoreUnavailableEverywhere() bool {
 	return r.StoreUnavailable() && r.peers.PeersReportStoreUnavailable(peerReportWindow)
 }
--- a/internal/coordination/commit/shard_draft.go
+++ b/internal/coordination/commit/shard_draft.go
@@ -10,7 +10,7 @@
 	Owner         storage.Incarnation
 	Epoch         storage.ShardEpoch
 	MachineIDs    []protocol.MachineID
-	EstimatedSize int // encoded, in bytes
+	EstimatedSize int // estimated size of the encoded shard in bytes
 	doneTasks     map[protocol.JobID]storage.TaskSet
 }
 
--- a/internal/coordination/ownership/handoff.go
+++ b/internal/coordination/ownership/handoff.go
@@ -42,8 +42,8 @@
 	return target, total
 }
 
-// handOffMargin is the time for which a request stays valid after the heartbeat interval. A request is
-// repeated at each heartbeat that reaches another controller, and its message may be delayed.
+// handOffMargin is the time, in addition to the heartbeat interval, for which a request stays valid. A
+// request is repeated at each heartbeat that reaches another controller, and its message may be delayed.
 const handOffMargin = 4 * time.Second
 
 // RecordMisdirectedHeartbeats records hand-off requests for the owned machines whose agents send
@@ -57,7 +57,7 @@
 		}
 		state := mgr.agents.TrackOwnedMachine(entry, heartbeat.Machine)
 		if !state.RecordMisdirectedHeartbeat(heartbeat.AgentEpoch, heartbeat.Sequence) {
-			continue // a late copy of a heartbeat that this controller has received
+			continue // a delayed copy of a heartbeat that this controller has received
 		}
 		mgr.pendingHandOffs[heartbeat.Machine] = handOffRequest{
 			target:      status.Incarnation,
--- a/internal/coordination/ownership/parts.go
+++ b/internal/coordination/ownership/parts.go
@@ -7,7 +7,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts holds the parts of the package, which are connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Peers     *Peers
 	Overload  *OverloadDetector
@@ -15,7 +15,8 @@
 	Transfers *Transfers
 }
 
-// New returns new parts. They can be used after a call of Connect.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Peers:     newPeers(ctx),
@@ -32,7 +33,7 @@
 	return parts
 }
 
-// Dependencies holds the parts of other packages that the parts of this package use.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	Cancellations *cancellation.Canceller
 	Lease         *commit.Lease
--- a/internal/storage/format.go
+++ b/internal/storage/format.go
@@ -17,8 +17,8 @@
 
 // FormatRecord is the value of FormatKey.
 type FormatRecord struct {
-	WriteFormat Format      `json:"w"`
-	UpdatedBy   Incarnation `json:"b"`
+	WriteFormat Format      `json:"w"` // newest format in which records may be written
+	UpdatedBy   Incarnation `json:"b"` // the incarnation that raised the format last
 }
 
 // jobCompressionThreshold is the size in bytes from which a job's record is compressed as a whole.
