--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -19,18 +19,18 @@
 	job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds = 20, 2
 	w.After(3*time.Second, func() { w.Submit(job) })
 	w.Advance(20 * time.Second)
-	var machine protocol.MachineID
-	for _, m := range w.sortedMachines() {
-		for _, execution := range m.tasks {
+	var machineWithTask protocol.MachineID
+	for _, machine := range w.sortedMachines() {
+		for _, execution := range machine.tasks {
 			if execution.state == protocol.TaskRunning {
-				machine = m.ID
+				machineWithTask = machine.ID
 			}
 		}
 	}
-	if machine == "" {
+	if machineWithTask == "" {
 		t.Fatal("no task of the gang runs after 20 s")
 	}
-	w.PreemptMachine(machine, 14*time.Second)
+	w.PreemptMachine(machineWithTask, 14*time.Second)
 	w.Advance(14 * time.Second)
 	if w.SavedTaskCounts["j-1"] != 5 {
 		t.Errorf("%d of 5 tasks have saved their progress, want all", w.SavedTaskCounts["j-1"])
@@ -51,13 +51,13 @@
 		job.CheckpointIntervalSeconds, job.CheckpointSaveSeconds, job.AllowSpot = 5, 1, true
 		return job
 	}
-	spotMachineCount := func() (n int) {
-		for _, m := range w.Machines {
-			if m.Spot {
-				n++
+	spotMachineCount := func() (count int) {
+		for _, machine := range w.Machines {
+			if machine.Spot {
+				count++
 			}
 		}
-		return n
+		return count
 	}
 	w.After(2*time.Second, func() { w.Submit(newSpotJob("j-1")) })
 	w.Advance(30 * time.Second)
@@ -69,13 +69,13 @@
 		w.MachineTypes[i].SpotPrice = 0.9 * w.MachineTypes[i].OnDemandPrice
 	}
 	w.Advance(13 * time.Second) // until the next check of the prices
-	spotTaskCount := func() (n int) {
-		for _, m := range w.Machines {
-			if m.Spot && !m.Terminated {
-				n += len(m.tasks)
+	spotTaskCount := func() (count int) {
+		for _, machine := range w.Machines {
+			if machine.Spot && !machine.Terminated {
+				count += len(machine.tasks)
 			}
 		}
-		return n
+		return count
 	}
 	w.Submit(newSpotJob("j-2"))
 	w.Advance(5 * time.Second)
@@ -115,7 +115,7 @@
 			}
 			w.Advance(seconds(145))
 			if slices.Contains(test.classes, failingClass) {
-				w.Cancel("j-1") // because its user sees that it makes no progress
+				w.Cancel("j-1") // because its user sees that the job makes no progress
 			}
 			w.Advance(seconds(5))
 			w.Rules.CheckFinal(w.Now)
@@ -171,8 +171,8 @@
 	maxLiveTasks := 0
 	w.Every(100*time.Millisecond, func() {
 		liveTasks := 0
-		for id, m := range w.Machines {
-			for _, execution := range m.tasks {
+		for id, machine := range w.Machines {
+			for _, execution := range machine.tasks {
 				if execution.state != protocol.TaskExited {
 					liveTasks++
 					if id != gpuMachine {
--- a/internal/simulation/scale_bench_test.go
+++ b/internal/simulation/scale_bench_test.go
@@ -63,8 +63,8 @@
 }
 
 // BenchmarkTransfersAndWaitTimes measures how much longer pending jobs wait because of transfers. Gangs
-// and arrays are submitted while shards are transferred all the time, and for comparison without
-// transfers. docs/sharding.md lists the results. Run it with -bench TransfersAndWaitTimes -benchtime 1x.
+// and arrays are submitted while shards are transferred all the time, and for comparison while none is
+// transferred. docs/sharding.md lists the results. Run it with -bench TransfersAndWaitTimes -benchtime 1x.
 func BenchmarkTransfersAndWaitTimes(b *testing.B) {
 	for _, transferInterval := range []time.Duration{0, 3 * time.Second, time.Second} {
 		name := "no transfers"
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -10,36 +10,36 @@
 
 // runningReplicaCount returns the number of replicas of a service that run on machines that neither
 // hang nor are terminated or partitioned.
-func (w *World) runningReplicaCount(id protocol.JobID) (n int) {
-	for _, m := range w.Machines {
-		for task, execution := range m.tasks {
-			if task.Job == id && execution.state == protocol.TaskRunning && !m.Terminated && !m.Partitioned && !m.hung {
-				n++
+func (w *World) runningReplicaCount(id protocol.JobID) (count int) {
+	for _, machine := range w.Machines {
+		for task, execution := range machine.tasks {
+			if task.Job == id && execution.state == protocol.TaskRunning && !machine.Terminated && !machine.Partitioned && !machine.hung {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
 // placedTaskCount returns the number of tasks of a job that are on machines and have not exited. They
 // need not run yet.
-func (w *World) placedTaskCount(id protocol.JobID) (n int) {
-	for _, m := range w.Machines {
-		for task, execution := range m.tasks {
-			if task.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
-				n++
+func (w *World) placedTaskCount(id protocol.JobID) (count int) {
+	for _, machine := range w.Machines {
+		for task, execution := range machine.tasks {
+			if task.Job == id && execution.state != protocol.TaskExited && !machine.Terminated {
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
 // machinesOfJob returns the machines on which a job has tasks, ordered by id.
 func (w *World) machinesOfJob(id protocol.JobID) (machines []*Machine) {
-	for _, m := range w.sortedMachines() {
-		for task, execution := range m.tasks {
-			if task.Job == id && execution.state != protocol.TaskExited && !m.Terminated {
-				machines = append(machines, m)
+	for _, machine := range w.sortedMachines() {
+		for task, execution := range machine.tasks {
+			if task.Job == id && execution.state != protocol.TaskExited && !machine.Terminated {
+				machines = append(machines, machine)
 				break
 			}
 		}
@@ -83,8 +83,8 @@
 		}, 50},
 		{"spread over zones", 5, func(job *protocol.Job) { job.SpreadZones = true }, terminateServiceMachine, 30},
 		{"its spot machine is preempted with notice", 2, func(job *protocol.Job) { job.AllowSpot, job.Cores = true, 3 }, func(w *World) {
-			for _, m := range w.machinesOfJob("j-1") {
-				w.PreemptMachine(m.ID, 9*time.Second)
+			for _, machine := range w.machinesOfJob("j-1") {
+				w.PreemptMachine(machine.ID, 9*time.Second)
 			}
 		}, 16},
 	} {
@@ -106,8 +106,8 @@
 				if w.runningReplicaCount("j-1") != test.replicas {
 					t.Errorf("seed %d: %d of %d replicas run again after the fault, want all", seed, w.runningReplicaCount("j-1"), test.replicas)
 				}
-				for _, m := range w.Machines {
-					m.Partitioned = false
+				for _, machine := range w.Machines {
+					machine.Partitioned = false
 				}
 				w.Advance(seconds(30))
 				w.Rules.CheckFinal(w.Now)
@@ -165,7 +165,7 @@
 		w.After(seconds(4), func() { w.Submit(newService("j-1", 4)) })
 		w.Advance(seconds(15))
 		if usedMachines := len(w.machinesOfJob("j-1")); w.runningReplicaCount("j-1") != 4 || usedMachines < min(machineCount, 2) {
-			t.Errorf("%d machines: %d replicas run on %d machines, want 4 replicas on at least 2 machines if there are so many", machineCount, w.runningReplicaCount("j-1"), usedMachines)
+			t.Errorf("%d machines: %d replicas run on %d machines, want 4 replicas on at least 2 machines, or on the only machine", machineCount, w.runningReplicaCount("j-1"), usedMachines)
 		}
 		w.Rules.FaultsEndedAt = w.Now
 		w.Advance(seconds(100))
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -74,8 +74,8 @@
 		name          string
 		prepare       func(w transferRequestWorld) // may be nil
 		newRequest    func(w transferRequestWorld) requests.TransferRequest
-		refusalReason string                // part of the expected reason; empty if the request is accepted
-		isTransient   bool                  // the refusal says that a later request may succeed
+		wantRefusal   string                // part of the reason; empty if the request is accepted
+		wantTransient bool                  // the refusal says that a later request may succeed
 		wantPhase     storage.TransferPhase // of the transfer in the reply to an accepted request
 	}{
 		{"a given shard", nil, func(w transferRequestWorld) requests.TransferRequest {
@@ -161,11 +161,11 @@
 			reply := w.requestTransfer(t, receiver, test.newRequest(w))
 			var refusal *requests.RequestError
 			switch {
-			case test.refusalReason == "" && (reply.Err != nil || reply.Transfer.Phase != test.wantPhase && !reply.Transfer.Phase.CanFollow(test.wantPhase)):
+			case test.wantRefusal == "" && (reply.Err != nil || reply.Transfer.Phase != test.wantPhase && !reply.Transfer.Phase.CanFollow(test.wantPhase)):
 				t.Errorf("reply with error %v and transfer %+v, want no error and the expected phase or the next one", reply.Err, reply.Transfer)
-			case test.refusalReason != "" && (!errors.As(reply.Err, &refusal) || !strings.Contains(refusal.Reason, test.refusalReason) || refusal.Transient != test.isTransient):
-				t.Errorf("reply with error %v, want a refusal with reason %q and transient %v", reply.Err, test.refusalReason, test.isTransient)
-			case test.refusalReason != "" && !test.isTransient && w.History.TransferWrites != writesBefore:
+			case test.wantRefusal != "" && (!errors.As(reply.Err, &refusal) || !strings.Contains(refusal.Reason, test.wantRefusal) || refusal.Transient != test.wantTransient):
+				t.Errorf("reply with error %v, want a refusal with reason %q and transient %v", reply.Err, test.wantRefusal, test.wantTransient)
+			case test.wantRefusal != "" && !test.wantTransient && w.History.TransferWrites != writesBefore:
 				t.Errorf("a transfer record was written for a refused request")
 			}
 			w.Store.Unavailable = false
--- a/internal/simulation/transfers_random_test.go
+++ b/internal/simulation/transfers_random_test.go
@@ -14,7 +14,7 @@
 
 // TestMain sets a fixed seed and number of checks for the property tests of this package. These tests
 // then draw the same cases on every run, and CI gets the same result for the same code. The flags
-// -rapid.seed and -rapid.checks select other cases and more of them.
+// -rapid.seed and -rapid.checks select other cases and more cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "16"} {
@@ -102,8 +102,8 @@
 	w.addSmallMachines(12, "a")
 	jobIDs := submitMixedJobs(w, 10)
 	w.requestRandomTransfers(900*time.Millisecond, randomFaultPeriod)
-	for _, f := range faults {
-		f.schedule(w)
+	for _, plannedFault := range faults {
+		plannedFault.schedule(w)
 	}
 	w.Advance(randomFaultPeriod)
 	w.endFaults()
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -137,8 +137,8 @@
 	for _, controller := range w.Controllers {
 		controller.StoreUnreachable, controller.AgentsUnreachable, controller.PeersUnreachable = false, false, false
 	}
-	for _, m := range w.Machines {
-		m.Partitioned = false
+	for _, machine := range w.Machines {
+		machine.Partitioned = false
 	}
 	w.Store.OnRevision = w.History.ApplyRevision
 	w.Rules.FaultsEndedAt = w.Now
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -128,8 +128,8 @@
 	w.DuplicateHeartbeatRate = 0.1
 	for i := range 10 {
 		w.After(seconds(18+5*i), func() { w.TerminateMachine(machineID(3 + 4*i)) })
-		m := w.Machines[machineID(2+4*i)]
-		w.After(seconds(20+6*i), func() { m.Hang(seconds(3 + 3*i)) })
+		machine := w.Machines[machineID(2+4*i)]
+		w.After(seconds(20+6*i), func() { machine.Hang(seconds(3 + 3*i)) })
 	}
 	w.scheduleStoreOutage(57, 7)
 	w.Controllers[0].ScheduleRestart(seconds(66), seconds(0.3))
@@ -154,10 +154,10 @@
 	w.Advance(seconds(130))
 	w.MessageLossRate, w.DuplicateHeartbeatRate = 0, 0
 	w.Rules.FaultsEndedAt = w.Now
-	tooLargeBefore := w.Store.TooLargeTransactions
+	tooLargeDuringFaults := w.Store.TooLargeTransactions
 	w.Advance(seconds(140))
 	w.Rules.CheckFinal(w.Now)
-	checkUpgrade(t, w, seed, tooLargeBefore)
+	checkUpgrade(t, w, seed, tooLargeDuringFaults)
 	for _, id := range jobIDs {
 		if !w.FinishedJobs[id] {
 			t.Errorf("seed %d: job %s has not ended", seed, id)
@@ -170,17 +170,17 @@
 	}
 }
 
-// checkUpgrade checks the conditions that hold at the end of each upgrade. tooLargeBefore is the number
-// of transactions that the store refused as too large before the faults ended.
-func checkUpgrade(t *testing.T, w *World, seed uint64, tooLargeBefore int) {
+// checkUpgrade checks the conditions that hold at the end of each upgrade. tooLargeDuringFaults is the
+// number of transactions that the store refused as too large before the faults ended.
+func checkUpgrade(t *testing.T, w *World, seed uint64, tooLargeDuringFaults int) {
 	t.Helper()
 	const maxTooLarge = 12 // while the limits tighten
 	checkRules(t, w, seed)
-	if w.Store.TooLargeTransactions > tooLargeBefore {
-		t.Errorf("seed %d: %d transactions were too large after the faults had ended, want 0", seed, w.Store.TooLargeTransactions-tooLargeBefore)
+	if w.Store.TooLargeTransactions > tooLargeDuringFaults {
+		t.Errorf("seed %d: %d transactions were too large after the faults had ended, want 0", seed, w.Store.TooLargeTransactions-tooLargeDuringFaults)
 	}
-	if tooLargeBefore > maxTooLarge {
-		t.Errorf("seed %d: %d transactions were too large while the limits tightened, want at most 12", seed, tooLargeBefore)
+	if tooLargeDuringFaults > maxTooLarge {
+		t.Errorf("seed %d: %d transactions were too large while the limits tightened, want at most 12", seed, tooLargeDuringFaults)
 	}
 	if size := w.largestRecordBytes(); size > tightenedLimits.ValueBytes {
 		t.Errorf("seed %d: a record of %d bytes is left, want all records within the tightened limit", seed, size)
@@ -197,7 +197,7 @@
 	submitMixedJobs(w, 30)
 	w.Controllers[0].Upgrade(seconds(20), seconds(2))
 	w.Controllers[1].Upgrade(seconds(26), seconds(2))
-	w.After(seconds(40), w.Controllers[2].Kill) // before its upgrade, without a scheduled restart
+	w.After(seconds(40), w.Controllers[2].Kill) // before its upgrade; the test restarts it below
 	w.Advance(seconds(100))
 	for _, entry := range w.Store.List(storage.KeyPrefix) {
 		if err := checkProductionFormat(entry.Key, entry.Value); err != nil || entry.Key == storage.FormatKey {
