--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -11,7 +11,7 @@
 	"tillerarch/internal/storage"
 )
 
-// cancellationReportTime is when users must be told that the jobs of a scenario are cancelled.
+// cancellationReportTime is when the jobs of a scenario must be reported cancelled to users.
 type cancellationReportTime int
 
 const (
@@ -153,8 +153,8 @@
 // isCancelRequestRecorded reports whether a job's record says that its cancellation has begun.
 func isCancelRequestRecorded(record string) bool { return strings.Contains(record, `"w":true`) }
 
-// cancelFirstJobs lets users cancel the first cancelledJobCount jobs, one after the other, from a
-// time on that is in seconds.
+// cancelFirstJobs lets users cancel the first cancelledJobCount jobs, one every 100 ms, beginning
+// after the given number of seconds.
 func (w *World) cancelFirstJobs(at float64) {
 	for i := range cancelledJobCount {
 		w.After(seconds(at)+time.Duration(i)*100*time.Millisecond, func() { w.Cancel(jobID(i)) })
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -182,7 +182,7 @@
 	recoveryDuration time.Duration                // between the end of the faults and the end of the scenario
 }
 
-// scheduleFault sets the flag of a fault from a time on, for a while; both in seconds.
+// scheduleFault sets the flag of a fault after the given number of seconds, for duration seconds.
 func (w *World) scheduleFault(flag *bool, from, duration float64) {
 	w.setFlagsBetween(seconds(from), seconds(from+duration), flag)
 }
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -62,11 +62,11 @@
 // runFaultCombinations runs each combination with several seeds.
 func runFaultCombinations(t *testing.T, combinations []faultCombination) {
 	t.Helper()
-	for _, c := range combinations {
-		t.Run(fmt.Sprintf("%d %s", c.number, c.name), func(t *testing.T) {
+	for _, combination := range combinations {
+		t.Run(fmt.Sprintf("%d %s", combination.number, combination.name), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seedCount(); seed++ {
-				runFaultCombination(t, seed, c.inject)
+				runFaultCombination(t, seed, combination.inject)
 			}
 		})
 	}
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -112,7 +112,7 @@
 func writesAppliedLate(w *World) {
 	w.DelayedWriteRate = 0.35
 	w.restartWithConfig(func(config *step.Config) {
-		config.ValueBytes = 1700 // few machines in a shard, so that a transaction that is planned again changes other records
+		config.ValueBytes = 1700 // few machines in a shard, so that a transaction planned again changes other records
 	})
 	w.After(seconds(105), func() { w.DelayedWriteRate = 0 })
 	for i := range 5 {
--- a/internal/simulation/machine_faults_test.go
+++ b/internal/simulation/machine_faults_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// testMachineCommandsLost loses the commands to one machine, permanently or for 12 seconds.
+// testMachineCommandsLost lets no command reach one machine, permanently or for 12 seconds.
 func testMachineCommandsLost(t *testing.T, commandsResume bool) {
 	t.Helper()
 	const jobCount = 60 // small jobs, one each second, so that every machine with free capacity gets tasks
@@ -127,7 +127,7 @@
 	w.After(3*time.Second, func() { w.Submit(newArray("j-1", "l", "standard", 12, 2, 60)) })
 	w.Advance(15 * time.Second)
 	machine := w.sortedMachines()[0]
-	heartbeat, lateHeartbeat := machine.nextHeartbeat(), machine.nextHeartbeat() // the second is newer than any heartbeat that a controller has seen
+	heartbeat, lateHeartbeat := machine.nextHeartbeat(), machine.nextHeartbeat() // no controller has seen their sequence numbers
 	machine.sequence--
 	startsBefore := w.Rules.TasksStarted
 	changeCount := 0
@@ -251,7 +251,7 @@
 			func(id protocol.JobID) *protocol.Job {
 				return withDeadline(newGang(id, "g", "high", 1, 30, 12), 20)
 			}},
-		{"low priority in a long burst", newArray("j-1", "night", "low", 12, 4, 10), 800 * time.Millisecond,
+		{"a low-priority array in a long burst of standard ones", newArray("j-1", "night", "low", 12, 4, 10), 800 * time.Millisecond,
 			func(id protocol.JobID) *protocol.Job { return newArray(id, "l", "standard", 8, 2, 6) }},
 	} {
 		for _, variant := range []struct {
