--- a/internal/coordination/agents/heartbeats.go
+++ b/internal/coordination/agents/heartbeats.go
@@ -115,7 +115,8 @@
 	state.advanceTo(heartbeat.AgentEpoch, heartbeat.Sequence)
 	h.processDeliveryEvidence(state, heartbeat)
 	// An agent has one heartbeat in flight at a time, so it has executed or dropped the last response
-	// before it sent this heartbeat. A task that this heartbeat lacks therefore does not run.
+	// before it sent this heartbeat. From here on, no start is in flight, so that a task which the heartbeat
+	// lacks does not run.
 	clear(state.InflightStarts)
 	if state.isNewerThanLatest(heartbeat) {
 		state.RecordHeartbeat(heartbeat, h.Now.Monotonic)
--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -44,8 +44,8 @@
 	staleTokenContactAge = 500 * time.Millisecond
 )
 
-// TickMachines checks the owned machines. It detects silent machines, stops the tasks that are due,
-// evaluates scale-in, and calls agents that may lack the current fencing token or may not receive
+// TickMachines checks the owned machines. It detects silent machines, stops the tasks that must stop
+// now, evaluates scale-in, and calls agents that may lack the current fencing token or may not receive
 // commands.
 func (am *Monitor) TickMachines() {
 	am.jobs.trackIncompleteGangs()
--- a/internal/coordination/ownership/failover_test.go
+++ b/internal/coordination/ownership/failover_test.go
@@ -42,7 +42,7 @@
 		}, false},
 		{"the other controller drains", func(t *testing.T, c *testController) { recordDrain(t, c, otherController) }, true},
 		{"this controller drains", func(t *testing.T, c *testController) { recordDrain(t, c, selfController) }, false},
-		{"its target has ended and the other drains", func(t *testing.T, c *testController) {
+		{"in transfer to an ended incarnation, the other controller drains", func(t *testing.T, c *testController) {
 			c.putTransfer(t, "tiller-8#1")
 			recordDrain(t, c, otherController)
 		}, true},
@@ -68,10 +68,10 @@
 		target    func(c *testController) storage.Incarnation
 		wantPhase storage.TransferPhase
 	}{
-		{"at its target", func(c *testController) storage.Incarnation {
+		{"taken over by the target", func(c *testController) storage.Incarnation {
 			return c.commit.Lease.Incarnation()
 		}, storage.TransferCommitted},
-		{"elsewhere", func(*testController) storage.Incarnation {
+		{"taken over by another controller", func(*testController) storage.Incarnation {
 			return "tiller-8#1"
 		}, storage.TransferAborted},
 	} {
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -31,9 +31,9 @@
 	}{
 		{"newer heartbeat", 2, 8, true},
 		{"newer agent epoch", 3, 1, true},
-		{"the same heartbeat", 2, 7, false},
-		{"an earlier one", 2, 3, false},
-		{"an earlier agent epoch", 1, 99, false},
+		{"copy of the received heartbeat", 2, 7, false},
+		{"earlier heartbeat", 2, 3, false},
+		{"earlier agent epoch", 1, 99, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newTestController(t)
@@ -70,7 +70,7 @@
 		{"the shard is written again", func(t *testing.T, c *testController) {
 			c.putShard(t, "p", c.commit.Lease.Incarnation(), 3, record)
 		}, true},
-		{"the shard has come back at a higher epoch", func(t *testing.T, c *testController) {
+		{"the shard is owned again at a higher epoch", func(t *testing.T, c *testController) {
 			c.putShard(t, "p", c.commit.Lease.Incarnation(), 5, record)
 			c.agents.Table.TrackOwnedMachine(c.Replica.Machines["m-1"], "m-1")
 		}, false},
@@ -163,9 +163,9 @@
 		wantMachinesMoved     bool
 		reacquired            bool // whether the owner acquires the shards again after the heartbeats were reported
 	}{
-		{"most of each shard", 2, 40, true, false, false},
-		{"some of each shard", 6, 28, false, true, false},
-		{"of an earlier ownership", 2, 28, false, false, true},
+		{"most machines of each shard", 2, 40, true, false, false},
+		{"some machines of each shard", 6, 28, false, true, false},
+		{"heartbeats reported in an earlier period of ownership", 2, 28, false, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newTestController(t)
--- a/internal/coordination/ownership/overload_test.go
+++ b/internal/coordination/ownership/overload_test.go
@@ -22,10 +22,10 @@
 		wantOverloaded  bool
 	}{
 		{"on time", []phase{{onTime, 400}}, false, false},
-		{"late all the time", []phase{{late, 400}}, true, true},
-		{"one pause", []phase{{onTime, 100}, {20 * time.Second, 1}, {onTime, 2}}, false, false},
-		{"a passing peak", []phase{{onTime, 100}, {late, 20}}, true, false},
-		{"has recovered", []phase{{late, 400}, {onTime, 100}}, false, false},
+		{"always late", []phase{{late, 400}}, true, true},
+		{"one process pause", []phase{{onTime, 100}, {20 * time.Second, 1}, {onTime, 2}}, false, false},
+		{"short peak", []phase{{onTime, 100}, {late, 20}}, true, false},
+		{"recovered after an overload", []phase{{late, 400}, {onTime, 100}}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			detector := &OverloadDetector{Context: &step.Context{Now: step.Now{Monotonic: 1}}}
--- a/internal/coordination/ownership/peers_test.go
+++ b/internal/coordination/ownership/peers_test.go
@@ -24,10 +24,10 @@
 	}{
 		{"no other controllers", 0, nil, true},
 		{"no status received", 2, nil, false},
-		{"all report it", 2, []report{{"a", false, 0}, {"b", false, time.Second}}, true},
-		{"one reaches it", 2, []report{{"a", false, 0}, {"b", true, time.Second}}, false},
-		{"one reached it earlier", 2, []report{{"a", false, 0}, {"b", true, 4 * time.Second}}, true},
-		{"all are silent by now", 2, []report{{"a", false, 4 * time.Second}, {"b", false, 3 * time.Second}}, false},
+		{"all report the store unavailable", 2, []report{{"a", false, 0}, {"b", false, time.Second}}, true},
+		{"one reaches the store", 2, []report{{"a", false, 0}, {"b", true, time.Second}}, false},
+		{"status of the one that reached the store is too old", 2, []report{{"a", false, 0}, {"b", true, 4 * time.Second}}, true},
+		{"all statuses are too old", 2, []report{{"a", false, 4 * time.Second}, {"b", false, 3 * time.Second}}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ctx := &step.Context{Config: step.Config{PeerCount: test.peerCount}}
@@ -54,12 +54,12 @@
 		age    time.Duration
 		want   bool
 	}{
-		{"accepts", status{Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true}, time.Second, true},
-		{"said so too long ago", status{Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true},
+		{"accepts shards", status{Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true}, time.Second, true},
+		{"status is too old", status{Incarnation: otherIncarnation, StoreReachable: true, AcceptsShards: true},
 			4 * time.Second, false},
 		{"does not reach the store", status{Incarnation: otherIncarnation, AcceptsShards: true}, 0, false},
-		{"accepts none", status{Incarnation: otherIncarnation, StoreReachable: true}, 0, false},
-		{"an earlier incarnation", status{Incarnation: "tiller-1#0", StoreReachable: true, AcceptsShards: true}, 0, false},
+		{"accepts no shards", status{Incarnation: otherIncarnation, StoreReachable: true}, 0, false},
+		{"status of an earlier incarnation", status{Incarnation: "tiller-1#0", StoreReachable: true, AcceptsShards: true}, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			controller := newTestController(t)
--- a/internal/coordination/ownership/quiescence.go
+++ b/internal/coordination/ownership/quiescence.go
@@ -7,7 +7,7 @@
 
 // isShardQuiescent reports whether an owned shard has no start in flight from this controller to its
 // agents and no unresolved cancellation on its machines. Silent agents are not waited for, because an
-// agent discards a response that it has not carried out within seconds.
+// agent discards a response that it has not executed within seconds.
 func (t *Transfers) isShardQuiescent(shard *storage.Shard) bool {
 	return t.allResponsiveMachinesMatch(shard, func(entry *storage.Machine, state *agents.MachineState) bool {
 		return len(state.InflightStarts) == 0 && t.areCancellationsResolved(entry)
--- a/internal/coordination/ownership/quiescence_test.go
+++ b/internal/coordination/ownership/quiescence_test.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/storage"
 )
 
-// A shard is quiescent if no start is in flight to an agent that can still carry it out.
+// A shard is quiescent if no start is in flight to an agent that can still execute it.
 func TestShardQuiescence(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -17,7 +17,7 @@
 		setUp       func(c *testController, machine *agents.MachineState)
 		want        bool
 	}{
-		{"nothing in flight", false, func(*testController, *agents.MachineState) {}, true},
+		{"no start in flight", false, func(*testController, *agents.MachineState) {}, true},
 		{"a start in flight", false, func(_ *testController, machine *agents.MachineState) {
 			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
 		}, false},
@@ -25,7 +25,7 @@
 			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
 			c.Advance(c.agents.Table.SilenceTimeout() + time.Millisecond)
 		}, true},
-		{"a start in flight to a machine that goes", true, func(_ *testController, machine *agents.MachineState) {
+		{"a start in flight to a terminating machine", true, func(_ *testController, machine *agents.MachineState) {
 			machine.InflightStarts[protocol.Task{Job: "j-1"}] = 5
 		}, true},
 	} {
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -23,9 +23,9 @@
 		wantOwnerChanged        bool // whether the owner of the shard is changed at once
 		wantAcceptsShards       bool // whether this controller accepts shards shortly afterwards
 	}{
-		{"recorded", true, true, false, true, false, true},
-		{"the setting is off", false, true, false, false, true, true},
-		{"the target does not know such records", true, false, false, false, true, true},
+		{"the transfer is recorded", true, true, false, true, false, true},
+		{"the setting to record transfers is off", false, true, false, false, true, true},
+		{"the version of the target does not know transfer records", true, false, false, false, true, true},
 		{"overloaded", true, true, true, false, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/sharding/failover_test.go
+++ b/internal/sharding/failover_test.go
@@ -19,10 +19,10 @@
 		{"successor with heartbeat", 1100 * time.Millisecond, true, true, true},
 		{"successor, too early", 1100 * time.Millisecond, true, false, false},
 		{"successor", 1500 * time.Millisecond, true, false, true},
-		{"other with heartbeat, too early", 3900 * time.Millisecond, false, true, false},
-		{"other with heartbeat", 4100 * time.Millisecond, false, true, true},
-		{"other, too early", 14 * time.Second, false, false, false},
-		{"other", 16 * time.Second, false, false, true},
+		{"other controller with heartbeat, too early", 3900 * time.Millisecond, false, true, false},
+		{"other controller with heartbeat", 4100 * time.Millisecond, false, true, true},
+		{"other controller, too early", 14 * time.Second, false, false, false},
+		{"other controller", 16 * time.Second, false, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := IsFailoverDue(test.expiredFor, test.isSuccessor, test.hasHeartbeat); got != test.want {
@@ -63,9 +63,9 @@
 		machines, misdirected, heartbeating int
 		want                                bool
 	}{
-		{"most are misdirected", 10, 6, 0, true},
-		{"half are misdirected", 10, 5, 0, false},
-		{"too many still reach the owner", 10, 6, 3, false},
+		{"most machines are misdirected", 10, 6, 0, true},
+		{"half of the machines are misdirected", 10, 5, 0, false},
+		{"too many machines still reach the owner", 10, 6, 3, false},
 		{"too few machines", 2, 2, 0, false},
 		{"few machines, one reaches the owner", 3, 3, 1, true},
 	} {
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -20,9 +20,9 @@
 type Shard struct {
 	ID           storage.ShardID
 	Owner        storage.Incarnation // the target if the shard is in transfer
-	Load         float64
-	TransferCost float64 // work that a transfer would delay
-	Pinned       bool    // must stay, because it is in transfer already, is empty or is reserved for a gang
+	Load         float64             // in any unit that is the same for all shards
+	TransferCost float64             // work that a transfer would delay
+	Pinned       bool                // must stay, because it is in transfer already, is empty or is reserved for a gang
 }
 
 // Snapshot is the state of controllers and shards that a plan is based on.
