--- a/internal/simulation/machine_loss_test.go
+++ b/internal/simulation/machine_loss_test.go
@@ -7,9 +7,9 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// A controller loses nearly all its machines at once, or nearly all of them hang for an hour. The
-// controller must not conclude permanently that its own network is partitioned, because it would then
-// keep the tasks of the lost machines from being placed on other machines.
+// TestMostMachinesAreLost terminates nearly all machines of a deployment at once, or lets them hang
+// for an hour. A controller must not conclude permanently that its own network is partitioned,
+// because it would then keep the tasks of the lost machines from being placed on other machines.
 func TestMostMachinesAreLost(t *testing.T) {
 	for _, test := range []struct {
 		name             string
--- a/internal/simulation/placement_test.go
+++ b/internal/simulation/placement_test.go
@@ -10,8 +10,9 @@
 	"tillerarch/internal/protocol"
 )
 
-// A gang with a task on a machine that gets a preemption notice stops gracefully. All its tasks are
-// told to stop in time and save their progress, and the whole gang continues on other machines.
+// TestGangSavesOnPreemptionNotice checks that a gang stops gracefully if a machine of one of its
+// tasks gets a preemption notice. All tasks of the gang are told to stop in time and save their
+// progress, and the whole gang continues on other machines.
 func TestGangSavesOnPreemptionNotice(t *testing.T) {
 	w := NewWorld(5, 3, testMachineTypes, testTeams())
 	w.addSmallMachines(12, "a")
@@ -42,8 +43,8 @@
 	}
 }
 
-// While the spot prices are above the threshold, no spot machine is provisioned and no task is placed
-// on one. This lasts until the threshold is computed again.
+// TestSpotSuspension checks that no spot machine is provisioned and no task is placed on one while
+// the spot prices are above the threshold. This lasts until the threshold is computed again.
 func TestSpotSuspension(t *testing.T) {
 	w := NewWorld(8, 3, append([]protocol.MachineType(nil), testMachineTypes...), testTeams())
 	newSpotJob := func(id protocol.JobID) *protocol.Job {
@@ -88,8 +89,9 @@
 	}
 }
 
-// A machine on which the tasks of two jobs fail is scaled in. A job whose tasks fail on every machine
-// causes no scale-in, and its tasks are tried at growing intervals.
+// TestFaultyMachinesAndJobs checks that a machine on which the tasks of two jobs fail is scaled in. A
+// job whose tasks fail on every machine causes no scale-in, and its tasks are tried at growing
+// intervals.
 func TestFaultyMachinesAndJobs(t *testing.T) {
 	const maxTaskStarts = 60
 	for _, test := range []struct {
@@ -131,9 +133,9 @@
 	}
 }
 
-// The records of an array of the largest allowed size stay within the store's limits, also when the
-// array's tasks end in any order. A team with guaranteed capacity gets this capacity back from a team
-// that borrows it.
+// TestLargeArrayAndGuarantee checks that the records of an array of the largest allowed size stay
+// within the store's limits, also when the array's tasks end in any order. A team with guaranteed
+// capacity gets this capacity from a team that borrows it.
 func TestLargeArrayAndGuarantee(t *testing.T) {
 	teams := map[string]step.Quota{"big": {}, "sure": {GuaranteedCores: 8}}
 	w := NewWorld(12, 1, testMachineTypes[1:], teams)
@@ -157,8 +159,8 @@
 	}
 }
 
-// Tasks that need accelerators are placed only on machines with accelerators, and no more of them run
-// at once than there are accelerators.
+// TestAccelerators checks that tasks that need accelerators are placed only on machines with
+// accelerators, and that no more of them run at once than there are accelerators.
 func TestAccelerators(t *testing.T) {
 	machineTypes := append([]protocol.MachineType(nil), testMachineTypes[0], testMachineTypes[0])
 	machineTypes[1].Name, machineTypes[1].Accelerators = "gpu", 2
@@ -190,7 +192,7 @@
 	}
 }
 
-// A job preempts jobs of lower priority, but none of the same priority.
+// TestPreemption checks that a job preempts jobs of lower priority, but none of the same priority.
 func TestPreemption(t *testing.T) {
 	w := NewWorld(6, 1, testMachineTypes[1:], testTeams())
 	w.CloudOutOfCapacity = true
--- a/internal/simulation/repeatability_test.go
+++ b/internal/simulation/repeatability_test.go
@@ -9,9 +9,9 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// A scenario has the same effects in each run of the same seed. The test runs each scenario twice. The
-// faults of these scenarios depend on which controller is the busiest, which shards a controller owns
-// or which machines hang.
+// TestScenariosAreRepeatable runs each scenario twice and checks that both runs of the same seed have
+// the same effects. The faults of these scenarios depend on which controller is the busiest, which
+// shards a controller owns or which machines hang.
 func TestScenariosAreRepeatable(t *testing.T) {
 	newCombinationWorld := func(inject func(w *World)) func(t *testing.T) *World {
 		return func(t *testing.T) *World {
--- a/internal/simulation/rule_checker_test.go
+++ b/internal/simulation/rule_checker_test.go
@@ -9,7 +9,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// Each check of the rule checker reports the violation that it is meant to find.
+// TestRuleCheckerDetectsViolations checks that each check of the rule checker reports the violation
+// that it is meant to find.
 func TestRuleCheckerDetectsViolations(t *testing.T) {
 	job := &protocol.Job{ID: "j-1", Team: "x", TaskCount: 2, Cores: 2, Kind: protocol.KindArray, MachineTypes: []protocol.MachineTypeName{"small"}}
 	task0, task1 := protocol.Task{Job: "j-1"}, protocol.Task{Job: "j-1", Index: 1}
@@ -120,8 +121,9 @@
 	}
 }
 
-// The checker reports a reply whose state is older than the state that another controller reported
-// milliseconds before. It allows the older state if the request was sent before that report.
+// TestRuleCheckerDetectsStaleReplies checks that the rule checker reports a reply whose state is
+// older than the state that another controller reported milliseconds before. The checker allows the
+// older state if the request was sent before that report.
 func TestRuleCheckerDetectsStaleReplies(t *testing.T) {
 	const reportedAt = time.Second
 	job := newArray("j-000001", "l", "high", 1, 1, 1)
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -47,8 +47,8 @@
 	return machines
 }
 
-// The replicas of a service run again after any failure of their machines and of the controllers. Only
-// a cancellation ends them.
+// TestServices checks that the replicas of a service run again after any failure of their machines
+// and of the controllers. Only a cancellation ends them.
 func TestServices(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -130,8 +130,8 @@
 
 func terminateServiceMachine(w *World) { w.TerminateMachine(w.machinesOfJob("j-1")[0].ID) }
 
-// Replicas of high priority preempt tasks of lower priority on full machines, and no more tasks than
-// the replicas need. Replicas of low priority preempt no tasks.
+// TestReplicasPreempt checks that replicas of high priority preempt tasks of lower priority on full
+// machines, and no more tasks than the replicas need. Replicas of low priority preempt no tasks.
 func TestReplicasPreempt(t *testing.T) {
 	for _, test := range []struct {
 		priority        protocol.Priority
@@ -155,8 +155,9 @@
 	}
 }
 
-// Replicas of a service share a machine if there is only one. If there are several machines, at most
-// half of the replicas are on one of them, so that the service uses at least two.
+// TestReplicasShareOnlyMachine checks that replicas of a service share a machine if there is only
+// one. If there are several machines, at most half of the replicas are on one of them, so that the
+// service uses at least two.
 func TestReplicasShareOnlyMachine(t *testing.T) {
 	for _, machineCount := range []int{1, 4} {
 		w := NewWorld(3, 3, testMachineTypes, testTeams())
@@ -175,8 +176,8 @@
 	}
 }
 
-// A replica that exits as soon as it starts is tried at growing intervals and does not keep any other
-// job from running.
+// TestReplicaExitsImmediately checks that a replica that exits as soon as it starts is tried at
+// growing intervals and does not keep any other job from running.
 func TestReplicaExitsImmediately(t *testing.T) {
 	for _, class := range []string{exitingClass, failingClass} {
 		w := newMixedWorld(t, 6)
@@ -197,8 +198,8 @@
 	}
 }
 
-// A service whose replicas together need more cores than its team's quota is rejected. Services that
-// fit each by itself stay within the quota together.
+// TestServicesWithinQuota checks that a service is rejected if its replicas together need more cores
+// than its team's quota. Services that fit each by itself stay within the quota together.
 func TestServicesWithinQuota(t *testing.T) {
 	w := newMixedWorld(t, 2)
 	w.Config.Quotas = map[string]step.Quota{"tight": {MaxCores: 10}}
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -67,8 +67,9 @@
 	return requests.TransferRequest{Name: name, Shard: w.shard, Target: w.target.ID}
 }
 
-// A transfer request is accepted once the transfer's proposal is recorded in the store, and only one
-// transfer begins for each name. A request that cannot be carried out is refused with a reason.
+// TestTransferRequests checks that a transfer request is accepted once the transfer's proposal is
+// recorded in the store, and that only one transfer begins for each name. A request that cannot be
+// carried out is refused with a reason.
 func TestTransferRequests(t *testing.T) {
 	for _, test := range []struct {
 		name          string
@@ -177,9 +178,9 @@
 	}
 }
 
-// A drained controller transfers all its shards to other controllers while jobs run and gets none, also
-// in its next incarnation. It gets shards again after the end of the drain. The last controller that is
-// not drained cannot be drained.
+// TestDrainController checks that a drained controller transfers all its shards to other controllers
+// while jobs run and gets none, also in its next incarnation. It gets shards again after the end of
+// the drain. The last controller that is not drained cannot be drained.
 func TestDrainController(t *testing.T) {
 	w := newTransferWorld(t, 12)
 	jobIDs := submitMixedJobs(w, 20)
@@ -230,8 +231,9 @@
 	checkTransfers(t, w, 12, jobIDs, 3)
 }
 
-// A controller that starts later than the others gets shards by recorded transfers, without a request,
-// until all controllers own about the same number. No shard is transferred after that.
+// TestRebalancingConverges checks that a controller that starts later than the others gets shards by
+// recorded transfers, without a request, until all controllers own about the same number. No shard is
+// transferred after that.
 func TestRebalancingConverges(t *testing.T) {
 	w := newTransferWorld(t, 9)
 	w.restartWithConfig(func(config *step.Config) { config.ValueBytes = 1024 }) // so that few machines fit into a shard
@@ -253,9 +255,10 @@
 	}
 }
 
-// Between the preparation and the commit of a transfer, no start command is sent to the shard's
-// machines. Each agent has sent a heartbeat since it accepted its last start command, so that no start
-// command is in flight when the target becomes the owner.
+// TestNoStartsInFlightAtTransfer checks that no start command is sent to the machines of a shard
+// between the preparation and the commit of its transfer. Each agent has sent a heartbeat since it
+// accepted its last start command, so that no start command is in flight when the target becomes the
+// owner.
 func TestNoStartsInFlightAtTransfer(t *testing.T) {
 	const inFlightAllowance = 500 * time.Millisecond // for starts that were sent before the source knew of the write
 	w := newTransferWorld(t, 6)
@@ -289,8 +292,8 @@
 	}
 }
 
-// A quiesced shard gets no new task, and its running tasks continue under their attempts. The shard gets
-// tasks again after the transfer.
+// TestShardQuiesces checks that a quiesced shard gets no new task and that its running tasks continue
+// under their attempts. The shard gets tasks again after the transfer.
 func TestShardQuiesces(t *testing.T) {
 	w := newTransferWorld(t, 4)
 	w.restartWithConfig(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
--- a/internal/simulation/transfers_random_test.go
+++ b/internal/simulation/transfers_random_test.go
@@ -121,8 +121,9 @@
 	return problems
 }
 
-// Faults of all kinds happen at random times and in any order while shards are transferred. Rapid
-// shrinks a failing case to the fewest faults that violate a rule.
+// TestTransfersUnderRandomFaults lets faults of all kinds happen at random times and in any order
+// while shards are transferred. Rapid shrinks a failing case to the fewest faults that violate a
+// rule.
 func TestTransfersUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -142,7 +143,8 @@
 	})
 }
 
-// The cases are failures that rapid found in TestTransfersUnderRandomFaults, shrunk to the fewest faults.
+// TestTransferRegressions repeats the failures that rapid found in TestTransfersUnderRandomFaults,
+// shrunk to the fewest faults.
 func TestTransferRegressions(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -78,9 +78,9 @@
 	w.After(5*time.Second, requestNext)
 }
 
-// Shards are transferred all the time while jobs of every kind run, and faults happen just when
-// transfers enter a phase. No rule is violated, each machine has one owner at every revision of the
-// store, and all jobs and all transfers end after the faults have ended.
+// TestTransfersUnderFaults transfers shards all the time while jobs of every kind run, and lets
+// faults happen just when transfers enter a phase. No rule is violated, each machine has one owner at
+// every revision of the store, and all jobs and all transfers end after the faults have ended.
 func TestTransfersUnderFaults(t *testing.T) {
 	const faultPeriod = 90 * time.Second
 	for _, test := range []struct {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -45,9 +45,9 @@
 	return size
 }
 
-// The version in production is replaced while it serves, and the store lowers its limits at some moment
-// after that. No rule is violated, a controller of the old version can read all records that it gets,
-// and soon after the change no transaction is too large for the new limits.
+// TestUpgradesUnderFaults replaces the version in production while it serves. The store lowers its
+// limits at some moment after that. No rule is violated, a controller of the old version can read all
+// records that it gets, and soon after the change no transaction is too large for the new limits.
 func TestUpgradesUnderFaults(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -190,8 +190,9 @@
 	}
 }
 
-// No record that the version in production could not read is written while a controller of that version
-// may come back, however long this lasts. The test keeps such a controller down for a minute.
+// TestFormatUpgradeWaitsForAllControllers checks that no record that the version in production could
+// not read is written while a controller of that version may come back, however long this lasts. The
+// test keeps such a controller down for a minute.
 func TestFormatUpgradeWaitsForAllControllers(t *testing.T) {
 	w := newUpgradeWorld(t, 3)
 	submitMixedJobs(w, 30)
@@ -220,8 +221,9 @@
 	}
 }
 
-// Records that no other change causes to be written are re-encoded too, because a shard that is too
-// large for the new limits could not be taken over in one transaction later.
+// TestIdleRecordsAreReencoded checks that records that no other change causes to be written are
+// re-encoded too, because a shard that is too large for the new limits could not be taken over in one
+// transaction later.
 func TestIdleRecordsAreReencoded(t *testing.T) {
 	w := newUpgradeWorld(t, 5)
 	w.Config.IdleTimeoutFactor = 1000
