--- a/cmd/tillerarch/admin_tool.go
+++ b/cmd/tillerarch/admin_tool.go
@@ -91,7 +91,7 @@
 }
 
 // pollShardingStatus requests the sharding status repeatedly until isDone returns true or an error.
-// After the timeout it returns a retryable error whose reason timeoutReason returns.
+// After the timeout it returns a retryable error with the reason that timeoutReason returns.
 func pollShardingStatus(
 	ctx context.Context,
 	client *admin.Client,
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -135,7 +135,7 @@
 
 // Announced limits of the store are completed with the current limits. Without announced limits,
 // AnnouncedLimits is nil.
-func TestNextLimits(t *testing.T) {
+func TestAnnouncedLimits(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
 		want       *step.WriteLimits
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -58,7 +58,7 @@
 	return client
 }
 
-func TestCalls(t *testing.T) {
+func TestClientCalls(t *testing.T) {
 	proposedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
 	backend := &fakeBackend{status: ShardingStatus{
 		Revision: 412,
@@ -154,7 +154,7 @@
 	})
 }
 
-func TestLimits(t *testing.T) {
+func TestServiceLimits(t *testing.T) {
 	checkRetryable := func(t *testing.T, err error) {
 		t.Helper()
 		var requestErr *RequestError
--- a/internal/coordination/health.go
+++ b/internal/coordination/health.go
@@ -24,7 +24,7 @@
 	}
 	// A process that starts in an outage has read nothing, but serves no worse than the other
 	// controllers: it rejects requests at once, and accepts them as soon as it can. If it reported
-	// itself unhealthy, load balancers would avoid it for a while after the outage.
+	// itself unhealthy, it would receive no requests for a while after the outage.
 	return c.commit.Store.HasFailedFor(startupOutageDelay) && c.isStoreOutageShared()
 }
 
--- a/internal/coordination/provisioning/provisioner.go
+++ b/internal/coordination/provisioning/provisioner.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// ScaleOut retries failed provision requests, and requests machines for the plan's unmet demand. It
-// sends no new request while the store is unavailable or the plan is older than maxPlanAge.
+// ScaleOut retries failed provision requests, and requests machines for the plan's unmet demand, which
+// is that of the jobs that this controller owns. It sends no new request while the store is unavailable
+// or the plan is older than maxPlanAge.
 func (p *Provisioner) ScaleOut() {
 	p.retryRequests()
 	if p.replication.StoreUnavailable() || p.demandSource.Age() > maxPlanAge {
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -15,7 +15,7 @@
 	"tillerarch/internal/storage"
 )
 
-const owner storage.Incarnation = "stall-0#7" // of the controller under test
+const testIncarnation storage.Incarnation = "stall-0#7" // of the controller under test
 
 // fixture holds the parts of this package and the parts of other packages that they depend on.
 type fixture struct {
@@ -91,8 +91,8 @@
 	t.Helper()
 	f := newFixture(t)
 	committest.Register(t, f.Context, f.commit)
-	if got := f.commit.Lease.Incarnation(); got != owner {
-		t.Fatalf("registered as %q, want %q", got, owner)
+	if got := f.commit.Lease.Incarnation(); got != testIncarnation {
+		t.Fatalf("registered as %q, want %q", got, testIncarnation)
 	}
 	return f
 }
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -54,7 +54,7 @@
 	f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1","m":true}`), 2)
 	f.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#1"}`), 2)
 	record := storage.MachineRecord{MachineType: "s", Zone: "a"}
-	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(owner, 3, []string{record.EncodeLine("m-1")}, nil), 2)
+	f.Put(t, storage.ShardKey("p"), storage.EncodePlainShard(testIncarnation, 3, []string{record.EncodeLine("m-1")}, nil), 2)
 	f.Put(t, storage.ShardKey("q"), storage.EncodePlainShard("stall-9#1", 3, []string{record.EncodeLine("m-2")}, nil), 2)
 }
 
@@ -253,7 +253,7 @@
 		for _, machine := range machines {
 			lines = append(lines, record.EncodeLine(machine))
 		}
-		f.Put(t, storage.ShardKey(id), storage.EncodePlainShard(owner, 3, lines, nil), 3)
+		f.Put(t, storage.ShardKey(id), storage.EncodePlainShard(testIncarnation, 3, lines, nil), 3)
 	}
 	putShard("p", "m-1", "m-3", "m-4")
 	putShard("r", "m-5", "m-6")
@@ -261,7 +261,7 @@
 	f.Put(t, storage.TransferKey(storage.NewTransferSlot("stall-1", 0)), storage.MustMarshal(storage.TransferRecord{
 		Name:   "first",
 		Shard:  "s",
-		Source: owner,
+		Source: testIncarnation,
 		Target: "stall-1#1",
 		Phase:  storage.TransferProposed,
 	}), 2)
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -104,7 +104,7 @@
 		},
 		{
 			name:              "cancel of a job that is done meanwhile",
-			before:            &storage.JobRecord{Owner: owner},
+			before:            &storage.JobRecord{Owner: testIncarnation},
 			request:           cancel,
 			after:             &storage.JobRecord{State: protocol.JobDone, TaskCount: 2},
 			want:              []int{http.StatusOK},
@@ -185,16 +185,16 @@
 // A cancellation is answered once the job is recorded as cancelled, not once the request is recorded.
 func TestCancelAwaitsConfirmation(t *testing.T) {
 	f := newRegisteredFixture(t)
-	f.putJob(t, storage.JobRecord{Owner: owner}, 2)
+	f.putJob(t, storage.JobRecord{Owner: testIncarnation}, 2)
 	f.Users.OnUserInput(step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob})
 	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
 	f.Users.ReplyToPendingRequests()
 	f.wantStatuses(t, "cancellation requested")
-	f.putJob(t, storage.JobRecord{Owner: owner, CancelRequested: true}, 3)
+	f.putJob(t, storage.JobRecord{Owner: testIncarnation, CancelRequested: true}, 3)
 	f.Replica.Revision = 3
 	f.Users.ReplyToPendingRequests()
 	f.wantStatuses(t, "cancellation request recorded")
-	f.putJob(t, storage.JobRecord{Owner: owner, State: protocol.JobCancelled}, 4)
+	f.putJob(t, storage.JobRecord{Owner: testIncarnation, State: protocol.JobCancelled}, 4)
 	f.Replica.Revision = 4
 	f.Users.ReplyToPendingRequests()
 	f.wantStatuses(t, "cancellation confirmed", http.StatusOK)
--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -9,7 +9,7 @@
 	// maxTasksPerWrite is the maximum number of tasks of an array that one write assigns to a machine.
 	maxTasksPerWrite = 200
 	// maxReservedTasks is the maximum number of tasks of a starved array that machines are reserved for.
-	// The first task that is placed ends the starvation, so that a few are enough.
+	// The first task that is placed ends the starvation.
 	maxReservedTasks = 4
 )
 
--- a/internal/coordination/scheduling/candidate_lister.go
+++ b/internal/coordination/scheduling/candidate_lister.go
@@ -15,8 +15,8 @@
 // starts with it.
 const provisioningIDPrefix = "~"
 
-// expectedProvisioning is the number of provisioning machines for which the candidate list has initial
-// capacity.
+// expectedProvisioning is the number of machines being provisioned for which the candidate list has
+// initial capacity.
 const expectedProvisioning = 16
 
 // candidateLister lists machines with their free capacity as candidates for placement.
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -22,7 +22,7 @@
 	largeMachineType = steptest.LargeMachineType()
 )
 
-// schedulingFixture holds the components of this package and of the packages that it needs, connected as
+// schedulingFixture holds the parts of this package and of the packages that it needs, connected as
 // in Core but without cancellations.
 type schedulingFixture struct {
 	steptest.Fixture
@@ -34,7 +34,7 @@
 	provisioning *provisioning.Parts
 }
 
-// newFixtureWithTwoMachineTypes returns the components of a controller that is registered and up to date,
+// newFixtureWithTwoMachineTypes returns the parts of a controller that is registered and up to date,
 // with two machine types and no machines.
 func newFixtureWithTwoMachineTypes(t *testing.T) *schedulingFixture {
 	t.Helper()
@@ -46,7 +46,7 @@
 	return fixture
 }
 
-// wireParts creates the components and connects them with each other.
+// wireParts creates the parts and connects them with each other.
 func wireParts(base steptest.Fixture) *schedulingFixture {
 	ctx := base.Context
 	catalogParts := catalog.New(ctx)
--- a/internal/coordination/scheduling/gang_placer.go
+++ b/internal/coordination/scheduling/gang_placer.go
@@ -18,7 +18,7 @@
 	batch      *commit.Batch
 	job        *PendingJob
 	candidates []*Candidate
-	zones      []protocol.Zone // zones, each of which may take all tasks
+	zones      []protocol.Zone // one of these takes all tasks; an empty zone means any zone
 	tasks      int
 }
 
@@ -67,7 +67,8 @@
 }
 
 // isPreemptionQuicker reports whether the gang starts sooner if tasks of lower priority are stopped.
-// Preemption is quicker than waiting for a machine to boot, or for an image that other machines have.
+// Preemption is quicker than waiting for a machine to boot, and quicker than fetching an image that other
+// machines already have.
 func (p *gangPlacer) isPreemptionQuicker(placements []placement) bool {
 	if !p.gangs.preemptor.fitsJobRecord(placements) {
 		return false
--- a/internal/coordination/scheduling/job_attempts.go
+++ b/internal/coordination/scheduling/job_attempts.go
@@ -14,7 +14,7 @@
 	// placements do not wait for the block.
 	minAttemptsLeft = 8
 	// undelayedPlacementsPerTask is how often each task of a job may be placed, on average, before further
-	// placements are delayed. The tasks of such a job may fail everywhere until its user cancels the job.
+	// placements are delayed. The tasks of a job may fail on every machine until its user cancels the job.
 	undelayedPlacementsPerTask = 4
 	// placementBackoffStep is the additional delay of each further round of placements.
 	placementBackoffStep = 5 * time.Second
--- a/internal/coordination/scheduling/parts.go
+++ b/internal/coordination/scheduling/parts.go
@@ -9,7 +9,7 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// Parts holds the components of this package, connected with each other.
+// Parts holds the parts of this package, connected with each other.
 type Parts struct {
 	Queue     *Queue
 	Plan      *Plan
@@ -24,7 +24,8 @@
 	preemptor  *preemptor
 }
 
-// New creates the components. They can be used once Connect has connected them with other packages.
+// New returns the parts of this package. They can be used once Connect has connected them with the
+// parts of other packages.
 func New(ctx *step.Context) *Parts {
 	parts := &Parts{
 		Queue:      &Queue{Context: ctx},
@@ -65,7 +66,7 @@
 	return parts
 }
 
-// Dependencies holds the components of other packages that this package needs.
+// Dependencies holds the parts of other packages that this package uses.
 type Dependencies struct {
 	Catalog     *catalog.Catalog
 	Agents      *agents.Table
@@ -81,7 +82,7 @@
 	Stopper     *agents.TaskStopper
 }
 
-// Connect connects the components with those of other packages.
+// Connect connects the parts with those of other packages.
 func (p *Parts) Connect(dependencies Dependencies) {
 	p.Queue.catalog = dependencies.Catalog
 	p.lister.agents = dependencies.Agents
--- a/internal/coordination/scheduling/placement.go
+++ b/internal/coordination/scheduling/placement.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// longRunningDivisor divides the cores of the fleet. The quotient goes to long-running arrays first.
+	// longRunningDivisor determines the part of the fleet's cores that goes to long-running arrays first. The
+	// part is 1/longRunningDivisor.
 	longRunningDivisor = 4
 	// minCoresPerTask is the minimum number of cores that a task counts as, so that tasks that request no
 	// cores are bounded too.
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -20,8 +20,8 @@
 	// defaultDueAfter is the time from the submission until the due time of a job that has no objective or
 	// has missed all of them.
 	defaultDueAfter protocol.Millis = 600_000
-	// promotionDivisor divides the time within which the tasks of a job of low priority should start. For
-	// the quotient at the end of that time, the job is served like the next higher priority.
+	// promotionDivisor determines when a job of low priority is served like the next higher priority: during
+	// the last 1/promotionDivisor of the time within which the tasks of the job should start.
 	promotionDivisor = 3
 	// longRunningFactor is the multiple of the aging threshold for which an array must have been unfinished
 	// before a part of the fleet goes to it first.
--- a/internal/coordination/scheduling/services.go
+++ b/internal/coordination/scheduling/services.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// slowImageFetch is the duration of an image fetch from which a preemption on a machine that has the
-	// image is faster.
+	// slowImageFetch is the duration from which an image fetch is slow: it then takes longer than a preemption
+	// on a machine that has the image.
 	slowImageFetch = 3 * time.Second
 	// largeTypeFactor bounds the machine types on which replicas are placed before all others are full, as a
 	// multiple of the cores of the smallest type that fits. A replica never ends, and would keep gangs off a
@@ -26,8 +26,8 @@
 
 // ServiceScheduler places the replicas of services.
 //
-// The tasks of a service are replicas that run until their user cancels the job. A service is never done,
-// has no expected end, and loses every second in which a replica does not run. Replicas are therefore
+// The tasks of a service are replicas that run until their user cancels the job. A service is never done and
+// has no expected end, and every second in which a replica does not run counts. Replicas are therefore
 // always urgent, are placed where their image is present, and preempt tasks of lower priority where that is
 // quicker than to fetch an image or to provision a machine.
 type ServiceScheduler struct {
