--- a/internal/coordination/commit/batch_capacity.go
+++ b/internal/coordination/commit/batch_capacity.go
@@ -73,7 +73,7 @@
 // writes need if an empty batch has capacity for them, and 0 otherwise.
 func (b *Batch) CanWriteMachines(machines []protocol.MachineID) (fits bool, opsWhenEmpty int) {
 	replica, limits := b.shardWriter.Replica, b.shardWriter.limits.WriteLimits()
-	opsToAdd, sizeToAdd := 1, limits.ValueBytes // the job
+	opsToAdd, sizeToAdd := 1, limits.ValueBytes // for the job's record, at its maximum size
 	totalOps, totalSize := opsToAdd, sizeToAdd
 	seen := map[storage.ShardID]bool{}
 	for _, id := range machines {
--- a/internal/coordination/commit/outcomes.go
+++ b/internal/coordination/commit/outcomes.go
@@ -117,8 +117,8 @@
 		c.replication.requireRevision(revision)
 		c.Log(slog.LevelInfo, "controller registered", "incarnation", string(c.lease.incarnation))
 	case writeBarrierTransaction:
-		// Each transaction sent before has now been applied, and is seen once the replica has
-		// reached this revision, or never will be.
+		// Each transaction that was sent before the write barrier either has been applied, and shows
+		// once the replica has reached this revision, or will never be applied.
 		c.hasUnknownOutcome = false
 		c.lease.registrationRevision = modRevision
 		c.replication.requireRevision(revision)
--- a/internal/coordination/ownership/adoption.go
+++ b/internal/coordination/ownership/adoption.go
@@ -32,7 +32,7 @@
 }
 
 // adoptMachine adds a machine that has no record, provided that its agent has answered a probe. Without
-// an answer, the heartbeat may be a delayed copy from a machine that is gone.
+// an answer, the heartbeat may be a delayed copy from a machine that was terminated.
 func (mgr *Manager) adoptMachine(batch *commit.Batch, id protocol.MachineID, state *agents.MachineState) {
 	if !state.HasAnsweredProbe {
 		return
--- a/internal/storage/shards.go
+++ b/internal/storage/shards.go
@@ -55,7 +55,8 @@
 	Packed string      `json:"m"` // result of packShard
 }
 
-// EncodePlainShard encodes a shard's record in the plain format.
+// EncodePlainShard encodes a shard's record in the plain format. The lines are those that
+// MachineRecord.EncodeLine returns for the machines of the shard.
 func EncodePlainShard(
 	owner Incarnation,
 	epoch ShardEpoch,
@@ -65,7 +66,8 @@
 	return MustMarshal(encodedShard{owner, epoch, lines, completed})
 }
 
-// EncodeShard encodes a shard's record in the given format.
+// EncodeShard encodes a shard's record in the given format. The lines are those that
+// MachineRecord.EncodeLine returns for the machines of the shard.
 func EncodeShard(
 	format Format,
 	owner Incarnation,
