--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -35,7 +35,7 @@
 // Close closes the connection. Calls in progress fail.
 func (c *Client) Close() error { return c.connection.Close() }
 
-// GetShardingStatus returns the status of sharding, the ownership of all machines.
+// GetShardingStatus returns the ownership of all machines and the transfers of shards.
 func (c *Client) GetShardingStatus(ctx context.Context) (*ShardingStatus, error) {
 	return invoke[ShardingStatus](ctx, c, methodShardingStatus, &ShardingStatusRequest{})
 }
--- a/internal/coordination/provisioning/terminator.go
+++ b/internal/coordination/provisioning/terminator.go
@@ -85,7 +85,7 @@
 // While the store is unavailable to all controllers, no record can be written, and a task that still
 // runs on the machine would otherwise run beyond the time limit of its cancellation. To other
 // controllers the machine appears to have failed, which they handle like any failure. The record only
-// keeps other controllers from placing tasks on the machine, so its absence costs time.
+// keeps other controllers from placing tasks on the machine, so its absence only costs time.
 func (t *Terminator) TerminateUnrecorded(id protocol.MachineID) {
 	if t.IsTerminating(id) {
 		return
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -60,7 +60,7 @@
 	input              []byte    // bytes of an incomplete request or frame
 	awaitingResponse   bool      // a request waits for its response
 	pendingResponse    []byte    // a response that the loop has not taken
-	closeAfterResponse bool      // the connection is closed once no response is due
+	closeAfterResponse bool      // the connection is closed after the response that is due, or at once if none is
 	lastActivity       time.Time // time of the first byte of a request, or of the last response
 	isClosed           bool      // evio has closed the connection or is about to
 	closeRequested     bool      // the sweep has requested that the connection is closed
@@ -314,9 +314,9 @@
 	return sweepInterval, evio.None
 }
 
-// closeExpiredConns requests that connections are closed whose timeout has expired. It
-// returns the number of connections for which an earlier sweep requested it and that are
-// still open.
+// closeExpiredConns requests the closing of the connections whose timeout has expired. It
+// returns the number of connections that are still open although an earlier sweep requested
+// their closing.
 func (s *Server) closeExpiredConns(now time.Time) (stalled int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
