--- a/internal/integration/cluster.go
+++ b/internal/integration/cluster.go
@@ -24,7 +24,7 @@
 type Options struct {
 	Seed            uint64
 	ControllerCount int
-	BinaryPath      string // of the program under test
+	BinaryPath      string // path of the program under test
 	WorkDir         string // directory of settings files and logs
 	MachineTypes    []protocol.MachineType
 	Teams           map[string]step.Quota
@@ -43,7 +43,7 @@
 	ID         protocol.ControllerID
 	AdminAddr  string // address of the admin service
 	cluster    *Cluster
-	index      int    // in Cluster.Controllers
+	index      int    // index in Cluster.Controllers
 	listenAddr string // address for users and agents
 	peerAddr   string // address for other controllers
 	httpClient *http.Client
--- a/internal/integration/doc.go
+++ b/internal/integration/doc.go
@@ -5,6 +5,5 @@
 // the users receive.
 //
 // The package owns the processes (Cluster, Controller) and the HTTP servers (SimulationServer). Only
-// one goroutine at a time may access the simulated world, so that every access goes through
-// WithWorld.
+// one goroutine at a time may access the simulated world, so every access goes through WithWorld.
 package integration
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -57,7 +57,7 @@
 }
 
 // transferGoal returns the number of shards to transfer. It is the value of the environment variable
-// MOVES, or a smaller number for CI.
+// MOVES, or 60 without it, which makes a short run for CI.
 func transferGoal() int {
 	if n, err := strconv.Atoi(os.Getenv("MOVES")); err == nil {
 		return n
@@ -132,7 +132,7 @@
 	t            *testing.T
 	cluster      *Cluster
 	random       *rand.Rand
-	killRequests chan protocol.ControllerID // controllers to kill at once
+	killRequests chan protocol.ControllerID // controllers to kill immediately
 	faultCounts  map[string]int             // number of injected faults by kind
 }
 
@@ -316,7 +316,7 @@
 		history.ShardsTransferred, history.MachinesTransferred, duration.Round(time.Second), history.AbortedByReason)
 	t.Logf("faults: %v", faults)
 	if history.MachinesTransferred > 0 {
-		t.Logf("quiesced: %s; from begin to end: %s; %.1f machine-seconds without new tasks, %.2f for each machine transferred; %.2f writes of transfers for each machine transferred",
+		t.Logf("quiesced: %s; from proposal to end: %s; %.1f machine-seconds without new tasks, %.2f for each machine transferred; %.2f writes of transfers for each machine transferred",
 			formatQuantiles(history.QuiesceTimes), formatQuantiles(history.TransferTimes), history.MachineQuiesceTime.Seconds(),
 			history.MachineQuiesceTime.Seconds()/float64(history.MachinesTransferred), float64(history.TransferWrites)/float64(history.MachinesTransferred))
 	}
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -20,8 +20,8 @@
 	reportedAfterFault                                // at least one job after the fault
 )
 
-// cancelledJobCount is how many of the jobs of TestCancellationDuringOutage are cancelled. One more
-// job is not cancelled.
+// cancelledJobCount is the number of jobs that TestCancellationDuringOutage cancels. One more job is
+// not cancelled.
 const cancelledJobCount = 6
 
 // TestCancellationDuringOutage cancels jobs while the controller that commands their machines does
@@ -119,7 +119,7 @@
 	})
 }
 
-// checkCancellationReport checks, as the faults end, how many jobs have been reported cancelled.
+// checkCancellationReport checks, when the faults end, how many jobs have been reported cancelled.
 func checkCancellationReport(t *testing.T, w *World, seed uint64, want cancellationReportTime, ids []protocol.JobID) {
 	t.Helper()
 	reportedCount := 0
@@ -161,8 +161,8 @@
 	}
 }
 
-// refuseBusiestControllerNow lets the store refuse the controller that is the busiest now, for a
-// while. It returns that controller.
+// refuseBusiestControllerNow lets the store refuse the controller that is the busiest now, for 14 s.
+// It returns that controller.
 func (w *World) refuseBusiestControllerNow() *Controller {
 	controller := w.busiestController()
 	w.setFlagsBetween(0, seconds(14), &controller.RefusedByStore)
--- a/internal/simulation/controller.go
+++ b/internal/simulation/controller.go
@@ -178,7 +178,7 @@
 }
 
 // isHealthy reports whether the load balancer may send users to the controller. A remote
-// controller counts as healthy, because only its own load balancer could ask for its health.
+// controller counts as healthy, because the simulated load balancer cannot query its health.
 func (c *Controller) isHealthy() bool { return c.Remote != nil || c.Core.Healthy() }
 
 // processName returns a name for the current process of the controller. For a remote controller
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -178,8 +178,8 @@
 	name             string
 	newWorld         func(t *testing.T, seed uint64) *World
 	schedule         func(t *testing.T, w *World) // schedules jobs and faults
-	faultsDuration   time.Duration                // from the beginning; the faults are over by then
-	recoveryDuration time.Duration                // between the end of the faults and the end of the scenario
+	faultsDuration   time.Duration                // time from the start of the world to the end of the faults
+	recoveryDuration time.Duration                // time between the end of the faults and the end of the scenario
 }
 
 // scheduleFault sets the flag of a fault after the given number of seconds, for duration seconds.
--- a/internal/simulation/fault_combinations_test.go
+++ b/internal/simulation/fault_combinations_test.go
@@ -17,8 +17,8 @@
 }
 
 const (
-	faultsEnd    = 110 * time.Second // from the beginning of the world
-	recoveryTime = 170 * time.Second // between the end of the faults and the checks
+	faultsEnd    = 110 * time.Second // time from the start of the world to the end of the faults
+	recoveryTime = 170 * time.Second // time between the end of the faults and the checks
 )
 
 // TestFaultCombinations runs the combinations that the users listed first.
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -128,7 +128,7 @@
 		w.After(seconds(failureAt-float64(1+2*i)), func() {
 			for _, machine := range w.randomMachines(1) {
 				heartbeat := machine.nextHeartbeat()
-				w.After(seconds(1+2*i), func() { // as the busiest controller fails, and as others take over
+				w.After(seconds(1+2*i), func() { // at failureAt; the copies arrive while others take over
 					for _, after := range []float64{0.35, 1.2, 1.8, 2.6, 4.2} {
 						w.After(seconds(after), func() {
 							for _, controller := range w.Controllers {
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -198,8 +198,8 @@
 }
 
 // submitAndQueryRepeatedly submits a job and calls queryRepeatedly as soon as the job is
-// accepted. If cancel is set, it also cancels the job then, and calls queryRepeatedly again as
-// soon as the job is reported as ended.
+// accepted. If cancelOnceAccepted is set, it also cancels the job then, and calls queryRepeatedly
+// again as soon as the job is reported as ended.
 func (w *World) submitAndQueryRepeatedly(job *protocol.Job, cancelOnceAccepted bool) {
 	w.Submit(job)
 	isAccepted := false
--- a/internal/simulation/history_checker.go
+++ b/internal/simulation/history_checker.go
@@ -126,7 +126,7 @@
 // follow the previous ones.
 func (h *HistoryChecker) checkMachineOwner(revision protocol.Revision, id protocol.MachineID) {
 	if len(h.shardsByMachine[id]) > 1 {
-		h.recordViolation(revision, "machine %s is on %d shards", id, len(h.shardsByMachine[id]))
+		h.recordViolation(revision, "machine %s is in %d shards", id, len(h.shardsByMachine[id]))
 		return
 	}
 	for shard := range h.shardsByMachine[id] {
@@ -178,7 +178,7 @@
 	}
 	h.transfers[key] = record
 	if !record.Phase.CanFollow(last.Phase) || record.Name != last.Name && last.Phase.IsOpen() {
-		h.recordViolation(revision, "transfer %s %q goes from %s to %s", key, record.Name, last.Phase, record.Phase)
+		h.recordViolation(revision, "transfer %s %q changes its phase from %s to %s", key, record.Name, last.Phase, record.Phase)
 	}
 	switch record.Phase {
 	case storage.TransferClosed:
@@ -198,20 +198,20 @@
 }
 
 // checkOwnershipChange checks that the revision that commits a transfer also writes the shard's
-// new owner, and that no machine of the shard leaves the records.
+// new owner, and that each machine of the shard is still in a shard.
 func (h *HistoryChecker) checkOwnershipChange(revision protocol.Revision, record storage.TransferRecord, shardsBefore map[storage.ShardID]storage.ShardSummary) {
 	if record.Phase != storage.TransferCommitted {
 		return
 	}
 	shardBefore, hasChanged := shardsBefore[record.Shard]
 	if !hasChanged || shardBefore.Owner != record.Source || h.shards[record.Shard].Owner != record.Target {
-		h.recordViolation(revision, "transfer %q is committed, its shard went from %q to %q",
+		h.recordViolation(revision, "transfer %q is committed, but the owner of its shard went from %q to %q",
 			record.Name, shardBefore.Owner, h.shards[record.Shard].Owner)
 		return
 	}
 	for _, machine := range shardBefore.Machines {
 		if len(h.shardsByMachine[machine]) == 0 {
-			h.recordViolation(revision, "machine %s left the records with transfer %q", machine, record.Name)
+			h.recordViolation(revision, "machine %s is in no shard after transfer %q", machine, record.Name)
 		}
 	}
 	h.ShardsTransferred++
--- a/internal/simulation/history_checker_test.go
+++ b/internal/simulation/history_checker_test.go
@@ -57,10 +57,10 @@
 		{
 			"a machine in two shards",
 			[][]protocol.Event{{shardEvent("q", target, 2, "m-2")}},
-			nil, "machine m-2 is on 2 shards",
+			nil, "machine m-2 is in 2 shards",
 		},
 		{
-			"a new owner under the old token",
+			"a new owner with the old token",
 			[][]protocol.Event{{shardEvent("p", target, 1, "m-1", "m-2")}},
 			nil, "without a higher token",
 		},
@@ -87,7 +87,7 @@
 		{
 			"a transfer that loses a machine",
 			[][]protocol.Event{{transferEvent("x", storage.TransferPrepared)}, {shardEvent("p", target, 2, "m-1"), transferEvent("x", storage.TransferCommitted)}},
-			nil, "m-2 left the records",
+			nil, "machine m-2 is in no shard",
 		},
 		{
 			"a phase that is left out",
@@ -110,7 +110,7 @@
 			func(h *HistoryChecker) { h.CheckCommand("m-1", storage.ShardEpoch(1).FencingToken(0), "b") }, "accepts commands from b in epoch 1",
 		},
 		{
-			"a command under a token that no owner has had",
+			"a command with a token that no owner has had",
 			nil,
 			func(h *HistoryChecker) { h.CheckCommand("m-1", storage.ShardEpoch(9).FencingToken(0), "a") }, "in epoch 9",
 		},
@@ -130,7 +130,7 @@
 				test.checkCommand(checker)
 			}
 			if joined := strings.Join(violations, "; "); test.wantViolation == "" && joined != "" || !strings.Contains(joined, test.wantViolation) {
-				t.Errorf("violations %q, want %q", joined, test.wantViolation)
+				t.Errorf("violations %q, want one with the text %q, or none if that is empty", joined, test.wantViolation)
 			}
 		})
 	}
--- a/internal/simulation/machine_faults_test.go
+++ b/internal/simulation/machine_faults_test.go
@@ -136,7 +136,7 @@
 			changeCount++
 		}
 	}
-	// The duplicate reaches all controllers while the machine is up: its tasks stay where they are.
+	// The first heartbeat reaches all controllers while the machine is up. The tasks must stay on the machine.
 	for i := 0; i < 40; i++ {
 		w.After(time.Duration(i)*300*time.Millisecond, func() { w.Controllers[i%3].DeliverHeartbeat(heartbeat, func(int, []byte) {}) })
 	}
@@ -144,7 +144,7 @@
 	if changeCount != 0 || w.Rules.TasksStarted != startsBefore {
 		t.Errorf("%d changes by duplicate heartbeats, want none; %d tasks started in all, want %d", changeCount, w.Rules.TasksStarted, startsBefore)
 	}
-	// The other one reaches all controllers once the machine is terminated and no longer recorded.
+	// The second heartbeat reaches all controllers once the machine is terminated and no longer recorded.
 	w.TerminateMachine(machine.ID)
 	w.Advance(40 * time.Second)
 	changeCount = 0
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -11,7 +11,7 @@
 	"tillerarch/internal/storage"
 )
 
-// RuleChecker checks the Rules of PROTOCOL and some additional rules. It uses only the replies
+// RuleChecker checks the rules of docs/PROTOCOL and some additional rules. It uses only the replies
 // to users and the tasks on the machines, and does not depend on how controllers work.
 type RuleChecker struct {
 	CancelTimeout time.Duration      // time within which the tasks of a cancelled job must end
@@ -272,7 +272,7 @@
 	}
 }
 
-// Time limits of the rules that PROTOCOL does not have.
+// Time limits of the rules that docs/PROTOCOL does not have.
 const (
 	maxPlaceableWait  = 90 * time.Second // time without faults that a job may be pending though capacity is free
 	maxUnansweredTime = 75 * time.Second // time without faults for which all requests about a job may get no reply
--- a/internal/simulation/rule_checker_test.go
+++ b/internal/simulation/rule_checker_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, test := range []struct {
 		name        string
-		wantRule    string // that the checker reports as violated
+		wantRule    string // rule that the checker must report as violated first
 		violateRule func(checker *RuleChecker)
 	}{
 		{"two attempts of a task at once", "ran_twice", func(checker *RuleChecker) {
@@ -130,7 +130,7 @@
 	for _, test := range []struct {
 		name        string
 		firstState  protocol.JobState // reported at reportedAt
-		sentAt      time.Duration     // of the second request
+		sentAt      time.Duration     // when the second request was sent
 		requestType protocol.RequestType
 		status      int
 		secondState protocol.JobState
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// handleTaskDone calls OnJobEnd if a job's last task is done, and cancels a random part of such
-// jobs at that moment.
+// handleTaskDone calls OnJobEnd if the last task of a job is done. With the probability
+// CancelAtEndRate it also cancels the job at that moment.
 func (w *World) handleTaskDone(id protocol.JobID) {
 	observed := w.Rules.job(id)
 	if observed.spec == nil || len(observed.completedTasks) < observed.spec.TaskCount {
