--- a/internal/integration/shares_command_test.go
+++ b/internal/integration/shares_command_test.go
@@ -40,8 +40,9 @@
 	return admin.ShardingStatus{}
 }
 
-// The commands of the program list the controllers, transfer a shard, drain a controller for its
-// restart, and end the drain. The output of the program agrees with the records in the store.
+// TestSharesCommand checks that the commands of the program list the controllers, transfer a shard,
+// drain a controller for its restart, and end the drain. The output of the program agrees with the
+// records in the store.
 func TestSharesCommand(t *testing.T) {
 	binaryPath := buildProgram(t)
 	cluster := startTestCluster(t, binaryPath, 8)
--- a/internal/integration/transfers_test.go
+++ b/internal/integration/transfers_test.go
@@ -228,10 +228,10 @@
 	}
 }
 
-// Shards are transferred between three controller processes continually while jobs of every kind
-// arrive. Controllers are killed, paused, restarted and cut off at random, and are killed when a
-// transfer enters a phase. At every revision each machine has one owner. No task runs twice, no gang
-// runs in part, and no job is lost. MOVES=1000 selects the long run.
+// TestTransfersBetweenProcesses transfers shards between three controller processes continually
+// while jobs of every kind arrive. Controllers are killed, paused, restarted and cut off at random,
+// and are killed when a transfer enters a phase. At every revision each machine has one owner. No
+// task runs twice, no gang runs in part, and no job is lost. MOVES=1000 selects the long run.
 func TestTransfersBetweenProcesses(t *testing.T) {
 	cluster := startTestCluster(t, buildProgram(t), 5)
 	jobs := &jobGenerator{}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -140,8 +140,8 @@
 	})
 }
 
-// duplicateHeartbeat delivers a copy of some heartbeats to any controller, from 0.5 s to well
-// over the time of an agent's lease later.
+// duplicateHeartbeat delivers a copy of some heartbeats to any controller, 0.5 to 40.5 s later,
+// which may be well after the expiry of an agent's lease.
 func (w *World) duplicateHeartbeat(body []byte) {
 	if w.DuplicateHeartbeatRate == 0 || w.Rand.Float64() >= w.DuplicateHeartbeatRate {
 		return
--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -55,7 +55,7 @@
 		replicas        int
 		changeJob       func(job *protocol.Job) // may be nil
 		inject          func(w *World)
-		recoverySeconds float64 // until all replicas run again
+		recoverySeconds float64 // time until all replicas run again
 	}{
 		{"no fault", 4, nil, noFault, 0},
 		{"its machine is terminated", 3, nil, terminateServiceMachine, 30},
--- a/internal/simulation/transfers_random_test.go
+++ b/internal/simulation/transfers_random_test.go
@@ -54,8 +54,8 @@
 	startAt, duration time.Duration
 }
 
-// randomFaultPeriod is the time during which shards are transferred and faults happen. All faults end
-// after it.
+// randomFaultPeriod is the time during which shards are transferred and faults happen. The
+// remaining faults are ended after it.
 const randomFaultPeriod = 45 * time.Second
 
 // schedule schedules the beginning and the end of the fault.
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// endFaults ends all faults, also those that hooks on transfers would cause later.
+// endFaults ends the faults that the tests of transfers inject, also those that hooks on transfers
+// would cause later.
 func (w *World) endFaults() {
 	w.Store.Unavailable = false
 	w.LostWriteReplyRate, w.DelayedWriteRate, w.MessageLossRate, w.DuplicateHeartbeatRate = 0, 0, 0, 0
