--- a/internal/simulation/remote_controller.go
+++ b/internal/simulation/remote_controller.go
@@ -8,7 +8,9 @@
 // RemoteController is a controller that runs as a separate process. Its methods call reply at
 // most once, with the world's lock held.
 type RemoteController interface {
+	// DeliverHeartbeat delivers an agent's encoded heartbeat to the controller.
 	DeliverHeartbeat(body []byte, reply func(status int, body []byte))
+	// DeliverUserRequest delivers a user's request about a job to the controller.
 	DeliverUserRequest(requestType protocol.RequestType, id protocol.JobID, body []byte, reply func(status int, body []byte))
 }
 
