--- a/cmd/tillerarch/daemon_test.go
+++ b/cmd/tillerarch/daemon_test.go
@@ -46,7 +46,7 @@
 			body:         `{"stalls":["m-1","m-2"]}`,
 			wantMachines: []protocol.MachineID{"m-1", "m-2"},
 		},
-		{name: "granted none", status: http.StatusOK, body: `{"stalls":[]}`},
+		{name: "no machines granted", status: http.StatusOK, body: `{"stalls":[]}`},
 		{name: "invalid name of a machine", status: http.StatusOK, body: `{"stalls":["m-1",""]}`, wantErr: "invalid name"},
 		{name: "malformed grant", status: http.StatusOK, body: `{`, wantErr: "parse granted machines"},
 		{name: "no capacity", status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`, wantNoCapacity: true},
@@ -74,7 +74,7 @@
 				t.Errorf(`result has request ID %q, want "r-1"`, result.Request.RequestID)
 			}
 			if !slices.Equal(result.Machines, test.wantMachines) || result.NoCapacity != test.wantNoCapacity || result.Invalid != test.wantInvalid {
-				t.Errorf("machines %v, no capacity %v, invalid %v, want the values of the test case",
+				t.Errorf("result has machines %v, no capacity %v, invalid %v, want wantMachines, wantNoCapacity and wantInvalid of the case",
 					result.Machines, result.NoCapacity, result.Invalid)
 			}
 			if (result.Err != nil) != (test.wantErr != "") || test.wantErr != "" && !strings.Contains(result.Err.Error(), test.wantErr) {
@@ -117,7 +117,7 @@
 // input queue.
 func TestEventLoopEnds(t *testing.T) {
 	testDaemon := newTestDaemon(t, "127.0.0.1:1")
-	testDaemon.inputs = make(chan queuedInput) // without capacity
+	testDaemon.inputs = make(chan queuedInput) // unbuffered, so that a send blocks while nothing receives
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	ended := make(chan struct{})
--- a/cmd/tillerarch/settings_test.go
+++ b/cmd/tillerarch/settings_test.go
@@ -64,11 +64,11 @@
 		{"two controllers with one name", `"stall-1"`, `"stall-0"`, "members"},
 		{"host name", `127.0.0.1:8080`, `localhost:8080`, "listen"},
 		{"no port", `127.0.0.3:2379`, `127.0.0.3`, "outside.state"},
-		{"no lease", `lease_s = 42.0`, ``, "params.workers.lease_s"},
+		{"no agent lease", `lease_s = 42.0`, ``, "params.workers.lease_s"},
 		{"negative rate", `write_rps = 40.0`, `write_rps = -1.0`, "params.state.write_rps"},
 		{"NaN", `list_lag_s = 5.0`, `list_lag_s = nan`, "params.cloud.list_lag_s"},
 		{"wrong type", `txn_ops = 24`, `txn_ops = "24"`, "txn_ops"},
-		{"bad limit", `cpus_max = 40.0`, `cpus_max = -1.0`, "params.teams"},
+		{"negative team limit", `cpus_max = 40.0`, `cpus_max = -1.0`, "params.teams"},
 		{
 			"announced limit too small",
 			`[params.cloud]`, "[params.state.next]\nvalue_kb = 0.5\n[params.cloud]", "params.state.next.value_kb",
--- a/cmd/tillerarch/sharding_commands_test.go
+++ b/cmd/tillerarch/sharding_commands_test.go
@@ -41,13 +41,13 @@
 
 // runShares runs `tillerarch shares` with a fake controller. It returns the output of the command,
 // or the text of its error, and the exit code.
-func runShares(t *testing.T, f *fakeBackend, args ...string) (out string, code int) {
+func runShares(t *testing.T, backend *fakeBackend, args ...string) (out string, code int) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := admin.NewServer(f)
+	server := admin.NewServer(backend)
 	go server.Serve(admin.LimitConnections(listener))
 	defer server.Stop()
 	command := newSharesCommand()
@@ -57,7 +57,7 @@
 	command.SetArgs(append([]string{"--admin", listener.Addr().String()}, args...))
 	if err := command.Execute(); err != nil {
 		if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: the error has more than one line: %v", args, err)
+			t.Errorf("%v: error %v, want one line", args, err)
 		}
 		return err.Error(), exitCode(err)
 	}
@@ -96,7 +96,7 @@
 	for _, test := range []struct {
 		name         string
 		args         []string
-		configure    func(*fakeBackend)
+		setUp        func(*fakeBackend)
 		wantExitCode int
 		wantParts    []string // parts of the output or of the error's text
 	}{
@@ -138,13 +138,13 @@
 		{"abort without a transfer", []string{"abort"}, nil, exitUsage, []string{"1 arg"}},
 		{"unknown flag", []string{"list", "--machines"}, nil, exitUsage, []string{"unknown flag"}},
 		{
-			"rejected",
+			"transfer that is rejected",
 			[]string{"move", "--from", "stall-0", "--to", "x"},
 			func(f *fakeBackend) { f.err = &admin.RequestError{Reason: `no controller "x" is up`} },
 			exitRejected, []string{`"x"`},
 		},
 		{
-			"unavailable",
+			"list from an overloaded controller",
 			[]string{"list"},
 			func(f *fakeBackend) { f.err = &admin.RequestError{Reason: "overloaded", Retryable: true} },
 			exitUnavailable, []string{"overloaded"},
@@ -163,8 +163,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			backend := newBackend()
-			if test.configure != nil {
-				test.configure(backend)
+			if test.setUp != nil {
+				test.setUp(backend)
 			}
 			out, code := runShares(t, backend, test.args...)
 			if code != test.wantExitCode {
@@ -186,7 +186,7 @@
 	var status admin.ShardingStatus
 	err := json.Unmarshal([]byte(out), &status)
 	if err != nil || code != 0 || status.Revision != 9 || len(status.Controllers) != 1 {
-		t.Errorf("exit code %d, output %q, error %v, want the whole status", code, out, err)
+		t.Errorf("exit code %d, output %q, error %v, want exit code 0, revision 9 and one controller", code, out, err)
 	}
 	runShares(t, backend, "move", "--from", "stall-0", "--to", "stall-1")
 	first := backend.lastTransferRequest.Name
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -58,6 +58,7 @@
 	return client
 }
 
+// Each call must reach the backend with its request and return the response of the backend.
 func TestClientCalls(t *testing.T) {
 	proposedAt := time.Date(2026, 12, 2, 13, 0, 0, 0, time.UTC)
 	backend := &fakeBackend{status: ShardingStatus{
@@ -88,7 +89,7 @@
 			t.Fatal(err)
 		}
 		if got.Revision != want.Revision || got.Stale != want.Stale {
-			t.Errorf("got revision %d, stale %v, want those of the backend", got.Revision, got.Stale)
+			t.Errorf("got revision %d, stale %v, want revision 412, stale true", got.Revision, got.Stale)
 		}
 		if !slices.Equal(got.Controllers, want.Controllers) || !slices.Equal(got.Shards, want.Shards) ||
 			!slices.Equal(got.PlannedTransfers, want.PlannedTransfers) {
@@ -154,6 +155,8 @@
 	})
 }
 
+// A call to an unreachable or slow controller must end with an error that allows a retry. A request
+// over the size limit must not reach the backend.
 func TestServiceLimits(t *testing.T) {
 	checkRetryable := func(t *testing.T, err error) {
 		t.Helper()
--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -18,7 +18,7 @@
 		stopped      protocol.Attempt
 		revoked      protocol.Attempt
 		commandsLost bool
-		want         bool
+		want         bool // whether the start is sent
 	}{
 		{"nothing withholds the start", 0, 0, false, true},
 		{"earlier attempt stopped", 4, 0, false, true},
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -13,14 +13,14 @@
 )
 
 // TestAgentLeaseExpired checks that a lease counts as expired only if the agent has shown this owner's
-// shard epoch, and that its time counts from the last answered heartbeat. The shard epoch in the token
-// changes with a failover; the machine's counter in the token does not matter.
+// shard epoch, and that the lease is counted from the last answered heartbeat. The shard epoch in the
+// token changes with a failover; the machine's counter in the token does not matter.
 func TestAgentLeaseExpired(t *testing.T) {
 	const answerDelay = 3 * time.Second // the heartbeat is answered within this time
 	for _, test := range []struct {
 		name      string
 		confirmed protocol.FencingToken
-		after     time.Duration
+		after     time.Duration // since the heartbeat was received
 		want      bool
 	}{
 		{"within the lease", testShardEpoch.FencingToken(0), 13 * time.Second, false},
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -29,7 +29,7 @@
 
 	for _, test := range []struct {
 		name     string
-		arrange  func(*fixture, *storage.Machine, *MachineState)
+		setUp    func(*fixture, *storage.Machine, *MachineState)
 		want     bool   // whether the task is requeued
 		wantDone string // tasks that are recorded as done
 	}{
@@ -108,7 +108,7 @@
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, attempt)
 			entry, state := f.addOwnedMachine(t, record)
-			test.arrange(f, entry, state)
+			test.setUp(f, entry, state)
 			batch := f.commit.ShardWriter.NewBatch(f.Config.TransactionOps)
 			f.Reconciler.WriteMachines(batch)
 			isRequeued := batch.RemovesMachine(testMachine) || len(batch.MachineRecord(testMachine).Assignments) == 0
@@ -116,7 +116,7 @@
 				t.Errorf("task requeued: %v, want the opposite", isRequeued)
 			}
 			if got := writtenDoneTasks(t, batch.Transaction()); got != test.wantDone {
-				t.Errorf("tasks recorded as done: %q, want those that the case states", got)
+				t.Errorf("tasks recorded as done: %q, want wantDone of the case", got)
 			}
 		})
 	}
--- a/internal/coordination/agents/response_delay_test.go
+++ b/internal/coordination/agents/response_delay_test.go
@@ -24,8 +24,8 @@
 		isAssigned bool // whether the record assigns the task to the machine
 		tasks      []protocol.TaskStatus
 		change     func(*fixture, *storage.Machine, *MachineState, *protocol.Heartbeat)
-		after      time.Duration
-		want       bool // whether the response waits
+		after      time.Duration // if above 0, the response is deferred first and checked after this time
+		want       bool          // whether the response waits
 	}{
 		{"idle", false, nil, nil, 0, true},
 		{"idle, wait has timed out", false, nil, nil, 2600 * time.Millisecond, false},
@@ -78,7 +78,7 @@
 				f.tick()
 			}
 			if got := state.isDeferred(); got != test.want || (steptest.ReplyStatus(f.Effects) == 0) != test.want {
-				t.Errorf("response deferred: %v, reply status %d (0: none), want the deferral that the case states",
+				t.Errorf("response deferred: %v, reply status %d (0 means no reply), want no reply if the case wants the response to wait, and a reply otherwise",
 					got, steptest.ReplyStatus(f.Effects))
 			}
 		})
@@ -86,8 +86,8 @@
 }
 
 // TestNoResponseBeforeReplicaCatchesUp checks that a controller that takes over a shard answers no
-// heartbeat before its replica includes that write. An older replica may lack a cancellation request
-// that the previous owner recorded.
+// heartbeat before its replica includes the write of the takeover. An older replica may lack a
+// cancellation request that the previous owner recorded.
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
 	f := newFixture(t)
 	// The machine's shard is newer than the replica, as after an applied write of this controller.
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -24,7 +24,7 @@
 			"replica older than the ownership",
 			step.PeerStatus{Incarnation: "stall-1#1", Revision: 4, CancelAcks: acksOf("j-1")}, false,
 		},
-		{"another controller", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acksOf("j-1")}, false},
+		{"controller that does not own the machine", step.PeerStatus{Incarnation: "stall-2#9", Revision: 6, CancelAcks: acksOf("j-1")}, false},
 		{
 			"ended incarnation of the owner",
 			step.PeerStatus{Incarnation: "stall-1#0", Revision: 6, CancelAcks: acksOf("j-1")}, false,
@@ -57,7 +57,8 @@
 	}
 }
 
-// TestRotationCoversAll checks that each entry of a list is in one of the chunks of the list.
+// TestRotationCoversAll checks that each entry of a list of any length is in at least one of the chunks of
+// one rotation.
 func TestRotationCoversAll(t *testing.T) {
 	ids := make([]protocol.JobID, 1000)
 	for i := range ids {
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -74,7 +74,7 @@
 			machine, state := addOwnedMachine(t, core, record)
 			test.setUp(core, machine, state)
 			if pending := core.scheduling.Queue.ListPendingJobs(core.commit.ShardWriter.NewBatch(8), nil); len(pending) != 0 {
-				t.Error("the cancelling job is still pending placement")
+				t.Error("the cancelling job is pending placement, want it left out of the pending jobs")
 			}
 			if got := core.cancellation.Canceller.IsMachineQuiescent("m-1", "j-1"); got != test.want {
 				t.Errorf("machine quiescent: %v, want %v", got, test.want)
@@ -137,7 +137,7 @@
 			advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, 50))
 			advance(60*time.Millisecond, step.Tick{})
 			if core.cancellation.Canceller.CancelRequested("j-1") {
-				t.Error("the request still binds the controller although the replica has reached it")
+				t.Error("the request still binds the controller although the replica has reached the request's revision")
 			}
 		})
 	}
@@ -196,7 +196,7 @@
 				}
 			}
 			if messages > 6 || (intents > 0) != test.isRequester {
-				t.Errorf("%d statuses with %d requests in 3 s, want at most 6, and requests only from the cancellation's driver",
+				t.Errorf("%d statuses with %d requests in 3 s, want at most 6 statuses, and requests if and only if this controller drives the cancellation",
 					messages, intents)
 			}
 		})
--- a/internal/coordination/catalog/spot_test.go
+++ b/internal/coordination/catalog/spot_test.go
@@ -55,7 +55,7 @@
 				suspended := threshold.observePrices(instantAt(observed.atSeconds), observed.price, 1)
 				if suspended != observed.wantNewlySuspended || math.Abs(threshold.Value()-observed.wantThreshold) > 1e-9 ||
 					threshold.AllowsSpot() != observed.wantAllowed {
-					t.Errorf("at %v s: newly suspended %v, threshold %v, spot allowed %v, not as the test case wants",
+					t.Errorf("at %v s: newly suspended %v, threshold %v, spot allowed %v, want those of the observation",
 						observed.atSeconds, suspended, threshold.Value(), threshold.AllowsSpot())
 				}
 			}
@@ -87,7 +87,7 @@
 		}
 	}
 	if IsNearPeriodBoundary("m-1", time.Minute, period, 0) || IsNearPeriodBoundary("m-1", -time.Second, period, margin) {
-		t.Error("a machine is near its boundary although the margin is 0 or the age negative, want false")
+		t.Error("a machine is near its boundary although the margin is 0 or its age is negative")
 	}
 }
 
@@ -126,7 +126,7 @@
 		}
 	}
 	if suspensions != 2 || len(parts.Spot.Thresholds()) != 3 {
-		t.Errorf("%d suspensions logged of %d thresholds, want 2 of 3", suspensions, len(parts.Spot.Thresholds()))
+		t.Errorf("%d suspensions are logged and %d thresholds exist, want 2 and 3", suspensions, len(parts.Spot.Thresholds()))
 	}
 	if zones := parts.Catalog.Zones(); len(zones) != 2 || zones[0] != "a" || zones[1] != "b" {
 		t.Errorf("zones are %v, want [a b]", zones)
--- a/internal/coordination/commit/committer_test.go
+++ b/internal/coordination/commit/committer_test.go
@@ -61,10 +61,10 @@
 			effects := controller.advance(time.Second, step.Tick{})
 			pending := controller.Committer.pending
 			if got := pending != nil && pending.kind == writeBarrierTransaction; got != test.wantBarrier {
-				t.Errorf("write barrier sent is %v, want the opposite", got)
+				t.Errorf("write barrier sent: %v, want the opposite", got)
 			}
 			if got := steptest.HasEffect[step.GrantLease](effects); got != test.wantLease {
-				t.Errorf("lease requested is %v, want the opposite", got)
+				t.Errorf("another lease requested: %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/coordination/commit/format_upgrade_test.go
+++ b/internal/coordination/commit/format_upgrade_test.go
@@ -76,7 +76,7 @@
 			want:    true,
 		},
 		{
-			name:    "the announced limits seem to be active, one controller is of the older version",
+			name:    "the announced limits are active, one controller is of the older version",
 			earlier: []storage.Format{absent, absent},
 			now:     []storage.Format{packed, plain},
 			refused: true,
@@ -109,8 +109,9 @@
 	}
 }
 
-// After a transaction that the store refuses as too large, the next transactions are smaller. The
-// refusal shows that the announced limits are active if the transaction exceeded only these.
+// A transaction that the store refuses as too large is never sent again unchanged, because the next
+// transactions are smaller. The refusal shows that the announced limits are active if the transaction
+// exceeded the announced limits and not the current ones.
 func TestTooLargeTransaction(t *testing.T) {
 	controller := newReadyController(t)
 	controller.Config.AnnouncedLimits = steptest.AnnouncedLimits()
@@ -124,7 +125,7 @@
 	upgrade.onTransactionTooLarge(large)
 	ops := limits.maxTransactionOps
 	if !upgrade.areAnnouncedLimitsActive || ops >= opsBefore || ops < minTransactionOps {
-		t.Errorf("announced limits active is %v, want true; next transaction has up to %d operations, want fewer than before",
+		t.Errorf("announced limits active is %v, want true; next transaction has up to %d operations, want fewer than before and at least minTransactionOps",
 			upgrade.areAnnouncedLimitsActive, ops)
 	}
 }
--- a/internal/coordination/commit/lease_test.go
+++ b/internal/coordination/commit/lease_test.go
@@ -91,7 +91,7 @@
 				t.Errorf("IsRegistered() = %v, want the opposite", got)
 			}
 			if got := steptest.HasEffect[step.GrantLease](controller.advance(0, step.Tick{})); got == test.want {
-				t.Errorf("another lease requested is %v, want the opposite", got)
+				t.Errorf("another lease requested: %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/coordination/commit/write_limiter_test.go
+++ b/internal/coordination/commit/write_limiter_test.go
@@ -66,8 +66,9 @@
 	}
 }
 
-// Refusals reduce the write rate of a controller, but not below minWriteRateShare of an even share of
-// the store's write limit.
+// Controllers find their shares of the store's write limit through refusals. Refusals reduce the write
+// rate of a controller, but not below minWriteRateShare of an even share of that limit, and successful
+// writes raise the rate to its initial value again.
 func TestWriteRateAdapts(t *testing.T) {
 	controller := newReadyController(t)
 	controller.Config.PeerCount = 3
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -58,13 +58,13 @@
 // its replica up to date, and the missing heartbeats must not make its machines silent.
 func TestProcessPause(t *testing.T) {
 	for _, test := range []struct {
-		name                 string
-		pause                time.Duration
-		isUpToDate, isSilent bool
+		name                     string
+		pause                    time.Duration
+		wantUpToDate, wantSilent bool
 	}{
 		{"no pause", 100 * time.Millisecond, true, false},
-		{"within its lease", 5 * time.Second, false, false},
-		{"past all leases", 48 * time.Second, false, false},
+		{"shorter than the lease of the incarnation", 5 * time.Second, false, false},
+		{"longer than all leases", 48 * time.Second, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			core, advance := newReadyCore(t)
@@ -81,8 +81,9 @@
 			advance(0, step.RenewLeaseResult{LeaseID: 7})
 			advance(0, step.Tick{})
 			isUpToDate, isSilent := core.commit.Replication.IsUpToDate(), core.agents.Table.IsSilent(state)
-			if isUpToDate != test.isUpToDate || isSilent != test.isSilent {
-				t.Errorf("after the pause: replica up to date %v, machine silent %v", isUpToDate, isSilent)
+			if isUpToDate != test.wantUpToDate || isSilent != test.wantSilent {
+				t.Errorf("after the pause: replica up to date %v, machine silent %v, want up to date only without a pause and not silent in any case",
+					isUpToDate, isSilent)
 			}
 			for range 4 { // requests after the pause are answered
 				advance(600*time.Millisecond, step.Tick{})
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -59,7 +59,8 @@
 
 // An oversized shard that was written before the format was raised can neither be written unchanged
 // nor be packed into one value. It is taken over, or rewritten by its owner, in parts that fit and in
-// one transaction. No machine may be lost, and the fencing tokens of all machines must be raised alike.
+// one transaction. No machine may be lost, and the fencing tokens of all machines must be raised to the
+// same epoch.
 func TestOversizedShardIsSplitOnRewrite(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -105,7 +106,7 @@
 				record := &machine.Record
 				isOwned := record.Owner == core.commit.Lease.Incarnation()
 				if !isOwned || record.ShardEpoch != test.wantEpoch || len(record.Assignments) == 0 {
-					t.Errorf("machine %s has owner %s and epoch %d; want this incarnation, the test's epoch and assignments",
+					t.Errorf("machine %s has owner %s and epoch %d; want this incarnation, wantEpoch of the case and at least one assignment",
 						id, record.Owner, record.ShardEpoch)
 				}
 			}
@@ -218,7 +219,7 @@
 	}
 	isSameDone := core.ctx.Replica.CompletedTasks("j-1").String() == done.String()
 	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || !isSameDone {
-		t.Errorf("the shard is written %d times, the job %d times, %d shards left; want 1, some, 1 and the same done tasks",
+		t.Errorf("the shard is written %d times, the job %d times, %d shards left; want 1, at least 1, 1 and the same completed tasks of the job",
 			shardWrites, jobWrites, len(core.ctx.Replica.Shards))
 	}
 }
--- a/internal/coordination/ownership/handoff_test.go
+++ b/internal/coordination/ownership/handoff_test.go
@@ -200,7 +200,7 @@
 				}
 			}
 			if (transferredShards > 0) != test.wantShardsTransferred || (movedMachines > 0) != test.wantMachinesMoved {
-				t.Errorf("%d shards transferred and %d machines moved, want numbers above 0 only as the case says",
+				t.Errorf("%d shards transferred and %d machines moved, want numbers above 0 only for wantShardsTransferred and wantMachinesMoved",
 					transferredShards, movedMachines)
 			}
 		})
--- a/internal/coordination/ownership/overload_test.go
+++ b/internal/coordination/ownership/overload_test.go
@@ -7,8 +7,8 @@
 	"tillerarch/internal/coordination/step"
 )
 
-// A process is overloaded only if its ticks are late for seconds on end. Neither a process pause nor a
-// short peak is an overload.
+// A process is overloaded only if its ticks are late for several seconds in a row. Neither a process pause
+// nor a short peak is an overload.
 func TestOverloadDetector(t *testing.T) {
 	const onTime, late = 50 * time.Millisecond, 400 * time.Millisecond
 	type phase struct {
@@ -36,7 +36,7 @@
 				}
 			}
 			if detector.isFallingBehind() != test.wantFallsBehind || detector.IsOverloaded() != test.wantOverloaded {
-				t.Errorf("isFallingBehind %v and IsOverloaded %v, want as the case says; mean tick interval %v",
+				t.Errorf("isFallingBehind() = %v and IsOverloaded() = %v, want wantFallsBehind and wantOverloaded of the case; mean tick interval %v",
 					detector.isFallingBehind(), detector.IsOverloaded(), detector.meanTickInterval)
 			}
 		})
--- a/internal/coordination/ownership/rebalance_test.go
+++ b/internal/coordination/ownership/rebalance_test.go
@@ -69,7 +69,7 @@
 				}
 			}
 			if (recorded == 1) != test.wantRecorded || (transferred == 1) != test.wantOwnerChanged || recorded+transferred != 1 {
-				t.Errorf("%d transfers recorded and %d owners changed, want exactly one in total, as the case says",
+				t.Errorf("%d transfers recorded and %d owners changed, want one in total: a transfer for wantRecorded, an owner for wantOwnerChanged",
 					recorded, transferred)
 			}
 			for range 100 { // until the overload, if there was one, has passed
--- a/internal/coordination/provisioning/instance_inventory_test.go
+++ b/internal/coordination/provisioning/instance_inventory_test.go
@@ -9,8 +9,8 @@
 	"tillerarch/internal/storage"
 )
 
-// TestMissingInstances checks that a machine counts as missing once two lists lack it that were requested
-// after the last list with the machine. Lists may arrive out of order.
+// TestMissingInstances checks that a machine counts as missing once it is absent from two lists that were
+// requested after the last list with the machine. Lists may arrive out of order.
 func TestMissingInstances(t *testing.T) {
 	type list struct {
 		requestedAt protocol.Instant
@@ -23,11 +23,11 @@
 		wantKnown   bool
 	}{
 		{"listed", []list{{1, true}}, false, true},
-		{"one list lacks it", []list{{1, true}, {2, false}}, false, true},
-		{"two lists lack it", []list{{1, true}, {2, false}, {3, false}}, true, true},
-		{"an earlier list comes late", []list{{3, true}, {1, false}, {2, false}}, false, true},
+		{"absent from one list", []list{{1, true}, {2, false}}, false, true},
+		{"absent from two lists", []list{{1, true}, {2, false}, {3, false}}, true, true},
+		{"earlier lists without it arrive late", []list{{3, true}, {1, false}, {2, false}}, false, true},
 		{"listed again", []list{{1, true}, {2, false}, {3, false}, {4, true}}, false, true},
-		{"forgotten", []list{
+		{"forgotten after missedListsUntilForgotten lists without it", []list{
 			{1, true}, {2, false}, {3, false}, {4, false}, {5, false}, {6, false}, {7, false},
 		}, false, false},
 	} {
@@ -63,7 +63,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
-			parts.Config.InstanceListLag = 4 * time.Second // listed by the age of 17 s: 3 times the lag plus 5 s
+			// A machine must have been listed after 17 s, which is 3 times the lag plus 5 s.
+			parts.Config.InstanceListLag = 4 * time.Second
 			record := storage.MachineRecord{AddedAt: parts.Now.Wall}
 			parts.Replica.Machines["m-1"] = &storage.Machine{ID: "m-1", Record: record}
 			parts.Advance(test.age)
--- a/internal/coordination/provisioning/scale_in_test.go
+++ b/internal/coordination/provisioning/scale_in_test.go
@@ -157,25 +157,25 @@
 	p.Put(t, storage.JobKey("j-1"), job, 2)
 }
 
-// TestIdlePeriodEnds checks that an idle period ends when the machine gets work, when the ownership ends in
-// which the period was observed, and when the machine is forgotten. A machine is never scaled in for an
+// TestIdlePeriodEnds checks that an idle period ends when the machine gets work, when the ownership under
+// which the period was observed ends, and when the machine is forgotten. A machine is never scaled in for an
 // idle period that this owner has not observed.
 func TestIdlePeriodEnds(t *testing.T) {
-	const almostIdleTooLong = 19 * time.Second // the idle timeout is 20 s
+	const justBelowIdleTimeout = 19 * time.Second // the idle timeout is 20 s
 	idle := storage.MachineRecord{MachineType: "small", Zone: "a", AgentEpoch: 2, AddedAt: 1}
 	for _, test := range []struct {
 		name   string
 		change func(*testing.T, *testParts)
 		want   scaleInReason
 	}{
-		{"not by itself", func(*testing.T, *testParts) {}, scaleInIdle},
-		{"with work", func(_ *testing.T, parts *testParts) {
+		{"nothing ends the period", func(*testing.T, *testParts) {}, scaleInIdle},
+		{"the machine gets work", func(_ *testing.T, parts *testParts) {
 			parts.plan.retainsMachine = true
 			parts.reviewMachine()
 			parts.plan.retainsMachine = false
 		}, scaleInNone},
-		{"with a new ownership", func(t *testing.T, parts *testParts) { parts.putMachine(t, 4, idle) }, scaleInNone},
-		{"with a machine that is forgotten", func(_ *testing.T, parts *testParts) {
+		{"another period of ownership begins", func(t *testing.T, parts *testParts) { parts.putMachine(t, 4, idle) }, scaleInNone},
+		{"the machine is forgotten", func(_ *testing.T, parts *testParts) {
 			entry := parts.Replica.Machines["m-1"]
 			delete(parts.Replica.Machines, "m-1")
 			parts.agents.Table.PruneMachineStates()
@@ -187,7 +187,7 @@
 			parts := newTestParts(t)
 			parts.putMachine(t, 3, idle)
 			parts.reviewMachine()
-			parts.Advance(almostIdleTooLong)
+			parts.Advance(justBelowIdleTimeout)
 			test.change(t, parts)
 			if reason := parts.reviewMachine(); reason != scaleInNone {
 				t.Fatalf("machine is scaled in before the idle timeout, reason %q", reason)
--- a/internal/coordination/provisioning/terminator_test.go
+++ b/internal/coordination/provisioning/terminator_test.go
@@ -70,7 +70,7 @@
 		{"confirmed", nil, time.Minute, false, true, 0},
 		{"failed just now", errors.New("busy"), 500 * time.Millisecond, false, false, 0},
 		{"failed some time ago", errors.New("busy"), 2 * time.Second, false, false, 1},
-		{"failed, and the machine has left the records", errors.New("busy"), 2 * time.Second, true, false, 0},
+		{"failed, and the record of the machine was removed", errors.New("busy"), 2 * time.Second, true, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			parts := newTestParts(t)
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -268,7 +268,8 @@
 
 	shard, err := f.Operators.requestedShard(&TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"})
 	if err != nil || shard != "r" {
-		t.Errorf("requested shard is %q with error %v, want the smallest that is not being transferred", shard, err)
+		t.Errorf("requested shard is %q with error %v, want r, the smallest shard of the source that is not being transferred",
+			shard, err)
 	}
 	_, err = f.Operators.requestedShard(&TransferRequest{Name: "m", Shard: "s", Target: "stall-1"})
 	if want := `the page is on its way with move "first"`; err == nil || err.Reason != want || !err.Transient {
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -242,7 +242,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newRegisteredFixture(t)
 			f.listMachineTypes(machineTypes(4))
-			for id := range step.RequestID(2) { // two submissions of one job
+			for id := range step.RequestID(2) { // two submissions of one job, by two users
 				f.Users.OnUserInput(step.UserInput{RequestID: id + 1, Type: protocol.RequestSubmit, Body: jobBody(1)})
 			}
 			if !f.Users.HasSubmissions() {
@@ -263,7 +263,8 @@
 				statuses = append(statuses, reply.Status)
 				want := string(protocol.Encode(step.ErrorResponse{Error: "cannot decide now"}))
 				if reply.RetryAfterSeconds != 1 || string(reply.Body) != want {
-					t.Errorf("answered %q with Retry-After %d s, want \"cannot decide now\" and 1 s", reply.Body, reply.RetryAfterSeconds)
+					t.Errorf("answered %q with Retry-After %d s, want \"cannot decide now\" and 1 s",
+						reply.Body, reply.RetryAfterSeconds)
 				}
 			}
 			if !slices.Equal(statuses, test.want) {
--- a/internal/coordination/scheduling/fixture_test.go
+++ b/internal/coordination/scheduling/fixture_test.go
@@ -118,6 +118,8 @@
 	}
 }
 
+// newArrayJob returns an array job with ten tasks. Each task needs the given number of cores and as many
+// GB of memory, and is estimated to run for the given number of seconds.
 func newArrayJob(cores, estimate float64) *protocol.Job {
 	return &protocol.Job{
 		ID:                  "j-1",
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -138,7 +138,7 @@
 				demand += unmet.TaskCount
 			}
 			if written != test.wantTasks || demand != test.wantDemand {
-				t.Errorf("%d tasks written, demand for %d, want %d and %d", written, demand, test.wantTasks, test.wantDemand)
+				t.Errorf("%d tasks written, demand for %d tasks, want %d and %d", written, demand, test.wantTasks, test.wantDemand)
 			}
 			if got := fixture.Plan.ExpectsPlacement("m-1"); got != test.wantExpect {
 				t.Errorf("ExpectsPlacement = %v, want the opposite", got)
--- a/internal/coordination/service_restart_test.go
+++ b/internal/coordination/service_restart_test.go
@@ -39,7 +39,7 @@
 		got := backoff()
 		isBounded := got > 0 && got <= scheduling.MaxRestartBackoff
 		if got < previous || !isBounded || attempt == 11 && got != scheduling.MaxRestartBackoff {
-			t.Errorf("backoff after early exit %d is %v, previously %v, want no less, and the maximum after the last exit",
+			t.Errorf("backoff after early exit %d is %v, previously %v, want no less, above 0 and at most MaxRestartBackoff, which it reaches at the last exit",
 				attempt, got, previous)
 		}
 		previous = backoff()
--- a/internal/coordination/step/peer_wire_test.go
+++ b/internal/coordination/step/peer_wire_test.go
@@ -23,7 +23,7 @@
 	if got := status.Wire().Status(); !reflect.DeepEqual(got, status) {
 		t.Errorf("status after conversion to the wire form and back is %+v, want %+v", got, status)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		wire any
 		want []string
 	}{
@@ -31,14 +31,14 @@
 		{wire: misdirectedHeartbeatWire{}, want: []string{"Machine", "Session", "Tally"}},
 		{wire: cancelIntentWire{}, want: []string{"Job", "Rev"}},
 	} {
-		wireType := reflect.TypeOf(c.wire)
+		wireType := reflect.TypeOf(test.wire)
 		t.Run(wireType.Name(), func(t *testing.T) {
 			var got []string
 			for i := range wireType.NumField() {
 				got = append(got, wireType.Field(i).Name)
 			}
-			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("wire type has fields %v, want %v", got, c.want)
+			if !reflect.DeepEqual(got, test.want) {
+				t.Errorf("wire type has fields %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/coordination/step/steptest/store.go
+++ b/internal/coordination/step/steptest/store.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// UnchangedUntil returns the result of a watch request: no record has changed between the revision
-// after and revision.
+// UnchangedUntil returns the result of a watch request that found no changed record between the
+// revisions after and revision.
 func UnchangedUntil(after, revision protocol.Revision) step.WatchResult {
 	return step.WatchResult{
 		AfterRevision: after,
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -41,6 +41,8 @@
 	}
 }
 
+// A job must be rejected if a required field is missing or any field is malformed or out of range.
+// Unknown fields must be ignored.
 func TestParseJob(t *testing.T) {
 	for _, test := range []struct {
 		name, old, new string
@@ -98,6 +100,7 @@
 	}
 }
 
+// A path that does not exist must be distinguished from a method that the path does not allow.
 func TestRouteJobRequest(t *testing.T) {
 	for _, test := range []struct {
 		method, path  string
@@ -120,12 +123,15 @@
 			requestType, id, pathExists, methodAllowed := RouteJobRequest(test.method, test.path)
 			if requestType != test.requestType || id != test.id ||
 				pathExists != test.pathExists || methodAllowed != test.methodAllowed {
-				t.Errorf("got %v %q %v %v, want %+v", requestType, id, pathExists, methodAllowed, test)
+				t.Errorf("got request type %v, ID %q, path exists %v, method allowed %v, want %+v",
+					requestType, id, pathExists, methodAllowed, test)
 			}
 		})
 	}
 }
 
+// A heartbeat must be rejected if its agent epoch, preemption notice, task or machine ID is impossible,
+// or if it has no machine type.
 func TestParseHeartbeat(t *testing.T) {
 	for _, test := range []struct {
 		name, old, new string
@@ -135,7 +141,7 @@
 		{"no tasks", `[{"piece":"j-000412/3","try":2,"stage":"running"}]`, `null`, true},
 		{"preemption notice", `"recall_s":null`, `"recall_s":12.5`, true},
 		{"negative preemption notice", `"recall_s":null`, `"recall_s":-1`, false},
-		{"no agent epoch", `"shift":1`, `"shift":0`, false},
+		{"agent epoch 0", `"shift":1`, `"shift":0`, false},
 		{"negative agent epoch", `"shift":1`, `"shift":-1`, false},
 		{"machine id of another form", `m-000231`, `x`, false},
 		{"task without index", `j-000412/3`, `j-000412`, false},
--- a/internal/sharding/failover_test.go
+++ b/internal/sharding/failover_test.go
@@ -8,6 +8,8 @@
 	"tillerarch/internal/protocol"
 )
 
+// The successor takes over a shard earlier than other controllers, and each controller takes over
+// earlier if an agent of the shard waits for a response from it.
 func TestIsFailoverDue(t *testing.T) {
 	for _, test := range []struct {
 		name                      string
@@ -26,7 +28,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := IsFailoverDue(test.expiredFor, test.isSuccessor, test.hasHeartbeat); got != test.want {
-				t.Errorf("case %+v: IsFailoverDue returned %v", test, got)
+				t.Errorf("case %+v: IsFailoverDue returned %v, want the opposite", test, got)
 			}
 		})
 	}
@@ -57,6 +59,8 @@
 	}
 }
 
+// A shard is handed off only if most of its machines, and more than twice as many as still reach the
+// owner, send their heartbeats to the other controller.
 func TestShouldHandOffShard(t *testing.T) {
 	for _, test := range []struct {
 		name                                string
@@ -71,7 +75,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := ShouldHandOffShard(test.machines, test.misdirected, test.heartbeating); got != test.want {
-				t.Errorf("case %+v: ShouldHandOffShard returned %v", test, got)
+				t.Errorf("case %+v: ShouldHandOffShard returned %v, want the opposite", test, got)
 			}
 		})
 	}
--- a/internal/sharding/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -20,6 +20,8 @@
 	return shards
 }
 
+// A shard is transferred to the eligible controller with the least load if the loads differ enough.
+// An overloaded or draining source transfers even its last shard.
 func TestPlanRebalance(t *testing.T) {
 	controllerA := Controller{Incarnation: "a#1", Eligible: true}
 	controllerB := Controller{Incarnation: "b#1", Eligible: true}
@@ -41,24 +43,24 @@
 		policy      RebalancePolicy
 		wantTarget  storage.Incarnation // empty if no transfer is expected
 	}{
-		{"target has far fewer", []Controller{controllerA, controllerB}, shards(8, 4), nil, testPolicy, "b#1"},
-		{"target has a little fewer", []Controller{controllerA, controllerB}, shards(8, 6), nil, testPolicy, ""},
+		{"target has far fewer shards", []Controller{controllerA, controllerB}, shards(8, 4), nil, testPolicy, "b#1"},
+		{"target has slightly fewer shards", []Controller{controllerA, controllerB}, shards(8, 6), nil, testPolicy, ""},
 		{"difference of one shard", []Controller{controllerA, controllerB}, shards(2, 1), nil, testPolicy, ""},
 		{
-			"target with the fewest",
+			"target with the fewest shards",
 			[]Controller{controllerA, controllerB, controllerC}, shards(8, 2), nil, testPolicy, "c#1",
 		},
 		{"ineligible target", []Controller{controllerA, ineligibleB}, shards(8, 0), nil, testPolicy, ""},
 		{
-			"enough incoming transfers",
+			"target with the maximum of incoming transfers",
 			[]Controller{controllerA, controllerB}, shards(8, 0), map[storage.Incarnation]int{"b#1": 2}, testPolicy, "",
 		},
 		{
-			"overloaded source transfers its last",
+			"overloaded source transfers its last shard",
 			[]Controller{overloadedA, controllerB}, shards(1, 6), nil, testPolicy, "b#1",
 		},
 		{
-			"draining source transfers its last",
+			"draining source transfers its last shard",
 			[]Controller{drainingA, controllerB}, shards(1, 6), nil, testPolicy, "b#1",
 		},
 		{"draining target", []Controller{controllerA, drainingB}, shards(8, 0), nil, testPolicy, ""},
@@ -69,7 +71,7 @@
 			[]Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, "",
 		},
 		{"demand attracts machines", []Controller{controllerA, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
-		{"demand without weight", []Controller{controllerA, demandingB}, shards(6, 6), nil, testPolicy, ""},
+		{"demand has no weight", []Controller{controllerA, demandingB}, shards(6, 6), nil, testPolicy, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			transfers := PlanRebalance(Snapshot{
--- a/internal/sharding/transfer_test.go
+++ b/internal/sharding/transfer_test.go
@@ -16,6 +16,9 @@
 	TokenObservation: 14 * time.Second,
 }
 
+// One controller is responsible for each step: the source until the commit and the target after it, the
+// other of these two while that controller is dead, and the shard's successor if both are dead. Every
+// phase ends when its condition holds or its timeout has passed.
 func TestNextStep(t *testing.T) {
 	const source, target, third = storage.Incarnation("a#1"), storage.Incarnation("b#1"), storage.Incarnation("c#1")
 	noStep := TransferStep{}
@@ -49,8 +52,8 @@
 	}{
 		{"source accepts a proposal", storage.TransferProposed, source, nil, prepare},
 		{"target does not accept a proposal", storage.TransferProposed, target, nil, noStep},
-		{"gang placement first", storage.TransferProposed, source, setters{reservedFor(9 * time.Second)}, noStep},
-		{"gang placement timed out", storage.TransferProposed, source, setters{reservedFor(11 * time.Second)}, prepare},
+		{"shard reserved for a gang", storage.TransferProposed, source, setters{reservedFor(9 * time.Second)}, noStep},
+		{"shard reserved for a gang for too long", storage.TransferProposed, source, setters{reservedFor(11 * time.Second)}, prepare},
 		{"proposal timed out", storage.TransferProposed, source, setters{withPhaseAge(21 * time.Second)}, abort(ReasonNotAccepted)},
 		{"superseded", storage.TransferProposed, source, setters{superseded}, abort(ReasonSuperseded)},
 		{"not quiesced", storage.TransferPrepared, source, nil, noStep},
@@ -65,7 +68,7 @@
 			abort(ReasonOwnerChanged)},
 		{"both dead, seen by the successor", storage.TransferPrepared, third, setters{bothDead, successor},
 			abort(ReasonSourceGone)},
-		{"both dead, seen by another", storage.TransferPrepared, third, setters{bothDead}, noStep},
+		{"both dead, seen by a controller that is not the successor", storage.TransferPrepared, third, setters{bothDead}, noStep},
 		{"token not observed", storage.TransferCommitted, target, nil, noStep},
 		{"token observed", storage.TransferCommitted, target, setters{tokenObserved}, closeTransfer},
 		{"token observed, seen by the source", storage.TransferCommitted, source, setters{tokenObserved}, noStep},
@@ -104,7 +107,7 @@
 	owner         storage.Incarnation
 	alive         map[storage.Incarnation]bool
 	views         map[storage.Incarnation]TransferStatus // the status that each controller last read
-	viewRevisions map[storage.Incarnation]int            // the revisions at which they read it
+	viewRevisions map[storage.Incarnation]int            // the revision at which each controller last read it
 }
 
 var modelIncarnations = []storage.Incarnation{"a#1", "b#1", "c#1"}
@@ -133,7 +136,7 @@
 func (m *transferModel) applyNextStep(incarnation storage.Incarnation, t *rapid.T) {
 	status, hasView := m.views[incarnation]
 	if !hasView || !m.alive[incarnation] || m.viewRevisions[incarnation] != m.revision {
-		return // its write would conflict
+		return // it has no view, it is dead, or its write would conflict
 	}
 	step := NextStep(status, testTimeouts)
 	if step.Phase == "" {
--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -24,8 +24,8 @@
 	return &transport.Response{Status: c.status, Body: []byte(c.body)}, nil
 }
 
-// Tests that an unexpected response does not pass for a known outcome, a revision or a lease. The
-// outcome must be unknown, or the call must return an error.
+// TestUnexpectedResponses checks that an unexpected response is not taken for a known outcome, a
+// revision or a lease. The outcome must be unknown, or the call must return an error.
 func TestUnexpectedResponses(t *testing.T) {
 	for _, test := range []struct {
 		name           string
@@ -70,7 +70,8 @@
 	}
 }
 
-// Tests that every error of the client names the request that failed, the status and the cause.
+// TestRequestErrors checks that every error of the client names the request that failed, the
+// status and the cause.
 func TestRequestErrors(t *testing.T) {
 	commit := func(c *Client) error {
 		_, _, err := c.Commit(protocol.Transaction{})
@@ -132,7 +133,8 @@
 				t.Fatalf("error %v is not a *RequestError", err)
 			}
 			if !strings.HasPrefix(failed.Path, test.path) || failed.Status != test.status {
-				t.Errorf("error has path %q and status %d, want the path and status of the test", failed.Path, failed.Status)
+				t.Errorf("error has path %q and status %d, want the start of the path and the status of the case",
+					failed.Path, failed.Status)
 			}
 			if test.cause != nil && !errors.Is(err, test.cause) {
 				t.Errorf("error %v does not wrap %v", err, test.cause)
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -6,8 +6,8 @@
 	"tillerarch/internal/protocol"
 )
 
-// Tests that the replica keeps the revision of every key that it knows, rejects older values and
-// removes deleted records. It keeps the registry, quotas and the format after a deletion,
+// TestReplicaKeys checks that the replica keeps the revision of every key that it knows, rejects older
+// values and removes deleted records. It keeps the registry, quotas and the format after a deletion,
 // because no version deletes them.
 func TestReplicaKeys(t *testing.T) {
 	transfer := string(MustMarshal(TransferRecord{Shard: "p", Source: "a#1", Target: "b#1", Phase: TransferProposed}))
@@ -70,8 +70,8 @@
 	}
 }
 
-// Tests that the replica accepts keys that this version does not know, and that they change
-// nothing.
+// TestReplicaUnknownKey checks that the replica accepts keys that this version does not know, and that
+// they change nothing.
 func TestReplicaUnknownKey(t *testing.T) {
 	for _, key := range []string{"", "t/", "t/j", "t/z/1", "t/rolls", revisionProbeKey, "x/j/j-1"} {
 		replica := NewReplica()
@@ -85,8 +85,8 @@
 	}
 }
 
-// Tests that the indexes of unfinished and cancelling jobs follow the jobs' records. The cached
-// set of a job's completed tasks remains when the job is deleted.
+// TestReplicaJobIndexes checks that the indexes of unfinished and cancelling jobs follow the jobs'
+// records. The cached set of a job's completed tasks remains when the job is deleted.
 func TestReplicaJobIndexes(t *testing.T) {
 	for _, test := range []struct {
 		name                   string
@@ -109,7 +109,8 @@
 			_, unfinished := replica.UnfinishedJobs["j-1"]
 			_, cancelling := replica.CancellingJobs["j-1"]
 			if unfinished != test.unfinished || cancelling != test.cancelling {
-				t.Errorf("job is unfinished: %v, cancelling: %v; want the values of the test", unfinished, cancelling)
+				t.Errorf("job is unfinished: %v, cancelling: %v; want the fields unfinished and cancelling of the case",
+					unfinished, cancelling)
 			}
 			if completed := replica.CompletedTasks("j-1").String(); completed != "0" {
 				t.Errorf("completed tasks %q, want \"0\"", completed)
--- a/internal/storage/machine_line_test.go
+++ b/internal/storage/machine_line_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Tests that the parsed line of a machine equals the encoded record whatever its fields contain,
-// and that malformed lines are rejected.
+// TestMachineLineRoundTrip checks that the parsed line of a machine equals the encoded record whatever
+// its fields contain, and that malformed lines are rejected.
 func TestMachineLineRoundTrip(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/storage/replica_test.go
+++ b/internal/storage/replica_test.go
@@ -27,8 +27,8 @@
 	return EncodePlainShard(owner, epoch, lines, completed)
 }
 
-// Tests that the indexes follow the changes of shards: machines that pass to another shard, get
-// another owner or are removed, and tasks that complete.
+// TestReplicaShards checks that the indexes follow the changes of shards: machines that pass to another
+// shard, get another owner or are removed, and tasks that complete.
 func TestReplicaShards(t *testing.T) {
 	replica := NewReplica()
 	changeCount := 0
@@ -90,8 +90,8 @@
 	}
 }
 
-// Tests that a machine on a newer shard stays there when an older change of its former shard
-// arrives late, and that the machine is not reported as removed.
+// TestReplicaLateShard checks that a machine stays in the shard with the newer change when an older
+// change of its former shard arrives late, and that the machine is not reported as removed.
 func TestReplicaLateShard(t *testing.T) {
 	replica := NewReplica()
 	for _, change := range []struct {
@@ -117,7 +117,8 @@
 	}
 }
 
-// Tests that the completed tasks that only a shard lists are removed with the shard.
+// TestReplicaCompletedTasksOfDeletedShard checks that the completed tasks that only a shard lists are
+// removed with the shard.
 func TestReplicaCompletedTasksOfDeletedShard(t *testing.T) {
 	replica := NewReplica()
 	completed := map[protocol.JobID]TaskSet{"j-1": TaskRange(2, 3)}
--- a/internal/storage/shards_packed_test.go
+++ b/internal/storage/shards_packed_test.go
@@ -35,8 +35,8 @@
 	return lines, completed
 }
 
-// Tests that a packed shard contains the same as the plain one and is small enough for the
-// tightened size limits of the store, which depend on the small size.
+// TestPackedShardRoundTrip checks that a packed shard contains the same as the plain one in a fraction
+// of the space. A packed shard must be this small to fit the tightened size limits of the store.
 func TestPackedShardRoundTrip(t *testing.T) {
 	for _, test := range []struct {
 		name                                      string
@@ -78,8 +78,8 @@
 	}
 }
 
-// Tests that the decoding of a damaged packed value returns an error at worst, and does not
-// return a much larger shard.
+// TestDamagedPackedShard checks that the decoding of a damaged packed value neither panics nor returns
+// a much larger shard. An error is allowed.
 func TestDamagedPackedShard(t *testing.T) {
 	lines, completed := fullShard(10, 2, 2)
 	valid := packShard(lines, completed)
@@ -105,8 +105,8 @@
 	}
 }
 
-// Tests that the compact forms of a set contain the same indexes and are small whatever the
-// number of gaps. The sets come one after the other from one sequence of random numbers.
+// TestCompactTaskSet checks that the compact forms of a set contain the same indexes and are small
+// whatever the number of gaps. The sets are drawn one after the other from one sequence of random numbers.
 func TestCompactTaskSet(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for _, test := range []struct {
--- a/internal/storage/task_set_test.go
+++ b/internal/storage/task_set_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Tests that a task set contains the same indexes as a map after the same additions and removals.
+// TestTaskSetAgainstMap checks that a task set contains the same indexes as a map after the same
+// additions and removals.
 func TestTaskSetAgainstMap(t *testing.T) {
 	const indexCount = 60
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -39,7 +40,7 @@
 	}
 }
 
-// Tests that valid encodings of task sets are decoded and malformed ones are rejected.
+// TestTaskSetText checks that valid encodings of task sets are decoded and malformed ones are rejected.
 func TestTaskSetText(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -10,6 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
+// A client must keep its connection between calls, and connect again after CloseIdleConns.
 func TestClientCall(t *testing.T) {
 	server := startServer(t, testConfig(t, 20))
 	client := NewClient(server.config.Addr, 1, nil)
--- a/internal/transport/frame_test.go
+++ b/internal/transport/frame_test.go
@@ -20,6 +20,8 @@
 	return b
 }
 
+// A partial frame must wait for more input. A frame that is empty or over the size limit must be
+// refused.
 func TestFrames(t *testing.T) {
 	frame := appendFrame(t, nil, frameValue{"x"})
 	stream := append(bytes.Clone(frame), frame...)
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// A malformed or oversized request must be refused with its status, and an incomplete one must wait
+// for more input.
 func TestParseRequest(t *testing.T) {
 	const (
 		completeRequest   = 0
@@ -61,6 +63,7 @@
 	}
 }
 
+// A malformed, truncated, oversized or ambiguous response must be refused.
 func TestReadResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, input, wantBody string
@@ -104,7 +107,8 @@
 		request, consumed, err := parseRequest(input)
 		hasUnexpectedStatus := err != nil && (err.Status < 400 || err.Status > 431)
 		if hasUnexpectedStatus || consumed > len(input) || request != nil && consumed == 0 {
-			t.Fatalf("got request %v, consumed %d of %d bytes, error %v", request, consumed, len(input), err)
+			t.Fatalf("got request %v, consumed %d of %d bytes, error %v, want at most all bytes, at least one with a request, and a status of 400 to 431 in an error",
+				request, consumed, len(input), err)
 		}
 		if request == nil {
 			return
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -101,6 +101,8 @@
 	return string(response.Body), response.Close
 }
 
+// The server must keep a connection after a complete request, and must close it if the client asks for
+// it, pipelines requests or sends a malformed request. A partial request must end without a response.
 func TestServerResponds(t *testing.T) {
 	cfg := testConfig(t, 20)
 	cfg.ReadTimeout = time.Second
