--- a/internal/coordination/catalog/spot_test.go
+++ b/internal/coordination/catalog/spot_test.go
@@ -11,6 +11,7 @@
 	"tillerarch/internal/protocol"
 )
 
+// instantAt returns the instant that is the given number of seconds after the zero instant.
 func instantAt(seconds float64) protocol.Instant {
 	return protocol.Instant(0).Add(protocol.Seconds(seconds))
 }
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -97,7 +97,7 @@
 				advance(time.Second, step.Tick{})
 			}
 			if !core.agents.Table.IsSilent(state) {
-				t.Error("the machine is not silent after more than its timeout without a heartbeat since the pause")
+				t.Error("the machine is not silent although no heartbeat has arrived for longer than the timeout since the pause")
 			}
 		})
 	}
--- a/internal/coordination/scheduling/job_attempts_test.go
+++ b/internal/coordination/scheduling/job_attempts_test.go
@@ -54,7 +54,7 @@
 		t.Errorf("first attempt of the block is %d, want the first number after the previous block", first)
 	}
 	if !attempts.hasUnusedAttempt("own") || attempts.hasUnusedAttempt("another") {
-		t.Error("the loaded block must be available to its owner and to no other incarnation")
+		t.Error("the loaded block is not available to its owner, or is available to another incarnation")
 	}
 	attempts.recordPlacement(newArrayJob(4, 20), 1, attempts.nextAttempt(), fixture.Now.Monotonic)
 	attempts.loadAttemptBlock("own", record)
--- a/internal/coordination/scheduling/placement_test.go
+++ b/internal/coordination/scheduling/placement_test.go
@@ -97,12 +97,12 @@
 // planned, but it is neither written nor reported as demand.
 func TestPlacePendingJobs(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		machine    storage.MachineRecord
-		isOwned    bool
-		wantTasks  int // written to the machine's record
-		wantDemand int
-		wantExpect bool // whether the plan has a placement that is not written
+		name                 string
+		machine              storage.MachineRecord
+		isOwned              bool
+		wantTasks            int // written to the machine's record
+		wantDemand           int
+		wantExpectsPlacement bool // whether the plan has a placement that is not written
 	}{
 		{"owned job, free machine on which four more tasks can follow",
 			storage.MachineRecord{AgentEpoch: 1}, true, 4, 2, false},
@@ -140,10 +140,10 @@
 			if written != test.wantTasks || demand != test.wantDemand {
 				t.Errorf("%d tasks written, demand for %d tasks, want %d and %d", written, demand, test.wantTasks, test.wantDemand)
 			}
-			if got := fixture.Plan.ExpectsPlacement("m-1"); got != test.wantExpect {
+			if got := fixture.Plan.ExpectsPlacement("m-1"); got != test.wantExpectsPlacement {
 				t.Errorf("ExpectsPlacement = %v, want the opposite", got)
 			}
-			if got, want := fixture.Plan.RetainsMachine("m-1"), written > 0 || test.wantExpect; got != want {
+			if got, want := fixture.Plan.RetainsMachine("m-1"), written > 0 || test.wantExpectsPlacement; got != want {
 				t.Errorf("RetainsMachine = %v, want the opposite", got)
 			}
 		})
--- a/internal/coordination/scheduling/queue_test.go
+++ b/internal/coordination/scheduling/queue_test.go
@@ -34,7 +34,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			test.first.id, test.second.id = "j-1", "j-2"
 			if !test.first.isServedBefore(&test.second) || test.second.isServedBefore(&test.first) {
-				t.Errorf("%+v is not served before %+v, want it first", test.first.queuePosition, test.second.queuePosition)
+				t.Errorf("%+v is not served before %+v, or the reverse order holds too, want only the first before the second", test.first.queuePosition, test.second.queuePosition)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 		{"some in use", step.Quota{MaxCores: 8}, 3, 1},
 		{"a fraction of a task does not count", step.Quota{MaxCores: 7}, 0, 3},
 		{"more in use than the limit", step.Quota{MaxCores: 4}, 3, 0},
-		{"accelerators are scarcer", step.Quota{MaxCores: 8, MaxAccelerators: 2}, 0, 2},
+		{"the limit on accelerators is the tighter one", step.Quota{MaxCores: 8, MaxAccelerators: 2}, 0, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newFixtureWithTwoMachineTypes(t)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -46,7 +46,7 @@
 func TestParseJob(t *testing.T) {
 	for _, test := range []struct {
 		name, old, new string
-		accepted       bool
+		wantAccepted   bool
 	}{
 		{"valid", "", "", true},
 		{"unknown field", `"rank"`, `"new":[1],"rank"`, true},
@@ -87,7 +87,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			job, err := ParseJob([]byte(replaceOnce(t, validJob, test.old, test.new)))
-			checkParseError(t, err, test.accepted)
+			checkParseError(t, err, test.wantAccepted)
 			if err != nil {
 				return
 			}
@@ -135,7 +135,7 @@
 func TestParseHeartbeat(t *testing.T) {
 	for _, test := range []struct {
 		name, old, new string
-		accepted       bool
+		wantAccepted   bool
 	}{
 		{"valid", "", "", true},
 		{"no tasks", `[{"piece":"j-000412/3","try":2,"stage":"running"}]`, `null`, true},
@@ -150,7 +150,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseHeartbeat([]byte(replaceOnce(t, validHeartbeat, test.old, test.new)))
-			checkParseError(t, err, test.accepted)
+			checkParseError(t, err, test.wantAccepted)
 		})
 	}
 }
@@ -232,7 +232,7 @@
 "rate":12.0,"low_price":4.5,"ready_s":45,"yards":["a","b"]}]}`
 	for _, test := range []struct {
 		name, old, new string
-		accepted       bool
+		wantAccepted   bool
 	}{
 		{"valid", "", "", true},
 		{"unknown field", `"sku"`, `"new":1,"sku"`, true},
@@ -245,7 +245,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseMachineTypes([]byte(replaceOnce(t, validList, test.old, test.new)))
-			checkParseError(t, err, test.accepted)
+			checkParseError(t, err, test.wantAccepted)
 		})
 	}
 }
--- a/internal/sharding/rebalance_test.go
+++ b/internal/sharding/rebalance_test.go
@@ -70,8 +70,8 @@
 			[]Controller{controllerA, controllerB},
 			[]Shard{{ID: "p", Owner: "a#1", Load: 5, Pinned: true}}, nil, testPolicy, "",
 		},
-		{"demand attracts machines", []Controller{controllerA, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
-		{"demand has no weight", []Controller{controllerA, demandingB}, shards(6, 6), nil, testPolicy, ""},
+		{"target with demand", []Controller{controllerA, demandingB}, shards(6, 6), nil, byDemand, "b#1"},
+		{"target with demand, which has no weight", []Controller{controllerA, demandingB}, shards(6, 6), nil, testPolicy, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			transfers := PlanRebalance(Snapshot{
--- a/internal/sharding/transfer_test.go
+++ b/internal/sharding/transfer_test.go
@@ -17,8 +17,8 @@
 }
 
 // One controller is responsible for each step: the source until the commit and the target after it, the
-// other of these two while that controller is dead, and the shard's successor if both are dead. Every
-// phase ends when its condition holds or its timeout has passed.
+// other of these two if that controller is dead, and the shard's successor if both are dead. Every phase
+// ends when its condition holds or its timeout has passed.
 func TestNextStep(t *testing.T) {
 	const source, target, third = storage.Incarnation("a#1"), storage.Incarnation("b#1"), storage.Incarnation("c#1")
 	noStep := TransferStep{}
@@ -110,6 +110,7 @@
 	viewRevisions map[storage.Incarnation]int            // the revision at which each controller last read it
 }
 
+// modelIncarnations holds the incarnations of a transferModel in the order of succession.
 var modelIncarnations = []storage.Incarnation{"a#1", "b#1", "c#1"}
 
 // refresh brings the replica of a controller up to date. Facts that are not recorded are drawn at
--- a/internal/storage/client_test.go
+++ b/internal/storage/client_test.go
@@ -28,10 +28,10 @@
 // revision or a lease. The outcome must be unknown, or the call must return an error.
 func TestUnexpectedResponses(t *testing.T) {
 	for _, test := range []struct {
-		name           string
-		response       fakeCaller
-		outcome        Outcome
-		revisionIsRead bool
+		name         string
+		response     fakeCaller
+		wantOutcome  Outcome
+		wantRevision bool
 	}{
 		{"applied", fakeCaller{200, `{"ledger_rev":432}`, nil}, OutcomeApplied, false},
 		{"conflict", fakeCaller{409, `{"failed":["a/b"],"ledger_rev":431}`, nil}, OutcomeConflict, false},
@@ -50,11 +50,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			client := Client{RequestCaller: test.response, WatchCaller: test.response}
-			if got, _, _ := client.Commit(protocol.Transaction{}); got != test.outcome {
-				t.Errorf("Commit returned outcome %v, want %v", got, test.outcome)
+			if got, _, _ := client.Commit(protocol.Transaction{}); got != test.wantOutcome {
+				t.Errorf("Commit returned outcome %v, want %v", got, test.wantOutcome)
 			}
 			revision, err := client.Revision()
-			if (err == nil) != test.revisionIsRead || test.revisionIsRead && revision != 431 {
+			if (err == nil) != test.wantRevision || test.wantRevision && revision != 431 {
 				t.Errorf("Revision returned %v and error %v, want 431 for a missing key and an error otherwise", revision, err)
 			}
 			if _, err := client.GrantLease(time.Second); err == nil {
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -89,9 +89,9 @@
 // records. The cached set of a job's completed tasks remains when the job is deleted.
 func TestReplicaJobIndexes(t *testing.T) {
 	for _, test := range []struct {
-		name                   string
-		value                  string
-		unfinished, cancelling bool
+		name                           string
+		value                          string
+		wantUnfinished, wantCancelling bool
 	}{
 		{"pending", `{"d":{"uid":"j-1","pieces":3},"v":"0"}`, true, false},
 		{"cancel requested", `{"d":{"uid":"j-1","pieces":3},"v":"0","w":true}`, true, true},
@@ -108,8 +108,8 @@
 			}
 			_, unfinished := replica.UnfinishedJobs["j-1"]
 			_, cancelling := replica.CancellingJobs["j-1"]
-			if unfinished != test.unfinished || cancelling != test.cancelling {
-				t.Errorf("job is unfinished: %v, cancelling: %v; want the fields unfinished and cancelling of the case",
+			if unfinished != test.wantUnfinished || cancelling != test.wantCancelling {
+				t.Errorf("job is unfinished: %v, cancelling: %v; want wantUnfinished and wantCancelling of the case",
 					unfinished, cancelling)
 			}
 			if completed := replica.CompletedTasks("j-1").String(); completed != "0" {
--- a/internal/storage/task_set_test.go
+++ b/internal/storage/task_set_test.go
@@ -43,9 +43,9 @@
 // TestTaskSetText checks that valid encodings of task sets are decoded and malformed ones are rejected.
 func TestTaskSetText(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		text  string
-		valid bool
+		name      string
+		text      string
+		wantValid bool
 	}{
 		{"empty", "", true},
 		{"one index", "0", true},
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var set TaskSet
 			err := set.UnmarshalText([]byte(test.text))
-			if (err == nil) != test.valid {
+			if (err == nil) != test.wantValid {
 				t.Errorf("text %q: error %v, want one only if the text is malformed", test.text, err)
 			}
 			if err != nil && !errors.Is(err, errMalformedTaskSet) {
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -57,7 +57,7 @@
 				t.Errorf("consumed %d of %d bytes, want all", consumed, len(test.input))
 			}
 			if outcome != test.wantOutcome {
-				t.Errorf("got outcome %d, want %d", outcome, test.wantOutcome)
+				t.Errorf("got outcome %d, want %d (a status, 0 for a complete request, -1 for an incomplete one)", outcome, test.wantOutcome)
 			}
 		})
 	}
