--- a/internal/coordination/agents/job_table.go
+++ b/internal/coordination/agents/job_table.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// isGangFullyAssigned reports whether every task of the gang is done, or assigned with the attempt to a
-// machine that is not terminating. No task of the gang may start before this is the case.
+// isGangFullyAssigned reports whether every task of the gang is completed, or assigned with the attempt
+// to a machine that is not terminating. No task of the gang may start before this is the case.
 func (jt *JobTable) isGangFullyAssigned(id protocol.JobID, record *storage.JobRecord, attempt protocol.Attempt) bool {
 	coveredTasks := jt.Replica.CompletedTasks(id)
 	for machineID := range jt.Replica.MachinesWithJob(id) {
--- a/internal/coordination/agents/reconcile.go
+++ b/internal/coordination/agents/reconcile.go
@@ -220,8 +220,8 @@
 	return state.isPreempted() || state.IsFaulty || state.CommandsLost() || r.agents.heartbeatsLost(state)
 }
 
-// recordExit unassigns a task that the current heartbeat shows as exited. If the task is done, the same
-// transaction records that, so that the result is not lost and the task does not run again.
+// recordExit unassigns a task that the current heartbeat shows as exited. If the task is completed, the
+// same transaction records that, so that the result is not lost and the task does not run again.
 func (r *Reconciler) recordExit(
 	batch *commit.Batch, state *MachineState, task protocol.Task, status *protocol.TaskStatus,
 ) {
@@ -229,7 +229,7 @@
 	isService := job != nil && job.Spec != nil && job.Spec.IsService()
 	isDone := status.Reason == protocol.ReasonDone && !isService // service replicas are never done
 	if isDone && job != nil && !job.State.IsTerminal() {
-		batch.RecordTaskDone(state.ID, task)
+		batch.RecordTaskCompleted(state.ID, task)
 		batch.OnSend(func() { r.jobs.recordTaskRuntime(state, task) })
 		r.requeue(batch, state, task, status.Attempt)
 		batch.CompleteJobIfDone(task.Job)
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -28,10 +28,10 @@
 	leaseElapsed := 20 * time.Second
 
 	for _, test := range []struct {
-		name     string
-		setUp    func(*fixture, *storage.Machine, *MachineState)
-		want     bool   // whether the task is requeued
-		wantDone string // tasks that are recorded as done
+		name          string
+		setUp         func(*fixture, *storage.Machine, *MachineState)
+		want          bool   // whether the task is requeued
+		wantCompleted string // tasks that are recorded as completed
 	}{
 		{"no heartbeat yet", func(f *fixture, _ *storage.Machine, _ *MachineState) { cancel(f) }, false, ""},
 		{"running", receiveHeartbeat(status(attempt, protocol.TaskRunning, "")), false, ""},
@@ -115,15 +115,15 @@
 			if isRequeued != test.want {
 				t.Errorf("task requeued: %v, want the opposite", isRequeued)
 			}
-			if got := writtenDoneTasks(t, batch.Transaction()); got != test.wantDone {
-				t.Errorf("tasks recorded as done: %q, want wantDone of the case", got)
+			if got := writtenCompletedTasks(t, batch.Transaction()); got != test.wantCompleted {
+				t.Errorf("tasks recorded as completed: %q, want wantCompleted of the case", got)
 			}
 		})
 	}
 }
 
-// writtenDoneTasks returns the tasks of the job that a transaction records as done.
-func writtenDoneTasks(t *testing.T, transaction protocol.Transaction) string {
+// writtenCompletedTasks returns the tasks of the job that a transaction records as completed.
+func writtenCompletedTasks(t *testing.T, transaction protocol.Transaction) string {
 	t.Helper()
 	written := storage.NewReplica()
 	for _, operation := range transaction.Operations {
--- a/internal/coordination/commit/batch.go
+++ b/internal/coordination/commit/batch.go
@@ -31,26 +31,26 @@
 	drains         map[protocol.ControllerID]*DrainChange
 	writesRegistry bool // the batch adds a machine to the records
 
-	newlyDoneTasks map[protocol.JobID]storage.TaskSet // tasks that the batch records as done
-	failedServices map[protocol.JobID]bool            // services of which the batch records a replica's exit
-	onSend         []func()                           // functions to call when the transaction is sent
-	logsOnApply    []step.Effect                      // log lines to emit once the transaction is applied
+	newlyCompletedTasks map[protocol.JobID]storage.TaskSet // tasks that the batch records as completed
+	failedServices      map[protocol.JobID]bool            // services of which the batch records a replica's exit
+	onSend              []func()                           // functions to call when the transaction is sent
+	logsOnApply         []step.Effect                      // log lines to emit once the transaction is applied
 }
 
 // NewBatch returns an empty batch that can hold up to maxOps operations.
 func (w *ShardWriter) NewBatch(maxOps int) *Batch {
 	return &Batch{
-		shardWriter:    w,
-		opsLeft:        maxOps,
-		conditions:     map[string]protocol.ModRevision{},
-		jobs:           map[protocol.JobID]*storage.JobRecord{},
-		shards:         map[storage.ShardID]*ShardDraft{},
-		machines:       map[protocol.MachineID]*storage.MachineRecord{},
-		lockedTeams:    map[string]bool{},
-		transfers:      map[storage.TransferSlot]*storage.TransferRecord{},
-		drains:         map[protocol.ControllerID]*DrainChange{},
-		newlyDoneTasks: map[protocol.JobID]storage.TaskSet{},
-		failedServices: map[protocol.JobID]bool{},
+		shardWriter:         w,
+		opsLeft:             maxOps,
+		conditions:          map[string]protocol.ModRevision{},
+		jobs:                map[protocol.JobID]*storage.JobRecord{},
+		shards:              map[storage.ShardID]*ShardDraft{},
+		machines:            map[protocol.MachineID]*storage.MachineRecord{},
+		lockedTeams:         map[string]bool{},
+		transfers:           map[storage.TransferSlot]*storage.TransferRecord{},
+		drains:              map[protocol.ControllerID]*DrainChange{},
+		newlyCompletedTasks: map[protocol.JobID]storage.TaskSet{},
+		failedServices:      map[protocol.JobID]bool{},
 	}
 }
 
--- a/internal/coordination/commit/batch_changes.go
+++ b/internal/coordination/commit/batch_changes.go
@@ -32,34 +32,34 @@
 	return &record
 }
 
-// RecordTaskDone records in the machine's shard that a task is done.
-func (b *Batch) RecordTaskDone(id protocol.MachineID, task protocol.Task) {
+// RecordTaskCompleted records in the machine's shard that a task is completed.
+func (b *Batch) RecordTaskCompleted(id protocol.MachineID, task protocol.Task) {
 	draft := b.MutableShard(b.MachineRecord(id).Shard)
-	if done, ok := draft.doneTasks[task.Job]; ok {
-		draft.doneTasks[task.Job] = done.Add(task.Index)
+	if completed, ok := draft.completedTasks[task.Job]; ok {
+		draft.completedTasks[task.Job] = completed.Add(task.Index)
 	} else {
-		draft.doneTasks[task.Job] = storage.TaskRange(task.Index, task.Index)
-		draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(doneJobSize)
+		draft.completedTasks[task.Job] = storage.TaskRange(task.Index, task.Index)
+		draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(completedTaskSetSize)
 	}
-	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(doneTaskSize)
-	b.estimatedBytes += doneTaskSize
-	b.newlyDoneTasks[task.Job] = b.newlyDoneTasks[task.Job].Add(task.Index)
+	draft.EstimatedSize += b.shardWriter.EstimateEncodedSize(completedTaskSize)
+	b.estimatedBytes += completedTaskSize
+	b.newlyCompletedTasks[task.Job] = b.newlyCompletedTasks[task.Job].Add(task.Index)
 }
 
-// DoneTasks returns the done tasks of a job, including those that the batch records.
-func (b *Batch) DoneTasks(id protocol.JobID) storage.TaskSet {
-	done := b.shardWriter.Replica.CompletedTasks(id)
-	if added, ok := b.newlyDoneTasks[id]; ok {
-		done = done.Union(added)
+// CompletedTasks returns the completed tasks of a job, including those that the batch records.
+func (b *Batch) CompletedTasks(id protocol.JobID) storage.TaskSet {
+	completed := b.shardWriter.Replica.CompletedTasks(id)
+	if added, ok := b.newlyCompletedTasks[id]; ok {
+		completed = completed.Union(added)
 	}
-	return done
+	return completed
 }
 
-// CompleteJobIfDone records a job as done if all its tasks are done and the batch has capacity for
-// the job's record.
+// CompleteJobIfDone records a job as done if all its tasks are completed and the batch has capacity
+// for the job's record.
 func (b *Batch) CompleteJobIfDone(id protocol.JobID) {
 	record := b.JobRecord(id)
-	isDone := !record.State.IsTerminal() && b.DoneTasks(id).Len() >= record.Spec.TaskCount
+	isDone := !record.State.IsTerminal() && b.CompletedTasks(id).Len() >= record.Spec.TaskCount
 	if !isDone || !b.HasCapacity(b.OpsNeeded("", id)) {
 		return
 	}
@@ -73,7 +73,7 @@
 		SubmittedAt: record.SubmittedAt,
 	}
 	for _, draft := range b.shards {
-		delete(draft.doneTasks, id)
+		delete(draft.completedTasks, id)
 	}
 }
 
--- a/internal/coordination/commit/batch_transaction.go
+++ b/internal/coordination/commit/batch_transaction.go
@@ -69,7 +69,7 @@
 		}
 	}
 	format := b.shardWriter.limits.StorageFormat()
-	data := storage.EncodeShard(format, draft.Owner, draft.Epoch, lines, draft.doneTasks)
+	data := storage.EncodeShard(format, draft.Owner, draft.Epoch, lines, draft.completedTasks)
 	fits := len(data) <= b.shardWriter.limits.WriteLimits().ValueBytes
 	if fits || len(draft.MachineIDs) < 2 || format < storage.FormatPacked {
 		return []protocol.Operation{{PutKey: storage.ShardKey(id), Value: data}}
--- a/internal/coordination/commit/done_tasks.go
+++ b/internal/coordination/commit/completed_tasks.go
@@ -10,13 +10,13 @@
 )
 
 // ownerCompletionTimeout is how long other controllers leave it to the owner of a job to record that
-// all tasks of the job are done.
+// all tasks of the job are completed.
 const ownerCompletionTimeout = 1500 * time.Millisecond
 
-// ConsolidateDoneTasks records jobs as done whose tasks are all done. It also moves the done tasks
-// from the shards of this incarnation to the records of their jobs if a shard fills up or has no
-// machines left.
-func (w *ShardWriter) ConsolidateDoneTasks(batch *Batch) {
+// ConsolidateCompletedTasks records jobs as done whose tasks are all completed. It also moves the
+// completed tasks from the shards of this incarnation to the records of their jobs if a shard fills
+// up or has no machines left.
+func (w *ShardWriter) ConsolidateCompletedTasks(batch *Batch) {
 	maps.DeleteFunc(w.completeSince, func(id protocol.JobID, _ protocol.Instant) bool {
 		return w.Replica.UnfinishedJobs[id] == nil
 	})
@@ -32,8 +32,8 @@
 	}
 }
 
-// completeJobIfResponsible records a job as done once all its tasks are done, if this incarnation owns
-// the job or if the owner has not recorded it within ownerCompletionTimeout.
+// completeJobIfResponsible records a job as done once all its tasks are completed, if this incarnation
+// owns the job or if the owner has not recorded it within ownerCompletionTimeout.
 func (w *ShardWriter) completeJobIfResponsible(batch *Batch, id protocol.JobID, record *storage.JobRecord) {
 	isOwner := record.Owner == w.lease.incarnation
 	completeSince, hasCompleteSince := w.completeSince[id]
@@ -47,33 +47,33 @@
 	}
 }
 
-// consolidateShard moves the done tasks from a shard to the records of their jobs, as far as the
+// consolidateShard moves the completed tasks from a shard to the records of their jobs, as far as the
 // batch has capacity.
 func (w *ShardWriter) consolidateShard(batch *Batch, id storage.ShardID) {
 	draft := batch.MutableShard(id)
-	for _, job := range step.SortedKeys(draft.doneTasks) {
+	for _, job := range step.SortedKeys(draft.completedTasks) {
 		if w.Replica.Jobs[job] == nil || !batch.HasCapacity(batch.OpsNeeded("", job)) {
 			continue
 		}
 		if record := batch.MutableJob(job); !record.State.IsTerminal() {
-			record.CompletedTasks = record.CompletedTasks.Union(draft.doneTasks[job])
+			record.CompletedTasks = record.CompletedTasks.Union(draft.completedTasks[job])
 		}
-		delete(draft.doneTasks, job)
+		delete(draft.completedTasks, job)
 	}
 }
 
-// needsConsolidation reports whether the done tasks of a shard should move to the records of their
-// jobs. Each of these records costs an operation, so the done tasks move only once the space is
+// needsConsolidation reports whether the completed tasks of a shard should move to the records of their
+// jobs. Each of these records costs an operation, so the completed tasks move only once the space is
 // needed. A packed shard that is full of machines is split instead.
 func (w *ShardWriter) needsConsolidation(shard *storage.Shard) bool {
 	limits := w.limits.WriteLimits()
 	if w.limits.StorageFormat() < storage.FormatPacked {
-		return shard.EncodedSize >= maxPlainSizeWithDoneTasks(limits)
+		return shard.EncodedSize >= maxPlainSizeWithCompletedTasks(limits)
 	}
 	const jobSize, intervalSize = 8, 2 // estimated bytes in the packed format
 	size := 0
-	for _, done := range shard.CompletedTasks {
-		size += jobSize + intervalSize*done.IntervalCount()
+	for _, completed := range shard.CompletedTasks {
+		size += jobSize + intervalSize*completed.IntervalCount()
 	}
-	return size >= maxPackedDoneTasksSize(limits)
+	return size >= maxPackedCompletedTasksSize(limits)
 }
--- a/internal/coordination/commit/shard_draft.go
+++ b/internal/coordination/commit/shard_draft.go
@@ -7,14 +7,14 @@
 
 // ShardDraft is a shard with the changes of a batch.
 type ShardDraft struct {
-	Owner         storage.Incarnation
-	Epoch         storage.ShardEpoch
-	MachineIDs    []protocol.MachineID
-	EstimatedSize int // estimated size of the encoded shard in bytes
-	doneTasks     map[protocol.JobID]storage.TaskSet
+	Owner          storage.Incarnation
+	Epoch          storage.ShardEpoch
+	MachineIDs     []protocol.MachineID
+	EstimatedSize  int // estimated size of the encoded shard in bytes
+	completedTasks map[protocol.JobID]storage.TaskSet
 }
 
-// draftOf returns a draft of a shard as it is in the replica, without its done tasks. Such a draft
+// draftOf returns a draft of a shard as it is in the replica, without its completed tasks. Such a draft
 // suffices to estimate what the shard can hold.
 func draftOf(shard *storage.Shard) *ShardDraft {
 	return &ShardDraft{
@@ -25,8 +25,8 @@
 	}
 }
 
-// isEmpty reports whether the shard has neither machines nor done tasks.
-func (d *ShardDraft) isEmpty() bool { return len(d.MachineIDs) == 0 && len(d.doneTasks) == 0 }
+// isEmpty reports whether the shard has neither machines nor completed tasks.
+func (d *ShardDraft) isEmpty() bool { return len(d.MachineIDs) == 0 && len(d.completedTasks) == 0 }
 
 // ChangeOwner sets another owner and epoch. The epoch must be higher than before, so that the fencing
 // tokens of the shard's machines rise with it.
@@ -35,16 +35,16 @@
 	d.Epoch = epoch
 }
 
-// split returns two drafts with half of the machines each. The done tasks stay with the first.
+// split returns two drafts with half of the machines each. The completed tasks stay with the first.
 func (d *ShardDraft) split() (first, second *ShardDraft) {
 	half := len(d.MachineIDs) / 2
-	first = &ShardDraft{Owner: d.Owner, Epoch: d.Epoch, MachineIDs: d.MachineIDs[:half], doneTasks: d.doneTasks}
+	first = &ShardDraft{Owner: d.Owner, Epoch: d.Epoch, MachineIDs: d.MachineIDs[:half], completedTasks: d.completedTasks}
 	second = &ShardDraft{Owner: d.Owner, Epoch: d.Epoch, MachineIDs: d.MachineIDs[half:]}
 	return first, second
 }
 
 // MutableShard adds a shard to the batch and returns its draft for modification. The draft omits the
-// done tasks of jobs that have ended.
+// completed tasks of jobs that have ended.
 func (b *Batch) MutableShard(id storage.ShardID) *ShardDraft {
 	if draft := b.shards[id]; draft != nil {
 		return draft
@@ -53,13 +53,13 @@
 	shard := replica.Shards[id]
 	ops := b.shardWriter.ShardWriteOps(id)
 	draft := draftOf(shard)
-	draft.doneTasks = map[protocol.JobID]storage.TaskSet{}
+	draft.completedTasks = map[protocol.JobID]storage.TaskSet{}
 	if b.shardWriter.limits.StorageFormat() >= storage.FormatPacked {
 		draft.EstimatedSize = replica.PackedShardSize(id)
 	}
-	for job, done := range shard.CompletedTasks {
+	for job, completed := range shard.CompletedTasks {
 		if entry := replica.Jobs[job]; entry == nil || !entry.Record.State.IsTerminal() {
-			draft.doneTasks[job] = done
+			draft.completedTasks[job] = completed
 		}
 	}
 	b.reserveWrite(storage.ShardKey(id), shard.EncodedSize+shardSizeMargin)
@@ -73,9 +73,9 @@
 	id := b.shardWriter.newShardID()
 	b.reserveWrite(storage.ShardKey(id), shardSizeMargin)
 	b.shards[id] = &ShardDraft{
-		Owner:     owner,
-		Epoch:     epoch,
-		doneTasks: map[protocol.JobID]storage.TaskSet{},
+		Owner:          owner,
+		Epoch:          epoch,
+		completedTasks: map[protocol.JobID]storage.TaskSet{},
 	}
 	return id
 }
--- a/internal/coordination/commit/shard_layout.go
+++ b/internal/coordination/commit/shard_layout.go
@@ -80,7 +80,7 @@
 		target.shard.EncodedSize+source.shard.EncodedSize <= maxMergedShardSize(limits)
 }
 
-// mergeShard moves the machines and the done tasks of the source to the target.
+// mergeShard moves the machines and the completed tasks of the source to the target.
 func (w *ShardWriter) mergeShard(batch *Batch, sourceID, targetID storage.ShardID) {
 	machines := w.Replica.Shards[sourceID].Machines
 	source := batch.MutableShard(sourceID)
@@ -88,11 +88,11 @@
 		batch.MoveMachine(machineID, targetID)
 	}
 	target := batch.MutableShard(targetID)
-	for job, done := range source.doneTasks {
-		target.doneTasks[job] = target.doneTasks[job].Union(done)
-		target.EstimatedSize += mergedJobSize + len(done.String())
+	for job, completed := range source.completedTasks {
+		target.completedTasks[job] = target.completedTasks[job].Union(completed)
+		target.EstimatedSize += mergedJobSize + len(completed.String())
 	}
-	clear(source.doneTasks)
+	clear(source.completedTasks)
 	batch.Log(slog.LevelInfo, "shards merged", "source", string(sourceID), "count", len(machines), "target", string(targetID))
 }
 
--- a/internal/coordination/commit/shard_writer.go
+++ b/internal/coordination/commit/shard_writer.go
@@ -27,7 +27,7 @@
 	transfers TransferTracker
 
 	shardSequence    int                                 // number of shard IDs that this process has created
-	completeSince    map[protocol.JobID]protocol.Instant // when all tasks of an unfinished job of another owner were found done
+	completeSince    map[protocol.JobID]protocol.Instant // when all tasks of an unfinished job of another owner were found completed
 	nextShardMergeAt protocol.Instant
 }
 
--- a/internal/coordination/commit/size_estimates.go
+++ b/internal/coordination/commit/size_estimates.go
@@ -17,11 +17,11 @@
 
 // Estimated sizes, in bytes, of additions to a record in the plain format.
 const (
-	assignmentSize   = 24 // tasks of one job with one attempt, without the task indexes
-	assignedTaskSize = 3
-	doneJobSize      = 16 // a job without earlier done tasks on the shard
-	doneTaskSize     = 4
-	mergedJobSize    = 20 // a job's done tasks on the target of a merge, without the tasks themselves
+	assignmentSize       = 24 // tasks of one job with one attempt, without the task indexes
+	assignedTaskSize     = 3
+	completedTaskSetSize = 16 // a job without earlier completed tasks on the shard
+	completedTaskSize    = 4
+	mergedJobSize        = 20 // a job's completed tasks on the target of a merge, without the tasks themselves
 
 	emptyMachineSize       = 64
 	assignmentsSizePerCore = 18
@@ -98,10 +98,10 @@
 // maxMergedShardSize returns the total encoded size up to which two shards are merged.
 func maxMergedShardSize(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
 
-// maxPlainSizeWithDoneTasks returns the size from which the done tasks of a shard in the plain format
-// move to the records of their jobs.
-func maxPlainSizeWithDoneTasks(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
+// maxPlainSizeWithCompletedTasks returns the size from which the completed tasks of a shard in the
+// plain format move to the records of their jobs.
+func maxPlainSizeWithCompletedTasks(limits step.WriteLimits) int { return limits.ValueBytes * 3 / 4 }
 
-// maxPackedDoneTasksSize returns the size of done tasks from which the done tasks of a packed shard
-// move to the records of their jobs.
-func maxPackedDoneTasksSize(limits step.WriteLimits) int { return limits.ValueBytes / 4 }
+// maxPackedCompletedTasksSize returns the size of completed tasks from which the completed tasks of
+// a packed shard move to the records of their jobs.
+func maxPackedCompletedTasksSize(limits step.WriteLimits) int { return limits.ValueBytes / 4 }
--- a/internal/coordination/commit/write_limiter.go
+++ b/internal/coordination/commit/write_limiter.go
@@ -9,7 +9,7 @@
 
 const (
 	// minTransactionOps is the lowest value to which the maximum number of operations in a
-	// transaction is reduced. With fewer operations, done tasks could not move from a shard to the
+	// transaction is reduced. With fewer operations, completed tasks could not move from a shard to the
 	// record of their job.
 	minTransactionOps = 2
 	// minBurst is the minimum capacity of the token bucket, in write tokens.
--- a/internal/coordination/commit_cycle.go
+++ b/internal/coordination/commit_cycle.go
@@ -83,7 +83,7 @@
 	}
 	c.commit.ShardWriter.SplitShards(batch)
 	c.commit.ShardWriter.MergeShards(batch)
-	c.commit.ShardWriter.ConsolidateDoneTasks(batch)
+	c.commit.ShardWriter.ConsolidateCompletedTasks(batch)
 	reservedOps := 0
 	if c.scheduling.Plan.HasPendingRemotePlacements() && c.commit.Committer.IsBatchPartial() {
 		reservedOps = batch.OpsLeft() / remoteOpsDivisor
--- a/internal/coordination/format_upgrade_test.go
+++ b/internal/coordination/format_upgrade_test.go
@@ -52,8 +52,8 @@
 		lines = append(lines, record.EncodeLine(protocol.MachineID(fmt.Sprintf("m-%06d", machines))))
 		size += len(lines[machines]) + 3
 	}
-	done := map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}
-	putRecord(t, core, storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, done), 60)
+	completed := map[protocol.JobID]storage.TaskSet{"j-1": storage.TaskRange(4, 9)}
+	putRecord(t, core, storage.ShardKey("crowded"), storage.EncodePlainShard(owner, 3, lines, completed), 60)
 	return machines
 }
 
@@ -179,9 +179,9 @@
 	}
 	shard := storage.EncodePlainShard(core.commit.Lease.Incarnation(), 3, lines, nil)
 	putRecord(t, core, storage.ShardKey("idle"), shard, 40)
-	var done storage.TaskSet
+	var completed storage.TaskSet
 	for index := 0; index < 1800; index += 2 {
-		done = done.Add(index)
+		completed = completed.Add(index)
 	}
 	jobRecord := storage.JobRecord{
 		Spec: &protocol.Job{
@@ -195,7 +195,7 @@
 		},
 		Owner:          core.commit.Lease.Incarnation(),
 		NextAttempt:    1024,
-		CompletedTasks: done,
+		CompletedTasks: completed,
 	}
 	putRecord(t, core, storage.JobKey("j-1"), storage.MustMarshal(jobRecord), 41)
 	raiseFormat(t, core)
@@ -217,8 +217,8 @@
 		}
 		advance(0, steptest.UnchangedUntil(core.ctx.Replica.Revision, core.ctx.Replica.Revision+61))
 	}
-	isSameDone := core.ctx.Replica.CompletedTasks("j-1").String() == done.String()
-	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || !isSameDone {
+	isSameCompletedSet := core.ctx.Replica.CompletedTasks("j-1").String() == completed.String()
+	if shardWrites != 1 || jobWrites == 0 || len(core.ctx.Replica.Shards) != 1 || !isSameCompletedSet {
 		t.Errorf("the shard is written %d times, the job %d times, %d shards left; want 1, at least 1, 1 and the same completed tasks of the job",
 			shardWrites, jobWrites, len(core.ctx.Replica.Shards))
 	}
--- a/internal/coordination/requests/submissions.go
+++ b/internal/coordination/requests/submissions.go
@@ -12,7 +12,7 @@
 
 const (
 	// maxJobRecordPercent is the percentage of the largest stored value that a new job's record may
-	// occupy. The rest is for the done tasks and reservations that are recorded in it later.
+	// occupy. The rest is for the completed tasks and reservations that are recorded in it later.
 	maxJobRecordPercent = 85
 
 	// quotaTolerance absorbs rounding errors when a sum of resources is compared with a quota.
--- a/internal/coordination/requests/user_requests.go
+++ b/internal/coordination/requests/user_requests.go
@@ -131,11 +131,11 @@
 		}
 	}
 	if requestType == protocol.RequestQuery {
-		done := u.Replica.CompletedTasks(id).Len()
+		completed := u.Replica.CompletedTasks(id).Len()
 		if record.State == protocol.JobDone {
-			done = record.TaskCount
+			completed = record.TaskCount
 		}
-		status.DoneTasks, status.RunningTasks = &done, &running
+		status.CompletedTasks, status.RunningTasks = &completed, &running
 	}
 	return status
 }
--- a/internal/coordination/scheduling/arrays.go
+++ b/internal/coordination/scheduling/arrays.go
@@ -65,7 +65,7 @@
 	spec := job.record.Spec
 	placer := &arrayPlacer{scheduler: s, batch: batch, job: job, candidates: candidates, unplacedTasks: job.unplacedTasks()}
 	quotaHeadroom := s.queue.quotaHeadroom(candidates, spec)
-	// The encoded set of done tasks must fit the job's record. The number of tasks in progress bounds
+	// The encoded set of completed tasks must fit the job's record. The number of tasks in progress bounds
 	// the number of gaps in the set.
 	recordHeadroom := max(s.acquirer.maxTasksInProgress(spec.TaskCount)-job.placedTasks, 0)
 	placer.placeableTasks = min(placer.unplacedTasks, maxTasks, quotaHeadroom, recordHeadroom)
--- a/internal/coordination/scheduling/gangs.go
+++ b/internal/coordination/scheduling/gangs.go
@@ -23,7 +23,7 @@
 	scheduler *Scheduler
 }
 
-// placeGang places all tasks of a gang that are not done, or none.
+// placeGang places all tasks of a gang that are not completed, or none.
 func (g *gangScheduler) placeGang(batch *commit.Batch, job *PendingJob, candidates []*Candidate) {
 	if job.placedTasks > 0 {
 		g.retainGangMachines(job, candidates)
@@ -31,7 +31,7 @@
 		return
 	}
 	spec := job.record.Spec
-	tasks := spec.TaskCount - job.doneTasks
+	tasks := spec.TaskCount - job.completedTaskCount
 	if tasks <= 0 || g.queue.quotaHeadroom(candidates, spec) < tasks {
 		return
 	}
--- a/internal/coordination/scheduling/job_acquisition.go
+++ b/internal/coordination/scheduling/job_acquisition.go
@@ -87,10 +87,10 @@
 	return ja.canWritePlacements(batch, job) && !isBackingOff
 }
 
-// pendingTasks returns the indexes of up to limit tasks that are neither done nor assigned, in
+// pendingTasks returns the indexes of up to limit tasks that are neither completed nor assigned, in
 // ascending order.
 func (ja *jobAcquirer) pendingTasks(batch *commit.Batch, job *PendingJob, limit int) []int {
-	coveredTasks := batch.DoneTasks(job.id)
+	coveredTasks := batch.CompletedTasks(job.id)
 	addAssigned := func(record *storage.MachineRecord) {
 		for assigned := range record.AssignmentsOf(job.id) {
 			coveredTasks = coveredTasks.Union(assigned.Tasks)
@@ -111,7 +111,7 @@
 }
 
 // maxTasksInProgress returns the maximum number of a job's tasks that may be in progress at the same
-// time, so that the set of done tasks fits the job's record in whatever order the tasks end.
+// time, so that the set of completed tasks fits the job's record in whatever order the tasks end.
 func (ja *jobAcquirer) maxTasksInProgress(tasks int) int {
 	const (
 		tasksPerBase64Byte  = 6 // the packed format may write one bit per task, in base64
--- a/internal/coordination/scheduling/pending_job.go
+++ b/internal/coordination/scheduling/pending_job.go
@@ -37,10 +37,10 @@
 
 // placementProgress counts the job's tasks. Each placement advances it during the pass.
 type placementProgress struct {
-	doneTasks    int
-	placedTasks  int // recorded in the store, or planned in this pass
-	tasksByZone  map[protocol.Zone]int
-	avoidedTypes map[protocol.MachineTypeName]bool // nil if not determined yet
+	completedTaskCount int
+	placedTasks        int // recorded in the store, or planned in this pass
+	tasksByZone        map[protocol.Zone]int
+	avoidedTypes       map[protocol.MachineTypeName]bool // nil if not determined yet
 }
 
 // isServedBefore reports whether the job precedes another one in the queue. Starved jobs precede all
@@ -72,9 +72,9 @@
 	return step.MillisToDuration(j.latestStart - now.Wall)
 }
 
-// unplacedTasks returns the number of tasks that are neither done nor placed.
+// unplacedTasks returns the number of tasks that are neither completed nor placed.
 func (j *PendingJob) unplacedTasks() int {
-	return j.record.Spec.TaskCount - j.doneTasks - j.placedTasks
+	return j.record.Spec.TaskCount - j.completedTaskCount - j.placedTasks
 }
 
 // zoneHeadroom returns how many more tasks of the job may run in the zone. A job that spreads over zones
--- a/internal/coordination/scheduling/queue.go
+++ b/internal/coordination/scheduling/queue.go
@@ -70,8 +70,8 @@
 		record:        record,
 		queuePosition: queuePosition{precedence: precedence, queuePrecedence: precedence},
 		placementProgress: placementProgress{
-			doneTasks:   batch.DoneTasks(id).Len(),
-			tasksByZone: map[protocol.Zone]int{},
+			completedTaskCount: batch.CompletedTasks(id).Len(),
+			tasksByZone:        map[protocol.Zone]int{},
 		},
 	}
 	q.computeDeadlines(job)
@@ -95,7 +95,7 @@
 // classifyByAge determines whether a job is starved or long-running.
 func (q *Queue) classifyByAge(job *PendingJob) {
 	waitingTime := step.MillisToDuration(q.Now.Wall - job.record.SubmittedAt)
-	hasBegun := job.placedTasks > 0 || job.doneTasks > 0
+	hasBegun := job.placedTasks > 0 || job.completedTaskCount > 0
 	job.isStarved = waitingTime > q.Config.AgingThreshold && !hasBegun
 	isArray := job.record.Spec.Kind == protocol.KindArray
 	job.isLongRunning = waitingTime > longRunningFactor*q.Config.AgingThreshold && !job.isStarved && isArray
--- a/internal/coordination/scheduling/warm_pool.go
+++ b/internal/coordination/scheduling/warm_pool.go
@@ -60,7 +60,7 @@
 // expectedTasks returns the number of a job's tasks that need a machine now or later. Running replicas do
 // not need one.
 func expectedTasks(job *PendingJob) float64 {
-	tasks := float64(job.record.Spec.TaskCount - job.doneTasks)
+	tasks := float64(job.record.Spec.TaskCount - job.completedTaskCount)
 	if job.record.Spec.IsService() {
 		tasks -= float64(job.placedTasks)
 	}
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -32,7 +32,8 @@
 //	stage, cause                    State, Reason             state, reason why a task ended
 //	withdrawn, abort (a path)       JobCancelled,             cancellation
 //	                                RequestCancel
-//	done, running                   DoneTasks, RunningTasks   numbers of tasks for display
+//	done, running                   CompletedTasks,           numbers of tasks for display
+//	                                RunningTasks
 //	beat (a path)                   Heartbeat                 an agent's report
 //	do, show (paths)                PathAgentCommands,        paths of an agent's own address
 //	                                PathAgentStatus
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -285,10 +285,10 @@
 // JobStatus is the status of a job as users see it. The numbers of tasks are for display
 // only; the response to a submission has none.
 type JobStatus struct {
-	ID           JobID    `json:"uid"`
-	State        JobState `json:"stage"`
-	DoneTasks    *int     `json:"done,omitempty"`
-	RunningTasks *int     `json:"running,omitempty"`
+	ID             JobID    `json:"uid"`
+	State          JobState `json:"stage"`
+	CompletedTasks *int     `json:"done,omitempty"`
+	RunningTasks   *int     `json:"running,omitempty"`
 }
 
 // RequestType is the type of a user's request on PathJobs.
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -193,7 +193,7 @@
 		},
 		{
 			"job status",
-			JobStatus{ID: "j-1", State: JobRunning, DoneTasks: &taskCount, RunningTasks: &taskCount},
+			JobStatus{ID: "j-1", State: JobRunning, CompletedTasks: &taskCount, RunningTasks: &taskCount},
 			`{"uid":"j-1","stage":"running","done":3,"running":3}`,
 		},
 		{
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -141,14 +141,14 @@
 	}
 }
 
-// recordTaskEnd records with the rule checker that a task no longer runs and whether it is done.
-func (m *Machine) recordTaskEnd(task protocol.Task, done bool) {
-	m.world.Rules.RecordTaskEnd(task, done)
-	if !done {
+// recordTaskEnd records with the rule checker that a task no longer runs and whether it is completed.
+func (m *Machine) recordTaskEnd(task protocol.Task, isCompleted bool) {
+	m.world.Rules.RecordTaskEnd(task, isCompleted)
+	if !isCompleted {
 		return
 	}
-	m.world.handleTaskDone(task.Job)
-	if job := m.world.Jobs[task.Job]; job.IsGang() { // if one task of a gang is done, all tasks are
+	m.world.handleTaskCompleted(task.Job)
+	if job := m.world.Jobs[task.Job]; job.IsGang() { // if one task of a gang is completed, all tasks are
 		for index := range job.TaskCount {
 			m.world.Rules.job(task.Job).completedTasks[index] = true
 		}
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -132,12 +132,12 @@
 	}
 }
 
-// checkReportedState checks a job's state in a reply against the tasks done, the requests of the
+// checkReportedState checks a job's state in a reply against the completed tasks, the requests of the
 // user and the states of earlier replies.
 func (r *RuleChecker) checkReportedState(id protocol.JobID, observed *observedJob, sentAt time.Duration, state protocol.JobState) {
 	canBeDone := observed.spec != nil && !observed.spec.IsService() && len(observed.completedTasks) >= observed.spec.TaskCount
 	if state == protocol.JobDone && !canBeDone {
-		r.recordViolation("not_done", "job %s is reported done with %d tasks done", id, len(observed.completedTasks))
+		r.recordViolation("not_done", "job %s is reported done with %d completed tasks", id, len(observed.completedTasks))
 	}
 	wasInFlight := sentAt < observed.reportedAt
 	if observed.reportedState.IsTerminal() && state != observed.reportedState && (!wasInFlight || state.IsTerminal()) {
@@ -203,10 +203,10 @@
 	}
 }
 
-// RecordTaskEnd records that a task no longer runs on a machine, and whether it is done.
-func (r *RuleChecker) RecordTaskEnd(task protocol.Task, done bool) {
+// RecordTaskEnd records that a task no longer runs on a machine, and whether it is completed.
+func (r *RuleChecker) RecordTaskEnd(task protocol.Task, isCompleted bool) {
 	r.runCounts[task]--
-	if done {
+	if isCompleted {
 		r.job(task.Job).completedTasks[task.Index] = true
 	}
 }
@@ -293,7 +293,7 @@
 	return j.accepted && j.spec != nil && !j.cancelRequested
 }
 
-// isServed reports whether all tasks of a job are done, or all replicas of a service run.
+// isServed reports whether all tasks of a job are completed, or all replicas of a service run.
 func (r *RuleChecker) isServed(id protocol.JobID, observed *observedJob) bool {
 	if len(observed.completedTasks) >= observed.spec.TaskCount {
 		return true
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -122,9 +122,9 @@
 	})
 }
 
-// handleTaskDone calls OnJobEnd if the last task of a job is done. With the probability
+// handleTaskCompleted calls OnJobEnd if the last task of a job is completed. With the probability
 // CancelAtEndRate it also cancels the job at that moment.
-func (w *World) handleTaskDone(id protocol.JobID) {
+func (w *World) handleTaskCompleted(id protocol.JobID) {
 	observed := w.Rules.job(id)
 	if observed.spec == nil || len(observed.completedTasks) < observed.spec.TaskCount {
 		return
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -50,7 +50,7 @@
 	StepCosts         StepCosts               // cost of the cores' steps, which is not measured if nil
 
 	// Hooks. Each may be nil.
-	OnJobEnd    func(protocol.JobID)                                                 // called when the last task of a job is done
+	OnJobEnd    func(protocol.JobID)                                                 // called when the last task of a job is completed
 	OnProvision func(*Machine)                                                       // called for each new machine before it boots
 	Trace       func(string)                                                         // called with each log line of a controller
 	OnEffect    func(at time.Duration, id protocol.ControllerID, effect step.Effect) // called with each effect of a core
