--- a/internal/coordination/cancellation/acknowledgements.go
+++ b/internal/coordination/cancellation/acknowledgements.go
@@ -11,17 +11,17 @@
 
 // Limits of the cancellation data in one peer status, and of the requests kept from peer statuses.
 const (
-	maxIntentsPerMessage = 150
-	maxAcksPerMessage    = 200
-	maxPeerIntents       = 2000
+	maxRequestsPerMessage = 150
+	maxAcksPerMessage     = 200
+	maxPeerRequests       = 2000
 )
 
 // requesterFailoverDelay is the age from which the successor of the job's key also drives a request,
 // because the controller that began the request may have ended.
 const requesterFailoverDelay = 4 * time.Second
 
-// peerIntent is a cancellation request that is known only from the status of another controller.
-type peerIntent struct {
+// peerRequest is a cancellation request that is known only from the status of another controller.
+type peerRequest struct {
 	revision   protocol.Revision // at which the request was recorded
 	receivedAt protocol.Instant
 }
@@ -42,11 +42,11 @@
 	}
 }
 
-// forgetEndedCancellations forgets the intents that the replica contains by now. It also forgets the
+// forgetEndedCancellations forgets the requests that the replica contains by now. It also forgets the
 // acknowledgements of requests that are confirmed or whose job has ended.
 func (c *Canceller) forgetEndedCancellations() {
-	maps.DeleteFunc(c.peerIntents, func(_ protocol.JobID, intent peerIntent) bool {
-		return c.Replica.Revision >= intent.revision
+	maps.DeleteFunc(c.peerRequests, func(_ protocol.JobID, request peerRequest) bool {
+		return c.Replica.Revision >= request.revision
 	})
 	maps.DeleteFunc(c.fullyAcknowledged, func(id protocol.JobID, _ bool) bool {
 		return c.Replica.CancellingJobs[id] == nil
@@ -70,7 +70,7 @@
 			c.peerNotifier.ExpediteStatus()
 		}
 	}
-	for id := range c.peerIntents {
+	for id := range c.peerRequests {
 		acknowledge(id)
 	}
 	for id := range c.Replica.CancellingJobs {
@@ -94,8 +94,8 @@
 		return
 	}
 	c.fullyAcknowledged[id] = c.IsCancelFullyAcknowledged(id)
-	_, isIntentSent := c.lastSentIntents[id]
-	if !c.fullyAcknowledged[id] && !isIntentSent && c.isRequester(id) {
+	_, isRequestSent := c.lastSentRequests[id]
+	if !c.fullyAcknowledged[id] && !isRequestSent && c.isRequester(id) {
 		c.peerNotifier.ExpediteStatus()
 	}
 }
@@ -144,10 +144,10 @@
 			unacknowledged = append(unacknowledged, id)
 		}
 	}
-	clear(c.lastSentIntents)
-	for _, id := range c.intentRotation.nextChunk(unacknowledged, maxIntentsPerMessage) {
-		c.lastSentIntents[id] = c.Now.Monotonic
-		status.CancelIntents = append(status.CancelIntents, step.CancelIntent{
+	clear(c.lastSentRequests)
+	for _, id := range c.requestRotation.nextChunk(unacknowledged, maxRequestsPerMessage) {
+		c.lastSentRequests[id] = c.Now.Monotonic
+		status.CancelRequests = append(status.CancelRequests, step.CancelRequest{
 			Job:      id,
 			Revision: protocol.Revision(c.Replica.CancellingJobs[id].ModRevision),
 		})
@@ -155,11 +155,11 @@
 	status.CancelAcks = c.ackRotation.nextChunk(step.SortedKeys(c.localAcks), maxAcksPerMessage)
 }
 
-// OnPeerCancellations records the intents and acknowledgements in another controller's status. It
+// OnPeerCancellations records the requests and acknowledgements in another controller's status. It
 // ignores acknowledgements of incarnations that have ended.
 func (c *Canceller) OnPeerCancellations(status *step.PeerStatus) {
-	for _, intent := range status.CancelIntents[:min(len(status.CancelIntents), maxIntentsPerMessage)] {
-		c.recordPeerIntent(intent)
+	for _, request := range status.CancelRequests[:min(len(status.CancelRequests), maxRequestsPerMessage)] {
+		c.recordPeerRequest(request)
 	}
 	if !c.Replica.IsAlive(status.Incarnation) {
 		return
@@ -169,15 +169,15 @@
 	}
 }
 
-// recordPeerIntent stores a request that the replica lacks. From then on the request binds this
+// recordPeerRequest stores a request that the replica lacks. From then on the request binds this
 // controller.
-func (c *Canceller) recordPeerIntent(intent step.CancelIntent) {
-	_, isKnown := c.peerIntents[intent.Job]
-	isInReplica := c.Replica.Revision >= intent.Revision
-	if isKnown || isInReplica || !intent.Job.IsValid() || len(c.peerIntents) >= maxPeerIntents {
+func (c *Canceller) recordPeerRequest(request step.CancelRequest) {
+	_, isKnown := c.peerRequests[request.Job]
+	isInReplica := c.Replica.Revision >= request.Revision
+	if isKnown || isInReplica || !request.Job.IsValid() || len(c.peerRequests) >= maxPeerRequests {
 		return
 	}
-	c.peerIntents[intent.Job] = peerIntent{revision: intent.Revision, receivedAt: c.Now.Monotonic}
+	c.peerRequests[request.Job] = peerRequest{revision: request.Revision, receivedAt: c.Now.Monotonic}
 	c.ShouldRecheckDeferredHeartbeats = true
 }
 
--- a/internal/coordination/cancellation/canceller.go
+++ b/internal/coordination/cancellation/canceller.go
@@ -51,7 +51,7 @@
 	// The fields below are exchanged with the other controllers until a cancellation is confirmed.
 
 	// Requests that the replica does not contain yet.
-	peerIntents map[protocol.JobID]peerIntent
+	peerRequests map[protocol.JobID]peerRequest
 	// By job and sender, the newest revision of the sender's replica at which the sender acknowledged the
 	// request.
 	peerAcks map[protocol.JobID]map[storage.Incarnation]protocol.Revision
@@ -60,9 +60,9 @@
 	// Whether every controller concerned knows the request.
 	fullyAcknowledged map[protocol.JobID]bool
 	// Requests in the last status of this controller, with the time of that status.
-	lastSentIntents map[protocol.JobID]protocol.Instant
+	lastSentRequests map[protocol.JobID]protocol.Instant
 
-	intentRotation, ackRotation rotation // positions at which the next status continues
+	requestRotation, ackRotation rotation // positions at which the next status continues
 }
 
 // newCanceller returns a canceller without cancellations.
@@ -70,10 +70,10 @@
 	return &Canceller{
 		Context:           ctx,
 		requestedAt:       map[protocol.JobID]protocol.Instant{},
-		peerIntents:       map[protocol.JobID]peerIntent{},
+		peerRequests:      map[protocol.JobID]peerRequest{},
 		peerAcks:          map[protocol.JobID]map[storage.Incarnation]protocol.Revision{},
 		fullyAcknowledged: map[protocol.JobID]bool{},
-		lastSentIntents:   map[protocol.JobID]protocol.Instant{},
+		lastSentRequests:  map[protocol.JobID]protocol.Instant{},
 	}
 }
 
@@ -83,7 +83,7 @@
 	if c.isCancelRecorded(id) {
 		return true
 	}
-	_, ok := c.peerIntents[id]
+	_, ok := c.peerRequests[id]
 	return ok
 }
 
@@ -101,8 +101,8 @@
 	if c.isCancelRecorded(id) {
 		elapsed = step.MillisToDuration(c.Now.Wall - c.Replica.Jobs[id].Record.CancelUpdatedAt)
 	}
-	if intent, ok := c.peerIntents[id]; ok {
-		elapsed = max(elapsed, c.Since(intent.receivedAt))
+	if request, ok := c.peerRequests[id]; ok {
+		elapsed = max(elapsed, c.Since(request.receivedAt))
 	}
 	return elapsed
 }
--- a/internal/coordination/cancellation/doc.go
+++ b/internal/coordination/cancellation/doc.go
@@ -1,9 +1,9 @@
 // Package cancellation drives the cancellation of jobs. A cancellation has two steps, both recorded in
 // the store:
 //
-//  1. The request (the intent). From then on no controller assigns a task of the job, no agent is
-//     commanded to start one, and the owners of the machines stop the running tasks. A request is
-//     never revoked. Users still see the job as queued or running.
+//  1. The request. From then on no controller assigns a task of the job, no agent is commanded to
+//     start one, and the owners of the machines stop the running tasks. A request is never revoked.
+//     Users still see the job as queued or running.
 //  2. The confirmation, which records the job as cancelled. It is written once every controller that
 //     could start a task of the job, or keep one running, knows the request.
 //
--- a/internal/coordination/cancellation/requests.go
+++ b/internal/coordination/cancellation/requests.go
@@ -56,7 +56,7 @@
 			c.dependOnShards(batch, id)
 			c.writeConfirmation(batch, id)
 		default:
-			c.writeIntent(batch, id)
+			c.writeRequest(batch, id)
 		}
 	}
 }
@@ -100,8 +100,8 @@
 	}
 }
 
-// writeIntent writes the first step of a cancellation, the request, to the batch.
-func (c *Canceller) writeIntent(batch *commit.Batch, id protocol.JobID) {
+// writeRequest writes the first step of a cancellation, the request, to the batch.
+func (c *Canceller) writeRequest(batch *commit.Batch, id protocol.JobID) {
 	record := batch.MutableJob(id)
 	record.CancelRequested = true
 	record.CancelUpdatedAt = c.Now.Wall
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -15,7 +15,7 @@
 	type write int
 	const (
 		nothing write = iota
-		intent
+		cancelRequest
 		confirmation
 	)
 	cancelRequested := func(record *storage.JobRecord) { record.CancelRequested = true }
@@ -47,7 +47,7 @@
 				f.putJob(t, nil)
 				f.putOwnedMachine(t, protocol.TaskPullingImage)
 			},
-			wantWrite: intent,
+			wantWrite: cancelRequest,
 		},
 		{
 			name: "running on a machine of another controller",
@@ -55,14 +55,14 @@
 				f.putJob(t, nil)
 				f.recordHeartbeat(f.putMachine(t, otherIncarnation, nil), protocol.TaskRunning)
 			},
-			wantWrite: intent,
+			wantWrite: cancelRequest,
 		},
 		{
 			name: "unassigned job of another controller",
 			setUp: func(t *testing.T, f *fixture) {
 				f.putJob(t, func(record *storage.JobRecord) { record.Owner = otherIncarnation })
 			},
-			wantWrite: intent,
+			wantWrite: cancelRequest,
 		},
 		{
 			name: "replica older than the job's record",
@@ -70,7 +70,7 @@
 				f.putJob(t, nil)
 				f.Replica.Revision = 1
 			},
-			wantWrite: intent,
+			wantWrite: cancelRequest,
 		},
 		{
 			name: "on more machines than a batch may depend on",
@@ -78,7 +78,7 @@
 				f.putJob(t, nil)
 				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps+1)
 			},
-			wantWrite: intent,
+			wantWrite: cancelRequest,
 		},
 		{
 			name: "on as many machines as a batch may depend on",
@@ -100,7 +100,7 @@
 					t.Fatal("no transaction that depends on the job is in flight, want one")
 				}
 			},
-			wantWrite: intent,
+			wantWrite: cancelRequest,
 		},
 		{
 			name:      "request recorded, not acknowledged",
@@ -153,7 +153,7 @@
 				case entry.Record.State == protocol.JobCancelled && !entry.Record.CancelRequested:
 					got = confirmation
 				case entry.Record.State == "" && entry.Record.CancelRequested:
-					got = intent
+					got = cancelRequest
 				default:
 					t.Fatalf("the written record %+v is neither a request nor a confirmation", entry.Record)
 				}
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -90,7 +90,7 @@
 // replica is stalled: the controller stops the job's task in its responses, starts no task of the job,
 // and acknowledges the request. It forgets the request once the replica has reached the request's
 // revision.
-func TestPeerIntentIsBinding(t *testing.T) {
+func TestPeerCancelRequestIsBinding(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		revision protocol.Revision
@@ -109,8 +109,8 @@
 			running := protocol.TaskStatus{Task: protocol.Task{Job: "j-1"}, Attempt: 5, State: protocol.TaskRunning}
 			state.RecordHeartbeat(steptest.NewHeartbeat(machine, 1, running), core.ctx.Now.Monotonic)
 			advance(0, step.PeerStatusInput{Status: step.PeerStatus{
-				ControllerID:  "stall-1",
-				CancelIntents: []step.CancelIntent{{Job: "j-1", Revision: test.revision}},
+				ControllerID:   "stall-1",
+				CancelRequests: []step.CancelRequest{{Job: "j-1", Revision: test.revision}},
 			}})
 
 			starts, stops, acknowledged := 0, 0, false
@@ -186,18 +186,18 @@
 			if test.isRequester {
 				core.cancellation.Canceller.RequestCancellation("j-1")
 			}
-			messages, intents := 0, 0
+			messages, requestCount := 0, 0
 			for range 60 { // 3 s
 				for _, effect := range advance(50*time.Millisecond, step.Tick{}) {
 					if sent, ok := effect.(step.SendPeerStatus); ok {
 						messages++
-						intents += len(sent.Status.CancelIntents)
+						requestCount += len(sent.Status.CancelRequests)
 					}
 				}
 			}
-			if messages > 6 || (intents > 0) != test.isRequester {
+			if messages > 6 || (requestCount > 0) != test.isRequester {
 				t.Errorf("%d statuses with %d requests in 3 s, want at most 6 statuses, and requests if and only if this controller drives the cancellation",
-					messages, intents)
+					messages, requestCount)
 			}
 		})
 	}
--- a/internal/coordination/step/peer_wire.go
+++ b/internal/coordination/step/peer_wire.go
@@ -50,8 +50,8 @@
 			Tally:   misdirected.Sequence,
 		})
 	}
-	for _, intent := range s.CancelIntents {
-		wire.Intents = append(wire.Intents, cancelIntentWire{Job: intent.Job, Rev: intent.Revision})
+	for _, request := range s.CancelRequests {
+		wire.Intents = append(wire.Intents, cancelIntentWire{Job: request.Job, Rev: request.Revision})
 	}
 	return wire
 }
@@ -73,8 +73,8 @@
 			Sequence:   misdirected.Tally,
 		})
 	}
-	for _, intent := range w.Intents {
-		status.CancelIntents = append(status.CancelIntents, CancelIntent{Job: intent.Job, Revision: intent.Rev})
+	for _, request := range w.Intents {
+		status.CancelRequests = append(status.CancelRequests, CancelRequest{Job: request.Job, Revision: request.Rev})
 	}
 	return status
 }
--- a/internal/coordination/step/peer_wire_test.go
+++ b/internal/coordination/step/peer_wire_test.go
@@ -17,7 +17,7 @@
 		AcceptsShards:         true,
 		MisdirectedHeartbeats: []MisdirectedHeartbeat{{Machine: "m-1", AgentEpoch: 2, Sequence: 9}},
 		Revision:              12,
-		CancelIntents:         []CancelIntent{{Job: "j-1", Revision: 11}},
+		CancelRequests:        []CancelRequest{{Job: "j-1", Revision: 11}},
 		CancelAcks:            []protocol.JobID{"j-2"},
 	}
 	if got := status.Wire().Status(); !reflect.DeepEqual(got, status) {
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -30,7 +30,7 @@
 	Fit     bool
 	Seen    []productionMisdirectedHeartbeat
 	Rev     uint64
-	Intents []productionCancelIntent
+	Intents []productionCancelRequest
 	Acks    []string
 }
 
@@ -41,8 +41,8 @@
 	Tally   uint64
 }
 
-// productionCancelIntent is a cancellation request as controllers announce it to each other.
-type productionCancelIntent struct {
+// productionCancelRequest is a cancellation request as controllers announce it to each other.
+type productionCancelRequest struct {
 	Job string
 	Rev uint64
 }
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -104,7 +104,7 @@
 	status := wire.Status()
 	isReadInFull := status.Incarnation == "stall-1#7" && status.AcceptsShards && status.Revision == 41 &&
 		len(status.MisdirectedHeartbeats) == 1 && status.MisdirectedHeartbeats[0].AgentEpoch == 2 &&
-		len(status.CancelIntents) == 1 && status.CancelIntents[0].Revision == 40 &&
+		len(status.CancelRequests) == 1 && status.CancelRequests[0].Revision == 40 &&
 		len(status.CancelAcks) == 1 && status.CancelAcks[0] == "j-000413"
 	if !isReadInFull {
 		t.Errorf("read %+v, want the status that TestWriteGolden wrote", status)
--- a/internal/simulation/golden_write_test.go
+++ b/internal/simulation/golden_write_test.go
@@ -43,7 +43,7 @@
 	}
 	status := step.PeerStatus{ControllerID: "stall-1", StoreReachable: true, Incarnation: "stall-1#7", AcceptsShards: true, Revision: 41,
 		MisdirectedHeartbeats: []step.MisdirectedHeartbeat{{Machine: "m-000231", AgentEpoch: 2, Sequence: 9}},
-		CancelIntents:         []step.CancelIntent{{Job: "j-000412", Revision: 40}}, CancelAcks: []protocol.JobID{"j-000413"}}
+		CancelRequests:        []step.CancelRequest{{Job: "j-000412", Revision: 40}}, CancelAcks: []protocol.JobID{"j-000413"}}
 	frame, err := transport.AppendFrame(nil, status.Wire())
 	if err != nil {
 		t.Fatal(err)
