--- a/internal/coordination/agents/monitor.go
+++ b/internal/coordination/agents/monitor.go
@@ -10,8 +10,8 @@
 
 // ScaleInEvaluator decides which owned machines are terminated because they are no longer needed or
 // have failed. BeginScaleInReview starts a review of all owned machines, and EvaluateScaleIn then
-// evaluates each machine. isIsolated means that so many machines are silent that the network of this
-// controller is probably at fault.
+// evaluates each machine. isIsolated means that so many of them are silent that this controller itself is
+// probably isolated from the network.
 type ScaleInEvaluator interface {
 	BeginScaleInReview(silentMachines int)
 	EvaluateScaleIn(entry *storage.Machine, state *MachineState, isIsolated bool)
@@ -60,7 +60,7 @@
 }
 
 // inspectOwnedMachines returns the owned machines and marks the silent ones as suspect. It reports
-// whether so many of them are silent that this controller itself must be isolated from the network.
+// whether so many of them are silent that this controller itself is probably isolated from the network.
 func (am *Monitor) inspectOwnedMachines() (owned []ownedMachine, isIsolated bool) {
 	monitoredCount, silentCount := 0, 0
 	for _, shard := range am.shards.OwnedShards() {
--- a/internal/coordination/commit/parts.go
+++ b/internal/coordination/commit/parts.go
@@ -57,10 +57,10 @@
 }
 
 // Connect connects the parts with those of other packages.
-func (p *Parts) Connect(d Dependencies) {
-	p.Replication.agents = d.MachineTracker
-	p.Replication.peers = d.StoreReports
-	p.Upgrade.election = d.SuccessorElection
-	p.ShardWriter.catalog = d.Catalog
-	p.ShardWriter.transfers = d.TransferTracker
+func (p *Parts) Connect(dependencies Dependencies) {
+	p.Replication.agents = dependencies.MachineTracker
+	p.Replication.peers = dependencies.StoreReports
+	p.Upgrade.election = dependencies.SuccessorElection
+	p.ShardWriter.catalog = dependencies.Catalog
+	p.ShardWriter.transfers = dependencies.TransferTracker
 }
--- a/internal/coordination/provisioning/scale_in.go
+++ b/internal/coordination/provisioning/scale_in.go
@@ -15,7 +15,7 @@
 	surplusIdleFactor = 0.25
 
 	// isolatedTimeoutFactor multiplies the silence limit while nearly all owned machines are silent,
-	// because this controller itself may be partitioned. If the agents reached another controller, their
+	// because this controller itself may be isolated. If the agents reached another controller, their
 	// machines would have been handed off to that controller by then, so no controller reaches them.
 	isolatedTimeoutFactor = 2
 
@@ -62,7 +62,7 @@
 
 // EvaluateScaleIn decides whether an owned machine is to be terminated, and queues the machine if so.
 // It begins the termination of a machine that is already recorded as terminating. isIsolated means
-// that nearly all owned machines are silent.
+// that so many owned machines are silent that this controller itself is probably isolated.
 func (t *Terminator) EvaluateScaleIn(entry *storage.Machine, state *agents.MachineState, isIsolated bool) {
 	if entry.Record.Terminating {
 		if !t.IsTerminating(state.ID) && t.lease.IsRegistered() {
