--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -4,7 +4,7 @@
 // controllers are cores of package coordination, or separate processes (RemoteController).
 //
 // World holds the deployment, the event queue and the random source. The package depends on
-// docs/PROTOCOL only: every effect of a core passes through Controller.performEffect, and no
+// the protocol only: every effect of a core passes through Controller.performEffect, and no
 // simulated system reads a core's memory. The checkers (RuleChecker, HistoryChecker) use only
 // the replies to users, the tasks on the machines and the records in the store.
 //
--- a/internal/simulation/rule_checker.go
+++ b/internal/simulation/rule_checker.go
@@ -11,8 +11,8 @@
 	"tillerarch/internal/storage"
 )
 
-// RuleChecker checks the rules of docs/PROTOCOL and some additional rules. It uses only the replies
-// to users and the tasks on the machines, and does not depend on how controllers work.
+// RuleChecker checks the rules of the users' protocol document and some additional rules. It uses only
+// the replies to users and the tasks on the machines, and does not depend on how controllers work.
 type RuleChecker struct {
 	CancelTimeout time.Duration      // time within which the tasks of a cancelled job must end
 	QuotaLimits   map[string]float64 // cores that each team may use; 0 means no limit
@@ -235,8 +235,8 @@
 	}
 }
 
-// runningReplicas returns the number of running replicas of a service.
-func (r *RuleChecker) runningReplicas(id protocol.JobID, job *protocol.Job) (count int) {
+// runningReplicaCount returns the number of running replicas of a service.
+func (r *RuleChecker) runningReplicaCount(id protocol.JobID, job *protocol.Job) (count int) {
 	for index := range job.TaskCount {
 		if r.runCounts[protocol.Task{Job: id, Index: index}] > 0 {
 			count++
@@ -272,7 +272,7 @@
 	}
 }
 
-// Time limits of the rules that docs/PROTOCOL does not have.
+// Time limits of the additional rules, which the users' protocol document does not have.
 const (
 	maxPlaceableWait  = 90 * time.Second // time without faults that a job may be pending though capacity is free
 	maxUnansweredTime = 75 * time.Second // time without faults for which all requests about a job may get no reply
@@ -298,7 +298,7 @@
 	if len(observed.completedTasks) >= observed.spec.TaskCount {
 		return true
 	}
-	return observed.spec.IsService() && r.runningReplicas(id, observed.spec) == observed.spec.TaskCount
+	return observed.spec.IsService() && r.runningReplicaCount(id, observed.spec) == observed.spec.TaskCount
 }
 
 // CheckFinal checks the rules that can only be checked at the end: that at least one task was
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -164,8 +164,8 @@
 		}
 	}
 	for _, id := range serviceIDs {
-		if job := w.Jobs[id]; !w.Rules.job(id).cancelRequested && w.Rules.runningReplicas(id, job) != job.TaskCount {
-			t.Errorf("seed %d: %d of %d replicas of service %s run, want all", seed, w.Rules.runningReplicas(id, job), job.TaskCount, id)
+		if job := w.Jobs[id]; !w.Rules.job(id).cancelRequested && w.Rules.runningReplicaCount(id, job) != job.TaskCount {
+			t.Errorf("seed %d: %d of %d replicas of service %s run, want all", seed, w.Rules.runningReplicaCount(id, job), job.TaskCount, id)
 		}
 	}
 }
