--- a/internal/simulation/services_test.go
+++ b/internal/simulation/services_test.go
@@ -156,8 +156,7 @@
 }
 
 // TestReplicasShareOnlyMachine checks that replicas of a service share a machine if there is only
-// one. If there are several machines, at most half of the replicas are on one of them, so that the
-// service uses at least two.
+// one. If there are several machines, the replicas run on at least two of them.
 func TestReplicasShareOnlyMachine(t *testing.T) {
 	for _, machineCount := range []int{1, 4} {
 		w := NewWorld(3, 3, testMachineTypes, testTeams())
--- a/internal/simulation/transfer_requests_test.go
+++ b/internal/simulation/transfer_requests_test.go
@@ -292,8 +292,9 @@
 	}
 }
 
-// TestShardQuiesces checks that a quiesced shard gets no new task and that its running tasks continue
-// under their attempts. The shard gets tasks again after the transfer.
+// TestShardQuiesces checks that running tasks continue under their attempts while their shards quiesce
+// and are transferred. No start command is sent during the transfers or after them, and the job
+// finishes. The last commit of a transfer follows the last preparation within 6 s.
 func TestShardQuiesces(t *testing.T) {
 	w := newTransferWorld(t, 4)
 	w.restartWithConfig(func(config *step.Config) { config.MinRebalanceInterval = time.Hour })
