--- a/internal/coordination/agents/commands_test.go
+++ b/internal/coordination/agents/commands_test.go
@@ -28,13 +28,13 @@
 		{"responses do not reach the agent", 0, 0, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`)
+			fixture := newFixture(t)
+			fixture.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":1,"cores":1}}`)
 			task := protocol.Task{Job: testJob}
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, assigned)
-			entry, state := f.addOwnedMachine(t, record)
-			state.RecordHeartbeat(steptest.NewHeartbeat(entry, 1), f.Now.Monotonic)
+			entry, state := fixture.addOwnedMachine(t, record)
+			state.RecordHeartbeat(steptest.NewHeartbeat(entry, 1), fixture.Now.Monotonic)
 			if test.stopped > 0 {
 				state.stopRequests[task] = stopRequest{attempt: test.stopped}
 			}
@@ -42,10 +42,10 @@
 				state.revokedAttempts[task] = test.revoked
 			}
 			if test.commandsLost {
-				state.CommandsLostAt = f.Now.Monotonic
+				state.CommandsLostAt = fixture.Now.Monotonic
 			}
 			starts := 0
-			for _, command := range f.Heartbeats.commandsFor(entry, state, true) {
+			for _, command := range fixture.Heartbeats.commandsFor(entry, state, true) {
 				if command.Type == protocol.CommandStart && command.Attempt == assigned {
 					starts++
 				}
--- a/internal/coordination/agents/fixture_test.go
+++ b/internal/coordination/agents/fixture_test.go
@@ -21,9 +21,9 @@
 	testShardEpoch = storage.ShardEpoch(3)
 )
 
-// fixture holds the parts of this package on a registered controller whose replica is up to date.
+// agentsFixture holds the parts of this package on a registered controller whose replica is up to date.
 // Fakes replace the packages that depend on this one.
-type fixture struct {
+type agentsFixture struct {
 	steptest.Fixture
 	*Parts
 
@@ -32,10 +32,10 @@
 	terminations  steptest.FakeTerminations
 }
 
-func newFixture(t *testing.T) *fixture {
+func newFixture(t *testing.T) *agentsFixture {
 	t.Helper()
 	base := steptest.NewFixture(steptest.Config())
-	f := &fixture{
+	fixture := &agentsFixture{
 		Fixture:       base,
 		Parts:         New(base.Context),
 		commit:        commit.New(base.Context),
@@ -44,51 +44,51 @@
 	}
 	peers := &steptest.FakePeers{ElectsSelf: true}
 	machineTypes := catalog.New(base.Context).Catalog
-	f.commit.Connect(commit.Dependencies{
-		MachineTracker:    f.Table,
+	fixture.commit.Connect(commit.Dependencies{
+		MachineTracker:    fixture.Table,
 		StoreReports:      peers,
 		SuccessorElection: peers,
 		Catalog:           machineTypes,
 		TransferTracker:   steptest.NoTransfers{},
 	})
-	f.Connect(Dependencies{
+	fixture.Connect(Dependencies{
 		Catalog:             machineTypes,
-		RemovalRecorder:     f.terminations,
-		CancellationChecker: f.cancellations,
-		Lease:               f.commit.Lease,
+		RemovalRecorder:     fixture.terminations,
+		CancellationChecker: fixture.cancellations,
+		Lease:               fixture.commit.Lease,
 		PlacementForecast:   steptest.NoPlan{},
-		Replication:         f.commit.Replication,
+		Replication:         fixture.commit.Replication,
 		QuiesceChecker:      steptest.NoTransfers{},
-		Committer:           f.commit.Committer,
-		ShardWriter:         f.commit.ShardWriter,
-		TerminationChecker:  f.terminations,
+		Committer:           fixture.commit.Committer,
+		ShardWriter:         fixture.commit.ShardWriter,
+		TerminationChecker:  fixture.terminations,
 		ScaleInEvaluator:    fakeScaleIn{},
 	})
-	committest.Register(t, f.Context, f.commit)
-	return f
+	committest.Register(t, fixture.Context, fixture.commit)
+	return fixture
 }
 
 // advance advances the clock and deletes the effects emitted so far.
-func (f *fixture) advance(d time.Duration) {
+func (f *agentsFixture) advance(d time.Duration) {
 	f.Advance(d)
 	f.Effects = nil
 }
 
 // addOwnedMachine adds the record of a machine that this controller owns, and returns its entry and state.
-func (f *fixture) addOwnedMachine(t *testing.T, record storage.MachineRecord) (*storage.Machine, *MachineState) {
+func (f *agentsFixture) addOwnedMachine(t *testing.T, record storage.MachineRecord) (*storage.Machine, *MachineState) {
 	t.Helper()
 	entry := f.PutMachine(t, f.commit.Lease.Incarnation(), testShardEpoch, testMachine, record)
 	return entry, f.Table.TrackOwnedMachine(entry, testMachine)
 }
 
 // putJob adds the record of the job.
-func (f *fixture) putJob(t *testing.T, record string) {
+func (f *agentsFixture) putJob(t *testing.T, record string) {
 	t.Helper()
 	f.Put(t, storage.JobKey(testJob), []byte(record), 2)
 }
 
 // receive processes a heartbeat as one step of the controller does.
-func (f *fixture) receive(heartbeat *protocol.Heartbeat) {
+func (f *agentsFixture) receive(heartbeat *protocol.Heartbeat) {
 	f.Heartbeats.OnHeartbeat(step.HeartbeatInput{
 		RequestID: step.RequestID(heartbeat.Sequence),
 		Body:      protocol.Encode(heartbeat),
@@ -97,7 +97,7 @@
 }
 
 // tick checks the machines and the deferred heartbeats as one step of the controller does.
-func (f *fixture) tick() {
+func (f *agentsFixture) tick() {
 	f.ShouldRecheckDeferredHeartbeats = true
 	f.Monitor.TickMachines()
 	f.Heartbeats.ResolveDeferredHeartbeats()
--- a/internal/coordination/agents/job_table_test.go
+++ b/internal/coordination/agents/job_table_test.go
@@ -25,16 +25,16 @@
 		{"recovered after slow tasks", []int{25, 25, 25, 25, 10, 10, 10, 10, 10, 10}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			entry, state := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
-			jobState := f.Jobs.JobState(testJob)
+			fixture := newFixture(t)
+			entry, state := fixture.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1})
+			jobState := fixture.Jobs.JobState(testJob)
 			jobState.measuredTasks, jobState.measuredRuntime = 100, 1000*time.Second
 			sequence := protocol.Sequence(0)
 			receive := func(afterSeconds int, tasks ...protocol.TaskStatus) {
 				t.Helper()
 				sequence++
-				f.advance(time.Duration(afterSeconds) * time.Second)
-				f.receive(steptest.NewHeartbeat(entry, sequence, tasks...))
+				fixture.advance(time.Duration(afterSeconds) * time.Second)
+				fixture.receive(steptest.NewHeartbeat(entry, sequence, tasks...))
 			}
 			receive(0)
 			for i, seconds := range test.seconds {
@@ -49,7 +49,7 @@
 					State:   protocol.TaskExited,
 					Reason:  protocol.ReasonDone,
 				})
-				f.Jobs.recordTaskRuntime(state, task)
+				fixture.Jobs.recordTaskRuntime(state, task)
 			}
 			if got := state.Slowdown.IsSlow(); got != test.want {
 				t.Errorf("IsSlow() = %v with a run time ratio of %.2f, want the opposite", got, state.Slowdown.ratio)
--- a/internal/coordination/agents/reachability_test.go
+++ b/internal/coordination/agents/reachability_test.go
@@ -32,20 +32,20 @@
 			(testShardEpoch - 1).FencingToken(9), 16 * time.Second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			entry, state := f.addOwnedMachine(t,
+			fixture := newFixture(t)
+			entry, state := fixture.addOwnedMachine(t,
 				storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 1, TokenCounter: 2})
 			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.FencingToken = test.confirmed
-			f.receive(heartbeat)
-			wasAnswered := steptest.ReplyStatus(f.Effects) == http.StatusOK
-			f.advance(answerDelay)
-			f.tick()
-			if !wasAnswered && steptest.ReplyStatus(f.Effects) != http.StatusOK {
+			fixture.receive(heartbeat)
+			wasAnswered := steptest.ReplyStatus(fixture.Effects) == http.StatusOK
+			fixture.advance(answerDelay)
+			fixture.tick()
+			if !wasAnswered && steptest.ReplyStatus(fixture.Effects) != http.StatusOK {
 				t.Fatal("heartbeat was not answered within the answer delay")
 			}
-			f.advance(test.after - answerDelay)
-			if got := f.Table.IsAgentLeaseExpired(state, &entry.Record); got != test.want {
+			fixture.advance(test.after - answerDelay)
+			if got := fixture.Table.IsAgentLeaseExpired(state, &entry.Record); got != test.want {
 				t.Errorf("IsAgentLeaseExpired() = %v, want %v", got, test.want)
 			}
 		})
@@ -69,25 +69,25 @@
 		{"call after two failures is answered", []error{callError, callError, nil}, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			entry, state := f.addOwnedMachine(t,
+			fixture := newFixture(t)
+			entry, state := fixture.addOwnedMachine(t,
 				storage.MachineRecord{Address: "a", MachineType: "s", Zone: "a", AgentEpoch: 1})
 			sequence := protocol.Sequence(1)
-			f.receive(steptest.NewHeartbeat(entry, sequence))
+			fixture.receive(steptest.NewHeartbeat(entry, sequence))
 			for _, err := range test.calls {
-				f.advance(time.Second)
-				f.Calls.sendCommands(entry, state, nil, 0)
-				f.advance(time.Second)
+				fixture.advance(time.Second)
+				fixture.Calls.sendCommands(entry, state, nil, 0)
+				fixture.advance(time.Second)
 				sequence++
 				if test.heartbeatsArrive {
-					f.receive(steptest.NewHeartbeat(entry, sequence))
+					fixture.receive(steptest.NewHeartbeat(entry, sequence))
 					sequence++
 				}
 				result := step.AgentResult{Machine: testMachine, Err: err}
 				if err == nil {
 					result.Heartbeat = steptest.NewHeartbeat(entry, sequence)
 				}
-				f.Calls.OnAgentResult(result)
+				fixture.Calls.OnAgentResult(result)
 			}
 			if got := state.CommandsLost(); got != test.want {
 				t.Errorf("CommandsLost() = %v, want %v", got, test.want)
--- a/internal/coordination/agents/reconcile_test.go
+++ b/internal/coordination/agents/reconcile_test.go
@@ -19,98 +19,98 @@
 	) protocol.TaskStatus {
 		return protocol.TaskStatus{Task: task, Attempt: statusAttempt, State: taskState, Reason: reason}
 	}
-	receiveHeartbeat := func(tasks ...protocol.TaskStatus) func(*fixture, *storage.Machine, *MachineState) {
-		return func(f *fixture, entry *storage.Machine, _ *MachineState) {
-			f.receive(steptest.NewHeartbeat(entry, 1, tasks...))
+	receiveHeartbeat := func(tasks ...protocol.TaskStatus) func(*agentsFixture, *storage.Machine, *MachineState) {
+		return func(fixture *agentsFixture, entry *storage.Machine, _ *MachineState) {
+			fixture.receive(steptest.NewHeartbeat(entry, 1, tasks...))
 		}
 	}
-	cancel := func(f *fixture) { f.cancellations[testJob] = true }
+	cancel := func(fixture *agentsFixture) { fixture.cancellations[testJob] = true }
 	leaseElapsed := 20 * time.Second
 
 	for _, test := range []struct {
 		name          string
-		setUp         func(*fixture, *storage.Machine, *MachineState)
+		setUp         func(*agentsFixture, *storage.Machine, *MachineState)
 		want          bool   // whether the task is requeued
 		wantCompleted string // tasks that are recorded as completed
 	}{
-		{"no heartbeat yet", func(f *fixture, _ *storage.Machine, _ *MachineState) { cancel(f) }, false, ""},
+		{"no heartbeat yet", func(fixture *agentsFixture, _ *storage.Machine, _ *MachineState) { cancel(fixture) }, false, ""},
 		{"running", receiveHeartbeat(status(attempt, protocol.TaskRunning, "")), false, ""},
 		{"absent, start in flight", receiveHeartbeat(), false, ""},
-		{"absent, start not sent yet", func(f *fixture, entry *storage.Machine, state *MachineState) {
-			receiveHeartbeat()(f, entry, state)
+		{"absent, start not sent yet", func(fixture *agentsFixture, entry *storage.Machine, state *MachineState) {
+			receiveHeartbeat()(fixture, entry, state)
 			clear(state.InflightStarts)
 		}, false, ""},
-		{"absent, cancelled", func(f *fixture, entry *storage.Machine, state *MachineState) {
-			cancel(f)
-			receiveHeartbeat()(f, entry, state)
+		{"absent, cancelled", func(fixture *agentsFixture, entry *storage.Machine, state *MachineState) {
+			cancel(fixture)
+			receiveHeartbeat()(fixture, entry, state)
 		}, true, ""},
-		{"absent, cancelled, start in flight", func(f *fixture, entry *storage.Machine, state *MachineState) {
-			cancel(f)
-			receiveHeartbeat()(f, entry, state)
+		{"absent, cancelled, start in flight", func(fixture *agentsFixture, entry *storage.Machine, state *MachineState) {
+			cancel(fixture)
+			receiveHeartbeat()(fixture, entry, state)
 			state.InflightStarts[task] = attempt
 		}, false, ""},
 		{"absent from a heartbeat after the start, cancelled",
-			func(f *fixture, entry *storage.Machine, _ *MachineState) {
-				f.receive(steptest.NewHeartbeat(entry, 1)) // answered with the start
-				cancel(f)
-				f.receive(steptest.NewHeartbeat(entry, 2))
+			func(fixture *agentsFixture, entry *storage.Machine, _ *MachineState) {
+				fixture.receive(steptest.NewHeartbeat(entry, 1)) // answered with the start
+				cancel(fixture)
+				fixture.receive(steptest.NewHeartbeat(entry, 2))
 			}, true, ""},
-		{"absent, cancelled, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
-			cancel(f)
+		{"absent, cancelled, under an earlier owner's token", func(fixture *agentsFixture, entry *storage.Machine, _ *MachineState) {
+			cancel(fixture)
 			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
-			f.receive(heartbeat)
+			fixture.receive(heartbeat)
 		}, false, ""},
-		{"absent, requeued before", func(f *fixture, entry *storage.Machine, state *MachineState) {
+		{"absent, requeued before", func(fixture *agentsFixture, entry *storage.Machine, state *MachineState) {
 			state.revokedAttempts[task] = attempt
-			receiveHeartbeat()(f, entry, state)
+			receiveHeartbeat()(fixture, entry, state)
 		}, true, ""},
 		{"done", receiveHeartbeat(status(attempt, protocol.TaskExited, protocol.ReasonDone)), true, "0"},
 		{"failed", receiveHeartbeat(status(attempt, protocol.TaskExited, protocol.ReasonError)), true, ""},
 		{"earlier attempt done",
 			receiveHeartbeat(status(attempt-1, protocol.TaskExited, protocol.ReasonDone)), false, ""},
-		{"newer agent epoch", func(f *fixture, entry *storage.Machine, _ *MachineState) {
+		{"newer agent epoch", func(fixture *agentsFixture, entry *storage.Machine, _ *MachineState) {
 			heartbeat := steptest.NewHeartbeat(entry, 1)
 			heartbeat.AgentEpoch++
-			f.receive(heartbeat)
+			fixture.receive(heartbeat)
 		}, true, ""},
-		{"lease expired", func(f *fixture, entry *storage.Machine, state *MachineState) {
-			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(f, entry, state)
-			f.advance(3 * time.Second)
-			f.tick()
-			f.advance(leaseElapsed)
+		{"lease expired", func(fixture *agentsFixture, entry *storage.Machine, state *MachineState) {
+			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(fixture, entry, state)
+			fixture.advance(3 * time.Second)
+			fixture.tick()
+			fixture.advance(leaseElapsed)
 		}, true, ""},
-		{"lease expired, heartbeat waits for its response", func(f *fixture, entry *storage.Machine, state *MachineState) {
-			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(f, entry, state)
-			f.advance(3 * time.Second)
-			f.tick()
-			f.advance(leaseElapsed)
+		{"lease expired, heartbeat waits for its response", func(fixture *agentsFixture, entry *storage.Machine, state *MachineState) {
+			receiveHeartbeat(status(attempt, protocol.TaskRunning, ""))(fixture, entry, state)
+			fixture.advance(3 * time.Second)
+			fixture.tick()
+			fixture.advance(leaseElapsed)
 			state.DeferredRequest = 9
 		}, false, ""},
-		{"lease expired, under an earlier owner's token", func(f *fixture, entry *storage.Machine, _ *MachineState) {
+		{"lease expired, under an earlier owner's token", func(fixture *agentsFixture, entry *storage.Machine, _ *MachineState) {
 			heartbeat := steptest.NewHeartbeat(entry, 1, status(attempt, protocol.TaskRunning, ""))
 			heartbeat.FencingToken = (testShardEpoch - 1).FencingToken(9)
-			f.receive(heartbeat)
-			f.advance(3 * time.Second)
-			f.tick()
-			f.advance(leaseElapsed)
+			fixture.receive(heartbeat)
+			fixture.advance(3 * time.Second)
+			fixture.tick()
+			fixture.advance(leaseElapsed)
 		}, false, ""},
-		{"termination requested", func(_ *fixture, entry *storage.Machine, _ *MachineState) {
+		{"termination requested", func(_ *agentsFixture, entry *storage.Machine, _ *MachineState) {
 			entry.Record.Terminating = true
 		}, false, ""},
-		{"termination confirmed", func(f *fixture, _ *storage.Machine, _ *MachineState) {
-			f.terminations[testMachine] = true
+		{"termination confirmed", func(fixture *agentsFixture, _ *storage.Machine, _ *MachineState) {
+			fixture.terminations[testMachine] = true
 		}, true, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`)
+			fixture := newFixture(t)
+			fixture.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(task, attempt)
-			entry, state := f.addOwnedMachine(t, record)
-			test.setUp(f, entry, state)
-			batch := f.commit.ShardWriter.NewBatch(f.Config.TransactionOps)
-			f.Reconciler.WriteMachines(batch)
+			entry, state := fixture.addOwnedMachine(t, record)
+			test.setUp(fixture, entry, state)
+			batch := fixture.commit.ShardWriter.NewBatch(fixture.Config.TransactionOps)
+			fixture.Reconciler.WriteMachines(batch)
 			isRequeued := batch.RemovesMachine(testMachine) || len(batch.MachineRecord(testMachine).Assignments) == 0
 			if isRequeued != test.want {
 				t.Errorf("task requeued: %v, want the opposite", isRequeued)
--- a/internal/coordination/agents/response_delay_test.go
+++ b/internal/coordination/agents/response_delay_test.go
@@ -23,18 +23,18 @@
 		name       string
 		isAssigned bool // whether the record assigns the task to the machine
 		tasks      []protocol.TaskStatus
-		change     func(*fixture, *storage.Machine, *MachineState, *protocol.Heartbeat)
+		change     func(*agentsFixture, *storage.Machine, *MachineState, *protocol.Heartbeat)
 		after      time.Duration // if above 0, the response is deferred first and checked after this time
 		want       bool          // whether the response waits
 	}{
 		{"idle", false, nil, nil, 0, true},
 		{"idle, wait has timed out", false, nil, nil, 2600 * time.Millisecond, false},
 		{"idle, preemption notice", false, nil,
-			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
+			func(_ *agentsFixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
 				heartbeat.PreemptionNoticeSeconds = &notice
 			}, 0, false},
 		{"idle, cordoned", false, nil,
-			func(_ *fixture, entry *storage.Machine, _ *MachineState, _ *protocol.Heartbeat) {
+			func(_ *agentsFixture, entry *storage.Machine, _ *MachineState, _ *protocol.Heartbeat) {
 				entry.Record.Cordoned = true
 			}, 0, false},
 		{"assigned task not started yet", true, nil, nil, 0, false},
@@ -44,42 +44,42 @@
 			[]protocol.TaskStatus{exited}, nil, 800 * time.Millisecond, false},
 		{"exit of an unassigned task", false, []protocol.TaskStatus{exited}, nil, 0, false},
 		{"new agent epoch not recorded yet", true, nil,
-			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
+			func(_ *agentsFixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
 				heartbeat.AgentEpoch++
 			}, 0, true},
 		{"agent lacks the current token", false, nil,
-			func(_ *fixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
+			func(_ *agentsFixture, _ *storage.Machine, _ *MachineState, heartbeat *protocol.Heartbeat) {
 				heartbeat.FencingToken--
 			}, 0, false},
 		{"replica may lack writes of the previous owner", true, nil,
-			func(f *fixture, _ *storage.Machine, state *MachineState, _ *protocol.Heartbeat) {
-				state.ownershipRevision = f.Replica.Revision + 1
+			func(fixture *agentsFixture, _ *storage.Machine, state *MachineState, _ *protocol.Heartbeat) {
+				state.ownershipRevision = fixture.Replica.Revision + 1
 			}, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`)
+			fixture := newFixture(t)
+			fixture.putJob(t, `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1}}`)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2, TokenCounter: 1}
 			if test.isAssigned {
 				record.Assign(task, attempt)
 			}
-			entry, state := f.addOwnedMachine(t, record)
-			f.Replica.Revision = max(f.Replica.Revision, state.ownershipRevision)
+			entry, state := fixture.addOwnedMachine(t, record)
+			fixture.Replica.Revision = max(fixture.Replica.Revision, state.ownershipRevision)
 			heartbeat := steptest.NewHeartbeat(entry, 1, test.tasks...)
 			if test.change != nil {
-				test.change(f, entry, state, heartbeat)
+				test.change(fixture, entry, state, heartbeat)
 			}
-			f.receive(heartbeat)
+			fixture.receive(heartbeat)
 			if test.after > 0 {
-				if steptest.ReplyStatus(f.Effects) != 0 {
+				if steptest.ReplyStatus(fixture.Effects) != 0 {
 					t.Fatal("heartbeat was answered at once, want a deferred response")
 				}
-				f.advance(test.after)
-				f.tick()
+				fixture.advance(test.after)
+				fixture.tick()
 			}
-			if got := state.isDeferred(); got != test.want || (steptest.ReplyStatus(f.Effects) == 0) != test.want {
+			if got := state.isDeferred(); got != test.want || (steptest.ReplyStatus(fixture.Effects) == 0) != test.want {
 				t.Errorf("response deferred: %v, reply status %d (0 means no reply), want no reply if the case wants the response to wait, and a reply otherwise",
-					got, steptest.ReplyStatus(f.Effects))
+					got, steptest.ReplyStatus(fixture.Effects))
 			}
 		})
 	}
@@ -89,26 +89,26 @@
 // heartbeat before its replica includes the write of the takeover. An older replica may lack a
 // cancellation request that the previous owner recorded.
 func TestNoResponseBeforeReplicaCatchesUp(t *testing.T) {
-	f := newFixture(t)
+	fixture := newFixture(t)
 	// The machine's shard is newer than the replica, as after an applied write of this controller.
-	entry, state := f.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
-	if f.Replica.Revision = 0; state.ownershipRevision == 0 {
+	entry, state := fixture.addOwnedMachine(t, storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2})
+	if fixture.Replica.Revision = 0; state.ownershipRevision == 0 {
 		t.Fatal("ownership revision is 0, want the revision of the shard")
 	}
-	f.receive(steptest.NewHeartbeat(entry, 1))
-	if status := steptest.ReplyStatus(f.Effects); status != 0 {
+	fixture.receive(steptest.NewHeartbeat(entry, 1))
+	if status := steptest.ReplyStatus(fixture.Effects); status != 0 {
 		t.Errorf("got status %d before the replica has caught up, want no response", status)
 	}
-	f.advance(ownershipCatchUpTimeout + 100*time.Millisecond)
-	f.tick()
-	if status := steptest.ReplyStatus(f.Effects); status != http.StatusMisdirectedRequest {
+	fixture.advance(ownershipCatchUpTimeout + 100*time.Millisecond)
+	fixture.tick()
+	if status := steptest.ReplyStatus(fixture.Effects); status != http.StatusMisdirectedRequest {
 		t.Errorf("got status %d after the timeout, want a redirect so that the agent tries another controller", status)
 	}
-	f.receive(steptest.NewHeartbeat(entry, 2))
-	f.Replica.Revision = 9
-	f.advance(2600 * time.Millisecond)
-	f.tick()
-	if status := steptest.ReplyStatus(f.Effects); status != http.StatusOK {
+	fixture.receive(steptest.NewHeartbeat(entry, 2))
+	fixture.Replica.Revision = 9
+	fixture.advance(2600 * time.Millisecond)
+	fixture.tick()
+	if status := steptest.ReplyStatus(fixture.Effects); status != http.StatusOK {
 		t.Errorf("got status %d with an up-to-date replica, want 200", status)
 	}
 }
--- a/internal/coordination/cancellation/acknowledgements_test.go
+++ b/internal/coordination/cancellation/acknowledgements_test.go
@@ -33,24 +33,24 @@
 		{"controller that has not registered", step.PeerStatus{Revision: 6, CancelAcks: acksOf("j-1")}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 2)
-			f.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
+			fixture := newFixture(t)
+			fixture.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1"}`), 2)
+			fixture.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#9"}`), 2)
 			record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 			record.Assign(protocol.Task{Job: "j-1"}, 5)
 			shard := storage.EncodePlainShard("stall-1#1", 3, []string{record.EncodeLine("m-1")}, nil)
-			f.Put(t, storage.ShardKey("p"), shard, 5)
+			fixture.Put(t, storage.ShardKey("p"), shard, 5)
 			job := `{"d":{"uid":"j-1","shape":"batch","pieces":2,"cores":1},"w":true,"o":1000000000000}`
-			f.Put(t, storage.JobKey("j-1"), []byte(job), 6)
-			f.Replica.Revision = 6
+			fixture.Put(t, storage.JobKey("j-1"), []byte(job), 6)
+			fixture.Replica.Revision = 6
 
 			test.status.ControllerID = test.status.Incarnation.Controller()
-			f.canceller.OnPeerCancellations(&test.status)
-			if got := f.canceller.IsCancelFullyAcknowledged("j-1"); got != test.want {
+			fixture.canceller.OnPeerCancellations(&test.status)
+			if got := fixture.canceller.IsCancelFullyAcknowledged("j-1"); got != test.want {
 				t.Errorf("IsCancelFullyAcknowledged(j-1) = %v, want %v", got, test.want)
 			}
-			f.Replica.Delete(storage.ControllerKey("stall-1"), 7)
-			if f.canceller.IsCancelFullyAcknowledged("j-1") {
+			fixture.Replica.Delete(storage.ControllerKey("stall-1"), 7)
+			if fixture.canceller.IsCancelFullyAcknowledged("j-1") {
 				t.Error("the acknowledgement of an ended incarnation counts, want it ignored")
 			}
 		})
--- a/internal/coordination/cancellation/fixture_test.go
+++ b/internal/coordination/cancellation/fixture_test.go
@@ -18,9 +18,9 @@
 	otherIncarnation storage.Incarnation = "stall-1#1"
 )
 
-// fixture holds a canceller and the parts on which it depends. The incarnation is registered, and the
-// replica is up to date.
-type fixture struct {
+// cancellationFixture holds a canceller and the parts on which it depends. The incarnation is registered,
+// and the replica is up to date.
+type cancellationFixture struct {
 	steptest.Fixture
 
 	commit    *commit.Parts
@@ -29,35 +29,35 @@
 }
 
 // newFixture returns a fixture without jobs and machines.
-func newFixture(t *testing.T) *fixture {
+func newFixture(t *testing.T) *cancellationFixture {
 	t.Helper()
 	base := steptest.NewFixture(steptest.Config())
-	f := &fixture{Fixture: base, commit: commit.New(base.Context), agents: agents.New(base.Context)}
+	fixture := &cancellationFixture{Fixture: base, commit: commit.New(base.Context), agents: agents.New(base.Context)}
 	peers := &steptest.FakePeers{}
 	cancellations := New(base.Context)
-	f.canceller = cancellations.Canceller
-	f.commit.Connect(commit.Dependencies{
-		MachineTracker:    f.agents.Table,
+	fixture.canceller = cancellations.Canceller
+	fixture.commit.Connect(commit.Dependencies{
+		MachineTracker:    fixture.agents.Table,
 		StoreReports:      peers,
 		SuccessorElection: peers,
 	})
 	cancellations.Connect(Dependencies{
-		Agents:            f.agents.Table,
-		Calls:             f.agents.Calls,
-		Committer:         f.commit.Committer,
-		Lease:             f.commit.Lease,
-		Limits:            f.commit.Limits,
+		Agents:            fixture.agents.Table,
+		Calls:             fixture.agents.Calls,
+		Committer:         fixture.commit.Committer,
+		Lease:             fixture.commit.Lease,
+		Limits:            fixture.commit.Limits,
 		SuccessorElection: peers,
 		PeerNotifier:      peers,
-		Replication:       f.commit.Replication,
+		Replication:       fixture.commit.Replication,
 		ForcedTerminator:  steptest.FakeTerminations{},
 	})
-	f.register(t)
-	return f
+	fixture.register(t)
+	return fixture
 }
 
 // register registers the incarnation, at revision 2.
-func (f *fixture) register(t *testing.T) {
+func (f *cancellationFixture) register(t *testing.T) {
 	t.Helper()
 	committest.Register(t, f.Context, f.commit)
 	if got := f.commit.Lease.Incarnation(); got != testIncarnation {
@@ -66,7 +66,7 @@
 }
 
 // putJob puts the record of the test job, which has two tasks, after change has modified it.
-func (f *fixture) putJob(t *testing.T, change func(*storage.JobRecord)) {
+func (f *cancellationFixture) putJob(t *testing.T, change func(*storage.JobRecord)) {
 	t.Helper()
 	record := &storage.JobRecord{Spec: &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}, Owner: testIncarnation}
 	if change != nil {
@@ -77,7 +77,7 @@
 
 // putMachine puts the record of a machine to which the first task of the test job is assigned, in a shard
 // with the given owner and completed tasks.
-func (f *fixture) putMachine(
+func (f *cancellationFixture) putMachine(
 	t *testing.T, owner storage.Incarnation, completedTasks map[protocol.JobID]storage.TaskSet,
 ) *storage.Machine {
 	t.Helper()
@@ -90,7 +90,7 @@
 
 // putOwnedMachine puts the record of a machine of this controller, whose agent reports the task in the given
 // state.
-func (f *fixture) putOwnedMachine(t *testing.T, taskState protocol.TaskState) (*storage.Machine, *agents.MachineState) {
+func (f *cancellationFixture) putOwnedMachine(t *testing.T, taskState protocol.TaskState) (*storage.Machine, *agents.MachineState) {
 	t.Helper()
 	entry := f.putMachine(t, testIncarnation, nil)
 	return entry, f.recordHeartbeat(entry, taskState)
@@ -98,7 +98,7 @@
 
 // putQuiescentMachines puts the records of machines of this controller, each of which runs a task of the
 // test job.
-func (f *fixture) putQuiescentMachines(t *testing.T, count int) {
+func (f *cancellationFixture) putQuiescentMachines(t *testing.T, count int) {
 	t.Helper()
 	record := storage.MachineRecord{MachineType: "s", Zone: "a", AgentEpoch: 2}
 	record.Assign(protocol.Task{Job: testJob}, 5)
@@ -113,7 +113,7 @@
 }
 
 // recordHeartbeat records a heartbeat that shows the first task of the test job in the given state.
-func (f *fixture) recordHeartbeat(entry *storage.Machine, taskState protocol.TaskState) *agents.MachineState {
+func (f *cancellationFixture) recordHeartbeat(entry *storage.Machine, taskState protocol.TaskState) *agents.MachineState {
 	machineState := f.agents.Table.TrackOwnedMachine(entry, entry.ID)
 	machineState.RecordHeartbeat(&protocol.Heartbeat{
 		Machine:      entry.ID,
--- a/internal/coordination/cancellation/forced_scale_in_test.go
+++ b/internal/coordination/cancellation/forced_scale_in_test.go
@@ -29,16 +29,16 @@
 		{"task exited", 30 * time.Second, protocol.TaskExited, true, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			f.putJob(t, func(record *storage.JobRecord) {
-				record.CancelRequested, record.CancelUpdatedAt = true, f.Now.Wall
+			fixture := newFixture(t)
+			fixture.putJob(t, func(record *storage.JobRecord) {
+				record.CancelRequested, record.CancelUpdatedAt = true, fixture.Now.Wall
 			})
-			entry, state := f.putOwnedMachine(t, test.taskState)
-			f.Advance(test.cancellationAge)
+			entry, state := fixture.putOwnedMachine(t, test.taskState)
+			fixture.Advance(test.cancellationAge)
 			if !test.isSilent {
-				state.LastContactAt = f.Now.Monotonic
+				state.LastContactAt = fixture.Now.Monotonic
 			}
-			if got := f.canceller.MustForceScaleIn(state, &entry.Record, test.isIsolated); got != test.want {
+			if got := fixture.canceller.MustForceScaleIn(state, &entry.Record, test.isIsolated); got != test.want {
 				t.Errorf("MustForceScaleIn = %v, want %v", got, test.want)
 			}
 		})
--- a/internal/coordination/cancellation/requests_test.go
+++ b/internal/coordination/cancellation/requests_test.go
@@ -22,81 +22,81 @@
 	allTasks := map[protocol.JobID]storage.TaskSet{testJob: storage.TaskRange(0, 1)}
 	for _, test := range []struct {
 		name                 string
-		setUp                func(t *testing.T, f *fixture)
+		setUp                func(t *testing.T, fixture *cancellationFixture)
 		wantWrite            write
 		wantShardCondition   bool
 		wantRequestForgotten bool
 	}{
 		{
 			name:      "unassigned job of this controller",
-			setUp:     func(t *testing.T, f *fixture) { f.putJob(t, nil) },
+			setUp:     func(t *testing.T, fixture *cancellationFixture) { fixture.putJob(t, nil) },
 			wantWrite: confirmation,
 		},
 		{
 			name: "running on a quiescent machine of this controller",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				f.putOwnedMachine(t, protocol.TaskRunning)
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				fixture.putOwnedMachine(t, protocol.TaskRunning)
 			},
 			wantWrite:          confirmation,
 			wantShardCondition: true,
 		},
 		{
 			name: "pulling its image on a machine of this controller",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				f.putOwnedMachine(t, protocol.TaskPullingImage)
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				fixture.putOwnedMachine(t, protocol.TaskPullingImage)
 			},
 			wantWrite: cancelRequest,
 		},
 		{
 			name: "running on a machine of another controller",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				f.recordHeartbeat(f.putMachine(t, otherIncarnation, nil), protocol.TaskRunning)
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				fixture.recordHeartbeat(fixture.putMachine(t, otherIncarnation, nil), protocol.TaskRunning)
 			},
 			wantWrite: cancelRequest,
 		},
 		{
 			name: "unassigned job of another controller",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, func(record *storage.JobRecord) { record.Owner = otherIncarnation })
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, func(record *storage.JobRecord) { record.Owner = otherIncarnation })
 			},
 			wantWrite: cancelRequest,
 		},
 		{
 			name: "replica older than the job's record",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				f.Replica.Revision = 1
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				fixture.Replica.Revision = 1
 			},
 			wantWrite: cancelRequest,
 		},
 		{
 			name: "on more machines than a batch may depend on",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps+1)
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				fixture.putQuiescentMachines(t, directCancelConditionsPerOp*fixture.Config.TransactionOps+1)
 			},
 			wantWrite: cancelRequest,
 		},
 		{
 			name: "on as many machines as a batch may depend on",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				f.putQuiescentMachines(t, directCancelConditionsPerOp*f.Config.TransactionOps)
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				fixture.putQuiescentMachines(t, directCancelConditionsPerOp*fixture.Config.TransactionOps)
 			},
 			wantWrite:          confirmation,
 			wantShardCondition: true,
 		},
 		{
 			name: "transaction that depends on the job in flight",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, nil)
-				batch := f.commit.ShardWriter.NewBatch(8)
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, nil)
+				batch := fixture.commit.ShardWriter.NewBatch(8)
 				batch.MutableJob(testJob)
-				f.commit.Committer.SendBatch(batch, 8)
-				if !f.commit.Committer.HasPendingConditionOn(storage.JobKey(testJob)) {
+				fixture.commit.Committer.SendBatch(batch, 8)
+				if !fixture.commit.Committer.HasPendingConditionOn(storage.JobKey(testJob)) {
 					t.Fatal("no transaction that depends on the job is in flight, want one")
 				}
 			},
@@ -104,41 +104,41 @@
 		},
 		{
 			name:      "request recorded, not acknowledged",
-			setUp:     func(t *testing.T, f *fixture) { f.putJob(t, cancelRequested) },
+			setUp:     func(t *testing.T, fixture *cancellationFixture) { fixture.putJob(t, cancelRequested) },
 			wantWrite: nothing,
 		},
 		{
 			name: "request recorded and acknowledged",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, cancelRequested)
-				f.canceller.UpdateAcknowledgements()
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, cancelRequested)
+				fixture.canceller.UpdateAcknowledgements()
 			},
 			wantWrite: confirmation,
 		},
 		{
 			name: "request acknowledged, all tasks completed first",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, cancelRequested)
-				f.putMachine(t, testIncarnation, allTasks)
-				f.canceller.fullyAcknowledged[testJob] = true
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, cancelRequested)
+				fixture.putMachine(t, testIncarnation, allTasks)
+				fixture.canceller.fullyAcknowledged[testJob] = true
 			},
 			wantWrite: nothing,
 		},
 		{
 			name: "job done",
-			setUp: func(t *testing.T, f *fixture) {
-				f.putJob(t, func(record *storage.JobRecord) { record.State = protocol.JobDone })
+			setUp: func(t *testing.T, fixture *cancellationFixture) {
+				fixture.putJob(t, func(record *storage.JobRecord) { record.State = protocol.JobDone })
 			},
 			wantWrite:            nothing,
 			wantRequestForgotten: true,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t)
-			test.setUp(t, f)
-			f.canceller.RequestCancellation(testJob)
-			batch := f.commit.ShardWriter.NewBatch(8)
-			f.canceller.WriteCancellations(batch)
+			fixture := newFixture(t)
+			test.setUp(t, fixture)
+			fixture.canceller.RequestCancellation(testJob)
+			batch := fixture.commit.ShardWriter.NewBatch(8)
+			fixture.canceller.WriteCancellations(batch)
 
 			transaction := batch.Transaction()
 			written := storage.NewReplica()
@@ -157,8 +157,8 @@
 				default:
 					t.Fatalf("the written record %+v is neither a request nor a confirmation", entry.Record)
 				}
-				if entry.Record.CancelUpdatedAt != f.Now.Wall {
-					t.Errorf("CancelUpdatedAt = %d, want %d", entry.Record.CancelUpdatedAt, f.Now.Wall)
+				if entry.Record.CancelUpdatedAt != fixture.Now.Wall {
+					t.Errorf("CancelUpdatedAt = %d, want %d", entry.Record.CancelUpdatedAt, fixture.Now.Wall)
 				}
 			}
 			if got != test.wantWrite {
@@ -169,8 +169,8 @@
 			if dependsOnShard != test.wantShardCondition {
 				t.Errorf("transaction depends on the shard: %v, want %v", dependsOnShard, test.wantShardCondition)
 			}
-			if f.canceller.HasRequests() == test.wantRequestForgotten {
-				t.Errorf("request is forgotten: %v, want %v", !f.canceller.HasRequests(), test.wantRequestForgotten)
+			if fixture.canceller.HasRequests() == test.wantRequestForgotten {
+				t.Errorf("request is forgotten: %v, want %v", !fixture.canceller.HasRequests(), test.wantRequestForgotten)
 			}
 		})
 	}
--- a/internal/coordination/requests/fixture_test.go
+++ b/internal/coordination/requests/fixture_test.go
@@ -17,8 +17,8 @@
 
 const testIncarnation storage.Incarnation = "stall-0#7" // of the controller under test
 
-// fixture holds the parts of this package and the parts of other packages that they depend on.
-type fixture struct {
+// requestsFixture holds the parts of this package and the parts of other packages that they depend on.
+type requestsFixture struct {
 	steptest.Fixture
 	*Parts
 
@@ -28,7 +28,7 @@
 }
 
 // newFixture returns a fixture that has loaded an empty store at revision 1 and is not registered.
-func newFixture(t *testing.T) *fixture {
+func newFixture(t *testing.T) *requestsFixture {
 	t.Helper()
 	config := steptest.Config()
 	config.RecordTransfers = true
@@ -36,70 +36,70 @@
 	base.Rand = rand.New(rand.NewPCG(1, 1))
 	ctx := base.Context
 	agentParts, owners, cancellations := agents.New(ctx), ownership.New(ctx), cancellation.New(ctx)
-	f := &fixture{
+	fixture := &requestsFixture{
 		Fixture:   base,
 		Parts:     New(ctx),
 		catalog:   catalog.New(ctx),
 		commit:    commit.New(ctx),
 		canceller: cancellations.Canceller,
 	}
-	f.commit.Connect(commit.Dependencies{
+	fixture.commit.Connect(commit.Dependencies{
 		MachineTracker:    agentParts.Table,
 		StoreReports:      owners.Peers,
 		SuccessorElection: owners.Manager,
-		Catalog:           f.catalog.Catalog,
+		Catalog:           fixture.catalog.Catalog,
 		TransferTracker:   owners.Transfers,
 	})
 	cancellations.Connect(cancellation.Dependencies{
 		Agents:            agentParts.Table,
 		Calls:             agentParts.Calls,
-		Committer:         f.commit.Committer,
-		Lease:             f.commit.Lease,
-		Limits:            f.commit.Limits,
+		Committer:         fixture.commit.Committer,
+		Lease:             fixture.commit.Lease,
+		Limits:            fixture.commit.Limits,
 		SuccessorElection: owners.Manager,
 		PeerNotifier:      owners.Peers,
-		Replication:       f.commit.Replication,
+		Replication:       fixture.commit.Replication,
 	})
 	owners.Connect(ownership.Dependencies{
 		Cancellations: cancellations.Canceller,
-		Lease:         f.commit.Lease,
+		Lease:         fixture.commit.Lease,
 		Misdirected:   agentParts.Misdirected,
-		Replication:   f.commit.Replication,
-		Store:         f.commit.Store,
+		Replication:   fixture.commit.Replication,
+		Store:         fixture.commit.Store,
 		Agents:        agentParts.Table,
-		Limits:        f.commit.Limits,
-		ShardWriter:   f.commit.ShardWriter,
+		Limits:        fixture.commit.Limits,
+		ShardWriter:   fixture.commit.ShardWriter,
 	})
-	f.Connect(Dependencies{
-		Lease:         f.commit.Lease,
+	fixture.Connect(Dependencies{
+		Lease:         fixture.commit.Lease,
 		Overload:      owners.Overload,
-		Replication:   f.commit.Replication,
+		Replication:   fixture.commit.Replication,
 		Transfers:     owners.Transfers,
 		Cancellations: cancellations.Canceller,
-		Catalog:       f.catalog.Catalog,
-		Limits:        f.commit.Limits,
-		Store:         f.commit.Store,
+		Catalog:       fixture.catalog.Catalog,
+		Limits:        fixture.commit.Limits,
+		Store:         fixture.commit.Store,
 	})
-	f.commit.Limits.UpdateWriteLimiter()
-	f.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
-	return f
+	fixture.commit.Limits.UpdateWriteLimiter()
+	fixture.commit.Replication.OnLoadRecordsResult(step.LoadRecordsResult{StartRevision: 1, EndRevision: 1})
+	return fixture
 }
 
 // newRegisteredFixture returns a fixture whose incarnation is registered, and which is up to date at
 // revision 2.
-func newRegisteredFixture(t *testing.T) *fixture {
+func newRegisteredFixture(t *testing.T) *requestsFixture {
 	t.Helper()
-	f := newFixture(t)
-	committest.Register(t, f.Context, f.commit)
-	if got := f.commit.Lease.Incarnation(); got != testIncarnation {
+	fixture := newFixture(t)
+	committest.Register(t, fixture.Context, fixture.commit)
+	if got := fixture.commit.Lease.Incarnation(); got != testIncarnation {
 		t.Fatalf("registered as %q, want %q", got, testIncarnation)
 	}
-	return f
+	return fixture
 }
 
 // takeEffects returns the effects of type T since the last call, and discards all effects.
-func takeEffects[T step.Effect](f *fixture) []T {
-	taken := steptest.EffectsOf[T](f.Effects)
-	f.Effects = nil
+func takeEffects[T step.Effect](fixture *requestsFixture) []T {
+	taken := steptest.EffectsOf[T](fixture.Effects)
+	fixture.Effects = nil
 	return taken
 }
--- a/internal/coordination/requests/operator_requests_test.go
+++ b/internal/coordination/requests/operator_requests_test.go
@@ -13,7 +13,7 @@
 
 // operatorReply returns whether an operator's request has been answered since the last call, and the
 // error in the answer. It fails the test if there is more than one answer.
-func (f *fixture) operatorReply(t *testing.T) (isAnswered bool, err error) {
+func (f *requestsFixture) operatorReply(t *testing.T) (isAnswered bool, err error) {
 	t.Helper()
 	answers := 0
 	for _, effect := range f.Effects {
@@ -34,7 +34,7 @@
 }
 
 // wantRefusal checks that the last request is refused with the given reason.
-func (f *fixture) wantRefusal(t *testing.T, reason string, transient bool) {
+func (f *requestsFixture) wantRefusal(t *testing.T, reason string, transient bool) {
 	t.Helper()
 	_, err := f.operatorReply(t)
 	var requestErr *RequestError
@@ -49,7 +49,7 @@
 
 // putControllers puts two more controllers, a shard of the controller under test and a shard of an
 // ended incarnation into the replica.
-func (f *fixture) putControllers(t *testing.T) {
+func (f *requestsFixture) putControllers(t *testing.T) {
 	t.Helper()
 	f.Put(t, storage.ControllerKey("stall-1"), []byte(`{"r":"stall-1#1","m":true}`), 2)
 	f.Put(t, storage.ControllerKey("stall-2"), []byte(`{"r":"stall-2#1"}`), 2)
@@ -130,34 +130,34 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newRegisteredFixture(t)
-			f.putControllers(t)
-			f.sendRequest(test.request)
-			f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
-			f.wantRefusal(t, test.reason, test.transient)
+			fixture := newRegisteredFixture(t)
+			fixture.putControllers(t)
+			fixture.sendRequest(test.request)
+			fixture.Operators.WriteOperatorRequests(fixture.commit.ShardWriter.NewBatch(8))
+			fixture.wantRefusal(t, test.reason, test.transient)
 		})
 	}
 	t.Run("drain of the last controller", func(t *testing.T) {
-		f := newRegisteredFixture(t)
-		f.sendRequest(DrainRequest{Controller: "stall-0", Drain: true})
-		f.wantRefusal(t, `no other controller is up that could take the machines of "stall-0"`, false)
+		fixture := newRegisteredFixture(t)
+		fixture.sendRequest(DrainRequest{Controller: "stall-0", Drain: true})
+		fixture.wantRefusal(t, `no other controller is up that could take the machines of "stall-0"`, false)
 	})
 	t.Run("recorded transfers disabled", func(t *testing.T) {
-		f := newRegisteredFixture(t)
-		f.putControllers(t)
-		f.Config.RecordTransfers = false
-		f.sendRequest(TransferRequest{Name: "m", Shard: "p", Target: "stall-1"})
-		f.wantRefusal(t, "moves are not on record here: moves.recorded is off", false)
+		fixture := newRegisteredFixture(t)
+		fixture.putControllers(t)
+		fixture.Config.RecordTransfers = false
+		fixture.sendRequest(TransferRequest{Name: "m", Shard: "p", Target: "stall-1"})
+		fixture.wantRefusal(t, "moves are not on record here: moves.recorded is off", false)
 	})
 	t.Run("controller not registered", func(t *testing.T) {
-		f := newFixture(t)
-		f.sendRequest(DrainRequest{Controller: "stall-9", Drain: true})
-		f.wantRefusal(t, "this controller does not reach the state service", true)
+		fixture := newFixture(t)
+		fixture.sendRequest(DrainRequest{Controller: "stall-9", Drain: true})
+		fixture.wantRefusal(t, "this controller does not reach the state service", true)
 	})
 }
 
 // sendRequest passes a transfer or drain request to the part under test.
-func (f *fixture) sendRequest(request step.Input) {
+func (f *requestsFixture) sendRequest(request step.Input) {
 	switch request := request.(type) {
 	case TransferRequest:
 		f.Operators.OnTransferRequest(request)
@@ -168,48 +168,48 @@
 
 // A drain is offered to every batch until it is recorded in the store, and only then answered.
 func TestDrainIsAnsweredOnceRecorded(t *testing.T) {
-	f := newRegisteredFixture(t)
-	f.putControllers(t)
-	f.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
+	fixture := newRegisteredFixture(t)
+	fixture.putControllers(t)
+	fixture.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
 	for range 2 { // the first transaction may fail
-		batch := f.commit.ShardWriter.NewBatch(8)
-		f.Operators.WriteOperatorRequests(batch)
+		batch := fixture.commit.ShardWriter.NewBatch(8)
+		fixture.Operators.WriteOperatorRequests(batch)
 		if !batch.ChangesDrain("stall-1") {
 			t.Fatal("the drain is not offered to the batch")
 		}
-		if isAnswered, _ := f.operatorReply(t); isAnswered {
+		if isAnswered, _ := fixture.operatorReply(t); isAnswered {
 			t.Fatal("the drain is answered before it is recorded")
 		}
 	}
-	f.Put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
-	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
-	if isAnswered, err := f.operatorReply(t); err != nil || !isAnswered {
+	fixture.Put(t, storage.DrainKey("stall-1"), []byte(`{"s":1}`), 3)
+	fixture.Operators.WriteOperatorRequests(fixture.commit.ShardWriter.NewBatch(8))
+	if isAnswered, err := fixture.operatorReply(t); err != nil || !isAnswered {
 		t.Errorf("after the drain is recorded: answered %v with error %v, want an answer without error", isAnswered, err)
 	}
 }
 
 // At most 16 requests are pending, each for at most 5 s.
 func TestOperatorRequestBounds(t *testing.T) {
-	f := newRegisteredFixture(t)
-	f.putControllers(t)
+	fixture := newRegisteredFixture(t)
+	fixture.putControllers(t)
 	drain := DrainRequest{Controller: "stall-1", Drain: true}
 	for range 16 {
-		f.sendRequest(drain)
+		fixture.sendRequest(drain)
 	}
-	if isAnswered, _ := f.operatorReply(t); isAnswered {
+	if isAnswered, _ := fixture.operatorReply(t); isAnswered {
 		t.Fatal("one of the first 16 requests is answered at once, want all pending")
 	}
-	f.sendRequest(drain)
-	f.wantRefusal(t, "too many requests wait to be written", true)
+	fixture.sendRequest(drain)
+	fixture.wantRefusal(t, "too many requests wait to be written", true)
 
-	f.Advance(5 * time.Second)
-	f.Operators.ExpireOperatorRequests()
-	if isAnswered, _ := f.operatorReply(t); isAnswered {
+	fixture.Advance(5 * time.Second)
+	fixture.Operators.ExpireOperatorRequests()
+	if isAnswered, _ := fixture.operatorReply(t); isAnswered {
 		t.Error("a request is refused at its timeout, want it refused only after the timeout")
 	}
-	f.Advance(time.Millisecond)
-	f.Operators.ExpireOperatorRequests()
-	replies := takeEffects[DrainReply](f)
+	fixture.Advance(time.Millisecond)
+	fixture.Operators.ExpireOperatorRequests()
+	replies := takeEffects[DrainReply](fixture)
 	if len(replies) != 16 {
 		t.Fatalf("%d requests are refused after their timeout, want 16", len(replies))
 	}
@@ -223,12 +223,12 @@
 // Two simultaneous drains must not drain the last two controllers. Each write is conditional on the
 // drain keys of all controllers, and a request whose write failed is checked again.
 func TestDrainsExcludeEachOther(t *testing.T) {
-	f := newRegisteredFixture(t)
-	f.putControllers(t)
-	f.Put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
-	f.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
-	batch := f.commit.ShardWriter.NewBatch(8)
-	f.Operators.WriteOperatorRequests(batch)
+	fixture := newRegisteredFixture(t)
+	fixture.putControllers(t)
+	fixture.Put(t, storage.DrainKey("stall-2"), []byte(`{"s":1}`), 2)
+	fixture.sendRequest(DrainRequest{Controller: "stall-1", Drain: true})
+	batch := fixture.commit.ShardWriter.NewBatch(8)
+	fixture.Operators.WriteOperatorRequests(batch)
 	conditions := batch.Transaction().Conditions
 	drainRevisions := map[protocol.ControllerID]protocol.ModRevision{"stall-0": 0, "stall-1": 0, "stall-2": 2}
 	for controller, modRevision := range drainRevisions {
@@ -237,28 +237,28 @@
 			t.Errorf("the write is not conditional on %+v", want)
 		}
 	}
-	f.Put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
-	f.Operators.WriteOperatorRequests(f.commit.ShardWriter.NewBatch(8))
-	f.wantRefusal(t, `no other controller is up that could take the machines of "stall-1"`, false)
+	fixture.Put(t, storage.DrainKey("stall-0"), []byte(`{"s":1}`), 3)
+	fixture.Operators.WriteOperatorRequests(fixture.commit.ShardWriter.NewBatch(8))
+	fixture.wantRefusal(t, `no other controller is up that could take the machines of "stall-1"`, false)
 }
 
 // A request that names no shard transfers the source's shard with the fewest machines, except shards
 // that are being transferred already.
 func TestRequestedShard(t *testing.T) {
-	f := newRegisteredFixture(t)
-	f.putControllers(t)
+	fixture := newRegisteredFixture(t)
+	fixture.putControllers(t)
 	putShard := func(id storage.ShardID, machines ...protocol.MachineID) {
 		record := storage.MachineRecord{MachineType: "s", Zone: "a"}
 		lines := []string{}
 		for _, machine := range machines {
 			lines = append(lines, record.EncodeLine(machine))
 		}
-		f.Put(t, storage.ShardKey(id), storage.EncodePlainShard(testIncarnation, 3, lines, nil), 3)
+		fixture.Put(t, storage.ShardKey(id), storage.EncodePlainShard(testIncarnation, 3, lines, nil), 3)
 	}
 	putShard("p", "m-1", "m-3", "m-4")
 	putShard("r", "m-5", "m-6")
 	putShard("s", "m-7")
-	f.Put(t, storage.TransferKey(storage.NewTransferSlot("stall-1", 0)), storage.MustMarshal(storage.TransferRecord{
+	fixture.Put(t, storage.TransferKey(storage.NewTransferSlot("stall-1", 0)), storage.MustMarshal(storage.TransferRecord{
 		Name:   "first",
 		Shard:  "s",
 		Source: testIncarnation,
@@ -266,12 +266,12 @@
 		Phase:  storage.TransferProposed,
 	}), 2)
 
-	shard, err := f.Operators.requestedShard(&TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"})
+	shard, err := fixture.Operators.requestedShard(&TransferRequest{Name: "m", Source: "stall-0", Target: "stall-1"})
 	if err != nil || shard != "r" {
 		t.Errorf("requested shard is %q with error %v, want r, the smallest shard of the source that is not being transferred",
 			shard, err)
 	}
-	_, err = f.Operators.requestedShard(&TransferRequest{Name: "m", Shard: "s", Target: "stall-1"})
+	_, err = fixture.Operators.requestedShard(&TransferRequest{Name: "m", Shard: "s", Target: "stall-1"})
 	if want := `the page is on its way with move "first"`; err == nil || err.Reason != want || !err.Transient {
 		t.Errorf("request for a shard that is being transferred has error %v, want transient %q", err, want)
 	}
--- a/internal/coordination/requests/submissions_test.go
+++ b/internal/coordination/requests/submissions_test.go
@@ -39,13 +39,13 @@
 		{"unknown team", step.Quota{}, protocol.Job{Team: "nobody", Cores: 1}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newRegisteredFixture(t)
-			f.listMachineTypes(machineTypes(4))
-			f.Config.Quotas = map[string]step.Quota{"core": test.quota}
+			fixture := newRegisteredFixture(t)
+			fixture.listMachineTypes(machineTypes(4))
+			fixture.Config.Quotas = map[string]step.Quota{"core": test.quota}
 			if test.job.Team == "" {
 				test.job.Team = "core"
 			}
-			if got := f.Users.canEverRun(&test.job); got != test.want {
+			if got := fixture.Users.canEverRun(&test.job); got != test.want {
 				t.Errorf("canEverRun returns %v, want %v", got, test.want)
 			}
 		})
--- a/internal/coordination/requests/user_requests_test.go
+++ b/internal/coordination/requests/user_requests_test.go
@@ -33,19 +33,19 @@
 }
 
 // listMachineTypes replaces the machine types that the cloud offers.
-func (f *fixture) listMachineTypes(types []protocol.MachineType) {
+func (f *requestsFixture) listMachineTypes(types []protocol.MachineType) {
 	f.catalog.Catalog.OnListMachineTypesResult(step.ListMachineTypesResult{MachineTypes: types})
 }
 
 // putJob puts a record of testJob into the replica.
-func (f *fixture) putJob(t *testing.T, record storage.JobRecord, modRevision protocol.ModRevision) {
+func (f *requestsFixture) putJob(t *testing.T, record storage.JobRecord, modRevision protocol.ModRevision) {
 	t.Helper()
 	record.Spec = &protocol.Job{ID: testJob, TaskCount: 2, Cores: 1}
 	f.Put(t, storage.JobKey(testJob), storage.EncodeJob(storage.FormatPlain, &record), modRevision)
 }
 
 // replyStatuses returns the HTTP statuses of the answers since the last call.
-func (f *fixture) replyStatuses() []int {
+func (f *requestsFixture) replyStatuses() []int {
 	statuses := []int{}
 	for _, reply := range takeEffects[step.Reply](f) {
 		statuses = append(statuses, reply.Status)
@@ -54,7 +54,7 @@
 }
 
 // wantStatuses checks the HTTP statuses of the answers since the last call.
-func (f *fixture) wantStatuses(t *testing.T, when string, want ...int) {
+func (f *requestsFixture) wantStatuses(t *testing.T, when string, want ...int) {
 	t.Helper()
 	if got := f.replyStatuses(); !slices.Equal(got, want) {
 		t.Errorf("%s: answered with statuses %v, want %v", when, got, want)
@@ -143,39 +143,39 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newRegisteredFixture(t)
-			f.listMachineTypes(machineTypes(4))
+			fixture := newRegisteredFixture(t)
+			fixture.listMachineTypes(machineTypes(4))
 			if test.before != nil {
-				f.putJob(t, *test.before, 2)
+				fixture.putJob(t, *test.before, 2)
 			}
-			f.Users.OnUserInput(test.request)
-			if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
+			fixture.Users.OnUserInput(test.request)
+			if reads := takeEffects[step.ReadRevision](fixture); len(reads) != 1 {
 				t.Fatalf("the store's revision is read %d times, want once", len(reads))
 			}
-			f.Users.ReplyToPendingRequests()
-			f.wantStatuses(t, "before the revision is known")
+			fixture.Users.ReplyToPendingRequests()
+			fixture.wantStatuses(t, "before the revision is known")
 
-			f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 9})
-			f.Replica.Revision = 8
-			f.Users.ReplyToPendingRequests()
-			f.wantStatuses(t, "with an older replica")
+			fixture.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 9})
+			fixture.Replica.Revision = 8
+			fixture.Users.ReplyToPendingRequests()
+			fixture.wantStatuses(t, "with an older replica")
 
-			f.Replica.Revision = 9
+			fixture.Replica.Revision = 9
 			if test.after != nil {
-				f.putJob(t, *test.after, 9)
+				fixture.putJob(t, *test.after, 9)
 			}
 			if test.newTypes != nil {
-				f.listMachineTypes(test.newTypes)
+				fixture.listMachineTypes(test.newTypes)
 			}
-			f.Users.ReplyToPendingRequests()
-			f.wantStatuses(t, "with a replica at the read revision", test.want...)
-			if f.Users.HasSubmissions() != test.isSubmitted {
-				t.Errorf("the job waits to be recorded: %v, want %v", f.Users.HasSubmissions(), test.isSubmitted)
+			fixture.Users.ReplyToPendingRequests()
+			fixture.wantStatuses(t, "with a replica at the read revision", test.want...)
+			if fixture.Users.HasSubmissions() != test.isSubmitted {
+				t.Errorf("the job waits to be recorded: %v, want %v", fixture.Users.HasSubmissions(), test.isSubmitted)
 			}
-			if isWaiting := len(test.want) == 0 && !test.isSubmitted; f.Users.HasDeferredRequests() != isWaiting {
-				t.Errorf("the request is still deferred: %v, want %v", f.Users.HasDeferredRequests(), isWaiting)
+			if isWaiting := len(test.want) == 0 && !test.isSubmitted; fixture.Users.HasDeferredRequests() != isWaiting {
+				t.Errorf("the request is still deferred: %v, want %v", fixture.Users.HasDeferredRequests(), isWaiting)
 			}
-			if got := f.canceller.HasRequests(); got != test.isCancelRequested {
+			if got := fixture.canceller.HasRequests(); got != test.isCancelRequested {
 				t.Errorf("cancellation requested: %v, want %v", got, test.isCancelRequested)
 			}
 		})
@@ -184,43 +184,43 @@
 
 // A cancellation is answered once the job is recorded as cancelled, not once the request is recorded.
 func TestCancelAwaitsConfirmation(t *testing.T) {
-	f := newRegisteredFixture(t)
-	f.putJob(t, storage.JobRecord{Owner: testIncarnation}, 2)
-	f.Users.OnUserInput(step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob})
-	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
-	f.Users.ReplyToPendingRequests()
-	f.wantStatuses(t, "cancellation requested")
-	f.putJob(t, storage.JobRecord{Owner: testIncarnation, CancelRequested: true}, 3)
-	f.Replica.Revision = 3
-	f.Users.ReplyToPendingRequests()
-	f.wantStatuses(t, "cancellation request recorded")
-	f.putJob(t, storage.JobRecord{Owner: testIncarnation, State: protocol.JobCancelled}, 4)
-	f.Replica.Revision = 4
-	f.Users.ReplyToPendingRequests()
-	f.wantStatuses(t, "cancellation confirmed", http.StatusOK)
+	fixture := newRegisteredFixture(t)
+	fixture.putJob(t, storage.JobRecord{Owner: testIncarnation}, 2)
+	fixture.Users.OnUserInput(step.UserInput{RequestID: 1, Type: protocol.RequestCancel, Job: testJob})
+	fixture.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
+	fixture.Users.ReplyToPendingRequests()
+	fixture.wantStatuses(t, "cancellation requested")
+	fixture.putJob(t, storage.JobRecord{Owner: testIncarnation, CancelRequested: true}, 3)
+	fixture.Replica.Revision = 3
+	fixture.Users.ReplyToPendingRequests()
+	fixture.wantStatuses(t, "cancellation request recorded")
+	fixture.putJob(t, storage.JobRecord{Owner: testIncarnation, State: protocol.JobCancelled}, 4)
+	fixture.Replica.Revision = 4
+	fixture.Users.ReplyToPendingRequests()
+	fixture.wantStatuses(t, "cancellation confirmed", http.StatusOK)
 }
 
 // A read of the revision serves only the requests that were received before the read began. Requests
 // that are received during the read share the next one.
 func TestRevisionReadsAreShared(t *testing.T) {
-	f := newRegisteredFixture(t)
+	fixture := newRegisteredFixture(t)
 	query := func(id step.RequestID) {
-		f.Users.OnUserInput(step.UserInput{RequestID: id, Type: protocol.RequestQuery, Job: testJob})
+		fixture.Users.OnUserInput(step.UserInput{RequestID: id, Type: protocol.RequestQuery, Job: testJob})
 	}
 	query(1)
 	query(2)
 	query(3)
-	if reads := takeEffects[step.ReadRevision](f); len(reads) != 1 {
+	if reads := takeEffects[step.ReadRevision](fixture); len(reads) != 1 {
 		t.Fatalf("%d reads of the revision for three requests, want 1 until its result arrives", len(reads))
 	}
-	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
-	f.Users.ReplyToPendingRequests()
-	if replies := takeEffects[step.Reply](f); len(replies) != 1 || replies[0].RequestID != 1 {
+	fixture.Users.OnReadRevisionResult(step.ReadRevisionResult{Revision: 2})
+	fixture.Users.ReplyToPendingRequests()
+	if replies := takeEffects[step.Reply](fixture); len(replies) != 1 || replies[0].RequestID != 1 {
 		t.Errorf("replies after the first read are %v, want only that to the first request", replies)
 	}
-	f.Users.OnReadRevisionResult(step.ReadRevisionResult{Err: errors.New("no answer")})
-	f.wantStatuses(t, "second read failed", http.StatusServiceUnavailable, http.StatusServiceUnavailable)
-	if f.Users.HasDeferredRequests() {
+	fixture.Users.OnReadRevisionResult(step.ReadRevisionResult{Err: errors.New("no answer")})
+	fixture.wantStatuses(t, "second read failed", http.StatusServiceUnavailable, http.StatusServiceUnavailable)
+	if fixture.Users.HasDeferredRequests() {
 		t.Error("rejected requests are still deferred")
 	}
 }
@@ -240,24 +240,24 @@
 		{name: "store unavailable", wait: 1100 * time.Millisecond, storeFails: true, want: allRejected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newRegisteredFixture(t)
-			f.listMachineTypes(machineTypes(4))
+			fixture := newRegisteredFixture(t)
+			fixture.listMachineTypes(machineTypes(4))
 			for id := range step.RequestID(2) { // two submissions of one job, by two users
-				f.Users.OnUserInput(step.UserInput{RequestID: id + 1, Type: protocol.RequestSubmit, Body: jobBody(1)})
+				fixture.Users.OnUserInput(step.UserInput{RequestID: id + 1, Type: protocol.RequestSubmit, Body: jobBody(1)})
 			}
-			if !f.Users.HasSubmissions() {
+			if !fixture.Users.HasSubmissions() {
 				t.Fatal("the job does not wait to be recorded")
 			}
-			f.Users.OnUserInput(step.UserInput{RequestID: 3, Type: protocol.RequestQuery, Job: "j-2"})
-			f.Effects = nil
-			f.Advance(test.wait)
+			fixture.Users.OnUserInput(step.UserInput{RequestID: 3, Type: protocol.RequestQuery, Job: "j-2"})
+			fixture.Effects = nil
+			fixture.Advance(test.wait)
 			if test.storeFails {
 				for range 2 {
-					f.commit.Store.RecordContact(f.Now.Monotonic, errors.New("no answer"))
+					fixture.commit.Store.RecordContact(fixture.Now.Monotonic, errors.New("no answer"))
 				}
 			}
-			f.Users.ExpireUserRequests()
-			replies := takeEffects[step.Reply](f)
+			fixture.Users.ExpireUserRequests()
+			replies := takeEffects[step.Reply](fixture)
 			var statuses []int
 			for _, reply := range replies {
 				statuses = append(statuses, reply.Status)
@@ -270,9 +270,9 @@
 			if !slices.Equal(statuses, test.want) {
 				t.Errorf("answered with statuses %v, want %v", statuses, test.want)
 			}
-			if isPending := len(test.want) == 0; f.Users.HasSubmissions() != isPending || f.Users.HasDeferredRequests() != isPending {
+			if isPending := len(test.want) == 0; fixture.Users.HasSubmissions() != isPending || fixture.Users.HasDeferredRequests() != isPending {
 				t.Errorf("submissions pending: %v, deferred requests pending: %v, want %v for both",
-					f.Users.HasSubmissions(), f.Users.HasDeferredRequests(), isPending)
+					fixture.Users.HasSubmissions(), fixture.Users.HasDeferredRequests(), isPending)
 			}
 		})
 	}
