--- a/cmd/tillerarch/admin_backend.go
+++ b/cmd/tillerarch/admin_backend.go
@@ -98,9 +98,9 @@
 
 // SetDraining requests the start or the end of a controller's drain and returns the controller's
 // status.
-func (b adminBackend) SetDraining(ctx context.Context, r *admin.SetDrainingRequest) (*admin.Controller, error) {
+func (b adminBackend) SetDraining(ctx context.Context, request *admin.SetDrainingRequest) (*admin.Controller, error) {
 	reply, err := callCoreForReply[requests.DrainReply](ctx, b.daemon, func(id step.RequestID) step.Input {
-		return requests.DrainRequest{RequestID: id, Controller: protocol.ControllerID(r.Controller), Drain: r.Draining}
+		return requests.DrainRequest{RequestID: id, Controller: protocol.ControllerID(request.Controller), Drain: request.Draining}
 	})
 	if err != nil {
 		return nil, err
@@ -145,12 +145,12 @@
 }
 
 // shardingStatusMessage converts the core's sharding status into the admin service's message.
-func shardingStatusMessage(r *requests.ShardingStatusReply) *admin.ShardingStatus {
-	status := &admin.ShardingStatus{Revision: uint64(r.Revision), Stale: r.Stale}
-	for i := range r.Controllers {
-		status.Controllers = append(status.Controllers, controllerMessage(&r.Controllers[i]))
+func shardingStatusMessage(reply *requests.ShardingStatusReply) *admin.ShardingStatus {
+	status := &admin.ShardingStatus{Revision: uint64(reply.Revision), Stale: reply.Stale}
+	for i := range reply.Controllers {
+		status.Controllers = append(status.Controllers, controllerMessage(&reply.Controllers[i]))
 	}
-	for _, shard := range r.Shards {
+	for _, shard := range reply.Shards {
 		status.Shards = append(status.Shards, admin.Shard{
 			ID:       string(shard.ID),
 			Owner:    string(shard.Owner),
@@ -159,10 +159,10 @@
 			Tasks:    shard.Tasks,
 		})
 	}
-	for i := range r.Transfers {
-		status.Transfers = append(status.Transfers, transferMessage(&r.Transfers[i]))
+	for i := range reply.Transfers {
+		status.Transfers = append(status.Transfers, transferMessage(&reply.Transfers[i]))
 	}
-	for _, planned := range r.PlannedTransfers {
+	for _, planned := range reply.PlannedTransfers {
 		status.PlannedTransfers = append(status.PlannedTransfers, admin.PlannedTransfer{
 			Shard:  string(planned.Shard),
 			Source: string(planned.Source),
--- a/cmd/tillerarch/daemon.go
+++ b/cmd/tillerarch/daemon.go
@@ -94,7 +94,7 @@
 	controllerCount := float64(len(settings.peerAddrs) + 1)
 	storeLimiter := newRateLimiter(settings.storeRPS/controllerCount, settings.storeRPS/controllerCount)
 	cloudLimiter := newRateLimiter(settings.cloudRPS*cloudRateFraction, settings.cloudRPS)
-	d := &daemon{
+	controllerDaemon := &daemon{
 		settings:  settings,
 		startedAt: time.Now(),
 		store: &storage.Client{
@@ -109,18 +109,18 @@
 		pendingAdminRequests: map[step.RequestID]chan<- step.Effect{},
 	}
 	for _, addr := range settings.peerAddrs {
-		d.peers = append(d.peers, transport.NewPeerClient(addr))
+		controllerDaemon.peers = append(controllerDaemon.peers, transport.NewPeerClient(addr))
 	}
-	d.core = coordination.New(settings.core, d.now())
-	d.server = transport.NewServer(transport.ServerConfig{
+	controllerDaemon.core = coordination.New(settings.core, controllerDaemon.now())
+	controllerDaemon.server = transport.NewServer(transport.ServerConfig{
 		Addr:        settings.listen,
 		PeerAddr:    settings.peerListen,
 		MaxConns:    max(settings.maxSockets-settings.maxSockets/outboundSocketDivisor-extraOutboundSockets, minServerSockets),
 		IdleTimeout: serverIdleTimeout,
 		ReadTimeout: serverReadTimeout,
-	}, d.handleRequest)
-	d.server.PeerHandler = d.handlePeerFrame
-	return d
+	}, controllerDaemon.handleRequest)
+	controllerDaemon.server.PeerHandler = controllerDaemon.handlePeerFrame
+	return controllerDaemon
 }
 
 // newRateLimiter returns a limiter that allows rps requests per second in bursts of up to burst
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -58,11 +58,11 @@
 
 // invoke makes one call within callTimeout and converts the status of the call to an error.
 // The conversion is the inverse of statusFromError, and also covers statuses of gRPC itself.
-func invoke[Response any](ctx context.Context, c *Client, method string, request any) (*Response, error) {
+func invoke[Response any](ctx context.Context, client *Client, method string, request any) (*Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	response := new(Response)
-	err := c.connection.Invoke(ctx, "/"+serviceName+"/"+method, request, response)
+	err := client.connection.Invoke(ctx, "/"+serviceName+"/"+method, request, response)
 	if err == nil {
 		return response, nil
 	}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -60,7 +60,7 @@
 		Rand:    rand.New(rand.NewPCG(config.Seed, rngStream)),
 		Replica: storage.NewReplica(),
 	}
-	c := &Core{
+	core := &Core{
 		ctx:          ctx,
 		catalog:      catalog.New(ctx),
 		commit:       commit.New(ctx),
@@ -71,10 +71,10 @@
 		scheduling:   scheduling.New(ctx),
 		requests:     requests.New(ctx),
 	}
-	c.connectParts()
-	ctx.Replica.OnMachineChange = c.onMachineChanged
-	c.commit.Limits.UpdateWriteLimiter()
-	return c
+	core.connectParts()
+	ctx.Replica.OnMachineChange = core.onMachineChanged
+	core.commit.Limits.UpdateWriteLimiter()
+	return core
 }
 
 // Step handles one input and returns its effects.
--- a/internal/integration/simulation_server.go
+++ b/internal/integration/simulation_server.go
@@ -157,12 +157,12 @@
 }
 
 // listEntries handles a request for one page of the entries whose keys have a prefix.
-func (s *SimulationServer) listEntries(rw http.ResponseWriter, r *http.Request) {
+func (s *SimulationServer) listEntries(rw http.ResponseWriter, request *http.Request) {
 	page := protocol.EntryPage{Entries: []protocol.Entry{}}
-	from := r.URL.Query().Get("from")
+	from := request.URL.Query().Get("from")
 	s.WithWorld(func(w *simulation.World) {
 		page.Revision = w.Store.Revision()
-		for _, entry := range w.Store.List(r.URL.Query().Get("starts")) {
+		for _, entry := range w.Store.List(request.URL.Query().Get("starts")) {
 			if entry.Key > from {
 				page.Entries = append(page.Entries, entry)
 			}
@@ -176,9 +176,9 @@
 
 // commit handles a transaction. At the rate LostWriteReplyRate, it applies the transaction and sends
 // no response.
-func (s *SimulationServer) commit(rw http.ResponseWriter, r *http.Request) {
+func (s *SimulationServer) commit(rw http.ResponseWriter, request *http.Request) {
 	var transaction protocol.Transaction
-	if !decodeBody(r, &transaction) {
+	if !decodeBody(request, &transaction) {
 		writeJSON(rw, http.StatusBadRequest, protocol.TransactionResult{Error: "malformed"})
 		return
 	}
@@ -222,15 +222,15 @@
 
 // watch handles a watch request. It responds when there are events or when the requested wait has
 // passed, and sends no response while the store is unavailable.
-func (s *SimulationServer) watch(rw http.ResponseWriter, r *http.Request) {
-	query := r.URL.Query()
+func (s *SimulationServer) watch(rw http.ResponseWriter, request *http.Request) {
+	query := request.URL.Query()
 	fromRevision, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	waitMillis, waitErr := strconv.Atoi(query.Get("wait_ms"))
 	if err != nil || waitErr != nil {
 		writeJSON(rw, http.StatusBadRequest, struct{}{})
 		return
 	}
-	for deadline := time.Now().Add(time.Duration(waitMillis) * time.Millisecond); r.Context().Err() == nil; time.Sleep(tickInterval) {
+	for deadline := time.Now().Add(time.Duration(waitMillis) * time.Millisecond); request.Context().Err() == nil; time.Sleep(tickInterval) {
 		var response protocol.WatchResponse
 		var isCompacted, isUnavailable bool
 		s.WithWorld(func(w *simulation.World) {
--- a/internal/simulation/compatibility.go
+++ b/internal/simulation/compatibility.go
@@ -46,10 +46,10 @@
 // if that fails. Unlike that version it does not accept unknown fields, because the production
 // version would lose them when it writes the record again.
 func checkProductionFormat(key string, data json.RawMessage) error {
-	decodeStrictly := func(v any) error {
-		d := json.NewDecoder(bytes.NewReader(data))
-		d.DisallowUnknownFields()
-		return d.Decode(v)
+	decodeStrictly := func(value any) error {
+		decoder := json.NewDecoder(bytes.NewReader(data))
+		decoder.DisallowUnknownFields()
+		return decoder.Decode(value)
 	}
 	switch {
 	case strings.HasPrefix(key, storage.ShardKey("")):
--- a/internal/simulation/effects.go
+++ b/internal/simulation/effects.go
@@ -25,41 +25,41 @@
 	if w.OnEffect != nil {
 		w.OnEffect(w.Now, c.ID, effect)
 	}
-	switch v := effect.(type) {
+	switch effect := effect.(type) {
 	case step.Reply:
-		c.replyToRequest(v)
+		c.replyToRequest(effect)
 	case requests.TransferReply:
-		c.replyToOperator(v.RequestID, v)
+		c.replyToOperator(effect.RequestID, effect)
 	case requests.DrainReply:
-		c.replyToOperator(v.RequestID, v)
+		c.replyToOperator(effect.RequestID, effect)
 	case requests.ShardingStatusReply:
-		c.replyToOperator(v.RequestID, v)
+		c.replyToOperator(effect.RequestID, effect)
 	case step.Log:
-		c.traceLog(v)
+		c.traceLog(effect)
 	case step.SendPeerStatus:
-		c.sendPeerStatus(v)
+		c.sendPeerStatus(effect)
 	case step.Commit:
-		c.commitTransaction(v)
+		c.commitTransaction(effect)
 	case step.LoadRecords:
 		c.loadRecords()
 	case step.Watch:
-		c.watchStore(c.generation, v.AfterRevision, w.Now+watchTimeout)
+		c.watchStore(c.generation, effect.AfterRevision, w.Now+watchTimeout)
 	case step.ReadRevision:
 		c.readRevision()
 	case step.GrantLease:
-		c.grantLease(v.TTL)
+		c.grantLease(effect.TTL)
 	case step.RenewLease:
-		c.renewLease(v.LeaseID)
+		c.renewLease(effect.LeaseID)
 	case step.ProbeAgent:
-		c.probeAgent(v)
+		c.probeAgent(effect)
 	case step.SendCommands:
-		c.sendCommands(v)
+		c.sendCommands(effect)
 	case step.ListMachineTypes:
 		c.listMachineTypes()
 	case step.ProvisionMachines:
-		c.provisionMachines(v.Request)
+		c.provisionMachines(effect.Request)
 	case step.TerminateMachines:
-		c.terminateMachines(v.Machines)
+		c.terminateMachines(effect.Machines)
 	case step.ListInstances:
 		c.listInstances()
 	default:
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -109,11 +109,11 @@
 	}
 }
 
-// submitMixedJobs submits n array and gang jobs of different shapes within one minute, cancels
+// submitMixedJobs submits count array and gang jobs of different shapes within one minute, cancels
 // some of them later, and returns the ids of all.
-func submitMixedJobs(w *World, n int) []protocol.JobID {
+func submitMixedJobs(w *World, count int) []protocol.JobID {
 	var ids []protocol.JobID
-	for i := range n {
+	for i := range count {
 		job := newMixedJob(w, i)
 		ids = append(ids, job.ID)
 		w.After(time.Duration(w.Rand.IntN(60000))*time.Millisecond, func() { w.Submit(job) })
--- a/internal/transport/peer_client.go
+++ b/internal/transport/peer_client.go
@@ -29,8 +29,8 @@
 
 // Send replaces the value that waits to be sent. It never blocks. It returns an error only
 // if the value cannot be encoded as a frame.
-func (p *PeerClient) Send(v any) error {
-	frame, err := AppendFrame(nil, v)
+func (p *PeerClient) Send(value any) error {
+	frame, err := AppendFrame(nil, value)
 	if err != nil {
 		return err
 	}
